--- a/src/net/console.rs
+++ b/src/net/console.rs
@@ -141,3 +141,7 @@
         },
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/inside/net_console.rs"]
+mod tests;
--- a/src/net/duties.rs
+++ b/src/net/duties.rs
@@ -363,29 +363,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::kit::daemon::Folder;
-
-    /// Guards the tokens over a voter's restarts: what was kept is there again, a first start begins with nothing, and a file
-    /// that was spoilt makes no voter, rather than one that would grant tokens a second time.
-    #[test]
-    fn a_voter_finds_what_it_kept_or_gives_no_votes() {
-        let folder = Folder::new().expect("a folder");
-        let path = folder.path("yokelift-duties-n0");
-        assert_eq!(kept(&path), Ok(Highest::default()));
-        let mut highest = Highest::default();
-        (0..2_000).for_each(|n| highest.raise(Duty::Probe(n), 7 + n));
-        for token in [3_000, 3_001] {
-            highest.raise(Duty::Probe(1), token);
-            keep(&path, &highest).expect("kept");
-            assert_eq!(kept(&path).as_ref(), Ok(&highest));
-        }
-        let mut bytes = std::fs::read(&path).expect("there");
-        bytes[9] ^= 4;
-        std::fs::write(&path, &bytes).expect("spoilt");
-        assert!(kept(&path).is_err());
-        std::fs::write(&path, &bytes[..4]).expect("cut");
-        assert!(kept(&path).is_err());
-    }
-}
+#[path = "../../tests/inside/net_duties.rs"]
+mod tests;
--- a/tests/inside/jsonrpc.rs
+++ b/tests/inside/jsonrpc.rs
@@ -2,6 +2,7 @@
 use super::*;
 use crate::config::Names;
 use crate::kit::clients::rpc_line;
+use crate::manager::ends::End;
 use quickcheck::{Gen, QuickCheck};
 
 fn front() -> JsonRpc {
@@ -92,3 +93,37 @@
     }
     assert_eq!(ask("load", json!("x".repeat(65))).1, Some(INVALID_PARAMS));
 }
+
+/// Clients and operators know the ends of attempts by these words, whatever the code calls them.
+#[test]
+fn answers_that_failed_have_the_same_texts_as_before() {
+    let texts = [
+        (End::Done, "Done"),
+        (End::Full, "Full"),
+        (End::Past, "Past"),
+        (End::Broke, "Broke"),
+        (End::Refused, "Refused"),
+        (End::ConnectTimeout, "ConnectTimeout"),
+        (End::Unreachable, "Unreachable"),
+        (End::Overflow, "Overflow"),
+        (End::Closed, "Closed"),
+        (End::Reset, "Reset"),
+        (End::Garbled, "Garbled"),
+        (End::Silent, "Silent"),
+        (End::Idle, "Idle"),
+        (End::Drained, "Drained"),
+        (End::Withdrawn, "Withdrawn"),
+        (End::Deadline, "Deadline"),
+        (End::Dropped, "Dropped"),
+    ];
+    for (end, text) in texts {
+        let (mut front, mut said, mut replies) = (front(), Vec::new(), Vec::new());
+        let line = rpc_line(1, "lookup", "9b1f03aa5c7e2d41", "acme", 1_500, "select 1");
+        front.feed(MS, &line, &mut said, &mut replies).expect("no fault");
+        front.answer(MS, 1, Answer::Failed(Failure::Attempt(end)), &mut Vec::new(), &mut replies);
+        let expected = format!(
+            "{{\"error\":{{\"code\":{FAILED},\"message\":\"failed: {text}\"}},\"id\":1,\"jsonrpc\":\"2.0\"}}\n"
+        );
+        assert_eq!(String::from_utf8_lossy(&replies), expected);
+    }
+}
--- /dev/null
+++ b/tests/recorded_run.rs
@@ -0,0 +1,339 @@
+//! A recorded run of the decision module: random events of all kinds under fixed seeds, and a digest of all actions so far
+//! after each thousand events. Whatever only moves or renames code leaves every digest as it is.
+mod common;
+use common::*;
+use rand_core::{Rng, SeedableRng};
+use rand_pcg::Pcg32;
+use xxhash_rust::xxh3::Xxh3;
+use yokelift::interface::*;
+use yokelift::policy::Gateway;
+
+/// Events of one deployment's run.
+const EVENTS: usize = 8_000;
+/// Events between two digests.
+const DIGEST_EVERY: usize = 1_000;
+
+/// An attempt that the module sent and that has not ended.
+struct Running {
+    id: RequestId,
+    attempt: AttemptNo,
+    engine: EngineId,
+    sent: Nanos,
+}
+
+/// One gateway under random events.
+struct Recording {
+    gateway: Gateway,
+    settings: Settings,
+    now: Nanos,
+    random: Pcg32,
+    running: Vec<Running>,
+    attempts: Vec<u16>,
+    engines: u32,
+    digest: Xxh3,
+}
+
+impl Recording {
+    fn new(settings: Settings, engines: u32, seed: u64) -> Recording {
+        let mut recording = Recording {
+            gateway: Gateway::new(T0, settings.clone(), seed),
+            settings,
+            now: T0,
+            random: Pcg32::seed_from_u64(seed),
+            running: Vec::new(),
+            attempts: Vec::new(),
+            engines,
+            digest: Xxh3::new(),
+        };
+        let entries = (1..=engines).map(|id| recording.entry(id, Readiness::Ready, 0)).collect();
+        recording.handle(Event::List { kind: ListKind::Full, entries });
+        recording
+    }
+
+    /// A number below `limit`.
+    fn draw(&mut self, limit: u32) -> u32 {
+        self.random.next_u32() % limit
+    }
+
+    fn entry(&self, id: u32, readiness: Readiness, ready_at: Nanos) -> EngineEntry {
+        EngineEntry {
+            zone: ZoneId((id % 3) as u16),
+            readiness,
+            ..entry(u64::from(id), (id % 4 / 3) as u16, ready_at)
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.gateway.handle(self.now, event, &mut actions);
+        for action in &actions {
+            self.record(action);
+        }
+        for action in actions {
+            self.obey(action);
+        }
+    }
+
+    /// Takes up what an action says, independent of the names that the code gives it.
+    fn record(&mut self, action: &Action) {
+        let (code, words): (u8, Vec<u64>) = match action {
+            Action::Send { id, engine, timeout } => (1, vec![u64::from(id.0), engine.0, *timeout]),
+            Action::Terms { id, priority, memory_mb } => {
+                (2, vec![u64::from(id.0), u64::from(*priority), memory_mb.to_bits()])
+            }
+            Action::Cancel { id, attempt } => (3, vec![u64::from(id.0), u64::from(attempt.0)]),
+            Action::Refuse { id, retry_after } => (4, vec![u64::from(id.0), *retry_after]),
+            Action::Fail { id } => (5, vec![u64::from(id.0)]),
+            Action::Timer { after, token } => (6, vec![*after, *token]),
+            Action::Probe { engine } => (7, vec![engine.0]),
+            Action::CloseIdle { engine } => (8, vec![engine.0]),
+            Action::Tell { peer, data } => (9, vec![peer.map_or(u64::MAX, u64::from), data.len() as u64]),
+            Action::FetchList => (10, vec![]),
+            Action::Watch(on) => (11, vec![u64::from(*on)]),
+            Action::Log(line) => (12, vec![line.len() as u64]),
+        };
+        self.digest.update(&[code]);
+        for word in words {
+            self.digest.update(&word.to_be_bytes());
+        }
+    }
+
+    fn obey(&mut self, action: Action) {
+        match action {
+            Action::Send { id, engine, .. } => {
+                let attempt = AttemptNo(self.attempts[id.0 as usize]);
+                self.attempts[id.0 as usize] += 1;
+                self.running.push(Running { id, attempt, engine, sent: self.now });
+            }
+            Action::Cancel { id, attempt } => {
+                let at = self.running.iter().position(|r| (r.id, r.attempt) == (id, attempt));
+                // Some cancels cross an end that is on its way.
+                if let Some(at) = at.filter(|_| id.0 % 5 != 0) {
+                    self.end(at, OutcomeKind::Cancelled);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn load(&mut self) -> LoadReport {
+        let len = self.settings.load_fields.len();
+        let values = [0; 4].map(|_| self.draw(400) as f32 / 100.0);
+        LoadReport { len, values }
+    }
+
+    fn request(&mut self) {
+        let id = self.attempts.len() as u32;
+        self.attempts.push(0);
+        let class = self.draw(self.settings.classes.len() as u32) as u16;
+        let deadline = self.settings.classes[usize::from(class)].deadline;
+        let work = Nanos::from(self.draw(400) + 1) * 4 * MS;
+        let request = NewRequest {
+            tenant: TenantId(self.draw(2) as u16),
+            key: Some(OrderKey(u64::from(self.draw(6)))),
+            work_hint: Some(work).filter(|_| !id.is_multiple_of(7)),
+            group: u64::from(self.draw(5)),
+            repeated: self.draw(9) == 0,
+            single: self.draw(40) == 0,
+            ..ask(id, class, self.now, deadline, work)
+        };
+        self.handle(Event::Request(request));
+    }
+
+    fn end(&mut self, at: usize, kind: OutcomeKind) {
+        let Running { id, attempt, engine, sent } = self.running.remove(at);
+        let ok = kind == OutcomeKind::Ok;
+        let told = ok && self.settings.tells_cost;
+        let work = told.then(|| Nanos::from(self.draw(900) + 1) * MS);
+        let load = self.load();
+        self.handle(Event::Outcome(Outcome {
+            id,
+            attempt,
+            engine,
+            kind,
+            latency: self.now - sent,
+            closed: ok,
+            work,
+            memory_mb: told.then_some(64.0),
+            load,
+        }));
+    }
+
+    /// An attempt ends; one of five engines fails most of what it gets, for some seconds at a time.
+    fn outcome(&mut self) {
+        if self.running.is_empty() {
+            return;
+        }
+        let at = self.draw(self.running.len() as u32) as usize;
+        let engine = self.running[at].engine.0;
+        let bad = (engine + self.now / (4 * S)).is_multiple_of(5);
+        let kinds = [
+            OutcomeKind::Error,
+            OutcomeKind::Full,
+            OutcomeKind::Timeout,
+            OutcomeKind::ConnectFailed,
+            OutcomeKind::Reset,
+            OutcomeKind::Moot,
+        ];
+        let fails = self.draw(if bad { 2 } else { 25 }) == 0;
+        let kind = if fails { kinds[self.draw(6) as usize] } else { OutcomeKind::Ok };
+        self.end(at, kind);
+    }
+
+    fn note(&mut self) {
+        if self.running.is_empty() {
+            return;
+        }
+        let at = self.draw(self.running.len() as u32) as usize;
+        let (id, attempt) = (self.running[at].id, self.running[at].attempt);
+        let note = match self.draw(6) {
+            0 => Note::WaitsForLoad,
+            1 => Note::WaitsForMemory,
+            2 => Note::Spill(100.0),
+            _ => Note::Progress(f64::from(self.draw(100)) / 100.0),
+        };
+        self.handle(Event::Note { id, attempt, note });
+    }
+
+    fn list(&mut self) {
+        let id = self.draw(self.engines) + 1;
+        let entry = match self.draw(6) {
+            0 => return self.handle(Event::List { kind: ListKind::Failed, entries: Vec::new() }),
+            1 => self.entry(id, Readiness::Draining, 0),
+            2 => self.entry(id, Readiness::Gone, 0),
+            3 | 4 => self.entry(id, Readiness::Ready, self.now - self.now % MS),
+            _ => {
+                let entries = (1..=self.engines).map(|id| self.entry(id, Readiness::Ready, 0)).collect();
+                return self.handle(Event::List { kind: ListKind::Full, entries });
+            }
+        };
+        self.handle(Event::List { kind: ListKind::Changes, entries: vec![entry] });
+    }
+
+    fn probed(&mut self) {
+        let engine = EngineId(u64::from(self.draw(self.engines)) + 1);
+        let kind = if self.draw(12) == 0 { OutcomeKind::ConnectFailed } else { OutcomeKind::Ok };
+        let (latency, load) = (Nanos::from(self.draw(40) + 1) * MS / 4, self.load());
+        self.handle(Event::Probed { engine, kind, latency, load });
+    }
+
+    /// What operators change while the module runs.
+    fn reconfigure(&mut self) {
+        match self.draw(4) {
+            0 => self.gateway.split([0.25, 0.5, 1.0][self.attempts.len() % 3]),
+            1 => {
+                let gateways = self.settings.gateways;
+                let serving = self.draw(gateways) + 1;
+                self.gateway.share_among(serving);
+            }
+            2 => {
+                let quota_per_s = f64::from(self.draw(60) + 1);
+                self.gateway.set_tenants(&[TenantSpec { quota_per_s, share: 0.5 }; 2]);
+            }
+            _ if self.settings.classes.len() < 8 => {
+                let of = self.draw(self.settings.classes.len() as u32) as u16;
+                let class = self.settings.classes[usize::from(of)].clone();
+                self.settings.classes.push(class);
+                let new = ClassId(self.settings.classes.len() as u16 - 1);
+                let heir_of = Some(ClassId(of)).filter(|_| of.is_multiple_of(2));
+                self.gateway.retune(self.settings.clone(), &[(new, heir_of)]);
+            }
+            _ => {}
+        }
+    }
+
+    fn step(&mut self) {
+        self.now += Nanos::from(self.draw(10_000)) * 1_000;
+        match self.draw(1_000) {
+            0..=329 => self.request(),
+            330..=639 => self.outcome(),
+            640..=699 => self.note(),
+            700..=779 => self.probed(),
+            780..=789 => self.list(),
+            790..=809 if !self.attempts.is_empty() => {
+                let id = RequestId(self.draw(self.attempts.len() as u32));
+                self.handle(Event::ClientGone(id));
+            }
+            810..=819 if !self.running.is_empty() => {
+                let (id, attempt) = (self.running[0].id, self.running[0].attempt);
+                self.handle(Event::FirstByte { id, attempt });
+            }
+            820..=822 => self.reconfigure(),
+            823 => self.handle(Event::Peer { from: 1, data: vec![1, 2] }),
+            // A stall of this manager itself.
+            824 => self.now += 200 * MS,
+            825..=829 => self.now += 40 * MS,
+            _ => self.handle(Event::Timer(1)),
+        }
+    }
+
+    fn digests(mut self) -> Vec<u64> {
+        let mut digests = Vec::new();
+        for _ in 0..EVENTS / DIGEST_EVERY {
+            for _ in 0..DIGEST_EVERY {
+                self.step();
+            }
+            digests.push(self.digest.digest());
+        }
+        digests
+    }
+}
+
+fn hedged() -> Settings {
+    let mut settings = settings();
+    settings.limits.second_copies = true;
+    settings.priorities_heeded = true;
+    settings.load_fields = vec![LoadField::Inflight, LoadField::Util];
+    settings
+}
+
+fn ordered_loads() -> Settings {
+    let mut settings = settings();
+    settings.classes[0].waits_for_loads = true;
+    settings.classes[1].waits_for_loads = true;
+    settings.ask_for_list = true;
+    settings.crossing_costs = true;
+    settings.tells_cost = false;
+    settings.tenants = vec![TenantSpec { quota_per_s: 5.0, share: 0.5 }; 2];
+    settings
+}
+
+fn large_fleet(may_probe: bool) -> Settings {
+    let mut settings = settings();
+    settings.gateways = 60;
+    settings.me = 17;
+    settings.limits.may_probe = may_probe;
+    settings.load_fields =
+        vec![LoadField::Util, LoadField::DisksBusy, LoadField::MemoryGranted, LoadField::Queue];
+    settings.rules.extra = None;
+    settings
+}
+
+fn keyed_everywhere() -> Settings {
+    let mut settings = settings();
+    settings.classes[0].effect = Effect::Keyed { scope: Scope::All, window: 3 * S };
+    settings.classes[3].effect = Effect::Keyed { scope: Scope::Zone, window: 3 * S };
+    settings.limits.may_cancel = false;
+    settings.note_period = 0;
+    settings.limits.retry_after = false;
+    settings
+}
+
+#[test]
+fn the_recorded_run_gives_the_recorded_actions() {
+    let runs = [
+        ("hedged", hedged(), 6),
+        ("ordered-loads", ordered_loads(), 5),
+        ("large-fleet", large_fleet(true), 40),
+        ("large-fleet-without-probes", large_fleet(false), 40),
+        ("keyed-everywhere", keyed_everywhere(), 8),
+    ];
+    let mut lines = String::new();
+    for (name, settings, engines) in runs {
+        let digests = Recording::new(settings, engines, 2_026).digests();
+        for (at, digest) in digests.iter().enumerate() {
+            lines += &format!("{name} {} {digest:016x}\n", (at + 1) * DIGEST_EVERY);
+        }
+    }
+    assert_eq!(lines, include_str!("fixtures/recorded_run.txt"));
+}
--- /dev/null
+++ b/tests/wire_formats.rs
@@ -0,0 +1,312 @@
+//! Everything that leaves the process, byte for byte: datagrams between managers, votes, audit segments, the lines of a
+//! hot restart, handles, and the texts of the second address. The fixtures were written by the program as it was before
+//! the names in its code changed; old and new processes meet in one fleet and in one hot restart.
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use yokelift::audit::store::{Store, entries, frame};
+use yokelift::audit::{Acting, Batch, Bounds, Entry, Place, Under, What};
+use yokelift::duties::probing::Sounding;
+use yokelift::duties::wire::{self as lease_wire, Letter};
+use yokelift::duties::{Duty, Holder, Vote};
+use yokelift::front::console;
+use yokelift::interface::TenantId;
+use yokelift::kit::daemon::Folder;
+use yokelift::lifecycle::words::{Handed, Reader, Word};
+use yokelift::manager::counters::{Counters, Figures, Tally};
+use yokelift::manager::ends::End;
+use yokelift::membership::{Health, Kind, Message, Rumour, Versions, wire as member_wire};
+use yokelift::net::membership::{Row, View};
+use yokelift::spool::handle::Keys;
+use yokelift::spool::{Owner, ResultId};
+
+/// No datagram of the fixtures is longer.
+const LONGEST_DATAGRAM: usize = 1_200;
+
+fn fixture_path(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+fn fixture_text(name: &str) -> String {
+    let path = fixture_path(name);
+    std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+/// The bytes of a fixture file with one `name hex` pair a line.
+fn fixture_bytes(name: &str) -> BTreeMap<String, Vec<u8>> {
+    let parse = |line: &str| {
+        let (name, hex) = line.split_once(' ').expect("a name and its bytes");
+        let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
+        (name.to_owned(), (0..hex.len()).step_by(2).map(byte).collect())
+    };
+    fixture_text(name).lines().map(parse).collect()
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Compares what is written today with a fixture file of `name hex` lines.
+fn assert_writes(file: &str, written: &[(&str, Vec<u8>)]) {
+    let text: String = written.iter().map(|(name, bytes)| format!("{name} {}\n", hex(bytes))).collect();
+    assert_text(file, &text);
+}
+
+fn assert_text(file: &str, written: &str) {
+    assert_eq!(written, fixture_text(file), "tests/fixtures/{file}");
+}
+
+fn addr(port: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+fn versions() -> Versions {
+    Versions {
+        build: "0.1.0+local".into(),
+        generation: 3,
+        settings: 0x0123_4567_89ab_cdef,
+        list: 41,
+        stage: "ready".into(),
+    }
+}
+
+fn member(name: &str, port: u16, health: Health) -> Rumour {
+    Rumour {
+        name: name.into(),
+        addr: addr(port),
+        incarnation: 1_700_000_000_000_001,
+        health,
+        versions: versions(),
+    }
+}
+
+fn membership_messages() -> Vec<(&'static str, Message)> {
+    let gossip = vec![
+        member("n1", 7001, Health::Alive),
+        member("n2", 7002, Health::Suspect),
+        member("n3", 7003, Health::Dead),
+        member("n4", 7004, Health::Left),
+    ];
+    let kinds = [
+        ("ping", Kind::Ping(7)),
+        ("ack", Kind::Ack(300)),
+        ("ping-req", Kind::PingReq(9, addr(7002))),
+        ("leave", Kind::Leave),
+        ("sync", Kind::Sync("n2".into())),
+        ("page", Kind::Page("n4".into(), true)),
+    ];
+    let message = |kind| Message { from: member("n0", 7000, Health::Alive), kind, gossip: gossip.clone() };
+    kinds.into_iter().map(|(name, kind)| (name, message(kind))).collect()
+}
+
+#[test]
+fn membership_datagrams_are_read_and_written_as_before() {
+    let messages = membership_messages();
+    let written: Vec<_> = messages.iter().map(|(name, m)| (*name, member_wire::encode(m))).collect();
+    assert_writes("membership.hex", &written);
+    let fixtures = fixture_bytes("membership.hex");
+    assert_eq!(fixtures.len(), messages.len());
+    for (name, message) in messages {
+        assert_eq!(member_wire::decode(&fixtures[name], LONGEST_DATAGRAM), Ok(message), "{name}");
+    }
+}
+
+fn lease_messages() -> Vec<(&'static str, Letter)> {
+    let holder = || Holder { name: "n0".into(), life: 1_700_000_000_000_001 };
+    let duty = Duty::Probe(0x2a);
+    let loaded = Sounding { well: true, unreachable: false, took: 1_250, len: 2, load: [3.0, 0.5, 0.0, 0.0] };
+    let unreachable = Sounding { unreachable: true, took: 30_000, ..Sounding::default() };
+    vec![
+        ("ask", Letter::Ask(holder(), duty, 17, 4)),
+        ("vote-granted", Letter::Vote("n1".into(), duty, 4, Vote::Granted)),
+        ("vote-refused", Letter::Vote("n1".into(), duty, 4, Vote::Refused(18))),
+        ("release", Letter::Release(holder(), duty, 17)),
+        ("want", Letter::Want(0x2a, 900)),
+        ("told", Letter::Told(0x2a, 900, 17, loaded)),
+        ("told-unreachable", Letter::Told(0x2a, 901, 17, unreachable)),
+        ("not-mine", Letter::NotMine(0x2a, 901, 18)),
+    ]
+}
+
+#[test]
+fn lease_datagrams_are_read_and_written_as_before() {
+    let letters = lease_messages();
+    let written: Vec<_> = letters.iter().map(|(name, l)| (*name, lease_wire::encode(l))).collect();
+    assert_writes("lease.hex", &written);
+    let fixtures = fixture_bytes("lease.hex");
+    assert_eq!(fixtures.len(), letters.len());
+    for (name, letter) in letters {
+        assert_eq!(lease_wire::decode(&fixtures[name], LONGEST_DATAGRAM), Ok(letter), "{name}");
+    }
+}
+
+#[test]
+fn resources_keep_their_names() {
+    assert_eq!(Duty::Probe(0x2a).to_string(), "probe:s-0000002a");
+}
+
+fn restart_words() -> Vec<Word> {
+    let handed = Handed { open: vec![3, 9], input: b"{\n".to_vec(), unwritten: b"half\n".to_vec() };
+    vec![
+        Word::Hello("n0".into()),
+        Word::Take(vec![addr(5050), addr(8123)]),
+        Word::Drained,
+        Word::Ready,
+        Word::Leave(0.375),
+        Word::Client(7, handed),
+        Word::Client(8, Handed::default()),
+        Word::Answer(7, 9, b"leave 1\n".to_vec()),
+        Word::Withdraw(7, 3),
+        Word::Gone(8),
+    ]
+}
+
+#[test]
+fn hot_restart_lines_are_read_and_written_as_before() {
+    let words = restart_words();
+    let written: Vec<u8> = words.iter().flat_map(Word::bytes).collect();
+    assert_text("hot_restart.txt", std::str::from_utf8(&written).expect("text"));
+    let read = Reader::default().feed(fixture_text("hot_restart.txt").as_bytes());
+    assert_eq!(read.expect("lines of this version"), words);
+}
+
+fn under() -> Under {
+    let acting = Acting { generation: 3, settings: 0x0123_4567_89ab_cdef, list: 41 };
+    Under {
+        member: "n0".into(),
+        life: 1_700_000_000_000_001,
+        build: "0.1.0+local".into(),
+        acting,
+        since: 5_000,
+    }
+}
+
+fn audit_entries() -> Vec<Entry> {
+    let kinds = [
+        What::Act,
+        What::Dispatch(0, 0x2a),
+        What::Dispatch(1, 0x2b),
+        What::Refuse(250),
+        What::Fail,
+        What::Lost(12),
+        What::Own(17),
+        What::Disown(17),
+    ];
+    let record = |(at, what): (usize, What)| {
+        let of_request = matches!(what, What::Dispatch(..) | What::Refuse(_) | What::Fail);
+        let (class, request) = if of_request { ("lookup", "c-7") } else { ("", "") };
+        let number = at as u64 + 1;
+        Entry::Record { number, at: 6_000 + number, what, class: class.into(), request: request.into() }
+    };
+    let records = kinds.into_iter().enumerate().map(record);
+    [Entry::from(&under())].into_iter().chain(records).collect()
+}
+
+#[test]
+fn audit_segments_are_read_and_written_as_before() {
+    let all = audit_entries();
+    let written: Vec<u8> = all.iter().flat_map(frame).collect();
+    assert_writes("audit_segment.hex", &[("segment", written)]);
+    assert_eq!(entries(&fixture_bytes("audit_segment.hex")["segment"]), (all, 0));
+}
+
+/// The names of the files and the lines of `GET /audit`.
+#[test]
+fn an_audit_page_has_the_same_lines_as_before() {
+    let folder = Folder::new().expect("a folder");
+    let bounds = Bounds::default();
+    let mut store = Store::open(&folder.path(""), "n0", bounds).expect("a store");
+    let records = audit_entries().split_off(1);
+    store.append(Batch { under: under(), first: 1, entries: records }).expect("kept");
+    let page = store.read(Place::default(), 1_000).expect("a page");
+    assert_text("audit_page.txt", &page.text());
+    let names =
+        std::fs::read_dir(folder.path("")).expect("a folder").map(|file| file.expect("a file").file_name());
+    let names: Vec<String> = names.map(|name| name.to_string_lossy().into_owned()).collect();
+    assert_eq!(names, ["yokelift-audit-n0-00001700000000000001-00000000000000000001.seg"]);
+}
+
+#[test]
+fn handles_are_made_and_opened_as_before() {
+    let owner = Owner { desk: TenantId(3), user: "anna".into() };
+    let keys = Keys::new(1, [7; 32]);
+    let handle = keys.make(ResultId(42), &owner).expect("a handle");
+    assert_text("handle.txt", &format!("{handle}\n"));
+    assert_eq!(keys.open(fixture_text("handle.txt").trim_end(), &owner), Some(ResultId(42)));
+}
+
+const ALL_ENDS: [End; 17] = [
+    End::Done,
+    End::Full,
+    End::Past,
+    End::Broke,
+    End::Refused,
+    End::ConnectTimeout,
+    End::Unreachable,
+    End::Overflow,
+    End::Closed,
+    End::Reset,
+    End::Garbled,
+    End::Silent,
+    End::Idle,
+    End::Drained,
+    End::Withdrawn,
+    End::Deadline,
+    End::Dropped,
+];
+
+#[test]
+fn the_counters_line_is_as_before() {
+    let ends = ALL_ENDS.into_iter().zip(1..).collect();
+    let counters = Counters {
+        taken: 100,
+        served: 90,
+        refused: 4,
+        failed: 3,
+        gone: 2,
+        attempts: 110,
+        copies: 5,
+        withdrawn: 6,
+        probes: 7,
+        stopped: 8,
+        stray: 9,
+        lists: 10,
+        directory_readings: 11,
+        directory_failures: 12,
+        reloads: 13,
+        reload_failures: 14,
+        classes: BTreeMap::new(),
+        ends,
+    };
+    assert_text("counters.txt", &format!("{counters}\n"));
+}
+
+#[test]
+fn metrics_are_as_before() {
+    let tally = |success| Tally { success, overload: 2, error: 1 };
+    let classes = [("load", tally(30)), ("lookup", tally(60))];
+    let figures = Figures {
+        classes: classes.into_iter().map(|(name, tally)| (Rc::from(name), tally)).collect(),
+        dispatches: 110,
+        concurrent: 4,
+        targets: 10,
+        targets_disabled: 1,
+        reload_success: 2,
+        reload_failure: 1,
+    };
+    assert_text("metrics.txt", &console::figures(&figures));
+}
+
+#[test]
+fn fleet_lines_have_the_same_keys_in_the_same_order() {
+    let row = |me, rumour| Row { me, rumour, since_ms: 1_500 };
+    let members = vec![
+        row(true, member("n0", 7000, Health::Alive)),
+        row(false, member("n1", 7001, Health::Suspect)),
+        row(false, member("n2", 7002, Health::Dead)),
+        row(false, member("n3", 7003, Health::Left)),
+    ];
+    let view = View { members, standing: yokelift::membership::Standing::InStep, dropped: 0 };
+    assert_text("fleet.txt", &view.lines());
+}
