--- a/src/audit/mod.rs
+++ b/src/audit/mod.rs
@@ -1,5 +1,6 @@
-//! The audit: what this manager decided, and under which build, settings and list. Pure: decisions in with their
-//! time, batches of entries out; [`store`] keeps them in files, and `net::audit` carries them there.
+//! The audit: what this manager decided, and under which build, settings and list. Pure: decisions
+//! in with their time, batches of entries out; [`store`] keeps them in files, and `net::audit`
+//! carries them there.
 pub mod report;
 pub mod store;
 
@@ -55,7 +56,8 @@
     pub request: Rc<str>,
 }
 
-/// Who decided, and on what: stands at the start of each file, and before the first record after any change.
+/// Who decided, and on what: stands at the start of each file, and before the first record after
+/// any change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Under {
     /// The manager's name.
@@ -93,7 +95,13 @@
 
 impl Entry {
     fn record(number: u64, at: Micros, what: What, class: &str, request: &str) -> Entry {
-        Entry::Record { number, at, what, class: class.into(), request: request.into() }
+        Entry::Record {
+            number,
+            at,
+            what,
+            class: class.into(),
+            request: request.into(),
+        }
     }
 }
 
@@ -110,13 +118,25 @@
 impl From<&Under> for Entry {
     fn from(u: &Under) -> Entry {
         let (member, build) = (u.member.clone(), u.build.clone());
-        Entry::Under(Box::new(EntryUnder { member, life: u.life, build, acting: u.acting, since: u.since }))
+        Entry::Under(Box::new(EntryUnder {
+            member,
+            life: u.life,
+            build,
+            acting: u.acting,
+            since: u.since,
+        }))
     }
 }
 
 impl From<EntryUnder> for Under {
     fn from(e: EntryUnder) -> Under {
-        Under { member: e.member, life: e.life, build: e.build, acting: e.acting, since: e.since }
+        Under {
+            member: e.member,
+            life: e.life,
+            build: e.build,
+            acting: e.acting,
+            since: e.since,
+        }
     }
 }
 
@@ -140,7 +160,10 @@
 
     fn from_str(text: &str) -> Result<Place, Self::Err> {
         let (life, number) = text.split_once('.').unwrap_or((text, "0"));
-        Ok(Place { life: life.parse()?, number: number.parse()? })
+        Ok(Place {
+            life: life.parse()?,
+            number: number.parse()?,
+        })
     }
 }
 
@@ -159,7 +182,10 @@
     /// So many records just before this batch were given up: its first record says so.
     pub fn after(&mut self, lost: u64, at: Micros) {
         if lost > 0 {
-            self.entries.insert(0, Entry::record(self.first - 1, at, What::Lost(lost), "", ""));
+            self.entries.insert(
+                0,
+                Entry::record(self.first - 1, at, What::Lost(lost), "", ""),
+            );
             self.first -= lost;
         }
     }
@@ -168,7 +194,10 @@
     pub fn records(&self) -> u64 {
         let told = |entry: &Entry| match entry {
             // The record of a loss stands at the place of the last one lost.
-            Entry::Record { what: What::Lost(count), .. } => *count,
+            Entry::Record {
+                what: What::Lost(count),
+                ..
+            } => *count,
             Entry::Record { .. } => 1,
             Entry::Under(_) => 0,
         };
@@ -194,8 +223,14 @@
     /// The trail of a process that begins now. That it began is told at once, before any decision.
     pub fn new(under: Under) -> Trail {
         let now = under.since;
-        let mut trail =
-            Trail { batch_under: under.clone(), under, batch: Vec::new(), begun: None, number: 0, lost: 0 };
+        let mut trail = Trail {
+            batch_under: under.clone(),
+            under,
+            batch: Vec::new(),
+            begun: None,
+            number: 0,
+            lost: 0,
+        };
         trail.act(now);
         trail
     }
@@ -217,8 +252,15 @@
     /// A decision was made.
     pub fn note(&mut self, now: Micros, decision: &Decision) {
         self.number += 1;
-        let Decision { what, class, request } = decision;
-        self.push(now, Entry::record(self.number, now, what.clone(), class, request));
+        let Decision {
+            what,
+            class,
+            request,
+        } = decision;
+        self.push(
+            now,
+            Entry::record(self.number, now, what.clone(), class, request),
+        );
     }
 
     fn push(&mut self, now: Micros, entry: Entry) {
@@ -231,7 +273,13 @@
 
     /// When a batch is due, if any entry waits.
     pub fn due(&self) -> Option<Micros> {
-        self.begun.map(|at| if self.batch.len() >= BATCH { at } else { at + FLUSH_EVERY })
+        self.begun.map(|at| {
+            if self.batch.len() >= BATCH {
+                at
+            } else {
+                at + FLUSH_EVERY
+            }
+        })
     }
 
     /// The batch, if it is due.
@@ -247,7 +295,11 @@
             self.batch_under = self.under.clone();
         }
         let (under, entries) = (self.batch_under.clone(), std::mem::take(&mut self.batch));
-        let mut batch = Batch { under, first: 0, entries };
+        let mut batch = Batch {
+            under,
+            first: 0,
+            entries,
+        };
         batch.first = self.number + 1 - batch.records();
         batch.after(std::mem::take(&mut self.lost), begun);
         Some(batch)
@@ -277,15 +329,24 @@
 
 impl Default for Bounds {
     fn default() -> Bounds {
-        Bounds { segment_kb: 512, segments: 8 }
+        Bounds {
+            segment_kb: 512,
+            segments: 8,
+        }
     }
 }
 
 impl Bounds {
     /// Whether the bounds can be kept.
     pub fn check(&self) -> Result<(), String> {
-        if self.segment_kb == 0 || self.segment_kb > 1 << 20 || self.segments < 2 || self.segments > 10_000 {
-            return Err("fleet: audit: segment_kb from 1 to 1048576, segments from 2 to 10000".into());
+        if self.segment_kb == 0
+            || self.segment_kb > 1 << 20
+            || self.segments < 2
+            || self.segments > 10_000
+        {
+            return Err(
+                "fleet: audit: segment_kb from 1 to 1048576, segments from 2 to 10000".into(),
+            );
         }
         Ok(())
     }
@@ -304,7 +365,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Rotation {
     bounds: Bounds,
-    /// All files, the oldest first, and whether the last one is written by this process, with its bytes.
+    /// All files, the oldest first, and whether the last one is written by this process, with its
+    /// bytes.
     files: Vec<Place>,
     open: Option<(Place, u64)>,
 }
@@ -313,7 +375,11 @@
     /// With these files there, of earlier lives.
     pub fn new(bounds: Bounds, mut there: Vec<Place>) -> Rotation {
         there.sort_unstable();
-        Rotation { bounds, files: there, open: None }
+        Rotation {
+            bounds,
+            files: there,
+            open: None,
+        }
     }
 
     /// Before a batch of so many bytes that begins with that place.
@@ -321,7 +387,8 @@
         let mut turn = Turn::default();
         let full = |held: u64| held > 0 && held + bytes > self.bounds.segment_kb * 1024;
         if self.open.is_none_or(|(_, held)| full(held)) {
-            // Guards a name that is in use: the last file may have begun with the same place, and hold no record.
+            // Guards a name that is in use: the last file may have begun with the same place, and
+            // hold no record.
             if self.files.last() != Some(&first) {
                 self.files.push(first);
             }
--- a/src/audit/report.rs
+++ b/src/audit/report.rs
@@ -1,5 +1,5 @@
-//! The audit of several managers side by side: who acted on what, where the fleet disagrees, and how long each change
-//! took to spread. Pure: records and views in, figures and text out.
+//! The audit of several managers side by side: who acted on what, where the fleet disagrees, and
+//! how long each change took to spread. Pure: records and views in, figures and text out.
 use super::store::{Line, Told};
 use crate::clock::{MS, Micros, SEC};
 use crate::membership::{Health, Versions};
@@ -42,7 +42,8 @@
     /// The manager's name: its own word, or that of its records.
     pub fn name(&self) -> &str {
         let seen = self.fleet.iter().find(|s| s.me).map(|s| s.name.as_str());
-        seen.or(self.records.first().map(|r| r.under.member.as_str())).unwrap_or(&self.addr)
+        seen.or(self.records.first().map(|r| r.under.member.as_str()))
+            .unwrap_or(&self.addr)
     }
 }
 
@@ -132,18 +133,31 @@
     let acted: Vec<Acted> = all.iter().flat_map(|one| acted(&one.records)).collect();
     let mut missing = Vec::new();
     for one in all {
-        missing.extend(one.missing.iter().map(|what| format!("{}: {what}", one.name())));
+        missing.extend(
+            one.missing
+                .iter()
+                .map(|what| format!("{}: {what}", one.name())),
+        );
         if one.spoilt > 0 {
             missing.push(format!("{}: {} spoilt records", one.name(), one.spoilt));
         }
     }
     let spreads = spreads(&acted, &all.iter().map(Gathered::name).collect::<Vec<_>>());
-    Report { owned: owned(all), disagreements: disagreements(all), spreads, missing, acted }
+    Report {
+        owned: owned(all),
+        disagreements: disagreements(all),
+        spreads,
+        missing,
+        acted,
+    }
 }
 
 fn acted(records: &[Line]) -> Vec<Acted> {
     let mut rows: Vec<Acted> = Vec::new();
-    for Line { under, at, told, .. } in records {
+    for Line {
+        under, at, told, ..
+    } in records
+    {
         let same = |row: &&mut Acted| {
             (row.life, row.since) == (under.life, under.since) && row.member == under.member
         };
@@ -186,11 +200,19 @@
         match line.told {
             Told::Own { token } => {
                 let (duty, token, member) = row(token);
-                let owned = Owned { duty, token, member, from: line.at, until: None };
+                let owned = Owned {
+                    duty,
+                    token,
+                    member,
+                    from: line.at,
+                    until: None,
+                };
                 rows.insert(row(token), owned);
             }
             Told::Disown { token } => {
-                rows.get_mut(&row(token)).into_iter().for_each(|owned| owned.until = Some(line.at));
+                rows.get_mut(&row(token))
+                    .into_iter()
+                    .for_each(|owned| owned.until = Some(line.at));
             }
             _ => {}
         }
@@ -209,17 +231,25 @@
     let mut found = Vec::new();
     let mut add = |about: String, said: Vec<(String, String)>| {
         let mut held: BTreeMap<String, Vec<String>> = BTreeMap::new();
-        said.into_iter().for_each(|(who, what)| held.entry(what).or_default().push(who));
+        said.into_iter()
+            .for_each(|(who, what)| held.entry(what).or_default().push(who));
         if held.len() > 1 {
             found.push(Disagreement { about, held });
         }
     };
     let mine = || all.iter().filter_map(|one| one.fleet.iter().find(|s| s.me));
     for (about, word) in words {
-        add(about.into(), mine().map(|s| (s.name.clone(), word(&s.versions))).collect());
+        add(
+            about.into(),
+            mine()
+                .map(|s| (s.name.clone(), word(&s.versions)))
+                .collect(),
+        );
     }
-    let members: BTreeSet<&str> =
-        all.iter().flat_map(|one| one.fleet.iter().map(|s| s.name.as_str())).collect();
+    let members: BTreeSet<&str> = all
+        .iter()
+        .flat_map(|one| one.fleet.iter().map(|s| s.name.as_str()))
+        .collect();
     for member in members {
         let seen = |one: &Gathered| match one.fleet.iter().find(|s| s.name == member) {
             Some(seen) if seen.me => None,
@@ -227,17 +257,23 @@
             None if one.fleet.is_empty() => None,
             None => Some("unknown".into()),
         };
-        let said = all.iter().filter_map(|one| Some((one.name().to_owned(), seen(one)?)));
+        let said = all
+            .iter()
+            .filter_map(|one| Some((one.name().to_owned(), seen(one)?)));
         add(format!("health of {member}"), said.collect());
     }
     found
 }
 
-/// Each change of settings or of the list that some process took while it ran, and when it came to each manager.
+/// Each change of settings or of the list that some process took while it ran, and when it came to
+/// each manager.
 fn spreads(acted: &[Acted], members: &[&str]) -> Vec<Spread> {
     let mut settings: BTreeSet<u64> = BTreeSet::new();
     let mut lists: BTreeSet<u64> = BTreeSet::new();
-    for pair in acted.windows(2).filter(|p| p[0].member == p[1].member && p[0].life == p[1].life) {
+    for pair in acted
+        .windows(2)
+        .filter(|p| p[0].member == p[1].member && p[0].life == p[1].life)
+    {
         if pair[0].settings != pair[1].settings {
             settings.insert(pair[1].settings);
         }
@@ -252,13 +288,28 @@
             *at = (*at).min(row.since);
         }
         let first = when.values().copied().min().unwrap_or(0);
-        let never = members.iter().filter(|m| !when.contains_key(**m)).map(|m| (*m).to_owned()).collect();
-        let after = when.into_iter().map(|(m, at)| (m.to_owned(), at - first)).collect();
-        Spread { change, first, after, never }
+        let never = members
+            .iter()
+            .filter(|m| !when.contains_key(**m))
+            .map(|m| (*m).to_owned())
+            .collect();
+        let after = when
+            .into_iter()
+            .map(|(m, at)| (m.to_owned(), at - first))
+            .collect();
+        Spread {
+            change,
+            first,
+            after,
+            never,
+        }
     };
-    let settings =
-        settings.into_iter().map(|hash| spread(format!("settings {hash:016x}"), &|row| row.settings == hash));
-    let lists = lists.into_iter().map(|list| spread(format!("list {list}"), &|row| row.list >= list));
+    let settings = settings
+        .into_iter()
+        .map(|hash| spread(format!("settings {hash:016x}"), &|row| row.settings == hash));
+    let lists = lists
+        .into_iter()
+        .map(|list| spread(format!("list {list}"), &|row| row.list >= list));
     let mut all: Vec<Spread> = settings.chain(lists).collect();
     all.sort_by_key(|spread| spread.first);
     all
@@ -317,7 +368,10 @@
                 format!("{:016x}", row.settings),
                 row.list.to_string(),
                 format!("+{:.3} s", (row.since - start) as f64 / SEC as f64),
-                format!("{:.3} s", row.last.saturating_sub(row.since) as f64 / SEC as f64),
+                format!(
+                    "{:.3} s",
+                    row.last.saturating_sub(row.since) as f64 / SEC as f64
+                ),
                 row.dispatched.to_string(),
                 row.refused.to_string(),
                 row.failed.to_string(),
@@ -326,33 +380,46 @@
         }
         let _ = writeln!(out, "Who acted on what:\n{table}");
         match self.disagreements.is_empty() {
-            true => {
-                out.push_str("\nThe managers asked agree on build, settings, list and each other's health.\n")
-            }
+            true => out.push_str(
+                "\nThe managers asked agree on build, settings, list and each other's health.\n",
+            ),
             false => out.push_str("\nThe fleet is not one:\n"),
         }
         for Disagreement { about, held } in &self.disagreements {
-            let held: Vec<String> =
-                held.iter().map(|(what, who)| format!("{what} ({})", who.join(", "))).collect();
+            let held: Vec<String> = held
+                .iter()
+                .map(|(what, who)| format!("{what} ({})", who.join(", ")))
+                .collect();
             let _ = writeln!(out, "- {about}: {}", held.join("; "));
         }
         if !self.owned.is_empty() {
             let mut table = Table::new();
-            table.load_preset(ASCII_MARKDOWN).set_header(["duty", "token", "member", "from", "held"]);
+            table
+                .load_preset(ASCII_MARKDOWN)
+                .set_header(["duty", "token", "member", "from", "held"]);
             for row in &self.owned {
-                let held = row.until.map(|until| format!("{:.3} s", (until - row.from) as f64 / SEC as f64));
+                let held = row
+                    .until
+                    .map(|until| format!("{:.3} s", (until - row.from) as f64 / SEC as f64));
                 table.add_row([
                     row.duty.clone(),
                     row.token.to_string(),
                     row.member.clone(),
-                    format!("+{:.3} s", row.from.saturating_sub(start) as f64 / SEC as f64),
+                    format!(
+                        "+{:.3} s",
+                        row.from.saturating_sub(start) as f64 / SEC as f64
+                    ),
                     held.unwrap_or_else(|| "not told to be over".into()),
                 ]);
             }
             let _ = writeln!(out, "\nWho owned what:\n{table}");
         }
         for spread in &self.spreads {
-            let _ = writeln!(out, "\nSpread of {}, over the managers asked:", spread.change);
+            let _ = writeln!(
+                out,
+                "\nSpread of {}, over the managers asked:",
+                spread.change
+            );
             for (bin, count) in spread.bins() {
                 let _ = writeln!(out, "{bin:>13} | {:<20} {count}", "#".repeat(count));
             }
--- a/src/audit/store.rs
+++ b/src/audit/store.rs
@@ -1,5 +1,5 @@
-//! The files of the audit: frames of postcard with a CRC, delimited by COBS, in files that are turned over. Blocks;
-//! belongs to a thread of its own.
+//! The files of the audit: frames of postcard with a CRC, delimited by COBS, in files that are
+//! turned over. Blocks; belongs to a thread of its own.
 use super::{Batch, Bounds, Entry, Place, Rotation, Under, What};
 use serde::{Deserialize, Serialize};
 use std::fs::{File, OpenOptions};
@@ -19,8 +19,8 @@
     file: Option<File>,
     /// What the last records of that file were decided under.
     told: Option<Under>,
-    /// What is told of batches that could not be kept, before the next one or in the end: how many records, and a
-    /// batch of none that stands where the next one would.
+    /// What is told of batches that could not be kept, before the next one or in the end: how many
+    /// records, and a batch of none that stands where the next one would.
     lost: Option<(u64, Batch)>,
 }
 
@@ -77,10 +77,13 @@
 impl From<&What> for Told {
     fn from(what: &What) -> Told {
         match what {
-            What::Dispatch(attempt, engine) => {
-                Told::Dispatch { attempt: *attempt, engine: format!("s-{engine:08x}") }
-            }
-            What::Refuse(after_ms) => Told::Refuse { after_ms: *after_ms },
+            What::Dispatch(attempt, engine) => Told::Dispatch {
+                attempt: *attempt,
+                engine: format!("s-{engine:08x}"),
+            },
+            What::Refuse(after_ms) => Told::Refuse {
+                after_ms: *after_ms,
+            },
             What::Fail => Told::Fail,
             What::Act => Told::Act,
             What::Lost(count) => Told::Lost { count: *count },
@@ -125,8 +128,16 @@
 impl Page {
     /// The page as it is answered: its last line tells where the next one begins.
     pub fn text(&self) -> String {
-        let end = PageEnd { next: self.next.to_string(), more: self.more, spoilt: self.spoilt };
-        format!("{}{}\n", self.lines, serde_json::to_string(&end).unwrap_or_default())
+        let end = PageEnd {
+            next: self.next.to_string(),
+            more: self.more,
+            spoilt: self.spoilt,
+        };
+        format!(
+            "{}{}\n",
+            self.lines,
+            serde_json::to_string(&end).unwrap_or_default()
+        )
     }
 }
 
@@ -139,12 +150,18 @@
     out
 }
 
-/// The entries of a file, and how many frames were spoilt. A frame without its delimiter is one that is being
-/// written, or was when the process died: it is not counted.
+/// The entries of a file, and how many frames were spoilt. A frame without its delimiter is one
+/// that is being written, or was when the process died: it is not counted.
 pub fn entries(bytes: &[u8]) -> (Vec<Entry>, u64) {
     let (mut all, mut spoilt) = (Vec::new(), 0);
-    let whole = bytes.iter().rposition(|b| *b == 0).map_or(0, |last| last + 1);
-    for piece in bytes[..whole].split(|b| *b == 0).filter(|piece| !piece.is_empty()) {
+    let whole = bytes
+        .iter()
+        .rposition(|b| *b == 0)
+        .map_or(0, |last| last + 1);
+    for piece in bytes[..whole]
+        .split(|b| *b == 0)
+        .filter(|piece| !piece.is_empty())
+    {
         let plain = cobs::decode_vec(piece).ok();
         match plain.and_then(|plain| postcard::from_bytes_crc32(&plain, CRC.digest()).ok()) {
             Some(entry) => all.push(entry),
@@ -157,14 +174,33 @@
 impl Store {
     /// The files of that manager in that folder, with those of its earlier lives.
     pub fn open(folder: &Path, member: &str, bounds: Bounds) -> io::Result<Store> {
-        let plain = |c: char| if c.is_ascii_alphanumeric() || "-_.".contains(c) { c } else { '_' };
-        let stem = format!("yokelift-audit-{}-", member.chars().map(plain).collect::<String>());
+        let plain = |c: char| {
+            if c.is_ascii_alphanumeric() || "-_.".contains(c) {
+                c
+            } else {
+                '_'
+            }
+        };
+        let stem = format!(
+            "yokelift-audit-{}-",
+            member.chars().map(plain).collect::<String>()
+        );
         let rotation = Rotation::new(bounds, files(folder, &stem)?);
-        Ok(Store { folder: folder.to_owned(), stem, rotation, file: None, told: None, lost: None })
+        Ok(Store {
+            folder: folder.to_owned(),
+            stem,
+            rotation,
+            file: None,
+            told: None,
+            lost: None,
+        })
     }
 
     fn path(&self, place: Place) -> PathBuf {
-        self.folder.join(format!("{}{:020}-{:020}.seg", self.stem, place.life, place.number))
+        self.folder.join(format!(
+            "{}{:020}-{:020}.seg",
+            self.stem, place.life, place.number
+        ))
     }
 
     /// Keeps a batch. After an error it counts as lost, which the next one tells, in another file.
@@ -174,7 +210,10 @@
             batch.after(lost, at);
         }
         let mut frames: Vec<u8> = batch.entries.iter().flat_map(frame).collect();
-        let first = Place { life: batch.under.life, number: batch.first };
+        let first = Place {
+            life: batch.under.life,
+            number: batch.first,
+        };
         let turn = self.rotation.before(first, frames.len() as u64);
         for gone in turn.deletes {
             let _ = std::fs::remove_file(self.path(gone));
@@ -194,7 +233,11 @@
             Ok(()) => self.told = Some(last.unwrap_or(batch.under)),
             Err(_) => {
                 let under = last.unwrap_or(batch.under.clone());
-                let next = Batch { under, first: batch.first + batch.records(), entries: Vec::new() };
+                let next = Batch {
+                    under,
+                    first: batch.first + batch.records(),
+                    entries: Vec::new(),
+                };
                 self.lost = Some((batch.records(), next));
                 (self.file, self.told) = (None, None);
                 self.rotation.broke();
@@ -213,28 +256,43 @@
 
     fn write(&mut self, opens: Option<Place>, frames: &[u8]) -> io::Result<()> {
         if let Some(place) = opens {
-            let mut file = OpenOptions::new().create(true).append(true).open(self.path(place))?;
+            let mut file = OpenOptions::new()
+                .create(true)
+                .append(true)
+                .open(self.path(place))?;
             // Ends what may have broken off in a file of that name.
             file.write_all(&[0])?;
             self.file = Some(file);
         }
-        let file = self.file.as_mut().ok_or_else(|| io::Error::other("no file of the audit is open"))?;
+        let file = self
+            .file
+            .as_mut()
+            .ok_or_else(|| io::Error::other("no file of the audit is open"))?;
         file.write_all(frames)
     }
 
     /// The records after that place, at most so many.
     pub fn read(&self, since: Place, most: usize) -> io::Result<Page> {
-        let mut page = Page { next: since, ..Page::default() };
+        let mut page = Page {
+            next: since,
+            ..Page::default()
+        };
         let all = files(&self.folder, &self.stem)?;
         let mut count = 0;
         for (at, place) in all.iter().enumerate() {
-            // All of a file is known if the next one of its life begins at or before what comes next.
-            let after = all.get(at + 1).filter(|next| next.life == since.life && place.life == since.life);
-            if place.life < since.life || after.is_some_and(|next| next.number <= since.number + 1) {
+            // All of a file is known if the next one of its life begins at or before what comes
+            // next.
+            let after = all
+                .get(at + 1)
+                .filter(|next| next.life == since.life && place.life == since.life);
+            if place.life < since.life || after.is_some_and(|next| next.number <= since.number + 1)
+            {
                 continue;
             }
             // One that goes meanwhile is as one that was gone before.
-            let Ok(bytes) = std::fs::read(self.path(*place)) else { continue };
+            let Ok(bytes) = std::fs::read(self.path(*place)) else {
+                continue;
+            };
             let (entries, spoilt) = entries(&bytes);
             page.spoilt += spoilt;
             let mut under = Under::default();
@@ -244,9 +302,18 @@
                         under = Under::from(*next);
                         continue;
                     }
-                    Entry::Record { number, at, what, class, request } => (number, at, what, class, request),
+                    Entry::Record {
+                        number,
+                        at,
+                        what,
+                        class,
+                        request,
+                    } => (number, at, what, class, request),
+                };
+                let here = Place {
+                    life: under.life,
+                    number,
                 };
-                let here = Place { life: under.life, number };
                 if here <= page.next {
                     continue;
                 }
@@ -255,8 +322,16 @@
                     return Ok(page);
                 }
                 let under = under.clone();
-                let line = Line { under, number, at, told: Told::from(&what), class, request };
-                page.lines.push_str(&serde_json::to_string(&line).unwrap_or_default());
+                let line = Line {
+                    under,
+                    number,
+                    at,
+                    told: Told::from(&what),
+                    class,
+                    request,
+                };
+                page.lines
+                    .push_str(&serde_json::to_string(&line).unwrap_or_default());
                 page.lines.push('\n');
                 (page.next, count) = (here, count + 1);
             }
@@ -270,8 +345,11 @@
     let mut all = Vec::new();
     for file in std::fs::read_dir(folder)? {
         let name = file?.file_name();
-        let place = name.to_str().and_then(|n| n.strip_prefix(stem)?.strip_suffix(".seg")?.split_once('-'));
-        let place = place.and_then(|(life, number)| Some((life.parse().ok()?, number.parse().ok()?)));
+        let place = name
+            .to_str()
+            .and_then(|n| n.strip_prefix(stem)?.strip_suffix(".seg")?.split_once('-'));
+        let place =
+            place.and_then(|(life, number)| Some((life.parse().ok()?, number.parse().ok()?)));
         all.extend(place.map(|(life, number)| Place { life, number }));
     }
     all.sort_unstable();
--- a/src/bin/yokelift-drill/frames.rs
+++ b/src/bin/yokelift-drill/frames.rs
@@ -12,7 +12,10 @@
 impl<'a> Reader<'a> {
     /// Starts at the first byte after the frame's length field.
     pub fn new(body: &'a [u8]) -> Self {
-        Reader { whole: body.len(), rest: body }
+        Reader {
+            whole: body.len(),
+            rest: body,
+        }
     }
 
     /// Byte position within the frame, its length field included.
@@ -31,7 +34,11 @@
     }
 
     fn need(&self, n: usize, field: &str) -> Result<(), String> {
-        if self.rest.len() < n { self.bad(field, "the frame ends too soon") } else { Ok(()) }
+        if self.rest.len() < n {
+            self.bad(field, "the frame ends too soon")
+        } else {
+            Ok(())
+        }
     }
 
     /// An unsigned byte.
@@ -75,7 +82,9 @@
     /// Four bytes of address and a port, kept as one number.
     pub fn engine(&mut self, field: &str) -> Result<EngineId, String> {
         self.need(6, field)?;
-        Ok(EngineId(u64::from(self.rest.get_u32()) << 16 | u64::from(self.rest.get_u16())))
+        Ok(EngineId(
+            u64::from(self.rest.get_u32()) << 16 | u64::from(self.rest.get_u16()),
+        ))
     }
 
     /// The kind of outcome.
@@ -99,7 +108,10 @@
     /// A load report.
     pub fn load(&mut self, field: &str) -> Result<LoadReport, String> {
         let n = usize::from(self.u8(field)?);
-        let mut report = LoadReport { len: n.min(4), values: [0.0; 4] };
+        let mut report = LoadReport {
+            len: n.min(4),
+            values: [0.0; 4],
+        };
         for i in 0..n {
             let value = self.f32(field)?;
             if i < 4 {
@@ -129,7 +141,15 @@
             self.rest.advance(1);
             let weight = f64::from(self.f32("rows nominal")?);
             let ready_at = self.u64("rows ready_at_ns")?;
-            entries.push(EngineEntry { id, zone, kind, cell, readiness, weight, ready_at });
+            entries.push(EngineEntry {
+                id,
+                zone,
+                kind,
+                cell,
+                readiness,
+                weight,
+                ready_at,
+            });
         }
         Ok(entries)
     }
@@ -174,7 +194,11 @@
             out.put_u32(id.0);
             out.put_u16(attempt.0);
         }
-        Action::Terms { id, priority, memory_mb } => {
+        Action::Terms {
+            id,
+            priority,
+            memory_mb,
+        } => {
             out.put_u32(id.0);
             out.put_u8(*priority);
             out.put_f32(*memory_mb as f32);
@@ -191,7 +215,11 @@
             out.put_u64(*after);
             out.put_u64(*token);
         }
-        Action::Send { id, engine, timeout } => {
+        Action::Send {
+            id,
+            engine,
+            timeout,
+        } => {
             out.put_u32(id.0);
             put_engine(out, *engine);
             out.put_u64(*timeout);
--- a/src/bin/yokelift-drill/main.rs
+++ b/src/bin/yokelift-drill/main.rs
@@ -1,4 +1,5 @@
-//! Simulator adapter: hosts many independent gateways behind binary frames on standard input and output.
+//! Simulator adapter: hosts many independent gateways behind binary frames on standard input and
+//! output.
 #![forbid(unsafe_code)]
 
 mod frames;
@@ -74,9 +75,16 @@
             let n = r.u32("START boot_info")? as usize;
             let at = r.at();
             let text = r.bytes(n, "START boot_info")?;
-            let settings = settings::parse(text).map_err(|e| format!("byte {at}: boot_info: {e}"))?;
+            let settings =
+                settings::parse(text).map_err(|e| format!("byte {at}: boot_info: {e}"))?;
             let classes = settings.classes.len();
-            self.instances.insert(i, Instance { gateway: Gateway::new(now, settings, seed), classes });
+            self.instances.insert(
+                i,
+                Instance {
+                    gateway: Gateway::new(now, settings, seed),
+                    classes,
+                },
+            );
             return Ok(None);
         }
         let Some(instance) = self.instances.get(&i) else {
@@ -92,20 +100,29 @@
                     1 => ListKind::Changes,
                     2 => ListKind::Failed,
                     3 => ListKind::Full,
-                    other => return Err(format!("byte {kind_at}: TARGETS kind: unknown value {other}")),
+                    other => {
+                        return Err(format!(
+                            "byte {kind_at}: TARGETS kind: unknown value {other}"
+                        ));
+                    }
                 };
                 let set_at = r.at();
                 let number = r.u16("TARGETS set_id")?;
                 let entries = match (kind, self.lists.get(&number)) {
                     (ListKind::Failed, _) => Vec::new(),
                     (_, Some(list)) => list.clone(),
-                    (_, None) => return Err(format!("byte {set_at}: TARGETS set_id: no list {number}")),
+                    (_, None) => {
+                        return Err(format!("byte {set_at}: TARGETS set_id: no list {number}"));
+                    }
                 };
                 Event::List { kind, entries }
             }
             3 => request(r, classes)?,
             4 => {
-                let (id, attempt) = (RequestId(r.u32("STREAMING corr")?), AttemptNo(r.u16("STREAMING leg")?));
+                let (id, attempt) = (
+                    RequestId(r.u32("STREAMING corr")?),
+                    AttemptNo(r.u16("STREAMING leg")?),
+                );
                 r.engine("STREAMING engine")?;
                 r.u64("STREAMING wait_time_ns")?;
                 Event::FirstByte { id, attempt }
@@ -117,19 +134,30 @@
                 let latency = r.u64("CHECKED wait_time_ns")?;
                 let kind = r.outcome("CHECKED code")?;
                 let engine = r.engine("CHECKED engine")?;
-                Event::Probed { engine, kind, latency, load: r.load("CHECKED health_info")? }
+                Event::Probed {
+                    engine,
+                    kind,
+                    latency,
+                    load: r.load("CHECKED health_info")?,
+                }
             }
             9 => {
                 let from = u32::from(r.u16("NEIGHBOUR_SAYS src")?);
                 let n = usize::from(r.u16("NEIGHBOUR_SAYS octets")?);
-                Event::Peer { from, data: r.bytes(n, "NEIGHBOUR_SAYS octets")?.to_vec() }
+                Event::Peer {
+                    from,
+                    data: r.bytes(n, "NEIGHBOUR_SAYS octets")?.to_vec(),
+                }
             }
             10 => {
                 self.instances.remove(&i);
                 return Ok(None);
             }
             _ => {
-                let (id, attempt) = (RequestId(r.u32("INTERIM corr")?), AttemptNo(r.u16("INTERIM leg")?));
+                let (id, attempt) = (
+                    RequestId(r.u32("INTERIM corr")?),
+                    AttemptNo(r.u16("INTERIM leg")?),
+                );
                 r.engine("INTERIM engine")?;
                 let amount = f64::from(r.f32("INTERIM amount")?);
                 let topic_at = r.at();
@@ -139,7 +167,9 @@
                     (3, what) if what >= 1.5 => Note::WaitsForLoad,
                     (3, _) => Note::WaitsForMemory,
                     (other, _) => {
-                        return Err(format!("byte {topic_at}: INTERIM topic: unknown value {other}"));
+                        return Err(format!(
+                            "byte {topic_at}: INTERIM topic: unknown value {other}"
+                        ));
                     }
                 };
                 Event::Note { id, attempt, note }
@@ -154,10 +184,15 @@
     let class_at = r.at();
     let class = ClassId(u16::from(r.u8("NEW_REQUEST kind")?));
     if usize::from(class.0) >= classes {
-        return Err(format!("byte {class_at}: NEW_REQUEST kind: no class {}", class.0));
+        return Err(format!(
+            "byte {class_at}: NEW_REQUEST kind: no class {}",
+            class.0
+        ));
     }
     let tenant = TenantId(r.u16("NEW_REQUEST owner")?);
-    let key = Some(r.u64("NEW_REQUEST target")?).filter(|k| *k != 0).map(OrderKey);
+    let key = Some(r.u64("NEW_REQUEST target")?)
+        .filter(|k| *k != 0)
+        .map(OrderKey);
     let give_up_at = r.u64("NEW_REQUEST give_up_at_ns")?;
     let cost = r.u64("NEW_REQUEST cost_ns")?;
     let memory = f64::from(r.f32("NEW_REQUEST ram_mb")?);
@@ -189,7 +224,17 @@
     let told = kind == OutcomeKind::Ok && note != 0;
     let work = told.then(|| u64::from(note / 4096) * 1_000_000);
     let memory_mb = told.then(|| f64::from(note % 4096) * 4.0);
-    Ok(Event::Outcome(Outcome { id, attempt, engine, kind, latency, closed, work, memory_mb, load }))
+    Ok(Event::Outcome(Outcome {
+        id,
+        attempt,
+        engine,
+        kind,
+        latency,
+        closed,
+        work,
+        memory_mb,
+        load,
+    }))
 }
 
 fn serve() -> Result<(), String> {
@@ -199,7 +244,10 @@
         let mut length = [0u8; 4];
         let mut got = 0;
         while got < 4 {
-            match input.read(&mut length[got..]).map_err(|e| format!("reading: {e}"))? {
+            match input
+                .read(&mut length[got..])
+                .map_err(|e| format!("reading: {e}"))?
+            {
                 0 if got == 0 => return Ok(()),
                 0 => return Err(format!("byte {got}: length: the input ends within it")),
                 n => got += n,
@@ -208,11 +256,15 @@
         // The length counts the records only; clock and record count complete the header.
         let length = u32::from_be_bytes(length) as usize + HEADER_REST;
         if length > MAX_FRAME {
-            return Err(format!("byte 0: length: {length} bytes are more than a frame may hold"));
+            return Err(format!(
+                "byte 0: length: {length} bytes are more than a frame may hold"
+            ));
         }
         body.clear();
-        let read =
-            (&mut input).take(length as u64).read_to_end(&mut body).map_err(|e| format!("reading: {e}"))?;
+        let read = (&mut input)
+            .take(length as u64)
+            .read_to_end(&mut body)
+            .map_err(|e| format!("reading: {e}"))?;
         if read < length {
             return Err(format!(
                 "byte {}: frame: the input ends, {} bytes are missing",
@@ -221,7 +273,10 @@
             ));
         }
         host.batch(&body, &mut reply)?;
-        output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| format!("writing: {e}"))?;
+        output
+            .write_all(&reply)
+            .and_then(|()| output.flush())
+            .map_err(|e| format!("writing: {e}"))?;
     }
 }
 
--- a/src/bin/yokelift-kit/main.rs
+++ b/src/bin/yokelift-kit/main.rs
@@ -1,5 +1,5 @@
-//! Rehearses short scenarios against the daemon, checks deploy files, gathers the audit of a fleet, and measures
-//! emulated ones.
+//! Rehearses short scenarios against the daemon, checks deploy files, gathers the audit of a fleet,
+//! and measures emulated ones.
 #![forbid(unsafe_code)]
 
 mod scale;
@@ -43,7 +43,8 @@
         /// The script.
         script: PathBuf,
     },
-    /// Gathers the audit of several managers: who acted on what, where they disagree, how changes spread.
+    /// Gathers the audit of several managers: who acted on what, where they disagree, how changes
+    /// spread.
     ///
     /// Exits with 1 if something could not be had of one of them.
     #[command(after_help = "Example:\n  yokelift-kit audit 127.8.0.1:10250 127.8.0.2:10250")]
@@ -58,7 +59,8 @@
         #[arg(long)]
         json: bool,
     },
-    /// Counts the probes of engines over emulated fleets, without owners and with one owner an engine.
+    /// Counts the probes of engines over emulated fleets, without owners and with one owner an
+    /// engine.
     #[command(after_help = "Example:\n  yokelift-kit soundings --managers 100,300 --engines 80")]
     Soundings {
         /// The sizes of the fleets.
@@ -77,7 +79,8 @@
         #[arg(long)]
         json: bool,
     },
-    /// Measures fleets of managers emulated in this process: detection, spread and traffic by their size.
+    /// Measures fleets of managers emulated in this process: detection, spread and traffic by their
+    /// size.
     #[command(
         after_help = "Example:\n  yokelift-kit emulate --members 10,100,300 --svg docs/fleet-scale.svg"
     )]
@@ -101,12 +104,17 @@
         #[arg(long)]
         json: bool,
     },
-    /// Measures fleets of hollow managers: the daemon's own actors of the fleet on real sockets on loopback.
-    #[command(after_help = "Example:\n  yokelift-kit scale-fleet --sizes 58x114,460x910 --limit 600 --json")]
+    /// Measures fleets of hollow managers: the daemon's own actors of the fleet on real sockets on
+    /// loopback.
+    #[command(
+        after_help = "Example:\n  yokelift-kit scale-fleet --sizes 58x114,460x910 --limit 600 --json"
+    )]
     ScaleFleet(scale_fleet::ScaleFleet),
-    /// Measures what one real daemon needs by the number of engines, idle clients and statements around it.
+    /// Measures what one real daemon needs by the number of engines, idle clients and statements
+    /// around it.
     ///
-    /// Starts the daemon between stand-ins, one size after the other. Ends all that it started, also on an error.
+    /// Starts the daemon between stand-ins, one size after the other. Ends all that it started,
+    /// also on an error.
     #[command(after_help = "Example:\n  yokelift-kit scale --point 910:2600:0 --json")]
     Scale(scale::Words),
 }
@@ -123,33 +131,51 @@
             let deploy = deploy::read(&file).map_err(one)?;
             let (engines, users) = (deploy.engines.len(), deploy.users.len());
             let file = file.display();
-            print(&format!("{file}: listens on {}, {engines} engines, {users} users\n", deploy.listen));
+            print(&format!(
+                "{file}: listens on {}, {engines} engines, {users} users\n",
+                deploy.listen
+            ));
             Ok(())
         }
         What::Rehearse { script } => {
-            let text =
-                std::fs::read_to_string(&script).map_err(|e| one(format!("{}: {e}", script.display())))?;
+            let text = std::fs::read_to_string(&script)
+                .map_err(|e| one(format!("{}: {e}", script.display())))?;
             let me = std::env::current_exe().map_err(|e| one(e.to_string()))?;
             // The daemon is shipped beside the kit.
             let daemon: PathBuf = me.with_file_name("yokelift");
             script::play(&daemon, &text, &mut |line| print(&format!("{line}\n")))
         }
-        What::Audit { managers, since, json } => {
+        What::Audit {
+            managers,
+            since,
+            json,
+        } => {
             let report = report(&block_on(audit::gather(&managers, since)));
             if json {
                 print(&(serde_json::to_string(&report).map_err(|e| one(e.to_string()))? + "\n"));
             } else {
                 print(&report.text());
             }
-            if report.missing.is_empty() { Ok(()) } else { Err(report.missing) }
+            if report.missing.is_empty() {
+                Ok(())
+            } else {
+                Err(report.missing)
+            }
         }
-        What::Soundings { managers, engines, wants, seed, json } => {
+        What::Soundings {
+            managers,
+            engines,
+            wants,
+            seed,
+            json,
+        } => {
             if managers.iter().any(|n| !(6..=1_000).contains(n))
                 || engines == 0
                 || !(0.01..=1e4).contains(&wants)
             {
                 return Err(one(
-                    "--managers from 6 to 1000, --engines above 0, --wants from 0.01 to 10000".into()
+                    "--managers from 6 to 1000, --engines above 0, --wants from 0.01 to 10000"
+                        .into(),
                 ));
             }
             let figures = soundings::compare(&managers, engines, wants, seed);
@@ -164,17 +190,29 @@
             print(&scale::run(words).map_err(one)?);
             Ok(())
         }
-        What::Emulate { members, stops, seed, fleet, svg, json } => {
+        What::Emulate {
+            members,
+            stops,
+            seed,
+            fleet,
+            svg,
+            json,
+        } => {
             if members.iter().any(|n| !(3..=1_000).contains(n)) {
                 return Err(one("--members: from 3 to 1000".into()));
             }
             let timing = fleet.map_or(Ok(Timing::default()), |path| {
-                let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
+                let text = std::fs::read_to_string(&path)
+                    .map_err(|e| format!("{}: {e}", path.display()))?;
                 Ok(Fleet::parse(&text)?.timing)
             });
             let timing = timing.map_err(one)?;
-            let figures = members.iter().map(|n| emulator::measure(*n, &timing, stops, seed));
-            let figures = figures.collect::<Result<Vec<Figures>, String>>().map_err(one)?;
+            let figures = members
+                .iter()
+                .map(|n| emulator::measure(*n, &timing, stops, seed));
+            let figures = figures
+                .collect::<Result<Vec<Figures>, String>>()
+                .map_err(one)?;
             if let Some(path) = svg {
                 let text = plot::fleet(&figures).map_err(one)?;
                 std::fs::write(&path, text).map_err(|e| one(format!("{}: {e}", path.display())))?;
@@ -198,7 +236,9 @@
     match run(Args::parse().what) {
         Ok(()) => ExitCode::SUCCESS,
         Err(wrong) => {
-            wrong.iter().for_each(|line| eprintln!("yokelift-kit: {line}"));
+            wrong
+                .iter()
+                .for_each(|line| eprintln!("yokelift-kit: {line}"));
             ExitCode::FAILURE
         }
     }
--- a/src/bin/yokelift-kit/scale.rs
+++ b/src/bin/yokelift-kit/scale.rs
@@ -25,7 +25,8 @@
     /// The window of a point, in seconds [default: 5, or 2 with --quick].
     #[arg(long)]
     seconds: Option<f64>,
-    /// Seconds of statements before the window of a point that has some [default: 14, or 3 with --quick].
+    /// Seconds of statements before the window of a point that has some [default: 14, or 3 with
+    /// --quick].
     #[arg(long)]
     settle: Option<f64>,
     /// Managers that the settings tell of.
@@ -69,18 +70,25 @@
         || words.managers == 0
     {
         return Err(
-            "--seconds and --settle from 0.5 to 600, --plays from 1 to 100, --managers above 0".into()
+            "--seconds and --settle from 0.5 to 600, --plays from 1 to 100, --managers above 0"
+                .into(),
         );
     }
     let me = std::env::current_exe().map_err(|e| e.to_string())?;
     let options = Options {
-        daemon: words.daemon.unwrap_or_else(|| me.with_file_name("yokelift")),
+        daemon: words
+            .daemon
+            .unwrap_or_else(|| me.with_file_name("yokelift")),
         managers: words.managers,
         settle: Duration::from_secs_f64(seconds.min(3.0)),
         settle_busy: Duration::from_secs_f64(settle),
         window: Duration::from_secs_f64(seconds),
     };
-    let points = if words.points.is_empty() { scale::grid(words.quick) } else { words.points };
+    let points = if words.points.is_empty() {
+        scale::grid(words.quick)
+    } else {
+        words.points
+    };
     Room::here().check(&points, &options)?;
     let sockets = daemons::sockets(&points);
     let limit_at = Instant::now() + Duration::from_secs(words.limit);
@@ -91,7 +99,11 @@
         for (at, point) in points.iter().enumerate() {
             let number = play * points.len() + at + 1;
             let mut word = |progress: &Progress| {
-                let Point { engines, clients, rate } = point;
+                let Point {
+                    engines,
+                    clients,
+                    rate,
+                } = point;
                 let (after, Progress { pid, doing }) = (begun.elapsed().as_secs(), progress);
                 eprintln!(
                     "{after} s, {number} of {count}: {engines} engines, {clients} clients, {rate} statements/s, \
@@ -99,10 +111,16 @@
                 );
             };
             let until = ended(limit_at, &mut signals);
-            measured.push(daemons::measure(point, &options, sockets, until, &mut word)?);
+            measured.push(daemons::measure(
+                point, &options, sockets, until, &mut word,
+            )?);
         }
         plays.push(measured);
     }
     let report = Report::new(plays);
-    if words.json { report.json() } else { Ok(report.markdown()) }
+    if words.json {
+        report.json()
+    } else {
+        Ok(report.markdown())
+    }
 }
--- a/src/bin/yokelift-kit/scale_fleet.rs
+++ b/src/bin/yokelift-kit/scale_fleet.rs
@@ -21,7 +21,9 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Size, String> {
-        let size = text.split_once('x').and_then(|(m, e)| Some(Size(m.parse().ok()?, e.parse().ok()?)));
+        let size = text
+            .split_once('x')
+            .and_then(|(m, e)| Some(Size(m.parse().ok()?, e.parse().ok()?)));
         size.ok_or_else(|| "MANAGERSxENGINES, as 58x114".into())
     }
 }
@@ -53,7 +55,8 @@
     /// Real daemons to greet at the start, by their fleet's addresses.
     #[arg(long, value_delimiter = ',')]
     greet: Vec<SocketAddr>,
-    /// Seconds that pass after the start and after each disturbance before the next thing is measured.
+    /// Seconds that pass after the start and after each disturbance before the next thing is
+    /// measured.
     #[arg(long, default_value_t = 10)]
     settle: u64,
     /// Seconds of quiet traffic that are counted.
@@ -75,14 +78,17 @@
 
 /// Sets the flag when the process is asked to end.
 fn listen_for_the_end(ending: Arc<AtomicBool>) -> Result<(), String> {
-    let mut signals =
-        Signals::new([Signal::Term, Signal::Int]).map_err(|e| format!("can't wait for signals: {e}"))?;
+    let mut signals = Signals::new([Signal::Term, Signal::Int])
+        .map_err(|e| format!("can't wait for signals: {e}"))?;
     let wait = move || {
         while block_on(signals.next()).is_some() {
             ending.store(true, Ordering::Relaxed);
         }
     };
-    std::thread::Builder::new().name("signals".into()).spawn(wait).map_err(|e| e.to_string())?;
+    std::thread::Builder::new()
+        .name("signals".into())
+        .spawn(wait)
+        .map_err(|e| e.to_string())?;
     Ok(())
 }
 
@@ -90,7 +96,8 @@
     fn plan(&self, Size(managers, engines): Size, limit: Duration) -> Result<Plan, String> {
         let mut plan = Plan::new(managers, engines);
         if let Some(path) = &self.fleet {
-            let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
+            let text =
+                std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
             let file = Fleet::parse(&text)?;
             plan.timing = file.timing;
             plan.terms = file.duties.map_or(plan.terms, |duties| duties.terms);
@@ -118,11 +125,14 @@
         // All are refused before the first one runs.
         self.sizes.iter().try_for_each(|size| {
             let told = |e| format!("{}x{}: {e}", size.0, size.1);
-            self.plan(*size, limit).and_then(|plan| plan.check()).map_err(told)
+            self.plan(*size, limit)
+                .and_then(|plan| plan.check())
+                .map_err(told)
         })?;
         let ending = Arc::new(AtomicBool::new(false));
         listen_for_the_end(ending.clone())?;
-        let (begun, mut all, mut wrong): (_, Vec<Figures>, _) = (Instant::now(), Vec::new(), Vec::new());
+        let (begun, mut all, mut wrong): (_, Vec<Figures>, _) =
+            (Instant::now(), Vec::new(), Vec::new());
         for size in &self.sizes {
             let left = limit.saturating_sub(begun.elapsed());
             let told = |e: String| format!("{}x{}: {e}", size.0, size.1);
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,6 +1,8 @@
-//! Time: whole microseconds on the monotonic clock, anchored once to the Unix clock at the start of the program.
+//! Time: whole microseconds on the monotonic clock, anchored once to the Unix clock at the start of
+//! the program.
 //!
-//! Each loop reads the clock once a turn with [`turn`]; all that happens in that turn happens at [`now`].
+//! Each loop reads the clock once a turn with [`turn`]; all that happens in that turn happens at
+//! [`now`].
 use crate::interface::Nanos;
 use std::cell::Cell;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
--- a/src/config.rs
+++ b/src/config.rs
@@ -34,7 +34,10 @@
 
 impl Default for Bounds {
     fn default() -> Bounds {
-        Bounds { memory_mb: 192, sockets: 1024 }
+        Bounds {
+            memory_mb: 192,
+            sockets: 1024,
+        }
     }
 }
 
@@ -67,7 +70,8 @@
     /// The class of that name, if one is in force.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         let mut all = (0u16..).zip(&self.classes);
-        all.find(|(at, n)| *n == name && !self.dropped.contains(at)).map(|(at, _)| ClassId(at))
+        all.find(|(at, n)| *n == name && !self.dropped.contains(at))
+            .map(|(at, _)| ClassId(at))
     }
 }
 
@@ -100,13 +104,22 @@
 
 /// The classes, by their ids, whose requests carry keys.
 pub fn keyed<'a>(classes: impl Iterator<Item = &'a ClassSpec>) -> BTreeSet<u16> {
-    let keyed = (0..).zip(classes).filter(|(_, class)| matches!(class.effect, Effect::Keyed { .. }));
+    let keyed = (0..)
+        .zip(classes)
+        .filter(|(_, class)| matches!(class.effect, Effect::Keyed { .. }));
     keyed.map(|(at, _)| at).collect()
 }
 
 fn names(v: &Value) -> Vec<String> {
-    let name = |v: &Value| v.as_str().or_else(|| v["name"].as_str()).unwrap_or_default().to_owned();
-    v.as_array().map(|list| list.iter().map(name).collect()).unwrap_or_default()
+    let name = |v: &Value| {
+        v.as_str()
+            .or_else(|| v["name"].as_str())
+            .unwrap_or_default()
+            .to_owned()
+    };
+    v.as_array()
+        .map(|list| list.iter().map(name).collect())
+        .unwrap_or_default()
 }
 
 /// What no default may stand in for.
@@ -118,11 +131,21 @@
     if names.iter().collect::<BTreeSet<_>>().len() < names.len() {
         return Err("settings: two classes have one name".into());
     }
-    if let Some((name, _)) = names.iter().zip(&settings.classes).find(|(_, class)| class.deadline == 0) {
-        return Err(format!("settings: the deadline of {name} is not a positive number"));
+    if let Some((name, _)) = names
+        .iter()
+        .zip(&settings.classes)
+        .find(|(_, class)| class.deadline == 0)
+    {
+        return Err(format!(
+            "settings: the deadline of {name} is not a positive number"
+        ));
     }
     let windowless = |class: &ClassSpec| matches!(class.effect, Effect::Keyed { window: 0, .. });
-    if let Some((name, _)) = names.iter().zip(&settings.classes).find(|(_, class)| windowless(class)) {
+    if let Some((name, _)) = names
+        .iter()
+        .zip(&settings.classes)
+        .find(|(_, class)| windowless(class))
+    {
         return Err(format!(
             "settings: the window in which repeats of {name} are known is not a positive number"
         ));
@@ -133,11 +156,13 @@
     Ok(())
 }
 
-/// Names a key that the file in force has and a new one lacks: it is not whole. Lists that tell something of each
-/// class have to tell it of all.
+/// Names a key that the file in force has and a new one lacks: it is not whole. Lists that tell
+/// something of each class have to tell it of all.
 pub fn lacks(new: &Value, old: &Value) -> Option<String> {
     fn missing(new: &Value, old: &Value, path: &str) -> Option<String> {
-        let (Value::Object(new), Value::Object(old)) = (new, old) else { return None };
+        let (Value::Object(new), Value::Object(old)) = (new, old) else {
+            return None;
+        };
         old.iter().find_map(|(key, value)| {
             let path = format!("{path}{key}");
             match new.get(key) {
@@ -151,19 +176,36 @@
             }
         })
     }
-    let classes = |v: &Value| v["settings"]["classes"].as_array().cloned().unwrap_or_default();
+    let classes = |v: &Value| {
+        v["settings"]["classes"]
+            .as_array()
+            .cloned()
+            .unwrap_or_default()
+    };
     let of_class = || {
         let (new, old) = (classes(new), classes(old));
-        let keys = old.first()?.as_object()?.keys().filter(|key| old.iter().all(|c| c.get(key).is_some()));
+        let keys = old
+            .first()?
+            .as_object()?
+            .keys()
+            .filter(|key| old.iter().all(|c| c.get(key).is_some()));
         let keys: Vec<&String> = keys.collect();
-        new.iter()
-            .find_map(|c| keys.iter().find(|key| c.get(key).is_none()).map(|key| format!("classes[].{key}")))
+        new.iter().find_map(|c| {
+            keys.iter()
+                .find(|key| c.get(key).is_none())
+                .map(|key| format!("classes[].{key}"))
+        })
     };
     let of_list = || {
         let extra = new["settings"]["extra"].as_object()?;
-        let short = |v: &Value| v.as_array().is_some_and(|list| list.len() < classes(new).len());
+        let short = |v: &Value| {
+            v.as_array()
+                .is_some_and(|list| list.len() < classes(new).len())
+        };
         let each = ["class_threads", "loads", "blocked_by_loads"];
-        each.into_iter().find(|key| extra.get(*key).is_some_and(short)).map(|key| format!("extra.{key}[]"))
+        each.into_iter()
+            .find(|key| extra.get(*key).is_some_and(short))
+            .map(|key| format!("extra.{key}[]"))
     };
     missing(new, old, "").or_else(of_class).or_else(of_list)
 }
@@ -230,35 +272,54 @@
         text
     }
 
-    /// Guards a manager in service against a file that is not whole: whatever key is cut out of it, it is noticed.
+    /// Guards a manager in service against a file that is not whole: whatever key is cut out of it,
+    /// it is noticed.
     #[test]
     fn a_file_that_lacks_any_key_is_not_whole() {
         let old = with(|c| c["console"] = json!("127.0.0.1:1"));
         assert_eq!(lacks(&old, &old), None);
-        // The events of the coordinator are another matter, and operators' address can't move anyway.
+        // The events of the coordinator are another matter, and operators' address can't move
+        // anyway.
         assert_eq!(lacks(&good(), &old), None);
-        let keys =
-            |v: &Value| v.as_object().map(|o| o.keys().cloned().collect::<Vec<_>>()).unwrap_or_default();
+        let keys = |v: &Value| {
+            v.as_object()
+                .map(|o| o.keys().cloned().collect::<Vec<_>>())
+                .unwrap_or_default()
+        };
         for key in keys(&good()) {
             let cut = with(|c| drop(c.as_object_mut().and_then(|c| c.remove(&key))));
             assert_eq!(lacks(&cut, &old), Some(key));
         }
         for part in ["extra", "invariants", "limits", "load_info"] {
             for key in keys(&good()["settings"][part]) {
-                let cut = with(|c| drop(c["settings"][part].as_object_mut().and_then(|c| c.remove(&key))));
+                let cut = with(|c| {
+                    drop(
+                        c["settings"][part]
+                            .as_object_mut()
+                            .and_then(|c| c.remove(&key)),
+                    )
+                });
                 assert_eq!(lacks(&cut, &old), Some(format!("settings.{part}.{key}")));
             }
         }
         for key in keys(&good()["settings"]["classes"][1]) {
-            let cut =
-                with(|c| drop(c["settings"]["classes"][1].as_object_mut().and_then(|c| c.remove(&key))));
+            let cut = with(|c| {
+                drop(
+                    c["settings"]["classes"][1]
+                        .as_object_mut()
+                        .and_then(|c| c.remove(&key)),
+                )
+            });
             assert_eq!(lacks(&cut, &old), Some(format!("classes[].{key}")));
         }
         // A class that nothing is told of, beside its own lines.
         let more = with(|c| {
             let mut class = c["settings"]["classes"][0].clone();
             class["name"] = json!("further");
-            c["settings"]["classes"].as_array_mut().expect("a list").push(class);
+            c["settings"]["classes"]
+                .as_array_mut()
+                .expect("a list")
+                .push(class);
         });
         assert_eq!(lacks(&more, &old), Some("extra.class_threads[]".into()));
     }
@@ -273,9 +334,11 @@
             let class = &mut c["settings"]["classes"][2];
             (class["semantics"], class["window_ns"]) = ("token".into(), window);
         };
-        let keyed = parse(&with(|c| keyed_within(c, json!(20_000_000_000u64)))).expect("a good file");
+        let keyed =
+            parse(&with(|c| keyed_within(c, json!(20_000_000_000u64)))).expect("a good file");
         assert_eq!(keyed.names.keyed, [2].into());
-        let class = |key: &str, value: Value| with(|c| c["settings"]["classes"][0][key] = value.clone());
+        let class =
+            |key: &str, value: Value| with(|c| c["settings"]["classes"][0][key] = value.clone());
         for bad in [
             class("deadline_ns", json!(0)),
             class("deadline_ns", json!(-5)),
--- a/src/deploy.rs
+++ b/src/deploy.rs
@@ -1,4 +1,5 @@
-//! A deploy file of ours, as `deploy/clickhouse.toml`: the second front, its engines, and who may use it.
+//! A deploy file of ours, as `deploy/clickhouse.toml`: the second front, its engines, and who may
+//! use it.
 use crate::config::Names;
 use crate::interface::{ClassId, EngineId, TenantId};
 use crate::statement;
@@ -163,7 +164,9 @@
 /// Reads a deploy file from its text.
 pub fn parse(text: &str) -> Result<Deploy, String> {
     let deploy: Deploy = toml::from_str(text).map_err(|e| {
-        let line = e.span().map_or(0, |span| text[..span.start].lines().count().max(1));
+        let line = e
+            .span()
+            .map_or(0, |span| text[..span.start].lines().count().max(1));
         format!("line {line}: {}", e.message().replace('\n', " "))
     })?;
     let mut seen = BTreeSet::new();
@@ -198,16 +201,20 @@
 
 /// The number of an engine's id.
 pub fn engine_id(id: &str) -> Result<EngineId, String> {
-    let number =
-        id.strip_prefix("s-").filter(|hex| hex.len() == 8).and_then(|hex| u32::from_str_radix(hex, 16).ok());
+    let number = id
+        .strip_prefix("s-")
+        .filter(|hex| hex.len() == 8)
+        .and_then(|hex| u32::from_str_radix(hex, 16).ok());
     number
         .map(|n| EngineId(u64::from(n)))
         .ok_or_else(|| format!("engine {id:?}: an id is s- and 8 hex digits"))
 }
 
 fn place(list: &[String], name: &str, what: &str) -> Result<u16, String> {
-    let at =
-        list.iter().position(|n| n == name).ok_or_else(|| format!("the settings name no {what} {name:?}"))?;
+    let at = list
+        .iter()
+        .position(|n| n == name)
+        .ok_or_else(|| format!("the settings name no {what} {name:?}"))?;
     Ok(at as u16)
 }
 
@@ -220,23 +227,37 @@
 impl ClassRules {
     /// The rules of a file, with the names of the settings.
     pub fn new(deploy: &Deploy, names: &Names) -> Result<ClassRules, String> {
-        let class =
-            |name: &str| names.class(name).ok_or_else(|| format!("the settings name no class {name:?}"));
-        let rules = deploy.classes.iter().map(|line| Ok((line.clone(), class(&line.name)?)));
+        let class = |name: &str| {
+            names
+                .class(name)
+                .ok_or_else(|| format!("the settings name no class {name:?}"))
+        };
+        let rules = deploy
+            .classes
+            .iter()
+            .map(|line| Ok((line.clone(), class(&line.name)?)));
         let rules = rules.collect::<Result<_, String>>()?;
-        Ok(ClassRules { rules, usual: class(&deploy.usual_class)? })
+        Ok(ClassRules {
+            rules,
+            usual: class(&deploy.usual_class)?,
+        })
     }
 
     /// The class of a statement.
     pub fn class(&self, user: &str, text: &[u8]) -> ClassId {
         let words = statement::words(text);
-        let is = |word: &[u8], list: &[String]| list.iter().any(|w| word.eq_ignore_ascii_case(w.as_bytes()));
+        let is = |word: &[u8], list: &[String]| {
+            list.iter().any(|w| word.eq_ignore_ascii_case(w.as_bytes()))
+        };
         let fits = |line: &ClassLine| {
             (line.begins.is_empty() || words.first().is_some_and(|w| is(w, &line.begins)))
                 && (line.holds.is_empty() || words.iter().any(|w| is(w, &line.holds)))
                 && (line.users.is_empty() || line.users.iter().any(|u| u == user))
         };
-        self.rules.iter().find(|(line, _)| fits(line)).map_or(self.usual, |(_, class)| *class)
+        self.rules
+            .iter()
+            .find(|(line, _)| fits(line))
+            .map_or(self.usual, |(_, class)| *class)
     }
 }
 
@@ -251,7 +272,11 @@
     pub fn new(deploy: &Deploy, names: &Names) -> Result<Users, String> {
         let mut users = Users::default();
         for line in &deploy.users {
-            let tenant = line.tenant.as_deref().map(|t| place(&names.tenants, t, "tenant")).transpose()?;
+            let tenant = line
+                .tenant
+                .as_deref()
+                .map(|t| place(&names.tenants, t, "tenant"))
+                .transpose()?;
             users.add(&line.name, &line.key, tenant.map(TenantId));
         }
         Ok(users)
@@ -267,11 +292,16 @@
         self.users.extend(others.users.clone());
     }
 
-    /// The tenant of a user with that key: `None` for one who is unknown, `Some(None)` for one without a tenant.
+    /// The tenant of a user with that key: `None` for one who is unknown, `Some(None)` for one
+    /// without a tenant.
     pub fn find(&self, name: &str, key: &str) -> Option<Option<TenantId>> {
         let (right, tenant) = self.users.get(name)?;
-        // Every byte is looked at, so that the time taken does not tell how much of a key was right.
-        let differ = right.bytes().zip(key.bytes()).fold(0, |all, (a, b)| all | (a ^ b));
+        // Every byte is looked at, so that the time taken does not tell how much of a key was
+        // right.
+        let differ = right
+            .bytes()
+            .zip(key.bytes())
+            .fold(0, |all, (a, b)| all | (a ^ b));
         (differ == 0 && right.len() == key.len()).then_some(*tenant)
     }
 }
--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -1,7 +1,8 @@
-//! A directory of tenants over LDAPv3: what is asked, and what the answers mean. The socket is in `src/net`.
+//! A directory of tenants over LDAPv3: what is asked, and what the answers mean. The socket is in
+//! `src/net`.
 //!
-//! One reading binds, searches the tenants and then the users page by page, and unbinds. It gives a whole list or
-//! none: whoever reads keeps the last good one.
+//! One reading binds, searches the tenants and then the users page by page, and unbinds. It gives a
+//! whole list or none: whoever reads keeps the last good one.
 use crate::config::Names;
 use crate::deploy::{DirectoryLine, Users};
 use crate::interface::{TenantId, TenantSpec};
@@ -37,8 +38,8 @@
 }
 
 impl Listing {
-    /// What the module and the fronts need of it: shares of the same whole rate as in the settings, and users.
-    /// `names` grows by the tenants that the settings do not know.
+    /// What the module and the fronts need of it: shares of the same whole rate as in the settings,
+    /// and users. `names` grows by the tenants that the settings do not know.
     pub fn apply(&self, names: &mut Vec<String>, specs: &mut Vec<TenantSpec>, users: &mut Users) {
         let whole: f64 = specs.iter().map(|t| t.quota_per_s).sum();
         let all: f64 = self.tenants.iter().map(|(_, share)| share).sum();
@@ -47,12 +48,23 @@
                 names.push(name.clone());
                 names.len() - 1
             });
-            specs.resize(specs.len().max(names.len()), TenantSpec { quota_per_s: 0.0, share: 0.0 });
+            specs.resize(
+                specs.len().max(names.len()),
+                TenantSpec {
+                    quota_per_s: 0.0,
+                    share: 0.0,
+                },
+            );
             let share = if all > 0.0 { share / all } else { 0.0 };
-            specs[at] = TenantSpec { quota_per_s: whole * share, share };
+            specs[at] = TenantSpec {
+                quota_per_s: whole * share,
+                share,
+            };
         }
         for (name, key, tenant) in &self.users {
-            let at = tenant.as_ref().and_then(|t| names.iter().position(|n| n == t));
+            let at = tenant
+                .as_ref()
+                .and_then(|t| names.iter().position(|n| n == t));
             users.add(name, key, at.map(|at| TenantId(at as u16)));
         }
     }
@@ -94,43 +106,72 @@
 
 /// The length of the first message, if its head is there.
 pub fn message_length(input: &[u8]) -> Result<Option<usize>, Fault> {
-    let (Some(tag), Some(first)) = (input.first(), input.get(1)) else { return Ok(None) };
+    let (Some(tag), Some(first)) = (input.first(), input.get(1)) else {
+        return Ok(None);
+    };
     if *tag != 0x30 {
         return Err(Fault::Garbled);
     }
     let length = match usize::from(*first) {
         short @ 0..=0x7f => 2 + short,
         long @ 0x81..=0x84 => {
-            let Some(bytes) = input.get(2..2 + (long - 0x80)) else { return Ok(None) };
+            let Some(bytes) = input.get(2..2 + (long - 0x80)) else {
+                return Ok(None);
+            };
             2 + bytes.len() + bytes.iter().fold(0, |n, b| n << 8 | usize::from(*b))
         }
         _ => return Err(Fault::Garbled),
     };
-    if length > MOST_MESSAGE { Err(Fault::Garbled) } else { Ok(Some(length)) }
+    if length > MOST_MESSAGE {
+        Err(Fault::Garbled)
+    } else {
+        Ok(Some(length))
+    }
 }
 
 /// Takes the first whole message off the input.
 pub fn take_message(input: &mut Vec<u8>) -> Result<Option<LdapMessage>, Fault> {
-    let Some(length) = message_length(input)?.filter(|n| *n <= input.len()) else { return Ok(None) };
+    let Some(length) = message_length(input)?.filter(|n| *n <= input.len()) else {
+        return Ok(None);
+    };
     let bytes: Vec<u8> = input.drain(..length).collect();
-    rasn::ber::decode(&bytes).map(Some).map_err(|_| Fault::Garbled)
+    rasn::ber::decode(&bytes)
+        .map(Some)
+        .map_err(|_| Fault::Garbled)
 }
 
 impl Reading {
     /// A new reading and its first message.
     pub fn new(line: DirectoryLine) -> (Reading, Vec<u8>) {
         let password = OctetString::from(line.bind_password.clone().into_bytes());
-        let bind = BindRequest::new(3, line.bind_dn.as_str().into(), AuthenticationChoice::Simple(password));
+        let bind = BindRequest::new(
+            3,
+            line.bind_dn.as_str().into(),
+            AuthenticationChoice::Simple(password),
+        );
         let message = LdapMessage::new(1, ProtocolOp::BindRequest(bind));
         let (step, found) = (Step::Bind, Listing::default());
-        (Reading { line, step, message_id: 1, input: Vec::new(), found }, encode(&message))
+        (
+            Reading {
+                line,
+                step,
+                message_id: 1,
+                input: Vec::new(),
+                found,
+            },
+            encode(&message),
+        )
     }
 
     fn search(&mut self, cookie: OctetString) -> Vec<u8> {
         let line = &self.line;
         let (base, class, wanted) = match self.step {
             Step::Users => {
-                let wanted = [&line.name_attribute, &line.tenant_attribute, &line.key_attribute];
+                let wanted = [
+                    &line.name_attribute,
+                    &line.tenant_attribute,
+                    &line.key_attribute,
+                ];
                 (&line.users_base, &line.users_class, wanted.to_vec())
             }
             Step::Bind | Step::Tenants => {
@@ -153,7 +194,10 @@
             filter,
             wanted.map(|name| name.as_str().into()).collect(),
         );
-        let page = PagedValue { size: line.page, cookie };
+        let page = PagedValue {
+            size: line.page,
+            cookie,
+        };
         let page = rasn::ber::encode(&page).unwrap_or_default();
         self.message_id += 1;
         let mut message = LdapMessage::new(self.message_id, ProtocolOp::SearchRequest(request));
@@ -164,14 +208,18 @@
     fn entry(&mut self, attributes: &[PartialAttribute]) {
         let line = &self.line;
         let value = |name: &str| -> Option<String> {
-            let found = attributes.iter().find(|a| a.r#type.0.eq_ignore_ascii_case(name))?;
+            let found = attributes
+                .iter()
+                .find(|a| a.r#type.0.eq_ignore_ascii_case(name))?;
             first(&found.vals).and_then(|v| String::from_utf8(v).ok())
         };
         match self.step {
             Step::Users => {
                 if let Some(name) = value(&line.name_attribute) {
                     let key = value(&line.key_attribute).unwrap_or_default();
-                    self.found.users.push((name, key, value(&line.tenant_attribute)));
+                    self.found
+                        .users
+                        .push((name, key, value(&line.tenant_attribute)));
                 }
             }
             Step::Bind | Step::Tenants => {
@@ -207,11 +255,17 @@
                 (ProtocolOp::SearchResRef(_), Step::Tenants | Step::Users) => {}
                 (ProtocolOp::SearchResDone(done), Step::Tenants | Step::Users) => {
                     check(done.0.result_code, &done.0.diagnostic_message.0)?;
-                    let control = message.controls.iter().flatten().find(|c| *c.control_type == *PAGED);
+                    let control = message
+                        .controls
+                        .iter()
+                        .flatten()
+                        .find(|c| *c.control_type == *PAGED);
                     let value = control.and_then(|c| c.control_value.as_ref());
                     let cookie = match value {
                         Some(value) => {
-                            rasn::ber::decode::<PagedValue>(value).map_err(|_| Fault::Garbled)?.cookie
+                            rasn::ber::decode::<PagedValue>(value)
+                                .map_err(|_| Fault::Garbled)?
+                                .cookie
                         }
                         None => OctetString::from(Vec::new()),
                     };
@@ -244,8 +298,8 @@
     }
 }
 
-/// The names of the tenants, the module's view of them, and the users: as the settings and the file have them,
-/// and as the directory last said.
+/// The names of the tenants, the module's view of them, and the users: as the settings and the file
+/// have them, and as the directory last said.
 pub struct Tenants {
     /// Names, in the order of the module's tenants.
     pub names: Vec<String>,
@@ -256,6 +310,9 @@
 impl Tenants {
     /// As the settings have them.
     pub fn new(names: &Names, specs: Vec<TenantSpec>) -> Tenants {
-        Tenants { names: names.tenants.clone(), specs }
+        Tenants {
+            names: names.tenants.clone(),
+            specs,
+        }
     }
 }
--- a/src/duties/mod.rs
+++ b/src/duties/mod.rs
@@ -1,13 +1,16 @@
-//! One owner at a time for work that is done for the whole fleet: leases with fencing tokens, granted by a majority of a
-//! few voters that operators name. Pure: events with the time in, messages and news out.
+//! One owner at a time for work that is done for the whole fleet: leases with fencing tokens,
+//! granted by a majority of a few voters that operators name. Pure: events with the time in,
+//! messages and news out.
 //!
-//! A candidate asks all voters for a duty under a token higher than any it has seen. A voter grants a duty to one holder
-//! at a time, under ever higher tokens, for a term by its own monotonic clock. The candidate owns the duty once more than
-//! half of all voters have granted it, until the term is over that began, by its own clock, when it *asked*, less a bound
-//! for how far clocks drift apart: so its lease ends before any voter that granted it may grant another.
+//! A candidate asks all voters for a duty under a token higher than any it has seen. A voter grants
+//! a duty to one holder at a time, under ever higher tokens, for a term by its own monotonic clock.
+//! The candidate owns the duty once more than half of all voters have granted it, until the term is
+//! over that began, by its own clock, when it *asked*, less a bound for how far clocks drift apart:
+//! so its lease ends before any voter that granted it may grant another.
 //!
-//! What an owner hands out carries its token. Whoever takes it drops what comes under a lower token than the highest
-//! seen for that duty: an owner that was stopped past its term and goes on does no harm.
+//! What an owner hands out carries its token. Whoever takes it drops what comes under a lower token
+//! than the highest seen for that duty: an owner that was stopped past its term and goes on does no
+//! harm.
 pub mod probing;
 pub mod wire;
 
@@ -50,11 +53,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Terms {
-    /// A lease stands so long unless it is renewed. All voters and candidates have to be given the same.
+    /// A lease stands so long unless it is renewed. All voters and candidates have to be given the
+    /// same.
     pub term_ms: u64,
     /// Clocks of two managers drift apart by at most so many thousandths.
     pub drift: u64,
-    /// A lease is given up this much before its end: what was ordered just before has gone out by then.
+    /// A lease is given up this much before its end: what was ordered just before has gone out by
+    /// then.
     pub margin_ms: u64,
     /// An owner that has not answered by then is as none. The module waits 30 ms for its probes.
     pub ask_ms: u64,
@@ -62,14 +67,21 @@
 
 impl Default for Terms {
     fn default() -> Terms {
-        Terms { term_ms: 3_000, drift: 20, margin_ms: 100, ask_ms: 20 }
+        Terms {
+            term_ms: 3_000,
+            drift: 20,
+            margin_ms: 100,
+            ask_ms: 20,
+        }
     }
 }
 
 impl Terms {
     /// Whether a lease can hold at all under these bounds.
     pub fn check(&self) -> Result<(), String> {
-        let left = self.term_ms.saturating_sub(self.term_ms * self.drift.min(1_000) / 1_000 + self.margin_ms);
+        let left = self
+            .term_ms
+            .saturating_sub(self.term_ms * self.drift.min(1_000) / 1_000 + self.margin_ms);
         if self.term_ms == 0 || self.term_ms > 600_000 || left < self.term_ms / 2 {
             return Err("fleet: duties: drift and margin_ms have to leave half of term_ms".into());
         }
@@ -87,8 +99,8 @@
     }
 }
 
-/// The member that is to own a duty: the first by rendezvous hashing, so that one that comes or goes moves only its own
-/// duties.
+/// The member that is to own a duty: the first by rendezvous hashing, so that one that comes or
+/// goes moves only its own duties.
 pub fn first<'a>(duty: Duty, members: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let seed = match duty {
         Duty::Probe(engine) => xxh3_64(&engine.to_be_bytes()),
@@ -96,8 +108,8 @@
     members.max_by_key(|name| (xxh3_64_with_seed(name.as_bytes(), seed), *name))
 }
 
-/// The highest token of each duty, for so many duties at most. Of those that go the highest token stays, as a floor for all
-/// that are not known: tokens never fall, whatever is forgotten.
+/// The highest token of each duty, for so many duties at most. Of those that go the highest token
+/// stays, as a floor for all that are not known: tokens never fall, whatever is forgotten.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Highest {
     tokens: BTreeMap<Duty, Token>,
@@ -120,7 +132,11 @@
         }
         self.tokens.insert(duty, token);
         if self.tokens.len() > KNOWN
-            && let Some((lowest, token)) = self.tokens.iter().map(|(d, t)| (*d, *t)).min_by_key(|(_, t)| *t)
+            && let Some((lowest, token)) = self
+                .tokens
+                .iter()
+                .map(|(d, t)| (*d, *t))
+                .min_by_key(|(_, t)| *t)
         {
             self.tokens.remove(&lowest);
             self.floor = self.floor.max(token);
@@ -161,10 +177,16 @@
 }
 
 impl Voter {
-    /// A voter that starts now, with the highest tokens that its earlier lives granted as far as they were kept. It
-    /// grants nothing for a term: an earlier life may have granted just before it ended.
+    /// A voter that starts now, with the highest tokens that its earlier lives granted as far as
+    /// they were kept. It grants nothing for a term: an earlier life may have granted just before
+    /// it ended.
     pub fn new(terms: Terms, kept: Highest, now: Micros) -> Voter {
-        Voter { terms, silent_until: now + terms.granted(), grants: BTreeMap::new(), highest: kept }
+        Voter {
+            terms,
+            silent_until: now + terms.granted(),
+            grants: BTreeMap::new(),
+            highest: kept,
+        }
     }
 
     /// The highest tokens granted: to be kept before a grant under a new one is told.
@@ -172,16 +194,23 @@
         &self.highest
     }
 
-    /// A candidate asks for a duty under a token, or its owner asks to renew. The vote, and whether the highest tokens
-    /// have changed by it.
-    pub fn request(&mut self, now: Micros, duty: Duty, holder: &Holder, token: Token) -> (Vote, bool) {
+    /// A candidate asks for a duty under a token, or its owner asks to renew. The vote, and whether
+    /// the highest tokens have changed by it.
+    pub fn request(
+        &mut self,
+        now: Micros,
+        duty: Duty,
+        holder: &Holder,
+        token: Token,
+    ) -> (Vote, bool) {
         let highest = self.highest.of(duty);
         // What is over is forgotten: its token stays among the highest.
         self.grants.retain(|_, g| now < g.until);
         let live = self.grants.get(&duty).filter(|g| now < g.until);
         let until = now + self.terms.granted();
         match live {
-            // Guards the term: a renewal lengthens the grant of this very lease, never one that is over.
+            // Guards the term: a renewal lengthens the grant of this very lease, never one that is
+            // over.
             Some(grant) if grant.holder == *holder && grant.token == token => {}
             Some(grant) if grant.holder == *holder && token > highest => {}
             Some(_) => return (Vote::Refused(highest), false),
@@ -190,14 +219,25 @@
             }
             None => {}
         }
-        self.grants.insert(duty, Grant { holder: holder.clone(), token, until });
+        self.grants.insert(
+            duty,
+            Grant {
+                holder: holder.clone(),
+                token,
+                until,
+            },
+        );
         self.highest.raise(duty, token);
         (Vote::Granted, token > highest)
     }
 
     /// An owner gives a lease up before its end.
     pub fn release(&mut self, duty: Duty, holder: &Holder, token: Token) {
-        if self.grants.get(&duty).is_some_and(|g| g.holder == *holder && g.token == token) {
+        if self
+            .grants
+            .get(&duty)
+            .is_some_and(|g| g.holder == *holder && g.token == token)
+        {
             self.grants.remove(&duty);
         }
     }
@@ -239,8 +279,8 @@
 /// A request or a renewal that is out to the voters.
 #[derive(Clone, Debug)]
 struct Round {
-    /// Votes on it carry this number. Guards the term: a late vote on an earlier request under the same token would
-    /// count for a term that this voter never granted.
+    /// Votes on it carry this number. Guards the term: a late vote on an earlier request under the
+    /// same token would count for a term that this voter never granted.
     number: u32,
     asked: Micros,
     token: Token,
@@ -301,25 +341,33 @@
         &self.me
     }
 
-    /// The token under which it owns a duty now. To be asked before every action for the duty, and again after every
-    /// wait.
+    /// The token under which it owns a duty now. To be asked before every action for the duty, and
+    /// again after every wait.
     pub fn owns(&self, duty: Duty, now: Micros) -> Option<Token> {
         self.lease(duty, now).map(|(token, _)| token)
     }
 
-    /// The same, and until when: what was ordered for the duty and not done by then must not be done.
+    /// The same, and until when: what was ordered for the duty and not done by then must not be
+    /// done.
     pub fn lease(&self, duty: Duty, now: Micros) -> Option<(Token, Micros)> {
-        self.leases.get(&duty)?.held.filter(|(_, until)| now < *until)
+        self.leases
+            .get(&duty)?
+            .held
+            .filter(|(_, until)| now < *until)
     }
 
     /// All that it owns, with what is left of each term.
     pub fn owned(&self, now: Micros) -> impl Iterator<Item = (Duty, Token, Micros)> {
-        let held = self.leases.iter().filter_map(|(duty, lease)| Some((*duty, lease.held?)));
+        let held = self
+            .leases
+            .iter()
+            .filter_map(|(duty, lease)| Some((*duty, lease.held?)));
         held.filter(move |(_, (_, until))| now < *until)
             .map(move |(d, (token, until))| (d, token, until - now))
     }
 
-    /// The duty is this manager's to do, and somebody needs it: for two terms more it is asked for and renewed.
+    /// The duty is this manager's to do, and somebody needs it: for two terms more it is asked for
+    /// and renewed.
     pub fn want(&mut self, duty: Duty, fence: &Fence, now: Micros, out: &mut Vec<Action>) {
         let lease = self.leases.entry(duty).or_default();
         lease.wanted_until = now + 2 * self.terms.granted();
@@ -334,11 +382,20 @@
     fn ask(&mut self, duty: Duty, token: Token, now: Micros, out: &mut Vec<Action>) {
         self.rounds = self.rounds.wrapping_add(1);
         let lease = self.leases.entry(duty).or_default();
-        lease.round = Some(Round { number: self.rounds, asked: now, token, granted: BTreeSet::new() });
+        lease.round = Some(Round {
+            number: self.rounds,
+            asked: now,
+            token,
+            granted: BTreeSet::new(),
+        });
         // Candidates that ask in step would split the votes again and again.
         let term = self.terms.granted();
         lease.not_before = now + term / 8 + u64::from(self.random.next_u32()) % (term / 8).max(1);
-        out.extend(self.voters.iter().map(|voter| Action::Ask(voter.clone(), duty, token, self.rounds)));
+        out.extend(
+            self.voters
+                .iter()
+                .map(|voter| Action::Ask(voter.clone(), duty, token, self.rounds)),
+        );
     }
 
     /// A voter's vote on the request of that number.
@@ -354,8 +411,12 @@
         if let Vote::Refused(highest) = vote {
             fence.saw(duty, *highest);
         }
-        let Some(lease) = self.leases.get_mut(&duty) else { return };
-        let Some(round) = lease.round.as_mut().filter(|r| r.number == number) else { return };
+        let Some(lease) = self.leases.get_mut(&duty) else {
+            return;
+        };
+        let Some(round) = lease.round.as_mut().filter(|r| r.number == number) else {
+            return;
+        };
         if *vote != Vote::Granted || !self.voters.iter().any(|v| v == voter) {
             return;
         }
@@ -375,8 +436,8 @@
         }
     }
 
-    /// Time passes: leases end, are renewed while they are needed and this manager is the one to own them, or are given
-    /// up.
+    /// Time passes: leases end, are renewed while they are needed and this manager is the one to
+    /// own them, or are given up.
     pub fn tick(&mut self, mine: impl Fn(Duty) -> bool, now: Micros, out: &mut Vec<Action>) {
         let renew_before = self.terms.valid() - self.terms.granted() / 3;
         let (mut renew, mut give_up) = (Vec::new(), Vec::new());
@@ -385,39 +446,69 @@
                 lease.held = None;
                 out.push(Action::Over(*duty, token));
             }
-            if lease.round.as_ref().is_some_and(|r| now >= r.asked + self.terms.granted() / 4) {
-                // Too few votes came: those that did not may have been lost, or come too late to count for much.
+            if lease
+                .round
+                .as_ref()
+                .is_some_and(|r| now >= r.asked + self.terms.granted() / 4)
+            {
+                // Too few votes came: those that did not may have been lost, or come too late to
+                // count for much.
                 lease.round = None;
             }
-            // Guards against a member that comes and goes: the duty passes once it has been the other's for a term.
-            lease.passes_since = if mine(*duty) { None } else { lease.passes_since.or(Some(now)) };
-            let passes = lease.passes_since.is_some_and(|since| now >= since + self.terms.granted());
+            // Guards against a member that comes and goes: the duty passes once it has been the
+            // other's for a term.
+            lease.passes_since = if mine(*duty) {
+                None
+            } else {
+                lease.passes_since.or(Some(now))
+            };
+            let passes = lease
+                .passes_since
+                .is_some_and(|since| now >= since + self.terms.granted());
             match lease.held {
-                Some((token, _)) if now >= lease.wanted_until || passes => give_up.push((*duty, token)),
+                Some((token, _)) if now >= lease.wanted_until || passes => {
+                    give_up.push((*duty, token))
+                }
                 Some((token, until))
-                    if lease.round.is_none() && now >= lease.not_before && now + renew_before >= until =>
+                    if lease.round.is_none()
+                        && now >= lease.not_before
+                        && now + renew_before >= until =>
                 {
                     renew.push((*duty, token));
                 }
                 _ => {}
             }
         }
-        renew.into_iter().for_each(|(duty, token)| self.ask(duty, token, now, out));
-        give_up.into_iter().for_each(|(duty, token)| self.give_up(duty, token, out));
-        self.leases
-            .retain(|_, l| l.held.is_some() || l.round.is_some() || now < l.wanted_until.max(l.not_before));
+        renew
+            .into_iter()
+            .for_each(|(duty, token)| self.ask(duty, token, now, out));
+        give_up
+            .into_iter()
+            .for_each(|(duty, token)| self.give_up(duty, token, out));
+        self.leases.retain(|_, l| {
+            l.held.is_some() || l.round.is_some() || now < l.wanted_until.max(l.not_before)
+        });
     }
 
     fn give_up(&mut self, duty: Duty, token: Token, out: &mut Vec<Action>) {
         self.leases.remove(&duty);
         out.push(Action::Over(duty, token));
-        out.extend(self.voters.iter().map(|voter| Action::Release(voter.clone(), duty, token)));
+        out.extend(
+            self.voters
+                .iter()
+                .map(|voter| Action::Release(voter.clone(), duty, token)),
+        );
     }
 
     /// The manager drains or ends: everything is given up at once.
     pub fn release_all(&mut self, out: &mut Vec<Action>) {
-        let held: Vec<_> = self.leases.iter().filter_map(|(d, l)| Some((*d, l.held?.0))).collect();
-        held.into_iter().for_each(|(duty, token)| self.give_up(duty, token, out));
+        let held: Vec<_> = self
+            .leases
+            .iter()
+            .filter_map(|(d, l)| Some((*d, l.held?.0)))
+            .collect();
+        held.into_iter()
+            .for_each(|(duty, token)| self.give_up(duty, token, out));
         self.leases.clear();
     }
 
@@ -425,12 +516,16 @@
     pub fn wakes(&self) -> Option<Micros> {
         let renew_before = self.terms.valid() - self.terms.granted() / 3;
         let next = |lease: &Lease| {
-            let round = lease.round.as_ref().map(|r| r.asked + self.terms.granted() / 4);
+            let round = lease
+                .round
+                .as_ref()
+                .map(|r| r.asked + self.terms.granted() / 4);
             let held = lease.held.map(|(_, until)| match &lease.round {
                 Some(_) => until,
                 None => (until - renew_before).max(lease.not_before).min(until),
             });
-            let idle = (round.is_none() && held.is_none()).then(|| lease.wanted_until.max(lease.not_before));
+            let idle = (round.is_none() && held.is_none())
+                .then(|| lease.wanted_until.max(lease.not_before));
             round.into_iter().chain(held).chain(idle).min()
         };
         self.leases.values().filter_map(next).min()
--- a/src/duties/probing.rs
+++ b/src/duties/probing.rs
@@ -1,8 +1,9 @@
 //! The duty of asking an engine for its load: one owner asks, the others ask the owner. Pure.
 //!
-//! A manager whose module wants an engine's load asks the member that should own that duty. The owner asks the engine once
-//! for all that wait, tells what it heard under its token, and tells it again for a moment. Wherever there is no owner,
-//! or it does not answer in time, a manager asks the engine itself, as it does without duties: nothing is worse than that.
+//! A manager whose module wants an engine's load asks the member that should own that duty. The
+//! owner asks the engine once for all that wait, tells what it heard under its token, and tells it
+//! again for a moment. Wherever there is no owner, or it does not answer in time, a manager asks
+//! the engine itself, as it does without duties: nothing is worse than that.
 use super::{Action, Candidate, Duty, Fence, Token};
 use crate::clock::{MS, Micros};
 use crate::interface::{LoadReport, OutcomeKind};
@@ -14,7 +15,8 @@
 const FRESH: Micros = 100 * MS;
 /// An owner that did not answer is not asked again for so long.
 const SILENT: Micros = 1_000 * MS;
-/// An engine that has not answered by then, and not failed either, is asked anew for the next one that wants to know.
+/// An engine that has not answered by then, and not failed either, is asked anew for the next one
+/// that wants to know.
 const STUCK: Micros = 1_000 * MS;
 /// Those that wait for one engine's answer at most; more are told to ask by themselves.
 const WAITERS: usize = 1_024;
@@ -38,7 +40,13 @@
     /// From what a probe brought here.
     pub fn new(kind: OutcomeKind, took: Micros, load: &LoadReport) -> Sounding {
         let (well, unreachable) = (kind == OutcomeKind::Ok, kind == OutcomeKind::ConnectFailed);
-        Sounding { well, unreachable, took, len: load.len.min(4) as u8, load: load.values }
+        Sounding {
+            well,
+            unreachable,
+            took,
+            len: load.len.min(4) as u8,
+            load: load.values,
+        }
     }
 
     /// As the module is told it.
@@ -48,7 +56,13 @@
             (_, true) => OutcomeKind::ConnectFailed,
             _ => OutcomeKind::Error,
         };
-        (kind, LoadReport { len: usize::from(self.len.min(4)), values: self.load })
+        (
+            kind,
+            LoadReport {
+                len: usize::from(self.len.min(4)),
+                values: self.load,
+            },
+        )
     }
 }
 
@@ -96,10 +110,14 @@
 impl Prober {
     /// One that waits so long for an owner.
     pub fn new(ask_wait: Micros) -> Prober {
-        Prober { ask_wait, ..Prober::default() }
+        Prober {
+            ask_wait,
+            ..Prober::default()
+        }
     }
 
-    /// The module wants an engine's load; `first` is the member that should own that, if it is not this one.
+    /// The module wants an engine's load; `first` is the member that should own that, if it is not
+    /// this one.
     pub fn wanted(
         &mut self,
         engine: u64,
@@ -111,7 +129,9 @@
         let duty = Duty::Probe(engine);
         let Some(first) = first else {
             candidate.want(duty, fence, now, actions);
-            let fresh = self.fresh(engine, now).filter(|_| candidate.owns(duty, now).is_some());
+            let fresh = self
+                .fresh(engine, now)
+                .filter(|_| candidate.owns(duty, now).is_some());
             steps.push(match fresh {
                 Some(sounding) => Step::Give(engine, sounding),
                 None => Step::Probe(engine),
@@ -127,12 +147,22 @@
             return;
         }
         self.numbers = self.numbers.wrapping_add(1);
-        self.asked.insert(engine, Asked { number: self.numbers, at: now, times: 1 });
+        self.asked.insert(
+            engine,
+            Asked {
+                number: self.numbers,
+                at: now,
+                times: 1,
+            },
+        );
         steps.push(Step::Want(first.to_owned(), engine, self.numbers));
     }
 
     fn fresh(&self, engine: u64, now: Micros) -> Option<Sounding> {
-        self.heard.get(&engine).filter(|(_, at)| now < at + FRESH).map(|(sounding, _)| *sounding)
+        self.heard
+            .get(&engine)
+            .filter(|(_, at)| now < at + FRESH)
+            .map(|(sounding, _)| *sounding)
     }
 
     /// A member asks; `mine` says whether this manager should own the duty.
@@ -164,8 +194,8 @@
         waiting.push((from, number));
     }
 
-    /// An engine that this manager asked has answered, or could not be asked. Those that wait are told if the duty is still
-    /// owned: the lease is looked up again after the wait.
+    /// An engine that this manager asked has answered, or could not be asked. Those that wait are
+    /// told if the duty is still owned: the lease is looked up again after the wait.
     pub fn answered(
         &mut self,
         engine: u64,
@@ -174,9 +204,15 @@
         now: Micros,
         steps: &mut Vec<Step>,
     ) {
-        self.heard.extend(sounding.map(|sounding| (engine, (sounding, now))));
+        self.heard
+            .extend(sounding.map(|sounding| (engine, (sounding, now))));
         let token = candidate.owns(Duty::Probe(engine), now);
-        for (whom, number) in self.waiting.remove(&engine).map(|(_, all)| all).unwrap_or_default() {
+        for (whom, number) in self
+            .waiting
+            .remove(&engine)
+            .map(|(_, all)| all)
+            .unwrap_or_default()
+        {
             steps.push(match (token, sounding) {
                 (Some(token), Some(sounding)) => Step::Tell(whom, engine, number, token, sounding),
                 _ => Step::NotMine(whom, engine, number),
@@ -219,16 +255,31 @@
 
     /// Time passes: owners that did not answer count as none, and what is old is forgotten.
     pub fn tick(&mut self, now: Micros, steps: &mut Vec<Step>) {
-        let late = self.asked.iter().filter(|(_, a)| now >= a.at + self.ask_wait).map(|(engine, _)| *engine);
+        let late = self
+            .asked
+            .iter()
+            .filter(|(_, a)| now >= a.at + self.ask_wait)
+            .map(|(engine, _)| *engine);
         let late: Vec<u64> = late.collect();
-        late.into_iter().for_each(|engine| self.fall_back(engine, now, steps));
+        late.into_iter()
+            .for_each(|engine| self.fall_back(engine, now, steps));
         // Guards those that wait against a probe whose end never came.
-        let stuck =
-            self.waiting.iter().filter(|(_, (since, _))| now >= since + STUCK).map(|(engine, _)| *engine);
+        let stuck = self
+            .waiting
+            .iter()
+            .filter(|(_, (since, _))| now >= since + STUCK)
+            .map(|(engine, _)| *engine);
         let stuck: Vec<u64> = stuck.collect();
         for engine in stuck {
-            let all = self.waiting.remove(&engine).map(|(_, all)| all).unwrap_or_default();
-            steps.extend(all.into_iter().map(|(whom, number)| Step::NotMine(whom, engine, number)));
+            let all = self
+                .waiting
+                .remove(&engine)
+                .map(|(_, all)| all)
+                .unwrap_or_default();
+            steps.extend(
+                all.into_iter()
+                    .map(|(whom, number)| Step::NotMine(whom, engine, number)),
+            );
         }
         self.silent.retain(|_, until| now < *until);
         self.heard.retain(|_, (_, at)| now < *at + FRESH);
@@ -237,6 +288,8 @@
     /// When [`tick`](Self::tick) has something to do next.
     pub fn wakes(&self) -> Option<Micros> {
         let asked = self.asked.values().map(|a| a.at + self.ask_wait);
-        asked.chain(self.waiting.values().map(|(since, _)| since + STUCK)).min()
+        asked
+            .chain(self.waiting.values().map(|(since, _)| since + STUCK))
+            .min()
     }
 }
--- a/src/duties/wire.rs
+++ b/src/duties/wire.rs
@@ -1,4 +1,5 @@
-//! The datagrams of duties, in postcard behind a tag of the format, beside those of the membership on one socket.
+//! The datagrams of duties, in postcard behind a tag of the format, beside those of the membership
+//! on one socket.
 use super::probing::Sounding;
 use super::{Duty, Holder, Token, Vote};
 use crate::membership::wire::{self, Unread};
@@ -10,7 +11,8 @@
 /// What managers say to each other of duties.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Letter {
-    /// To a voter: the holder asks for the duty under the token, or to renew it. The vote carries the number.
+    /// To a voter: the holder asks for the duty under the token, or to renew it. The vote carries
+    /// the number.
     Ask(Holder, Duty, Token, u32),
     /// A voter's vote.
     Vote(String, Duty, u32, Vote),
--- a/src/engine/clickhouse.rs
+++ b/src/engine/clickhouse.rs
@@ -1,4 +1,5 @@
-//! Engines that speak the ClickHouse HTTP interface: one query at a time on a connection that is kept alive.
+//! Engines that speak the ClickHouse HTTP interface: one query at a time on a connection that is
+//! kept alive.
 use super::{Said, Wire};
 use crate::clock::{MS, Micros, SEC};
 use crate::http::{self, Body, Head};
@@ -9,7 +10,8 @@
 
 /// An answer longer than this is not gathered.
 const MOST_ROWS: usize = 256 * 1024;
-/// Between two pieces of one answer no more time than this passes: it is written once the query has ended.
+/// Between two pieces of one answer no more time than this passes: it is written once the query has
+/// ended.
 const GAP: Micros = 2 * SEC;
 /// The field that tells whose answer it is.
 const QUERY_ID: &str = "x-clickhouse-query-id";
@@ -51,7 +53,15 @@
     /// A new connection.
     pub fn new(login: Rc<Login>) -> ClickHouse {
         let (input, rows) = (Vec::new(), Vec::new());
-        ClickHouse { login, asked: None, input, answer: None, rows, reusable: true, heard_at: None }
+        ClickHouse {
+            login,
+            asked: None,
+            input,
+            answer: None,
+            rows,
+            reusable: true,
+            heard_at: None,
+        }
     }
 
     fn headers(&self) -> String {
@@ -65,16 +75,30 @@
 
     /// An answer is whole: what does it say?
     fn whole(&mut self, said: &mut Vec<Said>) {
-        let Some((head, _)) = self.answer.take() else { return };
+        let Some((head, _)) = self.answer.take() else {
+            return;
+        };
         self.heard_at = None;
         let rows = std::mem::take(&mut self.rows);
         self.reusable &= head.keeps_alive(&head.first[0]);
-        let code = head.field("x-clickhouse-exception-code").and_then(|c| c.parse().ok());
+        let code = head
+            .field("x-clickhouse-exception-code")
+            .and_then(|c| c.parse().ok());
         // Some versions write a late error behind the rows and end the body as if all were well.
         let lines = rows.strip_suffix(b"\n").unwrap_or(&rows);
         let last = lines.rsplit(|c| *c == b'\n').next().unwrap_or_default();
-        let late = || Some(last).filter(|l| contains(l, b". DB::Exception: ")).and_then(code_in);
-        let code = code.or_else(|| if head.first[1] == "200" { late() } else { code_in(&rows) });
+        let late = || {
+            Some(last)
+                .filter(|l| contains(l, b". DB::Exception: "))
+                .and_then(code_in)
+        };
+        let code = code.or_else(|| {
+            if head.first[1] == "200" {
+                late()
+            } else {
+                code_in(&rows)
+            }
+        });
         let load = LoadReport::default();
         match (self.asked.take(), head.first[1].as_str(), code) {
             (Some(Asked::Query(id, _)), "200", None) if same_columns(&rows) => {
@@ -82,11 +106,21 @@
             }
             // Its own word that it took nothing on. Any other error may come after the query began.
             (Some(Asked::Query(id, _)), "503", Some(TOO_MANY_QUERIES)) => {
-                said.push(Said::Ended(id, End::Full, Vec::new(), load, Cost::default()));
-            }
-            (Some(Asked::Query(id, _)), _, _) => {
-                said.push(Said::Ended(id, End::Broke, Vec::new(), load, Cost::default()))
+                said.push(Said::Ended(
+                    id,
+                    End::Full,
+                    Vec::new(),
+                    load,
+                    Cost::default(),
+                ));
             }
+            (Some(Asked::Query(id, _)), _, _) => said.push(Said::Ended(
+                id,
+                End::Broke,
+                Vec::new(),
+                load,
+                Cost::default(),
+            )),
             (Some(Asked::Ping(n)), "200", _) => said.push(Said::Probed(n, OutcomeKind::Ok, load)),
             (Some(Asked::Ping(n)), _, _) => said.push(Said::Probed(n, OutcomeKind::Error, load)),
             (Some(Asked::Nobody) | None, _, _) => {}
@@ -96,7 +130,13 @@
     fn end(&mut self, end: End, said: &mut Vec<Said>) {
         self.reusable = false;
         if let Some(Asked::Query(id, _)) = self.asked.take() {
-            said.push(Said::Ended(id, end, Vec::new(), LoadReport::default(), Cost::default()));
+            said.push(Said::Ended(
+                id,
+                end,
+                Vec::new(),
+                LoadReport::default(),
+                Cost::default(),
+            ));
         }
     }
 }
@@ -104,8 +144,11 @@
 /// Whether rows are whole and have the same columns. Guards against passing noise on as an answer.
 fn same_columns(rows: &[u8]) -> bool {
     let columns = |row: &[u8]| row.iter().filter(|c| **c == b'\t').count();
-    let lines = rows.strip_suffix(b"\n").map(|all| all.split(|c| *c == b'\n').map(columns));
-    rows.is_empty() || lines.is_some_and(|mut lines| lines.next().is_none_or(|n| lines.all(|m| m == n)))
+    let lines = rows
+        .strip_suffix(b"\n")
+        .map(|all| all.split(|c| *c == b'\n').map(columns));
+    rows.is_empty()
+        || lines.is_some_and(|mut lines| lines.next().is_none_or(|n| lines.all(|m| m == n)))
 }
 
 fn contains(text: &[u8], part: &[u8]) -> bool {
@@ -126,17 +169,24 @@
     fn start(&mut self, now: Micros, job: &Job) -> Vec<u8> {
         let seconds = job.until.saturating_sub(now).max(MS) as f64 / SEC as f64;
         let session = job.session.as_deref();
-        let id = session.and_then(|s| s.query_id.as_deref()).unwrap_or(&job.key);
+        let id = session
+            .and_then(|s| s.query_id.as_deref())
+            .unwrap_or(&job.key);
         self.asked = Some(Asked::Query(job.id, id.into()));
         let id = http::escape(id);
-        let mut path = format!("/?query_id={id}&max_execution_time={seconds:.3}&default_format=TabSeparated");
-        // So an error shows in the status where it can, and a closed connection ends a query that only reads.
+        let mut path =
+            format!("/?query_id={id}&max_execution_time={seconds:.3}&default_format=TabSeparated");
+        // So an error shows in the status where it can, and a closed connection ends a query that
+        // only reads.
         path += "&wait_end_of_query=1&cancel_http_readonly_queries_on_client_close=1";
         if let Some(database) = session.and_then(|s| s.database.as_deref()) {
             path += &format!("&database={}", http::escape(database));
         }
         if job.memory_mb > 0.0 {
-            path += &format!("&max_memory_usage={}", (job.memory_mb.ceil() as u64).saturating_mul(1 << 20));
+            path += &format!(
+                "&max_memory_usage={}",
+                (job.memory_mb.ceil() as u64).saturating_mul(1 << 20)
+            );
         }
         let (headers, length) = (self.headers(), job.statement.len());
         let head = format!("POST {path} HTTP/1.1\r\n{headers}Content-Length: {length}\r\n\r\n");
@@ -157,14 +207,23 @@
         format!("GET /ping HTTP/1.1\r\n{}\r\n", self.headers()).into_bytes()
     }
 
-    fn feed(&mut self, now: Micros, input: &[u8], said: &mut Vec<Said>, _: &mut Vec<u8>) -> Result<(), End> {
+    fn feed(
+        &mut self,
+        now: Micros,
+        input: &[u8],
+        said: &mut Vec<Said>,
+        _: &mut Vec<u8>,
+    ) -> Result<(), End> {
         self.heard_at = Some(now);
         self.input.extend_from_slice(input);
         while !self.input.is_empty() {
             if self.answer.is_none() {
-                let Some((head, used)) = http::head(&self.input).map_err(|_| End::Garbled)? else { break };
+                let Some((head, used)) = http::head(&self.input).map_err(|_| End::Garbled)? else {
+                    break;
+                };
                 let version = head.first[0].as_str();
-                // An answer that nobody asked for: the two sides no longer agree on what belongs to what.
+                // An answer that nobody asked for: the two sides no longer agree on what belongs to
+                // what.
                 if self.asked.is_none() || !matches!(version, "HTTP/1.1" | "HTTP/1.0") {
                     return Err(End::Garbled);
                 }
@@ -173,10 +232,16 @@
                     continue;
                 }
                 let bare = matches!(head.first[1].as_str(), "204" | "304");
-                let without = if bare { Body::Length(0) } else { Body::UntilClose };
+                let without = if bare {
+                    Body::Length(0)
+                } else {
+                    Body::UntilClose
+                };
                 let body = head.body(without).map_err(|_| End::Garbled)?;
-                // Guards against a second copy, or an answer to an earlier query: where it tells whose it is.
-                if let (Some(Asked::Query(_, mine)), Some(theirs)) = (&self.asked, head.field(QUERY_ID))
+                // Guards against a second copy, or an answer to an earlier query: where it tells
+                // whose it is.
+                if let (Some(Asked::Query(_, mine)), Some(theirs)) =
+                    (&self.asked, head.field(QUERY_ID))
                     && **mine != *theirs
                 {
                     return Err(End::Garbled);
@@ -187,7 +252,9 @@
                 }
                 self.answer = Some((head, body));
             }
-            let Some((_, body)) = &mut self.answer else { break };
+            let Some((_, body)) = &mut self.answer else {
+                break;
+            };
             match body.read(&self.input, &mut self.rows, MOST_ROWS) {
                 Ok((used, whole)) => {
                     self.input.drain(..used);
@@ -217,11 +284,15 @@
     }
 
     fn due(&mut self, now: Micros, _: &mut Vec<Said>, _: &mut Vec<u8>) -> Result<(), End> {
-        if self.heard_at.is_some_and(|at| at + GAP <= now) { Err(End::Silent) } else { Ok(()) }
+        if self.heard_at.is_some_and(|at| at + GAP <= now) {
+            Err(End::Silent)
+        } else {
+            Ok(())
+        }
     }
 
-    /// Guards against a cut-off answer that passes for a whole one: only a body with no length of its own may
-    /// end with the connection; one that promised more has failed.
+    /// Guards against a cut-off answer that passes for a whole one: only a body with no length of
+    /// its own may end with the connection; one that promised more has failed.
     fn finish(&mut self, said: &mut Vec<Said>) {
         match self.answer {
             Some((_, Body::UntilClose)) => self.whole(said),
--- a/src/engine/link.rs
+++ b/src/engine/link.rs
@@ -1,5 +1,6 @@
-//! The state of one connection to an engine, without its socket: what waits to go out, what is out, and how
-//! each attempt on it ends. Sockets push bytes through it; the wire's protocol is its parameter.
+//! The state of one connection to an engine, without its socket: what waits to go out, what is out,
+//! and how each attempt on it ends. Sockets push bytes through it; the wire's protocol is its
+//! parameter.
 use super::{Said, Wire};
 use crate::clock::{MS, Micros};
 use crate::interface::{AttemptNo, LoadReport, OutcomeKind, RequestId};
@@ -7,11 +8,12 @@
 use crate::manager::{Cost, Ended, Job};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long after the word that gives an attempt up it counts as given up: the word has to get there before
-/// any further attempt does, and that may travel on another connection.
+/// How long after the word that gives an attempt up it counts as given up: the word has to get
+/// there before any further attempt does, and that may travel on another connection.
 const SETTLE: Micros = 5 * MS;
-/// What must never run twice goes out but for its last bytes, and those so long after: longer than a round trip.
-/// Guards it against a connection that is reset under it: what the engine never had whole never ran.
+/// What must never run twice goes out but for its last bytes, and those so long after: longer than
+/// a round trip. Guards it against a connection that is reset under it: what the engine never had
+/// whole never ran.
 const HOLD: Micros = 5 * MS;
 const LAST_BYTES: usize = 3;
 /// A probe without an answer for so long has failed.
@@ -67,7 +69,8 @@
     held_until: Option<Micros>,
     heard_at: Micros,
     quiet_since: Micros,
-    /// Nothing was heard since an attempt that was given up went out: it may be cut off. Carries nothing new.
+    /// Nothing was heard since an attempt that was given up went out: it may be cut off. Carries
+    /// nothing new.
     suspect: bool,
     /// Ended here otherwise than by a whole answer: more words about them may come.
     stale: VecDeque<RequestId>,
@@ -98,7 +101,11 @@
     /// Attempts that it can carry beside those on it.
     pub fn free(&self) -> usize {
         let fresh = self.over.is_none() && !self.suspect && self.wire.reusable();
-        if fresh { self.wire.streams().saturating_sub(self.on_it.len()) } else { 0 }
+        if fresh {
+            self.wire.streams().saturating_sub(self.on_it.len())
+        } else {
+            0
+        }
     }
 
     /// The attempts on it.
@@ -106,8 +113,9 @@
         self.on_it.keys().copied()
     }
 
-    /// Requests whose further attempts need another connection. Guards against a late word about an earlier
-    /// attempt, as an error for each page that was asked for, that would be taken for the end of a later one.
+    /// Requests whose further attempts need another connection. Guards against a late word about an
+    /// earlier attempt, as an error for each page that was asked for, that would be taken for the
+    /// end of a later one.
     pub fn stale(&self) -> impl Iterator<Item = RequestId> {
         self.stale.iter().copied()
     }
@@ -129,26 +137,57 @@
     pub fn next_due(&self) -> Option<Micros> {
         let settles = self.on_it.values().filter_map(|a| a.settles).min();
         let probe = self.probes.front().map(|(_, at)| at + PROBE_TIME);
-        settles.into_iter().chain(probe).chain(self.wire.next_due()).chain(self.held_until).min()
+        settles
+            .into_iter()
+            .chain(probe)
+            .chain(self.wire.next_due())
+            .chain(self.held_until)
+            .min()
     }
 
     /// Takes an attempt on.
     pub fn start(&mut self, now: Micros, job: &Job) {
         let mut bytes = self.wire.start(now, job);
-        let tail =
-            bytes.split_off(bytes.len() - if job.single { LAST_BYTES.min(bytes.len() - 1) } else { 0 });
-        self.outbox.push_back(Chunk { starts: Some(job.id), ends: None, bytes, done: 0 });
+        let tail = bytes.split_off(
+            bytes.len()
+                - if job.single {
+                    LAST_BYTES.min(bytes.len() - 1)
+                } else {
+                    0
+                },
+        );
+        self.outbox.push_back(Chunk {
+            starts: Some(job.id),
+            ends: None,
+            bytes,
+            done: 0,
+        });
         if !tail.is_empty() {
-            self.outbox.push_back(Chunk { starts: None, ends: Some(job.id), bytes: tail, done: 0 });
+            self.outbox.push_back(Chunk {
+                starts: None,
+                ends: Some(job.id),
+                bytes: tail,
+                done: 0,
+            });
         }
-        let on_it =
-            OnIt { attempt: job.attempt, conn: job.conn, reach: Reach::Unsent, sent_at: now, settles: None };
+        let on_it = OnIt {
+            attempt: job.attempt,
+            conn: job.conn,
+            reach: Reach::Unsent,
+            sent_at: now,
+            settles: None,
+        };
         self.on_it.insert(job.id, on_it);
     }
 
     /// Words that neither start nor end an attempt.
     fn say(&mut self, bytes: Vec<u8>) {
-        self.outbox.push_back(Chunk { starts: None, ends: None, bytes, done: 0 });
+        self.outbox.push_back(Chunk {
+            starts: None,
+            ends: None,
+            bytes,
+            done: 0,
+        });
     }
 
     /// Sends a probe.
@@ -172,25 +211,50 @@
         self.quiet_since = now;
         if reach != Reach::Unsent && !matches!(end, End::Done | End::Full | End::Past) {
             self.stale.push_back(id);
-            self.stale.drain(..self.stale.len().saturating_sub(MOST_STALE));
+            self.stale
+                .drain(..self.stale.len().saturating_sub(MOST_STALE));
         }
-        Some(Event::Ended(Ended { id, attempt, end, reach, rows, load, cost }))
+        Some(Event::Ended(Ended {
+            id,
+            attempt,
+            end,
+            reach,
+            rows,
+            load,
+            cost,
+        }))
     }
 
     fn end_plain(&mut self, now: Micros, id: RequestId, end: End) -> Option<Event> {
-        self.end(now, id, end, Vec::new(), LoadReport::default(), Cost::default())
+        self.end(
+            now,
+            id,
+            end,
+            Vec::new(),
+            LoadReport::default(),
+            Cost::default(),
+        )
     }
 
     /// Takes an attempt back before its first byte.
     fn take_back(&mut self, now: Micros, id: RequestId, end: End) -> Option<Event> {
-        self.outbox.retain(|chunk| chunk.starts != Some(id) && chunk.ends != Some(id));
+        self.outbox
+            .retain(|chunk| chunk.starts != Some(id) && chunk.ends != Some(id));
         self.wire.stop(id);
         self.end_plain(now, id, end)
     }
 
     /// Gives an attempt up.
-    pub fn stop(&mut self, now: Micros, id: RequestId, attempt: AttemptNo, events: &mut Vec<Event>) {
-        let Some(on_it) = self.on_it.get_mut(&id).filter(|a| a.attempt == attempt) else { return };
+    pub fn stop(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        attempt: AttemptNo,
+        events: &mut Vec<Event>,
+    ) {
+        let Some(on_it) = self.on_it.get_mut(&id).filter(|a| a.attempt == attempt) else {
+            return;
+        };
         if on_it.reach == Reach::Unsent {
             return events.extend(self.take_back(now, id, End::Withdrawn));
         }
@@ -208,16 +272,25 @@
         }
     }
 
-    /// An attempt takes longer than it should, and another one goes beside it. Guards what follows against a connection
-    /// that swallows all that is sent on it: without a sign of life since it carries nothing new.
+    /// An attempt takes longer than it should, and another one goes beside it. Guards what follows
+    /// against a connection that swallows all that is sent on it: without a sign of life since it
+    /// carries nothing new.
     pub fn doubt(&mut self, id: RequestId, attempt: AttemptNo) {
-        let on_it = self.on_it.get(&id).filter(|a| a.attempt == attempt && a.reach != Reach::Unsent);
+        let on_it = self
+            .on_it
+            .get(&id)
+            .filter(|a| a.attempt == attempt && a.reach != Reach::Unsent);
         self.suspect |= on_it.is_some_and(|a| self.heard_at <= a.sent_at);
     }
 
-    /// Gives an attempt a new priority. It follows the attempt's own words, so that none comes first.
+    /// Gives an attempt a new priority. It follows the attempt's own words, so that none comes
+    /// first.
     pub fn bump(&mut self, id: RequestId, attempt: AttemptNo, urgency: u8) {
-        if self.on_it.get(&id).is_some_and(|a| a.attempt == attempt && a.settles.is_none()) {
+        if self
+            .on_it
+            .get(&id)
+            .is_some_and(|a| a.attempt == attempt && a.settles.is_none())
+        {
             let bytes = self.wire.bump(id, urgency);
             if !bytes.is_empty() {
                 self.say(bytes);
@@ -225,31 +298,47 @@
         }
     }
 
-    /// The engine drains or is gone. Guards rule 3: what waits to go out, as it does while the connection is
-    /// being made or while the engine does not read, must not go out any more.
+    /// The engine drains or is gone. Guards rule 3: what waits to go out, as it does while the
+    /// connection is being made or while the engine does not read, must not go out any more.
     pub fn drain(&mut self, now: Micros, events: &mut Vec<Event>) {
         let unsent = self.on_it.iter().filter(|(_, a)| a.reach == Reach::Unsent);
         let unsent: Vec<RequestId> = unsent.map(|(id, _)| *id).collect();
-        events.extend(unsent.into_iter().filter_map(|id| self.take_back(now, id, End::Drained)));
+        events.extend(
+            unsent
+                .into_iter()
+                .filter_map(|id| self.take_back(now, id, End::Drained)),
+        );
     }
 
     /// The attempt whose first byte is the next one to be written, with its client's connection.
     pub fn starts(&self) -> Option<(RequestId, AttemptNo, u64)> {
-        let id = self.outbox.front().filter(|chunk| chunk.done == 0).and_then(|chunk| chunk.starts)?;
+        let id = self
+            .outbox
+            .front()
+            .filter(|chunk| chunk.done == 0)
+            .and_then(|chunk| chunk.starts)?;
         self.on_it.get(&id).map(|a| (id, a.attempt, a.conn))
     }
 
     /// The bytes to write next.
     pub fn to_write(&self) -> Option<&[u8]> {
         let held = |chunk: &&Chunk| chunk.ends.is_some() && self.held_until.is_some();
-        self.outbox.front().filter(|chunk| !held(chunk)).map(|chunk| &chunk.bytes[chunk.done..])
+        self.outbox
+            .front()
+            .filter(|chunk| !held(chunk))
+            .map(|chunk| &chunk.bytes[chunk.done..])
     }
 
     /// So many of them were written.
     pub fn wrote(&mut self, now: Micros, n: usize) {
-        let Some(chunk) = self.outbox.front_mut() else { return };
+        let Some(chunk) = self.outbox.front_mut() else {
+            return;
+        };
         chunk.done += n;
-        if let Some(on_it) = chunk.starts.filter(|_| n > 0).and_then(|id| self.on_it.get_mut(&id))
+        if let Some(on_it) = chunk
+            .starts
+            .filter(|_| n > 0)
+            .and_then(|id| self.on_it.get_mut(&id))
             && on_it.reach == Reach::Unsent
         {
             (on_it.reach, on_it.sent_at) = (Reach::Sent, now);
@@ -260,10 +349,16 @@
         if chunk.done < chunk.bytes.len() {
             return;
         }
-        let Some(chunk) = self.outbox.pop_front() else { return };
+        let Some(chunk) = self.outbox.pop_front() else {
+            return;
+        };
         let started = chunk.starts;
         // What follows is its end, if that is held back.
-        let held = self.outbox.front().and_then(|chunk| chunk.ends).filter(|id| started == Some(*id));
+        let held = self
+            .outbox
+            .front()
+            .and_then(|chunk| chunk.ends)
+            .filter(|id| started == Some(*id));
         let whole = chunk.ends.is_some() || (started.is_some() && held.is_none());
         self.dispatched += u64::from(whole);
         if let Some(on_it) = held.and_then(|id| self.on_it.get_mut(&id)) {
@@ -298,11 +393,16 @@
                 Said::Ended(id, end, rows, load, cost) => {
                     events.extend(self.end(now, id, end, rows, load, cost));
                 }
-                // Guards against a second copy, or one that comes too late: it tells nothing of a later probe.
+                // Guards against a second copy, or one that comes too late: it tells nothing of a
+                // later probe.
                 Said::Probed(number, kind, load) => {
                     let sent = self.probes.iter().position(|(n, _)| *n == number);
                     if let Some((_, at)) = sent.and_then(|sent| self.probes.remove(sent)) {
-                        events.push(Event::Probed { kind, latency: now.saturating_sub(at), load });
+                        events.push(Event::Probed {
+                            kind,
+                            latency: now.saturating_sub(at),
+                            load,
+                        });
                     }
                 }
             }
@@ -312,9 +412,16 @@
     /// Whatever is due by now.
     pub fn due(&mut self, now: Micros, events: &mut Vec<Event>) {
         self.held_until = self.held_until.filter(|at| *at > now);
-        let settled = self.on_it.iter().filter(|(_, a)| a.settles.is_some_and(|at| at <= now));
+        let settled = self
+            .on_it
+            .iter()
+            .filter(|(_, a)| a.settles.is_some_and(|at| at <= now));
         let settled: Vec<RequestId> = settled.map(|(id, _)| *id).collect();
-        events.extend(settled.into_iter().filter_map(|id| self.end_plain(now, id, End::Withdrawn)));
+        events.extend(
+            settled
+                .into_iter()
+                .filter_map(|id| self.end_plain(now, id, End::Withdrawn)),
+        );
         if self.wire.next_due().is_some_and(|at| at <= now) {
             let (mut said, mut replies) = (Vec::new(), Vec::new());
             if let Err(end) = self.wire.due(now, &mut said, &mut replies) {
@@ -322,10 +429,19 @@
             }
             self.hear(now, said, replies, events);
         }
-        while let Some((_, at)) = self.probes.front().copied().filter(|(_, at)| at + PROBE_TIME <= now) {
+        while let Some((_, at)) = self
+            .probes
+            .front()
+            .copied()
+            .filter(|(_, at)| at + PROBE_TIME <= now)
+        {
             self.probes.pop_front();
             let (kind, load) = (OutcomeKind::Timeout, LoadReport::default());
-            events.push(Event::Probed { kind, latency: now - at, load });
+            events.push(Event::Probed {
+                kind,
+                latency: now - at,
+                load,
+            });
         }
     }
 
@@ -339,7 +455,11 @@
         }
         for (_, at) in std::mem::take(&mut self.probes) {
             let kind = crate::manager::ends::outcome(end, Reach::Sent);
-            events.push(Event::Probed { kind, latency: now - at, load: LoadReport::default() });
+            events.push(Event::Probed {
+                kind,
+                latency: now - at,
+                load: LoadReport::default(),
+            });
         }
         self.outbox.clear();
     }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -25,7 +25,8 @@
     fn start(&mut self, now: Micros, job: &Job) -> Vec<u8>;
     /// The bytes that give up an attempt that went out; `None` if only closing the connection does.
     fn stop(&mut self, id: RequestId) -> Option<Vec<u8>>;
-    /// The bytes that give an attempt that went out a new priority; none if the protocol has no word for it.
+    /// The bytes that give an attempt that went out a new priority; none if the protocol has no
+    /// word for it.
     fn bump(&mut self, _id: RequestId, _urgency: u8) -> Vec<u8> {
         Vec::new()
     }
--- a/src/engine/platform.rs
+++ b/src/engine/platform.rs
@@ -17,8 +17,9 @@
 /// An answer with more pages or bytes than this is not believed.
 const MOST_SHEETS: usize = 64;
 const MOST_ROWS: usize = 256 * 1024;
-/// A message is whole so long after its first byte, and a page there so long after the answer that told of it.
-/// Guards what else is on the connection against an answer that stops short or never ends.
+/// A message is whole so long after its first byte, and a page there so long after the answer that
+/// told of it. Guards what else is on the connection against an answer that stops short or never
+/// ends.
 const WHOLE: Micros = 500 * MS;
 const PAGES: Micros = 1_500 * MS;
 
@@ -44,18 +45,32 @@
 impl Platform {
     /// A new connection.
     pub fn new(names: Rc<Names>) -> Platform {
-        Platform { names, running: BTreeMap::new(), input: Vec::new(), began: None }
+        Platform {
+            names,
+            running: BTreeMap::new(),
+            input: Vec::new(),
+            began: None,
+        }
     }
 
     fn load(&self, fields: &[(&str, &str)]) -> LoadReport {
         let mut report = LoadReport::default();
-        let meter = fields.iter().find(|(name, _)| *name == "meter").map_or("", |(_, value)| value);
+        let meter = fields
+            .iter()
+            .find(|(name, _)| *name == "meter")
+            .map_or("", |(_, value)| value);
         let told: Vec<(&str, f32)> = meter
             .split(';')
             .filter_map(|pair| pair.split_once(':'))
             .filter_map(|(name, value)| Some((name, value.parse().ok()?)))
             .collect();
-        for (at, name) in self.names.load_fields.iter().take(report.values.len()).enumerate() {
+        for (at, name) in self
+            .names
+            .load_fields
+            .iter()
+            .take(report.values.len())
+            .enumerate()
+        {
             // The settings and the sockets may use other words for the same figure.
             let same = |n: &str| n == name || n == plain_word(name);
             if let Some((_, value)) = told.iter().find(|(n, v)| same(n) && v.is_finite()) {
@@ -76,19 +91,33 @@
         replies: &mut Vec<u8>,
     ) -> Result<(), End> {
         if matches!(word, "FIT" | "UNFIT") {
-            let kind = if word == "FIT" { OutcomeKind::Ok } else { OutcomeKind::Full };
+            let kind = if word == "FIT" {
+                OutcomeKind::Ok
+            } else {
+                OutcomeKind::Full
+            };
             let number = key.strip_prefix('p').and_then(|n| n.parse().ok());
             said.extend(number.map(|number| Said::Probed(number, kind, self.load(fields))));
             return Ok(());
         }
         let load = self.load(fields);
-        let field = |name| fields.iter().find(|(n, _)| *n == name).map(|(_, value)| *value);
+        let field = |name| {
+            fields
+                .iter()
+                .find(|(n, _)| *n == name)
+                .map(|(_, value)| *value)
+        };
         let count = |name| field(name).and_then(|v| v.parse::<usize>().ok());
-        if !matches!(word, "DONE" | "MORE" | "WAIT" | "PAST" | "BROKE" | "KEEP" | "LACK" | "TELL") {
+        if !matches!(
+            word,
+            "DONE" | "MORE" | "WAIT" | "PAST" | "BROKE" | "KEEP" | "LACK" | "TELL"
+        ) {
             return Err(End::Garbled);
         }
         // An answer to what was given up a moment ago is no fault.
-        let Some(running) = self.running.get_mut(key) else { return Ok(()) };
+        let Some(running) = self.running.get_mut(key) else {
+            return Ok(());
+        };
         if matches!(word, "DONE" | "MORE") && !whole_rows(&body) {
             return Err(End::Garbled);
         }
@@ -96,7 +125,9 @@
         let mut ended = None;
         match word {
             "DONE" if running.sheets.is_empty() => {
-                let Some(sheets) = count("sheets").filter(|n| *n > 0) else { return Err(End::Garbled) };
+                let Some(sheets) = count("sheets").filter(|n| *n > 0) else {
+                    return Err(End::Garbled);
+                };
                 let told = |name| field(name).and_then(|v| v.parse().ok());
                 let cost = Cost::told(told("toil"), told("room"));
                 (running.load, running.cost, running.told_at) = (load, cost, now);
@@ -131,13 +162,18 @@
             ended = Some(End::Done);
         }
         let Some(end) = ended else { return Ok(()) };
-        let Some(running) = self.running.remove(key) else { return Ok(()) };
+        let Some(running) = self.running.remove(key) else {
+            return Ok(());
+        };
         if running.sheets.len() > 1 {
             replies.extend_from_slice(format!("forget {key}\r\n").as_bytes());
         }
         // Pages hold whole rows and go out in order, or not at all.
-        let rows =
-            if end == End::Done { running.sheets.into_iter().flatten().flatten().collect() } else { vec![] };
+        let rows = if end == End::Done {
+            running.sheets.into_iter().flatten().flatten().collect()
+        } else {
+            vec![]
+        };
         said.push(Said::Ended(id, end, rows, running.load, running.cost));
         Ok(())
     }
@@ -179,26 +215,49 @@
         bytes.extend_from_slice(&job.statement);
         bytes.extend_from_slice(b"\r\n");
         let (load, cost) = (LoadReport::default(), Cost::default());
-        let running = Running { id: job.id, sheets: Vec::new(), told_at: 0, load, cost };
+        let running = Running {
+            id: job.id,
+            sheets: Vec::new(),
+            told_at: 0,
+            load,
+            cost,
+        };
         self.running.insert(job.key.clone(), running);
         bytes
     }
 
     fn stop(&mut self, id: RequestId) -> Option<Vec<u8>> {
-        let key = self.running.iter().find(|(_, r)| r.id == id).map(|(key, _)| key.clone());
+        let key = self
+            .running
+            .iter()
+            .find(|(_, r)| r.id == id)
+            .map(|(key, _)| key.clone());
         let running = key.as_ref().and_then(|key| self.running.remove(key));
-        let word = if running.is_some_and(|r| !r.sheets.is_empty()) { "forget" } else { "undo" };
+        let word = if running.is_some_and(|r| !r.sheets.is_empty()) {
+            "forget"
+        } else {
+            "undo"
+        };
         Some(key.map_or(Vec::new(), |key| format!("{word} {key}\r\n").into_bytes()))
     }
 
     fn bump(&mut self, id: RequestId, urgency: u8) -> Vec<u8> {
         // One whose answer has begun runs no more.
-        let runs = self.running.iter().find(|(_, r)| r.id == id && r.sheets.is_empty());
-        runs.map_or(Vec::new(), |(key, _)| format!("bump {key} {urgency}\r\n").into_bytes())
+        let runs = self
+            .running
+            .iter()
+            .find(|(_, r)| r.id == id && r.sheets.is_empty());
+        runs.map_or(Vec::new(), |(key, _)| {
+            format!("bump {key} {urgency}\r\n").into_bytes()
+        })
     }
 
     fn probe(&mut self, number: u64) -> Vec<u8> {
-        let word = if self.names.load_fields.is_empty() { "ping" } else { "top" };
+        let word = if self.names.load_fields.is_empty() {
+            "ping"
+        } else {
+            "top"
+        };
         format!("{word} p{number}\r\n").into_bytes()
     }
 
@@ -212,15 +271,28 @@
         self.input.extend_from_slice(input);
         let mut used = 0;
         while let Some(message) = message(&self.input[used..])? {
-            let Message { words, body, length } = message;
+            let Message {
+                words,
+                body,
+                length,
+            } = message;
             let line = std::str::from_utf8(&words).map_err(|_| End::Garbled)?;
             let words: Vec<&str> = line.split(' ').collect();
-            let [key, word, fields, _] = words[..] else { return Err(End::Garbled) };
+            let [key, word, fields, _] = words[..] else {
+                return Err(End::Garbled);
+            };
             let fields: Option<Vec<(&str, &str)>> = match fields {
                 "-" => Some(Vec::new()),
                 list => list.split(',').map(|f| f.split_once('=')).collect(),
             };
-            self.answer(now, (key, word), &fields.ok_or(End::Garbled)?, body, said, replies)?;
+            self.answer(
+                now,
+                (key, word),
+                &fields.ok_or(End::Garbled)?,
+                body,
+                said,
+                replies,
+            )?;
             used += length;
         }
         self.input.drain(..used);
@@ -234,7 +306,11 @@
     }
 
     fn next_due(&self) -> Option<Micros> {
-        let pages = self.running.values().filter(|r| !r.sheets.is_empty()).map(|r| r.told_at + PAGES);
+        let pages = self
+            .running
+            .values()
+            .filter(|r| !r.sheets.is_empty())
+            .map(|r| r.told_at + PAGES);
         pages.chain(self.began.map(|at| at + WHOLE)).min()
     }
 
@@ -245,7 +321,13 @@
         let late = |r: &Running| !r.sheets.is_empty() && r.told_at + PAGES <= now;
         for (key, running) in self.running.extract_if(.., |_, r| late(r)) {
             replies.extend_from_slice(format!("forget {key}\r\n").as_bytes());
-            said.push(Said::Ended(running.id, End::Silent, Vec::new(), running.load, Cost::default()));
+            said.push(Said::Ended(
+                running.id,
+                End::Silent,
+                Vec::new(),
+                running.load,
+                Cost::default(),
+            ));
         }
         Ok(())
     }
@@ -263,29 +345,44 @@
     length: usize,
 }
 
-/// The first whole message, if it is there. Guards against noise: an answer is four words and a body that ends
-/// where the last of them says, and nothing else.
+/// The first whole message, if it is there. Guards against noise: an answer is four words and a
+/// body that ends where the last of them says, and nothing else.
 fn message(input: &[u8]) -> Result<Option<Message>, End> {
     let seen = &input[..input.len().min(MOST_LINE)];
     let Some(end) = seen.windows(2).position(|w| w == b"\r\n") else {
-        return if input.len() > MOST_LINE { Err(End::Garbled) } else { Ok(None) };
+        return if input.len() > MOST_LINE {
+            Err(End::Garbled)
+        } else {
+            Ok(None)
+        };
     };
     let words = input[..end].to_vec();
     let last = words.rsplit(|c| *c == b' ').next().unwrap_or_default();
     let digits = last.iter().all(u8::is_ascii_digit);
-    let size = std::str::from_utf8(last).ok().filter(|_| digits).and_then(|w| w.parse::<usize>().ok());
+    let size = std::str::from_utf8(last)
+        .ok()
+        .filter(|_| digits)
+        .and_then(|w| w.parse::<usize>().ok());
     let size = size.filter(|size| *size <= MOST_BODY).ok_or(End::Garbled)?;
     let (from, to) = (end + 2, end + 2 + size);
     match input.get(to..to + 2) {
         None => Ok(None),
-        Some(b"\r\n") => Ok(Some(Message { words, body: input[from..to].to_vec(), length: to + 2 })),
+        Some(b"\r\n") => Ok(Some(Message {
+            words,
+            body: input[from..to].to_vec(),
+            length: to + 2,
+        })),
         Some(_) => Err(End::Garbled),
     }
 }
 
-/// Whether a page is one: whole rows of three columns of text. Guards against passing noise on as an answer.
+/// Whether a page is one: whole rows of three columns of text. Guards against passing noise on as
+/// an answer.
 fn whole_rows(page: &[u8]) -> bool {
-    let rows = page.strip_suffix(b"\n").unwrap_or(page).split(|c| *c == b'\n');
+    let rows = page
+        .strip_suffix(b"\n")
+        .unwrap_or(page)
+        .split(|c| *c == b'\n');
     let columns = |row: &[u8]| row.iter().filter(|c| **c == b'\t').count() + 1;
     let text = |c: char| !c.is_control() || matches!(c, '\t' | '\n');
     page.is_empty()
--- a/src/front/clickhouse.rs
+++ b/src/front/clickhouse.rs
@@ -1,4 +1,5 @@
-//! The ClickHouse HTTP interface for clients: one query at a time on a connection that is kept alive.
+//! The ClickHouse HTTP interface for clients: one query at a time on a connection that is kept
+//! alive.
 use super::{Cut, Front, Said};
 use crate::clock::{MS, Micros, SEC};
 use crate::deploy::{ClassRules, Users};
@@ -41,23 +42,71 @@
 /// A refusal or an error of this front: status, ClickHouse's code and its name, and what was wrong.
 type Wrong = (u16, u32, &'static str, &'static str);
 
-const MALFORMED: Wrong = (400, 27, "CANNOT_PARSE_INPUT_ASSERTION_FAILED", "the request is not HTTP/1.1");
+const MALFORMED: Wrong = (
+    400,
+    27,
+    "CANNOT_PARSE_INPUT_ASSERTION_FAILED",
+    "the request is not HTTP/1.1",
+);
 const TOO_LONG: Wrong = (413, 307, "TOO_MANY_BYTES", "the statement is too long");
-const HEAD_TOO_LONG: Wrong = (431, 307, "TOO_MANY_BYTES", "the head of the request is too long");
-const TOO_SLOW: Wrong = (408, 209, "SOCKET_TIMEOUT", "the request did not come whole in time");
-const NO_ROOM: Wrong =
-    (503, 202, "TOO_MANY_SIMULTANEOUS_QUERIES", "there is no room for long statements now: try again later");
-const UNSUPPORTED: Wrong = (501, 48, "NOT_IMPLEMENTED", "this transfer coding is not supported");
+const HEAD_TOO_LONG: Wrong = (
+    431,
+    307,
+    "TOO_MANY_BYTES",
+    "the head of the request is too long",
+);
+const TOO_SLOW: Wrong = (
+    408,
+    209,
+    "SOCKET_TIMEOUT",
+    "the request did not come whole in time",
+);
+const NO_ROOM: Wrong = (
+    503,
+    202,
+    "TOO_MANY_SIMULTANEOUS_QUERIES",
+    "there is no room for long statements now: try again later",
+);
+const UNSUPPORTED: Wrong = (
+    501,
+    48,
+    "NOT_IMPLEMENTED",
+    "this transfer coding is not supported",
+);
 const NO_PAGE: Wrong = (404, 60, "UNKNOWN_TABLE", "there is no such page");
 const NO_METHOD: Wrong = (405, 48, "NOT_IMPLEMENTED", "use GET or POST");
 const NO_QUERY: Wrong = (400, 62, "SYNTAX_ERROR", "empty query");
-const BAD_NUMBER: Wrong = (400, 27, "CANNOT_PARSE_INPUT_ASSERTION_FAILED", "a setting is not a number");
-const BAD_URL: Wrong = (400, 27, "CANNOT_PARSE_INPUT_ASSERTION_FAILED", "the URL can't be read");
-const NO_FORMAT: Wrong = (400, 73, "UNKNOWN_FORMAT", "use TabSeparated, CSV or JSONCompactEachRow");
-const NO_DATABASES: Wrong =
-    (400, 48, "NOT_IMPLEMENTED", "some engines take qualified names only: name the schema in the statement");
+const BAD_NUMBER: Wrong = (
+    400,
+    27,
+    "CANNOT_PARSE_INPUT_ASSERTION_FAILED",
+    "a setting is not a number",
+);
+const BAD_URL: Wrong = (
+    400,
+    27,
+    "CANNOT_PARSE_INPUT_ASSERTION_FAILED",
+    "the URL can't be read",
+);
+const NO_FORMAT: Wrong = (
+    400,
+    73,
+    "UNKNOWN_FORMAT",
+    "use TabSeparated, CSV or JSONCompactEachRow",
+);
+const NO_DATABASES: Wrong = (
+    400,
+    48,
+    "NOT_IMPLEMENTED",
+    "some engines take qualified names only: name the schema in the statement",
+);
 const READONLY: Wrong = (405, 164, "READONLY", "a statement that writes needs POST");
-const UNKNOWN_USER: Wrong = (401, 516, "AUTHENTICATION_FAILED", "the user is unknown or the key is wrong");
+const UNKNOWN_USER: Wrong = (
+    401,
+    516,
+    "AUTHENTICATION_FAILED",
+    "the user is unknown or the key is wrong",
+);
 const NO_TENANT: Wrong = (403, 497, "ACCESS_DENIED", "the user belongs to no tenant");
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -70,11 +119,17 @@
 impl Format {
     fn named(name: &str) -> Option<(Format, &'static str, &'static str)> {
         match name {
-            "" | "TabSeparated" | "TSV" => {
-                Some((Format::Tabs, "TabSeparated", "text/tab-separated-values; charset=UTF-8"))
-            }
+            "" | "TabSeparated" | "TSV" => Some((
+                Format::Tabs,
+                "TabSeparated",
+                "text/tab-separated-values; charset=UTF-8",
+            )),
             "CSV" => Some((Format::Commas, "CSV", "text/csv; charset=UTF-8")),
-            "JSONCompactEachRow" => Some((Format::JsonRows, "JSONCompactEachRow", "application/x-ndjson")),
+            "JSONCompactEachRow" => Some((
+                Format::JsonRows,
+                "JSONCompactEachRow",
+                "application/x-ndjson",
+            )),
             _ => None,
         }
     }
@@ -103,7 +158,13 @@
                     _ => match value {
                         None => out.extend_from_slice(b"\\N"),
                         Some(value) => {
-                            let doubled = |c: &u8| if *c == b'"' { vec![b'"', b'"'] } else { vec![*c] };
+                            let doubled = |c: &u8| {
+                                if *c == b'"' {
+                                    vec![b'"', b'"']
+                                } else {
+                                    vec![*c]
+                                }
+                            };
                             out.push(b'"');
                             out.extend(value.iter().flat_map(doubled));
                             out.push(b'"');
@@ -111,7 +172,11 @@
                     },
                 }
             }
-            out.extend_from_slice(if self == Format::JsonRows { b"]\n" } else { b"\n" });
+            out.extend_from_slice(if self == Format::JsonRows {
+                b"]\n"
+            } else {
+                b"\n"
+            });
         }
         out
     }
@@ -179,7 +244,17 @@
     /// A new connection.
     pub fn new(conn: u64, service: Rc<Service>) -> ClickHouse {
         let (input, state, tags) = (Vec::new(), State::Head, 0);
-        ClickHouse { conn, service, input, state, tags, began: None, seen: 0, useful: false, strikes: 0 }
+        ClickHouse {
+            conn,
+            service,
+            input,
+            state,
+            tags,
+            began: None,
+            seen: 0,
+            useful: false,
+            strikes: 0,
+        }
     }
 
     /// Reads on until a request is open or more bytes are needed.
@@ -247,7 +322,8 @@
         }
     }
 
-    /// Answers what can't be read, and reads nothing more: where the next request begins is not known.
+    /// Answers what can't be read, and reads nothing more: where the next request begins is not
+    /// known.
     fn give_up(&mut self, what: Wrong, replies: &mut Vec<u8>) {
         self.strikes += 1;
         error(replies, what, "", false, (what == NO_ROOM).then_some(SEC));
@@ -270,17 +346,25 @@
             self.strikes += 1;
             return error(replies, BAD_URL, "", keep, None);
         };
-        let param = |name: &str| pairs.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
+        let param = |name: &str| {
+            pairs
+                .iter()
+                .find(|(n, _)| n == name)
+                .map(|(_, v)| v.as_str())
+        };
         let answer_at = replies.len();
         match (method, path) {
-            ("GET" | "POST", "/") if param("query").is_none() && body.is_empty() && method == "GET" => {
+            ("GET" | "POST", "/")
+                if param("query").is_none() && body.is_empty() && method == "GET" =>
+            {
                 plain(replies, keep, "Ok.\n");
             }
             ("GET", "/ping") => plain(replies, keep, "Ok.\n"),
             ("HEAD", "/" | "/ping") => {
                 let connection = if keep { "keep-alive" } else { "close" };
-                let text =
-                    format!("HTTP/1.1 200 OK\r\nConnection: {connection}\r\nContent-Length: 4\r\n\r\n");
+                let text = format!(
+                    "HTTP/1.1 200 OK\r\nConnection: {connection}\r\nContent-Length: 4\r\n\r\n"
+                );
                 replies.extend_from_slice(text.as_bytes());
             }
             ("GET" | "POST", "/") => match self.ask(now, head, &pairs, body) {
@@ -288,7 +372,13 @@
                     self.state = State::Busy(Busy { keep, ..busy });
                     said.push(Said::Ask(ask));
                 }
-                Err(what) => error(replies, what, param("query_id").unwrap_or_default(), keep, None),
+                Err(what) => error(
+                    replies,
+                    what,
+                    param("query_id").unwrap_or_default(),
+                    keep,
+                    None,
+                ),
             },
             (_, "/" | "/ping") => error(replies, NO_METHOD, "", keep, None),
             _ => error(replies, NO_PAGE, "", keep, None),
@@ -300,11 +390,21 @@
     }
 
     fn tenant(&self, head: &Head, pairs: &[(String, String)]) -> Result<(String, TenantId), Wrong> {
-        let param = |name: &str| pairs.iter().find(|(n, _)| n == name).map(|(_, v)| v.clone());
+        let param = |name: &str| {
+            pairs
+                .iter()
+                .find(|(n, _)| n == name)
+                .map(|(_, v)| v.clone())
+        };
         let basic = head.field("authorization").map(|value| {
             let (scheme, coded) = value.split_once(' ').unwrap_or((value, ""));
-            let text = BASE64_STANDARD.decode(coded.trim()).ok().and_then(|t| String::from_utf8(t).ok());
-            let text = text.filter(|_| scheme.eq_ignore_ascii_case("basic")).ok_or(UNKNOWN_USER)?;
+            let text = BASE64_STANDARD
+                .decode(coded.trim())
+                .ok()
+                .and_then(|t| String::from_utf8(t).ok());
+            let text = text
+                .filter(|_| scheme.eq_ignore_ascii_case("basic"))
+                .ok_or(UNKNOWN_USER)?;
             let (user, key) = text.split_once(':').ok_or(UNKNOWN_USER)?;
             Ok((user.to_owned(), key.to_owned()))
         });
@@ -312,9 +412,10 @@
         let (user, key) = match (field("x-clickhouse-user"), basic) {
             (Some(user), _) => (user, field("x-clickhouse-key").unwrap_or_default()),
             (None, Some(basic)) => basic?,
-            (None, None) => {
-                (param("user").unwrap_or_else(|| "default".into()), param("password").unwrap_or_default())
-            }
+            (None, None) => (
+                param("user").unwrap_or_else(|| "default".into()),
+                param("password").unwrap_or_default(),
+            ),
         };
         let users = self.service.users.borrow();
         let known = users.find(&user, &key).ok_or(UNKNOWN_USER)?;
@@ -329,7 +430,12 @@
         pairs: &[(String, String)],
         body: Vec<u8>,
     ) -> Result<(Ask, Busy), Wrong> {
-        let param = |name: &str| pairs.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
+        let param = |name: &str| {
+            pairs
+                .iter()
+                .find(|(n, _)| n == name)
+                .map(|(_, v)| v.as_str())
+        };
         let (user, tenant) = self.tenant(head, pairs)?;
         // The statement begins in the URL and goes on in the body.
         let mut statement = param("query").unwrap_or_default().as_bytes().to_vec();
@@ -343,7 +449,9 @@
         if statement.len() > MOST_STATEMENT {
             return Err(TOO_LONG);
         }
-        let named = param("default_format").or(head.field("x-clickhouse-format")).unwrap_or_default();
+        let named = param("default_format")
+            .or(head.field("x-clickhouse-format"))
+            .unwrap_or_default();
         let format = Format::named(named).ok_or(NO_FORMAT)?;
         let number = |name: &str| match param(name).map(str::parse::<f64>) {
             None => Ok(None),
@@ -357,20 +465,43 @@
         }
         let class = self.service.rules.borrow().class(&user, &statement);
         let at = usize::from(class.0);
-        // Both kinds of statement may come by POST; GET is for what only reads, as caches and proxies hold it.
-        if head.first[0] == "GET" && self.service.loads.borrow().get(at).copied().unwrap_or(false) {
+        // Both kinds of statement may come by POST; GET is for what only reads, as caches and
+        // proxies hold it.
+        if head.first[0] == "GET"
+            && self
+                .service
+                .loads
+                .borrow()
+                .get(at)
+                .copied()
+                .unwrap_or(false)
+        {
             return Err(READONLY);
         }
-        let deadline = self.service.deadlines.borrow().get(at).copied().unwrap_or(SEC);
+        let deadline = self
+            .service
+            .deadlines
+            .borrow()
+            .get(at)
+            .copied()
+            .unwrap_or(SEC);
         let limit = number("max_execution_time")?.map(|s| (s.min(1e6) * SEC as f64) as Micros);
         let memory_mb = number("max_memory_usage")?.map(|bytes| bytes / f64::from(1 << 20));
         let key = (self.service.new_key)();
-        let query_id = param("query_id").filter(|id| !id.is_empty()).unwrap_or(&key).to_owned();
+        let query_id = param("query_id")
+            .filter(|id| !id.is_empty())
+            .unwrap_or(&key)
+            .to_owned();
         self.tags += 1;
-        let session =
-            Session { database: database.map(Into::into), query_id: Some(query_id.as_str().into()) };
+        let session = Session {
+            database: database.map(Into::into),
+            query_id: Some(query_id.as_str().into()),
+        };
         let ask = Ask {
-            origin: Origin { conn: self.conn, tag: self.tags },
+            origin: Origin {
+                conn: self.conn,
+                tag: self.tags,
+            },
             key: key.into(),
             class: ClassId(class.0),
             tenant,
@@ -383,7 +514,16 @@
             once: None,
         };
         let chunks = head.first[2] != "HTTP/1.0";
-        Ok((ask, Busy { tag: self.tags, keep: true, chunks, query_id, format }))
+        Ok((
+            ask,
+            Busy {
+                tag: self.tags,
+                keep: true,
+                chunks,
+                query_id,
+                format,
+            },
+        ))
     }
 }
 
@@ -415,22 +555,33 @@
 
 /// A value from a client goes back in a header only without what could end the header.
 fn clean(value: &str) -> String {
-    value.chars().filter(|c| !c.is_control()).take(256).collect()
+    value
+        .chars()
+        .filter(|c| !c.is_control())
+        .take(256)
+        .collect()
 }
 
 fn start(replies: &mut Vec<u8>, status: u16, keep: bool, query_id: &str) {
     let connection = if keep { "keep-alive" } else { "close" };
-    let line = format!("HTTP/1.1 {status} {}\r\nConnection: {connection}\r\n{SERVER}", reason(status));
+    let line = format!(
+        "HTTP/1.1 {status} {}\r\nConnection: {connection}\r\n{SERVER}",
+        reason(status)
+    );
     replies.extend_from_slice(line.as_bytes());
     if !query_id.is_empty() {
-        replies.extend_from_slice(format!("X-ClickHouse-Query-Id: {}\r\n", clean(query_id)).as_bytes());
+        replies.extend_from_slice(
+            format!("X-ClickHouse-Query-Id: {}\r\n", clean(query_id)).as_bytes(),
+        );
     }
 }
 
 fn plain(replies: &mut Vec<u8>, keep: bool, text: &str) {
     start(replies, 200, keep, "");
-    let rest =
-        format!("Content-Type: text/html; charset=UTF-8\r\nContent-Length: {}\r\n\r\n{text}", text.len());
+    let rest = format!(
+        "Content-Type: text/html; charset=UTF-8\r\nContent-Length: {}\r\n\r\n{text}",
+        text.len()
+    );
     replies.extend_from_slice(rest.as_bytes());
 }
 
@@ -446,8 +597,9 @@
         fields += &format!("Retry-After: {}\r\n", after.div_ceil(SEC).max(1));
     }
     let length = body.len();
-    let rest =
-        format!("{fields}Content-Type: text/plain; charset=UTF-8\r\nContent-Length: {length}\r\n\r\n{body}");
+    let rest = format!(
+        "{fields}Content-Type: text/plain; charset=UTF-8\r\nContent-Length: {length}\r\n\r\n{body}"
+    );
     replies.extend_from_slice(rest.as_bytes());
 }
 
@@ -468,7 +620,14 @@
         if ahead { Err(End::Overflow) } else { Ok(()) }
     }
 
-    fn answer(&mut self, now: Micros, tag: u64, answer: Answer, said: &mut Vec<Said>, replies: &mut Vec<u8>) {
+    fn answer(
+        &mut self,
+        now: Micros,
+        tag: u64,
+        answer: Answer,
+        said: &mut Vec<Said>,
+        replies: &mut Vec<u8>,
+    ) {
         let busy = match std::mem::replace(&mut self.state, State::Head) {
             State::Busy(busy) if busy.tag == tag => busy,
             state => {
@@ -476,12 +635,18 @@
                 return;
             }
         };
-        let (id, keep) = (busy.query_id.as_str(), busy.keep && !(self.service.stopping)());
+        let (id, keep) = (
+            busy.query_id.as_str(),
+            busy.keep && !(self.service.stopping)(),
+        );
         match answer {
             Answer::Served(rows) => {
                 let (format, name, mime) = busy.format;
                 let count = rows.iter().filter(|c| **c == b'\n').count();
-                let summary = format!("{{\"result_rows\":\"{count}\",\"result_bytes\":\"{}\"}}", rows.len());
+                let summary = format!(
+                    "{{\"result_rows\":\"{count}\",\"result_bytes\":\"{}\"}}",
+                    rows.len()
+                );
                 let rows = format.put(rows);
                 start(replies, 200, keep, id);
                 let fields = format!(
@@ -489,7 +654,8 @@
                 );
                 replies.extend_from_slice(fields.as_bytes());
                 if busy.chunks {
-                    // If the connection ends within the answer, no last chunk tells that it is not whole.
+                    // If the connection ends within the answer, no last chunk tells that it is not
+                    // whole.
                     replies.extend_from_slice(b"Transfer-Encoding: chunked\r\n\r\n");
                     for chunk in rows.chunks(CHUNK) {
                         replies.extend_from_slice(format!("{:x}\r\n", chunk.len()).as_bytes());
@@ -498,7 +664,9 @@
                     }
                     replies.extend_from_slice(b"0\r\n\r\n");
                 } else {
-                    replies.extend_from_slice(format!("Content-Length: {}\r\n\r\n", rows.len()).as_bytes());
+                    replies.extend_from_slice(
+                        format!("Content-Length: {}\r\n\r\n", rows.len()).as_bytes(),
+                    );
                     replies.extend_from_slice(&rows);
                 }
             }
@@ -524,7 +692,12 @@
     }
 
     fn held(&self) -> usize {
-        self.input.len() + if let State::Body(_, _, text) = &self.state { text.len() } else { 0 }
+        self.input.len()
+            + if let State::Body(_, _, text) = &self.state {
+                text.len()
+            } else {
+                0
+            }
     }
 
     fn cut_off(&mut self, why: Cut, replies: &mut Vec<u8>) {
@@ -550,18 +723,35 @@
     }
 }
 
-/// What has failed may have run, so no status here is one that client libraries repeat by themselves.
+/// What has failed may have run, so no status here is one that client libraries repeat by
+/// themselves.
 fn failure(why: Failure) -> Wrong {
     match why {
-        Failure::Deadline => (500, 159, "TIMEOUT_EXCEEDED", "the time for the query was up"),
-        Failure::InUse => {
-            (500, 216, "QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING", "the name of the query is in use")
-        }
+        Failure::Deadline => (
+            500,
+            159,
+            "TIMEOUT_EXCEEDED",
+            "the time for the query was up",
+        ),
+        Failure::InUse => (
+            500,
+            216,
+            "QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING",
+            "the name of the query is in use",
+        ),
         Failure::NotSent => (500, 439, "CANNOT_SCHEDULE_TASK", "the query was not sent"),
-        Failure::Attempt(End::Broke) => (500, 1002, "UNKNOWN_EXCEPTION", "the engine reported an error"),
-        Failure::Attempt(_) => {
-            (500, 279, "ALL_CONNECTION_TRIES_FAILED", "the connection to the engine broke")
-        }
+        Failure::Attempt(End::Broke) => (
+            500,
+            1002,
+            "UNKNOWN_EXCEPTION",
+            "the engine reported an error",
+        ),
+        Failure::Attempt(_) => (
+            500,
+            279,
+            "ALL_CONNECTION_TRIES_FAILED",
+            "the connection to the engine broke",
+        ),
     }
 }
 
--- a/src/front/console.rs
+++ b/src/front/console.rs
@@ -1,4 +1,5 @@
-//! The second address, for operators alone: HTTP/1.1, one call to a connection. Parser and wording, no sockets.
+//! The second address, for operators alone: HTTP/1.1, one call to a connection. Parser and wording,
+//! no sockets.
 use crate::audit::Place;
 use crate::audit::store::PAGE;
 use crate::http::{self, Fault};
@@ -23,7 +24,8 @@
     Fleet,
     /// `GET /duties`: who owns which fleet work, as this manager sees it, one JSON object a line.
     Duties,
-    /// `GET /audit?since=LIFE.NUMBER&most=N`: what this manager decided after that record, and on what.
+    /// `GET /audit?since=LIFE.NUMBER&most=N`: what this manager decided after that record, and on
+    /// what.
     Audit(Place, usize),
 }
 
@@ -51,7 +53,11 @@
     ("POST", "/undrain", Call::Undrain),
     ("GET", "/fleet", Call::Fleet),
     ("GET", "/duties", Call::Duties),
-    ("GET", "/audit", Call::Audit(Place { life: 0, number: 0 }, PAGE)),
+    (
+        "GET",
+        "/audit",
+        Call::Audit(Place { life: 0, number: 0 }, PAGE),
+    ),
 ];
 
 /// Reads a call, if its head is there whole. A body means nothing.
@@ -60,7 +66,9 @@
         Ok(Some(read)) => read,
         Ok(None) if input.len() >= MOST_HEAD => return Err(Wrong::TooLong),
         // What can't become a call is told so at once, not after the deadline.
-        Ok(None) if !input.is_empty() && !input[0].is_ascii_uppercase() => return Err(Wrong::Malformed),
+        Ok(None) if !input.is_empty() && !input[0].is_ascii_uppercase() => {
+            return Err(Wrong::Malformed);
+        }
         Ok(None) => return Ok(None),
         Err(Fault::HeadTooLong) => return Err(Wrong::TooLong),
         Err(_) => return Err(Wrong::Malformed),
@@ -71,7 +79,10 @@
         return Err(Wrong::Malformed);
     }
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
-    let (right, _, call) = CALLS.iter().find(|(_, p, _)| *p == path).ok_or(Wrong::Unknown)?;
+    let (right, _, call) = CALLS
+        .iter()
+        .find(|(_, p, _)| *p == path)
+        .ok_or(Wrong::Unknown)?;
     if method != right {
         return Err(Wrong::Method(right));
     }
@@ -105,11 +116,16 @@
         431 => "Request Header Fields Too Large",
         _ => "Service Unavailable",
     };
-    let mut head = format!("HTTP/1.1 {status} {reason}\r\nContent-Type: text/plain; charset=utf-8\r\n");
+    let mut head =
+        format!("HTTP/1.1 {status} {reason}\r\nContent-Type: text/plain; charset=utf-8\r\n");
     if let Some(allow) = allow {
         let _ = write!(head, "Allow: {allow}\r\n");
     }
-    let _ = write!(head, "Content-Length: {}\r\nConnection: close\r\n\r\n", body.len());
+    let _ = write!(
+        head,
+        "Content-Length: {}\r\nConnection: close\r\n\r\n",
+        body.len()
+    );
     [head.as_bytes(), body.as_bytes()].concat()
 }
 
@@ -120,7 +136,9 @@
         Wrong::TooLong => answer(431, None, "the head of the request is too long\n"),
         Wrong::Late => answer(408, None, "the request did not come whole in time\n"),
         Wrong::Unknown => {
-            let calls = CALLS.map(|(method, path, _)| format!("{method} {path}")).join(", ");
+            let calls = CALLS
+                .map(|(method, path, _)| format!("{method} {path}"))
+                .join(", ");
             answer(404, None, &format!("there are {calls}\n"))
         }
         Wrong::Query => answer(400, None, "use since=LIFE.NUMBER and most=COUNT\n"),
@@ -132,8 +150,16 @@
 pub fn figures(f: &Figures) -> String {
     let mut out = String::with_capacity(1024);
     for (class, tally) in &f.classes {
-        let Tally { success, overload, error } = tally;
-        for (name, n) in [("success", success), ("overload", overload), ("error", error)] {
+        let Tally {
+            success,
+            overload,
+            error,
+        } = tally;
+        for (name, n) in [
+            ("success", success),
+            ("overload", overload),
+            ("error", error),
+        ] {
             let _ = writeln!(out, "app.replies.{class}.{name}:{n}|c");
         }
     }
@@ -154,7 +180,8 @@
 mod tests {
     use super::*;
 
-    /// Guards each caller's answer: the same however the bytes are cut, and each fault under its own status.
+    /// Guards each caller's answer: the same however the bytes are cut, and each fault under its
+    /// own status.
     #[test]
     fn calls_are_read_however_they_are_cut_and_faults_are_named() {
         let wire = b"POST /drain?by=anna HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n";
@@ -162,8 +189,14 @@
             assert_eq!(call(&wire[..cut]), Ok(None));
         }
         assert_eq!(call(wire), Ok(Some(Call::Drain)));
-        assert_eq!(call(b"GET /metrics HTTP/1.0\r\n\r\n"), Ok(Some(Call::Metrics)));
-        assert_eq!(call(b"GET /drain HTTP/1.1\r\n\r\n"), Err(Wrong::Method("POST")));
+        assert_eq!(
+            call(b"GET /metrics HTTP/1.0\r\n\r\n"),
+            Ok(Some(Call::Metrics))
+        );
+        assert_eq!(
+            call(b"GET /drain HTTP/1.1\r\n\r\n"),
+            Err(Wrong::Method("POST"))
+        );
         assert_eq!(call(b"GET / HTTP/1.1\r\n\r\n"), Err(Wrong::Unknown));
         assert_eq!(call(b"GET /ready HTTP/2\r\n\r\n"), Err(Wrong::Malformed));
         assert_eq!(call(b"\x16\x03\x01"), Err(Wrong::Malformed));
@@ -183,9 +216,18 @@
     /// Guards the names, which the operators' scrapers look for.
     #[test]
     fn each_figure_has_its_name_and_kind() {
-        let tally = Tally { success: 812, overload: 3, error: 0 };
+        let tally = Tally {
+            success: 812,
+            overload: 3,
+            error: 0,
+        };
         let classes = [("lookup".into(), tally)].into_iter().collect();
-        let figures_now = Figures { classes, concurrent: 14, targets: 7, ..Figures::default() };
+        let figures_now = Figures {
+            classes,
+            concurrent: 14,
+            targets: 7,
+            ..Figures::default()
+        };
         let text = figures(&figures_now);
         let lines: Vec<&str> = text.lines().collect();
         assert_eq!(
--- a/src/front/jsonrpc.rs
+++ b/src/front/jsonrpc.rs
@@ -88,7 +88,19 @@
         let (input, open) = (Vec::new(), BTreeSet::new());
         let (began, useful, strikes, closing) = (None, false, 0, false);
         let elsewhere = BTreeSet::new();
-        JsonRpc { conn, names, ready, input, looked: 0, open, elsewhere, began, useful, strikes, closing }
+        JsonRpc {
+            conn,
+            names,
+            ready,
+            input,
+            looked: 0,
+            open,
+            elsewhere,
+            began,
+            useful,
+            strikes,
+            closing,
+        }
     }
 
     /// Goes on with one that another process passed on.
@@ -104,11 +116,17 @@
     fn error(&mut self, replies: &mut Vec<u8>, id: &Value, code: i64, message: &str) {
         self.strikes += 1;
         // The time to come back goes with every refusal.
-        error(replies, id, code, message, (code == REFUSED).then_some(FULL_AFTER));
+        error(
+            replies,
+            id,
+            code,
+            message,
+            (code == REFUSED).then_some(FULL_AFTER),
+        );
     }
 
-    /// Turns away what is no message. Guards against noise, which has no end and no meaning: nothing more of it
-    /// is read.
+    /// Turns away what is no message. Guards against noise, which has no end and no meaning:
+    /// nothing more of it is read.
     fn no_message(&mut self, replies: &mut Vec<u8>, code: i64, message: &str) {
         self.error(replies, &Value::Null, code, message);
         self.closing = true;
@@ -126,7 +144,11 @@
             Ok(message) => message,
             Err(e) => {
                 // Text that is JSON, but no message, is an invalid request.
-                let code = if e.is_data() { INVALID_REQUEST } else { PARSE_ERROR };
+                let code = if e.is_data() {
+                    INVALID_REQUEST
+                } else {
+                    PARSE_ERROR
+                };
                 return self.no_message(replies, code, "not a message");
             }
         };
@@ -139,7 +161,10 @@
             "status" => {
                 let green = (self.ready)();
                 self.useful = true;
-                reply(replies, &json!({"jsonrpc": "2.0", "id": id, "result": {"green": green}}));
+                reply(
+                    replies,
+                    &json!({"jsonrpc": "2.0", "id": id, "result": {"green": green}}),
+                );
             }
             "withdraw" => {
                 self.strikes += 1;
@@ -154,11 +179,15 @@
                 Err((code, what)) => {
                     if let Some(class) = self.class(method) {
                         let refused = code == REFUSED;
-                        let answer =
-                            if refused { Answer::Refused(None) } else { Answer::Failed(Failure::NotSent) };
+                        let answer = if refused {
+                            Answer::Refused(None)
+                        } else {
+                            Answer::Failed(Failure::NotSent)
+                        };
                         said.push(Said::TurnedAway(class, answer));
                     }
-                    // Guards the answer to the first request under a number: the second one's error is not for it.
+                    // Guards the answer to the first request under a number: the second one's error
+                    // is not for it.
                     let taken = id.as_u64().is_some_and(|tag| self.in_use(tag));
                     self.error(replies, if taken { &Value::Null } else { &id }, code, what);
                 }
@@ -189,9 +218,18 @@
         self.names.borrow().class(method)
     }
 
-    fn ask(&self, now: Micros, method: &str, id: &Value, params: Value) -> Result<Ask, (i64, &'static str)> {
+    fn ask(
+        &self,
+        now: Micros,
+        method: &str,
+        id: &Value,
+        params: Value,
+    ) -> Result<Ask, (i64, &'static str)> {
         let class = self.class(method).ok_or((NO_METHOD, "no such class"))?;
-        let tag = id.as_u64().filter(|tag| *tag > 0).ok_or((INVALID_REQUEST, "the id is not a number"))?;
+        let tag = id
+            .as_u64()
+            .filter(|tag| *tag > 0)
+            .ok_or((INVALID_REQUEST, "the id is not a number"))?;
         if self.in_use(tag) {
             return Err((INVALID_REQUEST, "the id is in use"));
         }
@@ -206,7 +244,10 @@
         }
         let figure = |value: f64| (0.0..=MOST_FIGURE).contains(&value);
         if params.wait <= 0.0
-            || ![Some(params.wait), params.cost, params.kb].into_iter().flatten().all(figure)
+            || ![Some(params.wait), params.cost, params.kb]
+                .into_iter()
+                .flatten()
+                .all(figure)
         {
             return Err((INVALID_PARAMS, "a figure is out of range"));
         }
@@ -214,8 +255,11 @@
         let once = match &params.once {
             Value::Null => None,
             Value::String(key) if well_formed(key) => Some(key.as_str().into()),
-            // One that no engine could be given unchanged. Where the class has no keys it means nothing.
-            _ if names.keyed.contains(&class.0) => return Err((INVALID_PARAMS, "params.once is no key")),
+            // One that no engine could be given unchanged. Where the class has no keys it means
+            // nothing.
+            _ if names.keyed.contains(&class.0) => {
+                return Err((INVALID_PARAMS, "params.once is no key"));
+            }
             _ => None,
         };
         let tenant = names.tenants.iter().position(|t| *t == params.tenant);
@@ -224,15 +268,22 @@
             None => return Err((INVALID_PARAMS, "no such tenant")),
             Some(tenant) => tenant,
         };
-        let statement =
-            BASE64_STANDARD.decode(&params.arg).map_err(|_| (INVALID_PARAMS, "arg is not base64"))?;
+        let statement = BASE64_STANDARD
+            .decode(&params.arg)
+            .map_err(|_| (INVALID_PARAMS, "arg is not base64"))?;
         Ok(Ask {
-            origin: Origin { conn: self.conn, tag },
+            origin: Origin {
+                conn: self.conn,
+                tag,
+            },
             key: params.id.into(),
             class,
             tenant: TenantId(tenant as u16),
             give_up_at: now + (params.wait * MS as f64) as Micros,
-            cost: params.cost.filter(|c| *c > 0.0).map(|c| (c * MS as f64) as Micros),
+            cost: params
+                .cost
+                .filter(|c| *c > 0.0)
+                .map(|c| (c * MS as f64) as Micros),
             memory_mb: params.kb.filter(|mb| *mb > 0.0),
             repeated: matches!(&params.retry, Value::Bool(true))
                 || params.retry.as_u64().is_some_and(|n| n > 0),
@@ -269,7 +320,10 @@
     if let Some(after) = after {
         error["data"] = json!({"after": after.div_ceil(MS)});
     }
-    reply(replies, &json!({"jsonrpc": "2.0", "id": id, "error": error}));
+    reply(
+        replies,
+        &json!({"jsonrpc": "2.0", "id": id, "error": error}),
+    );
 }
 
 impl Front for JsonRpc {
@@ -287,7 +341,9 @@
         let mut buffer = std::mem::take(&mut self.input);
         let mut used = 0;
         while !self.closing
-            && let Some(end) = buffer[used.max(self.looked)..].iter().position(|c| *c == b'\n')
+            && let Some(end) = buffer[used.max(self.looked)..]
+                .iter()
+                .position(|c| *c == b'\n')
         {
             let end = used.max(self.looked) + end;
             self.line(now, &buffer[used..end], said, replies);
@@ -313,14 +369,25 @@
 
     fn skim(&mut self, waiting: &[u8], from: usize, said: &mut Vec<Said>) -> usize {
         let mut at = from;
-        while let Some(end) = waiting[at..].iter().position(|c| *c == b'\n').filter(|_| !self.closing) {
+        while let Some(end) = waiting[at..]
+            .iter()
+            .position(|c| *c == b'\n')
+            .filter(|_| !self.closing)
+        {
             let line = &waiting[at..at + end];
             // The first one may have begun before.
-            let whole = if at == 0 { [&self.input, line].concat() } else { Vec::new() };
+            let whole = if at == 0 {
+                [&self.input, line].concat()
+            } else {
+                Vec::new()
+            };
             let line = if at == 0 { &whole[..] } else { line };
             let withdraws = line.windows(WITHDRAW.len()).any(|w| w == WITHDRAW);
-            let message = withdraws.then(|| serde_json::from_slice::<Message>(line).ok()).flatten();
-            if let Some(message) = message.filter(|m| m.method == "withdraw" && m.jsonrpc == "2.0") {
+            let message = withdraws
+                .then(|| serde_json::from_slice::<Message>(line).ok())
+                .flatten();
+            if let Some(message) = message.filter(|m| m.method == "withdraw" && m.jsonrpc == "2.0")
+            {
                 self.withdraw(&message.params, said);
             }
             at += end + 1;
@@ -328,7 +395,14 @@
         at
     }
 
-    fn answer(&mut self, _: Micros, tag: u64, answer: Answer, _: &mut Vec<Said>, replies: &mut Vec<u8>) {
+    fn answer(
+        &mut self,
+        _: Micros,
+        tag: u64,
+        answer: Answer,
+        _: &mut Vec<Said>,
+        replies: &mut Vec<u8>,
+    ) {
         // Withdrawn a moment ago: no answer is owed.
         if !self.open.remove(&tag) && !self.elsewhere.remove(&tag) {
             return;
@@ -337,15 +411,24 @@
         match answer {
             Answer::Served(rows) => {
                 let arg = BASE64_STANDARD.encode(rows);
-                reply(replies, &json!({"jsonrpc": "2.0", "id": id, "result": {"arg": arg}}));
+                reply(
+                    replies,
+                    &json!({"jsonrpc": "2.0", "id": id, "result": {"arg": arg}}),
+                );
             }
             Answer::Worded(line) => replies.extend_from_slice(&line),
-            Answer::Refused(after) => error(replies, &id, REFUSED, "refused: try again later", after),
-            Answer::Failed(Failure::Deadline) => error(replies, &id, DEADLINE, "failed: time is up", None),
+            Answer::Refused(after) => {
+                error(replies, &id, REFUSED, "refused: try again later", after)
+            }
+            Answer::Failed(Failure::Deadline) => {
+                error(replies, &id, DEADLINE, "failed: time is up", None)
+            }
             Answer::Failed(Failure::InUse) => {
                 error(replies, &id, INVALID_PARAMS, "params.id is in use", None)
             }
-            Answer::Failed(Failure::NotSent) => error(replies, &id, FAILED, "failed: not sent", None),
+            Answer::Failed(Failure::NotSent) => {
+                error(replies, &id, FAILED, "failed: not sent", None)
+            }
             Answer::Failed(Failure::Attempt(end)) => {
                 error(replies, &id, FAILED, &format!("failed: {end:?}"), None);
             }
@@ -360,7 +443,11 @@
         let open = self.open.iter().chain(&self.elsewhere).copied().collect();
         // Twice over there is nobody to ask: what an older process has open is waited for here.
         let may = !self.closing && self.elsewhere.is_empty();
-        may.then(|| Handed { open, input: self.input.clone(), unwritten: Vec::new() })
+        may.then(|| Handed {
+            open,
+            input: self.input.clone(),
+            unwritten: Vec::new(),
+        })
     }
 
     fn withdrawn(&mut self, tag: u64) {
@@ -379,7 +466,9 @@
         (self.input, self.began) = (Vec::new(), None);
         match why {
             Cut::Late => self.no_message(replies, PARSE_ERROR, "the message did not end in time"),
-            Cut::Room => self.no_message(replies, REFUSED, "there is no room for long messages now"),
+            Cut::Room => {
+                self.no_message(replies, REFUSED, "there is no room for long messages now")
+            }
         }
     }
 
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,4 +1,5 @@
-//! The fronts: parsers and mapping between a client's protocol and the core. The sockets are in `src/net`.
+//! The fronts: parsers and mapping between a client's protocol and the core. The sockets are in
+//! `src/net`.
 pub mod clickhouse;
 pub mod console;
 pub mod jsonrpc;
@@ -40,20 +41,28 @@
         said: &mut Vec<Said>,
         replies: &mut Vec<u8>,
     ) -> Result<(), End>;
-    /// Looks through bytes that are to be read later, from a place in them on, for withdrawals of what is open: those
-    /// count at once. Tells how far it looked.
+    /// Looks through bytes that are to be read later, from a place in them on, for withdrawals of
+    /// what is open: those count at once. Tells how far it looked.
     fn skim(&mut self, waiting: &[u8], _from: usize, _said: &mut Vec<Said>) -> usize {
         waiting.len()
     }
     /// Words the final answer to the request with that mark, and reads on in what waited behind it.
-    fn answer(&mut self, now: Micros, tag: u64, answer: Answer, said: &mut Vec<Said>, replies: &mut Vec<u8>);
+    fn answer(
+        &mut self,
+        now: Micros,
+        tag: u64,
+        answer: Answer,
+        said: &mut Vec<Said>,
+        replies: &mut Vec<u8>,
+    );
     /// Requests on it that wait for their answer.
     fn open(&self) -> usize;
     /// Since when a message has begun and is not whole.
     fn began(&self) -> Option<Micros>;
     /// Bytes of it, and of what waits behind an open request.
     fn held(&self) -> usize;
-    /// Says why nothing more is read; what is open is answered, and then the connection is to be closed.
+    /// Says why nothing more is read; what is open is answered, and then the connection is to be
+    /// closed.
     fn cut_off(&mut self, why: Cut, replies: &mut Vec<u8>);
     /// Whether the client has said anything that could be used.
     fn useful(&self) -> bool;
--- a/src/generations/mod.rs
+++ b/src/generations/mod.rs
@@ -1,7 +1,7 @@
 //! Generations of settings: which slot each class has, across new configurations. Pure.
 //!
-//! A slot is a [`ClassId`]: what the module, its queues and the connections to engines know a class by. It keeps its
-//! meaning for as long as anything open refers to it.
+//! A slot is a [`ClassId`]: what the module, its queues and the connections to engines know a class
+//! by. It keeps its meaning for as long as anything open refers to it.
 use crate::interface::{ClassId, ClassSpec};
 use std::rc::Rc;
 
@@ -40,8 +40,15 @@
 impl Generations {
     /// The first generation: each class in its place.
     pub fn new(classes: Vec<Class>) -> Generations {
-        let slot = |class| Slot { class, dropped: None, open: 0 };
-        Generations { number: 1, slots: classes.into_iter().map(slot).collect() }
+        let slot = |class| Slot {
+            class,
+            dropped: None,
+            open: 0,
+        };
+        Generations {
+            number: 1,
+            slots: classes.into_iter().map(slot).collect(),
+        }
     }
 
     /// How many there have been.
@@ -56,12 +63,17 @@
 
     /// All slots, in order, and whether each is in force.
     pub fn slots(&self) -> impl Iterator<Item = (&Class, bool)> {
-        self.slots.iter().map(|slot| (&slot.class, slot.dropped.is_none()))
+        self.slots
+            .iter()
+            .map(|slot| (&slot.class, slot.dropped.is_none()))
     }
 
     /// The slot of the class of that name that is in force.
     pub fn find(&self, name: &str) -> Option<ClassId> {
-        let at = self.slots.iter().position(|s| s.dropped.is_none() && *s.class.name == *name)?;
+        let at = self
+            .slots
+            .iter()
+            .position(|s| s.dropped.is_none() && *s.class.name == *name)?;
         Some(ClassId(at as u16))
     }
 
@@ -82,7 +94,9 @@
     /// A new generation, whose classes have different names. Tells which slots it fills.
     pub fn next(&mut self, classes: Vec<Class>) -> Vec<Fresh> {
         self.number += 1;
-        let was: Vec<usize> = (0..self.slots.len()).filter(|at| self.slots[*at].dropped.is_none()).collect();
+        let was: Vec<usize> = (0..self.slots.len())
+            .filter(|at| self.slots[*at].dropped.is_none())
+            .collect();
         let same = |slot: &Slot, class: &Class| slot.dropped.is_none() && slot.class == *class;
         for &at in &was {
             if !classes.iter().any(|class| same(&self.slots[at], class)) {
@@ -97,14 +111,21 @@
             let heir_of = self.follows(&was, &class).map(|at| ClassId(at as u16));
             // What this generation drops may still be named by a request on its way in.
             let free = |s: &Slot| s.open == 0 && s.dropped.is_some_and(|at| at < self.number);
-            let slot = Slot { class, dropped: None, open: 0 };
+            let slot = Slot {
+                class,
+                dropped: None,
+                open: 0,
+            };
             let at = self.slots.iter().position(free).unwrap_or(self.slots.len());
             if at < self.slots.len() {
                 self.slots[at] = slot;
             } else {
                 self.slots.push(slot);
             }
-            fresh.push(Fresh { slot: ClassId(at as u16), heir_of });
+            fresh.push(Fresh {
+                slot: ClassId(at as u16),
+                heir_of,
+            });
         }
         fresh
     }
@@ -116,7 +137,9 @@
             let work = |s: &ClassSpec| (s.promise, s.threads, s.is_load, s.waits_for_loads);
             work(a) == work(b)
         };
-        let named = was.iter().find(|at| self.slots[**at].class.name == class.name);
+        let named = was
+            .iter()
+            .find(|at| self.slots[**at].class.name == class.name);
         named.or_else(|| was.iter().find(alike)).copied()
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,5 @@
-//! The vocabulary of the library: what a gateway is told and what it may order. No logic lives here.
+//! The vocabulary of the library: what a gateway is told and what it may order. No logic lives
+//! here.
 //!
 //! Times are nanoseconds of one clock that only moves forward; durations are nanoseconds too.
 
@@ -307,7 +308,8 @@
     pub group: u64,
     /// The client said that it tried before.
     pub repeated: bool,
-    /// It must not run twice, whatever its class allows: it has no key by which engines would know a repeat.
+    /// It must not run twice, whatever its class allows: it has no key by which engines would know
+    /// a repeat.
     pub single: bool,
 }
 
--- a/src/kit/audit.rs
+++ b/src/kit/audit.rs
@@ -6,7 +6,8 @@
 use futures_lite::future::or;
 use std::net::SocketAddr;
 
-/// Pages of one manager at most: what is written meanwhile must not keep the gathering going for ever.
+/// Pages of one manager at most: what is written meanwhile must not keep the gathering going for
+/// ever.
 const PAGES: usize = 10_000;
 /// A manager that does not answer a call within this time is told as missing.
 const PATIENCE_MS: u64 = 5_000;
@@ -23,11 +24,16 @@
             None => Err("no answer".into()),
         }
     };
-    or(call, late).await.map_err(|why| format!("GET {path}: {why}"))
+    or(call, late)
+        .await
+        .map_err(|why| format!("GET {path}: {why}"))
 }
 
 async fn one(addr: SocketAddr, since: Place) -> Gathered {
-    let mut all = Gathered { addr: addr.to_string(), ..Gathered::default() };
+    let mut all = Gathered {
+        addr: addr.to_string(),
+        ..Gathered::default()
+    };
     match get(addr, "/fleet").await {
         Ok(body) => {
             for line in body.lines() {
@@ -49,8 +55,12 @@
             }
         };
         let mut lines: Vec<&str> = body.lines().collect();
-        let Some(end) = lines.pop().and_then(|end| serde_json::from_str::<PageEnd>(end).ok()) else {
-            all.missing.push("GET /audit: a page without its end".into());
+        let Some(end) = lines
+            .pop()
+            .and_then(|end| serde_json::from_str::<PageEnd>(end).ok())
+        else {
+            all.missing
+                .push("GET /audit: a page without its end".into());
             break;
         };
         for line in lines {
--- a/src/kit/clients.rs
+++ b/src/kit/clients.rs
@@ -60,11 +60,20 @@
 }
 
 /// A request of the platform's protocol, as a line.
-pub fn rpc_line(id: u64, class: &str, key: &str, tenant: &str, wait_ms: u64, statement: &str) -> Vec<u8> {
+pub fn rpc_line(
+    id: u64,
+    class: &str,
+    key: &str,
+    tenant: &str,
+    wait_ms: u64,
+    statement: &str,
+) -> Vec<u8> {
     let arg = BASE64_STANDARD.encode(statement);
-    let params = json!({"id": key, "wait": wait_ms, "tenant": tenant, "cost": 500.0, "kb": 8, "arg": arg});
-    let mut line =
-        json!({"jsonrpc": "2.0", "id": id, "method": class, "params": params}).to_string().into_bytes();
+    let params =
+        json!({"id": key, "wait": wait_ms, "tenant": tenant, "cost": 500.0, "kb": 8, "arg": arg});
+    let mut line = json!({"jsonrpc": "2.0", "id": id, "method": class, "params": params})
+        .to_string()
+        .into_bytes();
     line.push(b'\n');
     line
 }
@@ -78,7 +87,9 @@
 
 /// What a line of the platform's protocol says.
 pub fn rpc_got(line: &[u8]) -> Got {
-    let Ok(answer) = serde_json::from_slice::<Value>(line) else { return Got::Cut };
+    let Ok(answer) = serde_json::from_slice::<Value>(line) else {
+        return Got::Cut;
+    };
     if let Some(arg) = answer["result"]["arg"].as_str() {
         let rows = BASE64_STANDARD.decode(arg).unwrap_or_default();
         return Got::Served(String::from_utf8_lossy(&rows).into_owned());
@@ -107,7 +118,9 @@
 
 /// The same, but the client may hang up within the answer.
 pub async fn rpc_or_leave(addr: SocketAddr, lines: &[u8], leaves: &Cell<bool>) -> Got {
-    let Ok(mut stream) = Async::<TcpStream>::connect(addr).await else { return Got::Cut };
+    let Ok(mut stream) = Async::<TcpStream>::connect(addr).await else {
+        return Got::Cut;
+    };
     if stream.write_all(lines).await.is_err() {
         return Got::Cut;
     }
@@ -115,7 +128,9 @@
     if left(&stream, leaves, &mut input).await {
         return Got::Cut;
     }
-    read_line(&stream, &mut input).await.map_or(Got::Cut, |line| rpc_got(&line))
+    read_line(&stream, &mut input)
+        .await
+        .map_or(Got::Cut, |line| rpc_got(&line))
 }
 
 /// How a request ended, once it has.
@@ -135,7 +150,12 @@
     pub fn open(executor: &Executor, addr: SocketAddr) -> Kept {
         let (out, lines) = async_channel::unbounded::<Vec<u8>>();
         let (open, closed) = (Ends::default(), Rc::default());
-        let kept = Kept { out, open: Rc::clone(&open), closed: Rc::clone(&closed), next: Cell::new(1) };
+        let kept = Kept {
+            out,
+            open: Rc::clone(&open),
+            closed: Rc::clone(&closed),
+            next: Cell::new(1),
+        };
         let task = async move {
             if let Ok(stream) = Async::<TcpStream>::connect(addr).await {
                 let mut input = Vec::new();
@@ -144,8 +164,9 @@
                     let next = async { Err(lines.recv().await) };
                     match or(line, next).await {
                         Ok(Some(line)) => {
-                            let id =
-                                serde_json::from_slice::<Value>(&line).ok().and_then(|v| v["id"].as_u64());
+                            let id = serde_json::from_slice::<Value>(&line)
+                                .ok()
+                                .and_then(|v| v["id"].as_u64());
                             let end = id.and_then(|id| open.borrow_mut().remove(&id));
                             if let Some(end) = end {
                                 *end.borrow_mut() = Some(rpc_got(&line));
@@ -157,7 +178,9 @@
                 }
             }
             // What is still open is cut off.
-            open.borrow().values().for_each(|end| *end.borrow_mut() = Some(Got::Cut));
+            open.borrow()
+                .values()
+                .for_each(|end| *end.borrow_mut() = Some(Got::Cut));
             closed.set(true);
         };
         executor.spawn(task).detach();
@@ -196,12 +219,17 @@
     let call = format!("{method} {path} HTTP/1.1\r\nHost: yokelift\r\n\r\n");
     stream.write_all(call.as_bytes()).await.ok()?;
     let (head, body) = read_http(&stream, &mut Vec::new(), Body::UntilClose).await?;
-    Some((head.first[1].parse().ok()?, String::from_utf8_lossy(&body).into_owned()))
+    Some((
+        head.first[1].parse().ok()?,
+        String::from_utf8_lossy(&body).into_owned(),
+    ))
 }
 
 /// Connects, says this and nothing more, and waits for the connection's end.
 pub async fn mute(addr: SocketAddr, hello: &'static [u8]) {
-    let Ok(mut stream) = Async::<TcpStream>::connect(addr).await else { return };
+    let Ok(mut stream) = Async::<TcpStream>::connect(addr).await else {
+        return;
+    };
     let _ = stream.write_all(hello).await;
     let mut buffer = [0; 256];
     while matches!((&stream).read(&mut buffer).await, Ok(n) if n > 0) {}
@@ -214,17 +242,24 @@
 
 /// Whether the daemon says that it is ready.
 pub async fn green(addr: SocketAddr) -> bool {
-    let Ok(mut stream) = Async::<TcpStream>::connect(addr).await else { return false };
+    let Ok(mut stream) = Async::<TcpStream>::connect(addr).await else {
+        return false;
+    };
     let asked = stream.write_all(STATUS).await;
     let mut input = Vec::new();
-    let line = if asked.is_ok() { read_line(&stream, &mut input).await } else { None };
+    let line = if asked.is_ok() {
+        read_line(&stream, &mut input).await
+    } else {
+        None
+    };
     line.is_some_and(|line| String::from_utf8_lossy(&line).contains("\"green\":true"))
 }
 
 /// A query over HTTP, as a request with the statement in its body.
 pub fn http_request(user: &str, key: &str, params: &str, statement: &str) -> Vec<u8> {
     let login = BASE64_STANDARD.encode(format!("{user}:{key}"));
-    let head = format!("POST /?{params} HTTP/1.1\r\nHost: yokelift\r\nAuthorization: Basic {login}\r\n");
+    let head =
+        format!("POST /?{params} HTTP/1.1\r\nHost: yokelift\r\nAuthorization: Basic {login}\r\n");
     let chunk = format!("{:x}\r\n{statement}\r\n0\r\n\r\n", statement.len());
     format!("{head}Transfer-Encoding: chunked\r\n\r\n{chunk}").into_bytes()
 }
@@ -236,7 +271,9 @@
 
 /// The same, but the client may hang up within the answer.
 pub async fn http_or_leave(addr: SocketAddr, request: &[u8], leaves: &Cell<bool>) -> Got {
-    let Ok(mut stream) = Async::<TcpStream>::connect(addr).await else { return Got::Cut };
+    let Ok(mut stream) = Async::<TcpStream>::connect(addr).await else {
+        return Got::Cut;
+    };
     if stream.write_all(request).await.is_err() {
         return Got::Cut;
     }
@@ -252,8 +289,15 @@
 
 /// What an answer over HTTP says.
 pub fn http_got(head: &http::Head, body: &[u8]) -> Got {
-    let code = head.field("x-clickhouse-exception-code").and_then(|c| c.parse::<i64>().ok()).unwrap_or(0);
-    let after = || head.field("retry-after").and_then(|s| s.parse::<u64>().ok()).map(|s| s * 1000);
+    let code = head
+        .field("x-clickhouse-exception-code")
+        .and_then(|c| c.parse::<i64>().ok())
+        .unwrap_or(0);
+    let after = || {
+        head.field("retry-after")
+            .and_then(|s| s.parse::<u64>().ok())
+            .map(|s| s * 1000)
+    };
     match (head.first[1].as_str(), code) {
         ("200", _) => Got::Served(String::from_utf8_lossy(body).into_owned()),
         ("503", 202) => Got::Refused(after()),
--- a/src/kit/coordinator.rs
+++ b/src/kit/coordinator.rs
@@ -83,12 +83,20 @@
             };
             while let Some(Ok(stream)) = or(end(), incoming.next()).await {
                 let (frames, breaks, stalls) = (all.clone(), broken.clone(), stalled.clone());
-                spawner.spawn(async move { drop(feed(stream, &frames, &breaks, &stalls).await) }).detach();
+                spawner
+                    .spawn(async move { drop(feed(stream, &frames, &breaks, &stalls).await) })
+                    .detach();
             }
             drop(kept);
         };
         executor.spawn(serve).detach();
-        Coordinator { addr, frames, breaks, stalls, ending }
+        Coordinator {
+            addr,
+            frames,
+            breaks,
+            stalls,
+            ending,
+        }
     }
 
     /// A new event: what has changed, or the whole list.
@@ -128,7 +136,13 @@
     let mut quiet = 0;
     while *breaks.borrow() == from {
         let most = if stalls.get() == flows { usize::MAX } else { 0 };
-        let new: Vec<Vec<u8>> = frames.borrow().iter().skip(next).take(most).cloned().collect();
+        let new: Vec<Vec<u8>> = frames
+            .borrow()
+            .iter()
+            .skip(next)
+            .take(most)
+            .cloned()
+            .collect();
         next += new.len();
         for frame in new {
             stream.write_all(&frame).await?;
