--- a/src/kit/daemon.rs
+++ b/src/kit/daemon.rs
@@ -68,7 +68,11 @@
     /// A new one.
     pub fn new() -> std::io::Result<Folder> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let name = format!("yokelift-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+        let name = format!(
+            "yokelift-{}-{}",
+            std::process::id(),
+            NEXT.fetch_add(1, Ordering::Relaxed)
+        );
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path)?;
         Ok(Folder(path))
@@ -124,19 +128,39 @@
         let folder = Folder::new().map_err(|e| e.to_string())?;
         let listen = free_addr();
         let text = config_with(listen, coordinator, known, sockets, &settings);
-        let path = folder.put("config.json", &text.to_string()).map_err(|e| e.to_string())?;
+        let path = folder
+            .put("config.json", &text.to_string())
+            .map_err(|e| e.to_string())?;
         let console = console.then(free_addr);
         let mut command = command(program, &folder, listen, console);
         command.env("PROXY_CONFIG", path);
         if let Some(deploy) = deploy {
-            command.arg(folder.put("clickhouse.toml", deploy).map_err(|e| e.to_string())?);
+            command.arg(
+                folder
+                    .put("clickhouse.toml", deploy)
+                    .map_err(|e| e.to_string())?,
+            );
         }
         let log = std::fs::File::create(folder.0.join("log")).map_err(|e| e.to_string())?;
-        let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).spawn();
+        let child = command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log)
+            .spawn();
         let child = child.map_err(|e| format!("{}: {e}", program.display()))?;
         let (older, starts, known) = (None, 1, known.clone());
-        let mut daemon =
-            Daemon { child, listen, console, older, starts, sockets, coordinator, folder, known, settings };
+        let mut daemon = Daemon {
+            child,
+            listen,
+            console,
+            older,
+            starts,
+            sockets,
+            coordinator,
+            folder,
+            known,
+            settings,
+        };
         for _ in 0..2_000 {
             if clients::green(listen).await {
                 return Ok(daemon);
@@ -156,9 +180,13 @@
         let mut command = command(program, &self.folder, self.listen, console);
         command.env("PROXY_CONFIG", self.folder.0.join("config.json"));
         let log = std::fs::File::create(self.folder.0.join(format!("log{}", self.starts)));
-        let child =
-            command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log.map_err(|e| e.to_string())?);
-        let child = child.spawn().map_err(|e| format!("{}: {e}", program.display()))?;
+        let child = command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log.map_err(|e| e.to_string())?);
+        let child = child
+            .spawn()
+            .map_err(|e| format!("{}: {e}", program.display()))?;
         self.starts += 1;
         self.older = Some(std::mem::replace(&mut self.child, child));
         self.console = console;
@@ -184,14 +212,19 @@
 
     /// Asks the older process to end.
     pub fn retire(&self) {
-        self.older.iter().for_each(|older| signal(older, rustix::process::Signal::TERM));
+        self.older
+            .iter()
+            .for_each(|older| signal(older, rustix::process::Signal::TERM));
     }
 
     /// Waits for the end of the older process.
     pub async fn retired(&mut self) -> Option<ExitStatus> {
         let mut status = None;
         eventually(|| {
-            status = self.older.as_mut().and_then(|older| older.try_wait().ok().flatten());
+            status = self
+                .older
+                .as_mut()
+                .and_then(|older| older.try_wait().ok().flatten());
             status.is_some()
         })
         .await;
@@ -201,7 +234,9 @@
 
     /// Kills the older process, or the newer one, after which the older one is the daemon again.
     pub fn kill(&mut self, newer: bool) {
-        let Some(mut older) = self.older.take() else { return };
+        let Some(mut older) = self.older.take() else {
+            return;
+        };
         if newer {
             std::mem::swap(&mut older, &mut self.child);
         }
@@ -209,19 +244,35 @@
         let _ = older.wait();
     }
 
-    /// Writes a configuration with other classes (`NAME:SEMANTICS`) and another number of attempts, and says so.
+    /// Writes a configuration with other classes (`NAME:SEMANTICS`) and another number of attempts,
+    /// and says so.
     pub fn retune(&self, words: &[&str]) -> Result<(), String> {
-        let mut text = config_with(self.listen, self.coordinator, &self.known, self.sockets, &self.settings);
-        let usual = text["settings"]["classes"].as_array().cloned().unwrap_or_default();
+        let mut text = config_with(
+            self.listen,
+            self.coordinator,
+            &self.known,
+            self.sockets,
+            &self.settings,
+        );
+        let usual = text["settings"]["classes"]
+            .as_array()
+            .cloned()
+            .unwrap_or_default();
         let mut classes = Vec::new();
         for word in words {
-            let (name, rule) = word.split_once(':').ok_or("NAME:SEMANTICS, or attempts:COUNT")?;
+            let (name, rule) = word
+                .split_once(':')
+                .ok_or("NAME:SEMANTICS, or attempts:COUNT")?;
             if name == "attempts" {
                 text["settings"]["limits"]["send_cap"] =
                     rule.parse::<i64>().map_err(|e| e.to_string())?.into();
                 continue;
             }
-            let mut class = usual.iter().find(|c| c["name"] == name).unwrap_or(&usual[0]).clone();
+            let mut class = usual
+                .iter()
+                .find(|c| c["name"] == name)
+                .unwrap_or(&usual[0])
+                .clone();
             (class["name"], class["semantics"]) = (name.into(), rule.into());
             classes.push(class);
         }
@@ -231,7 +282,9 @@
         extra["blocked_by_loads"] = classes.iter().map(|_| false).collect();
         extra["class_threads"] = classes.iter().map(|_| 1.0).collect();
         text["settings"]["classes"] = classes.into();
-        self.folder.put("config.json", &text.to_string()).map_err(|e| e.to_string())?;
+        self.folder
+            .put("config.json", &text.to_string())
+            .map_err(|e| e.to_string())?;
         self.signal(rustix::process::Signal::HUP);
         Ok(())
     }
@@ -240,11 +293,15 @@
         signal(&self.child, what);
     }
 
-    /// Writes a new configuration that names another coordinator, or one that can't be used, and says so.
+    /// Writes a new configuration that names another coordinator, or one that can't be used, and
+    /// says so.
     pub fn reload(&self, coordinator: Option<SocketAddr>) -> Result<(), String> {
-        let good = |at| config_with(self.listen, at, &self.known, 1_024, &self.settings).to_string();
+        let good =
+            |at| config_with(self.listen, at, &self.known, 1_024, &self.settings).to_string();
         let text = coordinator.map_or("{".to_owned(), good);
-        self.folder.put("config.json", &text).map_err(|e| e.to_string())?;
+        self.folder
+            .put("config.json", &text)
+            .map_err(|e| e.to_string())?;
         self.signal(rustix::process::Signal::HUP);
         Ok(())
     }
@@ -272,8 +329,15 @@
 
     /// All that it logged so far.
     pub fn log(&self) -> String {
-        let name = |start: u32| if start == 0 { "log".to_owned() } else { format!("log{start}") };
-        let read = |start| std::fs::read_to_string(self.folder.0.join(name(start))).unwrap_or_default();
+        let name = |start: u32| {
+            if start == 0 {
+                "log".to_owned()
+            } else {
+                format!("log{start}")
+            }
+        };
+        let read =
+            |start| std::fs::read_to_string(self.folder.0.join(name(start))).unwrap_or_default();
         (0..self.starts).map(read).collect()
     }
 
@@ -291,13 +355,25 @@
     pub fn counter(&self, name: &str) -> Option<u64> {
         let log = self.log();
         let line = log.lines().rev().find(|l| l.contains(" taken "))?;
-        line.split(' ').skip_while(|w| *w != name).nth(1)?.parse().ok()
+        line.split(' ')
+            .skip_while(|w| *w != name)
+            .nth(1)?
+            .parse()
+            .ok()
     }
 }
 
-fn command(program: &Path, folder: &Folder, listen: SocketAddr, console: Option<SocketAddr>) -> Command {
+fn command(
+    program: &Path,
+    folder: &Folder,
+    listen: SocketAddr,
+    console: Option<SocketAddr>,
+) -> Command {
     let mut command = Command::new(program);
-    command.env("PROXY_NAME", "n0").env("PROXY_LISTEN", listen.to_string()).env("TMPDIR", &folder.0);
+    command
+        .env("PROXY_NAME", "n0")
+        .env("PROXY_LISTEN", listen.to_string())
+        .env("TMPDIR", &folder.0);
     if let Some(console) = console {
         command.env("PROXY_CONSOLE", console.to_string());
     }
--- a/src/kit/directory.rs
+++ b/src/kit/directory.rs
@@ -1,4 +1,5 @@
-//! A stand-in directory: binds, and searches in pages, as far as a list of tenants and users needs it.
+//! A stand-in directory: binds, and searches in pages, as far as a list of tenants and users needs
+//! it.
 use super::{Executor, listener};
 use crate::directory::{PAGED, PagedValue, take_message};
 use async_io::Async;
@@ -46,7 +47,9 @@
             let mut incoming = Box::pin(listener.incoming());
             while let Some(Ok(stream)) = incoming.next().await {
                 let content = all.clone();
-                spawner.spawn(async move { drop(answer(stream, &content).await) }).detach();
+                spawner
+                    .spawn(async move { drop(answer(stream, &content).await) })
+                    .detach();
             }
         };
         executor.spawn(serve).detach();
@@ -55,15 +58,29 @@
 
     /// Adds a tenant.
     pub fn tenant(&self, name: &str, share: &str) {
-        let attributes = [("ou", name), ("description", share)].map(|(n, v)| (n.to_owned(), v.to_owned()));
-        self.content.entries.borrow_mut().push(("organizationalUnit".into(), attributes.into()));
+        let attributes =
+            [("ou", name), ("description", share)].map(|(n, v)| (n.to_owned(), v.to_owned()));
+        self.content
+            .entries
+            .borrow_mut()
+            .push(("organizationalUnit".into(), attributes.into()));
     }
 
     /// Adds a user; without a tenant if that is empty.
     pub fn user(&self, name: &str, key: &str, tenant: &str) {
-        let all = [("uid", name), ("employeeNumber", key), ("departmentNumber", tenant)];
-        let told = all.iter().filter(|(_, v)| !v.is_empty()).map(|(n, v)| ((*n).to_owned(), (*v).to_owned()));
-        self.content.entries.borrow_mut().push(("inetOrgPerson".into(), told.collect()));
+        let all = [
+            ("uid", name),
+            ("employeeNumber", key),
+            ("departmentNumber", tenant),
+        ];
+        let told = all
+            .iter()
+            .filter(|(_, v)| !v.is_empty())
+            .map(|(n, v)| ((*n).to_owned(), (*v).to_owned()));
+        self.content
+            .entries
+            .borrow_mut()
+            .push(("inetOrgPerson".into(), told.collect()));
     }
 }
 
@@ -75,40 +92,66 @@
             let mut say = Vec::new();
             match message.protocol_op {
                 ProtocolOp::BindRequest(bind) => {
-                    let AuthenticationChoice::Simple(password) = &bind.authentication else { return Ok(()) };
+                    let AuthenticationChoice::Simple(password) = &bind.authentication else {
+                        return Ok(());
+                    };
                     bound = password[..] == *content.password.borrow().as_bytes();
-                    let code = if bound { ResultCode::Success } else { ResultCode::InvalidCredentials };
+                    let code = if bound {
+                        ResultCode::Success
+                    } else {
+                        ResultCode::InvalidCredentials
+                    };
                     let response = BindResponse::new(code, "".into(), "".into(), None, None);
                     say.push(LdapMessage::new(id, ProtocolOp::BindResponse(response)));
                 }
                 ProtocolOp::SearchRequest(search) => {
-                    let Filter::EqualityMatch(class) = &search.filter else { return Ok(()) };
+                    let Filter::EqualityMatch(class) = &search.filter else {
+                        return Ok(());
+                    };
                     let entries = content.entries.borrow();
                     let is = |e: &&Entry| e.0.as_bytes() == &class.assertion_value[..];
                     let controls = message.controls.iter().flatten();
-                    let paged =
-                        controls.filter(|c| *c.control_type == *PAGED).find_map(|c| c.control_value.clone());
+                    let paged = controls
+                        .filter(|c| *c.control_type == *PAGED)
+                        .find_map(|c| c.control_value.clone());
                     let Some(Ok(page)) = paged.map(|v| rasn::ber::decode::<PagedValue>(&v)) else {
                         return Ok(());
                     };
-                    let from =
-                        std::str::from_utf8(&page.cookie).ok().and_then(|c| c.parse().ok()).unwrap_or(0);
+                    let from = std::str::from_utf8(&page.cookie)
+                        .ok()
+                        .and_then(|c| c.parse().ok())
+                        .unwrap_or(0);
                     let found: Vec<&Entry> = entries.iter().filter(is).collect();
                     let to = (from + page.size as usize).min(found.len());
                     for (_, attributes) in &found[from.min(to)..to] {
-                        let wanted =
-                            |name: &str| search.attributes.iter().any(|a| a.0.eq_ignore_ascii_case(name));
+                        let wanted = |name: &str| {
+                            search
+                                .attributes
+                                .iter()
+                                .any(|a| a.0.eq_ignore_ascii_case(name))
+                        };
                         let attribute = |(name, value): &(String, String)| {
                             let values = SetOf::from(vec![value.clone().into_bytes().into()]);
                             PartialAttribute::new(name.as_str().into(), values)
                         };
-                        let told = attributes.iter().filter(|(n, _)| wanted(n)).map(attribute).collect();
+                        let told = attributes
+                            .iter()
+                            .filter(|(n, _)| wanted(n))
+                            .map(attribute)
+                            .collect();
                         let entry = SearchResultEntry::new("cn=entry".into(), told);
                         say.push(LdapMessage::new(id, ProtocolOp::SearchResEntry(entry)));
                     }
                     content.pages.set(content.pages.get() + 1);
-                    let cookie = if to < found.len() { to.to_string() } else { String::new() };
-                    let value = PagedValue { size: found.len() as u32, cookie: cookie.into_bytes().into() };
+                    let cookie = if to < found.len() {
+                        to.to_string()
+                    } else {
+                        String::new()
+                    };
+                    let value = PagedValue {
+                        size: found.len() as u32,
+                        cookie: cookie.into_bytes().into(),
+                    };
                     let code = match (bound, content.busy.get()) {
                         (true, false) => ResultCode::Success,
                         (true, true) => ResultCode::Busy,
@@ -117,7 +160,8 @@
                     let done = SearchResultDone(LdapResult::new(code, "".into(), "".into()));
                     let mut done = LdapMessage::new(id, ProtocolOp::SearchResDone(done));
                     let value = rasn::ber::encode(&value).unwrap_or_default();
-                    done.controls = Some(vec![Control::new(PAGED.into(), false, Some(value.into()))]);
+                    done.controls =
+                        Some(vec![Control::new(PAGED.into(), false, Some(value.into()))]);
                     say.push(done);
                 }
                 _ => return Ok(()),
--- a/src/kit/emulator.rs
+++ b/src/kit/emulator.rs
@@ -1,6 +1,6 @@
-//! The fleet emulated in one process: the pure membership machines of many managers on a simulated network and clock,
-//! with loss, doubles, one-way cuts, partitions, pauses and restarts. All from one seed: the same run each time. Every
-//! datagram passes through the codec.
+//! The fleet emulated in one process: the pure membership machines of many managers on a simulated
+//! network and clock, with loss, doubles, one-way cuts, partitions, pauses and restarts. All from
+//! one seed: the same run each time. Every datagram passes through the codec.
 use crate::clock::{MS, Micros, SEC};
 use crate::membership::{
     Action, Health, Membership, Rumour, Timing, Versions, budget, detection_bound, wire,
@@ -32,7 +32,11 @@
 }
 
 enum Event {
-    Datagram { from: usize, to: usize, bytes: Vec<u8> },
+    Datagram {
+        from: usize,
+        to: usize,
+        bytes: Vec<u8>,
+    },
     Wake(usize),
 }
 
@@ -76,14 +80,34 @@
 /// A manager's first news in a life.
 pub fn rumour(i: usize, incarnation: u64) -> Rumour {
     let build = "0.1.0+emulated".into();
-    let versions = Versions { build, generation: 1, settings: u64::MAX / 7, list: 3, stage: "ready".into() };
-    Rumour { name: name(i), addr: addr(i), incarnation, health: Health::Alive, versions }
+    let versions = Versions {
+        build,
+        generation: 1,
+        settings: u64::MAX / 7,
+        list: 3,
+        stage: "ready".into(),
+    };
+    Rumour {
+        name: name(i),
+        addr: addr(i),
+        incarnation,
+        health: Health::Alive,
+        versions,
+    }
 }
 
 impl Emulator {
     /// So many managers, each of which knows the first one's address, as operators would write it.
     pub fn new(members: usize, timing: &Timing, seed: u64) -> Emulator {
-        let node = |i| Membership::new(rumour(i, 1), timing.clone(), vec![addr(0)], seed + i as u64, 0);
+        let node = |i| {
+            Membership::new(
+                rumour(i, 1),
+                timing.clone(),
+                vec![addr(0)],
+                seed + i as u64,
+                0,
+            )
+        };
         let mut fleet = Emulator {
             nodes: (0..members).map(node).collect(),
             cut: BTreeSet::new(),
@@ -129,7 +153,10 @@
             match action {
                 Action::Send(to, message) => {
                     let bytes = wire::encode(&message);
-                    assert!(bytes.len() <= self.timing.datagram, "a datagram over its bound");
+                    assert!(
+                        bytes.len() <= self.timing.datagram,
+                        "a datagram over its bound"
+                    );
                     self.bytes[from] += bytes.len() as u64;
                     let to = usize::from(to.port() - PORT);
                     if self.cut.contains(&(from, to)) || self.chance(self.loss) {
@@ -138,17 +165,32 @@
                     let mut way = || WAY.0 + u64::from(self.random.next_u32()) % (WAY.1 - WAY.0);
                     let (at, late) = (way(), way() * 160);
                     if self.chance(self.doubled) {
-                        self.put(self.now + late, Event::Datagram { from, to, bytes: bytes.clone() });
+                        self.put(
+                            self.now + late,
+                            Event::Datagram {
+                                from,
+                                to,
+                                bytes: bytes.clone(),
+                            },
+                        );
                     }
                     self.put(self.now + at, Event::Datagram { from, to, bytes });
                 }
                 Action::Changed(of, health) => {
-                    self.changes.push(Change { at: self.now, who: from, of, health });
+                    self.changes.push(Change {
+                        at: self.now,
+                        who: from,
+                        of,
+                        health,
+                    });
                 }
             }
         }
         let at = self.nodes[from].wakes();
-        assert!(at > self.now, "manager {from} would wake again at once, and spin");
+        assert!(
+            at > self.now,
+            "manager {from} would wake again at once, and spin"
+        );
         self.wake(from, at);
     }
 
@@ -174,7 +216,9 @@
             let ((at, _), event) = entry.remove_entry();
             self.now = self.now.max(at);
             match event {
-                Event::Datagram { from, to, bytes } if self.paused[to] => self.held[to].push((from, bytes)),
+                Event::Datagram { from, to, bytes } if self.paused[to] => {
+                    self.held[to].push((from, bytes))
+                }
                 Event::Datagram { from, to, bytes } => self.receive(from, to, &bytes),
                 Event::Wake(node) => {
                     self.wakes[node] = Micros::MAX;
@@ -204,7 +248,8 @@
     /// A manager is started anew under its name.
     pub fn restart(&mut self, node: usize, incarnation: u64, seed: u64) {
         let (timing, now) = (self.timing.clone(), self.now);
-        self.nodes[node] = Membership::new(rumour(node, incarnation), timing, vec![addr(0)], seed, now);
+        self.nodes[node] =
+            Membership::new(rumour(node, incarnation), timing, vec![addr(0)], seed, now);
         self.held[node].clear();
         self.wake(node, now);
     }
@@ -224,20 +269,28 @@
 
     /// What one manager takes another to be.
     pub fn health(&self, who: usize, of: usize) -> Option<Health> {
-        self.nodes[who].members().get(&name(of)).map(|m| m.rumour.health)
+        self.nodes[who]
+            .members()
+            .get(&name(of))
+            .map(|m| m.rumour.health)
     }
 
     /// Whether every running manager takes every other running one for alive.
     pub fn agree(&self) -> bool {
         let running: Vec<usize> = (0..self.nodes.len()).filter(|i| !self.paused[*i]).collect();
         let alive = |a: usize, b: usize| a == b || self.health(a, b) == Some(Health::Alive);
-        running.iter().all(|a| running.iter().all(|b| alive(*a, *b)))
+        running
+            .iter()
+            .all(|a| running.iter().all(|b| alive(*a, *b)))
     }
 
     /// Who declared a manager dead since then, and when.
     pub fn declared_dead(&self, of: usize, since: Micros) -> Vec<(Micros, usize)> {
         let of = name(of);
-        let dead = self.changes.iter().filter(|c| c.at >= since && c.of == of && c.health == Health::Dead);
+        let dead = self
+            .changes
+            .iter()
+            .filter(|c| c.at >= since && c.of == of && c.health == Health::Dead);
         dead.map(|c| (c.at, c.who)).collect()
     }
 }
@@ -255,14 +308,15 @@
     pub budget: u64,
     /// The same while a dead manager is found.
     pub busy: (f64, f64),
-    /// From a manager's stop until the first, half and all of the others have declared it dead; the worst over the
-    /// stops tried.
+    /// From a manager's stop until the first, half and all of the others have declared it dead; the
+    /// worst over the stops tried.
     pub found_s: (f64, f64, f64),
     /// The stated bound on the last.
     pub bound_s: f64,
     /// From a manager's new settings until half and all of the others know of them.
     pub spread_s: (f64, f64),
-    /// Managers declared dead by any other within a minute of a fifth of all datagrams lost, though none had stopped.
+    /// Managers declared dead by any other within a minute of a fifth of all datagrams lost, though
+    /// none had stopped.
     pub false_deaths: usize,
 }
 
@@ -278,17 +332,31 @@
     let before = fleet.bytes.clone();
     fleet.run(span);
     let sent = |i: usize| (fleet.bytes[i] - before[i]) as f64 / secs(span);
-    let running: Vec<f64> = (0..before.len()).filter(|i| !fleet.paused[*i]).map(sent).collect();
-    (running.iter().sum::<f64>() / running.len() as f64, running.iter().fold(0.0, |a, b| f64::max(a, *b)))
+    let running: Vec<f64> = (0..before.len())
+        .filter(|i| !fleet.paused[*i])
+        .map(sent)
+        .collect();
+    (
+        running.iter().sum::<f64>() / running.len() as f64,
+        running.iter().fold(0.0, |a, b| f64::max(a, *b)),
+    )
 }
 
-/// Measures a fleet of that size: its start, its traffic, `stops` managers that stop one after the other, new settings
-/// of one, and a minute of loss.
-pub fn measure(members: usize, timing: &Timing, stops: usize, seed: u64) -> Result<Figures, String> {
+/// Measures a fleet of that size: its start, its traffic, `stops` managers that stop one after the
+/// other, new settings of one, and a minute of loss.
+pub fn measure(
+    members: usize,
+    timing: &Timing,
+    stops: usize,
+    seed: u64,
+) -> Result<Figures, String> {
     let mut fleet = Emulator::new(members, timing, seed);
     while !fleet.agree() {
         if fleet.now > PATIENCE {
-            return Err(format!("{members} managers do not know each other after {} s", secs(PATIENCE)));
+            return Err(format!(
+                "{members} managers do not know each other after {} s",
+                secs(PATIENCE)
+            ));
         }
         fleet.run(100 * MS);
     }
@@ -312,7 +380,10 @@
         knew.resize(count, fleet.now - from);
     }
     if knew.len() < members - 1 {
-        return Err(format!("of {members} managers {} heard of new settings", knew.len()));
+        return Err(format!(
+            "of {members} managers {} heard of new settings",
+            knew.len()
+        ));
     }
     let spread_s = (secs(knew[knew.len() / 2]), secs(knew[knew.len() - 1]));
     fleet.run(30 * SEC);
@@ -324,27 +395,55 @@
         fleet.pause(stopped);
         let traffic = traffic(&mut fleet, bound);
         busy = (busy.0.max(traffic.0), busy.1.max(traffic.1));
-        while fleet.declared_dead(stopped, from).len() < members - 1 - stop && fleet.now < from + PATIENCE {
+        while fleet.declared_dead(stopped, from).len() < members - 1 - stop
+            && fleet.now < from + PATIENCE
+        {
             fleet.run(100 * MS);
         }
-        let mut dead: Vec<f64> =
-            fleet.declared_dead(stopped, from).iter().map(|d| secs(d.0 - from)).collect();
+        let mut dead: Vec<f64> = fleet
+            .declared_dead(stopped, from)
+            .iter()
+            .map(|d| secs(d.0 - from))
+            .collect();
         dead.sort_by(f64::total_cmp);
         if dead.len() < members - 1 - stop {
-            return Err(format!("of {members} managers {} found one dead", dead.len()));
+            return Err(format!(
+                "of {members} managers {} found one dead",
+                dead.len()
+            ));
         }
         let here = (dead[0], dead[dead.len() / 2], dead[dead.len() - 1]);
-        found_s = (found_s.0.max(here.0), found_s.1.max(here.1), found_s.2.max(here.2));
+        found_s = (
+            found_s.0.max(here.0),
+            found_s.1.max(here.1),
+            found_s.2.max(here.2),
+        );
         fleet.run(30 * SEC);
     }
     let from = fleet.now;
     fleet.loss = 0.2;
     fleet.run(60 * SEC);
     let alive = |of: &str| (0..members).any(|i| !fleet.paused[i] && name(i) == of);
-    let dead = fleet.changes.iter().filter(|c| c.at >= from && c.health == Health::Dead && alive(&c.of));
-    let false_deaths = dead.map(|c| c.of.as_str()).collect::<BTreeSet<&str>>().len();
+    let dead = fleet
+        .changes
+        .iter()
+        .filter(|c| c.at >= from && c.health == Health::Dead && alive(&c.of));
+    let false_deaths = dead
+        .map(|c| c.of.as_str())
+        .collect::<BTreeSet<&str>>()
+        .len();
     let (budget, bound_s) = (budget(timing), secs(bound));
-    Ok(Figures { members, joined_s, quiet, budget, busy, found_s, bound_s, spread_s, false_deaths })
+    Ok(Figures {
+        members,
+        joined_s,
+        quiet,
+        budget,
+        busy,
+        found_s,
+        bound_s,
+        spread_s,
+        false_deaths,
+    })
 }
 
 /// The figures as a table.
@@ -368,7 +467,14 @@
     ]);
     for f in figures {
         let mut row = vec![f.members.to_string(), format!("{:.1}", f.joined_s)];
-        let times = [f.found_s.0, f.found_s.1, f.found_s.2, f.bound_s, f.spread_s.0, f.spread_s.1];
+        let times = [
+            f.found_s.0,
+            f.found_s.1,
+            f.found_s.2,
+            f.bound_s,
+            f.spread_s.0,
+            f.spread_s.1,
+        ];
         row.extend(times.map(|t| format!("{t:.1}")));
         row.extend([f.quiet.0, f.quiet.1, f.busy.0, f.busy.1].map(|b| format!("{b:.0}")));
         row.extend([f.budget.to_string(), f.false_deaths.to_string()]);
--- a/src/kit/engines.rs
+++ b/src/kit/engines.rs
@@ -1,5 +1,5 @@
-//! Stand-in engines: one speaks the platform's lines, the other the ClickHouse HTTP interface. Both do with the
-//! next query what they were told to.
+//! Stand-in engines: one speaks the platform's lines, the other the ClickHouse HTTP interface. Both
+//! do with the next query what they were told to.
 use super::{Book, Executor, RunEnd, listener, pause};
 use crate::http::{self, Body, Head};
 use async_io::Async;
@@ -53,7 +53,9 @@
 
 /// The rows that a query gets: its name in each, so that a mix-up shows.
 pub fn rows(query: &str, count: usize) -> String {
-    (0..count).map(|n| format!("{query}\t{n}\tvalue\n")).collect()
+    (0..count)
+        .map(|n| format!("{query}\t{n}\tvalue\n"))
+        .collect()
 }
 
 /// Pages hold whole rows, a few each.
@@ -68,7 +70,13 @@
     }
 
     /// Starts one of a model that runs so many queries at once and turns away what is more.
-    pub fn with(executor: &Executor, name: &str, http: bool, book: Book, sessions: usize) -> Engine {
+    pub fn with(
+        executor: &Executor,
+        name: &str,
+        http: bool,
+        book: Book,
+        sessions: usize,
+    ) -> Engine {
         let (listener, addr) = listener();
         let state = Rc::new(State {
             name: name.to_owned(),
@@ -95,7 +103,12 @@
                 }));
             }
         });
-        Engine { addr, http, state, task: Some(task) }
+        Engine {
+            addr,
+            http,
+            state,
+            task: Some(task),
+        }
     }
 
     /// What to do with the next query that has nothing else to wait for.
@@ -110,7 +123,12 @@
 
     /// Those of them that are open.
     pub fn open(&self) -> usize {
-        self.state.streams.borrow().iter().filter(|stream| stream.strong_count() > 0).count()
+        self.state
+            .streams
+            .borrow()
+            .iter()
+            .filter(|stream| stream.strong_count() > 0)
+            .count()
     }
 
     /// Whether it takes connections.
@@ -122,20 +140,25 @@
     pub fn down(&mut self) {
         self.task = None;
         let streams = self.state.streams.borrow();
-        streams.iter().filter_map(std::rc::Weak::upgrade).for_each(|stream| hang_up(&stream));
+        streams
+            .iter()
+            .filter_map(std::rc::Weak::upgrade)
+            .for_each(|stream| hang_up(&stream));
     }
 }
 
 impl State {
     fn act(&self) -> Act {
         let any = self.book.any.borrow_mut().pop_front();
-        any.or_else(|| self.script.borrow_mut().pop_front()).unwrap_or(Act::Rows(1, 3))
+        any.or_else(|| self.script.borrow_mut().pop_front())
+            .unwrap_or(Act::Rows(1, 3))
     }
 }
 
 fn hang_up(stream: &Stream) {
     // Linger of no time makes the close a reset.
-    let _ = rustix::net::sockopt::set_socket_linger(stream.get_ref(), Some(std::time::Duration::ZERO));
+    let _ =
+        rustix::net::sockopt::set_socket_linger(stream.get_ref(), Some(std::time::Duration::ZERO));
     let _ = stream.get_ref().shutdown(std::net::Shutdown::Both);
 }
 
@@ -176,12 +199,20 @@
                     break;
                 }
                 let fields = fields.split(',').filter_map(|f| f.split_once('='));
-                let fields = fields.map(|(name, value)| (name.to_owned(), value.to_owned())).collect();
-                let run = state.book.begin_with(&state.name, &input[used..used + length], fields);
+                let fields = fields
+                    .map(|(name, value)| (name.to_owned(), value.to_owned()))
+                    .collect();
+                let run = state
+                    .book
+                    .begin_with(&state.name, &input[used..used + length], fields);
                 let query = state.book.runs.borrow()[run].query.clone();
                 used += length + 2;
                 lines.borrow_mut().runs.insert(id.to_owned(), run);
-                let act = if state.running.get() < state.sessions { state.act() } else { Act::Full };
+                let act = if state.running.get() < state.sessions {
+                    state.act()
+                } else {
+                    Act::Full
+                };
                 if act == Act::Reset {
                     hang_up(stream);
                     break;
@@ -189,24 +220,36 @@
                 let (state, stream, lines, id) =
                     (state.clone(), stream.clone(), lines.clone(), id.to_owned());
                 executor
-                    .spawn(async move { answer(&state, &stream, &lines, &id, run, &query, act).await })
+                    .spawn(
+                        async move { answer(&state, &stream, &lines, &id, run, &query, act).await },
+                    )
                     .detach();
             }
             ["undo", id] => {
                 let run = lines.borrow_mut().runs.remove(id);
-                run.into_iter().for_each(|run| state.book.end(run, RunEnd::GivenUp));
+                run.into_iter()
+                    .for_each(|run| state.book.end(run, RunEnd::GivenUp));
             }
             ["bump", id, urgency] => {
                 let run = lines.borrow().runs.get(id).copied();
-                run.into_iter().for_each(|run| state.book.bump(run, urgency));
+                run.into_iter()
+                    .for_each(|run| state.book.bump(run, urgency));
             }
             ["page", id, n] => {
                 let n: usize = n.parse().unwrap_or(0);
-                let sheet = lines.borrow().sheets.get(id).and_then(|s| s.get(n)).cloned();
+                let sheet = lines
+                    .borrow()
+                    .sheets
+                    .get(id)
+                    .and_then(|s| s.get(n))
+                    .cloned();
                 match sheet {
                     Some(text) => {
-                        say(stream, format!("{id} MORE sheet={n} {}\r\n{text}\r\n", text.len()).as_bytes())
-                            .await
+                        say(
+                            stream,
+                            format!("{id} MORE sheet={n} {}\r\n{text}\r\n", text.len()).as_bytes(),
+                        )
+                        .await
                     }
                     None => say(stream, format!("{id} BROKE - 0\r\n\r\n").as_bytes()).await,
                 }
@@ -238,7 +281,11 @@
     let (text, how) = match act {
         Act::Rows(ms, count) => {
             // What it knows by its key it does not run again: the answer is there.
-            let ms = if state.book.runs.borrow()[run].dropped { 0 } else { ms };
+            let ms = if state.book.runs.borrow()[run].dropped {
+                0
+            } else {
+                ms
+            };
             state.running.set(state.running.get() + 1);
             pause(ms).await;
             state.running.set(state.running.get() - 1);
@@ -251,10 +298,16 @@
             let first = sheets.first().cloned().unwrap_or_default();
             let fields = format!("sheets={},toil={ms},room=8", sheets.len().max(1));
             lines.borrow_mut().sheets.insert(id.to_owned(), sheets);
-            (format!("{id} DONE {fields} {}\r\n{first}\r\n", first.len()), RunEnd::Answered)
+            (
+                format!("{id} DONE {fields} {}\r\n{first}\r\n", first.len()),
+                RunEnd::Answered,
+            )
         }
         // More pages than there are: the engine has lost them by the time they are asked for.
-        Act::Late => (format!("{id} DONE sheets=3 6\r\na\tb\tc\n\r\n"), RunEnd::Answered),
+        Act::Late => (
+            format!("{id} DONE sheets=3 6\r\na\tb\tc\n\r\n"),
+            RunEnd::Answered,
+        ),
         Act::Full => {
             state.book.unknown(run);
             (format!("{id} WAIT - 0\r\n\r\n"), RunEnd::TurnedAway)
@@ -299,7 +352,11 @@
 }
 
 fn whole(status: &str, fields: &str, body: &str) -> Vec<u8> {
-    format!("HTTP/1.1 {status}\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+    format!(
+        "HTTP/1.1 {status}\r\n{fields}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .into_bytes()
 }
 
 async fn serve_http(state: &Rc<State>, stream: &Stream) {
@@ -312,7 +369,10 @@
         let run = state.book.begin(&state.name, &body);
         let query = state.book.runs.borrow()[run].query.clone();
         let error = |code: u32| {
-            (format!("X-ClickHouse-Exception-Code: {code}\r\n"), format!("Code: {code}. DB::Exception: no\n"))
+            (
+                format!("X-ClickHouse-Exception-Code: {code}\r\n"),
+                format!("Code: {code}. DB::Exception: no\n"),
+            )
         };
         let act = state.act();
         match act {
@@ -329,10 +389,21 @@
                 }
                 let rows = rows(&query, count);
                 let fields = "Transfer-Encoding: chunked\r\nX-ClickHouse-Format: TabSeparated\r\n";
-                let text = format!("HTTP/1.1 200 OK\r\n{fields}\r\n{:x}\r\n{rows}\r\n0\r\n\r\n", rows.len());
+                let text = format!(
+                    "HTTP/1.1 200 OK\r\n{fields}\r\n{:x}\r\n{rows}\r\n0\r\n\r\n",
+                    rows.len()
+                );
                 let empty = format!("HTTP/1.1 200 OK\r\n{fields}\r\n0\r\n\r\n");
                 state.book.end(run, RunEnd::Answered);
-                say(stream, if rows.is_empty() { empty.as_bytes() } else { text.as_bytes() }).await;
+                say(
+                    stream,
+                    if rows.is_empty() {
+                        empty.as_bytes()
+                    } else {
+                        text.as_bytes()
+                    },
+                )
+                .await;
             }
             Act::Full => {
                 let (fields, text) = error(202);
@@ -347,7 +418,11 @@
             Act::Late => {
                 // Rows, then the end of the connection and no last chunk.
                 state.book.end(run, RunEnd::Answered);
-                say(stream, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\na\tb\n\r\n").await;
+                say(
+                    stream,
+                    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\na\tb\n\r\n",
+                )
+                .await;
                 return;
             }
             Act::Garble => {
--- a/src/kit/fleet.rs
+++ b/src/kit/fleet.rs
@@ -1,5 +1,6 @@
-//! Several real daemons as one fleet on loopback, with the fault relay between them, a stand-in coordinator for each
-//! and stand-in engines for all: for the tests of what managers do together when some fail.
+//! Several real daemons as one fleet on loopback, with the fault relay between them, a stand-in
+//! coordinator for each and stand-in engines for all: for the tests of what managers do together
+//! when some fail.
 use super::clients::{self, Got};
 use super::coordinator::{Coordinator, known};
 use super::daemon::{self, Folder, KINDS, ZONES, free_addr};
@@ -26,10 +27,11 @@
 /// The tenants' shares that all managers start with.
 pub const SHARES: (f64, f64) = (0.62, 0.38);
 /// A fifth of a second a period: a stopped manager is found dead in about two seconds.
-const TIMING: &str = "period_ms = 200\nprobe_ms = 80\nindirect = 3\nsuspicion_periods = 3\ngrace_ms = 1500\n";
+const TIMING: &str =
+    "period_ms = 200\nprobe_ms = 80\nindirect = 3\nsuspicion_periods = 3\ngrace_ms = 1500\n";
 
-/// The stand-ins: one coordinator a manager, so that one manager alone can miss what others hear; and each engine at an
-/// address of its own for each manager, so that the book tells who came.
+/// The stand-ins: one coordinator a manager, so that one manager alone can miss what others hear;
+/// and each engine at an address of its own for each manager, so that the book tells who came.
 pub struct World {
     /// By the number of the manager.
     pub coordinators: Vec<Coordinator>,
@@ -41,12 +43,20 @@
 
 impl World {
     fn listed(&self, member: usize, engine: usize, readiness: Readiness) -> Listed {
-        listed(engine as u32 + 1, self.engines[member][engine].addr, readiness, (0, 0, 0), 1.0, 0)
+        listed(
+            engine as u32 + 1,
+            self.engines[member][engine].addr,
+            readiness,
+            (0, 0, 0),
+            1.0,
+            0,
+        )
     }
 
     /// Tells some managers of an engine's state.
     pub fn tell(&self, members: std::ops::Range<usize>, engine: usize, readiness: Readiness) {
-        members.for_each(|i| self.coordinators[i].tell(false, &[self.listed(i, engine, readiness)]));
+        members
+            .for_each(|i| self.coordinators[i].tell(false, &[self.listed(i, engine, readiness)]));
     }
 
     /// How often a manager asked an engine for its load.
@@ -63,7 +73,8 @@
 /// What the managers of a fleet are started with.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// How many managers the settings tell of: of many, each has a share under one query, and asks for loads.
+    /// How many managers the settings tell of: of many, each has a share under one query, and asks
+    /// for loads.
     pub managers: usize,
     /// Further parts of the fleet file.
     pub more: String,
@@ -71,7 +82,10 @@
 
 impl Default for Options {
     fn default() -> Options {
-        Options { managers: MEMBERS, more: "[audit]\n".into() }
+        Options {
+            managers: MEMBERS,
+            more: "[audit]\n".into(),
+        }
     }
 }
 
@@ -107,14 +121,27 @@
     let executor: Executor = Rc::new(LocalExecutor::new());
     let book = Book::default();
     let engine = |i, e| Engine::start(&executor, &at(i, e), false, book.clone());
-    let engines = (0..MEMBERS).map(|i| (0..ENGINES).map(|e| engine(i, e)).collect()).collect();
-    let coordinators = (0..MEMBERS).map(|_| Coordinator::start(&executor)).collect();
-    let world = World { coordinators, engines, book };
+    let engines = (0..MEMBERS)
+        .map(|i| (0..ENGINES).map(|e| engine(i, e)).collect())
+        .collect();
+    let coordinators = (0..MEMBERS)
+        .map(|_| Coordinator::start(&executor))
+        .collect();
+    let world = World {
+        coordinators,
+        engines,
+        book,
+    };
     let lists = (0..MEMBERS).map(|i| {
-        let all: Vec<Listed> = (0..ENGINES).map(|e| world.listed(i, e, Readiness::Ready)).collect();
+        let all: Vec<Listed> = (0..ENGINES)
+            .map(|e| world.listed(i, e, Readiness::Ready))
+            .collect();
         known(&all, &ZONES, &KINDS)
     });
-    let _ = told.send((world.coordinators.iter().map(|c| c.addr).collect(), lists.collect()));
+    let _ = told.send((
+        world.coordinators.iter().map(|c| c.addr).collect(),
+        lists.collect(),
+    ));
     block_on(executor.run(async {
         while let Ok(task) = tasks.recv().await {
             task(&world);
@@ -153,7 +180,8 @@
         for i in 0..MEMBERS {
             fleet.launch(i, SHARES);
         }
-        // A port handed out free may have been taken by another test meanwhile: that member starts anew elsewhere.
+        // A port handed out free may have been taken by another test meanwhile: that member starts
+        // anew elsewhere.
         for _ in 0..3 {
             let ended: Vec<usize> = (0..MEMBERS).filter(|i| fleet.ended_at_start(*i)).collect();
             if ended.is_empty() {
@@ -173,7 +201,8 @@
         let end = Instant::now() + Duration::from_secs(30);
         while Instant::now() < end {
             let ready = self.ready(i) == Some(200);
-            // Another process may answer at a port taken twice: one that could not listen ends at once.
+            // Another process may answer at a port taken twice: one that could not listen ends at
+            // once.
             std::thread::sleep(Duration::from_millis(if ready { 300 } else { 20 }));
             let child = self.children[i].as_mut().expect("launched");
             if child.try_wait().ok().flatten().is_some() {
@@ -205,11 +234,14 @@
     /// Starts member `i`, anew under the same name if it ran before.
     pub fn launch(&mut self, i: usize, shares: (f64, f64)) {
         self.listens[i] = free_addr();
-        self.folder.put(&format!("{}.json", self.name(i)), &self.config(i, shares)).expect("the file");
+        self.folder
+            .put(&format!("{}.json", self.name(i)), &self.config(i, shares))
+            .expect("the file");
         self.children[i] = Some(self.spawn(i));
     }
 
-    /// Starts a new version of member `i` beside the present process, which is handed out: it is for the caller to end.
+    /// Starts a new version of member `i` beside the present process, which is handed out: it is
+    /// for the caller to end.
     pub fn follow(&mut self, i: usize) -> Option<Child> {
         self.consoles[i] = free_addr();
         let newer = self.spawn(i);
@@ -225,9 +257,16 @@
             "bind = \"{}\"\nadvertise = \"{}\"\nseeds = {seeds}\n[timing]\n{TIMING}{more}",
             self.backs[i], self.relay.fronts[i]
         );
-        let fleet = self.folder.put(&format!("{name}.toml"), &fleet).expect("the fleet file");
+        let fleet = self
+            .folder
+            .put(&format!("{name}.toml"), &fleet)
+            .expect("the fleet file");
         let log = self.folder.path(&format!("{name}.log"));
-        let log = std::fs::File::options().create(true).append(true).open(log).expect("a log");
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(log)
+            .expect("a log");
         Command::new(&self.program)
             .env("PROXY_CONFIG", path)
             .env("PROXY_NAME", &name)
@@ -243,7 +282,9 @@
 
     /// Writes new settings into member `i`'s file; with `tell`, also sends it SIGHUP.
     pub fn retune(&self, i: usize, shares: (f64, f64), tell: bool) {
-        self.folder.put(&format!("{}.json", self.name(i)), &self.config(i, shares)).expect("written");
+        self.folder
+            .put(&format!("{}.json", self.name(i)), &self.config(i, shares))
+            .expect("written");
         if tell {
             self.signal(i, Signal::HUP);
         }
@@ -288,14 +329,20 @@
     /// What member `i` says of the fleet; nothing if it does not answer.
     pub fn view(&self, i: usize) -> Option<Vec<Value>> {
         let (status, body) = self.call(i, "/fleet")?;
-        (status == 200).then(|| body.lines().filter_map(|l| serde_json::from_str(l).ok()).collect())
+        (status == 200).then(|| {
+            body.lines()
+                .filter_map(|l| serde_json::from_str(l).ok())
+                .collect()
+        })
     }
 
     /// What member `i` takes another one to be.
     pub fn health(&self, i: usize, of: usize) -> Option<String> {
         let name = self.name(of);
         let view = self.view(i)?;
-        let row = view.into_iter().find(|r| r["name"] == json!(name) && r["self"] == json!(false))?;
+        let row = view
+            .into_iter()
+            .find(|r| r["name"] == json!(name) && r["self"] == json!(false))?;
         row["health"].as_str().map(str::to_owned)
     }
 
@@ -306,7 +353,10 @@
 
     /// Whether each of `who` takes each other of `who` for alive.
     pub fn agree(&self, who: &[usize]) -> bool {
-        who.iter().all(|a| who.iter().all(|b| a == b || self.health(*a, *b).as_deref() == Some("Alive")))
+        who.iter().all(|a| {
+            who.iter()
+                .all(|b| a == b || self.health(*a, *b).as_deref() == Some("Alive"))
+        })
     }
 
     /// All members' logs and views, for a failure's message.
@@ -317,7 +367,8 @@
 
     /// What member `i` logged.
     pub fn log(&self, i: usize) -> String {
-        std::fs::read_to_string(self.folder.path(&format!("{}.log", self.name(i)))).unwrap_or_default()
+        std::fs::read_to_string(self.folder.path(&format!("{}.log", self.name(i))))
+            .unwrap_or_default()
     }
 }
 
--- a/src/kit/mod.rs
+++ b/src/kit/mod.rs
@@ -1,5 +1,5 @@
-//! Test and rehearsal kit: stand-ins for all that the daemon talks to, on loopback, and short scripted scenarios.
-//! The repository's own tests use the same stand-ins.
+//! Test and rehearsal kit: stand-ins for all that the daemon talks to, on loopback, and short
+//! scripted scenarios. The repository's own tests use the same stand-ins.
 pub mod audit;
 pub mod clients;
 pub mod coordinator;
@@ -123,7 +123,11 @@
 
 impl Default for Terms {
     fn default() -> Terms {
-        Terms { copies: 1, attempts: 3, window: 0 }
+        Terms {
+            copies: 1,
+            attempts: 3,
+            window: 0,
+        }
     }
 }
 
@@ -142,10 +146,19 @@
     }
 
     /// A query came with fields; the number of its run.
-    pub fn begin_with(&self, engine: &str, statement: &[u8], fields: BTreeMap<String, String>) -> usize {
+    pub fn begin_with(
+        &self,
+        engine: &str,
+        statement: &[u8],
+        fields: BTreeMap<String, String>,
+    ) -> usize {
         let text = String::from_utf8_lossy(statement);
-        let query =
-            text.rsplit("/* ").next().and_then(|t| t.split(" */").next()).unwrap_or_default().to_owned();
+        let query = text
+            .rsplit("/* ")
+            .next()
+            .and_then(|t| t.split(" */").next())
+            .unwrap_or_default()
+            .to_owned();
         let load = text.trim_start().to_ascii_lowercase().starts_with("insert");
         let from = clock::turn();
         let known = |key: &String| {
@@ -157,7 +170,16 @@
         };
         let dropped = fields.get("nonce").is_some_and(known);
         let engine = engine.to_owned();
-        let run = Run { query, engine, load, fields, dropped, bumps: Vec::new(), from, end: None };
+        let run = Run {
+            query,
+            engine,
+            load,
+            fields,
+            dropped,
+            bumps: Vec::new(),
+            from,
+            end: None,
+        };
         self.runs.borrow_mut().push(run);
         self.runs.borrow().len() - 1
     }
@@ -193,29 +215,48 @@
 
     /// The runs of a query.
     pub fn of(&self, query: &str) -> Vec<Run> {
-        self.runs.borrow().iter().filter(|r| r.query == query).cloned().collect()
+        self.runs
+            .borrow()
+            .iter()
+            .filter(|r| r.query == query)
+            .cloned()
+            .collect()
     }
 
     /// An engine was asked for its load.
     pub fn probed(&self, engine: &str) {
-        self.probes.borrow_mut().push((engine.to_owned(), clock::turn()));
+        self.probes
+            .borrow_mut()
+            .push((engine.to_owned(), clock::turn()));
     }
 
     /// How often that engine was asked for its load.
     pub fn probes(&self, engine: &str) -> usize {
-        self.probes.borrow().iter().filter(|(name, _)| name == engine).count()
+        self.probes
+            .borrow()
+            .iter()
+            .filter(|(name, _)| name == engine)
+            .count()
     }
 
     /// The daemon was told that an engine drains or is gone.
     pub fn drained(&self, engine: &str) {
-        let drain = Drain { engine: engine.to_owned(), told: clock::turn(), resumed: None };
+        let drain = Drain {
+            engine: engine.to_owned(),
+            told: clock::turn(),
+            resumed: None,
+        };
         self.drains.borrow_mut().push(drain);
     }
 
     /// It was told that the engine takes work again.
     pub fn resumed(&self, engine: &str) {
         let now = clock::turn();
-        for drain in self.drains.borrow_mut().iter_mut().filter(|d| d.engine == engine && d.resumed.is_none())
+        for drain in self
+            .drains
+            .borrow_mut()
+            .iter_mut()
+            .filter(|d| d.engine == engine && d.resumed.is_none())
         {
             drain.resumed = Some(now);
         }
@@ -226,17 +267,28 @@
         let (runs, mut broken) = (self.runs.borrow(), Vec::new());
         for (at, run) in runs.iter().enumerate() {
             let others = || runs.iter().take(at).filter(|o| o.query == run.query);
-            let Terms { copies, attempts, window } = self.terms.get();
+            let Terms {
+                copies,
+                attempts,
+                window,
+            } = self.terms.get();
             let open = |o: &&Run| o.end.is_none_or(|(end, _)| end > run.from);
             if others().filter(open).count() >= copies {
-                broken.push(format!("{}: more attempts were out at once than may be", run.query));
+                broken.push(format!(
+                    "{}: more attempts were out at once than may be",
+                    run.query
+                ));
             }
             let ran = |o: &&Run| o.end.is_none_or(|(_, how)| how != RunEnd::TurnedAway);
             // Under one key, and while engines know it, a repeat changes nothing.
             let key = |run: &Run| run.fields.get("nonce").cloned();
-            let known = |o: &Run| key(o).is_some() && key(o) == key(run) && run.from < o.from + window;
+            let known =
+                |o: &Run| key(o).is_some() && key(o) == key(run) && run.from < o.from + window;
             if run.load && others().any(|o| ran(&o) && !known(o)) {
-                broken.push(format!("{}: a load was sent again after it may have run", run.query));
+                broken.push(format!(
+                    "{}: a load was sent again after it may have run",
+                    run.query
+                ));
             }
             if others().count() >= attempts {
                 broken.push(format!("{}: more than {attempts} attempts", run.query));
@@ -247,7 +299,10 @@
                     && d.resumed.is_none_or(|resumed| run.from < resumed)
             };
             if self.drains.borrow().iter().any(|d| late(&d)) {
-                broken.push(format!("{}: sent to {} after its drain", run.query, run.engine));
+                broken.push(format!(
+                    "{}: sent to {} after its drain",
+                    run.query, run.engine
+                ));
             }
         }
         broken
--- a/src/kit/plot.rs
+++ b/src/kit/plot.rs
@@ -17,8 +17,14 @@
 {
     let one = |e: DrawingAreaErrorKind<DB::ErrorType>| e.to_string();
     let sizes = figures.iter().map(|f| f.members as f64);
-    let (least, most) = (sizes.clone().fold(f64::MAX, f64::min), sizes.fold(1.0, f64::max));
-    let top = figures.iter().flat_map(|f| series.iter().map(|(_, of)| of(f))).fold(0.0, f64::max);
+    let (least, most) = (
+        sizes.clone().fold(f64::MAX, f64::min),
+        sizes.fold(1.0, f64::max),
+    );
+    let top = figures
+        .iter()
+        .flat_map(|f| series.iter().map(|(_, of)| of(f)))
+        .fold(0.0, f64::max);
     let mut chart = ChartBuilder::on(area)
         .caption(title, ("sans-serif", 18))
         .margin(12)
@@ -27,16 +33,32 @@
         .build_cartesian_2d((least * 0.8..most * 1.2).log_scale(), 0.0..top * 1.15)
         .map_err(one)?;
     let mesh = &mut chart.configure_mesh();
-    mesh.x_desc("managers").y_desc(unit).x_label_formatter(&|x| format!("{x:.0}")).draw().map_err(one)?;
+    mesh.x_desc("managers")
+        .y_desc(unit)
+        .x_label_formatter(&|x| format!("{x:.0}"))
+        .draw()
+        .map_err(one)?;
     for (at, (name, of)) in series.iter().enumerate() {
         let colour = Palette99::pick(at).to_rgba();
         let points: Vec<(f64, f64)> = figures.iter().map(|f| (f.members as f64, of(f))).collect();
-        let line = chart.draw_series(LineSeries::new(points.clone(), colour.stroke_width(2))).map_err(one)?;
-        line.label(*name).legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
-        chart.draw_series(points.into_iter().map(|p| Circle::new(p, 3, colour.filled()))).map_err(one)?;
+        let line = chart
+            .draw_series(LineSeries::new(points.clone(), colour.stroke_width(2)))
+            .map_err(one)?;
+        line.label(*name)
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
+        chart
+            .draw_series(
+                points
+                    .into_iter()
+                    .map(|p| Circle::new(p, 3, colour.filled())),
+            )
+            .map_err(one)?;
     }
     let labels = &mut chart.configure_series_labels();
-    labels.background_style(WHITE.mix(0.8)).border_style(BLACK).position(SeriesLabelPosition::UpperLeft);
+    labels
+        .background_style(WHITE.mix(0.8))
+        .border_style(BLACK)
+        .position(SeriesLabelPosition::UpperLeft);
     labels.draw().map_err(one)
 }
 
@@ -61,7 +83,13 @@
             ("one found dead, most", |f| f.busy.1),
             ("stated budget", |f| f.budget as f64),
         ];
-        chart(&right, "Traffic of a manager", "bytes a second", figures, &bytes)?;
+        chart(
+            &right,
+            "Traffic of a manager",
+            "bytes a second",
+            figures,
+            &bytes,
+        )?;
         root.present().map_err(|e| e.to_string())?;
     }
     Ok(svg)
--- a/src/kit/relay.rs
+++ b/src/kit/relay.rs
@@ -1,7 +1,8 @@
-//! A fault relay for datagrams between managers, on loopback: each manager is given an address of the relay as its
-//! own advertised one, and the relay passes what comes there on to the manager's real socket, from the sender's
-//! address of the relay. The test sets what happens on each way: loss, delay, doubles, reordering, one-way cuts and
-//! partitions. Every choice comes from a fixed seed.
+//! A fault relay for datagrams between managers, on loopback: each manager is given an address of
+//! the relay as its own advertised one, and the relay passes what comes there on to the manager's
+//! real socket, from the sender's address of the relay. The test sets what happens on each way:
+//! loss, delay, doubles, reordering, one-way cuts and partitions. Every choice comes from a fixed
+//! seed.
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
@@ -66,12 +67,16 @@
 impl Relay {
     /// A relay for members whose real sockets are at `backs`.
     pub fn new(backs: Vec<SocketAddr>, seed: u64) -> std::io::Result<Relay> {
-        let sockets: Vec<UdpSocket> =
-            (0..backs.len()).map(|_| UdpSocket::bind(("127.0.0.1", 0))).collect::<Result<_, _>>()?;
+        let sockets: Vec<UdpSocket> = (0..backs.len())
+            .map(|_| UdpSocket::bind(("127.0.0.1", 0)))
+            .collect::<Result<_, _>>()?;
         for socket in &sockets {
             socket.set_nonblocking(true)?;
         }
-        let fronts = sockets.iter().map(UdpSocket::local_addr).collect::<Result<_, _>>()?;
+        let fronts = sockets
+            .iter()
+            .map(UdpSocket::local_addr)
+            .collect::<Result<_, _>>()?;
         let state = State {
             faults: Faults::default(),
             backs,
@@ -81,10 +86,18 @@
             passed: 0,
             lost: 0,
         };
-        let (state, stop) = (Arc::new(Mutex::new(state)), Arc::new(AtomicBool::new(false)));
+        let (state, stop) = (
+            Arc::new(Mutex::new(state)),
+            Arc::new(AtomicBool::new(false)),
+        );
         let (shared, stopped) = (state.clone(), stop.clone());
         let thread = std::thread::spawn(move || pass(sockets, shared, stopped));
-        Ok(Relay { fronts, state, stop, thread: Some(thread) })
+        Ok(Relay {
+            fronts,
+            state,
+            stop,
+            thread: Some(thread),
+        })
     }
 
     /// Sets the faults from now on.
@@ -92,7 +105,8 @@
         self.state.lock().expect("the relay's state").faults = faults;
     }
 
-    /// A member's real socket is now at another address: one that was started anew where its port was taken.
+    /// A member's real socket is now at another address: one that was started anew where its port
+    /// was taken.
     pub fn rebind(&self, member: usize, back: SocketAddr) {
         self.state.lock().expect("the relay's state").backs[member] = back;
     }
@@ -118,32 +132,45 @@
     while !stop.load(Ordering::Relaxed) {
         let mut idle = true;
         for (to, socket) in sockets.iter().enumerate() {
-            // What comes at a member's front is for that member; who sent it is told by its real address.
+            // What comes at a member's front is for that member; who sent it is told by its real
+            // address.
             while let Ok((n, source)) = socket.recv_from(&mut buffer) {
                 idle = false;
                 let mut state = state.lock().expect("the relay's state");
-                let Some(from) = state.backs.iter().position(|b| *b == source) else { continue };
+                let Some(from) = state.backs.iter().position(|b| *b == source) else {
+                    continue;
+                };
                 let faults = state.faults.clone();
-                let chance =
-                    |state: &mut State, p: f64| (state.random.next_u32() as f64) < p * u32::MAX as f64;
+                let chance = |state: &mut State, p: f64| {
+                    (state.random.next_u32() as f64) < p * u32::MAX as f64
+                };
                 if faults.cut.contains(&(from, to)) || chance(&mut state, faults.loss) {
                     state.lost += 1;
                     continue;
                 }
-                let copies = if chance(&mut state, faults.doubled) { 2 } else { 1 };
+                let copies = if chance(&mut state, faults.doubled) {
+                    2
+                } else {
+                    1
+                };
                 for _ in 0..copies {
                     let jitter = faults.jitter.as_micros() as u32;
-                    let wait = Duration::from_micros(u64::from(state.random.next_u32() % jitter.max(1)));
+                    let wait =
+                        Duration::from_micros(u64::from(state.random.next_u32() % jitter.max(1)));
                     let (seq, bytes) = (state.next, buffer[..n].to_vec());
                     state.next += 1;
-                    state.held.push(Reverse((Instant::now() + wait, seq, from, to, bytes)));
+                    state
+                        .held
+                        .push(Reverse((Instant::now() + wait, seq, from, to, bytes)));
                 }
             }
         }
         let now = Instant::now();
         let mut state = state.lock().expect("the relay's state");
         while state.held.peek().is_some_and(|Reverse(h)| h.0 <= now) {
-            let Some(Reverse((_, _, from, to, bytes))) = state.held.pop() else { break };
+            let Some(Reverse((_, _, from, to, bytes))) = state.held.pop() else {
+                break;
+            };
             // From the sender's front, so that the receiver answers through the relay too.
             let _ = sockets[from].send_to(&bytes, state.backs[to]);
             state.passed += 1;
--- a/src/kit/scale/board.rs
+++ b/src/kit/scale/board.rs
@@ -1,4 +1,5 @@
-//! What the hollow managers of all threads saw, and when: written by their threads, read by the one that drives the run.
+//! What the hollow managers of all threads saw, and when: written by their threads, read by the one
+//! that drives the run.
 use crate::duties::Token;
 use crate::membership::Health;
 use crate::net::membership::View;
@@ -29,15 +30,21 @@
         match self {
             Goal::Idle => false,
             Goal::Alive(others) => {
-                rows.filter(|row| !row.me && row.rumour.health == Health::Alive).count() >= *others
+                rows.filter(|row| !row.me && row.rumour.health == Health::Alive)
+                    .count()
+                    >= *others
+            }
+            Goal::Dead(name) => {
+                rows.any(|r| r.rumour.name == *name && r.rumour.health == Health::Dead)
             }
-            Goal::Dead(name) => rows.any(|r| r.rumour.name == *name && r.rumour.health == Health::Dead),
             Goal::Settings(hash) => rows.all(|row| {
                 matches!(row.rumour.health, Health::Dead | Health::Left)
                     || row.rumour.versions.settings == *hash
             }),
             Goal::Reborn(name, since) => rows.any(|r| {
-                r.rumour.name == *name && r.rumour.incarnation >= *since && r.rumour.health == Health::Alive
+                r.rumour.name == *name
+                    && r.rumour.incarnation >= *since
+                    && r.rumour.health == Health::Alive
             }),
         }
     }
@@ -61,13 +68,15 @@
     pub hold: usize,
     /// How many are asked.
     pub asked: usize,
-    /// When half of them saw it, and the last one, in milliseconds of the board; of those that see it now.
+    /// When half of them saw it, and the last one, in milliseconds of the board; of those that see
+    /// it now.
     pub median_ms: u64,
     /// That.
     pub last_ms: u64,
 }
 
-/// The number of a goal is kept beside the time since it holds, so that what was seen of an earlier goal doesn't count.
+/// The number of a goal is kept beside the time since it holds, so that what was seen of an earlier
+/// goal doesn't count.
 const TIME_BITS: u32 = 40;
 
 /// The board.
@@ -102,16 +111,24 @@
         let since = self.since[who].load(Ordering::Relaxed);
         let held = since >> TIME_BITS == goal && since != 0;
         if held != holds {
-            let since = if holds { goal << TIME_BITS | (self.now_ms() + 1) } else { 0 };
+            let since = if holds {
+                goal << TIME_BITS | (self.now_ms() + 1)
+            } else {
+                0
+            };
             self.since[who].store(since, Ordering::Relaxed);
         }
     }
 
     /// How far the goal of that number holds at these managers.
     pub fn spread(&self, goal: u64, whom: &[usize]) -> Spread {
-        let times = whom.iter().map(|who| self.since[*who].load(Ordering::Relaxed));
+        let times = whom
+            .iter()
+            .map(|who| self.since[*who].load(Ordering::Relaxed));
         let times = times.filter(|since| *since != 0 && since >> TIME_BITS == goal);
-        let mut times: Vec<u64> = times.map(|since| (since & ((1 << TIME_BITS) - 1)) - 1).collect();
+        let mut times: Vec<u64> = times
+            .map(|since| (since & ((1 << TIME_BITS) - 1)) - 1)
+            .collect();
         times.sort_unstable();
         Spread {
             hold: times.len(),
@@ -124,20 +141,36 @@
     /// A duty came to a manager under a token, or went from it.
     pub fn owns(&self, who: usize, engine: u64, token: Token, owns: bool) {
         let since_ms = self.now_ms();
-        let Ok(mut owners) = self.owners.lock() else { return };
+        let Ok(mut owners) = self.owners.lock() else {
+            return;
+        };
         if owns {
-            let owner = owners.entry(engine).or_insert(Owner { who, token, since_ms });
+            let owner = owners.entry(engine).or_insert(Owner {
+                who,
+                token,
+                since_ms,
+            });
             if token > owner.token {
-                *owner = Owner { who, token, since_ms };
+                *owner = Owner {
+                    who,
+                    token,
+                    since_ms,
+                };
             }
-        } else if owners.get(&engine).is_some_and(|o| o.who == who && o.token == token) {
+        } else if owners
+            .get(&engine)
+            .is_some_and(|o| o.who == who && o.token == token)
+        {
             owners.remove(&engine);
         }
     }
 
     /// Who owns what, by the number of the engine.
     pub fn owners(&self) -> BTreeMap<u64, Owner> {
-        self.owners.lock().map(|owners| owners.clone()).unwrap_or_default()
+        self.owners
+            .lock()
+            .map(|owners| owners.clone())
+            .unwrap_or_default()
     }
 
     /// A thread woke so many microseconds later than it wanted to.
@@ -147,11 +180,19 @@
 
     /// The latest wake of any thread since the last reading, in microseconds.
     pub fn take_late(&self) -> u64 {
-        self.late.iter().map(|late| late.swap(0, Ordering::Relaxed)).max().unwrap_or(0)
+        self.late
+            .iter()
+            .map(|late| late.swap(0, Ordering::Relaxed))
+            .max()
+            .unwrap_or(0)
     }
 
     /// The same, and it goes on.
     pub fn late(&self) -> u64 {
-        self.late.iter().map(|late| late.load(Ordering::Relaxed)).max().unwrap_or(0)
+        self.late
+            .iter()
+            .map(|late| late.load(Ordering::Relaxed))
+            .max()
+            .unwrap_or(0)
     }
 }
--- a/src/kit/scale/daemons.rs
+++ b/src/kit/scale/daemons.rs
@@ -17,7 +17,8 @@
 use std::future::Future;
 use std::rc::Rc;
 
-/// Statements a second that all managers together may have of the tenants: enough for the whole load.
+/// Statements a second that all managers together may have of the tenants: enough for the whole
+/// load.
 const QUOTA_PER_S: f64 = 350_000.0;
 
 /// The stand-ins have so long to end, in milliseconds.
@@ -46,7 +47,8 @@
     pub anon_kib: u64,
     /// Resident memory of all stand-ins then, in KiB.
     pub stand_ins_rss_kib: u64,
-    /// Descriptors of this process then, but for engines' listeners and both ends of what the daemon is connected to.
+    /// Descriptors of this process then, but for engines' listeners and both ends of what the
+    /// daemon is connected to.
     pub stand_ins_descriptors: u64,
     /// Processor time over the window, in microseconds a second.
     pub cpu_us_per_s: f64,
@@ -82,8 +84,9 @@
     pub engines_used: u64,
     /// Processor time for a whole list that says nothing new, in microseconds.
     pub list_cpu_us: f64,
-    /// From the word that half of the engines drain to the last statement that one of them was sent, in microseconds, the
-    /// worst of some; nothing without statements. The stand-in coordinator passes words on every 5 ms.
+    /// From the word that half of the engines drain to the last statement that one of them was
+    /// sent, in microseconds, the worst of some; nothing without statements. The stand-in
+    /// coordinator passes words on every 5 ms.
     pub change_us: Option<u64>,
     /// Statements that engines saw from the start to the end of the run.
     pub begun: u64,
@@ -108,15 +111,18 @@
     settings
 }
 
-/// The descriptors that the daemon is told it may have: with half for clients and a quarter for engines, those of the
-/// greatest point fit. The same for all points, lest it shows in what they need.
+/// The descriptors that the daemon is told it may have: with half for clients and a quarter for
+/// engines, those of the greatest point fit. The same for all points, lest it shows in what they
+/// need.
 pub fn sockets(points: &[Point]) -> u64 {
-    let each = points.iter().map(|p| (2 * (p.clients + BUSY) + 64).max(6 * p.engines + 64));
+    let each = points
+        .iter()
+        .map(|p| (2 * (p.clients + BUSY) + 64).max(6 * p.engines + 64));
     each.max().unwrap_or(0).max(256)
 }
 
-/// Measures one point. Ends the daemon before it returns, also where something fails or `until` comes first, which
-/// tells why.
+/// Measures one point. Ends the daemon before it returns, also where something fails or `until`
+/// comes first, which tells why.
 pub fn measure(
     point: &Point,
     options: &Options,
@@ -126,7 +132,8 @@
 ) -> Result<Measured, String> {
     let executor: Executor = Rc::new(LocalExecutor::new());
     let ended = async { Err(until.await) };
-    let measured = block_on(executor.run(or(ended, one(&executor, point, options, sockets, progress))));
+    let measured =
+        block_on(executor.run(or(ended, one(&executor, point, options, sockets, progress))));
     // What was ended lets go of its sockets in a turn of its own.
     block_on(executor.run(pause(PARTING_MS)));
     measured
@@ -143,14 +150,28 @@
     let engine = |i| Engine::start(executor, &engine_name(i), false, book.clone());
     let engines: Vec<Engine> = (0..point.engines).map(engine).collect();
     let coordinator = Coordinator::start(executor);
-    let place = |i: usize| ((i % ZONES.len()) as u16, (i / ZONES.len() % KINDS.len()) as u16, 0);
-    let entry = |(i, e): (usize, &Engine)| listed(i as u32 + 1, e.addr, Readiness::Ready, place(i), 1.0, 0);
+    let place = |i: usize| {
+        (
+            (i % ZONES.len()) as u16,
+            (i / ZONES.len() % KINDS.len()) as u16,
+            0,
+        )
+    };
+    let entry =
+        |(i, e): (usize, &Engine)| listed(i as u32 + 1, e.addr, Readiness::Ready, place(i), 1.0, 0);
     let list: Vec<Listed> = engines.iter().enumerate().map(entry).collect();
     let known = known(&list, &ZONES, &KINDS);
     let settings = settings(options.managers);
-    let daemon =
-        Daemon::start(&options.daemon, coordinator.addr, &known, None, sockets as usize, true, settings)
-            .await?;
+    let daemon = Daemon::start(
+        &options.daemon,
+        coordinator.addr,
+        &known,
+        None,
+        sockets as usize,
+        true,
+        settings,
+    )
+    .await?;
     let site = Site {
         executor,
         point,
--- a/src/kit/scale/events.rs
+++ b/src/kit/scale/events.rs
@@ -65,7 +65,9 @@
     fn took(&mut self, what: &str, since_ms: u64, spread: Spread) -> Took {
         let whole = spread.hold == spread.asked;
         if !whole {
-            self.figures.failed.push(format!("{what}: {} of {}", spread.hold, spread.asked));
+            self.figures
+                .failed
+                .push(format!("{what}: {} of {}", spread.hold, spread.asked));
         }
         Took {
             all_ms: whole.then(|| spread.last_ms.saturating_sub(since_ms)),
@@ -95,10 +97,19 @@
         since: Instant,
         processor: Duration,
     ) -> Result<Load, String> {
-        let (time, used) = (since.elapsed(), needs::processor().saturating_sub(processor));
+        let (time, used) = (
+            since.elapsed(),
+            needs::processor().saturating_sub(processor),
+        );
         let after = self.rig.read()?;
         let late = self.late();
-        Ok(Load::between(&self.rig.plan, (before, &after), time, used, late))
+        Ok(Load::between(
+            &self.rig.plan,
+            (before, &after),
+            time,
+            used,
+            late,
+        ))
     }
 
     /// All start at once, until each knows each.
@@ -124,24 +135,37 @@
         Ok(())
     }
 
-    /// The manager to stop: no voter, and of those with the most duties the one that the seed picks.
+    /// The manager to stop: no voter, and of those with the most duties the one that the seed
+    /// picks.
     fn victim(&self, owners: &BTreeMap<u64, Owner>) -> usize {
         let mut duties: BTreeMap<usize, usize> = BTreeMap::new();
-        owners.values().for_each(|owner| *duties.entry(owner.who).or_default() += 1);
+        owners
+            .values()
+            .for_each(|owner| *duties.entry(owner.who).or_default() += 1);
         let mut others = self.rig.all_but(&self.rig.plan.voting());
-        let most = others.iter().map(|who| duties.get(who).copied().unwrap_or(0)).max().unwrap_or(0);
+        let most = others
+            .iter()
+            .map(|who| duties.get(who).copied().unwrap_or(0))
+            .max()
+            .unwrap_or(0);
         others.retain(|who| duties.get(who).copied().unwrap_or(0) == most);
         // All vote in the smallest fleets.
         let picked = self.rig.plan.seed as usize % others.len().max(1);
-        others.get(picked).copied().unwrap_or(self.rig.plan.managers - 1)
+        others
+            .get(picked)
+            .copied()
+            .unwrap_or(self.rig.plan.managers - 1)
     }
 
-    /// One manager stops: until all others have declared it dead, and each of its duties has another owner. Then it is
-    /// started anew.
+    /// One manager stops: until all others have declared it dead, and each of its duties has
+    /// another owner. Then it is started anew.
     pub fn death(&mut self) -> Result<(), String> {
         let owners = self.rig.board.owners();
         let victim = self.victim(&owners);
-        let mine: Vec<(u64, Owner)> = owners.into_iter().filter(|(_, owner)| owner.who == victim).collect();
+        let mine: Vec<(u64, Owner)> = owners
+            .into_iter()
+            .filter(|(_, owner)| owner.who == victim)
+            .collect();
         let (name, others) = (self.rig.plan.name(victim), self.rig.all_but(&[victim]));
         self.late();
         self.rig.look(Goal::Dead(name.clone()));
@@ -153,27 +177,40 @@
         let follows = |rig: &Rig| -> Option<u64> {
             let now = rig.board.owners();
             let next = mine.iter().map(|(engine, owner)| {
-                now.get(engine).filter(|n| n.token > owner.token && n.who != victim).map(|n| n.since_ms)
+                now.get(engine)
+                    .filter(|n| n.token > owner.token && n.who != victim)
+                    .map(|n| n.since_ms)
             });
-            next.collect::<Option<Vec<u64>>>().map(|all| all.into_iter().max().unwrap_or(since))
+            next.collect::<Option<Vec<u64>>>()
+                .map(|all| all.into_iter().max().unwrap_or(since))
         };
-        let passed = self.rig.wait("its duties pass", |rig| follows(rig).is_some())?;
+        let passed = self
+            .rig
+            .wait("its duties pass", |rig| follows(rig).is_some())?;
         let owners_ms = follows(&self.rig).map(|at| at.saturating_sub(since));
         if !passed {
-            self.figures.failed.push("owners: not every duty has another one".into());
+            self.figures
+                .failed
+                .push("owners: not every duty has another one".into());
         }
         self.late();
-        self.figures.death = Death { manager: name, dead, duties: mine.len(), owners_ms };
+        self.figures.death = Death {
+            manager: name,
+            dead,
+            duties: mine.len(),
+            owners_ms,
+        };
         self.restart(victim, "it is started anew")?;
         Ok(())
     }
 
-    /// Starts a manager anew, until all others take the new life for alive and it takes all for alive: how long that took,
-    /// and the latest wake of a thread meanwhile, both in milliseconds.
+    /// Starts a manager anew, until all others take the new life for alive and it takes all for
+    /// alive: how long that took, and the latest wake of a thread meanwhile, both in milliseconds.
     fn restart(&mut self, who: usize, what: &str) -> Result<(Option<u64>, f64), String> {
         let life = self.rig.read()?.get(who).map_or(0, |reading| reading.life);
         let others = self.rig.all_but(&[who]);
-        self.rig.look(Goal::Reborn(self.rig.plan.name(who), life + NEXT_LIFE));
+        self.rig
+            .look(Goal::Reborn(self.rig.plan.name(who), life + NEXT_LIFE));
         let since = self.rig.board.now_ms();
         self.rig.restart(who);
         let spread = self.rig.reach(what, &others)?;
@@ -182,7 +219,10 @@
         let spread = self.rig.reach("it knows all", &[who])?;
         let knows = self.took("knows all after its start", since, spread);
         self.rig.look(Goal::Idle);
-        let both = known.all_ms.zip(knows.all_ms).map(|(known, knows)| known.max(knows));
+        let both = known
+            .all_ms
+            .zip(knows.all_ms)
+            .map(|(known, knows)| known.max(knows));
         Ok((both, known.latest_wake_ms.max(knows.latest_wake_ms)))
     }
 
@@ -221,7 +261,13 @@
         self.rig.look(Goal::Idle);
         self.rig.pass("settles", self.rig.plan.settle)?;
         let after = self.load_since(&before, counted, processor)?;
-        self.figures.cut = Some(Cut { seconds: time.as_secs_f64(), during, alive, healed, after });
+        self.figures.cut = Some(Cut {
+            seconds: time.as_secs_f64(),
+            during,
+            alive,
+            healed,
+            after,
+        });
         Ok(())
     }
 
@@ -234,7 +280,8 @@
         self.late();
         let (mut rolling, first) = (Rolling::default(), self.rig.plan.seed as usize);
         for k in 0..count {
-            let (took, late) = self.restart((first + k) % managers, "restarts one after the other")?;
+            let (took, late) =
+                self.restart((first + k) % managers, "restarts one after the other")?;
             rolling.each_ms.push(took);
             rolling.latest_wake_ms = rolling.latest_wake_ms.max(late);
         }
--- a/src/kit/scale/figures.rs
+++ b/src/kit/scale/figures.rs
@@ -80,8 +80,16 @@
         latest_wake_ms: f64,
     ) -> Load {
         let seconds = time.as_secs_f64().max(1e-3);
-        let all: Vec<Rate> = earlier.iter().zip(later).map(|(e, l)| rate(seconds, e, l)).collect();
-        let voters: Vec<Rate> = plan.voting().into_iter().filter_map(|who| all.get(who).copied()).collect();
+        let all: Vec<Rate> = earlier
+            .iter()
+            .zip(later)
+            .map(|(e, l)| rate(seconds, e, l))
+            .collect();
+        let voters: Vec<Rate> = plan
+            .voting()
+            .into_iter()
+            .filter_map(|who| all.get(who).copied())
+            .collect();
         let mean = |rates: &[Rate]| {
             let n = rates.len().max(1) as f64;
             each(rates, |values| values.sum::<f64>() / n)
@@ -163,7 +171,8 @@
     pub unread: Flow,
     /// Datagrams that sockets lost for want of room.
     pub lost: u64,
-    /// Datagrams sent that are in none of these: 0 where no others take part and nothing is lost unseen.
+    /// Datagrams sent that are in none of these: 0 where no others take part and nothing is lost
+    /// unseen.
     pub missing: i64,
     /// Datagrams that came and were of no use.
     pub dropped: u64,
@@ -176,7 +185,10 @@
 impl Accounts {
     /// Of the last readings of all managers.
     pub fn of(all: &[Reading], lost: u64) -> Accounts {
-        let mut accounts = Accounts { lost, ..Accounts::default() };
+        let mut accounts = Accounts {
+            lost,
+            ..Accounts::default()
+        };
         for reading in all {
             accounts.counts = accounts.counts.plus(&reading.counts);
             accounts.unread = accounts.unread.plus(reading.unread);
@@ -185,7 +197,12 @@
             accounts.shut_outs += reading.shut_outs;
         }
         let counts = &accounts.counts;
-        let found = counts.received().plus(counts.cut).plus(accounts.unread).datagrams + lost;
+        let found = counts
+            .received()
+            .plus(counts.cut)
+            .plus(accounts.unread)
+            .datagrams
+            + lost;
         accounts.missing = counts.sent().datagrams as i64 - found as i64;
         accounts
     }
@@ -202,7 +219,8 @@
     pub voters: usize,
     /// Wants a second and manager.
     pub wants: f64,
-    /// The seed of the run's own choices; the managers' own seeds are the times of their starts, as a daemon's are.
+    /// The seed of the run's own choices; the managers' own seeds are the times of their starts, as
+    /// a daemon's are.
     pub seed: u64,
     /// Threads.
     pub threads: usize,
@@ -267,10 +285,13 @@
     let bytes = |r: &Rate| format!("{:.0} + {:.0}", r.sent_bytes, r.received_bytes);
     for f in all {
         let q = &f.quiet;
-        let restart = f.rolling.as_ref().map(|r| match r.each_ms.iter().all(Option::is_some) {
-            true => ms(r.each_ms.iter().copied().flatten().max()),
-            false => ms(None),
-        });
+        let restart = f
+            .rolling
+            .as_ref()
+            .map(|r| match r.each_ms.iter().all(Option::is_some) {
+                true => ms(r.each_ms.iter().copied().flatten().max()),
+                false => ms(None),
+            });
         table.add_row([
             format!("{}x{}", f.managers, f.engines),
             f.seed.to_string(),
@@ -288,7 +309,9 @@
             ms(f.death.dead.all_ms),
             format!("{} ({})", ms(f.death.owners_ms), f.death.duties),
             ms(f.settings.all_ms),
-            f.cut.as_ref().map_or_else(|| "-".into(), |cut| ms(cut.healed.all_ms)),
+            f.cut
+                .as_ref()
+                .map_or_else(|| "-".into(), |cut| ms(cut.healed.all_ms)),
             restart.unwrap_or_else(|| "-".into()),
             f.accounts.shut_outs.to_string(),
             f.accounts.missing.to_string(),
--- a/src/kit/scale/fit.rs
+++ b/src/kit/scale/fit.rs
@@ -34,7 +34,12 @@
         distance => distance / p.1.abs(),
     };
     let worst = points.iter().map(off).fold(0.0, f64::max);
-    Some(Line { intercept, slope, worst, holds: worst <= MOST_RESIDUAL })
+    Some(Line {
+        intercept,
+        slope,
+        worst,
+        holds: worst <= MOST_RESIDUAL,
+    })
 }
 
 /// A line through the points of all plays, and the slopes of the single plays.
@@ -51,10 +56,18 @@
 /// Fits the points of each play, and of all together.
 pub fn fit(plays: &[Vec<(f64, f64)>]) -> Option<Fit> {
     let line_of_all = line(&plays.concat())?;
-    let slopes: Vec<f64> = plays.iter().filter_map(|play| line(play)).map(|l| l.slope).collect();
+    let slopes: Vec<f64> = plays
+        .iter()
+        .filter_map(|play| line(play))
+        .map(|l| l.slope)
+        .collect();
     let least = slopes.iter().copied().fold(f64::INFINITY, f64::min);
     let most = slopes.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    (!slopes.is_empty()).then_some(Fit { line: line_of_all, least, most })
+    (!slopes.is_empty()).then_some(Fit {
+        line: line_of_all,
+        least,
+        most,
+    })
 }
 
 #[cfg(test)]
--- a/src/kit/scale/fleet.rs
+++ b/src/kit/scale/fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet of hollow managers: their threads, the orders to them, and the waits for what they see. Whatever ends a thread
-//! before its time, a signal and the end of the time allowed are errors of the run.
+//! A fleet of hollow managers: their threads, the orders to them, and the waits for what they see.
+//! Whatever ends a thread before its time, a signal and the end of the time allowed are errors of
+//! the run.
 use super::board::{Board, Goal, Spread};
 use super::hollow::{Batch, Order, Reading};
 use super::life::home;
@@ -92,7 +93,9 @@
 
     /// The managers that vote, spread over the fleet.
     pub fn voting(&self) -> Vec<usize> {
-        (0..self.voters).map(|k| k * self.managers / self.voters).collect()
+        (0..self.voters)
+            .map(|k| k * self.managers / self.voters)
+            .collect()
     }
 
     /// Whether a manager is in the third that is cut off.
@@ -102,7 +105,11 @@
 
     /// The fleet file of each manager.
     pub fn file(&self, seeds: &[SocketAddr]) -> Fleet {
-        let voters: Vec<String> = self.voting().into_iter().map(|who| self.name(who)).collect();
+        let voters: Vec<String> = self
+            .voting()
+            .into_iter()
+            .map(|who| self.name(who))
+            .collect();
         Fleet {
             bind: None,
             advertise: None,
@@ -110,7 +117,10 @@
             seeds: seeds.to_vec(),
             timing: self.timing.clone(),
             audit: None,
-            duties: (!voters.is_empty()).then_some(Duties { voters, terms: self.terms }),
+            duties: (!voters.is_empty()).then_some(Duties {
+                voters,
+                terms: self.terms,
+            }),
         }
     }
 
@@ -159,7 +169,8 @@
 
 fn why(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<String>().cloned();
-    text.or_else(|| panic.downcast_ref::<&str>().map(|s| (*s).to_owned())).unwrap_or_default()
+    text.or_else(|| panic.downcast_ref::<&str>().map(|s| (*s).to_owned()))
+        .unwrap_or_default()
 }
 
 impl Rig {
@@ -174,13 +185,23 @@
         };
         let bound: std::io::Result<Vec<_>> = (0..plan.managers).map(bind).collect();
         let bound = bound.map_err(|e| format!("can't take the managers' sockets: {e}"))?;
-        let (homes, sockets): (Vec<SocketAddr>, Vec<(usize, UdpSocket)>) = bound.into_iter().unzip();
-        let folder = Folder::new().map_err(|e| format!("can't make a folder for the votes: {e}"))?;
+        let (homes, sockets): (Vec<SocketAddr>, Vec<(usize, UdpSocket)>) =
+            bound.into_iter().unzip();
+        let folder =
+            Folder::new().map_err(|e| format!("can't make a folder for the votes: {e}"))?;
         let board = Arc::new(Board::new(plan.managers, plan.threads));
         let cut = Arc::new(AtomicBool::new(false));
-        let seeds: Vec<SocketAddr> = homes.iter().take(SEEDS).chain(&plan.greet).copied().collect();
-        let mut parts: Vec<Vec<(usize, UdpSocket)>> = (0..plan.threads).map(|_| Vec::new()).collect();
-        sockets.into_iter().for_each(|(who, socket)| parts[who % plan.threads].push((who, socket)));
+        let seeds: Vec<SocketAddr> = homes
+            .iter()
+            .take(SEEDS)
+            .chain(&plan.greet)
+            .copied()
+            .collect();
+        let mut parts: Vec<Vec<(usize, UdpSocket)>> =
+            (0..plan.threads).map(|_| Vec::new()).collect();
+        sockets
+            .into_iter()
+            .for_each(|(who, socket)| parts[who % plan.threads].push((who, socket)));
         let now = Instant::now();
         let mut rig = Rig {
             ends_at: now + plan.limit,
@@ -200,20 +221,43 @@
             let whom = sockets.iter().map(|(who, _)| *who).collect();
             let (plan, seeds, folder) = (plan.clone(), seeds.clone(), rig._folder.path(""));
             let (cut, board) = (cut.clone(), board.clone());
-            let batch = Batch { number, plan, sockets, seeds, folder, cut, board, orders };
+            let batch = Batch {
+                number,
+                plan,
+                sockets,
+                seeds,
+                folder,
+                cut,
+                board,
+                orders,
+            };
             let thread = std::thread::Builder::new().name(format!("hollow-{number}"));
-            let handle = thread.spawn(move || batch.run()).map_err(|e| format!("a thread: {e}"))?;
-            rig.threads.push(Thread { orders: sender, handle, whom });
+            let handle = thread
+                .spawn(move || batch.run())
+                .map_err(|e| format!("a thread: {e}"))?;
+            rig.threads.push(Thread {
+                orders: sender,
+                handle,
+                whom,
+            });
         }
         Ok(rig)
     }
 
     /// Errs once the run can't give good figures any more.
     pub fn check(&mut self) -> Result<(), String> {
-        if let Some(at) = self.threads.iter().position(|thread| thread.handle.is_finished()) {
+        if let Some(at) = self
+            .threads
+            .iter()
+            .position(|thread| thread.handle.is_finished())
+        {
             let ended = self.threads.swap_remove(at).handle.join();
-            let why = ended.err().map_or_else(|| "without a panic".to_owned(), |panic| why(&*panic));
-            self.broken = Some(format!("a thread of managers ended before the run did: {why}"));
+            let why = ended
+                .err()
+                .map_or_else(|| "without a panic".to_owned(), |panic| why(&*panic));
+            self.broken = Some(format!(
+                "a thread of managers ended before the run did: {why}"
+            ));
         }
         if let Some(broken) = &self.broken {
             return Err(broken.clone());
@@ -222,7 +266,10 @@
             return Err("ended by a signal".into());
         }
         if Instant::now() >= self.ends_at {
-            return Err(format!("not done within the limit of {} s", self.plan.limit.as_secs()));
+            return Err(format!(
+                "not done within the limit of {} s",
+                self.plan.limit.as_secs()
+            ));
         }
         Ok(())
     }
@@ -233,7 +280,8 @@
             self.told_at = Instant::now() + Duration::from_secs(1);
             let at = self.board.now_ms() as f64 / 1e3;
             let late = self.board.late() as f64 / 1e3;
-            let so_far = spread.map_or_else(String::new, |s| format!(", {} of {}", s.hold, s.asked));
+            let so_far =
+                spread.map_or_else(String::new, |s| format!(", {} of {}", s.hold, s.asked));
             eprintln!("scale-fleet: {at:.0} s: {what}{so_far}, latest wake {late:.1} ms late");
         }
     }
@@ -250,7 +298,11 @@
     }
 
     /// Waits until something is so, or the patience is over: whether it came to be so.
-    pub fn wait(&mut self, what: &str, mut holds: impl FnMut(&Rig) -> bool) -> Result<bool, String> {
+    pub fn wait(
+        &mut self,
+        what: &str,
+        mut holds: impl FnMut(&Rig) -> bool,
+    ) -> Result<bool, String> {
         let end = Instant::now() + self.plan.patience;
         while !holds(self) {
             if Instant::now() >= end {
@@ -290,16 +342,23 @@
 
     /// The managers by their numbers, but for these.
     pub fn all_but(&self, without: &[usize]) -> Vec<usize> {
-        (0..self.plan.managers).filter(|who| !without.contains(who)).collect()
+        (0..self.plan.managers)
+            .filter(|who| !without.contains(who))
+            .collect()
     }
 
     fn order_all(&self, order: impl Fn() -> Order) {
         // One whose thread has ended is found by `check`.
-        self.threads.iter().for_each(|thread| _ = thread.orders.try_send(order()));
+        self.threads
+            .iter()
+            .for_each(|thread| _ = thread.orders.try_send(order()));
     }
 
     fn order(&self, who: usize, order: Order) {
-        let thread = self.threads.iter().find(|thread| thread.whom.contains(&who));
+        let thread = self
+            .threads
+            .iter()
+            .find(|thread| thread.whom.contains(&who));
         let _ = thread.map(|thread| thread.orders.try_send(order));
     }
 
@@ -334,7 +393,10 @@
     }
 
     /// Gathers what threads tell; errs if one does not.
-    fn gather<T>(&mut self, order: impl Fn(std::sync::mpsc::Sender<T>) -> Order) -> Result<Vec<T>, String> {
+    fn gather<T>(
+        &mut self,
+        order: impl Fn(std::sync::mpsc::Sender<T>) -> Order,
+    ) -> Result<Vec<T>, String> {
         let (tell, told) = std::sync::mpsc::channel();
         self.order_all(|| order(tell.clone()));
         drop(tell);
@@ -357,7 +419,8 @@
         Ok(all)
     }
 
-    /// Stops all managers, and then reads the figures for the last time, with what their sockets still hold.
+    /// Stops all managers, and then reads the figures for the last time, with what their sockets
+    /// still hold.
     pub fn hush(&mut self) -> Result<Vec<Reading>, String> {
         self.gather(Order::Hush)?;
         self.read()
@@ -371,7 +434,9 @@
 
 impl Drop for Rig {
     fn drop(&mut self) {
-        self.threads.iter().for_each(|thread| _ = thread.orders.close());
+        self.threads
+            .iter()
+            .for_each(|thread| _ = thread.orders.close());
         for thread in self.threads.drain(..) {
             let _ = thread.handle.join();
         }
--- a/src/kit/scale/hollow.rs
+++ b/src/kit/scale/hollow.rs
@@ -1,5 +1,6 @@
-//! One thread with a batch of hollow managers: for each the daemon's own actor of the fleet on a UDP socket of its own,
-//! and in place of its module a loop that answers probes at once and wants engines' loads now and then.
+//! One thread with a batch of hollow managers: for each the daemon's own actor of the fleet on a
+//! UDP socket of its own, and in place of its module a loop that answers probes at once and wants
+//! engines' loads now and then.
 use super::board::{Board, Goal};
 use super::fleet::Plan;
 use super::life::{Asked, Pulse, Run, hollow_module, resident};
@@ -60,7 +61,8 @@
     pub unread: Flow,
     /// How long its turns took.
     pub busy: Duration,
-    /// Its module's wants, the probes that it sent for them and for others, and what it was told by owners.
+    /// Its module's wants, the probes that it sent for them and for others, and what it was told by
+    /// owners.
     pub wants: u64,
     /// Those probes.
     pub probes: u64,
@@ -124,15 +126,20 @@
     /// Runs it until nobody can tell it anything any more.
     pub fn run(mut self) {
         crate::log::mute();
-        let managers = std::mem::take(&mut self.sockets).into_iter().map(|(who, socket)| Manager {
-            who,
-            socket,
-            life: None,
-            before: Reading { who, ..Reading::default() },
-            seen: None,
-            out: false,
-            again: false,
-        });
+        let managers = std::mem::take(&mut self.sockets)
+            .into_iter()
+            .map(|(who, socket)| Manager {
+                who,
+                socket,
+                life: None,
+                before: Reading {
+                    who,
+                    ..Reading::default()
+                },
+                seen: None,
+                out: false,
+                again: false,
+            });
         let mut managers: Vec<Manager> = managers.collect();
         let executor = Rc::new(LocalExecutor::new());
         block_on(executor.clone().run(self.follow(&executor, &mut managers)));
@@ -149,17 +156,23 @@
             match order.await {
                 Some(Err(_)) => return,
                 Some(Ok(Order::Begin)) => {
-                    managers.iter_mut().for_each(|m| self.begin(executor, m, settings));
+                    managers
+                        .iter_mut()
+                        .for_each(|m| self.begin(executor, m, settings));
                 }
                 Some(Ok(Order::Look(next, its))) => {
                     (goal, number) = (next, its);
                     managers.iter_mut().for_each(|m| m.seen = None);
                 }
-                Some(Ok(Order::Stop(who))) => {
-                    managers.iter().filter(|m| m.who == who).for_each(Manager::stop)
-                }
+                Some(Ok(Order::Stop(who))) => managers
+                    .iter()
+                    .filter(|m| m.who == who)
+                    .for_each(Manager::stop),
                 Some(Ok(Order::Restart(who))) => {
-                    managers.iter_mut().filter(|m| m.who == who).for_each(Manager::go);
+                    managers
+                        .iter_mut()
+                        .filter(|m| m.who == who)
+                        .for_each(Manager::go);
                 }
                 Some(Ok(Order::Retune(hash))) => {
                     settings = hash;
@@ -175,7 +188,8 @@
                 }
                 Some(Ok(Order::Break)) => panic!("batch {} was told to panic", self.number),
                 None => {
-                    self.board.woke_late(self.number, look_at.elapsed().as_micros() as u64);
+                    self.board
+                        .woke_late(self.number, look_at.elapsed().as_micros() as u64);
                     self.look(executor, managers, &goal, number, settings);
                     look_at = Instant::now() + LOOK;
                 }
@@ -192,10 +206,21 @@
         settings: u64,
     ) {
         for manager in managers {
-            if manager.again && manager.life.as_ref().is_none_or(|life| life.task.is_finished()) {
+            if manager.again
+                && manager
+                    .life
+                    .as_ref()
+                    .is_none_or(|life| life.task.is_finished())
+            {
                 self.begin(executor, manager, settings);
             }
-            let Some(life) = manager.life.as_ref().filter(|life| !life.pulse.stopped.get()) else { continue };
+            let Some(life) = manager
+                .life
+                .as_ref()
+                .filter(|life| !life.pulse.stopped.get())
+            else {
+                continue;
+            };
             let out = life.shared.life.borrow().is_shut_out();
             manager.before.shut_outs += u64::from(out && !manager.out);
             manager.out = out;
@@ -204,7 +229,11 @@
             }
             let view = life.shared.fleet.borrow().clone();
             let Some(view) = view else { continue };
-            if manager.seen.as_ref().is_none_or(|seen| !Rc::ptr_eq(seen, &view)) {
+            if manager
+                .seen
+                .as_ref()
+                .is_none_or(|seen| !Rc::ptr_eq(seen, &view))
+            {
                 self.board.saw(manager.who, number, goal.holds(&view));
                 manager.seen = Some(view);
             }
@@ -214,24 +243,44 @@
     /// Begins a life of a manager.
     fn begin(&self, executor: &LocalExecutor<'static>, manager: &mut Manager, settings: u64) {
         manager.end_life();
-        let socket = manager.socket.try_clone().and_then(Async::new).expect("a descriptor, checked before");
+        let socket = manager
+            .socket
+            .try_clone()
+            .and_then(Async::new)
+            .expect("a descriptor, checked before");
         let at = manager.socket.local_addr().expect("the socket's address");
         let (who, plan) = (manager.who, &self.plan);
         let shared = Shared::new(64, 64);
-        shared.acting.set(Acting { generation: 1, settings, list: 0 });
+        shared.acting.set(Acting {
+            generation: 1,
+            settings,
+            list: 0,
+        });
         shared.life.borrow_mut().listed();
         shared.console.set(plan.console);
-        let _ = shared.hollow.set(Hollow { folder: self.folder.clone(), reloads: Cell::new(0) });
+        let _ = shared.hollow.set(Hollow {
+            folder: self.folder.clone(),
+            reloads: Cell::new(0),
+        });
         let (cut, region) = (self.cut.clone(), plan.in_region(who));
         let theirs = Arc::clone(plan);
         shared.traffic.lose(move |to| {
-            cut.load(Ordering::Relaxed) && resident(to).is_some_and(|to| theirs.in_region(to) != region)
+            cut.load(Ordering::Relaxed)
+                && resident(to).is_some_and(|to| theirs.in_region(to) != region)
         });
         let begun = clock::turn();
         let (module, mailbox) = bounded(MAILBOX);
         let (coordinator, moves) = bounded(1);
-        let (name, fleet, managers) = (plan.name(who), plan.file(&self.seeds), plan.managers as u32);
-        let seat = Seat { name, life: begun, fleet, managers, module, coordinator };
+        let (name, fleet, managers) =
+            (plan.name(who), plan.file(&self.seeds), plan.managers as u32);
+        let seat = Seat {
+            name,
+            life: begun,
+            fleet,
+            managers,
+            module,
+            coordinator,
+        };
         let asked = Rc::new(Asked::default());
         let random = Pcg32::seed_from_u64(plan.seed ^ (who as u64) << 32 ^ manager.before.wants);
         let (theirs, counts) = (shared.clone(), asked.clone());
@@ -247,21 +296,34 @@
                 shared.executor.clone().run(seat).await;
             }
         };
-        let task = executor.spawn(Run { inner: Box::pin(actors), pulse: pulse.clone() });
-        manager.life = Some(Life { shared, pulse, asked, begun, task });
+        let task = executor.spawn(Run {
+            inner: Box::pin(actors),
+            pulse: pulse.clone(),
+        });
+        manager.life = Some(Life {
+            shared,
+            pulse,
+            asked,
+            begun,
+            task,
+        });
         (manager.again, manager.seen, manager.out) = (false, None, false);
     }
 }
 
 impl Manager {
     fn stop(&self) {
-        self.life.iter().for_each(|life| life.pulse.stopped.set(true));
+        self.life
+            .iter()
+            .for_each(|life| life.pulse.stopped.set(true));
     }
 
     fn go(&mut self) {
         self.again = true;
         match &self.life {
-            Some(life) if !life.pulse.stopped.get() => life.shared.life.borrow_mut().stop(clock::turn()),
+            Some(life) if !life.pulse.stopped.get() => {
+                life.shared.life.borrow_mut().stop(clock::turn())
+            }
             _ => self.end_life(),
         }
     }
@@ -269,7 +331,11 @@
     fn retune(&self, hash: u64) {
         if let Some(life) = &self.life {
             let acting = life.shared.acting.get();
-            let next = Acting { generation: acting.generation + 1, settings: hash, ..acting };
+            let next = Acting {
+                generation: acting.generation + 1,
+                settings: hash,
+                ..acting
+            };
             life.shared.acting.set(next);
         }
     }
@@ -277,7 +343,10 @@
     /// Ends a life, if there is one; what was not read by then never is.
     fn end_life(&mut self) {
         if self.life.is_some() {
-            self.before = Reading { unread: self.before.unread.plus(self.drain()), ..self.read(false) };
+            self.before = Reading {
+                unread: self.before.unread.plus(self.drain()),
+                ..self.read(false)
+            };
             self.life = None;
         }
     }
@@ -296,13 +365,24 @@
         if drain {
             reading.unread = reading.unread.plus(self.drain());
         }
-        let Some(life) = &self.life else { return reading };
+        let Some(life) = &self.life else {
+            return reading;
+        };
         let view = life.shared.fleet.borrow().clone();
         let lives = |view: &Rc<View>| {
-            view.members.iter().filter(|row| !row.me && row.rumour.health == Health::Alive).count()
+            view.members
+                .iter()
+                .filter(|row| !row.me && row.rumour.health == Health::Alive)
+                .count()
         };
-        let (alive, dropped) = view.map(|view| (lives(&view), view.dropped)).unwrap_or_default();
-        let reloads = life.shared.hollow.get().map_or(0, |hollow| hollow.reloads.get());
+        let (alive, dropped) = view
+            .map(|view| (lives(&view), view.dropped))
+            .unwrap_or_default();
+        let reloads = life
+            .shared
+            .hollow
+            .get()
+            .map_or(0, |hollow| hollow.reloads.get());
         Reading {
             who: self.who,
             life: life.begun,
--- a/src/kit/scale/life.rs
+++ b/src/kit/scale/life.rs
@@ -1,5 +1,5 @@
-//! What one hollow manager is made of beside the daemon's actor: its address, its place in its thread, and what stands in
-//! place of its module.
+//! What one hollow manager is made of beside the daemon's actor: its address, its place in its
+//! thread, and what stands in place of its module.
 use super::board::Board;
 use super::fleet::Plan;
 use crate::clock::{self, Micros, SEC};
@@ -28,7 +28,10 @@
 
 /// The address of a hollow manager, at a free port.
 pub fn home(who: usize) -> SocketAddr {
-    SocketAddr::from((Ipv4Addr::new(127, 64, 1 + (who / A_NET) as u8, 1 + (who % A_NET) as u8), 0))
+    SocketAddr::from((
+        Ipv4Addr::new(127, 64, 1 + (who / A_NET) as u8, 1 + (who % A_NET) as u8),
+        0,
+    ))
 }
 
 /// Which hollow manager lives at an address, if any does.
@@ -86,7 +89,8 @@
     pub told: Cell<u64>,
 }
 
-/// In place of the module: answers probes at once, and wants some engine's load now and then. Never ends.
+/// In place of the module: answers probes at once, and wants some engine's load now and then. Never
+/// ends.
 pub async fn hollow_module(
     shared: Rc<Shared>,
     mailbox: Receiver<Input>,
@@ -109,11 +113,19 @@
             Some(Input::Probe(engine, _)) => {
                 asked.probes.set(asked.probes.get() + 1);
                 let load = [1.0, 0.5, 0.0, 0.0];
-                let sounding = Sounding { well: true, unreachable: false, took: ANSWER, len: 2, load };
+                let sounding = Sounding {
+                    well: true,
+                    unreachable: false,
+                    took: ANSWER,
+                    len: 2,
+                    load,
+                };
                 let _ = say(Word::Answered(engine, Some(sounding)));
             }
             Some(Input::Sounded(..)) => asked.told.set(asked.told.get() + 1),
-            Some(Input::Owns(Duty::Probe(engine), token, owns)) => board.owns(who, engine, token, owns),
+            Some(Input::Owns(Duty::Probe(engine), token, owns)) => {
+                board.owns(who, engine, token, owns)
+            }
             Some(_) => {}
             None => {
                 asked.wants.set(asked.wants.get() + 1);
--- a/src/kit/scale/load.rs
+++ b/src/kit/scale/load.rs
@@ -1,5 +1,5 @@
-//! The clients of a point: idle ones that say a little now and then, and a few busy ones that send statements at a
-//! steady rate.
+//! The clients of a point: idle ones that say a little now and then, and a few busy ones that send
+//! statements at a steady rate.
 use crate::kit::clients::{Got, STATUS, read_line, rpc_got};
 use crate::kit::{Executor, pause};
 use async_executor::Task;
@@ -17,8 +17,8 @@
 pub const CALL_EVERY: Duration = Duration::from_secs(8);
 /// Connections that carry the statements.
 pub const BUSY: u64 = 8;
-/// The work that a statement is said to cost, in thread milliseconds: what 910 engines of ten cores have for each of
-/// 280,000 statements a second, at half their time.
+/// The work that a statement is said to cost, in thread milliseconds: what 910 engines of ten cores
+/// have for each of 280,000 statements a second, at half their time.
 const COST_MS: f64 = 15.0;
 /// Data sets that the statements read, so that each engine is near to some.
 const SETS: u64 = 997;
@@ -53,7 +53,9 @@
 
 impl Tally {
     fn wrong(&self, what: &str) {
-        self.fault.borrow_mut().get_or_insert_with(|| what.to_owned());
+        self.fault
+            .borrow_mut()
+            .get_or_insert_with(|| what.to_owned());
     }
 
     /// Statements that have had their answer.
@@ -63,7 +65,12 @@
 }
 
 /// Starts that many idle clients, a few at a time. They end with their tasks.
-pub async fn idle(executor: &Executor, addr: SocketAddr, count: u64, tally: &Rc<Tally>) -> Vec<Task<()>> {
+pub async fn idle(
+    executor: &Executor,
+    addr: SocketAddr,
+    count: u64,
+    tally: &Rc<Tally>,
+) -> Vec<Task<()>> {
     let mut all = Vec::with_capacity(count as usize);
     for i in 0..count {
         if i % AT_ONCE == AT_ONCE - 1 {
@@ -82,11 +89,18 @@
 }
 
 async fn one_idle(addr: SocketAddr, gap: Duration, tally: &Tally) -> Result<(), &'static str> {
-    let stream = Async::<TcpStream>::connect(addr).await.map_err(|_| "an idle client could not connect")?;
+    let stream = Async::<TcpStream>::connect(addr)
+        .await
+        .map_err(|_| "an idle client could not connect")?;
     let (mut input, mut gap) = (Vec::new(), Some(gap));
     loop {
-        (&stream).write_all(STATUS).await.map_err(|_| "an idle client's connection broke")?;
-        let line = read_line(&stream, &mut input).await.ok_or("an idle client got no answer")?;
+        (&stream)
+            .write_all(STATUS)
+            .await
+            .map_err(|_| "an idle client's connection broke")?;
+        let line = read_line(&stream, &mut input)
+            .await
+            .ok_or("an idle client got no answer")?;
         if !String::from_utf8_lossy(&line).contains("\"green\":true") {
             return Err("an idle client was told that the daemon is not ready");
         }
@@ -113,12 +127,19 @@
 /// A statement of the platform's protocol, as a line. Each has a name of its own.
 fn line(number: u64) -> Vec<u8> {
     let key = format!("{number:016x}");
-    let statement =
-        format!("SELECT count() FROM ops_{}.calls WHERE id = {number} /* {key} */", number % SETS);
+    let statement = format!(
+        "SELECT count() FROM ops_{}.calls WHERE id = {number} /* {key} */",
+        number % SETS
+    );
     // Tenants in the proportion of their shares.
-    let tenant = if number % 100 < 62 { "billing-desk" } else { "channel-desk" };
+    let tenant = if number % 100 < 62 {
+        "billing-desk"
+    } else {
+        "channel-desk"
+    };
     let arg = BASE64_STANDARD.encode(statement);
-    let params = json!({"id": key, "wait": 6_000, "tenant": tenant, "cost": COST_MS, "kb": 8, "arg": arg});
+    let params =
+        json!({"id": key, "wait": 6_000, "tenant": tenant, "cost": COST_MS, "kb": 8, "arg": arg});
     let mut line = json!({"jsonrpc": "2.0", "id": number, "method": "lookup", "params": params})
         .to_string()
         .into_bytes();
@@ -126,7 +147,8 @@
     line
 }
 
-/// Starts the busy clients, which send that many statements a second together until they are told to stop.
+/// Starts the busy clients, which send that many statements a second together until they are told
+/// to stop.
 pub fn busy(executor: &Executor, addr: SocketAddr, rate: f64, tally: &Rc<Tally>) -> Vec<Task<()>> {
     let start = Instant::now();
     let one = |i: u64| {
@@ -145,7 +167,9 @@
     (start, rate, i): (Instant, f64, u64),
     tally: &Tally,
 ) -> Result<(), &'static str> {
-    let stream = Async::<TcpStream>::connect(addr).await.map_err(|_| "a busy client could not connect")?;
+    let stream = Async::<TcpStream>::connect(addr)
+        .await
+        .map_err(|_| "a busy client could not connect")?;
     let _ = stream.get_ref().set_nodelay(true);
     let send = async {
         let mut number = i + 1;
@@ -155,7 +179,10 @@
                 break;
             }
             add(&tally.asked);
-            (&stream).write_all(&line(number)).await.map_err(|_| "a busy client's connection broke")?;
+            (&stream)
+                .write_all(&line(number))
+                .await
+                .map_err(|_| "a busy client's connection broke")?;
             number += BUSY;
         }
         // What is open is still answered.
@@ -164,7 +191,9 @@
     let read = async {
         let mut input = Vec::new();
         loop {
-            let line = read_line(&stream, &mut input).await.ok_or("a busy client's connection was closed")?;
+            let line = read_line(&stream, &mut input)
+                .await
+                .ok_or("a busy client's connection was closed")?;
             add(match rpc_got(&line) {
                 Got::Served(_) => &tally.served,
                 Got::Refused(_) => &tally.refused,
--- a/src/kit/scale/mod.rs
+++ b/src/kit/scale/mod.rs
@@ -1,5 +1,5 @@
-//! The scale rig, all on real sockets on loopback: what one real daemon needs by the size of what stands around it
-//! (`daemons`), and fleets of many hollow managers in one process (`fleet`).
+//! The scale rig, all on real sockets on loopback: what one real daemon needs by the size of what
+//! stands around it (`daemons`), and fleets of many hollow managers in one process (`fleet`).
 pub mod board;
 pub mod daemons;
 pub mod events;
@@ -33,7 +33,11 @@
 impl Point {
     /// A point of that size.
     pub const fn new(engines: u64, clients: u64, rate: f64) -> Point {
-        Point { engines, clients, rate }
+        Point {
+            engines,
+            clients,
+            rate,
+        }
     }
 }
 
@@ -44,23 +48,32 @@
         let point = || {
             let mut words = text.split(':');
             let (engines, clients, rate) = (words.next()?, words.next()?, words.next()?);
-            let point = Point::new(engines.parse().ok()?, clients.parse().ok()?, rate.parse().ok()?);
+            let point = Point::new(
+                engines.parse().ok()?,
+                clients.parse().ok()?,
+                rate.parse().ok()?,
+            );
             let sound = (1..=10_000).contains(&point.engines)
                 && point.clients <= 100_000
                 && (0.0..=100_000.0).contains(&point.rate);
             (words.next().is_none() && sound).then_some(point)
         };
-        point().ok_or_else(|| format!("{text:?} is not ENGINES:CLIENTS:STATEMENTS, or out of range"))
+        point()
+            .ok_or_else(|| format!("{text:?} is not ENGINES:CLIENTS:STATEMENTS, or out of range"))
     }
 }
 
-/// The usual points: engines alone, clients alone, all engines with all clients, and statements before few and before
-/// all engines. The quick ones are fewer and smaller.
+/// The usual points: engines alone, clients alone, all engines with all clients, and statements
+/// before few and before all engines. The quick ones are fewer and smaller.
 pub fn grid(quick: bool) -> Vec<Point> {
     let (engines, clients, rates): (&[u64], &[u64], &[f64]) = if quick {
         (&[10, 114, 228], &[150, 300], &[50.0, 100.0])
     } else {
-        (&[10, 114, 228, 455, 910], &[650, 1300, 2600], &[150.0, 300.0, 609.0])
+        (
+            &[10, 114, 228, 455, 910],
+            &[650, 1300, 2600],
+            &[150.0, 300.0, 609.0],
+        )
     };
     let (few, all) = (engines[0], engines[engines.len() - 1]);
     let mut points: Vec<Point> = engines.iter().map(|e| Point::new(*e, 0, 0.0)).collect();
@@ -81,7 +94,8 @@
     pub managers: u64,
     /// For so long the daemon is left alone before.
     pub settle: Duration,
-    /// The same with statements: until as many connections to engines fall idle and close as are made.
+    /// The same with statements: until as many connections to engines fall idle and close as are
+    /// made.
     pub settle_busy: Duration,
     /// The window in which it is measured.
     pub window: Duration,
@@ -90,7 +104,11 @@
 impl Options {
     /// How long the daemon is left alone before it is measured.
     pub fn settle(&self, point: &Point) -> Duration {
-        if point.rate > 0.0 { self.settle_busy } else { self.settle }
+        if point.rate > 0.0 {
+            self.settle_busy
+        } else {
+            self.settle
+        }
     }
 }
 
--- a/src/kit/scale/needs.rs
+++ b/src/kit/scale/needs.rs
@@ -1,4 +1,5 @@
-//! What a run needs of the machine, and what the machine gives: asked up front, and read from `/proc` while it runs.
+//! What a run needs of the machine, and what the machine gives: asked up front, and read from
+//! `/proc` while it runs.
 use super::fleet::Plan;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -27,7 +28,10 @@
     pub fn of(plan: &Plan) -> Needs {
         let managers = plan.managers as u64;
         let memory_kb = managers * (MANAGER_KB + managers * MEMBER_KB);
-        Needs { descriptors: 2 * managers + OWN_SOCKETS, memory_mb: 32 + memory_kb / 1024 }
+        Needs {
+            descriptors: 2 * managers + OWN_SOCKETS,
+            memory_mb: 32 + memory_kb / 1024,
+        }
     }
 
     /// Whether there is so much: the refusal, if not.
@@ -51,14 +55,17 @@
 
 /// Descriptors that this process may have.
 pub fn descriptors() -> u64 {
-    rustix::process::getrlimit(rustix::process::Resource::Nofile).current.unwrap_or(u64::MAX)
+    rustix::process::getrlimit(rustix::process::Resource::Nofile)
+        .current
+        .unwrap_or(u64::MAX)
 }
 
 /// A line of a file of `/proc` that gives kilobytes; 0 if there is none.
 fn kilobytes(file: &str, name: &str) -> u64 {
     let text = std::fs::read_to_string(file).unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix(name));
-    line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0)
+    line.and_then(|l| l.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0)
 }
 
 /// Memory that is free to be used, in megabytes.
@@ -73,7 +80,10 @@
 
 /// Processor time of all threads that this process has now.
 pub fn processor() -> Duration {
-    let tasks = std::fs::read_dir("/proc/self/task").into_iter().flatten().flatten();
+    let tasks = std::fs::read_dir("/proc/self/task")
+        .into_iter()
+        .flatten()
+        .flatten();
     let time = tasks.filter_map(|task| {
         let text = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
         text.split_whitespace().next()?.parse::<u64>().ok()
@@ -96,5 +106,9 @@
 /// An address as that file has it.
 fn listed(at: &SocketAddr) -> Option<String> {
     let SocketAddr::V4(at) = at else { return None };
-    Some(format!("{:08X}:{:04X}", u32::from_ne_bytes(at.ip().octets()), at.port()))
+    Some(format!(
+        "{:08X}:{:04X}",
+        u32::from_ne_bytes(at.ip().octets()),
+        at.port()
+    ))
 }
--- a/src/kit/scale/proc.rs
+++ b/src/kit/scale/proc.rs
@@ -1,4 +1,5 @@
-//! What the system tells of a process under `/proc`: memory, processor time, context switches, descriptors.
+//! What the system tells of a process under `/proc`: memory, processor time, context switches,
+//! descriptors.
 use serde::Serialize;
 use std::fs;
 use std::io;
@@ -25,11 +26,14 @@
 
 /// A figure of a file that has one a line, as `name: 12 kB`.
 pub fn field(text: &str, name: &str) -> Option<u64> {
-    let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(':'))?;
+    let line = text
+        .lines()
+        .find_map(|l| l.strip_prefix(name)?.strip_prefix(':'))?;
     line.split_whitespace().next()?.parse().ok()
 }
 
-/// The state letter and the processor time in ticks that `/proc/PID/stat` tells. The name in it may hold anything.
+/// The state letter and the processor time in ticks that `/proc/PID/stat` tells. The name in it may
+/// hold anything.
 pub fn stat(text: &str) -> Option<(char, u64)> {
     let rest: Vec<&str> = text.rsplit_once(')')?.1.split_whitespace().collect();
     let time = |at: usize| rest.get(at)?.parse::<u64>().ok();
@@ -45,18 +49,33 @@
     let file = |name: &str| fs::read_to_string(format!("/proc/{pid}/{name}"));
     let (state, cpu_ticks) = stat(&file("stat")?).ok_or_else(|| missing("stat"))?;
     if matches!(state, 'Z' | 'X') {
-        return Err(io::Error::new(io::ErrorKind::NotFound, "the process has ended"));
+        return Err(io::Error::new(
+            io::ErrorKind::NotFound,
+            "the process has ended",
+        ));
     }
     let status = file("status")?;
     let memory = |name| field(&status, name).ok_or_else(|| missing(name));
-    let mut usage =
-        Usage { rss_kib: memory("VmRSS")?, anon_kib: memory("RssAnon")?, cpu_ticks, ..Usage::default() };
+    let mut usage = Usage {
+        rss_kib: memory("VmRSS")?,
+        anon_kib: memory("RssAnon")?,
+        cpu_ticks,
+        ..Usage::default()
+    };
     for thread in fs::read_dir(format!("/proc/{pid}/task"))? {
         let path = thread?.path();
         // A thread may end between the two.
-        let Ok(times) = fs::read_to_string(path.join("schedstat")) else { continue };
-        let Ok(status) = fs::read_to_string(path.join("status")) else { continue };
-        usage.cpu_ns += times.split(' ').next().and_then(|t| t.parse::<u64>().ok()).unwrap_or(0);
+        let Ok(times) = fs::read_to_string(path.join("schedstat")) else {
+            continue;
+        };
+        let Ok(status) = fs::read_to_string(path.join("status")) else {
+            continue;
+        };
+        usage.cpu_ns += times
+            .split(' ')
+            .next()
+            .and_then(|t| t.parse::<u64>().ok())
+            .unwrap_or(0);
         usage.switches += field(&status, "voluntary_ctxt_switches").unwrap_or(0);
     }
     usage.descriptors = fs::read_dir(format!("/proc/{pid}/fd"))?.count() as u64;
--- a/src/kit/scale/report.rs
+++ b/src/kit/scale/report.rs
@@ -6,7 +6,8 @@
 use comfy_table::presets::ASCII_MARKDOWN;
 use serde::Serialize;
 
-/// Processor time and memory that a manager may spend on control, in microseconds a second and in KiB.
+/// Processor time and memory that a manager may spend on control, in microseconds a second and in
+/// KiB.
 const MOST_CPU_US_PER_S: f64 = 12_000.0;
 const MOST_RSS_KIB: f64 = 64.0 * 1024.0;
 
@@ -65,7 +66,9 @@
 const LIST: [Column; 3] = [
     ("processor us until ready", 0, |m| m.start_cpu_us),
     ("processor us a whole list", 0, |m| m.list_cpu_us),
-    ("last statement after a drain us", 0, |m| m.change_us.map_or(f64::NAN, |us| us as f64)),
+    ("last statement after a drain us", 0, |m| {
+        m.change_us.map_or(f64::NAN, |us| us as f64)
+    }),
 ];
 
 /// What grows in a series of points, which points belong to it, and where they lie.
@@ -74,10 +77,34 @@
 fn series(few: u64, all: u64) -> [(Series, u64); 4] {
     let statements = |m: &Measured| m.clients == 0;
     [
-        (("engine, idle", |m| m.clients == 0 && m.rate == 0.0, |m| m.engines as f64), 0),
-        (("client, idle, a status call each 8 s", |m| m.rate == 0.0, |m| m.clients as f64), few),
-        (("statement a second, few engines", statements, |m| m.asked_per_s), few),
-        (("statement a second, all engines", statements, |m| m.asked_per_s), all),
+        (
+            (
+                "engine, idle",
+                |m| m.clients == 0 && m.rate == 0.0,
+                |m| m.engines as f64,
+            ),
+            0,
+        ),
+        (
+            (
+                "client, idle, a status call each 8 s",
+                |m| m.rate == 0.0,
+                |m| m.clients as f64,
+            ),
+            few,
+        ),
+        (
+            ("statement a second, few engines", statements, |m| {
+                m.asked_per_s
+            }),
+            few,
+        ),
+        (
+            ("statement a second, all engines", statements, |m| {
+                m.asked_per_s
+            }),
+            all,
+        ),
     ]
 }
 
@@ -92,7 +119,11 @@
 fn spread(values: &[f64]) -> (f64, f64, f64) {
     let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
     let least = values.iter().copied().fold(f64::INFINITY, f64::min);
-    (mean, least, values.iter().copied().fold(f64::NEG_INFINITY, f64::max))
+    (
+        mean,
+        least,
+        values.iter().copied().fold(f64::NEG_INFINITY, f64::max),
+    )
 }
 
 fn cell(values: &[f64], decimals: usize) -> String {
@@ -118,10 +149,17 @@
             let chosen = |m: &&Measured| belongs(m) && (only == 0 || m.engines == only);
             for (costs, figure) in COSTS {
                 let points = |play: &Vec<Measured>| {
-                    play.iter().filter(chosen).map(|m| (at(m), figure(m))).collect::<Vec<_>>()
+                    play.iter()
+                        .filter(chosen)
+                        .map(|m| (at(m), figure(m)))
+                        .collect::<Vec<_>>()
                 };
                 let points: Vec<_> = plays.iter().map(points).collect();
-                fits.push(Slope { of, costs, fit: fit::fit(&points) });
+                fits.push(Slope {
+                    of,
+                    costs,
+                    fit: fit::fit(&points),
+                });
             }
         }
         Report { plays, fits }
@@ -136,11 +174,24 @@
         let mut table = Table::new();
         let names = columns.iter().map(|(name, ..)| *name);
         table.load_preset(ASCII_MARKDOWN);
-        table.set_header(["engines", "clients", "statements /s"].into_iter().chain(names));
+        table.set_header(
+            ["engines", "clients", "statements /s"]
+                .into_iter()
+                .chain(names),
+        );
         for (at, point) in self.plays.first().into_iter().flatten().enumerate() {
-            let size = [point.engines.to_string(), point.clients.to_string(), point.rate.to_string()];
-            let each =
-                |figure: Figure| self.plays.iter().filter_map(|play| play.get(at)).map(figure).collect();
+            let size = [
+                point.engines.to_string(),
+                point.clients.to_string(),
+                point.rate.to_string(),
+            ];
+            let each = |figure: Figure| {
+                self.plays
+                    .iter()
+                    .filter_map(|play| play.get(at))
+                    .map(figure)
+                    .collect()
+            };
             let cells = columns.iter().map(|(_, decimals, figure)| {
                 let values: Vec<f64> = each(*figure);
                 cell(&values, *decimals)
@@ -152,10 +203,20 @@
 
     fn slopes(&self) -> String {
         let mut table = Table::new();
-        let names = ["one more", "costs", "each", "over plays", "with none", "worst residual", ""];
+        let names = [
+            "one more",
+            "costs",
+            "each",
+            "over plays",
+            "with none",
+            "worst residual",
+            "",
+        ];
         table.load_preset(ASCII_MARKDOWN).set_header(names);
         for Slope { of, costs, fit } in &self.fits {
-            let Some(Fit { line, least, most }) = fit else { continue };
+            let Some(Fit { line, least, most }) = fit else {
+                continue;
+            };
             table.add_row([
                 (*of).to_owned(),
                 (*costs).to_owned(),
@@ -163,7 +224,11 @@
                 format!("{least:.2} to {most:.2}"),
                 format!("{:.0}", line.intercept),
                 format!("{:.1}%", 100.0 * line.worst),
-                if line.holds { String::new() } else { "does not hold".into() },
+                if line.holds {
+                    String::new()
+                } else {
+                    "does not hold".into()
+                },
             ]);
         }
         format!("Slopes, by least squares over all plays\n\n{table}\n")
@@ -188,8 +253,14 @@
             1 => "one play".to_owned(),
             n => format!("mean of {n} plays, least and most"),
         };
-        let titled = |title: &str, columns: &[Column]| self.points(&format!("{title}, {plays}"), columns);
-        let first = self.plays.first().and_then(|play| play.first()).cloned().unwrap_or_default();
+        let titled =
+            |title: &str, columns: &[Column]| self.points(&format!("{title}, {plays}"), columns);
+        let first = self
+            .plays
+            .first()
+            .and_then(|play| play.first())
+            .cloned()
+            .unwrap_or_default();
         let how = format!(
             "One daemon of {} managers with a second address, windows of {:.1} s; idle clients ask for the status every \
             {} s; processor time is that of the daemon's threads as the scheduler counts it.\n",
@@ -202,7 +273,10 @@
             titled("Memory of the daemon", &MEMORY),
             titled("Processor time of the daemon", &PROCESSOR),
             titled("Descriptors of the daemon", &DESCRIPTORS),
-            titled("Statements in the window, and engines since the start", &STATEMENTS),
+            titled(
+                "Statements in the window, and engines since the start",
+                &STATEMENTS,
+            ),
             titled("The list of engines", &LIST),
             self.slopes(),
             self.bounds(),
--- a/src/kit/scale/room.rs
+++ b/src/kit/scale/room.rs
@@ -1,4 +1,5 @@
-//! Whether this machine has room for a point: descriptors and memory, told before anything is started.
+//! Whether this machine has room for a point: descriptors and memory, told before anything is
+//! started.
 use super::load::BUSY;
 use super::{Options, Point, daemons, proc};
 use rustix::process::{Resource, getrlimit};
@@ -7,7 +8,8 @@
 const MOST_MIB: u64 = 12 * 1024;
 /// Descriptors of this process that are no stand-in's.
 const OWN: u64 = 64;
-/// Memory of both processes without stand-ins, in MiB; for each engine and for each connection, in KiB: amply.
+/// Memory of both processes without stand-ins, in MiB; for each engine and for each connection, in
+/// KiB: amply.
 const BASE_MIB: u64 = 128;
 const ENGINE_KIB: u64 = 256;
 const CONNECTION_KIB: u64 = 96;
@@ -29,9 +31,18 @@
     /// What this machine has: the daemon starts with the limits of this process.
     pub fn here() -> Room {
         let limit = getrlimit(Resource::Nofile);
-        let descriptors = limit.current.into_iter().chain(limit.maximum).min().unwrap_or(u64::MAX);
+        let descriptors = limit
+            .current
+            .into_iter()
+            .chain(limit.maximum)
+            .min()
+            .unwrap_or(u64::MAX);
         let memory_mib = proc::available_mib().min(MOST_MIB);
-        Room { own_descriptors: descriptors, daemon_descriptors: descriptors, memory_mib }
+        Room {
+            own_descriptors: descriptors,
+            daemon_descriptors: descriptors,
+            memory_mib,
+        }
     }
 
     /// What a point needs where the daemon may have that many descriptors.
@@ -56,27 +67,45 @@
             && need.memory_mib <= self.memory_mib
     }
 
-    /// The greatest part of a point that has room here, in hundredths: fewer clients first, then fewer engines.
+    /// The greatest part of a point that has room here, in hundredths: fewer clients first, then
+    /// fewer engines.
     pub fn nearest(&self, point: &Point, options: &Options) -> Option<Point> {
         let part = |of: u64, hundredths: u64| of * hundredths / 100;
-        let fewer_clients = (0..100).rev().map(|h| Point { clients: part(point.clients, h), ..*point });
-        let fewer_engines =
-            (1..100).rev().map(|h| Point { clients: 0, engines: part(point.engines, h), ..*point });
+        let fewer_clients = (0..100).rev().map(|h| Point {
+            clients: part(point.clients, h),
+            ..*point
+        });
+        let fewer_engines = (1..100).rev().map(|h| Point {
+            clients: 0,
+            engines: part(point.engines, h),
+            ..*point
+        });
         let mut all = fewer_clients.chain(fewer_engines).filter(|p| p.engines > 0);
         all.find(|p| self.holds(&Room::of(p, daemons::sockets(&[*p]), options)))
     }
 
-    /// Refuses points that have no room: what the greatest of them needs, what there is, and what would fit.
+    /// Refuses points that have no room: what the greatest of them needs, what there is, and what
+    /// would fit.
     pub fn check(&self, points: &[Point], options: &Options) -> Result<(), String> {
         let sockets = daemons::sockets(points);
         let lacks = |p: &&Point| !self.holds(&Room::of(p, sockets, options));
-        // The daemon's descriptors are the same at all points: the greatest one is to blame for them.
-        let greatest = |p: &&Point| (daemons::sockets(&[**p]), Room::of(p, sockets, options).memory_mib);
-        let Some(point) = points.iter().filter(lacks).max_by_key(greatest) else { return Ok(()) };
+        // The daemon's descriptors are the same at all points: the greatest one is to blame for
+        // them.
+        let greatest = |p: &&Point| {
+            (
+                daemons::sockets(&[**p]),
+                Room::of(p, sockets, options).memory_mib,
+            )
+        };
+        let Some(point) = points.iter().filter(lacks).max_by_key(greatest) else {
+            return Ok(());
+        };
         let need = Room::of(point, sockets, options);
-        let nearest = self.nearest(point, options).map_or("nothing fits".to_owned(), |p| {
-            format!("{} engines with {} clients would fit", p.engines, p.clients)
-        });
+        let nearest = self
+            .nearest(point, options)
+            .map_or("nothing fits".to_owned(), |p| {
+                format!("{} engines with {} clients would fit", p.engines, p.clients)
+            });
         Err(format!(
             "{} engines with {} clients need {} descriptors here and {} in the daemon, and {} MiB of memory; there \
             are {}, {} and {} MiB; {nearest}",
--- a/src/kit/scale/site.rs
+++ b/src/kit/scale/site.rs
@@ -18,7 +18,8 @@
 /// Changes told to measure one, and the time before and after each, in milliseconds.
 const CHANGES: u64 = 4;
 const CHANGE_MS: u64 = 150;
-/// The daemon and the stand-ins are looked after this often, and a word is said of the run every second.
+/// The daemon and the stand-ins are looked after this often, and a word is said of the run every
+/// second.
 const LOOK_MS: u64 = 50;
 const LOOKS_A_WORD: u64 = 20;
 /// Whole lists told one after the other to measure one, and the time for each, in milliseconds.
@@ -58,10 +59,16 @@
 
 impl Site<'_> {
     /// Comes to an end only when the daemon or a stand-in fails.
-    pub(super) async fn watch(&self, progress: &mut dyn FnMut(&Progress)) -> Result<Measured, String> {
+    pub(super) async fn watch(
+        &self,
+        progress: &mut dyn FnMut(&Progress),
+    ) -> Result<Measured, String> {
         for look in 0.. {
             if look % LOOKS_A_WORD == 0 {
-                progress(&Progress { pid: self.daemon.pid(), doing: self.doing.get() });
+                progress(&Progress {
+                    pid: self.daemon.pid(),
+                    doing: self.doing.get(),
+                });
             }
             if !proc::runs(self.daemon.pid()) {
                 return Err("the daemon ended by itself".into());
@@ -78,7 +85,8 @@
     }
 
     fn usage(&self) -> Result<Usage, String> {
-        proc::usage(self.daemon.pid()).map_err(|e| format!("what the daemon uses can't be read: {e}"))
+        proc::usage(self.daemon.pid())
+            .map_err(|e| format!("what the daemon uses can't be read: {e}"))
     }
 
     fn engine_connections(&self) -> u64 {
@@ -87,7 +95,10 @@
 
     fn engines_used(&self) -> u64 {
         let runs = self.book.runs.borrow();
-        runs.iter().map(|r| r.engine.as_str()).collect::<BTreeSet<_>>().len() as u64
+        runs.iter()
+            .map(|r| r.engine.as_str())
+            .collect::<BTreeSet<_>>()
+            .len() as u64
     }
 
     fn counts(&self) -> Result<Counts, String> {
@@ -108,7 +119,11 @@
     async fn fixed_descriptors(&self) -> Result<u64, String> {
         let mut seen = Vec::new();
         for _ in 0..100 {
-            seen.push(self.usage()?.descriptors.checked_sub(self.engine_connections()));
+            seen.push(
+                self.usage()?
+                    .descriptors
+                    .checked_sub(self.engine_connections()),
+            );
             if let [.., Some(a), Some(b), Some(c)] = seen[..]
                 && a == b
                 && b == c
@@ -124,9 +139,12 @@
     async fn figure(&self, name: &str) -> Result<u64, String> {
         let console = self.daemon.console.ok_or("no second address")?;
         let said = clients::call(console, "GET", "/metrics").await;
-        let (_, text) =
-            said.filter(|(status, _)| *status == 200).ok_or("the second address does not answer")?;
-        let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(':'));
+        let (_, text) = said
+            .filter(|(status, _)| *status == 200)
+            .ok_or("the second address does not answer")?;
+        let line = text
+            .lines()
+            .find_map(|l| l.strip_prefix(name)?.strip_prefix(':'));
         let value = line.and_then(|l| l.split('|').next()?.parse().ok());
         value.ok_or_else(|| format!("the second address does not tell {name}"))
     }
@@ -148,7 +166,10 @@
         let listen = self.daemon.listen;
         let idle = load::idle(self.executor, listen, point.clients, &self.tally).await;
         if !eventually(|| self.tally.answered.get() == point.clients).await {
-            return Err(format!("only {} clients were answered", self.tally.answered.get()));
+            return Err(format!(
+                "only {} clients were answered",
+                self.tally.answered.get()
+            ));
         }
         let busy = load::busy(self.executor, listen, point.rate, &self.tally);
         self.doing.set("settling");
@@ -180,8 +201,10 @@
         m.begun = self.book.runs.borrow().len() as u64;
         // It puts its figures down now and then.
         for _ in 0..100 {
-            (m.dispatches, m.targets) =
-                (self.figure("app.dispatches").await?, self.figure("app.targets").await?);
+            (m.dispatches, m.targets) = (
+                self.figure("app.dispatches").await?,
+                self.figure("app.targets").await?,
+            );
             if (m.dispatches, m.targets) == (m.begun, m.engines) {
                 return Ok(m);
             }
@@ -211,7 +234,10 @@
         m.probes_per_s = per_s(from.probes, to.probes);
         m.engines_used = self.engines_used();
         if m.asked_per_s < 0.9 * m.rate * (1.0 - 1.0 / (m.rate * seconds).max(2.0)) {
-            return Err(format!("the stand-in clients asked only {:.1} statements a second", m.asked_per_s));
+            return Err(format!(
+                "the stand-in clients asked only {:.1} statements a second",
+                m.asked_per_s
+            ));
         }
         // A connection that is just made or ended is seen at the two ends at two instants.
         m.client_connections = m.clients + busy;
@@ -223,8 +249,10 @@
             m.descriptors = self.usage()?.descriptors;
             let stand_ins = proc::usage(std::process::id()).map_err(|e| e.to_string())?;
             let peers = m.engines + m.client_connections + m.engine_connections;
-            (m.stand_ins_rss_kib, m.stand_ins_descriptors) =
-                (stand_ins.rss_kib, stand_ins.descriptors.saturating_sub(peers));
+            (m.stand_ins_rss_kib, m.stand_ins_descriptors) = (
+                stand_ins.rss_kib,
+                stand_ins.descriptors.saturating_sub(peers),
+            );
             if m.descriptors == m.fixed_descriptors + m.client_connections + m.engine_connections {
                 return Ok(());
             }
@@ -236,21 +264,29 @@
         ))
     }
 
-    /// Tells that half of the engines drain, and then that they don't, one half and the other in turns; how long after
-    /// the word one of them was still sent something, at worst. Nothing if no statement came meanwhile.
+    /// Tells that half of the engines drain, and then that they don't, one half and the other in
+    /// turns; how long after the word one of them was still sent something, at worst. Nothing if no
+    /// statement came meanwhile.
     async fn change(&self) -> Option<u64> {
         let halves = self.list.split_at(self.list.len() / 2);
         let mut worst = None;
         for change in 0..CHANGES {
             let half = if change % 2 == 0 { halves.0 } else { halves.1 };
             let mut draining = half.to_vec();
-            draining.iter_mut().for_each(|l| l.entry.readiness = Readiness::Draining);
-            let names: BTreeSet<String> = half.iter().map(|l| engine_name(l.entry.id.0 - 1)).collect();
+            draining
+                .iter_mut()
+                .for_each(|l| l.entry.readiness = Readiness::Draining);
+            let names: BTreeSet<String> =
+                half.iter().map(|l| engine_name(l.entry.id.0 - 1)).collect();
             let (before, told) = (self.book.runs.borrow().len(), clock::turn());
             self.coordinator.tell(false, &draining);
             pause(CHANGE_MS).await;
             for run in &self.book.runs.borrow()[before..] {
-                let late = if names.contains(&run.engine) { run.from.saturating_sub(told) } else { 0 };
+                let late = if names.contains(&run.engine) {
+                    run.from.saturating_sub(told)
+                } else {
+                    0
+                };
                 worst = worst.max(Some(late));
             }
             self.coordinator.tell(false, half);
@@ -262,8 +298,11 @@
     /// Processor time for one whole list: that of some, less that of a quiet time as long.
     async fn lists(&self, fixed: u64) -> Result<f64, String> {
         // The clients have gone; the daemon sees it.
-        if !eventually(|| self.usage().is_ok_and(|u| u.descriptors <= fixed + self.engine_connections()))
-            .await
+        if !eventually(|| {
+            self.usage()
+                .is_ok_and(|u| u.descriptors <= fixed + self.engine_connections())
+        })
+        .await
         {
             return Err("the daemon does not see that clients have gone".into());
         }
--- a/src/kit/script/mod.rs
+++ b/src/kit/script/mod.rs
@@ -98,8 +98,8 @@
     said: &'a mut dyn FnMut(&str),
 }
 
-/// Plays a script against the daemon; `said` hears of each end. Gives what went wrong: steps that did not go as
-/// expected, and broken rules.
+/// Plays a script against the daemon; `said` hears of each end. Gives what went wrong: steps that
+/// did not go as expected, and broken rules.
 pub fn play(program: &Path, script: &str, said: &mut dyn FnMut(&str)) -> Result<(), Vec<String>> {
     let executor: Executor = Rc::new(LocalExecutor::new());
     let stage = Stage {
@@ -138,7 +138,10 @@
             match in_time(self.step(line)).await {
                 Some(Ok(())) => {}
                 Some(Err(what)) => wrong.push(format!("line {}: {line}: {what}", at + 1)),
-                None => wrong.push(format!("line {}: {line}: it did not come to pass in time", at + 1)),
+                None => wrong.push(format!(
+                    "line {}: {line}: it did not come to pass in time",
+                    at + 1
+                )),
             }
             // What follows a wrong step rarely tells more.
             if !wrong.is_empty() {
@@ -155,14 +158,26 @@
                 None => (self.said)(&format!("{name}: its client left")),
             }
         }
-        wrong.extend(self.book.broken().into_iter().map(|rule| format!("broken rule: {rule}")));
+        wrong.extend(
+            self.book
+                .broken()
+                .into_iter()
+                .map(|rule| format!("broken rule: {rule}")),
+        );
         wrong
     }
 
     fn listed(&self, name: &str, readiness: Readiness) -> Result<Listed, String> {
         let (engine, number) = self.engines.get(name).ok_or("no such engine")?;
         let kind = self.kinds.get(name).copied().unwrap_or(0);
-        Ok(listed(*number, engine.addr, readiness, (0, kind, 0), 1.0, 0))
+        Ok(listed(
+            *number,
+            engine.addr,
+            readiness,
+            (0, kind, 0),
+            1.0,
+            0,
+        ))
     }
 
     fn deploy(&self) -> String {
@@ -176,7 +191,11 @@
             )
         });
         for (engine, number) in self.engines.values().filter(|(e, _)| e.http) {
-            let _ = writeln!(text, "# {}\n[[engine]]\nid = \"s-{number:08x}\"", engine.addr);
+            let _ = writeln!(
+                text,
+                "# {}\n[[engine]]\nid = \"s-{number:08x}\"",
+                engine.addr
+            );
         }
         text += "[[class]]\nname = \"load\"\nbegins = [\"insert\"]\n";
         text += "[[class]]\nname = \"report\"\nholds = [\"group\", \"join\"]\n";
@@ -185,17 +204,27 @@
 
     async fn step(&mut self, line: &str) -> Result<(), String> {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let number = |text: &str| text.parse::<u64>().map_err(|_| format!("{text:?} is no number"));
+        let number = |text: &str| {
+            text.parse::<u64>()
+                .map_err(|_| format!("{text:?} is no number"))
+        };
         match words[..] {
             ["engine", name, kind @ ("platform" | "clickhouse")] => {
-                let engine = Engine::start(&self.executor, name, kind == "clickhouse", self.book.clone());
+                let engine = Engine::start(
+                    &self.executor,
+                    name,
+                    kind == "clickhouse",
+                    self.book.clone(),
+                );
                 let number = self.engines.len() as u32 + 1;
                 self.engines.insert(name.to_owned(), (engine, number));
             }
             ["engine", name, "platform", kind, sessions] => {
                 self.model(name, kind, number(sessions)? as usize)?
             }
-            ["set", pointer, ..] => self.set(pointer, line.splitn(3, ' ').nth(2).unwrap_or_default())?,
+            ["set", pointer, ..] => {
+                self.set(pointer, line.splitn(3, ' ').nth(2).unwrap_or_default())?
+            }
             ["sent", name, field, value] => self.sent(name, field, value)?,
             ["dropped", name, count] => self.dropped(name, number(count)? as usize)?,
             ["user", name, key, tenant] => {
@@ -205,16 +234,25 @@
                 }
             }
             ["tenant", name, share] => self.directory().tenant(name, share),
-            ["person", name, key, tenant] => self.directory().user(name, key, tenant.trim_matches('-')),
-            ["occupy"] => self.occupied = Some(TcpListener::bind(self.http).map_err(|e| e.to_string())?),
+            ["person", name, key, tenant] => {
+                self.directory().user(name, key, tenant.trim_matches('-'))
+            }
+            ["occupy"] => {
+                self.occupied = Some(TcpListener::bind(self.http).map_err(|e| e.to_string())?)
+            }
             ["start"] => {
                 let ready = |name: &String| self.listed(name, Readiness::Ready);
-                let all = self.engines.keys().map(ready).collect::<Result<Vec<_>, _>>()?;
+                let all = self
+                    .engines
+                    .keys()
+                    .map(ready)
+                    .collect::<Result<Vec<_>, _>>()?;
                 let known = coordinator::known(&all, &ZONES, &KINDS);
                 let second = !self.users.is_empty() || self.directory.is_some();
                 let at = self.coordinator.addr;
                 self.book.allow(deployment::terms(&self.settings));
-                // Guards against a verdict by chance: a port that was free may be taken before the daemon has it.
+                // Guards against a verdict by chance: a port that was free may be taken before the
+                // daemon has it.
                 for tries in 1.. {
                     let deploy = self.deploy();
                     let deploy = Some(deploy.as_str()).filter(|_| second);
@@ -257,16 +295,35 @@
             }
             ["console"] => self.console = true,
             ["call", method, path, status] => {
-                let console = self.daemon.as_ref().and_then(|d| d.console).ok_or("no second address")?;
+                let console = self
+                    .daemon
+                    .as_ref()
+                    .and_then(|d| d.console)
+                    .ok_or("no second address")?;
                 let wanted = number(status)?;
-                while clients::call(console, method, path).await.is_none_or(|(s, _)| u64::from(s) != wanted) {
+                while clients::call(console, method, path)
+                    .await
+                    .is_none_or(|(s, _)| u64::from(s) != wanted)
+                {
                     pause(10).await;
                 }
             }
             ["figure", name, value] => {
-                let console = self.daemon.as_ref().and_then(|d| d.console).ok_or("no second address")?;
-                let runs: usize = self.queries.keys().map(|query| self.book.of(query).len()).sum();
-                let value = if value == "runs" { runs.to_string() } else { value.to_owned() };
+                let console = self
+                    .daemon
+                    .as_ref()
+                    .and_then(|d| d.console)
+                    .ok_or("no second address")?;
+                let runs: usize = self
+                    .queries
+                    .keys()
+                    .map(|query| self.book.of(query).len())
+                    .sum();
+                let value = if value == "runs" {
+                    runs.to_string()
+                } else {
+                    value.to_owned()
+                };
                 let wanted = format!("app.{name}:{value}|");
                 while clients::call(console, "GET", "/metrics")
                     .await
@@ -280,16 +337,38 @@
                 let kept = Kept::open(&self.executor, listen);
                 self.kept.insert(name.to_owned(), (kept, Vec::new()));
             }
-            [how @ ("ask" | "begin"), name, "on", kept, class, tenant, wait, ..] => {
+            [
+                how @ ("ask" | "begin"),
+                name,
+                "on",
+                kept,
+                class,
+                tenant,
+                wait,
+                ..,
+            ] => {
                 let statement = format!("{} /* {name} */", words[7..].join(" "));
                 let key = format!("{:016x}", self.queries.len() + 1);
                 let (kept, rest) = self.kept.get_mut(kept).ok_or("no such client")?;
                 let got = Rc::<RefCell<Option<Got>>>::default();
-                let asked = (class, key.as_str(), tenant, number(wait)?, statement.as_str());
+                let asked = (
+                    class,
+                    key.as_str(),
+                    tenant,
+                    number(wait)?,
+                    statement.as_str(),
+                );
                 let left = kept.ask(asked, got.clone(), if how == "begin" { 2 } else { 1 });
                 rest.extend(left);
-                self.queries
-                    .insert(name.to_owned(), Query { task: None, got, leaves: Rc::default(), told: false });
+                self.queries.insert(
+                    name.to_owned(),
+                    Query {
+                        task: None,
+                        got,
+                        leaves: Rc::default(),
+                        told: false,
+                    },
+                );
             }
             ["rest", kept] => {
                 let (kept, rest) = self.kept.get_mut(kept).ok_or("no such client")?;
@@ -297,29 +376,55 @@
             }
             ["closed", kept] => {
                 let (kept, _) = self.kept.get(kept).ok_or("no such client")?;
-                eventually(|| kept.closed()).await.then_some(()).ok_or("it is still open")?;
+                eventually(|| kept.closed())
+                    .await
+                    .then_some(())
+                    .ok_or("it is still open")?;
             }
             ["kept", kept] => {
                 let (kept, _) = self.kept.get(kept).ok_or("no such client")?;
                 (!kept.closed()).then_some(()).ok_or("it is closed")?;
             }
-            ["retune", ..] => self.daemon.as_ref().ok_or("not started")?.retune(&words[1..])?,
-            ["launch"] => self.daemon.as_mut().ok_or("not started")?.launch(self.program)?,
-            ["follow"] => self.daemon.as_mut().ok_or("not started")?.follow(self.program).await?,
+            ["retune", ..] => self
+                .daemon
+                .as_ref()
+                .ok_or("not started")?
+                .retune(&words[1..])?,
+            ["launch"] => self
+                .daemon
+                .as_mut()
+                .ok_or("not started")?
+                .launch(self.program)?,
+            ["follow"] => {
+                self.daemon
+                    .as_mut()
+                    .ok_or("not started")?
+                    .follow(self.program)
+                    .await?
+            }
             ["retire"] => self.daemon.as_ref().ok_or("not started")?.retire(),
             ["retired"] => {
-                let status =
-                    self.daemon.as_mut().ok_or("not started")?.retired().await.ok_or("it goes on")?;
+                let status = self
+                    .daemon
+                    .as_mut()
+                    .ok_or("not started")?
+                    .retired()
+                    .await
+                    .ok_or("it goes on")?;
                 status.success().then_some(()).ok_or(format!("{status}"))?;
             }
             ["kill", which @ ("older" | "newer")] => {
-                self.daemon.as_mut().ok_or("not started")?.kill(which == "newer");
+                self.daemon
+                    .as_mut()
+                    .ok_or("not started")?
+                    .kill(which == "newer");
             }
             ["stream", name, class, tenant, wait, count, gap] => {
                 let listen = self.daemon.as_ref().ok_or("not started")?.listen;
                 let ends = self.streams.entry(name.to_owned()).or_default();
-                let all: Vec<_> =
-                    (0..number(count)?).map(|_| Rc::<RefCell<Option<Got>>>::default()).collect();
+                let all: Vec<_> = (0..number(count)?)
+                    .map(|_| Rc::<RefCell<Option<Got>>>::default())
+                    .collect();
                 ends.extend(all.clone());
                 let (class, tenant) = (class.to_owned(), tenant.to_owned());
                 let (wait, gap, name) = (number(wait)?, number(gap)?, name.to_owned());
@@ -341,12 +446,17 @@
                     // They stay until the last answer.
                     std::future::pending::<()>().await;
                 };
-                self.mute.entry(String::new()).or_default().push(self.executor.spawn(task));
+                self.mute
+                    .entry(String::new())
+                    .or_default()
+                    .push(self.executor.spawn(task));
             }
             ["expect-all", name, "served"] => {
                 let ends = self.streams.get(name).ok_or("no such stream")?;
                 eventually(|| ends.iter().all(|end| end.borrow().is_some())).await;
-                let served = |end: &&Rc<RefCell<Option<Got>>>| matches!(&*end.borrow(), Some(Got::Served(_)));
+                let served = |end: &&Rc<RefCell<Option<Got>>>| {
+                    matches!(&*end.borrow(), Some(Got::Served(_)))
+                };
                 let served = ends.iter().filter(served).count();
                 (self.said)(&format!("{name}: {served} of {} served", ends.len()));
                 if served < ends.len() {
@@ -371,7 +481,8 @@
                     _ => clients::STATUS,
                 };
                 let one = |_| self.executor.spawn(clients::mute(addr, hello));
-                self.mute.insert(name.to_owned(), (0..number(count)?).map(one).collect());
+                self.mute
+                    .insert(name.to_owned(), (0..number(count)?).map(one).collect());
             }
             ["shut", name] => {
                 for client in self.mute.remove(name).ok_or("no such clients")? {
@@ -381,12 +492,18 @@
             ["seen", name] => {
                 let book = self.book.clone();
                 let seen = || book.of(name).iter().any(|r| r.end.is_none());
-                eventually(seen).await.then_some(()).ok_or("no engine runs it")?;
+                eventually(seen)
+                    .await
+                    .then_some(())
+                    .ok_or("no engine runs it")?;
             }
             ["over", name] => {
                 let book = self.book.clone();
                 let over = || book.of(name).iter().all(|r| r.end.is_some());
-                eventually(over).await.then_some(()).ok_or("an engine still runs it")?;
+                eventually(over)
+                    .await
+                    .then_some(())
+                    .ok_or("an engine still runs it")?;
             }
             ["expect", name, ref end @ ..] => self.expect(name, end).await?,
             ["runs", name, count] => {
@@ -401,7 +518,11 @@
             }
             ["raw", name, front, ..] => {
                 let text = line.splitn(4, ' ').nth(3).unwrap_or_default();
-                let bytes = text.replace("\\r", "\r").replace("\\n", "\n").replace("\\0", "\0").into_bytes();
+                let bytes = text
+                    .replace("\\r", "\r")
+                    .replace("\\n", "\n")
+                    .replace("\\0", "\0")
+                    .into_bytes();
                 let listen = self.daemon.as_ref().ok_or("not started")?.listen;
                 let addr = if front == "http" { self.http } else { listen };
                 let (got, http) = (Rc::<RefCell<Option<Got>>>::default(), front == "http");
@@ -416,7 +537,12 @@
                 });
                 self.queries.insert(
                     name.to_owned(),
-                    Query { task: Some(task), got, leaves: Rc::default(), told: false },
+                    Query {
+                        task: Some(task),
+                        got,
+                        leaves: Rc::default(),
+                        told: false,
+                    },
                 );
             }
             ["drop", name] => {
@@ -425,22 +551,28 @@
             }
             ["drain", name] => {
                 self.book.drained(name);
-                self.coordinator.tell(false, &[self.listed(name, Readiness::Draining)?]);
+                self.coordinator
+                    .tell(false, &[self.listed(name, Readiness::Draining)?]);
             }
             ["gone", name] => {
                 self.book.drained(name);
-                self.coordinator.tell(false, &[self.listed(name, Readiness::Gone)?]);
+                self.coordinator
+                    .tell(false, &[self.listed(name, Readiness::Gone)?]);
             }
             ["ready", name] => {
                 self.book.resumed(name);
-                self.coordinator.tell(false, &[self.listed(name, Readiness::Ready)?]);
+                self.coordinator
+                    .tell(false, &[self.listed(name, Readiness::Ready)?]);
             }
             ["down", name] => self.engines.get_mut(name).ok_or("no such engine")?.0.down(),
             ["cut"] => self.coordinator.cut(),
             ["move"] => {
                 // The old one tells nothing further, and its connections stay open.
                 self.coordinator = self.coordinator.successor(&self.executor);
-                self.daemon.as_ref().ok_or("not started")?.reload(Some(self.coordinator.addr))?;
+                self.daemon
+                    .as_ref()
+                    .ok_or("not started")?
+                    .reload(Some(self.coordinator.addr))?;
             }
             ["spoil"] => self.daemon.as_ref().ok_or("not started")?.reload(None)?,
             ["until", name, value] => {
@@ -490,7 +622,10 @@
     }
 
     fn ask(&mut self, name: &str, words: &[&str]) -> Result<(), String> {
-        let (got, leaves) = (Rc::<RefCell<Option<Got>>>::default(), Rc::<Cell<bool>>::default());
+        let (got, leaves) = (
+            Rc::<RefCell<Option<Got>>>::default(),
+            Rc::<Cell<bool>>::default(),
+        );
         let (end, leave) = (got.clone(), leaves.clone());
         let named = |statement: &[&str]| format!("{} /* {name} */", statement.join(" "));
         let listen = self.daemon.as_ref().ok_or("not started")?.listen;
@@ -511,8 +646,10 @@
             }
             ["http", user, key, seconds, statement @ ..] => {
                 let params = format!("query_id={name}&max_execution_time={seconds}");
-                let (addr, request) =
-                    (self.http, clients::http_request(user, key, &params, &named(statement)));
+                let (addr, request) = (
+                    self.http,
+                    clients::http_request(user, key, &params, &named(statement)),
+                );
                 self.executor.spawn(async move {
                     let ended = clients::http_or_leave(addr, &request, &leave).await;
                     *end.borrow_mut() = Some(ended);
@@ -520,7 +657,15 @@
             }
             _ => return Err("ask how?".into()),
         };
-        self.queries.insert(name.to_owned(), Query { task: Some(task), got, leaves, told: false });
+        self.queries.insert(
+            name.to_owned(),
+            Query {
+                task: Some(task),
+                got,
+                leaves,
+                told: false,
+            },
+        );
         Ok(())
     }
 
@@ -532,13 +677,23 @@
         (self.said)(&format!("{name}: {got}"));
         let fits = match (end, &got) {
             // Whole, in order, and its own.
-            (["served"], Got::Served(text)) => *text == rows(name, text.lines().count()) && !text.is_empty(),
-            (["served", count], Got::Served(text)) => *text == rows(name, count.parse().unwrap_or(0)),
+            (["served"], Got::Served(text)) => {
+                *text == rows(name, text.lines().count()) && !text.is_empty()
+            }
+            (["served", count], Got::Served(text)) => {
+                *text == rows(name, count.parse().unwrap_or(0))
+            }
             (["refused"], Got::Refused(after)) => after.is_some(),
-            (["failed"], Got::Failed(_)) | (["deadline"], Got::Deadline) | (["cut"], Got::Cut) => true,
+            (["failed"], Got::Failed(_)) | (["deadline"], Got::Deadline) | (["cut"], Got::Cut) => {
+                true
+            }
             (["rejected", code], Got::Rejected(found)) => *code == found.to_string(),
             _ => false,
         };
-        if fits { Ok(()) } else { Err(format!("{got:?}")) }
+        if fits {
+            Ok(())
+        } else {
+            Err(format!("{got:?}"))
+        }
     }
 }
--- a/src/kit/soundings.rs
+++ b/src/kit/soundings.rs
@@ -1,5 +1,5 @@
-//! Probes of engines over an emulated fleet, with and without an owner for each engine: the machines of duties of many
-//! managers on a simulated network. All from one seed.
+//! Probes of engines over an emulated fleet, with and without an owner for each engine: the
+//! machines of duties of many managers on a simulated network. All from one seed.
 use crate::clock::{MS, Micros, SEC};
 use crate::duties::probing::{Prober, Sounding, Step};
 use crate::duties::wire::{self, Letter};
@@ -116,10 +116,16 @@
 
     /// Who should own what, as all see it: those that run.
     fn rank(&mut self) {
-        let names: Vec<String> = (0..self.all.len()).filter(|i| !self.all[*i].stopped).map(name).collect();
+        let names: Vec<String> = (0..self.all.len())
+            .filter(|i| !self.all[*i].stopped)
+            .map(name)
+            .collect();
         for engine in 0..self.plan.engines {
             let first = first(Duty::Probe(engine), names.iter().map(String::as_str));
-            self.first.insert(engine, first.and_then(|name| name[1..].parse().ok()).unwrap_or(0));
+            self.first.insert(
+                engine,
+                first.and_then(|name| name[1..].parse().ok()).unwrap_or(0),
+            );
         }
     }
 
@@ -143,7 +149,9 @@
                 Action::Release(voter, duty, token) => {
                     self.send(i, to(&voter), Letter::Release(me.clone(), duty, token));
                 }
-                Action::Owned(duty, _) => self.changes += u64::from(!self.owned.insert(duty) && self.counts),
+                Action::Owned(duty, _) => {
+                    self.changes += u64::from(!self.owned.insert(duty) && self.counts)
+                }
                 Action::Over(..) => {}
             }
         }
@@ -159,18 +167,29 @@
                     self.put(way, Event::Answer(i, engine, for_others));
                 }
                 Step::Give(engine, _) => self.give(i, engine),
-                Step::Want(whom, engine, number) => self.send(i, to(&whom), Letter::Want(engine, number)),
+                Step::Want(whom, engine, number) => {
+                    self.send(i, to(&whom), Letter::Want(engine, number))
+                }
                 Step::Tell(whom, engine, number, token, sounding) => {
                     let whom = usize::from(whom.port() - PORT);
                     self.send(i, whom, Letter::Told(engine, number, token, sounding));
                 }
                 Step::NotMine(whom, engine, number) => {
                     let token = self.all[i].fence.highest(Duty::Probe(engine));
-                    self.send(i, usize::from(whom.port() - PORT), Letter::NotMine(engine, number, token));
+                    self.send(
+                        i,
+                        usize::from(whom.port() - PORT),
+                        Letter::NotMine(engine, number, token),
+                    );
                 }
             }
         }
-        let wakes = self.all[i].candidate.wakes().into_iter().chain(self.all[i].prober.wakes()).min();
+        let wakes = self.all[i]
+            .candidate
+            .wakes()
+            .into_iter()
+            .chain(self.all[i].prober.wakes())
+            .min();
         if let Some(at) = wakes {
             self.put(at.saturating_sub(self.now).max(MS), Event::Tick(i));
         }
@@ -200,7 +219,14 @@
             return;
         }
         let engine = u64::from(self.random.next_u32()) % self.plan.engines;
-        let Manager { voter, candidate, fence, prober, waits, .. } = &mut self.all[who];
+        let Manager {
+            voter,
+            candidate,
+            fence,
+            prober,
+            waits,
+            ..
+        } = &mut self.all[who];
         match event {
             Event::Want(i) => {
                 self.wanted += u64::from(self.counts);
@@ -211,11 +237,21 @@
                 } else {
                     let first = (first != i).then(|| name(first));
                     let own = (candidate, &*fence);
-                    prober.wanted(engine, first.as_deref(), own, now, (&mut actions, &mut steps));
+                    prober.wanted(
+                        engine,
+                        first.as_deref(),
+                        own,
+                        now,
+                        (&mut actions, &mut steps),
+                    );
                 }
             }
             Event::Answer(i, engine, for_others) => {
-                let sounding = Sounding { well: true, took: 2 * MS, ..Sounding::default() };
+                let sounding = Sounding {
+                    well: true,
+                    took: 2 * MS,
+                    ..Sounding::default()
+                };
                 prober.answered(engine, Some(sounding), candidate, now, &mut steps);
                 if !for_others {
                     self.give(i, engine);
@@ -237,12 +273,20 @@
                     candidate.vote(&voter, (duty, number), &vote, fence, now, &mut actions);
                 }
                 Letter::Release(holder, duty, token) => {
-                    voter.iter_mut().for_each(|voter| voter.release(duty, &holder, token));
+                    voter
+                        .iter_mut()
+                        .for_each(|voter| voter.release(duty, &holder, token));
                 }
                 Letter::Want(engine, number) => {
                     let mine = self.first[&engine] == to;
                     let asked = (addr(from), engine, number);
-                    prober.asked(asked, mine, (candidate, &*fence), now, (&mut actions, &mut steps));
+                    prober.asked(
+                        asked,
+                        mine,
+                        (candidate, &*fence),
+                        now,
+                        (&mut actions, &mut steps),
+                    );
                 }
                 Letter::Told(engine, number, token, sounding) => {
                     prober.told((engine, number), token, sounding, fence, &mut steps);
@@ -272,7 +316,10 @@
     let manager = |i: usize| Manager {
         voter: (i < plan.voters).then(|| Voter::new(plan.terms, Highest::default(), 0)),
         candidate: Candidate::new(
-            Holder { name: name(i), life: 1 },
+            Holder {
+                name: name(i),
+                life: 1,
+            },
             voters.clone(),
             plan.terms,
             plan.seed + i as u64,
@@ -309,7 +356,9 @@
     fleet.run(10 * SEC + half);
     if plan.stops > 0 {
         // Voters live on: a majority of them has to.
-        (plan.voters..plan.managers).step_by(plan.stops).for_each(|i| fleet.all[i].stopped = true);
+        (plan.voters..plan.managers)
+            .step_by(plan.stops)
+            .for_each(|i| fleet.all[i].stopped = true);
         // Until the fleet's membership has found them dead they are still asked.
         fleet.run(10 * SEC + half + plan.seconds * SEC / 4);
         fleet.rank();
@@ -322,24 +371,52 @@
         managers: plan.managers,
         engines: plan.engines,
         case: case.into(),
-        probes: (total as f64 / seconds / plan.engines as f64, most as f64 / seconds),
+        probes: (
+            total as f64 / seconds / plan.engines as f64,
+            most as f64 / seconds,
+        ),
         spared: 1.0 - fleet.own as f64 / fleet.wanted.max(1) as f64,
         waited_ms: fleet.waited as f64 / fleet.answered.max(1) as f64 / MS as f64,
-        traffic: (fleet.datagrams as f64 / seconds / managers, fleet.bytes as f64 / seconds / managers),
+        traffic: (
+            fleet.datagrams as f64 / seconds / managers,
+            fleet.bytes as f64 / seconds / managers,
+        ),
         changes: fleet.changes,
     }
 }
 
-/// Fleets of these sizes, each without owners, with them, and with one manager in ten stopped halfway.
+/// Fleets of these sizes, each without owners, with them, and with one manager in ten stopped
+/// halfway.
 pub fn compare(sizes: &[usize], engines: u64, wants: f64, seed: u64) -> Vec<Figures> {
     let mut all = Vec::new();
     for managers in sizes {
         let terms = Terms::default();
-        let plan =
-            Plan { managers: *managers, engines, wants, voters: 0, terms, stops: 0, seconds: 40, seed };
+        let plan = Plan {
+            managers: *managers,
+            engines,
+            wants,
+            voters: 0,
+            terms,
+            stops: 0,
+            seconds: 40,
+            seed,
+        };
         all.push(measure(&plan, "each asks itself"));
-        all.push(measure(&Plan { voters: 5, ..plan.clone() }, "one owner an engine"));
-        all.push(measure(&Plan { voters: 5, stops: 10, ..plan }, "the same, one manager in ten stopped"));
+        all.push(measure(
+            &Plan {
+                voters: 5,
+                ..plan.clone()
+            },
+            "one owner an engine",
+        ));
+        all.push(measure(
+            &Plan {
+                voters: 5,
+                stops: 10,
+                ..plan
+            },
+            "the same, one manager in ten stopped",
+        ));
     }
     all
 }
@@ -380,20 +457,48 @@
 mod tests {
     use super::*;
 
-    /// Guards what owners are for: an engine is asked by one manager however many want to know, and those that wanted to
-    /// know are answered in time; and with managers stopped nothing is worse than if each asked by itself.
+    /// Guards what owners are for: an engine is asked by one manager however many want to know, and
+    /// those that wanted to know are answered in time; and with managers stopped nothing is worse
+    /// than if each asked by itself.
     #[test]
     fn owners_ask_for_all_and_nothing_is_worse_without_them() {
         let terms = Terms::default();
-        let plan =
-            Plan { managers: 40, engines: 8, wants: 20.0, voters: 0, terms, stops: 0, seconds: 12, seed: 3 };
+        let plan = Plan {
+            managers: 40,
+            engines: 8,
+            wants: 20.0,
+            voters: 0,
+            terms,
+            stops: 0,
+            seconds: 12,
+            seed: 3,
+        };
         let alone = measure(&plan, "");
-        let owned = measure(&Plan { voters: 5, ..plan.clone() }, "");
+        let owned = measure(
+            &Plan {
+                voters: 5,
+                ..plan.clone()
+            },
+            "",
+        );
         assert!(alone.probes.0 > 90.0 && alone.spared == 0.0, "{alone:?}");
-        assert!(owned.probes.0 < 12.0 && owned.spared > 0.95 && owned.changes == 0, "{owned:?}");
+        assert!(
+            owned.probes.0 < 12.0 && owned.spared > 0.95 && owned.changes == 0,
+            "{owned:?}"
+        );
         assert!(owned.waited_ms < 20.0, "{owned:?}");
-        let stopped = measure(&Plan { voters: 5, stops: 10, ..plan }, "");
-        assert!(stopped.probes.0 < alone.probes.0 && stopped.changes > 0, "{stopped:?}");
+        let stopped = measure(
+            &Plan {
+                voters: 5,
+                stops: 10,
+                ..plan
+            },
+            "",
+        );
+        assert!(
+            stopped.probes.0 < alone.probes.0 && stopped.changes > 0,
+            "{stopped:?}"
+        );
         assert!(stopped.waited_ms < 30.0, "{stopped:?}");
     }
 }
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -1,36 +1,41 @@
-//! Where the process stands in its life. Pure: told of what happens, with the time; asked by the sockets what to do.
+//! Where the process stands in its life. Pure: told of what happens, with the time; asked by the
+//! sockets what to do.
 //!
-//! It is the one source of what `status` and `GET /ready` say, of whether the listeners accept, and of when a kept
-//! connection of a client is let go.
+//! It is the one source of what `status` and `GET /ready` say, of whether the listeners accept, and
+//! of when a kept connection of a client is let go.
 pub mod words;
 
 use crate::clock::{MS, Micros};
 
-/// Clients still come this long after the first no: the front asks ten times a second, and then takes 0.2 s.
+/// Clients still come this long after the first no: the front asks ten times a second, and then
+/// takes 0.2 s.
 const LEARNS: Micros = 500 * MS;
-/// Kept connections are let go over this time after that, lest all their clients connect elsewhere at once.
+/// Kept connections are let go over this time after that, lest all their clients connect elsewhere
+/// at once.
 const SPREAD: Micros = 1_200 * MS;
-/// The same behind a successor, which takes the clients in the same moment: the front learns nothing.
+/// The same behind a successor, which takes the clients in the same moment: the front learns
+/// nothing.
 const SPREAD_OVER: Micros = 600 * MS;
-/// From here on a process gives up what comes on a connection that is never quiet: it must be let go.
+/// From here on a process gives up what comes on a connection that is never quiet: it must be let
+/// go.
 const CLOSES: Micros = 2_200 * MS;
 /// The same behind a successor.
 const CLOSES_OVER: Micros = 800 * MS;
-/// How long after it was asked to end the program goes on taking requests: connections that clients are making
-/// then still bring some.
+/// How long after it was asked to end the program goes on taking requests: connections that clients
+/// are making then still bring some.
 const LINGER: Micros = 900 * MS;
-/// So long a connection that is to be let go has to have been quiet: one that was just answered, one that never
-/// asked; and so long this is waited for.
+/// So long a connection that is to be let go has to have been quiet: one that was just answered,
+/// one that never asked; and so long this is waited for.
 const REST: Micros = 40 * MS;
 const FIRST_REST: Micros = 300 * MS;
 const PATIENCE: Micros = 800 * MS;
-/// What is open is given up this long after the request to end and the longest deadline, which counts as at most so
-/// much; more where a successor lives.
+/// What is open is given up this long after the request to end and the longest deadline, which
+/// counts as at most so much; more where a successor lives.
 const LAST_CALL: Micros = 450 * MS;
 const LONGEST: Micros = 3_000 * MS;
 const LONGEST_OVER: Micros = 5_000 * MS;
-/// A process that ends keeps at least this part of its work's room while anything is open. Guards what it still holds:
-/// with next to no room it would wait until it is given up.
+/// A process that ends keeps at least this part of its work's room while anything is open. Guards
+/// what it still holds: with next to no room it would wait until it is given up.
 const LEAST_LEFT: f64 = 0.4;
 /// Spreads numbers of connections evenly.
 const MIX: u64 = 0x9E37_79B9_7F4A_7C15;
@@ -119,7 +124,8 @@
         self.stopping_at = self.stopping_at.or(Some(now));
     }
 
-    /// All is answered after the request to end: from now on no connection is kept and no request is taken.
+    /// All is answered after the request to end: from now on no connection is kept and no request
+    /// is taken.
     pub fn close(&mut self) {
         self.closing = true;
     }
@@ -131,7 +137,11 @@
 
     /// Older processes of this name have that part of the manager; none once they are gone.
     pub fn follows(&mut self, part: f64) {
-        self.older = if part.is_finite() { part.clamp(0.0, 1.0) } else { 0.0 };
+        self.older = if part.is_finite() {
+            part.clamp(0.0, 1.0)
+        } else {
+            0.0
+        };
     }
 
     /// A process that follows this one came, is ready, or went.
@@ -141,8 +151,11 @@
 
     /// Asked to end, it has that part of its work left.
     pub fn fades(&mut self, left: f64) {
-        self.left =
-            if left.is_finite() { left.clamp(LEAST_LEFT.min(self.left), self.left) } else { self.left };
+        self.left = if left.is_finite() {
+            left.clamp(LEAST_LEFT.min(self.left), self.left)
+        } else {
+            self.left
+        };
     }
 
     /// Where it stands.
@@ -161,8 +174,8 @@
         matches!(self.stage(), Stage::Ready | Stage::HandingOver) && !self.shut_out
     }
 
-    /// The fleet's majority acts on newer settings or a newer list than this manager: it is shut out until it catches
-    /// up, or back in.
+    /// The fleet's majority acts on newer settings or a newer list than this manager: it is shut
+    /// out until it catches up, or back in.
     pub fn shut_out(&mut self, out: bool) {
         self.shut_out = out;
     }
@@ -187,13 +200,14 @@
         self.stopping_at.is_some()
     }
 
-    /// Whether a client is better told with its answer that the connection ends, where its protocol has a word for it.
+    /// Whether a client is better told with its answer that the connection ends, where its protocol
+    /// has a word for it.
     pub fn sends_away(&self) -> bool {
         self.stopping() || self.drained()
     }
 
-    /// Until when it accepts connections: forever unless it was asked to end. With a successor at the same line
-    /// nothing that waits there is lost.
+    /// Until when it accepts connections: forever unless it was asked to end. With a successor at
+    /// the same line nothing that waits there is lost.
     pub fn accepts_until(&self) -> Option<Micros> {
         let linger = if self.next == Next::Ready { 0 } else { LINGER };
         self.stopping_at.map(|at| at + linger)
@@ -204,24 +218,30 @@
         self.drained() || self.handed_over()
     }
 
-    /// When a kept connection of a client is to be let go, at the next moment that it is quiet, if ever.
+    /// When a kept connection of a client is to be let go, at the next moment that it is quiet, if
+    /// ever.
     pub fn lets_go_at(&self, conn: u64) -> Option<Micros> {
         let spread = |most: Micros| conn.wrapping_mul(MIX) % most;
         let drained = self.drained_at.map(|at| at + LEARNS + spread(SPREAD));
-        let stopped =
-            self.stopping_at.filter(|_| self.next == Next::Ready).map(|at| at + spread(SPREAD_OVER));
+        let stopped = self
+            .stopping_at
+            .filter(|_| self.next == Next::Ready)
+            .map(|at| at + spread(SPREAD_OVER));
         drained.into_iter().chain(stopped).min()
     }
 
     /// Whether requests on kept connections are given up at once, so that none is held on and on.
     pub fn closes(&self, now: Micros) -> bool {
         let drained = self.drained_at.map(|at| at + CLOSES);
-        let over = self.stopping_at.filter(|_| self.next == Next::Ready).map(|at| at + CLOSES_OVER);
+        let over = self
+            .stopping_at
+            .filter(|_| self.next == Next::Ready)
+            .map(|at| at + CLOSES_OVER);
         self.closing || drained.into_iter().chain(over).any(|at| at <= now)
     }
 
-    /// How long a connection that is to be let go has to have been quiet: a client that just connected, or just got
-    /// an answer, is likely to ask. Longer it is not held back.
+    /// How long a connection that is to be let go has to have been quiet: a client that just
+    /// connected, or just got an answer, is likely to ask. Longer it is not held back.
     pub fn rest(&self, conn: u64, now: Micros, useful: bool) -> Micros {
         match self.lets_go_at(conn).filter(|_| !self.closing) {
             Some(at) if now < at + PATIENCE => {
@@ -235,27 +255,42 @@
         }
     }
 
-    /// Whether the process that follows this one takes the clients: then it ends once it holds none.
+    /// Whether the process that follows this one takes the clients: then it ends once it holds
+    /// none.
     pub fn handed_over(&self) -> bool {
         self.stopping_at.is_some() && self.next == Next::Ready
     }
 
-    /// When what is still open is given up, so that its client hears of it before the kill, which comes no sooner
-    /// than the longest deadline, within the bounds of the platform, and 0.7 s more.
+    /// When what is still open is given up, so that its client hears of it before the kill, which
+    /// comes no sooner than the longest deadline, within the bounds of the platform, and 0.7 s
+    /// more.
     pub fn gives_up_at(&self, longest: Micros) -> Option<Micros> {
-        let most = if self.next == Next::Ready { LONGEST_OVER } else { LONGEST };
-        self.stopping_at.map(|at| at + longest.min(most) + LAST_CALL)
+        let most = if self.next == Next::Ready {
+            LONGEST_OVER
+        } else {
+            LONGEST
+        };
+        self.stopping_at
+            .map(|at| at + longest.min(most) + LAST_CALL)
     }
 
     /// What part of the limits and shares of this manager is this process's.
     pub fn part(&self) -> f64 {
-        let mine = if self.next == Next::Ready { 0.5 * self.left } else { 1.0 };
+        let mine = if self.next == Next::Ready {
+            0.5 * self.left
+        } else {
+            1.0
+        };
         (1.0 - self.older) * mine
     }
 
     /// What part a process that follows this one has to leave to those before it.
     pub fn leaves(&self) -> f64 {
-        let mine = if self.next == Next::Ready { self.part() } else { (1.0 - self.older) * 0.5 };
+        let mine = if self.next == Next::Ready {
+            self.part()
+        } else {
+            (1.0 - self.older) * 0.5
+        };
         (self.older + mine).min(1.0)
     }
 }
--- a/src/lifecycle/words.rs
+++ b/src/lifecycle/words.rs
@@ -1,14 +1,16 @@
 //! What two processes of one manager tell each other over their socket: one line each. Pure.
 //!
-//! The newer one begins with `yokelift-handover 1 NAME`. The older one answers `take ADDRESS ...` with the listening
-//! descriptors, in that order, beside the line's first byte, and `drained` if operators sent its clients away. Then the
-//! newer one says `ready` once it serves, and the older one `leave PART` whenever the part of the manager that the
-//! newer one has to leave to others changes. The end of the connection is the end of the other process.
+//! The newer one begins with `yokelift-handover 1 NAME`. The older one answers `take ADDRESS ...`
+//! with the listening descriptors, in that order, beside the line's first byte, and `drained` if
+//! operators sent its clients away. Then the newer one says `ready` once it serves, and the older
+//! one `leave PART` whenever the part of the manager that the newer one has to leave to others
+//! changes. The end of the connection is the end of the other process.
 //!
-//! Asked to end, the older one passes its clients' connections, each as `client N IDS INPUT UNWRITTEN` with its
-//! descriptor beside it: the ids that it has open there, and how many bytes follow that it has read of a message and
-//! that it has yet to write. What it still answers follows as `answer N ID LENGTH` and the bytes; what the client
-//! withdraws, or that it has gone, comes back as `withdraw N ID` and `gone N`.
+//! Asked to end, the older one passes its clients' connections, each as `client N IDS INPUT
+//! UNWRITTEN` with its descriptor beside it: the ids that it has open there, and how many bytes
+//! follow that it has read of a message and that it has yet to write. What it still answers follows
+//! as `answer N ID LENGTH` and the bytes; what the client withdraws, or that it has gone, comes
+//! back as `withdraw N ID` and `gone N`.
 use std::net::SocketAddr;
 
 /// A longer line is no line of this protocol.
@@ -77,9 +79,20 @@
             Word::Drained => "drained\n".into(),
             Word::Ready => "ready\n".into(),
             Word::Leave(part) => format!("leave {part:.3}\n"),
-            Word::Client(n, Handed { open, input, unwritten }) => {
+            Word::Client(
+                n,
+                Handed {
+                    open,
+                    input,
+                    unwritten,
+                },
+            ) => {
                 let ids: Vec<String> = open.iter().map(u64::to_string).collect();
-                let ids = if ids.is_empty() { "-".to_owned() } else { ids.join(",") };
+                let ids = if ids.is_empty() {
+                    "-".to_owned()
+                } else {
+                    ids.join(",")
+                };
                 format!("client {n} {ids} {} {}\n", input.len(), unwritten.len())
             }
             Word::Answer(n, id, bytes) => format!("answer {n} {id} {}\n", bytes.len()),
@@ -110,25 +123,51 @@
         }
     }
 
-    /// From a line without its end, with zeros for bytes that follow; nothing if it is none of this version's.
+    /// From a line without its end, with zeros for bytes that follow; nothing if it is none of this
+    /// version's.
     pub fn read(line: &str) -> Option<Word> {
         if let Some(name) = line.strip_prefix(HELLO) {
-            return name.strip_prefix(' ').filter(|n| !n.is_empty()).map(|name| Word::Hello(name.to_owned()));
+            return name
+                .strip_prefix(' ')
+                .filter(|n| !n.is_empty())
+                .map(|name| Word::Hello(name.to_owned()));
         }
         let (first, rest) = line.split_once(' ').unwrap_or((line, ""));
         let parts: Vec<&str> = rest.split(' ').collect();
         let number = |at: usize| parts.get(at).and_then(|n| n.parse::<u64>().ok());
-        let room = |at: usize| number(at).filter(|n| *n <= MOST_BYTES as u64).map(|n| vec![0; n as usize]);
+        let room = |at: usize| {
+            number(at)
+                .filter(|n| *n <= MOST_BYTES as u64)
+                .map(|n| vec![0; n as usize])
+        };
         match first {
             "client" if parts.len() == 4 => {
-                let ids = if parts[1] == "-" { Vec::new() } else { parts[1].split(',').collect() };
-                let open = ids.into_iter().map(|id| id.parse().ok()).collect::<Option<_>>()?;
-                Some(Word::Client(number(0)?, Handed { open, input: room(2)?, unwritten: room(3)? }))
+                let ids = if parts[1] == "-" {
+                    Vec::new()
+                } else {
+                    parts[1].split(',').collect()
+                };
+                let open = ids
+                    .into_iter()
+                    .map(|id| id.parse().ok())
+                    .collect::<Option<_>>()?;
+                Some(Word::Client(
+                    number(0)?,
+                    Handed {
+                        open,
+                        input: room(2)?,
+                        unwritten: room(3)?,
+                    },
+                ))
             }
             "answer" if parts.len() == 3 => Some(Word::Answer(number(0)?, number(1)?, room(2)?)),
             "withdraw" if parts.len() == 2 => Some(Word::Withdraw(number(0)?, number(1)?)),
             "gone" if parts.len() == 1 => Some(Word::Gone(number(0)?)),
-            "take" => rest.split(' ').map(|addr| addr.parse().ok()).collect::<Option<_>>().map(Word::Take),
+            "take" => rest
+                .split(' ')
+                .map(|addr| addr.parse().ok())
+                .collect::<Option<_>>()
+                .map(Word::Take),
             "drained" if rest.is_empty() => Some(Word::Drained),
             "ready" if rest.is_empty() => Some(Word::Ready),
             "leave" => {
@@ -168,7 +207,11 @@
                 words.extend(self.begun.take());
             }
             let Some(end) = self.input.iter().position(|c| *c == b'\n') else {
-                return if self.input.len() > MOST_LINE { Err(NoWord) } else { Ok(words) };
+                return if self.input.len() > MOST_LINE {
+                    Err(NoWord)
+                } else {
+                    Ok(words)
+                };
             };
             let text = std::str::from_utf8(&self.input[..end]).map_err(|_| NoWord)?;
             self.begun = Some(Word::read(text).ok_or(NoWord)?);
@@ -181,8 +224,8 @@
 mod tests {
     use super::*;
 
-    /// Guards two versions against each other: each word is read as it was meant, however the bytes are cut, and
-    /// what is of another version, or noise, is none.
+    /// Guards two versions against each other: each word is read as it was meant, however the bytes
+    /// are cut, and what is of another version, or noise, is none.
     #[test]
     fn words_come_through_and_noise_does_not() {
         let addr = |port| SocketAddr::from(([127, 0, 0, 1], port));
@@ -194,7 +237,11 @@
             Word::Leave(0.375),
             Word::Client(
                 7,
-                Handed { open: vec![3, 9], input: b"{\n".to_vec(), unwritten: b"half\n".to_vec() },
+                Handed {
+                    open: vec![3, 9],
+                    input: b"{\n".to_vec(),
+                    unwritten: b"half\n".to_vec(),
+                },
             ),
             Word::Client(8, Handed::default()),
             Word::Answer(7, 9, b"leave 1\n".to_vec()),
@@ -204,7 +251,9 @@
         let wire: Vec<u8> = all.iter().flat_map(Word::bytes).collect();
         for step in 1..wire.len() {
             let mut reader = Reader::default();
-            let words = wire.chunks(step).flat_map(|piece| reader.feed(piece).expect("words"));
+            let words = wire
+                .chunks(step)
+                .flat_map(|piece| reader.feed(piece).expect("words"));
             assert_eq!(words.collect::<Vec<_>>(), all);
         }
         for noise in [
--- a/src/log.rs
+++ b/src/log.rs
@@ -7,7 +7,8 @@
 
 thread_local! { static MUTED: Cell<bool> = const { Cell::new(false) }; }
 
-/// This thread logs nothing from now on: it runs many managers at once, and what it has to say is counted.
+/// This thread logs nothing from now on: it runs many managers at once, and what it has to say is
+/// counted.
 pub fn mute() {
     MUTED.set(true);
 }
@@ -23,7 +24,11 @@
 impl Place {
     /// A place that has logged nothing.
     pub const fn new() -> Place {
-        Place { since: Cell::new(0), lines: Cell::new(0), dropped: Cell::new(0) }
+        Place {
+            since: Cell::new(0),
+            lines: Cell::new(0),
+            dropped: Cell::new(0),
+        }
     }
 
     /// Whether a line may be written now, and how many were left out before it.
