--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
-//! One workload manager on real sockets: reads its configuration, starts the actors, and ends on SIGTERM once
-//! all is answered.
+//! One workload manager on real sockets: reads its configuration, starts the actors, and ends on
+//! SIGTERM once all is answered.
 #![forbid(unsafe_code)]
 
 use async_channel::bounded;
@@ -41,13 +41,29 @@
         let id = deploy::engine_id(&line.id)?;
         ids.insert(id);
         if let Some(addr) = line.addr {
-            let place = |list: &[String], name: &str| list.iter().position(|n| n == name).unwrap_or(0) as u16;
-            let place = (place(&names.zones, &line.zone), place(&names.kinds, &line.kind), 0);
-            http.fixed.push(list::listed(id.0 as u32, addr, Readiness::Ready, place, 1.0, 0));
+            let place = |list: &[String], name: &str| {
+                list.iter().position(|n| n == name).unwrap_or(0) as u16
+            };
+            let place = (
+                place(&names.zones, &line.zone),
+                place(&names.kinds, &line.kind),
+                0,
+            );
+            http.fixed.push(list::listed(
+                id.0 as u32,
+                addr,
+                Readiness::Ready,
+                place,
+                1.0,
+                0,
+            ));
         }
     }
     http.engines = Rc::new(ids);
-    http.login = Rc::new(Login { user: deploy.login.user.clone(), key: deploy.login.key.clone() });
+    http.login = Rc::new(Login {
+        user: deploy.login.user.clone(),
+        key: deploy.login.key.clone(),
+    });
     Ok(http)
 }
 
@@ -62,7 +78,14 @@
     Ok(Service {
         rules: RefCell::new(ClassRules::new(deploy, names)?),
         users: RefCell::new(Users::new(deploy, names)?),
-        deadlines: RefCell::new(config.settings.classes.iter().map(|c| clock::micros(c.deadline)).collect()),
+        deadlines: RefCell::new(
+            config
+                .settings
+                .classes
+                .iter()
+                .map(|c| clock::micros(c.deadline))
+                .collect(),
+        ),
         loads: RefCell::new(config.settings.classes.iter().map(|c| c.is_load).collect()),
         databases: Box::new(move || databases.databases.get()),
         stopping: Box::new(move || stopping.life.borrow().sends_away()),
@@ -86,15 +109,40 @@
     let shared = Shared::new(config.limits.sockets, config.limits.memory_mb);
     let life = clock::turn();
     let settings = net::membership::settings_hash(&config.text);
-    shared.acting.set(Acting { generation: 1, settings, list: 0 });
-    let audit = files.fleet.as_ref().and_then(|fleet| fleet.audit).map(|bounds| {
-        let (member, build, acting) = (config.name.clone(), net::membership::build(), shared.acting.get());
-        net::audit::start(&shared, Under { member, life, build, acting, since: life }, bounds)
+    shared.acting.set(Acting {
+        generation: 1,
+        settings,
+        list: 0,
     });
+    let audit = files
+        .fleet
+        .as_ref()
+        .and_then(|fleet| fleet.audit)
+        .map(|bounds| {
+            let (member, build, acting) = (
+                config.name.clone(),
+                net::membership::build(),
+                shared.acting.get(),
+            );
+            net::audit::start(
+                &shared,
+                Under {
+                    member,
+                    life,
+                    build,
+                    acting,
+                    since: life,
+                },
+                bounds,
+            )
+        });
     let audit = audit.transpose()?;
-    // With an address for operators there may be a process that this one follows, or one that will follow it.
+    // With an address for operators there may be a process that this one follows, or one that will
+    // follow it.
     let place = config.console.and_then(|_| handover::place(&config.name));
-    let mut taken = place.as_deref().and_then(|place| block_on(handover::ask(place, &config.name)));
+    let mut taken = place
+        .as_deref()
+        .and_then(|place| block_on(handover::ask(place, &config.name)));
     let fleet = files.fleet.clone().map(|fleet| {
         let at = fleet.bind(config.listen);
         match net::membership::bind(at) {
@@ -105,7 +153,9 @@
     });
     let fleet = fleet.transpose()?;
     let mut listen_at = |addr: SocketAddr| {
-        let passed = taken.as_mut().and_then(|taken| taken.listeners.remove(&addr));
+        let passed = taken
+            .as_mut()
+            .and_then(|taken| taken.listeners.remove(&addr));
         let listener = match (passed, config.console) {
             (Some(listener), _) => Async::new(listener),
             (None, Some(_)) => client::bind_shared(addr),
@@ -115,9 +165,13 @@
     };
     let listener = listen_at(config.listen)?;
     let second_listener = deploy.as_ref().map(|d| listen_at(d.listen)).transpose()?;
-    let passed = [Some(&listener), second_listener.as_ref()].into_iter().flatten();
+    let passed = [Some(&listener), second_listener.as_ref()]
+        .into_iter()
+        .flatten();
     let passed = passed.map(|l| Ok((l.get_ref().local_addr()?, l.as_fd().try_clone_to_owned()?)));
-    let passed = passed.collect::<std::io::Result<Vec<_>>>().map_err(|e| format!("the listeners: {e}"))?;
+    let passed = passed
+        .collect::<std::io::Result<Vec<_>>>()
+        .map_err(|e| format!("the listeners: {e}"))?;
     let console = config.console.map(|at| {
         let bound = client::bind(at);
         bound.map_err(|e| format!("{}: can't listen on the console {at}: {e}", config.name))
@@ -126,8 +180,16 @@
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup, Signal::Usr1])
         .map_err(|e| format!("can't wait for signals: {e}"))?;
     let names = Rc::new(config.names.clone());
-    let http = deploy.as_ref().map(|d| http_engines(d, &names)).transpose()?.unwrap_or_default();
-    let second = deploy.as_ref().map(|d| service(d, &config, &names, &shared)).transpose()?.map(Rc::new);
+    let http = deploy
+        .as_ref()
+        .map(|d| http_engines(d, &names))
+        .transpose()?
+        .unwrap_or_default();
+    let second = deploy
+        .as_ref()
+        .map(|d| service(d, &config, &names, &shared))
+        .transpose()?
+        .map(Rc::new);
     let (last, known) = list::parse_known(&config.known, &names)?;
 
     let tenants = Tenants::new(&names, config.settings.tenants.clone());
@@ -139,12 +201,25 @@
     if let Some((socket, at, fleet)) = fleet {
         let (name, module, coordinator) = (config.name.clone(), core.clone(), coordinator.clone());
         let managers = settings.gateways;
-        let seat = net::membership::Seat { name, life, fleet, managers, module, coordinator };
+        let seat = net::membership::Seat {
+            name,
+            life,
+            fleet,
+            managers,
+            module,
+            coordinator,
+        };
         shared.spawn(net::membership::take_seat(shared.clone(), socket, at, seat));
     }
     let (updates, list_mailbox) = bounded(list::MAILBOX);
     let make = list::engines(shared.clone(), core.clone(), names.clone(), http.clone());
-    shared.spawn(list::run(shared.clone(), core.clone(), list_mailbox, make, http));
+    shared.spawn(list::run(
+        shared.clone(),
+        core.clone(),
+        list_mailbox,
+        make,
+        http,
+    ));
     let (listen, addr, move_on) = (config.listen, config.coordinator, coordinator.clone());
     let (flags, feed, seed) = (shared.clone(), updates.clone(), config.seed);
     shared.spawn(async move {
@@ -153,8 +228,19 @@
         }
         let ready = flags.clone();
         let heard = move || ready.life.borrow_mut().listed();
-        flags.spawn(coordinator::run(flags.clone(), (last, seed), moves, feed, heard));
-        let _ = move_on.send(Move { addr: Some(addr), known: Vec::new() }).await;
+        flags.spawn(coordinator::run(
+            flags.clone(),
+            (last, seed),
+            moves,
+            feed,
+            heard,
+        ));
+        let _ = move_on
+            .send(Move {
+                addr: Some(addr),
+                known: Vec::new(),
+            })
+            .await;
         Timer::after(READY_ANYWAY).await;
         flags.life.borrow_mut().listed();
     });
@@ -187,7 +273,11 @@
         let serves = move || {
             starts.close();
             if let Some(place) = place {
-                let older = handover::Older { place, name, listeners: passed };
+                let older = handover::Older {
+                    place,
+                    name,
+                    listeners: passed,
+                };
                 all.clone().spawn(handover::listen(all, older));
             }
         };
@@ -195,10 +285,16 @@
         let adopt: handover::Adopt = Box::new(move |stream, adopted| {
             let (conn, flags) = (all.next_conn.get(), all.clone());
             all.next_conn.set(conn + 1);
-            let front = JsonRpc::new(conn, names.clone(), Rc::new(move || flags.life.borrow().ready()));
+            let front = JsonRpc::new(
+                conn,
+                names.clone(),
+                Rc::new(move || flags.life.borrow().ready()),
+            );
             let front = JsonRpc::resume(clock::turn(), &adopted.handed, front);
             match Async::new(stream) {
-                Ok(stream) => client::start(&all, module.clone(), stream, conn, front, Some(adopted)),
+                Ok(stream) => {
+                    client::start(&all, module.clone(), stream, conn, front, Some(adopted))
+                }
                 // Nobody hears from this one any more: it is as if its client had gone.
                 Err(_) => bounded(1).0,
             }
@@ -207,7 +303,11 @@
     } else {
         starts.0.close();
         if let Some(place) = place {
-            let older = handover::Older { place, name: config.name.clone(), listeners: passed };
+            let older = handover::Older {
+                place,
+                name: config.name.clone(),
+                listeners: passed,
+            };
             shared.spawn(handover::listen(shared.clone(), older));
         }
     }
@@ -223,16 +323,27 @@
     if let (Some(service), Some(listener), Some(deploy)) = (second, second_listener, deploy) {
         let file = Rc::new(RefCell::new(service.users.borrow().clone()));
         let directory = deploy.directory.is_some();
-        reload.second =
-            files.deploy.map(|path| Second { path, service: service.clone(), file: file.clone(), directory });
+        reload.second = files.deploy.map(|path| Second {
+            path,
+            service: service.clone(),
+            file: file.clone(),
+            directory,
+        });
         let reader = deploy.directory.map(|line| {
             let (service, core) = (service.clone(), core.clone());
-            directory::Reader { line, file, tenants, service, core }
+            directory::Reader {
+                line,
+                file,
+                tenants,
+                service,
+                core,
+            }
         });
         let front = move |conn| ClickHouse::new(conn, service.clone());
         let (all, core) = (shared.clone(), core.clone());
         shared.spawn(async move {
-            // Clients that come before the first reading wait in the listener's line, lest they pass for unknown.
+            // Clients that come before the first reading wait in the listener's line, lest they
+            // pass for unknown.
             if let Some(mut reader) = reader {
                 let pause = reader.once().await;
                 all.spawn(reader.run(pause));
@@ -272,19 +383,27 @@
 }
 
 fn run() -> Result<(), String> {
-    let path = std::env::var_os("PROXY_CONFIG").ok_or("PROXY_CONFIG names no configuration file")?;
+    let path =
+        std::env::var_os("PROXY_CONFIG").ok_or("PROXY_CONFIG names no configuration file")?;
     let mut files = std::env::args_os().skip(1);
     let second = files.next().map(PathBuf::from);
     let deploy = second.as_deref().map(deploy::read).transpose()?;
     if files.next().is_some() {
         return Err("use: yokelift [DEPLOY-FILE]".into());
     }
-    let fleet = std::env::var_os("PROXY_FLEET").filter(|f| !f.is_empty()).map(PathBuf::from);
+    let fleet = std::env::var_os("PROXY_FLEET")
+        .filter(|f| !f.is_empty())
+        .map(PathBuf::from);
     let fleet = fleet.map(|path| {
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
+        let text =
+            std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         Fleet::parse(&text)
     });
-    let files = Files { config: PathBuf::from(path), deploy: second, fleet: fleet.transpose()? };
+    let files = Files {
+        config: PathBuf::from(path),
+        deploy: second,
+        fleet: fleet.transpose()?,
+    };
     let mut config = config::read(&files.config)?;
     if let Some(at) = std::env::var_os("PROXY_CONSOLE").filter(|at| !at.is_empty()) {
         let at = at.to_str().and_then(|at| at.parse().ok());
--- a/src/manager/answers.rs
+++ b/src/manager/answers.rs
@@ -3,7 +3,9 @@
 
 impl Manager {
     pub(super) fn refuse(&mut self, id: RequestId, after: Micros, orders: &mut Vec<Order>) {
-        let Some(open) = self.open.get(&id).filter(|open| !open.closed) else { return };
+        let Some(open) = self.open.get(&id).filter(|open| !open.closed) else {
+            return;
+        };
         // Guards rule 2: a refusal promises that trying again is harmless.
         if !open.may_refuse() {
             self.counters.stopped += 1;
@@ -19,7 +21,9 @@
     }
 
     pub(super) fn close(&mut self, id: RequestId, answer: Answer, orders: &mut Vec<Order>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         open.closed = true;
         let (origin, class, at) = (open.ask.origin, open.ask.class, open.ask.give_up_at + GUARD);
         let key = open.ask.key.clone();
@@ -34,10 +38,16 @@
 
     /// Drops a request that is over and has nothing out.
     pub(super) fn forget(&mut self, id: RequestId) {
-        if !self.open.get(&id).is_some_and(|open| open.closed && open.outs.is_empty()) {
+        if !self
+            .open
+            .get(&id)
+            .is_some_and(|open| open.closed && open.outs.is_empty())
+        {
             return;
         }
-        let Some(open) = self.open.remove(&id) else { return };
+        let Some(open) = self.open.remove(&id) else {
+            return;
+        };
         self.generations.closed(open.ask.class);
         self.statements -= open.ask.statement.len();
         self.past_keys.push_back(open.ask.key);
--- a/src/manager/attempts.rs
+++ b/src/manager/attempts.rs
@@ -14,30 +14,55 @@
         timeout: Nanos,
         orders: &mut Vec<Order>,
     ) {
-        let to = self.engines.get(&engine).copied().filter(|entry| entry.readiness == Readiness::Ready);
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let to = self
+            .engines
+            .get(&engine)
+            .copied()
+            .filter(|entry| entry.readiness == Readiness::Ready);
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         let attempt = AttemptNo(open.sends);
         let may = to.filter(|to| open.may_send(now, to));
         open.sends = open.sends.saturating_add(1);
-        let Some(Class { name, .. }) = self.generations.class(open.ask.class) else { return };
+        let Some(Class { name, .. }) = self.generations.class(open.ask.class) else {
+            return;
+        };
         let until = match timeout {
             0 => open.ask.give_up_at,
             t => open.ask.give_up_at.min(now + micros(t)),
         };
         // Guards rule 2: a repeat that ran on past its key's window would be a second effect.
-        let until = open.known_until().map_or(until, |at| until.min(at.saturating_sub(WINDOW_MARGIN)));
+        let until = open
+            .known_until()
+            .map_or(until, |at| until.min(at.saturating_sub(WINDOW_MARGIN)));
         let Some(to) = may.filter(|_| until > now) else {
             self.counters.stopped += 1;
             let (kind, load, closed) = (OutcomeKind::Moot, LoadReport::default(), open.closed);
-            let none =
-                Outcome { id, attempt, engine, kind, latency: 0, closed, work: None, memory_mb: None, load };
+            let none = Outcome {
+                id,
+                attempt,
+                engine,
+                kind,
+                latency: 0,
+                closed,
+                work: None,
+                memory_mb: None,
+                load,
+            };
             return self.tell(now, Event::Outcome(none), orders);
         };
         self.counters.attempts += 1;
         self.counters.copies += u64::from(!open.outs.is_empty());
         let late = open.outs.iter().filter(|out| out.stopping.is_none());
         orders.extend(late.map(|out| Order::Doubt(out.to.id, id, out.attempt)));
-        open.outs.push(Out { to, attempt, sent_at: now, until, stopping: None });
+        open.outs.push(Out {
+            to,
+            attempt,
+            sent_at: now,
+            until,
+            stopping: None,
+        });
         self.deadlines.insert((until, id));
         let job = Job {
             id,
@@ -48,7 +73,11 @@
             statement: open.ask.statement.clone(),
             session: open.ask.session.clone(),
             single: open.effect == Effect::Unsafe,
-            nonce: open.ask.once.clone().filter(|_| matches!(open.effect, Effect::Keyed { .. })),
+            nonce: open
+                .ask
+                .once
+                .clone()
+                .filter(|_| matches!(open.effect, Effect::Keyed { .. })),
             until,
             memory_mb: open.memory_mb,
             urgency: open.urgency,
@@ -58,11 +87,19 @@
         orders.push(Order::Start(engine, job));
     }
 
-    /// Memory and priority of the next attempts, and at once the priority of those that are out. What the settings do
-    /// not heed is not sent.
-    pub(super) fn terms(&mut self, id: RequestId, priority: u8, memory_mb: f64, orders: &mut Vec<Order>) {
+    /// Memory and priority of the next attempts, and at once the priority of those that are out.
+    /// What the settings do not heed is not sent.
+    pub(super) fn terms(
+        &mut self,
+        id: RequestId,
+        priority: u8,
+        memory_mb: f64,
+        orders: &mut Vec<Order>,
+    ) {
         let heeds = self.heeds;
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         open.memory_mb = if heeds.grants { memory_mb } else { 0.0 };
         let urgency = Some(priority.min(MOST_URGENCY)).filter(|_| heeds.priorities);
         if std::mem::replace(&mut open.urgency, urgency) != urgency {
@@ -72,11 +109,22 @@
         }
     }
 
-    /// Gives up an attempt. Its end comes back from the engine's side, once it is surely given up there: until then it
-    /// counts as out.
-    pub(super) fn stop(&mut self, id: RequestId, attempt: AttemptNo, why: End, orders: &mut Vec<Order>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let out = open.outs.iter_mut().find(|out| out.attempt == attempt && out.stopping.is_none());
+    /// Gives up an attempt. Its end comes back from the engine's side, once it is surely given up
+    /// there: until then it counts as out.
+    pub(super) fn stop(
+        &mut self,
+        id: RequestId,
+        attempt: AttemptNo,
+        why: End,
+        orders: &mut Vec<Order>,
+    ) {
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        let out = open
+            .outs
+            .iter_mut()
+            .find(|out| out.attempt == attempt && out.stopping.is_none());
         let Some(out) = out else { return };
         out.stopping = Some(why);
         let (engine, until) = (out.to.id, out.until);
@@ -88,8 +136,11 @@
 
     /// Gives up all that is out for a request.
     pub(super) fn stop_all(&mut self, id: RequestId, why: End, orders: &mut Vec<Order>) {
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
         let all: Vec<AttemptNo> = open.outs.iter().map(|out| out.attempt).collect();
-        all.into_iter().for_each(|attempt| self.stop(id, attempt, why, orders));
+        all.into_iter()
+            .for_each(|attempt| self.stop(id, attempt, why, orders));
     }
 }
--- a/src/manager/counters.rs
+++ b/src/manager/counters.rs
@@ -84,14 +84,42 @@
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Counters { taken, served, refused, failed, gone, attempts, copies, withdrawn, probes, .. } = self;
-        write!(f, "taken {taken} served {served} refused {refused} failed {failed} gone {gone} ")?;
-        write!(f, "open {} attempts {attempts} copies {copies} ", self.open())?;
+        let Counters {
+            taken,
+            served,
+            refused,
+            failed,
+            gone,
+            attempts,
+            copies,
+            withdrawn,
+            probes,
+            ..
+        } = self;
+        write!(
+            f,
+            "taken {taken} served {served} refused {refused} failed {failed} gone {gone} "
+        )?;
+        write!(
+            f,
+            "open {} attempts {attempts} copies {copies} ",
+            self.open()
+        )?;
         write!(f, "withdrawn {withdrawn} probes {probes} ")?;
         write!(f, "stopped {} stray {} ", self.stopped, self.stray)?;
-        write!(f, "lists {} directory-readings {} ", self.lists, self.directory_readings)?;
-        write!(f, "directory-failures {} reloads {} ", self.directory_failures, self.reloads)?;
+        write!(
+            f,
+            "lists {} directory-readings {} ",
+            self.lists, self.directory_readings
+        )?;
+        write!(
+            f,
+            "directory-failures {} reloads {} ",
+            self.directory_failures, self.reloads
+        )?;
         write!(f, "reload-failures {} ends", self.reload_failures)?;
-        self.ends.iter().try_for_each(|(end, n)| write!(f, " {end:?}:{n}"))
+        self.ends
+            .iter()
+            .try_for_each(|(end, n)| write!(f, " {end:?}:{n}"))
     }
 }
--- a/src/manager/ends.rs
+++ b/src/manager/ends.rs
@@ -1,4 +1,5 @@
-//! Every way in which a connection to an engine, or an attempt on it, can end, and what each proves.
+//! Every way in which a connection to an engine, or an attempt on it, can end, and what each
+//! proves.
 use crate::interface::OutcomeKind;
 use rustix::io::Errno;
 use std::io;
@@ -47,9 +48,16 @@
     pub fn of_connect(e: &io::Error) -> End {
         match (e.kind(), e.raw_os_error().map(Errno::from_raw_os_error)) {
             (io::ErrorKind::ConnectionRefused, _) => End::Refused,
-            (_, Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::ADDRNOTAVAIL)) => {
-                End::Overflow
-            }
+            (
+                _,
+                Some(
+                    Errno::MFILE
+                    | Errno::NFILE
+                    | Errno::NOBUFS
+                    | Errno::NOMEM
+                    | Errno::ADDRNOTAVAIL,
+                ),
+            ) => End::Overflow,
             _ => End::Unreachable,
         }
     }
@@ -60,8 +68,8 @@
 pub enum Reach {
     /// Not a byte: it never ran.
     Unsent,
-    /// Some of it, but not the end, which was held back: the engine never had it whole, so it never ran, unless the
-    /// end goes out yet.
+    /// Some of it, but not the end, which was held back: the engine never had it whole, so it never
+    /// ran, unless the end goes out yet.
     Begun,
     /// All of it, or no telling how much: it may have run, whatever the connection did next.
     Sent,
@@ -69,13 +77,15 @@
 
 /// The one place where an end becomes the module's outcome.
 ///
-/// Guards rule 2: no end after the first byte may pass for 'never ran' but the engine's own word for it, and no
-/// end before the first byte may pass for 'may have run', which would fail a load that could be sent again.
+/// Guards rule 2: no end after the first byte may pass for 'never ran' but the engine's own word
+/// for it, and no end before the first byte may pass for 'may have run', which would fail a load
+/// that could be sent again.
 pub fn outcome(end: End, reach: Reach) -> OutcomeKind {
     match (end, reach) {
         (End::Done, _) => OutcomeKind::Ok,
         (End::Full, _) => OutcomeKind::Full,
-        // Also a repeat that the engine knew by its key: what ran under it is on the book of the attempt that ran.
+        // Also a repeat that the engine knew by its key: what ran under it is on the book of the
+        // attempt that ran.
         (End::Past, _) => OutcomeKind::Moot,
         (End::Broke, _) => OutcomeKind::Error,
         // Reported by the kernel before anything could be written.
@@ -90,14 +100,19 @@
         (End::Withdrawn, Reach::Sent | Reach::Begun) => OutcomeKind::Cancelled,
         (End::Deadline, Reach::Sent | Reach::Begun) => OutcomeKind::Timeout,
         (End::Overflow | End::Drained, Reach::Begun) => OutcomeKind::Reset,
-        (End::Overflow | End::Drained | End::Idle | End::Dropped, Reach::Sent) => OutcomeKind::Reset,
+        (End::Overflow | End::Drained | End::Idle | End::Dropped, Reach::Sent) => {
+            OutcomeKind::Reset
+        }
         (End::Closed | End::Reset | End::Garbled | End::Silent, Reach::Sent) => OutcomeKind::Reset,
     }
 }
 
 /// Whether an outcome proves that the attempt never ran.
 pub fn never_ran(kind: OutcomeKind) -> bool {
-    matches!(kind, OutcomeKind::Full | OutcomeKind::ConnectFailed | OutcomeKind::Moot)
+    matches!(
+        kind,
+        OutcomeKind::Full | OutcomeKind::ConnectFailed | OutcomeKind::Moot
+    )
 }
 
 #[cfg(test)]
--- a/src/manager/ledger.rs
+++ b/src/manager/ledger.rs
@@ -1,4 +1,5 @@
-//! The ledger of one request: what is out for it, what may have run, and what the rules then allow. Pure.
+//! The ledger of one request: what is out for it, what may have run, and what the rules then allow.
+//! Pure.
 use super::ends::End;
 use super::words::Ask;
 use crate::clock::{Micros, micros, nanos};
@@ -32,7 +33,8 @@
 pub struct Open {
     /// As its front handed it in.
     pub ask: Ask,
-    /// What repeating this one may do: a request of a keyed class without a key must never run twice.
+    /// What repeating this one may do: a request of a keyed class without a key must never run
+    /// twice.
     pub effect: Effect,
     /// Attempts so far.
     pub sends: u16,
@@ -59,31 +61,51 @@
     pub fn new(ask: Ask, effect: Effect, most_sends: u16, copies: usize) -> Open {
         let (outs, ran, memory_mb, urgency) = (Vec::new(), None, 0.0, None);
         let (sends, last_end, closed) = (0, None, false);
-        Open { ask, effect, sends, most_sends, copies, outs, ran, memory_mb, urgency, last_end, closed }
+        Open {
+            ask,
+            effect,
+            sends,
+            most_sends,
+            copies,
+            outs,
+            ran,
+            memory_mb,
+            urgency,
+            last_end,
+            closed,
+        }
     }
 
     /// The first attempt that may have run, or is out.
     fn first(&self) -> Option<Ran> {
-        let out = self.outs.iter().map(|out| Ran { on: out.to, sent_at: out.sent_at });
+        let out = self.outs.iter().map(|out| Ran {
+            on: out.to,
+            sent_at: out.sent_at,
+        });
         out.chain(self.ran).min_by_key(|ran| ran.sent_at)
     }
 
-    /// Whether an attempt may go to that engine now: the rules on effects and on attempts out. Two never go to one
-    /// engine, which would take the word about one of them for the other.
+    /// Whether an attempt may go to that engine now: the rules on effects and on attempts out. Two
+    /// never go to one engine, which would take the word about one of them for the other.
     pub fn may_send(&self, now: Micros, to: &EngineEntry) -> bool {
         let place = self.outs.len() < self.copies && self.outs.iter().all(|out| out.to.id != to.id);
         !self.closed && place && self.sends < self.most_sends && self.repeats(now, to)
     }
 
     fn repeats(&self, now: Micros, to: &EngineEntry) -> bool {
-        let Some(Ran { on, sent_at }) = self.first() else { return true };
+        let Some(Ran { on, sent_at }) = self.first() else {
+            return true;
+        };
         may_repeat(self.effect, nanos(sent_at), Some((on, *to)), nanos(now))
     }
 
-    /// Until when engines know a further attempt by its key as a repeat, if there was one that may have run.
+    /// Until when engines know a further attempt by its key as a repeat, if there was one that may
+    /// have run.
     pub fn known_until(&self) -> Option<Micros> {
         match (self.effect, self.first()) {
-            (Effect::Keyed { window, .. }, Some(ran)) => Some(ran.sent_at.saturating_add(micros(window))),
+            (Effect::Keyed { window, .. }, Some(ran)) => {
+                Some(ran.sent_at.saturating_add(micros(window)))
+            }
             _ => None,
         }
     }
@@ -106,7 +128,9 @@
 
     /// Whether another attempt has its time up at that moment.
     pub fn due_at(&self, until: Micros) -> bool {
-        self.outs.iter().any(|out| out.until == until && out.stopping.is_none())
+        self.outs
+            .iter()
+            .any(|out| out.until == until && out.stopping.is_none())
     }
 }
 
--- a/src/manager/mod.rs
+++ b/src/manager/mod.rs
@@ -1,8 +1,9 @@
 //! The core: drives the decision module and knows no wire.
 //!
-//! It owns the open requests, their attempts, the timers, and the ledger of the rules: one final answer each,
-//! at most the stated attempts, never two out, nothing to what drains, and outcomes that say exactly what is
-//! known. Fronts hand in [`Ask`]s, engines hand in [`Ended`]s; out come [`Order`]s.
+//! It owns the open requests, their attempts, the timers, and the ledger of the rules: one final
+//! answer each, at most the stated attempts, never two out, nothing to what drains, and outcomes
+//! that say exactly what is known. Fronts hand in [`Ask`]s, engines hand in [`Ended`]s; out come
+//! [`Order`]s.
 mod answers;
 mod attempts;
 pub mod counters;
@@ -24,12 +25,14 @@
 use std::rc::Rc;
 pub use words::{Answer, Ask, Cost, Ended, Failure, Job, Order, Origin, Session};
 
-/// How long after a client's deadline the core waits for the module's answer before it gives its own.
+/// How long after a client's deadline the core waits for the module's answer before it gives its
+/// own.
 const GUARD: Micros = 25_000;
 
 /// When to come back if there is no room for a statement.
 const NO_ROOM_AFTER: Micros = 500_000;
-/// Names of requests that are over are remembered so far: a name must not come again while words about it may.
+/// Names of requests that are over are remembered so far: a name must not come again while words
+/// about it may.
 const MOST_PAST_KEYS: usize = 4_096;
 
 /// Attempts of a request that may be out together, where the settings allow second copies.
@@ -91,27 +94,46 @@
         manager
     }
 
-    /// New settings, with the names of their classes: for all that comes from now on. What is open keeps its class
-    /// and its number of attempts.
+    /// New settings, with the names of their classes: for all that comes from now on. What is open
+    /// keeps its class and its number of attempts.
     pub fn retune(&mut self, settings: Settings, names: &[String]) {
         let fresh = self.generations.next(named(&settings, names));
-        let fresh: Vec<_> = fresh.iter().map(|fresh| (fresh.slot, fresh.heir_of)).collect();
-        let classes = self.generations.slots().map(|(class, _)| class.spec.clone()).collect();
+        let fresh: Vec<_> = fresh
+            .iter()
+            .map(|fresh| (fresh.slot, fresh.heir_of))
+            .collect();
+        let classes = self
+            .generations
+            .slots()
+            .map(|(class, _)| class.spec.clone())
+            .collect();
         self.send_cap = send_cap(&settings);
         self.heeds = Heeds::of(&settings);
-        self.module.retune(Settings { classes, ..settings }, &fresh);
+        self.module.retune(
+            Settings {
+                classes,
+                ..settings
+            },
+            &fresh,
+        );
         self.list_classes(names);
     }
 
     /// The classes by their ids, and whether each is in force.
     pub fn classes(&self) -> Vec<(Class, bool)> {
-        self.generations.slots().map(|(class, in_force)| (class.clone(), in_force)).collect()
+        self.generations
+            .slots()
+            .map(|(class, in_force)| (class.clone(), in_force))
+            .collect()
     }
 
     /// A class has its figures from the start on.
     fn list_classes(&mut self, names: &[String]) {
         for name in names {
-            self.counters.classes.entry(name.as_str().into()).or_default();
+            self.counters
+                .classes
+                .entry(name.as_str().into())
+                .or_default();
         }
     }
 
@@ -127,14 +149,22 @@
 
     /// What was decided since the last call, in order.
     pub fn decisions(&mut self) -> Vec<Decision> {
-        self.decisions.as_mut().map(std::mem::take).unwrap_or_default()
+        self.decisions
+            .as_mut()
+            .map(std::mem::take)
+            .unwrap_or_default()
     }
 
     fn note(&mut self, class: ClassId, request: &Rc<str>, what: What) {
-        let (Some(decisions), Some(class)) = (&mut self.decisions, self.generations.class(class)) else {
+        let (Some(decisions), Some(class)) = (&mut self.decisions, self.generations.class(class))
+        else {
             return;
         };
-        decisions.push(Decision { what, class: class.name.clone(), request: request.clone() });
+        decisions.push(Decision {
+            what,
+            class: class.name.clone(),
+            request: request.clone(),
+        });
     }
 
     fn note_answer(&mut self, class: ClassId, request: &Rc<str>, answer: &Answer) {
@@ -144,7 +174,8 @@
                 self.note(class, request, What::Refuse(after));
             }
             Answer::Failed(_) => self.note(class, request, What::Fail),
-            // One that was served is told by its dispatch; one that another process worded, by that process.
+            // One that was served is told by its dispatch; one that another process worded, by that
+            // process.
             Answer::Served(_) | Answer::Worded(_) => {}
         }
     }
@@ -161,7 +192,9 @@
     }
 
     fn tally(&mut self, class: ClassId, answer: &Answer) {
-        let Some(class) = self.generations.class(class) else { return };
+        let Some(class) = self.generations.class(class) else {
+            return;
+        };
         let tally = self.counters.classes.entry(class.name.clone()).or_default();
         match answer {
             Answer::Served(_) => tally.success += 1,
@@ -179,7 +212,8 @@
         self.tally(class, answer);
     }
 
-    /// What operators are told; all but the attempts written, which the connections to engines count.
+    /// What operators are told; all but the attempts written, which the connections to engines
+    /// count.
     pub fn figures(&self) -> Figures {
         Figures {
             classes: self.counters.classes.clone(),
@@ -202,18 +236,26 @@
     fn tell(&mut self, now: Micros, event: Event, orders: &mut Vec<Order>) {
         let mut acts = std::mem::take(&mut self.acts);
         self.module.handle(nanos(now), event, &mut acts);
-        acts.drain(..).for_each(|act| self.carry_out(now, act, orders));
+        acts.drain(..)
+            .for_each(|act| self.carry_out(now, act, orders));
         self.acts = acts;
     }
 
     /// News of the list of engines.
-    pub fn list(&mut self, now: Micros, kind: ListKind, entries: Vec<EngineEntry>, orders: &mut Vec<Order>) {
+    pub fn list(
+        &mut self,
+        now: Micros,
+        kind: ListKind,
+        entries: Vec<EngineEntry>,
+        orders: &mut Vec<Order>,
+    ) {
         self.counters.lists += 1;
         if matches!(kind, ListKind::Cached | ListKind::Full) {
             self.engines.clear();
         }
         self.engines.extend(entries.iter().map(|e| (e.id, *e)));
-        self.engines.retain(|_, entry| entry.readiness != Readiness::Gone);
+        self.engines
+            .retain(|_, entry| entry.readiness != Readiness::Gone);
         self.tell(now, Event::List { kind, entries }, orders);
     }
 
@@ -235,18 +277,31 @@
     /// A request came in.
     pub fn take(&mut self, now: Micros, ask: Ask, orders: &mut Vec<Order>) {
         self.counters.taken += 1;
-        // Guards the rule of one answer: a second request under a mark that is still open would take the
-        // first one's answer.
-        let class = self.generations.class(ask.class).filter(|_| !self.origins.contains_key(&ask.origin));
+        // Guards the rule of one answer: a second request under a mark that is still open would
+        // take the first one's answer.
+        let class = self
+            .generations
+            .class(ask.class)
+            .filter(|_| !self.origins.contains_key(&ask.origin));
         let Some(of_class) = class.map(|class| class.spec.effect) else {
             return self.turn_down(&ask, Answer::Failed(Failure::NotSent), orders);
         };
-        // Guards rule 2: engines know a repeat by its key alone, so without one there is to be none.
+        // Guards rule 2: engines know a repeat by its key alone, so without one there is to be
+        // none.
         let keyed = matches!(of_class, Effect::Keyed { .. });
-        let effect = if keyed && ask.once.is_none() { Effect::Unsafe } else { of_class };
-        let copies = if self.heeds.copies && effect != Effect::Unsafe { MOST_COPIES } else { 1 };
-        // Guards the rules on attempts and answers: engines and clients tell requests apart by their names, and
-        // a second one under the name of the first would pass for its further attempt, or take its answer.
+        let effect = if keyed && ask.once.is_none() {
+            Effect::Unsafe
+        } else {
+            of_class
+        };
+        let copies = if self.heeds.copies && effect != Effect::Unsafe {
+            MOST_COPIES
+        } else {
+            1
+        };
+        // Guards the rules on attempts and answers: engines and clients tell requests apart by
+        // their names, and a second one under the name of the first would pass for its further
+        // attempt, or take its answer.
         if self.keys.contains(&ask.key) {
             return self.turn_down(&ask, Answer::Failed(Failure::InUse), orders);
         }
@@ -267,7 +322,8 @@
             give_up_at: nanos(ask.give_up_at),
             work_hint: ask.cost.map(nanos),
             memory_hint: ask.memory_mb,
-            group: statement::group(&ask.statement, schema).map_or(0, |group| group.wrapping_add(1)),
+            group: statement::group(&ask.statement, schema)
+                .map_or(0, |group| group.wrapping_add(1)),
             repeated: ask.repeated,
             single: effect == Effect::Unsafe,
         });
@@ -295,13 +351,19 @@
 
     /// A client's connection ended, with all that was open on it.
     pub fn hung_up(&mut self, now: Micros, conn: u64, orders: &mut Vec<Order>) {
-        let all = Origin { conn, tag: 0 }..=Origin { conn, tag: u64::MAX };
+        let all = Origin { conn, tag: 0 }..=Origin {
+            conn,
+            tag: u64::MAX,
+        };
         let left: Vec<Origin> = self.origins.range(all).map(|(origin, _)| *origin).collect();
-        left.into_iter().for_each(|origin| self.withdraw(now, origin, orders));
+        left.into_iter()
+            .for_each(|origin| self.withdraw(now, origin, orders));
     }
 
     fn leave(&mut self, now: Micros, id: RequestId, orders: &mut Vec<Order>) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         open.closed = true;
         self.deadlines.remove(&(open.ask.give_up_at + GUARD, id));
         self.tell(now, Event::ClientGone(id), orders);
@@ -313,8 +375,10 @@
     pub fn ended(&mut self, now: Micros, ended: Ended, orders: &mut Vec<Order>) {
         let id = ended.id;
         let known = self.open.get_mut(&id);
-        // Guards against an end that comes twice, as when a time-out crosses an answer: the first one counts.
-        let Some((open, out)) = known.and_then(|open| open.take_out(ended.attempt).map(|out| (open, out)))
+        // Guards against an end that comes twice, as when a time-out crosses an answer: the first
+        // one counts.
+        let Some((open, out)) =
+            known.and_then(|open| open.take_out(ended.attempt).map(|out| (open, out)))
         else {
             self.counters.stray += 1;
             return;
@@ -330,11 +394,22 @@
         *self.counters.ends.entry(end).or_default() += 1;
         let kind = outcome(end, ended.reach);
         if !never_ran(kind) {
-            let ran = Ran { on: out.to, sent_at: out.sent_at };
-            open.ran = Some(open.ran.filter(|first| first.sent_at <= ran.sent_at).unwrap_or(ran));
+            let ran = Ran {
+                on: out.to,
+                sent_at: out.sent_at,
+            };
+            open.ran = Some(
+                open.ran
+                    .filter(|first| first.sent_at <= ran.sent_at)
+                    .unwrap_or(ran),
+            );
         }
         open.last_end = Some(end);
-        let cost = if self.heeds.costs && kind == OutcomeKind::Ok { ended.cost } else { Cost::default() };
+        let cost = if self.heeds.costs && kind == OutcomeKind::Ok {
+            ended.cost
+        } else {
+            Cost::default()
+        };
         let served = kind == OutcomeKind::Ok && !open.closed;
         let closed = open.closed || served;
         if served {
@@ -357,13 +432,22 @@
 
     /// How long a client waits at most.
     pub fn longest_deadline(&self) -> Micros {
-        self.generations.slots().map(|(class, _)| micros(class.spec.deadline)).max().unwrap_or(0)
+        self.generations
+            .slots()
+            .map(|(class, _)| micros(class.spec.deadline))
+            .max()
+            .unwrap_or(0)
     }
 
-    /// The program is about to be killed: gives up what is open, refused where that is honest, since another
-    /// manager may still serve it.
+    /// The program is about to be killed: gives up what is open, refused where that is honest,
+    /// since another manager may still serve it.
     pub fn end_all(&mut self, now: Micros, orders: &mut Vec<Order>) {
-        let open: Vec<RequestId> = self.open.iter().filter(|(_, o)| !o.closed).map(|(id, _)| *id).collect();
+        let open: Vec<RequestId> = self
+            .open
+            .iter()
+            .filter(|(_, o)| !o.closed)
+            .map(|(id, _)| *id)
+            .collect();
         for id in open {
             self.refuse(id, ELSEWHERE_AFTER, orders);
             self.tell(now, Event::ClientGone(id), orders);
@@ -380,20 +464,37 @@
         load: LoadReport,
         orders: &mut Vec<Order>,
     ) {
-        self.tell(now, Event::Probed { engine, kind, latency: nanos(latency), load }, orders);
+        self.tell(
+            now,
+            Event::Probed {
+                engine,
+                kind,
+                latency: nanos(latency),
+                load,
+            },
+            orders,
+        );
     }
 
     /// Timers and deadlines that are due.
     pub fn due(&mut self, now: Micros, orders: &mut Vec<Order>) {
         while let Some((at, id)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
             self.deadlines.remove(&(at, id));
-            let Some(open) = self.open.get_mut(&id) else { continue };
+            let Some(open) = self.open.get_mut(&id) else {
+                continue;
+            };
             if at < open.ask.give_up_at + GUARD {
-                let late = open.outs.iter().filter(|out| out.until <= at).map(|out| out.attempt);
+                let late = open
+                    .outs
+                    .iter()
+                    .filter(|out| out.until <= at)
+                    .map(|out| out.attempt);
                 let late: Vec<AttemptNo> = late.collect();
-                late.into_iter().for_each(|attempt| self.stop(id, attempt, End::Deadline, orders));
+                late.into_iter()
+                    .for_each(|attempt| self.stop(id, attempt, End::Deadline, orders));
             } else if !open.closed {
-                // Guards the rule of one answer against an oversight of the module: it is late already.
+                // Guards the rule of one answer against an oversight of the module: it is late
+                // already.
                 self.counters.stopped += 1;
                 self.fail(id, Failure::Deadline, orders);
                 self.tell(now, Event::ClientGone(id), orders);
@@ -401,21 +502,38 @@
                 self.forget(id);
             }
         }
-        // Only those that are due now: what the module asks for in this turn waits for the next one.
+        // Only those that are due now: what the module asks for in this turn waits for the next
+        // one.
         let mut tokens = Vec::new();
-        while let Some(Reverse((_, token))) = self.timers.peek().filter(|Reverse((at, _))| *at <= now) {
+        while let Some(Reverse((_, token))) =
+            self.timers.peek().filter(|Reverse((at, _))| *at <= now)
+        {
             tokens.push(*token);
             self.timers.pop();
         }
-        tokens.into_iter().for_each(|token| self.tell(now, Event::Timer(token), orders));
+        tokens
+            .into_iter()
+            .for_each(|token| self.tell(now, Event::Timer(token), orders));
     }
 
     fn carry_out(&mut self, now: Micros, act: Action, orders: &mut Vec<Order>) {
         match act {
-            Action::Send { id, engine, timeout } => self.send(now, id, engine, timeout, orders),
-            Action::Terms { id, priority, memory_mb } => self.terms(id, priority, memory_mb, orders),
+            Action::Send {
+                id,
+                engine,
+                timeout,
+            } => self.send(now, id, engine, timeout, orders),
+            Action::Terms {
+                id,
+                priority,
+                memory_mb,
+            } => self.terms(id, priority, memory_mb, orders),
             Action::Cancel { id, attempt } => {
-                if self.open.get(&id).is_some_and(|open| open.out(attempt).is_some()) {
+                if self
+                    .open
+                    .get(&id)
+                    .is_some_and(|open| open.out(attempt).is_some())
+                {
                     self.counters.withdrawn += 1;
                     self.stop(id, attempt, End::Withdrawn, orders);
                 }
@@ -431,7 +549,8 @@
                 self.fail(id, why, orders);
             }
             Action::Timer { after, token } => {
-                self.timers.push(Reverse((now + micros(after).max(1), token)));
+                self.timers
+                    .push(Reverse((now + micros(after).max(1), token)));
             }
             Action::Probe { engine } => {
                 self.counters.probes += 1;
@@ -439,7 +558,8 @@
             }
             Action::CloseIdle { engine } => orders.push(Order::CloseIdle(engine)),
             Action::Log(line) => orders.push(Order::Log(line)),
-            // Changes come by themselves, and gateways share nothing: there is nobody to ask or tell.
+            // Changes come by themselves, and gateways share nothing: there is nobody to ask or
+            // tell.
             Action::Tell { .. } | Action::FetchList | Action::Watch(_) => {}
         }
     }
@@ -447,8 +567,10 @@
 
 /// The classes of the settings under their names.
 fn named(settings: &Settings, names: &[String]) -> Vec<Class> {
-    let class =
-        |(spec, name): (&ClassSpec, &String)| Class { name: name.as_str().into(), spec: spec.clone() };
+    let class = |(spec, name): (&ClassSpec, &String)| Class {
+        name: name.as_str().into(),
+        spec: spec.clone(),
+    };
     settings.classes.iter().zip(names).map(class).collect()
 }
 
--- a/src/manager/words.rs
+++ b/src/manager/words.rs
@@ -148,7 +148,15 @@
     /// The end of an attempt that brought nothing.
     pub fn bare(id: RequestId, attempt: AttemptNo, end: End, reach: Reach) -> Ended {
         let (rows, load, cost) = (Vec::new(), LoadReport::default(), Cost::default());
-        Ended { id, attempt, end, reach, rows, load, cost }
+        Ended {
+            id,
+            attempt,
+            end,
+            reach,
+            rows,
+            load,
+            cost,
+        }
     }
 }
 
@@ -161,15 +169,19 @@
     pub memory_mb: Option<f64>,
 }
 
-/// Waits and costs in milliseconds, and memory in MB, are figures of one query: beyond this they are mistakes.
+/// Waits and costs in milliseconds, and memory in MB, are figures of one query: beyond this they
+/// are mistakes.
 pub const MOST_FIGURE: f64 = 86_400_000.0;
 
 impl Cost {
-    /// What an engine said: milliseconds of work, and MB. A figure that is missing, not positive, not finite or absurd
-    /// is as none.
+    /// What an engine said: milliseconds of work, and MB. A figure that is missing, not positive,
+    /// not finite or absurd is as none.
     pub fn told(work_ms: Option<f64>, memory_mb: Option<f64>) -> Cost {
         let sound = |figure: &f64| figure.is_finite() && *figure > 0.0 && *figure <= MOST_FIGURE;
         let work = work_ms.filter(sound).map(|ms| (ms * MS as f64) as Micros);
-        Cost { work, memory_mb: memory_mb.filter(sound) }
+        Cost {
+            work,
+            memory_mb: memory_mb.filter(sound),
+        }
     }
 }
--- a/src/membership/file.rs
+++ b/src/membership/file.rs
@@ -1,5 +1,5 @@
-//! The operator's file of the fleet's membership: where this manager takes datagrams, whom it greets first, and the
-//! protocol's timings. TOML; unknown keys are refused.
+//! The operator's file of the fleet's membership: where this manager takes datagrams, whom it
+//! greets first, and the protocol's timings. TOML; unknown keys are refused.
 use super::Timing;
 use crate::audit::Bounds;
 use crate::duties::Terms;
@@ -22,7 +22,9 @@
     fn check(&self) -> Result<(), String> {
         let all: BTreeSet<&String> = self.voters.iter().collect();
         if self.voters.is_empty() || self.voters.len() > 15 || all.len() < self.voters.len() {
-            return Err("fleet: duties: voters have to be 1 to 15 managers, each named once".into());
+            return Err(
+                "fleet: duties: voters have to be 1 to 15 managers, each named once".into(),
+            );
         }
         self.terms.check()
     }
@@ -62,7 +64,10 @@
         fleet.timing.check()?;
         fleet.audit.iter().try_for_each(Bounds::check)?;
         fleet.duties.iter().try_for_each(Duties::check)?;
-        if [fleet.bind, fleet.advertise].iter().flatten().any(|b| !b.is_ipv4())
+        if [fleet.bind, fleet.advertise]
+            .iter()
+            .flatten()
+            .any(|b| !b.is_ipv4())
             || fleet.seeds.iter().any(|s| !s.is_ipv4())
         {
             return Err("fleet: addresses have to be IPv4".into());
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,13 +1,15 @@
-//! Membership of the fleet's managers, in the SWIM family. Pure: events with the time in, messages to send and
-//! changes to report out; randomness only from the seed it is made with.
+//! Membership of the fleet's managers, in the SWIM family. Pure: events with the time in, messages
+//! to send and changes to report out; randomness only from the seed it is made with.
 //!
-//! Each period a manager pings one member, in a shuffled round; without an ack within the probe's time it asks `k`
-//! others to ping for it; without any ack by the end of the period the member is suspected, and declared dead once the
-//! suspicion has stood unrefuted for its time. A member that hears itself suspected refutes with a higher incarnation.
-//! What changed rides on pings and acks, each change a bounded number of times, within a bounded datagram.
+//! Each period a manager pings one member, in a shuffled round; without an ack within the probe's
+//! time it asks `k` others to ping for it; without any ack by the end of the period the member is
+//! suspected, and declared dead once the suspicion has stood unrefuted for its time. A member that
+//! hears itself suspected refutes with a higher incarnation. What changed rides on pings and acks,
+//! each change a bounded number of times, within a bounded datagram.
 //!
-//! Every member also carries its [`Versions`]: the build, the settings generation and the list version it acts on.
-//! From these, [`straggling`] tells a manager whether the fleet's majority has moved on without it.
+//! Every member also carries its [`Versions`]: the build, the settings generation and the list
+//! version it acts on. From these, [`straggling`] tells a manager whether the fleet's majority has
+//! moved on without it.
 pub mod file;
 pub mod wire;
 
@@ -26,9 +28,11 @@
 pub struct Versions {
     /// The program's build.
     pub build: String,
-    /// The number of the settings generation: 1 at the start, one more for each configuration taken.
+    /// The number of the settings generation: 1 at the start, one more for each configuration
+    /// taken.
     pub generation: u64,
-    /// A hash of the settings that generation holds, so that equal numbers of unequal files tell apart.
+    /// A hash of the settings that generation holds, so that equal numbers of unequal files tell
+    /// apart.
     pub settings: u64,
     /// The number of the last event of the endpoint list taken.
     pub list: u64,
@@ -102,14 +106,15 @@
     pub probe_ms: u64,
     /// Others asked to ping when the direct ping was not acked.
     pub indirect: usize,
-    /// Periods that a suspicion stands before the member is declared dead, times log2 of the members.
+    /// Periods that a suspicion stands before the member is declared dead, times log2 of the
+    /// members.
     pub suspicion_periods: u64,
     /// How many times a change is passed on, times log2 of the members.
     pub retransmit: u64,
     /// The largest datagram.
     pub datagram: usize,
-    /// How long a manager may stay behind the fleet's majority before it is brought up, and as long again before it
-    /// is shut out.
+    /// How long a manager may stay behind the fleet's majority before it is brought up, and as long
+    /// again before it is shut out.
     pub grace_ms: u64,
 }
 
@@ -192,8 +197,8 @@
     probes: BTreeMap<u32, Probe>,
     round: Vec<String>,
     next_probe: Micros,
-    /// The last name of the members that were read from others so far, and whether the last reading of all brought
-    /// nobody new.
+    /// The last name of the members that were read from others so far, and whether the last reading
+    /// of all brought nobody new.
     synced: (String, bool),
     /// Somebody new came since the last reading of all began.
     grew: bool,
@@ -205,9 +210,15 @@
 }
 
 impl Membership {
-    /// One manager, its first news, and the addresses of some others. The incarnation of the first news should be
-    /// higher than that of any earlier life under the same name.
-    pub fn new(me: Rumour, timing: Timing, seeds: Vec<SocketAddr>, seed: u64, now: Micros) -> Membership {
+    /// One manager, its first news, and the addresses of some others. The incarnation of the first
+    /// news should be higher than that of any earlier life under the same name.
+    pub fn new(
+        me: Rumour,
+        timing: Timing,
+        seeds: Vec<SocketAddr>,
+        seed: u64,
+        now: Micros,
+    ) -> Membership {
         let seeds = seeds.into_iter().filter(|s| *s != me.addr).collect();
         let mut membership = Membership {
             me,
@@ -242,11 +253,18 @@
 
     /// When [`tick`](Self::tick) has something to do next.
     pub fn wakes(&self) -> Micros {
-        let probes = self
-            .probes
+        let probes = self.probes.values().map(|p| {
+            p.sent
+                + if p.indirect_sent {
+                    self.timing.period()
+                } else {
+                    self.timing.probe_ms * MS
+                }
+        });
+        let suspects = self
+            .members
             .values()
-            .map(|p| p.sent + if p.indirect_sent { self.timing.period() } else { self.timing.probe_ms * MS });
-        let suspects = self.members.values().filter(|m| m.rumour.health == Health::Suspect && !m.last_call);
+            .filter(|m| m.rumour.health == Health::Suspect && !m.last_call);
         let suspects = suspects.map(|m| m.since + self.suspicion());
         probes.chain(suspects).fold(self.next_probe, Micros::min)
     }
@@ -263,8 +281,11 @@
 
     /// The manager goes: it tells a few others, who pass it on.
     pub fn leave(&mut self, out: &mut Vec<Action>) {
-        let targets: Vec<SocketAddr> =
-            self.alive().map(|m| m.rumour.addr).take(self.timing.indirect.max(1)).collect();
+        let targets: Vec<SocketAddr> = self
+            .alive()
+            .map(|m| m.rumour.addr)
+            .take(self.timing.indirect.max(1))
+            .collect();
         for to in targets {
             self.send(to, Kind::Leave, out);
         }
@@ -289,7 +310,13 @@
     }
 
     /// A datagram came.
-    pub fn receive(&mut self, from: SocketAddr, message: Message, now: Micros, out: &mut Vec<Action>) {
+    pub fn receive(
+        &mut self,
+        from: SocketAddr,
+        message: Message,
+        now: Micros,
+        out: &mut Vec<Action>,
+    ) {
         if message.from.name == self.me.name {
             // Another process under this manager's name, or an echo: not a member.
             self.dropped += 1;
@@ -302,21 +329,35 @@
         news.health = if leaving { Health::Left } else { Health::Alive };
         let incarnation = news.incarnation;
         let heard = self.hear(news, now, out);
-        let known = self.members.get(&sender).map(|m| (m.rumour.incarnation, m.rumour.health));
-        let stale =
-            known.is_some_and(|(i, h)| incarnation < i || !heard && matches!(h, Health::Dead | Health::Left));
+        let known = self
+            .members
+            .get(&sender)
+            .map(|m| (m.rumour.incarnation, m.rumour.health));
+        let stale = known.is_some_and(|(i, h)| {
+            incarnation < i || !heard && matches!(h, Health::Dead | Health::Left)
+        });
         if stale {
-            // A datagram of an earlier life, or of one declared dead that has not refuted yet: it counts for nothing.
+            // A datagram of an earlier life, or of one declared dead that has not refuted yet: it
+            // counts for nothing.
             self.dropped += 1;
-            // What it says of this manager still counts: one taken for dead on both sides must be able to refute.
-            let mine: Vec<Rumour> = message.gossip.into_iter().filter(|r| r.name == self.me.name).collect();
+            // What it says of this manager still counts: one taken for dead on both sides must be
+            // able to refute.
+            let mine: Vec<Rumour> = message
+                .gossip
+                .into_iter()
+                .filter(|r| r.name == self.me.name)
+                .collect();
             for rumour in mine {
                 self.hear(rumour, now, out);
             }
             if known.is_some_and(|(i, h)| incarnation == i && h == Health::Dead) {
                 // It is told, so that it can refute if it lives.
                 let dead = self.members[&sender].rumour.clone();
-                let tell = Message { from: self.me.clone(), kind: Kind::Ack(0), gossip: vec![dead] };
+                let tell = Message {
+                    from: self.me.clone(),
+                    kind: Kind::Ack(0),
+                    gossip: vec![dead],
+                };
                 out.push(Action::Send(from, Box::new(tell)));
             }
             return;
@@ -331,8 +372,11 @@
                 self.send(from, Kind::Ack(seq), out);
             }
             Kind::Ack(seq) => {
-                let Some(probe) = self.probes.remove(&seq) else { return };
-                // An ack proves life, though only the member's own refutation ends a suspicion everywhere.
+                let Some(probe) = self.probes.remove(&seq) else {
+                    return;
+                };
+                // An ack proves life, though only the member's own refutation ends a suspicion
+                // everywhere.
                 if let Some(member) = self.members.get_mut(&probe.target) {
                     member.doubted = false;
                     if member.rumour.health == Health::Suspect {
@@ -345,10 +389,20 @@
             }
             Kind::PingReq(their, target) => {
                 self.seq = self.seq.wrapping_add(1);
-                let name = self.members.iter().find(|(_, m)| m.rumour.addr == target).map(|(n, _)| n.clone());
+                let name = self
+                    .members
+                    .iter()
+                    .find(|(_, m)| m.rumour.addr == target)
+                    .map(|(n, _)| n.clone());
                 let Some(name) = name else { return };
                 let for_whom = Some((from, their));
-                let probe = Probe { target: name, sent: now, for_whom, indirect_sent: true, last: false };
+                let probe = Probe {
+                    target: name,
+                    sent: now,
+                    for_whom,
+                    indirect_sent: true,
+                    last: false,
+                };
                 self.probes.insert(self.seq, probe);
                 self.send(target, Kind::Ping(self.seq), out);
             }
@@ -371,11 +425,21 @@
     fn page(&self, after: &str) -> Message {
         let mut kind = Kind::Page(after.to_owned(), true);
         let mut gossip: Vec<Rumour> = Vec::new();
-        let head = Message { from: self.me.clone(), kind: kind.clone(), gossip: Vec::new() };
+        let head = Message {
+            from: self.me.clone(),
+            kind: kind.clone(),
+            gossip: Vec::new(),
+        };
         // The longest name may stand in the head as the last one of the page.
         let longest = self.members.keys().map(String::len).max().unwrap_or(0);
-        let mut room = self.timing.datagram.saturating_sub(wire::size(&head) + longest + 2);
-        let behind = (std::ops::Bound::Excluded(after.to_owned()), std::ops::Bound::Unbounded);
+        let mut room = self
+            .timing
+            .datagram
+            .saturating_sub(wire::size(&head) + longest + 2);
+        let behind = (
+            std::ops::Bound::Excluded(after.to_owned()),
+            std::ops::Bound::Unbounded,
+        );
         for (name, member) in self.members.range::<String, _>(behind) {
             let size = wire::rumour_size(&member.rumour);
             if size > room {
@@ -387,7 +451,11 @@
             room -= size;
             gossip.push(member.rumour.clone());
         }
-        Message { from: self.me.clone(), kind, gossip }
+        Message {
+            from: self.me.clone(),
+            kind,
+            gossip,
+        }
     }
 
     /// Takes news in if it is newer than what is known. Whether it was.
@@ -396,7 +464,13 @@
     }
 
     /// The same; with `pass_on` it is passed on to others.
-    fn take_in(&mut self, rumour: Rumour, pass_on: bool, now: Micros, out: &mut Vec<Action>) -> bool {
+    fn take_in(
+        &mut self,
+        rumour: Rumour,
+        pass_on: bool,
+        now: Micros,
+        out: &mut Vec<Action>,
+    ) -> bool {
         if rumour.name == self.me.name {
             if rumour.health != Health::Alive && rumour.incarnation >= self.me.incarnation {
                 // Suspected or declared dead while alive: refute with a higher incarnation.
@@ -416,15 +490,23 @@
         let name = rumour.name.clone();
         let health = rumour.health;
         self.grew |= !self.members.contains_key(&name);
-        let was = self
-            .members
-            .insert(name.clone(), Member { rumour, since: now, last_call: false, doubted: false });
-        self.seeds.retain(|s| Some(*s) != self.members.get(&name).map(|m| m.rumour.addr));
+        let was = self.members.insert(
+            name.clone(),
+            Member {
+                rumour,
+                since: now,
+                last_call: false,
+                doubted: false,
+            },
+        );
+        self.seeds
+            .retain(|s| Some(*s) != self.members.get(&name).map(|m| m.rumour.addr));
         if was.as_ref().is_none_or(|w| w.rumour.health != health) {
             out.push(Action::Changed(name.clone(), health));
         }
         if health != Health::Alive {
-            self.probes.retain(|_, p| p.target != name || p.for_whom.is_some());
+            self.probes
+                .retain(|_, p| p.target != name || p.for_whom.is_some());
         }
         if pass_on {
             self.spread(&name);
@@ -433,7 +515,9 @@
     }
 
     fn set_health(&mut self, name: &str, health: Health, now: Micros, out: &mut Vec<Action>) {
-        let Some(member) = self.members.get_mut(name) else { return };
+        let Some(member) = self.members.get_mut(name) else {
+            return;
+        };
         if member.rumour.health == health {
             return;
         }
@@ -470,10 +554,13 @@
             self.ask_others(seq, &target, out);
         }
         for target in suspects {
-            let Some(member) = self.members.get_mut(&target) else { continue };
+            let Some(member) = self.members.get_mut(&target) else {
+                continue;
+            };
             match (member.rumour.health, member.doubted) {
-                // Guards the fleet's news: with a fifth of all datagrams lost one round in thirteen fails, and of 300
-                // members twenty were suspected a period, more than news can carry refutations of.
+                // Guards the fleet's news: with a fifth of all datagrams lost one round in thirteen
+                // fails, and of 300 members twenty were suspected a period, more than news can
+                // carry refutations of.
                 (Health::Alive, false) => {
                     member.doubted = true;
                     self.round.push(target);
@@ -483,22 +570,34 @@
             }
         }
         for target in dead {
-            if self.members.get(&target).is_some_and(|m| m.rumour.health == Health::Suspect && m.last_call) {
+            if self
+                .members
+                .get(&target)
+                .is_some_and(|m| m.rumour.health == Health::Suspect && m.last_call)
+            {
                 self.set_health(&target, Health::Dead, now, out);
             }
         }
     }
 
-    /// Before a member is declared dead it is pinged once more, directly and through others at once. Guards against
-    /// refutations that were lost: where a fifth of all datagrams is, one in some hundred suspicions stood unrefuted.
+    /// Before a member is declared dead it is pinged once more, directly and through others at
+    /// once. Guards against refutations that were lost: where a fifth of all datagrams is, one in
+    /// some hundred suspicions stood unrefuted.
     fn call_last(&mut self, name: &str, now: Micros, out: &mut Vec<Action>) {
-        let Some(member) = self.members.get_mut(name) else { return };
+        let Some(member) = self.members.get_mut(name) else {
+            return;
+        };
         member.last_call = true;
         let addr = member.rumour.addr;
         self.seq = self.seq.wrapping_add(1);
         let seq = self.seq;
-        let probe =
-            Probe { target: name.to_owned(), sent: now, for_whom: None, indirect_sent: true, last: true };
+        let probe = Probe {
+            target: name.to_owned(),
+            sent: now,
+            for_whom: None,
+            indirect_sent: true,
+            last: true,
+        };
         self.probes.insert(seq, probe);
         self.send(addr, Kind::Ping(seq), out);
         self.ask_others(seq, name, out);
@@ -506,9 +605,14 @@
 
     /// The direct ping went unanswered: `k` others are asked to ping.
     fn ask_others(&mut self, seq: u32, target: &str, out: &mut Vec<Action>) {
-        let Some(addr) = self.members.get(target).map(|m| m.rumour.addr) else { return };
-        let mut others: Vec<SocketAddr> =
-            self.alive().filter(|m| m.rumour.name != target).map(|m| m.rumour.addr).collect();
+        let Some(addr) = self.members.get(target).map(|m| m.rumour.addr) else {
+            return;
+        };
+        let mut others: Vec<SocketAddr> = self
+            .alive()
+            .filter(|m| m.rumour.name != target)
+            .map(|m| m.rumour.addr)
+            .collect();
         for i in 0..others.len().min(self.timing.indirect) {
             let j = i + self.random.next_u32() as usize % (others.len() - i);
             others.swap(i, j);
@@ -527,8 +631,8 @@
             self.seq = self.seq.wrapping_add(1);
             self.send(seed, Kind::Ping(self.seq), out);
         }
-        // One taken for dead is greeted too: if it lives, each side learns what the other thinks of it and refutes. This
-        // heals a partition in which both sides declared the other dead.
+        // One taken for dead is greeted too: if it lives, each side learns what the other thinks of
+        // it and refutes. This heals a partition in which both sides declared the other dead.
         let dead: Vec<SocketAddr> = self
             .members
             .values()
@@ -562,13 +666,20 @@
             }
         };
         self.seq = self.seq.wrapping_add(1);
-        let probe = Probe { target: target.0, sent: now, for_whom: None, indirect_sent: false, last: false };
+        let probe = Probe {
+            target: target.0,
+            sent: now,
+            for_whom: None,
+            indirect_sent: false,
+            last: false,
+        };
         self.probes.insert(self.seq, probe);
         self.send(target.1, Kind::Ping(self.seq), out);
     }
 
-    /// Reads a page of the members from one that lives: each period while that brings new ones, seldom after that. Mends
-    /// what news did not bring, as to one that joins or comes back after a long time.
+    /// Reads a page of the members from one that lives: each period while that brings new ones,
+    /// seldom after that. Mends what news did not bring, as to one that joins or comes back after a
+    /// long time.
     fn read_on(&mut self, out: &mut Vec<Action>) {
         if self.synced.1 && !self.periods.is_multiple_of(SYNC_SELDOM) {
             return;
@@ -582,10 +693,13 @@
     }
 
     fn alive(&self) -> impl Iterator<Item = &Member> {
-        self.members.values().filter(|m| m.rumour.health == Health::Alive)
+        self.members
+            .values()
+            .filter(|m| m.rumour.health == Health::Alive)
     }
 
-    /// log2 of the members, at least 1: how the suspicion's time and the passing on grow with the fleet.
+    /// log2 of the members, at least 1: how the suspicion's time and the passing on grow with the
+    /// fleet.
     fn scale(&self) -> u64 {
         u64::from((self.members.len() as u64 + 2).ilog2()).max(1)
     }
@@ -596,12 +710,17 @@
 
     fn spread(&mut self, name: &str) {
         self.news.retain(|(n, _)| n != name);
-        self.news.push_front((name.to_owned(), self.timing.retransmit * self.scale()));
+        self.news
+            .push_front((name.to_owned(), self.timing.retransmit * self.scale()));
     }
 
-    /// Sends a datagram. One taken for suspect or dead is told so first, so that it can refute at once if it lives.
+    /// Sends a datagram. One taken for suspect or dead is told so first, so that it can refute at
+    /// once if it lives.
     fn send(&mut self, to: SocketAddr, kind: Kind, out: &mut Vec<Action>) {
-        let told = self.members.values().find(|m| m.rumour.addr == to && m.rumour.health != Health::Alive);
+        let told = self
+            .members
+            .values()
+            .find(|m| m.rumour.addr == to && m.rumour.health != Health::Alive);
         let told = told.map(|m| m.rumour.clone());
         let message = self.message(kind, told);
         out.push(Action::Send(to, Box::new(message)));
@@ -609,7 +728,11 @@
 
     /// A datagram with as much news as fits, the least passed on first.
     fn message(&mut self, kind: Kind, first: Option<Rumour>) -> Message {
-        let mut message = Message { from: self.me.clone(), kind, gossip: first.into_iter().collect() };
+        let mut message = Message {
+            from: self.me.clone(),
+            kind,
+            gossip: first.into_iter().collect(),
+        };
         let mut room = self.timing.datagram.saturating_sub(wire::size(&message));
         let mut kept = VecDeque::with_capacity(self.news.len());
         while let Some((name, left)) = self.news.pop_front() {
@@ -636,8 +759,9 @@
     }
 }
 
-/// Whether `new` is news over `old`, by the precedence of SWIM: a higher incarnation wins; at the same one, suspicion
-/// over life, and death or leaving over both. A new life, with a higher incarnation, comes back from death.
+/// Whether `new` is news over `old`, by the precedence of SWIM: a higher incarnation wins; at the
+/// same one, suspicion over life, and death or leaving over both. A new life, with a higher
+/// incarnation, comes back from death.
 pub fn overrides(new: &Rumour, old: &Rumour) -> bool {
     use Health::*;
     match (new.health, old.health) {
@@ -662,20 +786,26 @@
     ShutOut,
 }
 
-/// What the majority of all members not gone holds, counting those taken for dead: settings by their hash (the
-/// numbers of generations are each process's own), and the newest list version that more than half have reached.
+/// What the majority of all members not gone holds, counting those taken for dead: settings by
+/// their hash (the numbers of generations are each process's own), and the newest list version that
+/// more than half have reached.
 pub fn majority(all: &[&Versions]) -> (Option<u64>, u64) {
     let half = all.len() / 2;
     let mut hashes: BTreeMap<u64, usize> = BTreeMap::new();
-    all.iter().for_each(|v| *hashes.entry(v.settings).or_default() += 1);
-    let settings = hashes.into_iter().find(|(_, n)| *n > half).map(|(hash, _)| hash);
+    all.iter()
+        .for_each(|v| *hashes.entry(v.settings).or_default() += 1);
+    let settings = hashes
+        .into_iter()
+        .find(|(_, n)| *n > half)
+        .map(|(hash, _)| hash);
     let mut lists: Vec<u64> = all.iter().map(|v| v.list).collect();
     lists.sort_unstable_by(|a, b| b.cmp(a));
     (settings, lists.get(half).copied().unwrap_or(0))
 }
 
-/// Whether one manager keeps behind the majority: it has to have held other settings, or a list older than one the
-/// majority had reached, for the whole grace. A list that keeps moving is no lag while the manager keeps up with it.
+/// Whether one manager keeps behind the majority: it has to have held other settings, or a list
+/// older than one the majority had reached, for the whole grace. A list that keeps moving is no lag
+/// while the manager keeps up with it.
 #[derive(Clone, Debug, Default)]
 pub struct Straggler {
     /// Since when its settings differ from the majority's.
@@ -686,19 +816,34 @@
 
 impl Straggler {
     /// Judges this manager's versions against all others not gone.
-    pub fn judge(&mut self, me: &Versions, others: &[&Versions], grace: Micros, now: Micros) -> Standing {
+    pub fn judge(
+        &mut self,
+        me: &Versions,
+        others: &[&Versions],
+        grace: Micros,
+        now: Micros,
+    ) -> Standing {
         let mut all = others.to_vec();
         all.push(me);
         let (settings, list) = majority(&all);
         let differs = settings.is_some_and(|s| s != me.settings);
-        self.settings_since = if differs { self.settings_since.or(Some(now)) } else { None };
+        self.settings_since = if differs {
+            self.settings_since.or(Some(now))
+        } else {
+            None
+        };
         self.list_behind = match self.list_behind {
             Some((target, since)) if me.list < target => Some((target, since)),
             _ if me.list < list => Some((list, now)),
             _ => None,
         };
-        let since =
-            [self.settings_since, self.list_behind.map(|(_, since)| since)].into_iter().flatten().min();
+        let since = [
+            self.settings_since,
+            self.list_behind.map(|(_, since)| since),
+        ]
+        .into_iter()
+        .flatten()
+        .min();
         match since {
             None => Standing::InStep,
             Some(since) if now >= since + 2 * grace => Standing::ShutOut,
@@ -710,12 +855,12 @@
 
 /// How many managers share the warm engines, as one manager counts them.
 ///
-/// Those that are shut out, have left or are dead take no share, as long as those surely alive are more than half of
-/// all that are known; else each one counts. What others leave is taken over only once that has stood for the grace;
-/// what they take back is given back at once.
+/// Those that are shut out, have left or are dead take no share, as long as those surely alive are
+/// more than half of all that are known; else each one counts. What others leave is taken over only
+/// once that has stood for the grace; what they take back is given back at once.
 ///
-/// Guards engines against a fleet in two: of its sides at most one takes over the other's shares, and none does while
-/// it still finds out how much of the fleet it has lost.
+/// Guards engines against a fleet in two: of its sides at most one takes over the other's shares,
+/// and none does while it still finds out how much of the fleet it has lost.
 #[derive(Clone, Debug)]
 pub struct Sharers {
     /// All managers, by the settings.
@@ -729,7 +874,11 @@
     /// Everyone counts at first.
     pub fn new(managers: u32) -> Sharers {
         let managers = managers.max(1);
-        Sharers { managers, counted: managers, fewer_since: None }
+        Sharers {
+            managers,
+            counted: managers,
+            fewer_since: None,
+        }
     }
 
     /// Counts anew; told is how many share.
@@ -749,7 +898,11 @@
             sure += u32::from(rumour.health == Health::Alive && !shut);
         }
         let majority = 2 * sure > known;
-        let counted = if majority { self.managers.saturating_sub(out).max(1) } else { self.managers };
+        let counted = if majority {
+            self.managers.saturating_sub(out).max(1)
+        } else {
+            self.managers
+        };
         let stood = |since: &mut Option<Micros>| now >= *since.get_or_insert(now) + grace;
         if counted >= self.counted || stood(&mut self.fewer_since) {
             (self.counted, self.fewer_since) = (counted, None);
@@ -761,16 +914,17 @@
 /// The stage that a manager tells while it is shut out.
 pub const SHUT_OUT: &str = "shut-out";
 
-/// The bytes a second that one manager's membership traffic may take at the most while nothing fails: a ping that it
-/// sends a period, the acks of the pings it is sent, which are as many on the mean, and a page or its question; each one
-/// datagram.
+/// The bytes a second that one manager's membership traffic may take at the most while nothing
+/// fails: a ping that it sends a period, the acks of the pings it is sent, which are as many on the
+/// mean, and a page or its question; each one datagram.
 pub fn budget(timing: &Timing) -> u64 {
     3 * timing.datagram as u64 * SEC / timing.period()
 }
 
-/// Within this time of a member's stop, every other member that hears the rest has declared it dead, but for about one
-/// stop in fifty: until somebody probes it, which takes four periods or less but for one in `e^4`; the periods
-/// of that probe and of the next one; the suspicion's time; the last call's period; and a period for each doubling of the news.
+/// Within this time of a member's stop, every other member that hears the rest has declared it
+/// dead, but for about one stop in fifty: until somebody probes it, which takes four periods or
+/// less but for one in `e^4`; the periods of that probe and of the next one; the suspicion's time;
+/// the last call's period; and a period for each doubling of the news.
 pub fn detection_bound(timing: &Timing, members: usize) -> Micros {
     let scale = u64::from((members as u64 + 1).ilog2()).max(1);
     (timing.suspicion_periods * scale + 7 + scale) * timing.period()
--- a/src/membership/wire.rs
+++ b/src/membership/wire.rs
@@ -1,10 +1,11 @@
-//! The datagrams between managers, in postcard behind a tag of the format. What can't be read is dropped and counted
-//! by the caller; nothing here panics on what comes in.
+//! The datagrams between managers, in postcard behind a tag of the format. What can't be read is
+//! dropped and counted by the caller; nothing here panics on what comes in.
 use super::{Message, Rumour};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The first bytes of each datagram: the protocol and the version of its format. Another build's format is dropped.
+/// The first bytes of each datagram: the protocol and the version of its format. Another build's
+/// format is dropped.
 pub const TAG: [u8; 4] = *b"YLM2";
 
 /// Why a datagram was dropped.
@@ -37,7 +38,11 @@
 }
 
 /// The value behind that tag in a datagram no longer than `most`.
-pub fn unpack<T: DeserializeOwned>(tag: [u8; 4], datagram: &[u8], most: usize) -> Result<T, Unread> {
+pub fn unpack<T: DeserializeOwned>(
+    tag: [u8; 4],
+    datagram: &[u8],
+    most: usize,
+) -> Result<T, Unread> {
     if datagram.len() > most {
         return Err(Unread::Oversized);
     }
--- a/src/net/audit.rs
+++ b/src/net/audit.rs
@@ -34,8 +34,11 @@
 
 /// Where the files are: `$TMPDIR`, which an operator has to have set.
 pub fn folder() -> Result<PathBuf, String> {
-    let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty()).map(PathBuf::from);
-    folder.ok_or_else(|| "fleet: the audit and the votes are kept in TMPDIR, which is not set".into())
+    let folder = std::env::var_os("TMPDIR")
+        .filter(|folder| !folder.is_empty())
+        .map(PathBuf::from);
+    folder
+        .ok_or_else(|| "fleet: the audit and the votes are kept in TMPDIR, which is not set".into())
 }
 
 /// A file there.
@@ -47,7 +50,8 @@
 pub fn start(shared: &Rc<Shared>, under: Under, bounds: Bounds) -> Result<Keeper, String> {
     let folder = folder()?;
     let store = Store::open(&folder, &under.member, bounds);
-    let store = store.map_err(|e| format!("fleet: the audit's files in {}: {e}", folder.display()))?;
+    let store =
+        store.map_err(|e| format!("fleet: the audit's files in {}: {e}", folder.display()))?;
     let (jobs, work) = bounded(MAILBOX);
     let (done, ended) = bounded(1);
     let thread = std::thread::Builder::new().name("audit".into());
@@ -55,9 +59,15 @@
         keep(store, &work);
         drop(done);
     };
-    thread.spawn(run).map_err(|e| format!("fleet: the audit's thread: {e}"))?;
+    thread
+        .spawn(run)
+        .map_err(|e| format!("fleet: the audit's thread: {e}"))?;
     *shared.audit.borrow_mut() = Some(jobs.clone());
-    Ok(Keeper { trail: Trail::new(under), jobs, ended })
+    Ok(Keeper {
+        trail: Trail::new(under),
+        jobs,
+        ended,
+    })
 }
 
 /// The files' thread: until nobody can ask it for anything any more.
@@ -88,7 +98,9 @@
 
     /// The end of a turn of the core: what it decided on the way, under what its module acts on.
     pub fn turn(&mut self, now: Micros, decisions: &[Decision]) {
-        decisions.iter().for_each(|decision| self.trail.note(now, decision));
+        decisions
+            .iter()
+            .for_each(|decision| self.trail.note(now, decision));
         if let Some(batch) = self.trail.flush(now) {
             self.send(batch);
         }
@@ -101,14 +113,32 @@
 
     /// A duty came to this manager, or went from it.
     pub fn owns(&mut self, now: Micros, duty: &str, token: u64, owned: bool) {
-        let what = if owned { What::Own(token) } else { What::Disown(token) };
-        self.trail.note(now, &Decision { what, class: "".into(), request: duty.into() });
+        let what = if owned {
+            What::Own(token)
+        } else {
+            What::Disown(token)
+        };
+        self.trail.note(
+            now,
+            &Decision {
+                what,
+                class: "".into(),
+                request: duty.into(),
+            },
+        );
     }
 
     fn send(&mut self, batch: Batch) {
-        if let Err(Job::Keep(batch)) = self.jobs.try_send(Job::Keep(batch)).map_err(|e| e.into_inner()) {
+        if let Err(Job::Keep(batch)) = self
+            .jobs
+            .try_send(Job::Keep(batch))
+            .map_err(|e| e.into_inner())
+        {
             self.trail.gave_up(clock::now(), &batch);
-            log!("the audit's files are behind: {} records were given up", batch.records());
+            log!(
+                "the audit's files are behind: {} records were given up",
+                batch.records()
+            );
         }
     }
 
@@ -139,6 +169,10 @@
         Timer::after(Duration::from_secs(1)).await;
         Err("the files take too long".into())
     };
-    let page = async { page.recv().await.unwrap_or_else(|_| Err("the program ends".into())) };
+    let page = async {
+        page.recv()
+            .await
+            .unwrap_or_else(|_| Err("the program ends".into()))
+    };
     Some(or(page, late).await)
 }
--- a/src/net/client/leave.rs
+++ b/src/net/client/leave.rs
@@ -15,8 +15,8 @@
 use std::net::Shutdown;
 use std::rc::Rc;
 
-/// At its end a connection takes so long at most to write what is left, and so long and so many bytes to take in
-/// what the client still sends.
+/// At its end a connection takes so long at most to write what is left, and so long and so many
+/// bytes to take in what the client still sends.
 const LAST_WORDS: Micros = SEC;
 const DRAIN: Micros = 300 * MS;
 const DRAIN_BYTES: usize = 1 << 20;
@@ -29,11 +29,23 @@
         mut handed: Handed,
         mailbox: &Receiver<(u64, Answer)>,
     ) -> End {
-        let Peer { shared, core, stream, socket, conn, mut front, unwritten, written, .. } = self;
+        let Peer {
+            shared,
+            core,
+            stream,
+            socket,
+            conn,
+            mut front,
+            unwritten,
+            written,
+            ..
+        } = self;
         handed.unwritten = unwritten[written..].to_vec();
         // From here on nobody here looks at the socket.
         let stream = Rc::try_unwrap(stream).map(|stream| stream.into_inner());
-        let Ok(Ok(stream)) = stream else { return End::Reset };
+        let Ok(Ok(stream)) = stream else {
+            return End::Reset;
+        };
         let (back, words) = async_channel::unbounded();
         let held = Held::new(&shared.unwritten);
         let client = Passed::Client(conn, stream.into(), handed, back, held);
@@ -50,7 +62,12 @@
                     let held = Held::new(&shared.unwritten);
                     front.answer(clock::turn(), tag, answer, &mut said, &mut bytes);
                     let line = std::mem::take(&mut bytes);
-                    if !line.is_empty() && newer.send(Passed::Answer(conn, tag, line, held)).await.is_err() {
+                    if !line.is_empty()
+                        && newer
+                            .send(Passed::Answer(conn, tag, line, held))
+                            .await
+                            .is_err()
+                    {
                         return End::Dropped;
                     }
                 }
@@ -64,14 +81,20 @@
         End::Done
     }
 
-    /// Writes what is owed, ends this side, and takes in a little of what the client still sends, none of which is
-    /// acted on: a client sends what crosses an end again elsewhere. Guards the last answer or error: a close with
-    /// unread input resets the connection, and the client loses both.
+    /// Writes what is owed, ends this side, and takes in a little of what the client still sends,
+    /// none of which is acted on: a client sends what crosses an end again elsewhere. Guards the
+    /// last answer or error: a close with unread input resets the connection, and the client loses
+    /// both.
     pub(super) async fn farewell(self, end: End) -> End {
         let busy = Held::new(&self.shared.unwritten);
         let now = clock::turn();
         let mut writer = &*self.stream;
-        let rest = async { writer.write_all(&self.unwritten[self.written..]).await.is_ok() };
+        let rest = async {
+            writer
+                .write_all(&self.unwritten[self.written..])
+                .await
+                .is_ok()
+        };
         let late = async {
             until(Some(now + LAST_WORDS)).await;
             false
@@ -80,9 +103,15 @@
             return end;
         }
         drop(busy);
-        let Peer { shared, stream, socket, .. } = self;
+        let Peer {
+            shared,
+            stream,
+            socket,
+            ..
+        } = self;
         // One that only waits for its client's end has given its place among the clients back.
-        let Some(_place) = Held::up_to(&shared.closing_sockets, shared.most_closing_sockets.get()) else {
+        let Some(_place) = Held::up_to(&shared.closing_sockets, shared.most_closing_sockets.get())
+        else {
             let _ = io::Read::read(&mut stream.get_ref(), &mut shared.buffer.borrow_mut());
             return end;
         };
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -18,8 +18,8 @@
 /// Connections that may wait to be accepted; the system has its own limit.
 const LINE: i32 = 4_096;
 
-/// Listens there. Guards against a crowd that fills the usual short line: what does not fit into it believes to be
-/// connected, and is heard only seconds later.
+/// Listens there. Guards against a crowd that fills the usual short line: what does not fit into it
+/// believes to be connected, and is heard only seconds later.
 pub fn bind(addr: SocketAddr) -> io::Result<Async<TcpListener>> {
     let listener = Async::<TcpListener>::bind(addr)?;
     rustix::net::listen(&listener, LINE)?;
@@ -29,7 +29,11 @@
 /// The same at an address that a process of a newer version may share.
 pub fn bind_shared(addr: SocketAddr) -> io::Result<Async<TcpListener>> {
     use rustix::net::{AddressFamily, SocketType, sockopt};
-    let family = if addr.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let family = if addr.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
     let socket = rustix::net::socket_with(family, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
     sockopt::set_socket_reuseaddr(&socket, true)?;
     sockopt::set_socket_reuseport(&socket, true)?;
@@ -59,7 +63,9 @@
             let _ = closed.recv().await;
             None
         };
-        let Some(stream) = or(none, incoming.next()).await else { break };
+        let Some(stream) = or(none, incoming.next()).await else {
+            break;
+        };
         match stream {
             Ok(stream) => serve(stream),
             // Most likely all descriptors are in use: one that idles makes room, and nothing spins.
@@ -69,9 +75,11 @@
                 Timer::after(Duration::from_millis(10)).await;
             }
         }
-        // Guards the limit on sockets: connections that wait in the listener's line come without a pause.
+        // Guards the limit on sockets: connections that wait in the listener's line come without a
+        // pause.
         yield_now().await;
-        while shared.client_sockets.get() >= shared.most_client_sockets.get() && !closed.is_closed() {
+        while shared.client_sockets.get() >= shared.most_client_sockets.get() && !closed.is_closed()
+        {
             if !shed(&shared) {
                 Timer::after(Duration::from_millis(10)).await;
             }
@@ -79,11 +87,13 @@
         }
     }
     drop(incoming);
-    // What waits in the line is connected, as its clients see it: each gets a farewell or its answer, not a reset. A
-    // successor has the same line.
+    // What waits in the line is connected, as its clients see it: each gets a farewell or its
+    // answer, not a reset. A successor has the same line.
     let alone = !shared.life.borrow().handed_over();
     while alone && shared.client_sockets.get() < shared.most_client_sockets.get() {
-        let Ok((stream, _)) = listener.get_ref().accept() else { break };
+        let Ok((stream, _)) = listener.get_ref().accept() else {
+            break;
+        };
         if let Ok(stream) = Async::new(stream) {
             serve(stream);
         }
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -28,7 +28,8 @@
 /// However many come, one that just came or was just answered has this long to ask.
 const GRACE: Micros = 100 * MS;
 
-/// A connection that another process passed on: its number there, and where to say what is meant for it.
+/// A connection that another process passed on: its number there, and where to say what is meant
+/// for it.
 pub struct Adopted {
     /// The number.
     pub number: u64,
@@ -51,9 +52,21 @@
     adopted: Option<Adopted>,
 ) -> Sender<(u64, Answer)> {
     let (answers, mailbox) = bounded(MAILBOX);
-    let (all, mine, socket) = (shared.clone(), answers.clone(), Held::new(&shared.client_sockets));
+    let (all, mine, socket) = (
+        shared.clone(),
+        answers.clone(),
+        Held::new(&shared.client_sockets),
+    );
     shared.spawn(async move {
-        actor(&all, core, (stream, socket, conn), front, adopted, (mine, mailbox)).await;
+        actor(
+            &all,
+            core,
+            (stream, socket, conn),
+            front,
+            adopted,
+            (mine, mailbox),
+        )
+        .await;
     });
     answers
 }
@@ -71,10 +84,20 @@
     let (leaving, passes) = (Cell::new(false), Cell::new(false));
     let stream = Rc::new(stream);
     let at = Rc::downgrade(&stream);
-    let standing = Rc::new(Standing { useful, idle_since, leaving, passes, shed, stream: at });
+    let standing = Rc::new(Standing {
+        useful,
+        idle_since,
+        leaving,
+        passes,
+        shed,
+        stream: at,
+    });
     shared.clients.borrow_mut().insert(conn, standing.clone());
     let _ = core.send(Input::Opened(conn, answers)).await;
-    let (held, unread) = (Bytes::new(&shared.unwritten_bytes), Bytes::new(&shared.unread_bytes));
+    let (held, unread) = (
+        Bytes::new(&shared.unwritten_bytes),
+        Bytes::new(&shared.unread_bytes),
+    );
     let (mut unwritten, said, waiting, skimmed) = (Vec::new(), Vec::new(), Vec::new(), 0);
     let older = adopted.map(|adopted| {
         unwritten = adopted.handed.unwritten;
--- a/src/net/client/peer.rs
+++ b/src/net/client/peer.rs
@@ -21,13 +21,14 @@
 const MOST_UNWRITTEN: usize = 256 * 1024;
 /// What an idle connection keeps of its buffers.
 const SMALL: usize = 4 * 1024;
-/// A client with nothing open is cut off when silent for so long: usual ones close their side after 4 s.
+/// A client with nothing open is cut off when silent for so long: usual ones close their side after
+/// 4 s.
 const IDLE: Micros = 10 * SEC;
-/// A client owes its first usable message, and the rest of one that it began, within this time. Guards against
-/// hundreds that connect and say nothing, or half of something, and keep others out.
+/// A client owes its first usable message, and the rest of one that it began, within this time.
+/// Guards against hundreds that connect and say nothing, or half of something, and keep others out.
 const OWED: Micros = 2_500 * MS;
-/// So much of what comes on a connection that is read slowly is kept for later; with more, nothing is read, and the
-/// client's end is looked for this often.
+/// So much of what comes on a connection that is read slowly is kept for later; with more, nothing
+/// is read, and the client's end is looked for this often.
 const MOST_WAITING: usize = 64 * 1024;
 const LOOK: Micros = 20 * MS;
 /// So much of that is read at a time.
@@ -53,7 +54,9 @@
 
 /// Reads into the buffer that all share, so that an idle connection costs none.
 pub(super) async fn take_some(stream: &Async<TcpStream>, shared: &Shared) -> io::Result<usize> {
-    stream.read_with(|stream| io::Read::read(&mut &*stream, &mut shared.buffer.borrow_mut())).await
+    stream
+        .read_with(|stream| io::Read::read(&mut &*stream, &mut shared.buffer.borrow_mut()))
+        .await
 }
 
 /// A connection with its front.
@@ -72,8 +75,8 @@
     /// The same against many that send long messages.
     pub(super) unread: Bytes<'a>,
     pub(super) said: Vec<Said>,
-    /// What came while it is read slowly, or while it does not take its answers: the front reads it later, but
-    /// withdrawals in it, and the client's end behind it, count at once.
+    /// What came while it is read slowly, or while it does not take its answers: the front reads it
+    /// later, but withdrawals in it, and the client's end behind it, count at once.
     pub(super) waiting: Vec<u8>,
     /// So much of that was looked through for withdrawals.
     pub(super) skimmed: usize,
@@ -87,16 +90,26 @@
         let mut all = without_withdrawn(std::mem::take(&mut self.said));
         while let Some(said) = all.pop_front() {
             let input = match said {
-                // Guards against a connection that is never quiet and would be held through a drain.
+                // Guards against a connection that is never quiet and would be held through a
+                // drain.
                 Said::Ask(ask) if self.shared.life.borrow().closes(now) => {
                     let answer = Answer::Refused(Some(ELSEWHERE_AFTER));
-                    self.front.answer(now, ask.origin.tag, answer, &mut self.said, &mut self.unwritten);
+                    self.front.answer(
+                        now,
+                        ask.origin.tag,
+                        answer,
+                        &mut self.said,
+                        &mut self.unwritten,
+                    );
                     all.extend(self.said.drain(..));
                     Input::TurnedAway(ask.class, Answer::Refused(None))
                 }
                 Said::Ask(ask) => Input::Ask(ask),
                 Said::TurnedAway(class, answer) => Input::TurnedAway(class, answer),
-                Said::Withdraw(tag) => Input::Withdraw(Origin { conn: self.conn, tag }),
+                Said::Withdraw(tag) => Input::Withdraw(Origin {
+                    conn: self.conn,
+                    tag,
+                }),
                 Said::WithdrawElsewhere(tag) => {
                     if let Some((number, older)) = &self.older {
                         let _ = older.try_send(Word::Withdraw(*number, tag));
@@ -109,14 +122,22 @@
     }
 
     /// The front reads what came.
-    async fn take_in(&mut self, now: Micros, came: Came<'_>, strikes: &mut Strikes) -> Result<(), End> {
+    async fn take_in(
+        &mut self,
+        now: Micros,
+        came: Came<'_>,
+        strikes: &mut Strikes,
+    ) -> Result<(), End> {
         let before = self.front.strikes();
         let fed = match came {
             Came::Read(n) => {
                 let buffer = self.shared.buffer.borrow();
-                self.front.feed(now, &buffer[..n], &mut self.said, &mut self.unwritten)
+                self.front
+                    .feed(now, &buffer[..n], &mut self.said, &mut self.unwritten)
             }
-            Came::Waited(bytes) => self.front.feed(now, bytes, &mut self.said, &mut self.unwritten),
+            Came::Waited(bytes) => self
+                .front
+                .feed(now, bytes, &mut self.said, &mut self.unwritten),
         };
         strikes.add(now, self.front.strikes() - before);
         // A withdrawal of what was just asked may stand in what still waits.
@@ -128,7 +149,8 @@
 
     /// Keeps what came for later, but for the withdrawals in it.
     async fn put_off(&mut self, now: Micros, n: usize) {
-        self.waiting.extend_from_slice(&self.shared.buffer.borrow()[..n]);
+        self.waiting
+            .extend_from_slice(&self.shared.buffer.borrow()[..n]);
         self.skimmed = self.front.skim(&self.waiting, self.skimmed, &mut self.said);
         self.unread.set(self.front.held() + self.waiting.len());
         self.pass_on(now).await;
@@ -157,7 +179,11 @@
                 return self.farewell(End::Done).await;
             }
             // The program does not end while this one has something to write.
-            busy = if writing { busy.or_else(|| Some(Held::new(&self.shared.unwritten))) } else { None };
+            busy = if writing {
+                busy.or_else(|| Some(Held::new(&self.shared.unwritten)))
+            } else {
+                None
+            };
             if standing.passes.get() && self.front.useful() && self.waiting.is_empty() {
                 let newer = self.shared.newer.borrow().clone();
                 if let Some((newer, handed)) = newer.zip(self.front.hand_over()) {
@@ -185,7 +211,12 @@
             let useful = self.front.useful();
             standing.useful.set(useful);
             standing.idle_since.set(idle.then_some(active_at));
-            let owed = self.front.began().into_iter().chain((!useful).then_some(came_at)).min();
+            let owed = self
+                .front
+                .began()
+                .into_iter()
+                .chain((!useful).then_some(came_at))
+                .min();
             let owed = owed.map(|since| since + OWED);
             let silent = match (writing, idle) {
                 (true, _) => Some(active_at + WRITE_STALL),
@@ -195,15 +226,25 @@
             // With no room for more that waits, a client's end shows in another way.
             let blind = slowly && self.waiting.len() >= MOST_WAITING;
             let look = (blind && self.front.open() > 0).then_some(now + LOOK);
-            let due = silent.into_iter().chain(owed).chain(paused).chain(look).min();
+            let due = silent
+                .into_iter()
+                .chain(owed)
+                .chain(paused)
+                .chain(look)
+                .min();
             let mut writer = &*self.stream;
             let answer = async { Turn::Answer(mailbox.recv().await.ok()) };
-            // One that has something open by now stays. At the very end half a message asks for nothing.
-            let quiet = (ending || (self.front.began().is_none() && self.front.held() == 0)) && !unread;
+            // One that has something open by now stays. At the very end half a message asks for
+            // nothing.
+            let quiet =
+                (ending || (self.front.began().is_none() && self.front.held() == 0)) && !unread;
             let rests = quiet && (ending || standing.leaving.get());
             let rests_until =
                 rests.then(|| active_at + self.shared.life.borrow().rest(self.conn, now, useful));
-            let due = due.into_iter().chain(rests_until.filter(|at| idle && *at > now)).min();
+            let due = due
+                .into_iter()
+                .chain(rests_until.filter(|at| idle && *at > now))
+                .min();
             let shed = async {
                 match (idle, rests_until.is_some_and(|at| at <= now)) {
                     (true, true) => {}
@@ -237,7 +278,8 @@
                     active_at = if writing { active_at } else { now };
                     busy = busy.or_else(|| Some(Held::new(&self.shared.unwritten)));
                     strikes.add(now, u64::from(matches!(answer, Answer::Refused(_))));
-                    self.front.answer(now, tag, answer, &mut self.said, &mut self.unwritten);
+                    self.front
+                        .answer(now, tag, answer, &mut self.said, &mut self.unwritten);
                     self.pass_on(now).await;
                 }
                 // Guards a request that has come and is not read yet.
@@ -245,7 +287,9 @@
                     unread = self.has_unread();
                     if !unread {
                         let shed = shedding.is_closed();
-                        return self.farewell(if shed { End::Overflow } else { End::Idle }).await;
+                        return self
+                            .farewell(if shed { End::Overflow } else { End::Idle })
+                            .await;
                     }
                 }
                 Turn::Shed => {}
@@ -268,12 +312,14 @@
                     } else if let Err(end) = self.take_in(now, Came::Read(n), &mut strikes).await {
                         return self.farewell(end).await;
                     }
-                    let crowded = self.shared.unread_bytes.get() > self.shared.most_unread_bytes.get();
+                    let crowded =
+                        self.shared.unread_bytes.get() > self.shared.most_unread_bytes.get();
                     if crowded && self.front.held() + self.waiting.len() > SMALL {
                         self.waiting = Vec::new();
                         self.front.cut_off(Cut::Room, &mut self.unwritten);
                     }
-                    // Guards the other connections: one that sends without a pause can always be read.
+                    // Guards the other connections: one that sends without a pause can always be
+                    // read.
                     yield_now().await;
                 }
                 Turn::Read(Err(_)) | Turn::Wrote(Err(_)) => return End::Reset,
@@ -296,14 +342,15 @@
     }
 }
 
-/// Leaves out what was asked and withdrawn after it in one breath: nobody waits for it, and nothing of it is to be sent on.
+/// Leaves out what was asked and withdrawn after it in one breath: nobody waits for it, and nothing
+/// of it is to be sent on.
 fn without_withdrawn(all: Vec<Said>) -> VecDeque<Said> {
     let mut kept: VecDeque<Said> = VecDeque::with_capacity(all.len());
     for said in all {
         let asked = match said {
-            Said::Withdraw(tag) => {
-                kept.iter().rposition(|s| matches!(s, Said::Ask(ask) if ask.origin.tag == tag))
-            }
+            Said::Withdraw(tag) => kept
+                .iter()
+                .rposition(|s| matches!(s, Said::Ask(ask) if ask.origin.tag == tag)),
             _ => None,
         };
         match asked {
--- a/src/net/client/standing.rs
+++ b/src/net/client/standing.rs
@@ -1,4 +1,5 @@
-//! What all connections of clients show of themselves: which may be shed or let go, and whose client has gone.
+//! What all connections of clients show of themselves: which may be shed or let go, and whose
+//! client has gone.
 use super::GRACE;
 use crate::clock::{self, Micros};
 use crate::net::Shared;
@@ -26,14 +27,17 @@
 }
 
 impl Standing {
-    /// Whether its client has closed its side: also where bytes that came before are not read yet, as with a client
-    /// that is read slowly or does not take its answers.
+    /// Whether its client has closed its side: also where bytes that came before are not read yet,
+    /// as with a client that is read slowly or does not take its answers.
     pub fn gone(&self) -> bool {
-        self.stream.upgrade().is_some_and(|stream| hung_up(stream.get_ref()))
+        self.stream
+            .upgrade()
+            .is_some_and(|stream| hung_up(stream.get_ref()))
     }
 }
 
-/// Whether the peer has closed its side, or the connection is broken. Costs one system call and reads nothing.
+/// Whether the peer has closed its side, or the connection is broken. Costs one system call and
+/// reads nothing.
 fn hung_up(stream: &TcpStream) -> bool {
     let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
@@ -41,20 +45,26 @@
     some && polled[0].revents().intersects(ends)
 }
 
-/// Sheds the connection that is missed least: one that never said anything usable, and among those, or else among
-/// all with nothing open, the one idle for longest. Guards the usual clients against being kept out.
+/// Sheds the connection that is missed least: one that never said anything usable, and among those,
+/// or else among all with nothing open, the one idle for longest. Guards the usual clients against
+/// being kept out.
 pub(super) fn shed(shared: &Shared) -> bool {
     let clients = shared.clients.borrow();
-    // With the grace first: to wait for a newcomer's would leave one place a tenth of a second to all others.
+    // With the grace first: to wait for a newcomer's would leave one place a tenth of a second to
+    // all others.
     let stays = clock::turn().saturating_sub(GRACE);
     let idle = |s: &&Rc<Standing>| s.idle_since.get().is_some_and(|since| since <= stays);
-    let all = clients.values().filter(idle).filter(|s| !s.shed.is_closed());
-    all.min_by_key(|s| (s.useful.get(), s.idle_since.get())).is_some_and(|s| s.shed.close())
+    let all = clients
+        .values()
+        .filter(idle)
+        .filter(|s| !s.shed.is_closed());
+    all.min_by_key(|s| (s.useful.get(), s.idle_since.get()))
+        .is_some_and(|s| s.shed.close())
 }
 
-/// Lets kept connections go when the lifecycle says so: each closes itself at its next quiet moment. `letting_go` is
-/// whether any was to go at the last look, and is again now: while none is and none was, nobody is told anything, and idle
-/// clients cost no turn.
+/// Lets kept connections go when the lifecycle says so: each closes itself at its next quiet
+/// moment. `letting_go` is whether any was to go at the last look, and is again now: while none is
+/// and none was, nobody is told anything, and idle clients cost no turn.
 pub fn let_go(shared: &Shared, now: Micros, letting_go: &mut bool) {
     let life = shared.life.borrow();
     if life.handed_over() {
@@ -67,13 +77,15 @@
     for (conn, standing) in shared.clients.borrow().iter() {
         let leaving = life.lets_go_at(*conn).is_some_and(|at| at <= now);
         let passes = life.handed_over();
-        if standing.leaving.replace(leaving) != leaving || standing.passes.replace(passes) != passes {
+        if standing.leaving.replace(leaving) != leaving || standing.passes.replace(passes) != passes
+        {
             let _ = standing.shed.try_send(());
         }
     }
 }
 
-/// The program is about to end, as the lifecycle says: every connection looks whether it is quiet, and leaves.
+/// The program is about to end, as the lifecycle says: every connection looks whether it is quiet,
+/// and leaves.
 pub fn send_away(shared: &Shared) {
     for standing in shared.clients.borrow().values() {
         let _ = standing.shed.try_send(());
--- a/src/net/client/strikes.rs
+++ b/src/net/client/strikes.rs
@@ -1,7 +1,8 @@
 //! Clients that are turned away again and again are read from more slowly.
 use crate::clock::{MS, Micros};
 
-/// So many times at once are free, and each one more costs this pause. Guards the others' share of the processor.
+/// So many times at once are free, and each one more costs this pause. Guards the others' share of
+/// the processor.
 const FREE_STRIKES: u64 = 64;
 const STRIKE: Micros = 20 * MS;
 
--- a/src/net/console.rs
+++ b/src/net/console.rs
@@ -1,5 +1,5 @@
-//! The second address: its listener and the actor of each caller. Answers from the lifecycle and from what the core
-//! has put down; it never waits for the module.
+//! The second address: its listener and the actor of each caller. Answers from the lifecycle and
+//! from what the core has put down; it never waits for the module.
 use super::{Held, Shared, until};
 use crate::audit::Place;
 use crate::clock::{self, MS, Micros, SEC};
@@ -15,12 +15,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Callers at once at most. Their descriptors are of the quarter that neither clients nor engines get: a part of it.
+/// Callers at once at most. Their descriptors are of the quarter that neither clients nor engines
+/// get: a part of it.
 const CALLERS: usize = 16;
 const PART: usize = 16;
 /// A caller owes its call, and takes its answer, within this time.
 const OWED: Micros = 2 * SEC;
-/// After the answer a little of what the caller still sends is taken in, lest a reset takes the answer along.
+/// After the answer a little of what the caller still sends is taken in, lest a reset takes the
+/// answer along.
 const LAST_WORDS: Micros = 200 * MS;
 
 /// Accepts callers; with all places taken, the oldest one goes: its call is not finished.
@@ -40,7 +42,10 @@
         };
         let most = (shared.limits.get().0 / PART).clamp(2, CALLERS);
         if places.borrow().len() >= most {
-            places.borrow_mut().pop_first().map(|(_, oldest)| oldest.close());
+            places
+                .borrow_mut()
+                .pop_first()
+                .map(|(_, oldest)| oldest.close());
         }
         let (place, shed) = bounded(1);
         places.borrow_mut().insert(next, place);
@@ -67,7 +72,9 @@
         until(Some(late_at)).await;
         Some(Err(Wrong::Late))
     };
-    let Some(call) = or(shed, or(read(&mut stream), late)).await else { return };
+    let Some(call) = or(shed, or(read(&mut stream), late)).await else {
+        return;
+    };
     let answer = match call {
         Ok(call) => carry_out(shared, call).await,
         Err(why) => console::wrong(why),
@@ -113,7 +120,11 @@
         Call::Ready => {
             let life = shared.life.borrow();
             let status = if life.ready() { 200 } else { 503 };
-            console::answer(status, None, &format!("{:?}\n", life.stage()).to_lowercase())
+            console::answer(
+                status,
+                None,
+                &format!("{:?}\n", life.stage()).to_lowercase(),
+            )
         }
         Call::Metrics => console::answer(200, None, &console::figures(&shared.figures())),
         Call::Drain => {
@@ -123,7 +134,14 @@
         }
         Call::Undrain => {
             let may = shared.life.borrow_mut().undrain();
-            log!("the drain is {}", if may { "over" } else { "not over: the program ends" });
+            log!(
+                "the drain is {}",
+                if may {
+                    "over"
+                } else {
+                    "not over: the program ends"
+                }
+            );
             if may {
                 console::answer(200, None, "serving\n")
             } else {
@@ -133,11 +151,19 @@
         Call::Audit(since, most) => audit(shared, since, most).await,
         Call::Duties => match shared.owned.borrow().as_ref() {
             Some(view) => console::answer(200, None, view),
-            None => console::answer(404, None, "no duties are shared out: no fleet file with [duties]\n"),
+            None => console::answer(
+                404,
+                None,
+                "no duties are shared out: no fleet file with [duties]\n",
+            ),
         },
         Call::Fleet => match shared.fleet.borrow().as_ref() {
             Some(view) => console::answer(200, None, &view.lines()),
-            None => console::answer(404, None, "no fleet membership: started without a fleet file\n"),
+            None => console::answer(
+                404,
+                None,
+                "no fleet membership: started without a fleet file\n",
+            ),
         },
     }
 }
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -1,4 +1,5 @@
-//! The actor of the coordinator: follows its numbered events, comes back after every break, and moves with it.
+//! The actor of the coordinator: follows its numbered events, comes back after every break, and
+//! moves with it.
 use super::list::{Update, parse_record};
 use super::{Shared, until};
 use crate::backoff::Backoff;
@@ -29,13 +30,19 @@
 
 /// Reads the first frame, if it is there whole, and tells its length.
 pub fn frame(input: &[u8]) -> Result<Option<(Frame<'_>, usize)>, End> {
-    let Some((length, rest)) = input.split_first_chunk::<4>() else { return Ok(None) };
+    let Some((length, rest)) = input.split_first_chunk::<4>() else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes(*length) as usize;
     if !(9..=MOST_FRAME).contains(&length) {
         return Err(End::Garbled);
     }
-    let Some(body) = rest.get(..length) else { return Ok(None) };
-    let number = body.first_chunk::<8>().map_or(0, |n| u64::from_be_bytes(*n));
+    let Some(body) = rest.get(..length) else {
+        return Ok(None);
+    };
+    let number = body
+        .first_chunk::<8>()
+        .map_or(0, |n| u64::from_be_bytes(*n));
     let (records, left) = body[9..].as_chunks::<27>();
     let frame = match body[8] {
         0 => Frame::Empty,
@@ -45,7 +52,8 @@
     Ok(Some((frame, 4 + length)))
 }
 
-/// How far the events have come, over all connections: the numbers go on when the coordinator moves.
+/// How far the events have come, over all connections: the numbers go on when the coordinator
+/// moves.
 #[derive(Default)]
 pub struct Place {
     last: Cell<u64>,
@@ -58,7 +66,10 @@
 impl Place {
     /// After that event.
     pub fn at(last: u64) -> Place {
-        Place { last: Cell::new(last), ..Place::default() }
+        Place {
+            last: Cell::new(last),
+            ..Place::default()
+        }
     }
 }
 
@@ -71,7 +82,10 @@
 impl Follower {
     /// One that goes on from there.
     pub fn new(place: Rc<Place>) -> Follower {
-        Follower { place, input: Vec::new() }
+        Follower {
+            place,
+            input: Vec::new(),
+        }
     }
 
     /// What it writes on a new connection.
@@ -80,8 +94,8 @@
         self.place.last.get().to_be_bytes()
     }
 
-    /// Reads what came. Guards against a gap in the numbers: it asks again from the last event it has, and takes
-    /// a second gap at the same place as it is, lest it asks forever.
+    /// Reads what came. Guards against a gap in the numbers: it asks again from the last event it
+    /// has, and takes a second gap at the same place as it is, lest it asks forever.
     pub fn feed(&mut self, input: &[u8]) -> Result<Vec<Update>, End> {
         self.input.extend_from_slice(input);
         let (mut used, mut updates) = (0, Vec::new());
@@ -103,7 +117,11 @@
                     self.place.last.set(index);
                     self.place.gap.set(false);
                     let engines = records.iter().filter_map(parse_record).collect();
-                    updates.push(Update { index, whole, engines });
+                    updates.push(Update {
+                        index,
+                        whole,
+                        engines,
+                    });
                 }
             }
         };
@@ -118,15 +136,16 @@
 
 /// Where the coordinator is from now on, and the events that came with the news.
 pub struct Move {
-    /// Its address; without one it is followed where it is, on a new connection: the present one seems to be stuck.
+    /// Its address; without one it is followed where it is, on a new connection: the present one
+    /// seems to be stuck.
     pub addr: Option<SocketAddr>,
     /// Events; those already known are passed over.
     pub known: Vec<Update>,
 }
 
-/// Runs the follower from the last event that is known; `heard` is called once the coordinator has spoken.
-/// After a move the new address is followed at once, and the old connection read until it ends. The seed is this
-/// manager's own, lest a fleet dials in step.
+/// Runs the follower from the last event that is known; `heard` is called once the coordinator has
+/// spoken. After a move the new address is followed at once, and the old connection read until it
+/// ends. The seed is this manager's own, lest a fleet dials in step.
 pub async fn run(
     shared: Rc<Shared>,
     (last, seed): (u64, u64),
@@ -146,7 +165,13 @@
         if let Some(addr) = at.filter(|addr| again || was != Some(*addr)) {
             place.newest.set(place.newest.get() + 1);
             let backoff = Backoff::new(seed.wrapping_add(place.newest.get()));
-            shared.spawn(stay(addr, place.clone(), backoff, list.clone(), heard.clone()));
+            shared.spawn(stay(
+                addr,
+                place.clone(),
+                backoff,
+                list.clone(),
+                heard.clone(),
+            ));
         }
     }
 }
@@ -180,7 +205,11 @@
     list: &Sender<Update>,
     heard: &impl Fn(),
 ) -> End {
-    let connect = async { Async::<TcpStream>::connect(addr).await.map_err(|e| End::of_connect(&e)) };
+    let connect = async {
+        Async::<TcpStream>::connect(addr)
+            .await
+            .map_err(|e| End::of_connect(&e))
+    };
     let late = async {
         until(Some(clock::turn() + CONNECT)).await;
         Err(End::ConnectTimeout)
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -1,5 +1,5 @@
-//! The actor of the module: takes in what all others report, and hands out what the core orders. It never
-//! waits for any of them.
+//! The actor of the module: takes in what all others report, and hands out what the core orders. It
+//! never waits for any of them.
 use super::audit::Keeper;
 use super::duties::Word;
 use super::engine::{Row, ToEngine};
@@ -24,18 +24,20 @@
 pub const MAILBOX: usize = 4_096;
 /// Messages taken in one turn.
 const TURN_MOST: usize = 256;
-/// With all answered, connections have so long to part properly, but only so long after the last call; looked at this
-/// often.
+/// With all answered, connections have so long to part properly, but only so long after the last
+/// call; looked at this often.
 const PARTING: Micros = 300 * MS;
 const LAST_PARTING: Micros = 150 * MS;
 const PARTING_LOOK: Micros = 5 * MS;
 /// Figures for operators are put down this often at most.
 const FIGURES_EVERY: Micros = 100 * MS;
 
-/// Where there may be a second process, the lifecycle is looked at this often: as often as the module has a turn by itself.
+/// Where there may be a second process, the lifecycle is looked at this often: as often as the
+/// module has a turn by itself.
 const LOOK: Micros = 20 * MS;
 
-/// What follows from the lifecycle by itself: clients that are let go, and this process's part of the manager.
+/// What follows from the lifecycle by itself: clients that are let go, and this process's part of
+/// the manager.
 struct Watch {
     looked_at: Micros,
     letting_go: bool,
@@ -87,8 +89,8 @@
     },
     /// News of the list, the rows of new engines, and the number of its event.
     List(ListKind, Vec<EngineEntry>, Vec<(EngineId, Rc<Row>)>, u64),
-    /// New settings with the names of their classes and a hash of them; told back are all classes by their ids, and
-    /// whether each is in force.
+    /// New settings with the names of their classes and a hash of them; told back are all classes
+    /// by their ids, and whether each is in force.
     Retune(Box<Settings>, Vec<String>, u64, Sender<Vec<(Class, bool)>>),
     /// The tenants' shares, as a new configuration or the directory has them.
     Tenants(Vec<TenantSpec>),
@@ -136,19 +138,42 @@
 ) -> Manager {
     let (clients, engines, acting) = (HashMap::new(), HashMap::new(), shared.acting.get());
     let (orders, duties) = (Vec::new(), None);
-    let mut core = Core { manager, clients, engines, orders, ended: false, acting, audit, duties };
+    let mut core = Core {
+        manager,
+        clients,
+        engines,
+        orders,
+        ended: false,
+        acting,
+        audit,
+        duties,
+    };
     core.manager.audit(core.audit.is_some());
     let (mut figures_at, mut parts_until) = (0, None);
-    let mut watch = Watch { looked_at: 0, letting_go: false, part: 1.0 };
+    let mut watch = Watch {
+        looked_at: 0,
+        letting_go: false,
+        part: 1.0,
+    };
     loop {
         let stop_at = shared.life.borrow().accepts_until();
         let stop_due = stop_at.map(|at| at.max(clock::now() + 5 * MS));
         let life = || shared.life.borrow();
-        let last_at = life().gives_up_at(core.manager.longest_deadline()).filter(|_| !core.ended);
+        let last_at = life()
+            .gives_up_at(core.manager.longest_deadline())
+            .filter(|_| !core.ended);
         let kept_at = core.audit.as_ref().and_then(Keeper::due);
-        let due = core.manager.next_due().into_iter().chain(stop_due).chain(last_at).chain(kept_at);
+        let due = core
+            .manager
+            .next_due()
+            .into_iter()
+            .chain(stop_due)
+            .chain(last_at)
+            .chain(kept_at);
         let due = due.chain(watch.due(&shared));
-        let due = due.chain(parts_until.map(|_| clock::now() + PARTING_LOOK)).min();
+        let due = due
+            .chain(parts_until.map(|_| clock::now() + PARTING_LOOK))
+            .min();
         let message = or(async { mailbox.recv().await.ok() }, async {
             until(due).await;
             None
@@ -183,20 +208,25 @@
         if stop_at.is_none() && parts_until.is_none() {
             continue;
         }
-        // Guards against an end that takes the last answer along: it may still be in its client's mailbox, or
-        // not written yet.
+        // Guards against an end that takes the last answer along: it may still be in its client's
+        // mailbox, or not written yet.
         let handed_on = shared.unwritten.get() == 0 && core.clients.values().all(Sender::is_empty);
         let quiet = core.manager.counters.open() == 0 && mailbox.is_empty() && handed_on;
         // Behind a successor clients go on to use the connections that they keep.
         let kept = life().handed_over() && shared.client_sockets.get() > 0 && !core.ended;
         if quiet && !kept && parts_until.is_none() && stop_at.is_some_and(|at| at <= now) {
-            // All is answered. What the listeners' lines and the sockets still hold gets its answer or a farewell.
+            // All is answered. What the listeners' lines and the sockets still hold gets its answer
+            // or a farewell.
             shared.life.borrow_mut().close();
             shared.accepting.0.close();
             client::send_away(&shared);
             parts_until = Some(now + if core.ended { LAST_PARTING } else { PARTING });
         }
-        let all = [&shared.listening, &shared.client_sockets, &shared.closing_sockets];
+        let all = [
+            &shared.listening,
+            &shared.client_sockets,
+            &shared.closing_sockets,
+        ];
         let parted = quiet && all.iter().all(|count| count.get() == 0);
         if parts_until.is_some_and(|until| parted || until <= now) {
             if let Some(audit) = core.audit {
@@ -208,7 +238,8 @@
 }
 
 impl Core {
-    /// What comes from here on is decided on this; what came before is told under what it was decided on.
+    /// What comes from here on is decided on this; what came before is told under what it was
+    /// decided on.
     fn acts_on(&mut self, now: Micros, acting: Acting) {
         self.acting = acting;
         if let Some(audit) = &mut self.audit {
@@ -220,11 +251,24 @@
     fn input(&mut self, now: Micros, input: Input) {
         match &input {
             Input::List(.., version) => {
-                self.acts_on(now, Acting { list: self.acting.list.max(*version), ..self.acting });
+                self.acts_on(
+                    now,
+                    Acting {
+                        list: self.acting.list.max(*version),
+                        ..self.acting
+                    },
+                );
             }
             Input::Retune(_, _, hash, _) => {
                 let generation = self.acting.generation + 1;
-                self.acts_on(now, Acting { generation, settings: *hash, ..self.acting });
+                self.acts_on(
+                    now,
+                    Acting {
+                        generation,
+                        settings: *hash,
+                        ..self.acting
+                    },
+                );
             }
             _ => {}
         }
@@ -239,11 +283,18 @@
                 manager.hung_up(now, conn, orders);
             }
             Input::Ended(ended) => manager.ended(now, ended, orders),
-            Input::Probed { engine, kind, latency, load } => {
+            Input::Probed {
+                engine,
+                kind,
+                latency,
+                load,
+            } => {
                 if let Some(duties) = &self.duties {
                     let sounding = Sounding::new(kind, latency, &load);
-                    let _ = duties
-                        .try_send(Word::Answered(engine.0, (kind != OutcomeKind::Moot).then_some(sounding)));
+                    let _ = duties.try_send(Word::Answered(
+                        engine.0,
+                        (kind != OutcomeKind::Moot).then_some(sounding),
+                    ));
                 }
                 // What was asked for others tells the module something too.
                 manager.probed(now, engine, kind, latency, load, orders);
@@ -299,7 +350,8 @@
             }
             Order::Stop(engine, id, attempt) => {
                 if self.to_engine(engine, ToEngine::Stop(id, attempt)).is_err() {
-                    // Guards against a lost word: with the mailbox closed the engine's connections end.
+                    // Guards against a lost word: with the mailbox closed the engine's connections
+                    // end.
                     self.engines.get(&engine).iter().for_each(|row| row.cut());
                     log!("the mailbox of engine {} overflowed", engine.0);
                 }
@@ -311,19 +363,29 @@
                 let _ = self.to_engine(engine, ToEngine::Bump(id, attempt, urgency));
             }
             Order::Probe(engine) => {
-                // Where duties are shared out, their owner asks; without room there it is done as without duties.
-                if self.duties.as_ref().is_none_or(|duties| duties.try_send(Word::Wanted(engine.0)).is_err())
+                // Where duties are shared out, their owner asks; without room there it is done as
+                // without duties.
+                if self
+                    .duties
+                    .as_ref()
+                    .is_none_or(|duties| duties.try_send(Word::Wanted(engine.0)).is_err())
                 {
                     self.probe(now, engine, None);
                 }
             }
             Order::CloseIdle(engine) => drop(self.to_engine(engine, ToEngine::CloseIdle)),
             Order::Answer(origin, answer) => {
-                let lost =
-                    self.clients.get(&origin.conn).is_none_or(|c| c.try_send((origin.tag, answer)).is_err());
+                let lost = self
+                    .clients
+                    .get(&origin.conn)
+                    .is_none_or(|c| c.try_send((origin.tag, answer)).is_err());
                 if lost {
-                    // The client has gone, or takes no answers: its connection ends, as its mailbox does.
-                    self.clients.remove(&origin.conn).iter().for_each(|c| _ = c.close());
+                    // The client has gone, or takes no answers: its connection ends, as its mailbox
+                    // does.
+                    self.clients
+                        .remove(&origin.conn)
+                        .iter()
+                        .for_each(|c| _ = c.close());
                 }
             }
             Order::Log(line) => log!("module: {line}"),
@@ -333,19 +395,28 @@
     /// Asks an engine for its load, for the module or, until then, for other managers.
     fn probe(&mut self, now: Micros, engine: EngineId, until: Option<Micros>) {
         let late = until.is_some_and(|until| now >= until);
-        if late || self.to_engine(engine, ToEngine::Probe(until.unwrap_or(Micros::MAX))).is_err() {
+        if late
+            || self
+                .to_engine(engine, ToEngine::Probe(until.unwrap_or(Micros::MAX)))
+                .is_err()
+        {
             if until.is_some() {
                 let failed = Word::Answered(engine.0, None);
-                self.duties.iter().for_each(|duties| _ = duties.try_send(failed.clone()));
+                self.duties
+                    .iter()
+                    .for_each(|duties| _ = duties.try_send(failed.clone()));
             } else {
                 let (kind, load) = (OutcomeKind::Moot, LoadReport::default());
-                self.manager.probed(now, engine, kind, 0, load, &mut self.orders);
+                self.manager
+                    .probed(now, engine, kind, 0, load, &mut self.orders);
             }
         }
     }
 
     /// Passes an order to an engine's row; how an attempt has ended that can't begin there.
     fn to_engine(&self, engine: EngineId, order: ToEngine) -> Result<(), End> {
-        self.engines.get(&engine).map_or(Err(End::Overflow), |row| row.tell(order))
+        self.engines
+            .get(&engine)
+            .map_or(Err(End::Overflow), |row| row.tell(order))
     }
 }
--- a/src/net/directory.rs
+++ b/src/net/directory.rs
@@ -1,4 +1,5 @@
-//! The actor of the directory: reads it at the start and then slowly again; a failure keeps the last good list.
+//! The actor of the directory: reads it at the start and then slowly again; a failure keeps the
+//! last good list.
 use super::core::Input;
 use super::until;
 use crate::clock::{self, SEC};
@@ -23,7 +24,9 @@
 async fn read(line: &DirectoryLine) -> Result<Listing, Fault> {
     let reading = async {
         let broken = |_| Fault::Connection;
-        let mut stream = Async::<TcpStream>::connect(line.addr).await.map_err(broken)?;
+        let mut stream = Async::<TcpStream>::connect(line.addr)
+            .await
+            .map_err(broken)?;
         let _ = stream.get_ref().set_nodelay(true);
         let (mut reading, hello) = Reading::new(line.clone());
         stream.write_all(&hello).await.map_err(broken)?;
@@ -72,7 +75,10 @@
                 listing.apply(&mut self.tenants.names, &mut self.tenants.specs, &mut users);
                 users.extend(&self.file.borrow());
                 *self.service.users.borrow_mut() = users;
-                let _ = self.core.send(Input::Tenants(self.tenants.specs.clone())).await;
+                let _ = self
+                    .core
+                    .send(Input::Tenants(self.tenants.specs.clone()))
+                    .await;
                 let _ = self.core.send(Input::DirectoryRead).await;
                 self.line.refresh_s
             }
--- a/src/net/duties.rs
+++ b/src/net/duties.rs
@@ -1,5 +1,6 @@
-//! What the membership's actor does for duties: the voter, the candidate and the prober of this manager on the fleet's
-//! socket, and what they put down for the second address. Started only with `[duties]` in the operator's fleet file.
+//! What the membership's actor does for duties: the voter, the candidate and the prober of this
+//! manager on the fleet's socket, and what they put down for the second address. Started only with
+//! `[duties]` in the operator's fleet file.
 use super::Shared;
 use super::core::Input;
 use crate::clock::{self, MS, Micros};
@@ -44,8 +45,8 @@
 
 const CRC: crc::Crc<u32> = crc::Crc::<u32>::new(&crc::CRC_32_ISCSI);
 
-/// What an earlier life of this voter kept. Guards the tokens: what is there but can't be read may have been higher than
-/// anything this life would begin with, so there is no voter then.
+/// What an earlier life of this voter kept. Guards the tokens: what is there but can't be read may
+/// have been higher than anything this life would begin with, so there is no voter then.
 fn kept(path: &Path) -> Result<Highest, String> {
     match std::fs::read(path) {
         Ok(bytes) => postcard::from_bytes_crc32(&bytes, CRC.digest()).map_err(|e| e.to_string()),
@@ -86,13 +87,15 @@
     keeper: Keeper,
     words: Receiver<Word>,
     module: Sender<Input>,
-    /// What the module had no room for yet. Guards its count of probes: each one that it ordered is answered.
+    /// What the module had no room for yet. Guards its count of probes: each one that it ordered is
+    /// answered.
     unsaid: VecDeque<Input>,
     looked_at: Micros,
 }
 
 impl Desk {
-    /// Opens it, with the highest tokens that earlier lives of this voter granted. Votes that were kept go to `send`.
+    /// Opens it, with the highest tokens that earlier lives of this voter granted. Votes that were
+    /// kept go to `send`.
     pub fn open(
         shared: &Rc<Shared>,
         me: Holder,
@@ -112,21 +115,30 @@
         let voter = voter.and_then(|kept| match kept {
             Ok(kept) => Some(Voter::new(duties.terms, kept, now)),
             Err(e) => {
-                log!("duties: this manager gives no votes: {}: {e}", path.display());
+                log!(
+                    "duties: this manager gives no votes: {}: {e}",
+                    path.display()
+                );
                 None
             }
         });
         let thread = std::thread::Builder::new().name("votes".into());
         let run = move || {
             while let Ok((highest, out)) = work.recv_blocking() {
-                // A vote that is not kept is not given: another life of this voter could give it once more.
+                // A vote that is not kept is not given: another life of this voter could give it
+                // once more.
                 match keep(&path, &highest) {
                     Ok(()) => drop(done.try_send(out)),
-                    Err(e) => eprintln!("yokelift: the votes can't be kept in {}: {e}", path.display()),
+                    Err(e) => eprintln!(
+                        "yokelift: the votes can't be kept in {}: {e}",
+                        path.display()
+                    ),
                 }
             }
         };
-        thread.spawn(run).map_err(|e| format!("fleet: the votes' thread: {e}"))?;
+        thread
+            .spawn(run)
+            .map_err(|e| format!("fleet: the votes' thread: {e}"))?;
         shared.spawn(async move {
             while let Ok(out) = votes.recv().await {
                 send(out);
@@ -157,17 +169,27 @@
     /// When it wants its next turn.
     pub fn wakes(&self) -> Option<Micros> {
         // Whose a duty is may change with the fleet at any time.
-        let held = self.candidate.wakes().map(|at| at.min(self.looked_at + LOOK));
+        let held = self
+            .candidate
+            .wakes()
+            .map(|at| at.min(self.looked_at + LOOK));
         let unsaid = (!self.unsaid.is_empty()).then(|| clock::now() + UNSAID);
-        held.into_iter().chain(self.prober.wakes()).chain(unsaid).min()
+        held.into_iter()
+            .chain(self.prober.wakes())
+            .chain(unsaid)
+            .min()
     }
 
-    /// The member that should own a duty: the first by rank of those that live and serve, this one among them.
+    /// The member that should own a duty: the first by rank of those that live and serve, this one
+    /// among them.
     fn first<'a>(&'a self, fleet: &'a Membership, duty: Duty) -> &'a str {
         let serves = |stage: &str| stage == "ready";
         let others = fleet.members().values().map(|m| &m.rumour);
         let live = others.filter(|r| matches!(r.health, Health::Alive | Health::Suspect));
-        let all = live.chain([fleet.me()]).filter(|r| serves(&r.versions.stage)).map(|r| &*r.name);
+        let all = live
+            .chain([fleet.me()])
+            .filter(|r| serves(&r.versions.stage))
+            .map(|r| &*r.name);
         first(duty, all).unwrap_or("")
     }
 
@@ -189,10 +211,12 @@
                 }
                 let first = (first != fleet.me().name).then_some(&*first);
                 let own = (&mut self.candidate, &self.fence);
-                self.prober.wanted(engine, first, own, now, (&mut actions, &mut steps));
+                self.prober
+                    .wanted(engine, first, own, now, (&mut actions, &mut steps));
             }
             Word::Answered(engine, sounding) => {
-                self.prober.answered(engine, sounding, &self.candidate, now, &mut steps);
+                self.prober
+                    .answered(engine, sounding, &self.candidate, now, &mut steps);
             }
         }
         self.carry_out(actions, steps, fleet, out);
@@ -217,15 +241,29 @@
                 candidate.vote(&voter, (duty, number), &vote, fence, now, &mut actions);
             }
             Letter::Release(holder, duty, token) => {
-                self.voter.iter_mut().for_each(|voter| voter.release(duty, &holder, token));
+                self.voter
+                    .iter_mut()
+                    .for_each(|voter| voter.release(duty, &holder, token));
             }
             Letter::Want(engine, number) => {
                 let mine = self.first(fleet, Duty::Probe(engine)) == fleet.me().name;
                 let own = (&mut self.candidate, &self.fence);
-                self.prober.asked((from, engine, number), mine, own, now, (&mut actions, &mut steps));
+                self.prober.asked(
+                    (from, engine, number),
+                    mine,
+                    own,
+                    now,
+                    (&mut actions, &mut steps),
+                );
             }
             Letter::Told(engine, number, token, sounding) => {
-                self.prober.told((engine, number), token, sounding, &mut self.fence, &mut steps);
+                self.prober.told(
+                    (engine, number),
+                    token,
+                    sounding,
+                    &mut self.fence,
+                    &mut steps,
+                );
             }
             Letter::NotMine(engine, number, token) => {
                 self.fence.saw(Duty::Probe(engine), token);
@@ -259,12 +297,22 @@
     pub fn tick(&mut self, fleet: &Membership, now: Micros, out: &mut Vec<Out>) {
         let (mut actions, mut steps) = (Vec::new(), Vec::new());
         self.prober.tick(now, &mut steps);
-        if self.candidate.wakes().is_some_and(|at| now >= at.min(self.looked_at + LOOK)) {
+        if self
+            .candidate
+            .wakes()
+            .is_some_and(|at| now >= at.min(self.looked_at + LOOK))
+        {
             self.looked_at = now;
             let held: Vec<Duty> = self.candidate.owned(now).map(|(duty, ..)| duty).collect();
-            let mine: BTreeMap<Duty, bool> =
-                held.into_iter().map(|duty| (duty, self.first(fleet, duty) == fleet.me().name)).collect();
-            self.candidate.tick(|duty| mine.get(&duty).copied().unwrap_or(true), now, &mut actions);
+            let mine: BTreeMap<Duty, bool> = held
+                .into_iter()
+                .map(|duty| (duty, self.first(fleet, duty) == fleet.me().name))
+                .collect();
+            self.candidate.tick(
+                |duty| mine.get(&duty).copied().unwrap_or(true),
+                now,
+                &mut actions,
+            );
         }
         self.carry_out(actions, steps, fleet, out);
     }
@@ -276,19 +324,31 @@
         self.carry_out(actions, Vec::new(), fleet, out);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>, steps: Vec<Step>, fleet: &Membership, out: &mut Vec<Out>) {
+    fn carry_out(
+        &mut self,
+        actions: Vec<Action>,
+        steps: Vec<Step>,
+        fleet: &Membership,
+        out: &mut Vec<Out>,
+    ) {
         for action in actions {
             let me = self.candidate.me().clone();
             match action {
-                // This manager's own vote needs no datagram; under a new token it is asked for like any other, since
-                // it has to be kept first.
+                // This manager's own vote needs no datagram; under a new token it is asked for like
+                // any other, since it has to be kept first.
                 Action::Ask(voter, duty, token, number) => {
-                    let to = if voter == me.name { Some(fleet.me().addr) } else { Desk::addr(fleet, &voter) };
+                    let to = if voter == me.name {
+                        Some(fleet.me().addr)
+                    } else {
+                        Desk::addr(fleet, &voter)
+                    };
                     let letter = Letter::Ask(me, duty, token, number);
                     out.extend(to.map(|to| (to, wire::encode(&letter))));
                 }
                 Action::Release(voter, duty, token) if voter == me.name => {
-                    self.voter.iter_mut().for_each(|voter| voter.release(duty, &me, token));
+                    self.voter
+                        .iter_mut()
+                        .for_each(|voter| voter.release(duty, &me, token));
                 }
                 Action::Release(voter, duty, token) => {
                     let letter = wire::encode(&Letter::Release(me, duty, token));
@@ -310,13 +370,18 @@
                 Step::ProbeForOthers(engine, until) => {
                     self.unsaid.push_back(Input::Probe(engine, Some(until)))
                 }
-                Step::Give(engine, sounding) => self.unsaid.push_back(Input::Sounded(engine, sounding)),
+                Step::Give(engine, sounding) => {
+                    self.unsaid.push_back(Input::Sounded(engine, sounding))
+                }
                 Step::Want(name, engine, number) => {
                     let letter = wire::encode(&Letter::Want(engine, number));
                     out.extend(Desk::addr(fleet, &name).map(|to| (to, letter)));
                 }
                 Step::Tell(to, engine, number, token, sounding) => {
-                    out.push((to, wire::encode(&Letter::Told(engine, number, token, sounding))));
+                    out.push((
+                        to,
+                        wire::encode(&Letter::Told(engine, number, token, sounding)),
+                    ));
                 }
                 Step::NotMine(to, engine, number) => {
                     let token = self.fence.highest(Duty::Probe(engine));
@@ -343,16 +408,33 @@
         let mut rows: BTreeMap<(bool, Duty), Row> = BTreeMap::new();
         for (duty, token, left) in self.candidate.owned(now) {
             let (member, left_ms) = (fleet.me().name.clone(), Some(left / MS));
-            rows.insert((false, duty), Row { duty: duty.to_string(), member, owns: true, token, left_ms });
+            rows.insert(
+                (false, duty),
+                Row {
+                    duty: duty.to_string(),
+                    member,
+                    owns: true,
+                    token,
+                    left_ms,
+                },
+            );
         }
         for (duty, token) in self.fence.seen() {
             if !rows.contains_key(&(false, duty)) {
                 let member = self.first(fleet, duty).to_owned();
-                let row = Row { duty: duty.to_string(), member, owns: false, token, left_ms: None };
+                let row = Row {
+                    duty: duty.to_string(),
+                    member,
+                    owns: false,
+                    token,
+                    left_ms: None,
+                };
                 rows.insert((true, duty), row);
             }
         }
-        let line = |row: Row| serde_json::to_string(&row).map_or_else(|_| String::new(), |line| line + "\n");
+        let line = |row: Row| {
+            serde_json::to_string(&row).map_or_else(|_| String::new(), |line| line + "\n")
+        };
         rows.into_values().map(line).collect()
     }
 
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -79,10 +79,19 @@
             }
             self.drop_abandoned(shared).await;
             self.report().await;
-            let idle_at = self.link.idle_since().map(|at| at + self.peer.keepalive * 3 / 4);
+            let idle_at = self
+                .link
+                .idle_since()
+                .map(|at| at + self.peer.keepalive * 3 / 4);
             let writing = self.link.to_write().is_some();
             let stalled_at = writing.then_some(written_at + WRITE_STALL);
-            let due = self.link.next_due().into_iter().chain(idle_at).chain(stalled_at).min();
+            let due = self
+                .link
+                .next_due()
+                .into_iter()
+                .chain(idle_at)
+                .chain(stalled_at)
+                .min();
             let (mut reader, mut writer) = (&stream, &stream);
             let to_write = self.link.to_write();
             let order = async { Turn::Order(self.mailbox.recv().await.ok()) };
@@ -108,7 +117,9 @@
                 Turn::Order(Some(order)) => self.order(now, order),
                 Turn::Wrote(Ok(n)) => {
                     self.link.wrote(now, n);
-                    shared.dispatches.set(shared.dispatches.get() + self.link.dispatched());
+                    shared
+                        .dispatches
+                        .set(shared.dispatches.get() + self.link.dispatched());
                     written_at = now;
                 }
                 Turn::Read(Ok(n)) => {
@@ -124,18 +135,21 @@
         }
     }
 
-    /// Takes back what is about to go out for a client that has gone. The news of the client goes first, lest the module
-    /// tries again for it.
+    /// Takes back what is about to go out for a client that has gone. The news of the client goes
+    /// first, lest the module tries again for it.
     async fn drop_abandoned(&mut self, shared: &Shared) {
-        while let Some((id, attempt, conn)) =
-            self.link.starts().filter(|(.., conn)| shared.client_gone(*conn))
+        while let Some((id, attempt, conn)) = self
+            .link
+            .starts()
+            .filter(|(.., conn)| shared.client_gone(*conn))
         {
             let _ = self.core.send(Input::HungUp(conn)).await;
             self.link.stop(clock::now(), id, attempt, &mut self.events);
         }
     }
 
-    /// Makes the connection. Orders are obeyed meanwhile: a drain that comes now takes back what waits.
+    /// Makes the connection. Orders are obeyed meanwhile: a drain that comes now takes back what
+    /// waits.
     async fn make(&mut self) -> Result<Async<TcpStream>, End> {
         let mut connecting = pin!(Async::<TcpStream>::connect(self.peer.addr));
         let give_up_at = clock::turn() + self.peer.connect_timeout;
@@ -166,10 +180,15 @@
             ToEngine::Stop(id, attempt) => self.link.stop(now, id, attempt, &mut self.events),
             ToEngine::Doubt(id, attempt) => self.link.doubt(id, attempt),
             ToEngine::Bump(id, attempt, urgency) => self.link.bump(id, attempt, urgency),
-            // Looked up again here: it may have waited for the connection, or the process been stopped meanwhile.
+            // Looked up again here: it may have waited for the connection, or the process been
+            // stopped meanwhile.
             ToEngine::Probe(until) if now >= until => {
                 let (kind, load) = (OutcomeKind::Moot, LoadReport::default());
-                self.events.push(Event::Probed { kind, latency: 0, load });
+                self.events.push(Event::Probed {
+                    kind,
+                    latency: 0,
+                    load,
+                });
             }
             ToEngine::Probe(_) => self.link.probe(now),
             ToEngine::Drain => self.link.drain(now, &mut self.events),
@@ -177,7 +196,8 @@
         }
     }
 
-    /// Passes on what happened. Waiting for room in the module's mailbox holds back this connection alone.
+    /// Passes on what happened. Waiting for room in the module's mailbox holds back this connection
+    /// alone.
     async fn report(&mut self) {
         if !self.events.is_empty() {
             // Before the news: a further attempt may come at once.
@@ -189,9 +209,16 @@
                     self.attempts.borrow_mut().remove(&ended.id);
                     Input::Ended(ended)
                 }
-                Event::Probed { kind, latency, load } => {
-                    Input::Probed { engine: self.peer.id, kind, latency, load }
-                }
+                Event::Probed {
+                    kind,
+                    latency,
+                    load,
+                } => Input::Probed {
+                    engine: self.peer.id,
+                    kind,
+                    latency,
+                    load,
+                },
             };
             let _ = self.core.send(input).await;
         }
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -1,5 +1,5 @@
-//! The actor of one engine and its pool of connections, each with a task of its own. It lives only while something is
-//! open or owed there: see [`Row`].
+//! The actor of one engine and its pool of connections, each with a task of its own. It lives only
+//! while something is open or owed there: see [`Row`].
 mod connection;
 mod row;
 
@@ -22,9 +22,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Orders that wait for an engine's actor, which never waits itself: more than one turn of the module can give.
+/// Orders that wait for an engine's actor, which never waits itself: more than one turn of the
+/// module can give.
 const MAILBOX: usize = 1_024;
-/// How long answers of an engine that is gone may still come: what is in flight. After that all of it has ended.
+/// How long answers of an engine that is gone may still come: what is in flight. After that all of
+/// it has ended.
 const GONE_GRACE: Micros = SEC;
 /// Orders that wait for a connection beside those of its attempts.
 const SPARE: usize = 64;
@@ -60,7 +62,8 @@
     pub addr: SocketAddr,
     /// A connection not made by then has failed.
     pub connect_timeout: Micros,
-    /// The engine closes connections idle for so long; this side does it sooner, lest a send crosses the close.
+    /// The engine closes connections idle for so long; this side does it sooner, lest a send
+    /// crosses the close.
     pub keepalive: Micros,
     /// It knows databases, not only qualified names.
     pub databases: bool,
@@ -79,16 +82,17 @@
 }
 
 impl Handle {
-    /// Whether it may take this one. Guards what must never run twice: a spoilt answer to another attempt, or a
-    /// reset, ends all that is on the connection, and this is lost then.
+    /// Whether it may take this one. Guards what must never run twice: a spoilt answer to another
+    /// attempt, or a reset, ends all that is on the connection, and this is lost then.
     fn takes(&self, job: &Job, spare: bool) -> bool {
         let empty = self.attempts.borrow().is_empty() && self.orders.is_empty();
         let shares = !spare || empty || !(job.single || self.alone.get());
         shares && self.free.get() > self.orders.len() && !self.stale.borrow().contains(&job.id)
     }
 
-    /// Lowest first: the fullest, so that spare ones fall idle and close; but for what must never run twice one
-    /// that has answered before. Guards against resets, which strike most at the first that a connection carries.
+    /// Lowest first: the fullest, so that spare ones fall idle and close; but for what must never
+    /// run twice one that has answered before. Guards against resets, which strike most at the
+    /// first that a connection carries.
     fn rank(&self, job: &Job) -> (bool, usize) {
         (job.single && !self.proven.get(), self.free.get())
     }
@@ -106,7 +110,15 @@
     let (row, all, words) = (row.clone(), shared.clone(), orders.clone());
     shared.spawn(async move {
         let _active = Held::new(&all.engine_actors);
-        actor(all.clone(), core, &row, Rc::new(peer), wire, (words, mailbox)).await;
+        actor(
+            all.clone(),
+            core,
+            &row,
+            Rc::new(peer),
+            wire,
+            (words, mailbox),
+        )
+        .await;
         row.release();
     });
     orders
@@ -124,13 +136,14 @@
     let mut gone_at = None;
     loop {
         conns.retain(|c| !c.orders.is_closed());
-        // Nothing is open here and nothing owed: the engine is a row again. Nobody has a turn between this look and the
-        // close, so that no order is lost: the next one finds no actor and makes one.
+        // Nothing is open here and nothing owed: the engine is a row again. Nobody has a turn
+        // between this look and the close, so that no order is lost: the next one finds no actor
+        // and makes one.
         if conns.is_empty() && mailbox.is_empty() {
             break;
         }
-        // Guards memory and descriptors on long days, where engines are replaced by new ones without end; and what
-        // waits for an engine that vanished without a word.
+        // Guards memory and descriptors on long days, where engines are replaced by new ones
+        // without end; and what waits for an engine that vanished without a word.
         let order = or(async { mailbox.recv().await.ok() }, async {
             until(gone_at).await;
             None
@@ -162,14 +175,18 @@
             ToEngine::Stop(id, _) => {
                 let holder = conns.iter().find(|c| c.attempts.borrow().contains(&id));
                 if let Some(c) = holder.filter(|c| c.orders.try_send(order).is_err()) {
-                    // Guards the rule on attempts out: one that can't be given up ends with its connection.
+                    // Guards the rule on attempts out: one that can't be given up ends with its
+                    // connection.
                     c.orders.close();
                 }
             }
-            // Without room for the word the attempt keeps the priority that it has, and its connection its good name.
+            // Without room for the word the attempt keeps the priority that it has, and its
+            // connection its good name.
             ToEngine::Bump(id, ..) | ToEngine::Doubt(id, _) => {
                 let holder = conns.iter().find(|c| c.attempts.borrow().contains(&id));
-                holder.into_iter().for_each(|c| _ = c.orders.try_send(order.clone()));
+                holder
+                    .into_iter()
+                    .for_each(|c| _ = c.orders.try_send(order.clone()));
             }
             ToEngine::Probe(_) => {
                 let c = match conns.iter().find(|c| c.free.get() > 0) {
@@ -181,16 +198,26 @@
                 };
                 if c.orders.try_send(order).is_err() {
                     let (engine, kind) = (peer.id, OutcomeKind::Moot);
-                    let input = Input::Probed { engine, kind, latency: 0, load: LoadReport::default() };
+                    let input = Input::Probed {
+                        engine,
+                        kind,
+                        latency: 0,
+                        load: LoadReport::default(),
+                    };
                     let _ = core.send(input).await;
                 }
             }
-            ToEngine::CloseIdle => conns.iter().for_each(|c| drop(c.orders.try_send(ToEngine::CloseIdle))),
+            ToEngine::CloseIdle => conns
+                .iter()
+                .for_each(|c| drop(c.orders.try_send(ToEngine::CloseIdle))),
             ToEngine::Drain | ToEngine::Gone => {
                 if matches!(order, ToEngine::Gone) {
                     gone_at = gone_at.or(Some(clock::now() + GONE_GRACE));
                 }
-                for c in conns.iter().filter(|c| c.orders.try_send(ToEngine::Drain).is_err()) {
+                for c in conns
+                    .iter()
+                    .filter(|c| c.orders.try_send(ToEngine::Drain).is_err())
+                {
                     c.orders.close();
                 }
             }
@@ -239,7 +266,11 @@
     wire: W,
 ) -> Handle {
     let (orders, mailbox) = bounded(wire.streams() * 2 + SPARE);
-    let (free, attempts, stale) = (Rc::new(Cell::new(wire.streams())), Rc::default(), Rc::default());
+    let (free, attempts, stale) = (
+        Rc::new(Cell::new(wire.streams())),
+        Rc::default(),
+        Rc::default(),
+    );
     let handle = Handle {
         orders,
         free: Rc::clone(&free),
@@ -253,8 +284,17 @@
     let (executor, words) = (shared.executor.clone(), words.clone());
     let task = async move {
         let link = Link::new(clock::turn(), wire);
-        let conn =
-            Connection { link, mailbox, core, peer, free, attempts, stale, proven, events: Vec::new() };
+        let conn = Connection {
+            link,
+            mailbox,
+            core,
+            peer,
+            free,
+            attempts,
+            stale,
+            proven,
+            events: Vec::new(),
+        };
         conn.run(&shared, &words).await;
     };
     executor.spawn(task).detach();
--- a/src/net/engine/row.rs
+++ b/src/net/engine/row.rs
@@ -1,5 +1,6 @@
-//! An engine in the list. A listed engine is a row; its actor, with a mailbox and connections, is there only while
-//! something is open or owed: made at the first use, and over once its last connection is.
+//! An engine in the list. A listed engine is a row; its actor, with a mailbox and connections, is
+//! there only while something is open or owed: made at the first use, and over once its last
+//! connection is.
 use super::{Peer, ToEngine};
 use crate::interface::{EngineId, Readiness};
 use crate::manager::ends::End;
@@ -11,8 +12,8 @@
 /// Starts the actor of a row, and gives its mailbox.
 pub type Start = Rc<dyn Fn(&Rc<Row>) -> Sender<ToEngine>>;
 
-/// What the list and the module share of an engine. Whether it drains is told here, at once and whether there is an
-/// actor or not: no order that comes later, or waits, starts anything on it.
+/// What the list and the module share of an engine. Whether it drains is told here, at once and
+/// whether there is an actor or not: no order that comes later, or waits, starts anything on it.
 pub struct Row {
     /// Its id, which alone tells engines apart: addresses are used again.
     pub id: EngineId,
@@ -28,8 +29,16 @@
 impl Row {
     /// A row without an actor.
     pub fn new(id: EngineId, addr: SocketAddr, readiness: Readiness, start: Start) -> Rc<Row> {
-        let (readiness, closed, actor) = (Cell::new(readiness), Cell::new(false), RefCell::default());
-        Rc::new(Row { id, addr, readiness, closed, actor, start })
+        let (readiness, closed, actor) =
+            (Cell::new(readiness), Cell::new(false), RefCell::default());
+        Rc::new(Row {
+            id,
+            addr,
+            readiness,
+            closed,
+            actor,
+            start,
+        })
     }
 
     /// Whether nothing new may start there.
@@ -39,7 +48,10 @@
 
     /// The actor, if one takes orders.
     fn actor(&self) -> Option<Sender<ToEngine>> {
-        self.actor.borrow().clone().filter(|actor| !actor.is_closed())
+        self.actor
+            .borrow()
+            .clone()
+            .filter(|actor| !actor.is_closed())
     }
 
     /// Whether an actor takes orders for it.
@@ -56,8 +68,8 @@
     ///
     /// # Errors
     ///
-    /// How an attempt that can't begin has ended, never sent. An order about what is open is never refused for want of an
-    /// actor: without one nothing is open.
+    /// How an attempt that can't begin has ended, never sent. An order about what is open is never
+    /// refused for want of an actor: without one nothing is open.
     pub fn tell(self: &Rc<Row>, order: ToEngine) -> Result<(), End> {
         if let Some(actor) = self.actor() {
             return actor.try_send(order).map_err(|_| End::Overflow);
@@ -75,7 +87,8 @@
         told
     }
 
-    /// The list says so. What waits to go out does not outlive the news: it is told here, before the module hears of it.
+    /// The list says so. What waits to go out does not outlive the news: it is told here, before
+    /// the module hears of it.
     pub fn mark(&self, readiness: Readiness) {
         let was = self.readiness.replace(readiness);
         let order = match readiness {
@@ -89,7 +102,8 @@
         }
     }
 
-    /// Ends the actor and its connections, with what is on them: a word about that could not be passed on.
+    /// Ends the actor and its connections, with what is on them: a word about that could not be
+    /// passed on.
     pub fn cut(&self) {
         self.actor().iter().for_each(|actor| _ = actor.close());
     }
@@ -111,6 +125,12 @@
 
     /// What its actor knows of it.
     pub fn peer(&self, connect_timeout: u64, keepalive: u64, databases: bool) -> Peer {
-        Peer { id: self.id, addr: self.addr, connect_timeout, keepalive, databases }
+        Peer {
+            id: self.id,
+            addr: self.addr,
+            connect_timeout,
+            keepalive,
+            databases,
+        }
     }
 }
--- a/src/net/handover.rs
+++ b/src/net/handover.rs
@@ -1,5 +1,6 @@
-//! Two processes as one manager while a new version takes over: the socket in `$TMPDIR` over which the older one
-//! passes its listening descriptors, and the actors at both ends. What it means is the lifecycle's to say.
+//! Two processes as one manager while a new version takes over: the socket in `$TMPDIR` over which
+//! the older one passes its listening descriptors, and the actors at both ends. What it means is
+//! the lifecycle's to say.
 use super::client::Adopted;
 use super::{Held, Shared, until};
 use crate::clock::{self, MS, Micros};
@@ -35,9 +36,11 @@
 
 /// What passes to the process that follows, and is held to be unwritten until then.
 pub enum Passed {
-    /// A client's connection: its number here, the descriptor, its state, and where words about it go.
+    /// A client's connection: its number here, the descriptor, its state, and where words about it
+    /// go.
     Client(u64, OwnedFd, Handed, Sender<Word>, Held),
-    /// An answer to one of the requests that are open here: the connection's number, the mark, and its bytes.
+    /// An answer to one of the requests that are open here: the connection's number, the mark, and
+    /// its bytes.
     Answer(u64, u64, Vec<u8>, Held),
 }
 
@@ -55,7 +58,13 @@
 
 /// A manager's name as a part of a file's.
 pub fn plain(name: &str) -> String {
-    let plain = |c: char| if c.is_ascii_alphanumeric() || "-_.".contains(c) { c } else { '_' };
+    let plain = |c: char| {
+        if c.is_ascii_alphanumeric() || "-_.".contains(c) {
+            c
+        } else {
+            '_'
+        }
+    };
     name.chars().map(plain).collect()
 }
 
@@ -71,18 +80,26 @@
     reader: Reader,
 }
 
-/// Asks the process that runs, if there is one. Guards the start: whatever is wrong there, it goes on without.
+/// Asks the process that runs, if there is one. Guards the start: whatever is wrong there, it goes
+/// on without.
 pub async fn ask(place: &Path, name: &str) -> Option<Taken> {
     let asked = async {
         let mut peer = match Async::<UnixStream>::connect(place).await {
             Ok(peer) => peer,
             // Nobody is there, or a dead process left its socket behind.
-            Err(e) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => {
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused
+                ) =>
+            {
                 return Ok(None);
             }
             Err(e) => return Err(e.to_string()),
         };
-        peer.write_all(&Word::Hello(name.to_owned()).bytes()).await.map_err(|e| e.to_string())?;
+        peer.write_all(&Word::Hello(name.to_owned()).bytes())
+            .await
+            .map_err(|e| e.to_string())?;
         hear(peer).await.map(Some)
     };
     let late_at = clock::turn() + PATIENCE;
@@ -123,19 +140,32 @@
     let (mut addrs, mut drained) = (Vec::new(), false);
     loop {
         let mut piece = [0; 1024];
-        let n = receive(&peer, &mut piece, &mut descriptors).await.map_err(|e| e.to_string())?;
+        let n = receive(&peer, &mut piece, &mut descriptors)
+            .await
+            .map_err(|e| e.to_string())?;
         if n == 0 {
             return Err("it closed the connection".into());
         }
-        for word in reader.feed(&piece[..n]).map_err(|_| "it speaks another protocol")? {
+        for word in reader
+            .feed(&piece[..n])
+            .map_err(|_| "it speaks another protocol")?
+        {
             match word {
                 Word::Take(listed) => addrs = listed,
                 Word::Drained => drained = true,
                 Word::Leave(leave) if addrs.len() == descriptors.len() && !addrs.is_empty() => {
                     // What the descriptor says counts, not what was told of it.
                     let listeners = descriptors.into_iter().map(TcpListener::from);
-                    let listeners = listeners.filter_map(|l| Some((l.local_addr().ok()?, l))).collect();
-                    return Ok(Taken { listeners, drained, leave, peer, reader });
+                    let listeners = listeners
+                        .filter_map(|l| Some((l.local_addr().ok()?, l)))
+                        .collect();
+                    return Ok(Taken {
+                        listeners,
+                        drained,
+                        leave,
+                        peer,
+                        reader,
+                    });
                 }
                 Word::Leave(_) => return Err("it passed no descriptors".into()),
                 _ => return Err("it speaks out of turn".into()),
@@ -150,10 +180,14 @@
     open: BTreeSet<u64>,
 }
 
-/// The end of the newer process: says when it serves, hears what it has to leave to those before it, and takes their
-/// clients over.
+/// The end of the newer process: says when it serves, hears what it has to leave to those before
+/// it, and takes their clients over.
 pub async fn follow(shared: Rc<Shared>, taken: Taken, adopt: Adopt, serves: impl FnOnce()) {
-    let Taken { mut peer, mut reader, .. } = taken;
+    let Taken {
+        mut peer,
+        mut reader,
+        ..
+    } = taken;
     let (words, orders) = async_channel::unbounded();
     let mut clients = BTreeMap::new();
     let mut descriptors = VecDeque::new();
@@ -186,9 +220,18 @@
                 let _ = peer.write_all(&word.bytes()).await;
             }
             Some(Ok(Ok(n))) if n > 0 => {
-                let Ok(heard) = reader.feed(&piece[..n]) else { break };
+                let Ok(heard) = reader.feed(&piece[..n]) else {
+                    break;
+                };
                 for word in heard {
-                    hear_of_clients(&shared, word, &mut clients, &mut descriptors, &adopt, &words);
+                    hear_of_clients(
+                        &shared,
+                        word,
+                        &mut clients,
+                        &mut descriptors,
+                        &adopt,
+                        &words,
+                    );
                 }
             }
             Some(Ok(_)) => break,
@@ -221,10 +264,22 @@
     match word {
         Word::Leave(part) => shared.life.borrow_mut().follows(part),
         Word::Client(number, handed) => {
-            let Some(socket) = descriptors.pop_front() else { return };
+            let Some(socket) = descriptors.pop_front() else {
+                return;
+            };
             let open = handed.open.iter().copied().collect();
-            let adopted = Adopted { number, handed, older: words.clone() };
-            clients.insert(number, Client { answers: adopt(TcpStream::from(socket), adopted), open });
+            let adopted = Adopted {
+                number,
+                handed,
+                older: words.clone(),
+            };
+            clients.insert(
+                number,
+                Client {
+                    answers: adopt(TcpStream::from(socket), adopted),
+                    open,
+                },
+            );
         }
         Word::Answer(number, mark, bytes) => {
             if let Some(client) = clients.get_mut(&number) {
@@ -267,7 +322,10 @@
         let listener = match bind(&older.place) {
             Ok(listener) => listener,
             Err(e) => {
-                log!("no process can follow this one, {}: {e}", older.place.display());
+                log!(
+                    "no process can follow this one, {}: {e}",
+                    older.place.display()
+                );
                 return;
             }
         };
@@ -303,7 +361,11 @@
 fn settle(shared: &Shared, followers: &RefCell<BTreeMap<u64, Next>>) {
     let all = followers.borrow();
     let ready = all.values().any(|next| *next == Next::Ready);
-    let next = if ready { Next::Ready } else { all.values().next().copied().unwrap_or_default() };
+    let next = if ready {
+        Next::Ready
+    } else {
+        all.values().next().copied().unwrap_or_default()
+    };
     shared.life.borrow_mut().followed(next);
     if !ready {
         *shared.newer.borrow_mut() = None;
@@ -321,7 +383,10 @@
     let late_at = clock::turn() + PATIENCE;
     let hello = async {
         loop {
-            let n = super::read_some(&peer, &mut piece).await.ok().filter(|n| *n > 0)?;
+            let n = super::read_some(&peer, &mut piece)
+                .await
+                .ok()
+                .filter(|n| *n > 0)?;
             if let Some(word) = reader.feed(&piece[..n]).ok()?.pop() {
                 return Some(word);
             }
@@ -333,7 +398,9 @@
     };
     let hello = or(hello, late).await;
     if hello != Some(Word::Hello(older.name.clone())) {
-        return log!("a process that wants to follow is left aside: it is of another version or name");
+        return log!(
+            "a process that wants to follow is left aside: it is of another version or name"
+        );
     }
     followers.borrow_mut().insert(mine, Next::Coming);
     settle(shared, followers);
@@ -354,7 +421,9 @@
         };
         match or(read, or(pass, look)).await {
             Some(Ok(Ok(n))) if n > 0 => {
-                let Ok(words) = reader.feed(&piece[..n]) else { return };
+                let Ok(words) = reader.feed(&piece[..n]) else {
+                    return;
+                };
                 for word in words {
                     match word {
                         Word::Ready => {
@@ -382,7 +451,11 @@
                 drop((socket, held));
             }
             Some(Err(Passed::Answer(number, mark, bytes, held))) => {
-                if (&peer).write_all(&Word::Answer(number, mark, bytes).bytes()).await.is_err() {
+                if (&peer)
+                    .write_all(&Word::Answer(number, mark, bytes).bytes())
+                    .await
+                    .is_err()
+                {
                     return;
                 }
                 drop(held);
@@ -405,13 +478,24 @@
     if !shared.life.borrow().handed_over() {
         return;
     }
-    let now = (shared.client_sockets.get() as f64, shared.figures.borrow().concurrent as f64);
+    let now = (
+        shared.client_sockets.get() as f64,
+        shared.figures.borrow().concurrent as f64,
+    );
     let (clients, open) = *start.get_or_insert(now);
     let part = |now: f64, start: f64| if start > 0.0 { now / start } else { 0.0 };
-    shared.life.borrow_mut().fades(part(now.0, clients).max(part(now.1, open)));
+    shared
+        .life
+        .borrow_mut()
+        .fades(part(now.0, clients).max(part(now.1, open)));
 }
 
-async fn pass(shared: &Shared, older: &Older, peer: &Async<UnixStream>, leaves: f64) -> io::Result<()> {
+async fn pass(
+    shared: &Shared,
+    older: &Older,
+    peer: &Async<UnixStream>,
+    leaves: f64,
+) -> io::Result<()> {
     let addrs = older.listeners.iter().map(|(addr, _)| *addr).collect();
     let mut text = Word::Take(addrs).bytes();
     if shared.life.borrow().drained() {
@@ -423,12 +507,21 @@
 }
 
 /// Writes all of it, with descriptors beside its first byte.
-async fn send(mut peer: &Async<UnixStream>, bytes: &[u8], descriptors: &[BorrowedFd<'_>]) -> io::Result<()> {
+async fn send(
+    mut peer: &Async<UnixStream>,
+    bytes: &[u8],
+    descriptors: &[BorrowedFd<'_>],
+) -> io::Result<()> {
     let first = |stream: &UnixStream| {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_LISTENERS))];
         let mut control = SendAncillaryBuffer::new(&mut space);
         control.push(SendAncillaryMessage::ScmRights(descriptors));
-        let sent = rustix::net::sendmsg(stream, &[IoSlice::new(bytes)], &mut control, SendFlags::NOSIGNAL);
+        let sent = rustix::net::sendmsg(
+            stream,
+            &[IoSlice::new(bytes)],
+            &mut control,
+            SendFlags::NOSIGNAL,
+        );
         Ok(sent?)
     };
     let sent = peer.write_with(first).await?;
@@ -442,8 +535,8 @@
     use async_io::block_on;
     use std::io::{Read, Write};
 
-    /// Guards the start of the daemon: what a dead process left behind, and peers of another version, that speak
-    /// garbage, pass nothing, go away or hang, are left aside.
+    /// Guards the start of the daemon: what a dead process left behind, and peers of another
+    /// version, that speak garbage, pass nothing, go away or hang, are left aside.
     #[test]
     fn a_start_goes_on_without_a_peer_that_is_none() {
         let folder = Folder::new().expect("a folder");
@@ -452,9 +545,13 @@
         assert!(asks(), "nobody there");
         drop(UnixListener::bind(&place).expect("a socket"));
         assert!(place.exists() && asks(), "a dead one's socket");
-        for said in
-            ["yokelift-handover 2 n0\n", "\u{1}\u{2}garbage\n", "take 127.0.0.1:1\nleave 0.5\n", "", "-"]
-        {
+        for said in [
+            "yokelift-handover 2 n0\n",
+            "\u{1}\u{2}garbage\n",
+            "take 127.0.0.1:1\nleave 0.5\n",
+            "",
+            "-",
+        ] {
             let _ = std::fs::remove_file(&place);
             let listener = UnixListener::bind(&place).expect("a socket");
             let peer = std::thread::spawn(move || {
--- a/src/net/list.rs
+++ b/src/net/list.rs
@@ -1,5 +1,5 @@
-//! The actor of the list of engines: applies what the coordinator tells, keeps a row for each engine, and passes the
-//! news on to the module.
+//! The actor of the list of engines: applies what the coordinator tells, keeps a row for each
+//! engine, and passes the news on to the module.
 use super::Shared;
 use super::core::Input;
 use super::engine::{Row, Start, spawn};
@@ -56,21 +56,46 @@
 const HTTP_KEEPALIVE: Micros = 3 * SEC;
 
 /// How engines are made: by the wire they speak.
-pub fn engines(shared: Rc<Shared>, core: Sender<Input>, names: Rc<Names>, http: Http) -> MakeEngine {
-    let (all, module, known, login) = (shared.clone(), core.clone(), names.clone(), http.login.clone());
+pub fn engines(
+    shared: Rc<Shared>,
+    core: Sender<Input>,
+    names: Rc<Names>,
+    http: Http,
+) -> MakeEngine {
+    let (all, module, known, login) = (
+        shared.clone(),
+        core.clone(),
+        names.clone(),
+        http.login.clone(),
+    );
     let clickhouse: Start = Rc::new(move |row| {
         let (connect_timeout, keepalive) = (micros(known.connect_timeout), micros(known.keepalive));
-        let (login, peer) = (login.clone(), row.peer(connect_timeout, keepalive.min(HTTP_KEEPALIVE), true));
-        spawn(&all, module.clone(), row, peer, move || ClickHouse::new(login.clone()))
+        let (login, peer) = (
+            login.clone(),
+            row.peer(connect_timeout, keepalive.min(HTTP_KEEPALIVE), true),
+        );
+        spawn(&all, module.clone(), row, peer, move || {
+            ClickHouse::new(login.clone())
+        })
     });
     let platform: Start = Rc::new(move |row| {
-        let peer = row.peer(micros(names.connect_timeout), micros(names.keepalive), false);
+        let peer = row.peer(
+            micros(names.connect_timeout),
+            micros(names.keepalive),
+            false,
+        );
         let names = names.clone();
-        spawn(&shared, core.clone(), row, peer, move || Platform::new(names.clone()))
+        spawn(&shared, core.clone(), row, peer, move || {
+            Platform::new(names.clone())
+        })
     });
     Box::new(move |listed| {
         let id = listed.entry.id;
-        let start = if http.engines.contains(&id) { &clickhouse } else { &platform };
+        let start = if http.engines.contains(&id) {
+            &clickhouse
+        } else {
+            &platform
+        };
         Row::new(id, listed.addr, listed.entry.readiness, start.clone())
     })
 }
@@ -97,13 +122,16 @@
             // A whole list of the coordinator does not name the engines of the file.
             update.engines.extend(&http.fixed);
             let named: BTreeSet<EngineId> = update.engines.iter().map(|l| l.entry.id).collect();
-            let left = known.values_mut().filter(|k| !named.contains(&k.listed.entry.id));
+            let left = known
+                .values_mut()
+                .filter(|k| !named.contains(&k.listed.entry.id));
             left.for_each(|k| mark(k, Readiness::Gone));
         }
         for listed in &update.engines {
             let id = listed.entry.id;
-            // An engine is its id, and under another address it is another process. Guards against attempts that
-            // nobody could give up any more: with its row the old actor ends, its connections, and what is on them.
+            // An engine is its id, and under another address it is another process. Guards against
+            // attempts that nobody could give up any more: with its row the old actor ends, its
+            // connections, and what is on them.
             let same = known.get(&id).is_some_and(|k| k.listed.addr == listed.addr);
             if !same && listed.entry.readiness != Readiness::Gone {
                 if let Some(old) = known.get_mut(&id) {
@@ -111,7 +139,13 @@
                 }
                 let row = make(listed);
                 made.push((id, row.clone()));
-                known.insert(id, Known { listed: *listed, row });
+                known.insert(
+                    id,
+                    Known {
+                        listed: *listed,
+                        row,
+                    },
+                );
             }
             if let Some(k) = known.get_mut(&id) {
                 mark(k, listed.entry.readiness);
@@ -121,9 +155,9 @@
         known.retain(|_, k| k.listed.entry.readiness != Readiness::Gone);
         let serving = |k: &&Known| k.listed.entry.readiness == Readiness::Ready;
         let serving = known.values().filter(serving).map(|k| k.listed.entry.id);
-        shared
-            .databases
-            .set(serving.clone().count() > 0 && serving.clone().all(|id| http.engines.contains(&id)));
+        shared.databases.set(
+            serving.clone().count() > 0 && serving.clone().all(|id| http.engines.contains(&id)),
+        );
         let kind = match (update.whole, first) {
             (true, true) => ListKind::Cached,
             (true, false) => ListKind::Full,
@@ -131,18 +165,28 @@
         };
         first = false;
         let entries = update.engines.iter().map(|l| l.entry).collect();
-        let _ = core.send(Input::List(kind, entries, made, update.index)).await;
+        let _ = core
+            .send(Input::List(kind, entries, made, update.index))
+            .await;
     }
 }
 
-/// Where a new engine listens, an old one is gone, told or not. Guards against work that goes to the new process
-/// under the name of the old one.
+/// Where a new engine listens, an old one is gone, told or not. Guards against work that goes to
+/// the new process under the name of the old one.
 fn supersede(known: &BTreeMap<EngineId, Known>, update: &mut Update) {
-    let newcomer = |l: &&Listed| l.entry.readiness == Readiness::Ready && !known.contains_key(&l.entry.id);
-    let taken: BTreeSet<SocketAddr> = update.engines.iter().filter(newcomer).map(|l| l.addr).collect();
+    let newcomer =
+        |l: &&Listed| l.entry.readiness == Readiness::Ready && !known.contains_key(&l.entry.id);
+    let taken: BTreeSet<SocketAddr> = update
+        .engines
+        .iter()
+        .filter(newcomer)
+        .map(|l| l.addr)
+        .collect();
     let named: BTreeSet<EngineId> = update.engines.iter().map(|l| l.entry.id).collect();
-    let old =
-        known.values().map(|k| k.listed).filter(|l| taken.contains(&l.addr) && !named.contains(&l.entry.id));
+    let old = known
+        .values()
+        .map(|k| k.listed)
+        .filter(|l| taken.contains(&l.addr) && !named.contains(&l.entry.id));
     let gone = |mut l: Listed| {
         l.entry.readiness = Readiness::Gone;
         l
@@ -150,13 +194,15 @@
     update.engines.extend(old.map(gone));
 }
 
-/// Tells an engine's row first, and the module after it: nothing that waits to go out outlives the news.
+/// Tells an engine's row first, and the module after it: nothing that waits to go out outlives the
+/// news.
 fn mark(k: &mut Known, readiness: Readiness) {
     k.listed.entry.readiness = readiness;
     k.row.mark(readiness);
 }
 
-/// An entry, whatever form it came in. `started_ms` is a Unix time; the clock of the module counts from there.
+/// An entry, whatever form it came in. `started_ms` is a Unix time; the clock of the module counts
+/// from there.
 pub fn listed(
     id: u32,
     addr: SocketAddr,
@@ -165,9 +211,25 @@
     weight: f64,
     started_ms: u64,
 ) -> Listed {
-    let (id, zone, kind, cell) = (EngineId(u64::from(id)), ZoneId(zone), KindId(kind), CellId(cell));
+    let (id, zone, kind, cell) = (
+        EngineId(u64::from(id)),
+        ZoneId(zone),
+        KindId(kind),
+        CellId(cell),
+    );
     let ready_at: Nanos = started_ms.saturating_mul(1_000_000);
-    Listed { entry: EngineEntry { id, zone, kind, cell, readiness, weight, ready_at }, addr }
+    Listed {
+        entry: EngineEntry {
+            id,
+            zone,
+            kind,
+            cell,
+            readiness,
+            weight,
+            ready_at,
+        },
+        addr,
+    }
 }
 
 #[derive(Deserialize)]
@@ -210,9 +272,12 @@
 /// Reads the events that a start is told, and the number of the last one.
 pub fn parse_known(known: &Value, names: &Names) -> Result<(u64, Vec<Update>), String> {
     let text = KnownText::deserialize(known).map_err(|e| format!("known: {e}"))?;
-    let place = |list: &[String], name: &str| list.iter().position(|n| n == name).unwrap_or(0) as u16;
+    let place =
+        |list: &[String], name: &str| list.iter().position(|n| n == name).unwrap_or(0) as u16;
     let server = |s: &ServerText| {
-        let id = s.id.strip_prefix("s-").and_then(|hex| u32::from_str_radix(hex, 16).ok());
+        let id =
+            s.id.strip_prefix("s-")
+                .and_then(|hex| u32::from_str_radix(hex, 16).ok());
         let id = id.ok_or_else(|| format!("known: {:?} is no id", s.id))?;
         let readiness = match s.state.as_str() {
             "in_service" => Readiness::Ready,
@@ -220,21 +285,41 @@
             "terminated" => Readiness::Gone,
             other => return Err(format!("known: unknown state {other:?}")),
         };
-        let place = (place(&names.zones, &s.zone), place(&names.kinds, &s.kind), s.cell);
+        let place = (
+            place(&names.zones, &s.zone),
+            place(&names.kinds, &s.kind),
+            s.cell,
+        );
         Ok(listed(id, s.addr, readiness, place, s.weight, s.started_ms))
     };
     let update = |(at, u): (usize, &UpdateText)| {
-        let engines = u.endpoints.servers.iter().map(server).collect::<Result<_, String>>()?;
-        Ok(Update { index: u.index, whole: u.endpoints.full || at == 0, engines })
+        let engines = u
+            .endpoints
+            .servers
+            .iter()
+            .map(server)
+            .collect::<Result<_, String>>()?;
+        Ok(Update {
+            index: u.index,
+            whole: u.endpoints.full || at == 0,
+            engines,
+        })
     };
-    let updates = text.updates.iter().enumerate().map(update).collect::<Result<_, String>>()?;
+    let updates = text
+        .updates
+        .iter()
+        .enumerate()
+        .map(update)
+        .collect::<Result<_, String>>()?;
     Ok((text.index, updates))
 }
 
 /// Reads one record of the coordinator's frames.
 pub fn parse_record(record: &[u8; 27]) -> Option<Listed> {
     let u16_at = |at: usize| u16::from_be_bytes([record[at], record[at + 1]]);
-    let u32_at = |at: usize| u32::from_be_bytes([record[at], record[at + 1], record[at + 2], record[at + 3]]);
+    let u32_at = |at: usize| {
+        u32::from_be_bytes([record[at], record[at + 1], record[at + 2], record[at + 3]])
+    };
     let ip = Ipv4Addr::from(u32_at(4));
     let readiness = match record[10] {
         0 => Readiness::Ready,
@@ -245,7 +330,14 @@
     let place = (u16::from(record[11]), u16::from(record[12]), u16_at(13));
     let started = (u64::from(u32_at(19)) << 32) | u64::from(u32_at(23));
     let weight = f64::from(u32_at(15)) / 1000.0;
-    Some(listed(u32_at(0), SocketAddr::from((ip, u16_at(8))), readiness, place, weight, started))
+    Some(listed(
+        u32_at(0),
+        SocketAddr::from((ip, u16_at(8))),
+        readiness,
+        place,
+        weight,
+        started,
+    ))
 }
 
 #[cfg(test)]
--- a/src/net/mailbox.rs
+++ b/src/net/mailbox.rs
@@ -1,5 +1,6 @@
-//! Mailboxes that hold at most so many messages, and take memory for what is in them: a thousand peers that say nothing
-//! cost next to none. All on one thread, so that a look at the length holds until the next wait.
+//! Mailboxes that hold at most so many messages, and take memory for what is in them: a thousand
+//! peers that say nothing cost next to none. All on one thread, so that a look at the length holds
+//! until the next wait.
 use async_channel::{Receiver, TrySendError};
 
 /// Where messages for an actor go.
@@ -11,7 +12,10 @@
 
 impl<T> Clone for Sender<T> {
     fn clone(&self) -> Sender<T> {
-        Sender { line: self.line.clone(), most: self.most }
+        Sender {
+            line: self.line.clone(),
+            most: self.most,
+        }
     }
 }
 
