--- a/src/net/membership.rs
+++ b/src/net/membership.rs
@@ -1,5 +1,6 @@
-//! The actor of the fleet's membership: one UDP socket between managers, the pure machine of `crate::membership`, and
-//! what it puts down for the second address. Started only with the operator's fleet file.
+//! The actor of the fleet's membership: one UDP socket between managers, the pure machine of
+//! `crate::membership`, and what it puts down for the second address. Started only with the
+//! operator's fleet file.
 use super::coordinator::Move;
 use super::core::Input;
 use super::duties::{self, Desk};
@@ -39,10 +40,16 @@
     format!("{}+{id}", env!("CARGO_PKG_VERSION"))
 }
 
-/// A hash of the settings of a configuration, the same for equal settings on every manager: the name and addresses of
-/// each manager are not part of it.
+/// A hash of the settings of a configuration, the same for equal settings on every manager: the
+/// name and addresses of each manager are not part of it.
 pub fn settings_hash(config: &serde_json::Value) -> u64 {
-    let digest = Sha256::digest(config.get("settings").unwrap_or(config).to_string().as_bytes());
+    let digest = Sha256::digest(
+        config
+            .get("settings")
+            .unwrap_or(config)
+            .to_string()
+            .as_bytes(),
+    );
     u64::from_be_bytes(digest[..8].try_into().unwrap_or_default())
 }
 
@@ -84,11 +91,24 @@
 
 /// What this manager acts on now.
 fn versions(shared: &Shared) -> Versions {
-    let Acting { generation, settings, list } = shared.acting.get();
+    let Acting {
+        generation,
+        settings,
+        list,
+    } = shared.acting.get();
     let life = shared.life.borrow();
-    let stage =
-        if life.is_shut_out() { SHUT_OUT.to_owned() } else { format!("{:?}", life.stage()).to_lowercase() };
-    Versions { build: build(), generation, settings, list, stage }
+    let stage = if life.is_shut_out() {
+        SHUT_OUT.to_owned()
+    } else {
+        format!("{:?}", life.stage()).to_lowercase()
+    };
+    Versions {
+        build: build(),
+        generation,
+        settings,
+        list,
+        stage,
+    }
 }
 
 /// Binds the socket: a start with a taken address ends with one line.
@@ -121,8 +141,14 @@
     pub reloads: Cell<u64>,
 }
 
-/// Runs the membership on its socket, or on that address once the process before this one has left it.
-pub async fn take_seat(shared: Rc<Shared>, mut socket: Option<Async<UdpSocket>>, at: SocketAddr, seat: Seat) {
+/// Runs the membership on its socket, or on that address once the process before this one has left
+/// it.
+pub async fn take_seat(
+    shared: Rc<Shared>,
+    mut socket: Option<Async<UdpSocket>>,
+    at: SocketAddr,
+    seat: Seat,
+) {
     while socket.is_none() && shared.life.borrow().stage() != Stage::Stopping {
         until(Some(clock::turn() + SEAT_EVERY)).await;
         socket = bind(at).ok();
@@ -134,13 +160,30 @@
 
 /// Runs the membership until the program is asked to end; then it says that it goes.
 async fn run(shared: Rc<Shared>, socket: Async<UdpSocket>, seat: Seat) {
-    let Seat { name, life, fleet, managers, module, coordinator } = seat;
+    let Seat {
+        name,
+        life,
+        fleet,
+        managers,
+        module,
+        coordinator,
+    } = seat;
     let now = clock::turn();
-    let bound = socket.get_ref().local_addr().unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)));
+    let bound = socket
+        .get_ref()
+        .local_addr()
+        .unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)));
     let (addr, seeds, timing) = (fleet.advertise.unwrap_or(bound), fleet.seeds, fleet.timing);
     let fleet_duties = fleet.duties;
-    // A new life outranks every earlier one under the same name: its first incarnation is the time of its start.
-    let me = Rumour { name, addr, incarnation: life, health: Health::Alive, versions: versions(&shared) };
+    // A new life outranks every earlier one under the same name: its first incarnation is the time
+    // of its start.
+    let me = Rumour {
+        name,
+        addr,
+        incarnation: life,
+        health: Health::Alive,
+        versions: versions(&shared),
+    };
     let (grace, most) = (timing.grace_ms * MS, timing.datagram);
     let mut machine = Membership::new(me, timing, seeds, now, now);
     let mut straggler = Straggler::default();
@@ -149,15 +192,25 @@
     let (mut sharers, mut told) = (Sharers::new(managers), managers);
     let socket = Rc::new(socket);
     let desk = fleet_duties.map(|duties| {
-        let (me, late) = (Holder { name: machine.me().name.clone(), life }, socket.clone());
+        let (me, late) = (
+            Holder {
+                name: machine.me().name.clone(),
+                life,
+            },
+            socket.clone(),
+        );
         let traffic = shared.traffic.clone();
         let send = move |(to, bytes): duties::Out| traffic.send(late.get_ref(), to, &bytes);
         Desk::open(&shared, me, &duties, module.clone(), send, now)
     });
-    let mut desk = desk.and_then(|desk| desk.map_err(|e| log!("{e}: no duties are shared out")).ok());
+    let mut desk =
+        desk.and_then(|desk| desk.map_err(|e| log!("{e}: no duties are shared out")).ok());
     let words = desk.as_ref().map(Desk::words);
     loop {
-        let wakes = desk.as_ref().and_then(Desk::wakes).map_or(machine.wakes(), |at| at.min(machine.wakes()));
+        let wakes = desk
+            .as_ref()
+            .and_then(Desk::wakes)
+            .map_or(machine.wakes(), |at| at.min(machine.wakes()));
         let datagram = async { Some(Came::Datagram(socket.recv_from(&mut buffer).await.ok()?)) };
         let word = async {
             match &words {
@@ -213,7 +266,9 @@
         for action in out {
             match action {
                 Action::Send(to, message) => {
-                    shared.traffic.send(socket.get_ref(), to, &wire::encode(&message));
+                    shared
+                        .traffic
+                        .send(socket.get_ref(), to, &wire::encode(&message));
                 }
                 Action::Changed(name, health) => {
                     changed = true;
@@ -229,7 +284,8 @@
         stand(&shared, standing, &mut brought_up, &coordinator);
         let rumours = machine.members().values().map(|m| &m.rumour);
         let counted = sharers.count(machine.me(), rumours, grace, now);
-        // Without room in the module's mailbox it is told at a later turn: nobody waits for it here.
+        // Without room in the module's mailbox it is told at a later turn: nobody waits for it
+        // here.
         if counted != told && module.try_send(Input::Sharers(counted)).is_ok() {
             told = counted;
             log!("fleet: {counted} of {managers} managers share the engines");
@@ -237,8 +293,9 @@
         if changed || now >= shown_at + VIEW_EVERY {
             shown_at = now;
             *shared.fleet.borrow_mut() = Some(Rc::new(view(&machine, standing, now)));
-            if let Some(desk) =
-                desk.as_ref().filter(|_| shared.console.get() && now >= owned_at + OWNED_EVERY)
+            if let Some(desk) = desk
+                .as_ref()
+                .filter(|_| shared.console.get() && now >= owned_at + OWNED_EVERY)
             {
                 owned_at = now;
                 *shared.owned.borrow_mut() = Some(desk.view(&machine, now).into());
@@ -249,7 +306,9 @@
             machine.leave(&mut out);
             for action in out {
                 if let Action::Send(to, message) = action {
-                    shared.traffic.send(socket.get_ref(), to, &wire::encode(&message));
+                    shared
+                        .traffic
+                        .send(socket.get_ref(), to, &wire::encode(&message));
                 }
             }
             return;
@@ -276,16 +335,20 @@
     }
 }
 
-/// Acts on where the manager stands: once behind for the grace it reads its settings again, as at SIGHUP, and follows the
-/// coordinator on a new connection; behind for
-/// twice that it is shut out; in step it is back.
+/// Acts on where the manager stands: once behind for the grace it reads its settings again, as at
+/// SIGHUP, and follows the coordinator on a new connection; behind for twice that it is shut out;
+/// in step it is back.
 fn stand(shared: &Shared, standing: Standing, brought_up: &mut bool, coordinator: &Sender<Move>) {
     let out = standing == Standing::ShutOut;
     if shared.life.borrow().is_shut_out() != out {
         shared.life.borrow_mut().shut_out(out);
         log!(
             "fleet: {}",
-            if out { "behind the majority: shut out" } else { "in step with the majority again" }
+            if out {
+                "behind the majority: shut out"
+            } else {
+                "in step with the majority again"
+            }
         );
     }
     match standing {
@@ -293,7 +356,10 @@
             *brought_up = true;
             log!("fleet: behind the majority: reading the configuration and the list again");
             // Where there is no room another move waits, which does the same.
-            let _ = coordinator.try_send(Move { addr: None, known: Vec::new() });
+            let _ = coordinator.try_send(Move {
+                addr: None,
+                known: Vec::new(),
+            });
             match shared.hollow.get() {
                 Some(hollow) => hollow.reloads.set(hollow.reloads.get() + 1),
                 None => {
@@ -308,11 +374,19 @@
 }
 
 fn view(machine: &Membership, standing: Standing, now: Micros) -> View {
-    let me = Row { me: true, rumour: machine.me().clone(), since_ms: 0 };
+    let me = Row {
+        me: true,
+        rumour: machine.me().clone(),
+        since_ms: 0,
+    };
     let others = machine.members().values().map(|m| Row {
         me: false,
         rumour: m.rumour.clone(),
         since_ms: now.saturating_sub(m.since) / MS,
     });
-    View { members: std::iter::once(me).chain(others).collect(), standing, dropped: machine.dropped }
+    View {
+        members: std::iter::once(me).chain(others).collect(),
+        standing,
+        dropped: machine.dropped,
+    }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -68,7 +68,8 @@
     pub listening: Rc<Cell<usize>>,
     /// Client connections that still have answers to write.
     pub unwritten: Rc<Cell<usize>>,
-    /// Bytes that clients have not taken yet, over all connections, and how many stop the reading of requests.
+    /// Bytes that clients have not taken yet, over all connections, and how many stop the reading
+    /// of requests.
     pub unwritten_bytes: Cell<usize>,
     /// That many.
     pub most_unwritten_bytes: Cell<usize>,
@@ -101,8 +102,9 @@
 }
 
 impl Shared {
-    /// For a program that may hold so many descriptors, half for clients and a quarter for engines, and so much
-    /// memory, an eighth for answers that wait for their clients and one for messages that are not whole.
+    /// For a program that may hold so many descriptors, half for clients and a quarter for engines,
+    /// and so much memory, an eighth for answers that wait for their clients and one for messages
+    /// that are not whole.
     pub fn new(sockets: usize, memory_mb: u64) -> Rc<Shared> {
         let shared = Rc::new(Shared {
             limits: Cell::new((sockets, memory_mb)),
@@ -142,21 +144,27 @@
         shared
     }
 
-    /// Sets the limits: those of the start, or new ones. What the system allows counts where it is less.
+    /// Sets the limits: those of the start, or new ones. What the system allows counts where it is
+    /// less.
     pub fn limit(&self, sockets: usize, memory_mb: u64) {
         let system = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-        let sockets =
-            sockets.min(system.map_or(usize::MAX, |most| usize::try_from(most).unwrap_or(usize::MAX)));
+        let sockets = sockets.min(system.map_or(usize::MAX, |most| {
+            usize::try_from(most).unwrap_or(usize::MAX)
+        }));
         self.limits.set((sockets, memory_mb));
         self.split();
     }
 
-    /// Takes this process's part of the limits, which is all of them while it is alone. The quarter of descriptors
-    /// that is neither for clients nor for engines holds the second address, the coordinator, the other process and, up
-    /// to a half of it, connections that were ended here and wait for their client's end.
+    /// Takes this process's part of the limits, which is all of them while it is alone. The quarter
+    /// of descriptors that is neither for clients nor for engines holds the second address, the
+    /// coordinator, the other process and, up to a half of it, connections that were ended here and
+    /// wait for their client's end.
     pub fn split(&self) {
         let (part, (sockets, memory_mb)) = (self.life.borrow().part().max(0.1), self.limits.get());
-        let (sockets, memory_mb) = ((sockets as f64 * part) as usize, (memory_mb as f64 * part) as u64);
+        let (sockets, memory_mb) = (
+            (sockets as f64 * part) as usize,
+            (memory_mb as f64 * part) as u64,
+        );
         self.most_engine_sockets.set((sockets / 4).max(4));
         self.most_client_sockets.set((sockets / 2).max(4));
         self.most_closing_sockets.set((sockets / 8).max(2));
@@ -165,8 +173,8 @@
         self.most_unread_bytes.set(part);
     }
 
-    /// Whether the client of that connection has gone, read up to there or not: to be looked up at the instant in which
-    /// something begins for it.
+    /// Whether the client of that connection has gone, read up to there or not: to be looked up at
+    /// the instant in which something begins for it.
     pub fn client_gone(&self, conn: u64) -> bool {
         let standing = self.clients.borrow().get(&conn).cloned();
         standing.is_none_or(|standing| standing.gone())
@@ -174,7 +182,10 @@
 
     /// What operators are told now.
     pub fn figures(&self) -> Figures {
-        Figures { dispatches: self.dispatches.get(), ..self.figures.borrow().clone() }
+        Figures {
+            dispatches: self.dispatches.get(),
+            ..self.figures.borrow().clone()
+        }
     }
 
     /// Starts an actor.
@@ -193,7 +204,9 @@
 
 /// Reads what is there.
 pub async fn read_some(stream: &Async<UnixStream>, piece: &mut [u8]) -> io::Result<usize> {
-    stream.read_with(|stream| io::Read::read(&mut &*stream, piece)).await
+    stream
+        .read_with(|stream| io::Read::read(&mut &*stream, piece))
+        .await
 }
 
 /// Counts one more while it lives.
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -1,5 +1,6 @@
-//! A new configuration while the program runs, on SIGHUP: all of it is read and checked, then applied as one new
-//! generation; requests and engines stay. A file that can't be used leaves everything as it was.
+//! A new configuration while the program runs, on SIGHUP: all of it is read and checked, then
+//! applied as one new generation; requests and engines stay. A file that can't be used leaves
+//! everything as it was.
 use super::Shared;
 use super::coordinator::Move;
 use super::core::Input;
@@ -58,13 +59,21 @@
     pub async fn again(&self) -> Result<(), String> {
         let config = config::read(&self.path)?;
         if let Some(key) = config::lacks(&config.text, &self.text.borrow()) {
-            return Err(format!("{}: not whole: there is no {key}", self.path.display()));
+            return Err(format!(
+                "{}: not whole: there is no {key}",
+                self.path.display()
+            ));
         }
         let names = self.names.borrow().clone();
         let (_, known) = parse_known(&config.known, &names)?;
         let classes = config.names.classes.clone();
         let keyed = config.names.keyed.clone();
-        let next = Names { classes, keyed, dropped: BTreeSet::new(), ..(*names).clone() };
+        let next = Names {
+            classes,
+            keyed,
+            dropped: BTreeSet::new(),
+            ..(*names).clone()
+        };
         let second = self.second.as_ref().map(|second| {
             let deploy = deploy::read(&second.path)?;
             ClassRules::new(&deploy, &next)?;
@@ -73,21 +82,34 @@
         });
         let second = second.transpose()?;
         if config.listen != self.listen || config.names != next {
-            log!("another address, or other names than those of classes, need a restart: the old ones stand");
+            log!(
+                "another address, or other names than those of classes, need a restart: the old ones stand"
+            );
         }
         // From here on all of it is taken.
-        self.shared.limit(config.limits.sockets, config.limits.memory_mb);
+        self.shared
+            .limit(config.limits.sockets, config.limits.memory_mb);
         let classes = self.retune(&config).await;
         let names = Rc::new(Names {
-            classes: classes.iter().map(|(class, _)| class.name.to_string()).collect(),
+            classes: classes
+                .iter()
+                .map(|(class, _)| class.name.to_string())
+                .collect(),
             keyed: config::keyed(classes.iter().map(|(class, _)| &class.spec)),
-            dropped: (0..).zip(&classes).filter(|(_, (_, in_force))| !in_force).map(|(at, _)| at).collect(),
+            dropped: (0..)
+                .zip(&classes)
+                .filter(|(_, (_, in_force))| !in_force)
+                .map(|(at, _)| at)
+                .collect(),
             ..next
         });
         *self.names.borrow_mut() = names.clone();
         if let Some((second, deploy, users)) = second {
             let service = &second.service;
-            *service.deadlines.borrow_mut() = classes.iter().map(|(c, _)| micros(c.spec.deadline)).collect();
+            *service.deadlines.borrow_mut() = classes
+                .iter()
+                .map(|(c, _)| micros(c.spec.deadline))
+                .collect();
             *service.loads.borrow_mut() = classes.iter().map(|(c, _)| c.spec.is_load).collect();
             *service.rules.borrow_mut() = ClassRules::new(&deploy, &names)?;
             *second.file.borrow_mut() = users.clone();
@@ -97,11 +119,18 @@
         }
         self.shares(&config).await;
         *self.text.borrow_mut() = config.text;
-        let _ = self.coordinator.send(Move { addr: Some(config.coordinator), known }).await;
+        let _ = self
+            .coordinator
+            .send(Move {
+                addr: Some(config.coordinator),
+                known,
+            })
+            .await;
         Ok(())
     }
 
-    /// Gives the module its new settings. Who it is, and what the places in lists mean, stands until a restart.
+    /// Gives the module its new settings. Who it is, and what the places in lists mean, stands
+    /// until a restart.
     async fn retune(&self, config: &Config) -> Vec<(Class, bool)> {
         let old = self.settings.borrow().clone();
         let new = config.settings.clone();
@@ -120,7 +149,10 @@
         let (done, told) = bounded(1);
         let names = config.names.classes.clone();
         let hash = settings_hash(&config.text);
-        let _ = self.core.send(Input::Retune(Box::new(settings), names, hash, done)).await;
+        let _ = self
+            .core
+            .send(Input::Retune(Box::new(settings), names, hash, done))
+            .await;
         told.recv().await.unwrap_or_default()
     }
 
@@ -128,7 +160,10 @@
         let theirs = self.second.as_ref().is_some_and(|second| second.directory);
         let same = config.names.tenants == self.names.borrow().tenants;
         if !theirs && same {
-            let _ = self.core.send(Input::Tenants(config.settings.tenants.clone())).await;
+            let _ = self
+                .core
+                .send(Input::Tenants(config.settings.tenants.clone()))
+                .await;
         }
     }
 }
--- a/src/net/traffic.rs
+++ b/src/net/traffic.rs
@@ -1,5 +1,5 @@
-//! What the fleet's actor sends and receives, counted always: two cells a datagram. The scale rig reads the counts, and
-//! may have datagrams lost on their way out.
+//! What the fleet's actor sends and receives, counted always: two cells a datagram. The scale rig
+//! reads the counts, and may have datagrams lost on their way out.
 use crate::duties::wire as letters;
 use serde::Serialize;
 use std::cell::{Cell, OnceCell};
@@ -21,13 +21,19 @@
     /// One more, of so many bytes.
     #[must_use]
     pub fn and(self, bytes: usize) -> Flow {
-        Flow { datagrams: self.datagrams + 1, bytes: self.bytes + bytes as u64 }
+        Flow {
+            datagrams: self.datagrams + 1,
+            bytes: self.bytes + bytes as u64,
+        }
     }
 
     /// Both together.
     #[must_use]
     pub fn plus(self, other: Flow) -> Flow {
-        Flow { datagrams: self.datagrams + other.datagrams, bytes: self.bytes + other.bytes }
+        Flow {
+            datagrams: self.datagrams + other.datagrams,
+            bytes: self.bytes + other.bytes,
+        }
     }
 
     /// What came since an earlier reading.
@@ -117,7 +123,8 @@
         let _ = self.cut.set(Box::new(cut));
     }
 
-    /// Sends a datagram and counts it. A full socket buffer loses it, as the network may: the protocols bear it.
+    /// Sends a datagram and counts it. A full socket buffer loses it, as the network may: the
+    /// protocols bear it.
     pub fn send(&self, socket: &UdpSocket, to: SocketAddr, bytes: &[u8]) {
         let mut counts = self.counts.get();
         let lost = self.cut.get().is_some_and(|cut| cut(to));
@@ -129,7 +136,11 @@
                 false => &mut counts.membership_sent,
             };
             *sent = sent.and(bytes.len());
-            counts.cut = if lost { counts.cut.and(bytes.len()) } else { counts.cut };
+            counts.cut = if lost {
+                counts.cut.and(bytes.len())
+            } else {
+                counts.cut
+            };
         }
         self.counts.set(counts);
     }
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,7 +1,8 @@
 //! Requests and their attempts: taken, sent, ended, answered.
 use super::*;
 
-const CANCEL_SHARE: f64 = 0.1; // Cancels per query taken: engines slow as a whole must cause no storm.
+// Cancels per query taken: engines slow as a whole must cause no storm.
+const CANCEL_SHARE: f64 = 0.1;
 const QUOTA_BURST: f64 = 2.0; // Bursts within a tenant's quota, seconds of its rate...
 
 impl Gateway {
@@ -11,7 +12,11 @@
         }
         self.taken.push_back(now);
         let mut over_share = false;
-        if let Some(t) = self.tenants.get_mut(usize::from(ask.tenant.0)).filter(|t| t.quota > 0.0) {
+        if let Some(t) = self
+            .tenants
+            .get_mut(usize::from(ask.tenant.0))
+            .filter(|t| t.quota > 0.0)
+        {
             let rate = t.quota / self.sharers;
             let filled = t.tokens + rate * secs(now.saturating_sub(t.filled_at));
             (t.tokens, t.filled_at) = (filled.min((rate * QUOTA_BURST).max(QUOTA_LEAST)), now);
@@ -20,17 +25,27 @@
             t.tokens -= if over_share || ask.repeated { 0.0 } else { 1.0 };
         }
         let most_sends = self.s.limits.send_cap;
-        let r = Request { ask, arrived: now, over_share, most_sends, ..Request::default() };
+        let r = Request {
+            ask,
+            arrived: now,
+            over_share,
+            most_sends,
+            ..Request::default()
+        };
         if let (true, Some(key)) = (self.class(&r).in_order, ask.key) {
             self.keys.entry(key).or_default().line.push_back(ask.id);
         }
         self.cancels = (self.cancels + CANCEL_SHARE).min(CANCEL_SPARE);
         // Ti counts a query once, for the engine where it would fit best.
         let some = self.candidates();
-        let fits =
-            some.iter().filter_map(|id| self.engines.get(id)).filter(|e| placed(self.class(&r), &e.entry));
+        let fits = some
+            .iter()
+            .filter_map(|id| self.engines.get(id))
+            .filter(|e| placed(self.class(&r), &e.entry));
         let room = |e: &Engine| e.bound / self.sharers - e.running.threads;
-        let best = fits.max_by(|a, b| room(a).total_cmp(&room(b))).map(|e| e.entry.id);
+        let best = fits
+            .max_by(|a, b| room(a).total_cmp(&room(b)))
+            .map(|e| e.entry.id);
         if let Some(e) = best.and_then(|id| self.engines.get_mut(&id)) {
             e.window.wanted += 1.0;
         }
@@ -42,20 +57,42 @@
         }
     }
 
-    pub(super) fn send(&mut self, now: Nanos, id: RequestId, engine: EngineId, acts: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id) else { return };
+    pub(super) fn send(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        engine: EngineId,
+        acts: &mut Vec<Action>,
+    ) {
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
         let (alone, threads, long) = (self.alone(r), self.threads(r), self.is_long(r));
         let (weight, is_load, group) = (self.cold_weight(r), self.class(r).is_load, r.ask.group);
         let small = self.work(r) < self.learned(r).work;
         let hopeless = r.over_share || now + nanos(alone) > self.aim_end(r);
         self.extras.extend((r.sends > 0).then_some(now));
-        let thin = self.engines.get(&engine).is_some_and(|e| self.thin(e, threads));
+        let thin = self
+            .engines
+            .get(&engine)
+            .is_some_and(|e| self.thin(e, threads));
         let told = self.engines.get(&engine).map_or(0.0, |e| self.load(now, e));
-        let Some(e) = self.engines.get_mut(&engine) else { return };
-        let load = if thin { told } else { e.running.threads * self.sharers };
+        let Some(e) = self.engines.get_mut(&engine) else {
+            return;
+        };
+        let load = if thin {
+            told
+        } else {
+            e.running.threads * self.sharers
+        };
         let crowd = (if load.is_finite() { load } else { 0.0 } + threads) / e.cores;
-        let running = Running { queries: 1.0, threads, short: if long { 0.0 } else { threads } };
-        // What engines hold is what was sent, not asked: else counts of short ones pass for long ones.
+        let running = Running {
+            queries: 1.0,
+            threads,
+            short: if long { 0.0 } else { threads },
+        };
+        // What engines hold is what was sent, not asked: else counts of short ones pass for long
+        // ones.
         let before = self.fleet.mix;
         self.fleet.mix.add(before, -LEARN);
         self.fleet.mix.add(running, alone);
@@ -68,13 +105,31 @@
         if is_load {
             *e.held_groups.entry(group).or_default() += 1;
         }
-        e.health = if e.health == Health::HalfOpen(None) { Health::HalfOpen(Some(id)) } else { e.health };
+        e.health = if e.health == Health::HalfOpen(None) {
+            Health::HalfOpen(Some(id))
+        } else {
+            e.health
+        };
         let expected = alone * e.stretch.max(1.0);
         self.carry(now, engine, running, 1.0);
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         let attempt = AttemptNo(r.sends as u16);
-        let times = Out { sent: now, life_at: now, alone, expected, ..Out::default() };
-        r.outs.push(Out { attempt, engine, running, crowd, ..times });
+        let times = Out {
+            sent: now,
+            life_at: now,
+            alone,
+            expected,
+            ..Out::default()
+        };
+        r.outs.push(Out {
+            attempt,
+            engine,
+            running,
+            crowd,
+            ..times
+        });
         r.sends += 1;
         r.tried.insert(engine);
         if self.s.priorities_heeded {
@@ -86,27 +141,47 @@
             } else {
                 3
             };
-            acts.push(Action::Terms { id, priority, memory_mb: 0.0 });
+            acts.push(Action::Terms {
+                id,
+                priority,
+                memory_mb: 0.0,
+            });
         }
-        acts.push(Action::Send { id, engine, timeout: 0 });
+        acts.push(Action::Send {
+            id,
+            engine,
+            timeout: 0,
+        });
     }
 
-    /// The final answer of a request that will not be served: refused where that is honest, else failed.
+    /// The final answer of a request that will not be served: refused where that is honest, else
+    /// failed.
     pub(super) fn give_up(&mut self, id: RequestId, come_back: Nanos, acts: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.done) else { return };
+        let Some(r) = self.requests.get(&id).filter(|r| !r.done) else {
+            return;
+        };
         let honest = may_refuse(self.effect(r), r.first().is_some());
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         r.done = true;
         if honest {
             // It will come again, and count again: retries must not use up a tenant's share.
-            if let Some(t) = self.tenants.get_mut(usize::from(r.ask.tenant.0)).filter(|_| !r.over_share) {
+            if let Some(t) = self
+                .tenants
+                .get_mut(usize::from(r.ask.tenant.0))
+                .filter(|_| !r.over_share)
+            {
                 t.tokens += 1.0;
             }
             let limit = self.s.limits.max_retry_after;
             // After what waits now, and spread, lest all come back at once.
             let spread = 0.5 + f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
             let wait = secs(come_back).max(self.fleet.backlog) * spread;
-            acts.push(Action::Refuse { id, retry_after: nanos(wait).min(limit) });
+            acts.push(Action::Refuse {
+                id,
+                retry_after: nanos(wait).min(limit),
+            });
         } else {
             acts.push(Action::Fail { id });
         }
@@ -114,7 +189,9 @@
     }
 
     pub(super) fn on_gone(&mut self, id: RequestId, acts: &mut Vec<Action>) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         r.done = true;
         self.withdraw_all(id, acts);
         self.forget(id);
@@ -122,16 +199,29 @@
 
     pub(super) fn on_outcome(&mut self, now: Nanos, o: &Outcome, acts: &mut Vec<Action>) {
         let id = o.id;
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(out) = r.take_out(o.attempt) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(out) = r.take_out(o.attempt) else {
+            return;
+        };
         r.done |= o.closed;
-        let never_ran = matches!(o.kind, OutcomeKind::Full | OutcomeKind::ConnectFailed | OutcomeKind::Moot);
+        let never_ran = matches!(
+            o.kind,
+            OutcomeKind::Full | OutcomeKind::ConnectFailed | OutcomeKind::Moot
+        );
         // The first that was sent, whichever ended first: its key is known from then on.
         let ran = (!never_ran).then_some((o.engine, out.sent));
-        r.ran_on = r.ran_on.into_iter().chain(ran).min_by_key(|(_, sent)| *sent);
+        r.ran_on = r
+            .ran_on
+            .into_iter()
+            .chain(ran)
+            .min_by_key(|(_, sent)| *sent);
         let (ask, is_load) = (r.ask, self.s.classes[usize::from(r.ask.class.0)].is_load);
         self.carry(now, out.engine, out.running, -1.0);
-        let Some(e) = self.engines.get_mut(&out.engine) else { return };
+        let Some(e) = self.engines.get_mut(&out.engine) else {
+            return;
+        };
         if e.report.is_none_or(|(at, _)| at <= out.sent) {
             e.since = (e.since - out.running.threads).max(0.0);
         }
@@ -150,7 +240,10 @@
         self.on_report(now, out.engine, &o.load);
         self.judge(now, o, &out);
         if let Some(k) = ask.key.and_then(|k| self.keys.get_mut(&k))
-            && matches!(o.kind, OutcomeKind::Timeout | OutcomeKind::Reset | OutcomeKind::Cancelled)
+            && matches!(
+                o.kind,
+                OutcomeKind::Timeout | OutcomeKind::Reset | OutcomeKind::Cancelled
+            )
         {
             k.rest_until = now + self.s.rules.key_rest + self.s.tick;
         }
@@ -160,7 +253,9 @@
 
     /// After an attempt without success: hold for another one, or end the request now.
     fn again_or_end(&mut self, now: Nanos, id: RequestId, acts: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id) else { return };
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
         if r.done {
             // Answered: the copy beside it runs for nobody.
             self.withdraw_all(id, acts);
--- a/src/policy/bounds.rs
+++ b/src/policy/bounds.rs
@@ -1,15 +1,24 @@
-//! Bounds: the ECC09 update of each engine's bound on running threads, and whether a query has room under it.
+//! Bounds: the ECC09 update of each engine's bound on running threads, and whether a query has room
+//! under it.
 use super::*;
 
-const CEILING: f64 = 1.0; // Upper clamp, same share: beyond, engines lose work; parts are used in full.
-const GAIN: f64 = 1.0; // Gain of formula (5), queries a second: an engine's imbalance a tenth over demand.
-const LEAST_IMBALANCE: f64 = 1.0; // Least |Ti - To|, queries a second: below it bounds leap on noise.
+// Upper clamp, same share: beyond, engines lose work; parts are used in full.
+const CEILING: f64 = 1.0;
+// Gain of formula (5), queries a second: an engine's imbalance a tenth over demand.
+const GAIN: f64 = 1.0;
+// Least |Ti - To|, queries a second: below it bounds leap on noise.
+const LEAST_IMBALANCE: f64 = 1.0;
 const STEP: f64 = 0.2; // Most that one update moves the bound: latency answers only a period later.
-const PRESSURE: f64 = 2.0; // Pressure: smoothed latency over time alone stands this far above the best seen.
-const SPARE_MOST: f64 = 3.0; // Own threads past their part while engines tell that they stand idle, at most.
-const SHORT_PART: f64 = 0.5; // Part of each bound that short queries have even when long ones borrowed it.
-const LATE_PART: f64 = 0.25; // Part of a gateway's share that queries may fill which miss their aim anyway.
-const FADE: f64 = 0.2; // Part by which slowness without news fades a period: forgotten in about ten seconds.
+// Pressure: smoothed latency over time alone stands this far above the best seen.
+const PRESSURE: f64 = 2.0;
+// Own threads past their part while engines tell that they stand idle, at most.
+const SPARE_MOST: f64 = 3.0;
+// Part of each bound that short queries have even when long ones borrowed it.
+const SHORT_PART: f64 = 0.5;
+// Part of a gateway's share that queries may fill which miss their aim anyway.
+const LATE_PART: f64 = 0.25;
+// Part by which slowness without news fades a period: forgotten in about ten seconds.
+const FADE: f64 = 0.2;
 
 impl Running {
     /// The split of a bound: short queries have their part, long ones the rest and what is idle.
@@ -17,7 +26,8 @@
         let long_threads = self.threads - self.short + k;
         let all = self.threads + k <= limit;
         if long {
-            long_threads <= limit * (1.0 - SHORT_PART) || (all && long_threads <= limit * LONG_BORROW)
+            long_threads <= limit * (1.0 - SHORT_PART)
+                || (all && long_threads <= limit * LONG_BORROW)
         } else {
             all || self.short + k <= limit * SHORT_PART
         }
@@ -43,15 +53,20 @@
 impl Engine {
     /// Moves the bound toward what the law asks for, one step at most, within its clamps.
     fn steer(&mut self, wanted: f64, falls: bool) {
-        let low = if falls { self.bound * (1.0 - STEP) } else { self.bound };
+        let low = if falls {
+            self.bound * (1.0 - STEP)
+        } else {
+            self.bound
+        };
         let next = wanted.clamp(low, self.bound * (1.0 + STEP));
         self.bound = next.clamp(self.start * FLOOR, self.start * CEILING);
     }
 }
 
 impl Gateway {
-    /// Formula (5) for every engine. Exception: where the share of an engine is under one thread, its window
-    /// would hold no sample; the windows of all engines together then stand in, open until they hold enough.
+    /// Formula (5) for every engine. Exception: where the share of an engine is under one thread,
+    /// its window would hold no sample; the windows of all engines together then stand in, open
+    /// until they hold enough.
     pub(super) fn update_bounds(&mut self, now: Nanos) {
         let period = secs(now.saturating_sub(self.updated_at)).max(1e-3);
         self.updated_at = now;
@@ -71,7 +86,11 @@
             let w = std::mem::take(&mut e.window);
             self.fleet.window.add(&w, sharers / count);
             if thin(e) || w.queries <= 0.0 || w.samples == 0.0 {
-                let usual = if thin(e) { self.fleet.stretch } else { self.fleet.median_stretch };
+                let usual = if thin(e) {
+                    self.fleet.stretch
+                } else {
+                    self.fleet.median_stretch
+                };
                 e.stretch += FADE * (usual - e.stretch);
             } else {
                 e.steer(w.law(period) * sharers, w.falls());
@@ -87,8 +106,16 @@
                 .for_each(|e| e.steer(per_core * e.cores, all.falls()));
             self.fleet.window_since = now;
         }
-        let best = self.engines.values().filter(|e| e.ready()).map(|e| e.stretch).min_by(f64::total_cmp);
-        self.fleet.best_stretch = best.unwrap_or(1.0).min(self.fleet.best_stretch * 1.01).max(0.5);
+        let best = self
+            .engines
+            .values()
+            .filter(|e| e.ready())
+            .map(|e| e.stretch)
+            .min_by(f64::total_cmp);
+        self.fleet.best_stretch = best
+            .unwrap_or(1.0)
+            .min(self.fleet.best_stretch * 1.01)
+            .max(0.5);
         self.fleet.changed();
     }
 
@@ -98,8 +125,8 @@
         fresh || stretch > PRESSURE * self.fleet.best_stretch.min(2.0)
     }
 
-    /// Room under the bound. Short queries keep their part; long ones keep the rest and borrow what is idle.
-    /// The bound binds under pressure; before that, a burst may fill some more.
+    /// Room under the bound. Short queries keep their part; long ones keep the rest and borrow what
+    /// is idle. The bound binds under pressure; before that, a burst may fill some more.
     pub(super) fn has_room(&self, now: Nanos, r: &Request, e: &Engine) -> bool {
         let (k, long) = (self.threads(r), self.is_long(r));
         // Far slower than its peers: less, to clear it. Harms after underestimates.
@@ -110,18 +137,27 @@
             let limit = able * if pressed { e.bound } else { e.start * SURGE } / self.sharers;
             return e.running.fits(k, long, limit);
         }
-        // Exception: a share under one query. All shares bound own threads, reports tell where room is, and
-        // under pressure a turn lets in as many gateways as the whole bound holds queries.
+        // Exception: a share under one query. All shares bound own threads, reports tell where room
+        // is, and under pressure a turn lets in as many gateways as the whole bound holds queries.
         let pressed = self.pressed(now, self.fleet.stretch);
-        // What misses its aim anyway earns little: it may fill idle room, not slow what can still be in time.
-        let part = if self.asks() || self.in_aim(now, r) { 1.0 } else { LATE_PART };
+        // What misses its aim anyway earns little: it may fill idle room, not slow what can still
+        // be in time.
+        let part = if self.asks() || self.in_aim(now, r) {
+            1.0
+        } else {
+            LATE_PART
+        };
         let share = self.fleet.bound / self.sharers * self.spare(pressed) * part;
-        // A share of a few queries is kept in the mean over a period, like Ne of the law, lest a good part of
-        // it be unused. At a moment it may be twice as much, and one with nothing out may send one.
-        // A turn on a cold engine does not wait for own queries that are stuck on the warm ones beside it.
+        // A share of a few queries is kept in the mean over a period, like Ne of the law, lest a
+        // good part of it be unused. At a moment it may be twice as much, and one with nothing out
+        // may send one. A turn on a cold engine does not wait for own queries that are stuck on the
+        // warm ones beside it.
         let own = (!self.asks() && e.warmth(now, &self.s.rules) < 1.0)
             || ((self.fleet.running.queries < 1.0 || self.fleet.mean.fits(0.0, long, share))
-                && self.fleet.running.fits(k, long, (2.0 * share).max(k / LONG_BORROW)));
+                && self
+                    .fleet
+                    .running
+                    .fits(k, long, (2.0 * share).max(k / LONG_BORROW)));
         let whole = able * e.bound * if long { LONG_BORROW } else { SURGE };
         let load = self.load(now, e);
         let crowded = now < e.full_until || load >= e.start || (pressed && load > FLOOR * e.start);
@@ -129,9 +165,10 @@
         own && load + k <= whole && (!crowded || self.has_slot(now, e, TURN, holders, 0.0))
     }
 
-    /// How far own threads may go past their part: while engines tell that what they have is not in use,
-    /// parts that others leave idle may be used. Only reports that tell of all that queries wait for are
-    /// believed: counts of queries, or disks beside cores. Harms where reports lag behind a surge.
+    /// How far own threads may go past their part: while engines tell that what they have is not in
+    /// use, parts that others leave idle may be used. Only reports that tell of all that queries
+    /// wait for are believed: counts of queries, or disks beside cores. Harms where reports lag
+    /// behind a surge.
     pub(super) fn spare(&self, pressed: bool) -> f64 {
         let tells = |field| self.s.load_fields.contains(&field);
         let share = if pressed { 1.0 } else { SURGE };
--- a/src/policy/choice.rs
+++ b/src/policy/choice.rs
@@ -1,28 +1,45 @@
 //! Choice of an engine: which are compared, at what cost, and which is best.
 use super::*;
 
-const NEAR: usize = 8; // Engines that a gateway prefers where it can't ask: fewer handshakes, more news...
+// Engines that a gateway prefers where it can't ask: fewer handshakes, more news...
+const NEAR: usize = 8;
 const FAR: f64 = 0.2; // ...until others cost less by so much of a full bound.
-// Costs in the choice of an engine, in full bounds of threads: zones apart, data set held by a load...
+// Costs in the choice of an engine, in full bounds of threads: zones apart, data set held by a
+// load...
 const CROSS: f64 = 0.03;
 const GROUP_HELD: f64 = 1.5;
-const HOME: f64 = 0.85; // ...engine that is not its data set's own, which reads that from its disks...
+// ...engine that is not its data set's own, which reads that from its disks...
+const HOME: f64 = 0.85;
 const TRIED: f64 = 1.0; // ...engine tried before; a half-open one comes first.
 const TRIAL: f64 = 10.0;
 
 impl Gateway {
-    /// Engines to compare: all of a small fleet; of a large one those where this gateway has a turn, those
-    /// with the newest reports, and some at random, lest all herd. The cost does not grow with the fleet.
+    /// Engines to compare: all of a small fleet; of a large one those where this gateway has a
+    /// turn, those with the newest reports, and some at random, lest all herd. The cost does not
+    /// grow with the fleet.
     pub(super) fn candidates(&mut self) -> Vec<EngineId> {
         let f = &self.fleet;
         let n = f.ready.len().max(1);
         let any = self.rng.next_u32() as usize;
         if n <= CANDIDATES {
-            return f.ready.iter().cycle().skip(any % n).take(f.ready.len()).copied().collect();
+            return f
+                .ready
+                .iter()
+                .cycle()
+                .skip(any % n)
+                .take(f.ready.len())
+                .copied()
+                .collect();
         }
         if !self.asks() {
             let others = [any / NEAR, any / NEAR + n / 2].map(|at| f.ready[at % n]);
-            return f.turns.iter().copied().chain(self.near(any)).chain(others).collect();
+            return f
+                .turns
+                .iter()
+                .copied()
+                .chain(self.near(any))
+                .chain(others)
+                .collect();
         }
         let known = f.turns.iter().take(CANDIDATES / 2).chain(&f.recent);
         let others = (0..CANDIDATES / 2).map(|i| &f.ready[(any % n + i * (n / CANDIDATES)) % n]);
@@ -31,28 +48,45 @@
 
     /// The engines that a gateway prefers, from some place among them.
     fn near(&self, place: usize) -> impl Iterator<Item = EngineId> {
-        self.fleet.arc(self.s.me as usize, self.s.gateways.max(1) as usize, NEAR, place)
+        self.fleet.arc(
+            self.s.me as usize,
+            self.s.gateways.max(1) as usize,
+            NEAR,
+            place,
+        )
     }
 
-    /// The gate of every send: one out, time left, drain, placement, cold, attempts, effects, key turn.
+    /// The gate of every send: one out, time left, drain, placement, cold, attempts, effects, key
+    /// turn.
     pub(super) fn gate(&self, now: Nanos, id: RequestId, r: &Request, e: &Engine) -> bool {
         let open = !r.done && now + nanos(DOUBT * self.alone(r)) < r.ask.give_up_at;
         let beside = self.s.limits.second_copies && r.outs.len() < 2;
-        let open = open && (r.outs.is_empty() || (beside && r.outs.iter().all(|o| o.engine != e.entry.id)));
+        let open = open
+            && (r.outs.is_empty() || (beside && r.outs.iter().all(|o| o.engine != e.entry.id)));
         let engine = e.ready() && placed(self.class(r), &e.entry) && self.cold_allows(now, r, e);
         let further = r.sends == 0 || (r.sends < r.most_sends && self.budget_allows(now));
-        open && engine && further && self.effect_allows(now, r, Some(e)) && self.has_turn(now, id, r)
+        open && engine
+            && further
+            && self.effect_allows(now, r, Some(e))
+            && self.has_turn(now, id, r)
     }
 
     /// Rule 2: whether the request may go out again at all, and to this engine.
     pub(super) fn effect_allows(&self, now: Nanos, r: &Request, e: Option<&Engine>) -> bool {
-        let Some((first, sent)) = r.first() else { return true };
-        let pair = self.engines.get(&first).map(|f| f.entry).zip(e.map(|e| e.entry));
+        let Some((first, sent)) = r.first() else {
+            return true;
+        };
+        let pair = self
+            .engines
+            .get(&first)
+            .map(|f| f.entry)
+            .zip(e.map(|e| e.entry));
         // A repeat has to end while engines know its key, not only to begin.
         may_repeat(self.effect(r), sent, pair, now + nanos(self.alone(r)))
     }
 
-    /// Whether it would stand still there for a load: an own one, or one that others were seen to wait for.
+    /// Whether it would stand still there for a load: an own one, or one that others were seen to
+    /// wait for.
     pub(super) fn stands(&self, now: Nanos, r: &Request, e: &Engine) -> bool {
         let (c, group) = (self.class(r), &r.ask.group);
         let seen = || e.stood_still.get(group).is_some_and(|until| *until > now);
@@ -65,18 +99,24 @@
         let slow = (e.stretch / self.fleet.median_stretch.max(0.1)).max(0.7);
         let whole = e.bound * e.warmth(now, &self.s.rules);
         let thin = self.thin(e, k);
-        let (load, limit) =
-            if thin { (self.load(now, e), whole) } else { (e.running.threads, whole / self.sharers) };
+        let (load, limit) = if thin {
+            (self.load(now, e), whole)
+        } else {
+            (e.running.threads, whole / self.sharers)
+        };
         let on = |applies: bool, cost: f64| if applies { cost } else { 0.0 };
         let data = on(self.stands(now, r, e), GROUP_HELD);
         let place = on(self.s.crossing_costs && e.entry.zone != self.s.zone, CROSS);
         let (blind, cold) = (thin && !self.asks(), e.warmth(now, &self.s.rules) < 1.0);
         // A turn on a cold engine is rare, and lost if it is not used.
-        let far = on(blind && !self.near(0).any(|id| id == e.entry.id), FAR) - on(blind && cold, TRIED);
-        let past = on(r.tried.contains(&e.entry.id), TRIED) - on(e.health == Health::HalfOpen(None), TRIAL);
+        let far =
+            on(blind && !self.near(0).any(|id| id == e.entry.id), FAR) - on(blind && cold, TRIED);
+        let past = on(r.tried.contains(&e.entry.id), TRIED)
+            - on(e.health == Health::HalfOpen(None), TRIAL);
         let few = self.fleet.ready.len() <= CANDIDATES;
-        // Guards against a home that may be down: all that belongs there would pile up. Forgotten after
-        // a period, as an engine that gets nothing can't speak; a small share hears too little to tell.
+        // Guards against a home that may be down: all that belongs there would pile up. Forgotten
+        // after a period, as an engine that gets nothing can't speak; a small share hears too
+        // little to tell.
         let silent = e.silent_at > e.life_at && now < e.silent_at + PERIOD;
         let quiet = silent && e.start >= self.sharers;
         let known = few && r.ask.group > 0 && !quiet && self.s.tells_cost;
@@ -94,15 +134,24 @@
         let class = self.class(r);
         let mine = |e: &&Engine| e.ready() && placed(class, &e.entry);
         // Never eject the last engines a class may use: with none closed, all count as closed.
-        let any_closed = self.engines.values().filter(mine).any(|e| e.health == Health::Closed);
+        let any_closed = self
+            .engines
+            .values()
+            .filter(mine)
+            .any(|e| e.health == Health::Closed);
         let first_safe = class.effect == Effect::Safe && r.sends == 0;
         let healthy = |e: &&Engine| match e.health {
             Health::Closed => true,
             Health::HalfOpen(None) => first_safe || !any_closed,
             Health::HalfOpen(Some(_)) | Health::Open(_) => !any_closed,
         };
-        let fits = some.iter().filter_map(|id| self.engines.get(id)).filter(mine).filter(healthy);
-        // Where its data is held it would wait and keep a thread from others: rather for room elsewhere.
+        let fits = some
+            .iter()
+            .filter_map(|id| self.engines.get(id))
+            .filter(mine)
+            .filter(healthy);
+        // Where its data is held it would wait and keep a thread from others: rather for room
+        // elsewhere.
         let free = |e: &&Engine| !self.stands(now, r, e);
         let any_free = fits.clone().any(|e| free(&e));
         let fits = fits.filter(|e| !any_free || free(e));
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -2,11 +2,14 @@
 use super::*;
 
 const CALM: f64 = 1.25; // Answers at most this many times slower than the best seen.
-const FAIL_SHARE: f64 = 0.4; // Smoothed share of failures that ejects: three in a row do, at this weight,
+// Smoothed share of failures that ejects: three in a row do, at this weight,
+const FAIL_SHARE: f64 = 0.4;
 const FAIL_WEIGHT: f64 = 0.2; // ...and one where the share of an engine is under one query.
 const EJECT: Nanos = 1_500_000_000; // First ejection; doubled each time up to eight times.
-const EJECT_MOST: f64 = 0.5; // Most of the ready engines ejected: when more look bad the cause is shared.
-const TAIL: f64 = 0.05; // Part of a class's answers that take longer than its tail, in expected times...
+// Most of the ready engines ejected: when more look bad the cause is shared.
+const EJECT_MOST: f64 = 0.5;
+// Part of a class's answers that take longer than its tail, in expected times...
+const TAIL: f64 = 0.05;
 const TAIL_STEP: f64 = 0.2; // Weight of one answer in it: a fifth up, a hundredth down.
 
 impl Engine {
@@ -19,38 +22,62 @@
 }
 
 impl Gateway {
-    /// Outlier ejection: fast failures, resets, failed connects, time-outs without life, against peers.
+    /// Outlier ejection: fast failures, resets, failed connects, time-outs without life, against
+    /// peers.
     pub(super) fn judge(&mut self, now: Nanos, o: &Outcome, out: &Out) {
-        let Some(e) = self.engines.get_mut(&o.engine) else { return };
+        let Some(e) = self.engines.get_mut(&o.engine) else {
+            return;
+        };
         let trial = e.health == Health::HalfOpen(Some(o.id));
         let silent = out.life_at.max(e.life_at) <= out.sent;
         let failed = match o.kind {
             OutcomeKind::Error | OutcomeKind::ConnectFailed | OutcomeKind::Reset => true,
             OutcomeKind::Ok | OutcomeKind::Full => false,
-            // Nothing since from its engine, on this attempt or another. Guards against ejecting the busiest,
-            // where much of what waits in a full line runs out of time.
+            // Nothing since from its engine, on this attempt or another. Guards against ejecting
+            // the busiest, where much of what waits in a full line runs out of time.
             OutcomeKind::Timeout if silent => true,
-            // Its copy answered sooner. Where a gateway's share is small it hears too little to tell.
+            // Its copy answered sooner. Where a gateway's share is small it hears too little to
+            // tell.
             OutcomeKind::Cancelled if silent && o.closed && e.start >= self.sharers => true,
             OutcomeKind::Timeout | OutcomeKind::Cancelled | OutcomeKind::Moot => {
-                e.health = if trial { Health::HalfOpen(None) } else { e.health };
+                e.health = if trial {
+                    Health::HalfOpen(None)
+                } else {
+                    e.health
+                };
                 return;
             }
         };
-        // A connection that breaks ends all on it, and is one failure: no engine is ejected for that alone.
+        // A connection that breaks ends all on it, and is one failure: no engine is ejected for
+        // that alone.
         if o.kind == OutcomeKind::Reset && !trial && now < e.reset_at + SWEEP_EVERY {
             return;
         }
-        e.reset_at = if o.kind == OutcomeKind::Reset { now } else { e.reset_at };
-        let weight = if e.start < self.sharers { 0.5 } else { FAIL_WEIGHT };
+        e.reset_at = if o.kind == OutcomeKind::Reset {
+            now
+        } else {
+            e.reset_at
+        };
+        let weight = if e.start < self.sharers {
+            0.5
+        } else {
+            FAIL_WEIGHT
+        };
         e.fail_share += weight * (f64::from(u8::from(failed)) - e.fail_share);
         let bad = failed && (trial || e.fail_share > FAIL_SHARE);
-        let ejects = bad && (trial || self.may_eject(o.engine)); // Walks over the fleet: asked last.
-        let Some(e) = self.engines.get_mut(&o.engine) else { return };
+        // Walks over the fleet: asked last.
+        let ejects = bad && (trial || self.may_eject(o.engine));
+        let Some(e) = self.engines.get_mut(&o.engine) else {
+            return;
+        };
         if ejects {
             e.eject(now, &mut self.fleet);
         } else if !failed {
-            e.full_until = if o.kind == OutcomeKind::Full { now + PERIOD } else { e.full_until };
+            e.full_until = if o.kind == OutcomeKind::Full {
+                now + PERIOD
+            } else {
+                e.full_until
+            };
             e.life_at = now;
             if trial {
                 // Slow start: back with the least bound.
@@ -63,19 +90,25 @@
     /// Judged against peers: with most engines bad already nobody is ejected.
     pub(super) fn may_eject(&self, engine: EngineId) -> bool {
         let out = |e: &&Engine| e.ready() && e.health != Health::Closed && e.entry.id != engine;
-        (self.engines.values().filter(out).count() + 1) as f64 <= EJECT_MOST * self.fleet.ready.len() as f64
+        (self.engines.values().filter(out).count() + 1) as f64
+            <= EJECT_MOST * self.fleet.ready.len() as f64
     }
 
     /// What an answer teaches of its engine and its class.
     pub(super) fn learn(&mut self, ask: &NewRequest, o: &Outcome, out: &Out) {
         let class = usize::from(ask.class.0);
         let threads = self.s.classes[class].threads.max(1.0);
-        // Where none is asked nothing tells a crowd from work: only answers as fast as the best teach it.
+        // Where none is asked nothing tells a crowd from work: only answers as fast as the best
+        // teach it.
         let calm = self.asks() || self.fleet.stretch <= CALM * self.fleet.best_stretch;
         let calm = calm || self.learned[class].samples < 4 * ENOUGH;
         let (took, l) = (secs(o.latency), &mut self.learned[class]);
-        let work = o.work.map_or(ask.work_hint.map_or(l.work, |h| secs(h) * l.bias), secs);
-        let Some(e) = self.engines.get_mut(&o.engine) else { return };
+        let work = o
+            .work
+            .map_or(ask.work_hint.map_or(l.work, |h| secs(h) * l.bias), secs);
+        let Some(e) = self.engines.get_mut(&o.engine) else {
+            return;
+        };
         if self.s.classes[class].waits_for_loads {
             e.stood_still.remove(&ask.group);
         }
@@ -91,16 +124,25 @@
         if e.ready() {
             self.fleet.stretches.replace(old, e.stretch);
         }
-        // Where answers tell no cost, work is guessed from the time taken, over how crowded the engine was at
-        // the send: else time under overload passes for work. Not over slowness, as both would drift apart.
-        let sample = o.work.map_or(took * threads / out.crowd.max(self.fleet.crowd).max(1.0), secs);
+        // Where answers tell no cost, work is guessed from the time taken, over how crowded the
+        // engine was at the send: else time under overload passes for work. Not over slowness, as
+        // both would drift apart.
+        let sample = o.work.map_or(
+            took * threads / out.crowd.max(self.fleet.crowd).max(1.0),
+            secs,
+        );
         l.samples += 1;
         let weight = (1.0 / f64::from(l.samples)).max(LEARN);
-        // The tail moves up by much for each answer beyond it, down by little for each within, and settles.
+        // The tail moves up by much for each answer beyond it, down by little for each within, and
+        // settles.
         let beyond = took > l.tail * out.alone;
         l.tail *= 1.0 + TAIL_STEP * (f64::from(u8::from(beyond)) - TAIL);
         l.tail = l.tail.clamp(1.0, 1.0 / TAIL);
-        l.work += if calm { weight * (sample.min(l.work * 10.0) - l.work) } else { 0.0 };
+        l.work += if calm {
+            weight * (sample.min(l.work * 10.0) - l.work)
+        } else {
+            0.0
+        };
         if let (Some(h), Some(_)) = (ask.work_hint, o.work) {
             l.bias += weight * ((sample / secs(h).max(1e-4)).clamp(0.1, 10.0) - l.bias);
         }
--- a/src/policy/held.rs
+++ b/src/policy/held.rs
@@ -1,10 +1,12 @@
 //! Held queries: their order, when they leave, and when they are refused.
 use super::*;
 
-const PUMP_MOST: usize = 32; // Held queries tried at one outcome: its cost must not grow with the queue.
+// Held queries tried at one outcome: its cost must not grow with the queue.
+const PUMP_MOST: usize = 32;
 
 impl Gateway {
-    /// Whether it may be in time. Most queries are smaller than the mean, and so are the aims to be missed.
+    /// Whether it may be in time. Most queries are smaller than the mean, and so are the aims to be
+    /// missed.
     pub(super) fn in_aim(&self, now: Nanos, r: &Request) -> bool {
         let small = DOUBT * self.work(r);
         let runs = small / self.threads(r) * self.fleet.median_stretch.max(1.0);
@@ -14,31 +16,49 @@
     /// Worth per second of work, less where late or beyond the tenant's share.
     fn rank(&self, now: Nanos, r: &Request) -> f64 {
         let c = self.class(r);
-        let share = if r.over_share { self.s.over_share_worth } else { 1.0 };
-        let late = if self.in_aim(now, r) && !r.ask.repeated { 1.0 } else { c.late_worth.max(0.01) };
+        let share = if r.over_share {
+            self.s.over_share_worth
+        } else {
+            1.0
+        };
+        let late = if self.in_aim(now, r) && !r.ask.repeated {
+            1.0
+        } else {
+            c.late_worth.max(0.01)
+        };
         c.worth.max(1e-6) * share * late / self.work(r).max(1e-3)
     }
 
     pub(super) fn hold(&mut self, now: Nanos, id: RequestId) {
-        let Some(r) = self.requests.get(&id) else { return };
+        let Some(r) = self.requests.get(&id) else {
+            return;
+        };
         self.held.push((self.rank(now, r), id, r.ask.class));
     }
 
-    /// Sends held queries that have room, best rank first. Where a fresh query of a class found no room, so
-    /// will the next one; those in order or tried before say nothing of others.
+    /// Sends held queries that have room, best rank first. Where a fresh query of a class found no
+    /// room, so will the next one; those in order or tried before say nothing of others.
     pub(super) fn pump(&mut self, now: Nanos, acts: &mut Vec<Action>) {
         let mut no_room = vec![false; self.s.classes.len()];
         let (mut at, mut tries) = (0, 0);
         while at < self.held.len() && tries < PUMP_MOST && no_room.contains(&false) {
             let (_, id, class) = self.held[at];
             let full = &mut no_room[usize::from(class.0)];
-            let Some(r) = self.requests.get(&id).filter(|r| !r.done && r.outs.is_empty()) else {
+            let Some(r) = self
+                .requests
+                .get(&id)
+                .filter(|r| !r.done && r.outs.is_empty())
+            else {
                 self.held.remove(at);
                 continue;
             };
             let plain = r.sends == 0 && !self.class(r).in_order;
             tries += usize::from(!(plain && *full));
-            match if plain && *full { None } else { self.choose(now, id) } {
+            match if plain && *full {
+                None
+            } else {
+                self.choose(now, id)
+            } {
                 Some(engine) => {
                     self.held.remove(at);
                     self.send(now, id, engine, acts);
@@ -51,17 +71,25 @@
         }
     }
 
-    /// Orders the held queries and refuses at once those that the work ahead of them leaves no time.
+    /// Orders the held queries and refuses at once those that the work ahead of them leaves no
+    /// time.
     pub(super) fn review(&mut self, now: Nanos, acts: &mut Vec<Action>) {
         let held = std::mem::take(&mut self.held);
         held.iter().for_each(|(_, id, _)| self.hold(now, *id));
-        self.held.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
+        self.held
+            .sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         let rate = self.fleet.cores * USUAL_BUSY / self.sharers;
         let margin = 2 * SWEEP_EVERY.max(self.s.tick);
         let mut ahead = 0.0;
         for entry in std::mem::take(&mut self.held) {
             let id = entry.1;
-            let Some(r) = self.requests.get(&id).filter(|r| !r.done && r.outs.is_empty()) else { continue };
+            let Some(r) = self
+                .requests
+                .get(&id)
+                .filter(|r| !r.done && r.outs.is_empty())
+            else {
+                continue;
+            };
             let wait = if rate > 0.0 { ahead / rate } else { 0.0 };
             let late = rate > 0.0 && now + nanos(wait + self.alone(r)) > self.useful_end(r);
             if late || now + margin >= r.ask.give_up_at || r.sends >= r.most_sends.max(1) {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! Every decision of a gateway; its types, events and actions are those of `src/interface.rs`, what it
-//! remembers those of `src/state/`. Ordinary path: each engine has a bound on running threads, moved by
-//! formula (5); a gateway keeps to its share of it, sends where most threads are free, and holds or refuses
-//! the rest. One file a concern.
+//! Every decision of a gateway; its types, events and actions are those of `src/interface.rs`, what
+//! it remembers those of `src/state/`. Ordinary path: each engine has a bound on running threads,
+//! moved by formula (5); a gateway keeps to its share of it, sends where most threads are free, and
+//! holds or refuses the rest. One file a concern.
 mod anew;
 mod attempts;
 mod bounds;
@@ -18,26 +18,35 @@
 use rand_core::Rng;
 
 const SWEEP: u64 = 1; // Timer token of the sweep; the module has no other timer.
-const SWEEP_EVERY: Nanos = 20_000_000; // Between looks at what waits: within the usual answer slack.
+// Between looks at what waits: within the usual answer slack.
+const SWEEP_EVERY: Nanos = 20_000_000;
 const PERIOD: Nanos = 2_000_000_000; // Period of the ECC09 update, from the design.
 const START_THREADS_PER_CORE: f64 = 2.0; // Bound at start, from the design.
 const FLOOR: f64 = 0.5; // Floor of the bound as a share of its start, from the design.
-const CLIP: f64 = 3.0; // Times the usual that a sample counts at most: one costly query must not decide.
-const SURGE: f64 = 1.4; // Without pressure a burst fills this many start bounds before latency can tell.
+// Times the usual that a sample counts at most: one costly query must not decide.
+const CLIP: f64 = 3.0;
+// Without pressure a burst fills this many start bounds before latency can tell.
+const SURGE: f64 = 1.4;
 const LONG_BORROW: f64 = 0.9; // Long queries may borrow idle room up to this part of the bound.
 const JAM: f64 = 2.0; // An engine this many times slower than its peers is in a jam.
 const TURN: Nanos = 500_000_000; // Length of a turn of gateways whose share is under one query.
-const COLD_SLOTS: u64 = 4; // Turns on a cold engine in a fall window: a window cuts one more than these.
-const CANDIDATES: usize = 12; // Engines compared for a query: all of a small fleet, few of a large one.
+// Turns on a cold engine in a fall window: a window cuts one more than these.
+const COLD_SLOTS: u64 = 4;
+// Engines compared for a query: all of a small fleet, few of a large one.
+const CANDIDATES: usize = 12;
 const SMOOTH: f64 = 0.1; // Weight of a new sample in smoothed figures: about the last ten samples.
-const LEARN: f64 = 0.02; // Least weight of a sample in what a class has taught: about the last fifty.
+// Least weight of a sample in what a class has taught: about the last fifty.
+const LEARN: f64 = 0.02;
 const ENOUGH: u32 = 5; // Samples that are believed: of a class's work, of a window of all engines.
 const STALL: Nanos = 3 * SWEEP_EVERY; // A gateway that had no turn for so long stood still itself.
-const TAIL_FIRST: f64 = 4.0; // ...which is this at first and never less: what is sent anew runs twice.
+// ...which is this at first and never less: what is sent anew runs twice.
+const TAIL_FIRST: f64 = 4.0;
 const CANCEL_SPARE: f64 = 6.0; // Cancels that may be saved up.
 const USUAL_BUSY: f64 = 0.8; // Share of a core's time that usual capacity means.
-const QUOTA_LEAST: f64 = 6.0; // ...and queries at least: a small part of a rate comes in whole queries.
-const DOUBT: f64 = 0.5; // Part of the expected time that must be left at a send: estimates lie too high.
+// ...and queries at least: a small part of a rate comes in whole queries.
+const QUOTA_LEAST: f64 = 6.0;
+// Part of the expected time that must be left at a send: estimates lie too high.
+const DOUBT: f64 = 0.5;
 
 fn smooth(old: &mut f64, sample: f64) {
     *old += SMOOTH * (sample - *old);
@@ -47,7 +56,11 @@
     /// A gateway that knows nothing but its settings.
     pub fn new(now: Nanos, settings: Settings, seed: u64) -> Gateway {
         let mut g = Gateway::blank(now, settings, seed);
-        g.learned = g.s.classes.iter().map(|c| Learned::first(c, TAIL_FIRST)).collect();
+        g.learned =
+            g.s.classes
+                .iter()
+                .map(|c| Learned::first(c, TAIL_FIRST))
+                .collect();
         g.tenants.iter_mut().for_each(|t| t.tokens = QUOTA_LEAST);
         g.cancels = CANCEL_SPARE;
         g
@@ -60,15 +73,22 @@
                 Some(known) => known.quota = t.quota_per_s,
                 None => {
                     let (tokens, filled_at) = (QUOTA_LEAST, self.turn_at);
-                    self.tenants.push(Tenant { quota: t.quota_per_s, tokens, filled_at });
+                    self.tenants.push(Tenant {
+                        quota: t.quota_per_s,
+                        tokens,
+                        filled_at,
+                    });
                 }
             }
         }
     }
 
-    /// New settings for what comes from now on. Fresh classes start from what those they follow have taught.
+    /// New settings for what comes from now on. Fresh classes start from what those they follow
+    /// have taught.
     pub fn retune(&mut self, s: Settings, fresh: &[(ClassId, Option<ClassId>)]) {
-        self.learned.resize_with(s.classes.len(), || Learned::first(&s.classes[0], TAIL_FIRST));
+        self.learned.resize_with(s.classes.len(), || {
+            Learned::first(&s.classes[0], TAIL_FIRST)
+        });
         for (class, heir_of) in fresh.iter().map(|(class, of)| (usize::from(class.0), of)) {
             let first = Learned::first(&s.classes[class], TAIL_FIRST);
             self.learned[class] = heir_of.map_or(first, |of| self.learned[usize::from(of.0)]);
@@ -81,12 +101,16 @@
     pub fn handle(&mut self, now: Nanos, event: Event, acts: &mut Vec<Action>) {
         if !self.started {
             self.started = true;
-            acts.push(Action::Timer { after: SWEEP_EVERY, token: SWEEP });
+            acts.push(Action::Timer {
+                after: SWEEP_EVERY,
+                token: SWEEP,
+            });
             if self.s.ask_for_list {
                 acts.push(Action::Watch(true));
             }
         }
-        // Guards against this gateway's own stalls: ages and times taken across one say nothing of engines.
+        // Guards against this gateway's own stalls: ages and times taken across one say nothing of
+        // engines.
         if now.saturating_sub(self.turn_at) > STALL {
             self.woke_at = now;
         }
@@ -98,7 +122,12 @@
             Event::Note { id, attempt, note } => self.on_note(now, id, attempt, note, acts),
             Event::ClientGone(id) => self.on_gone(id, acts),
             Event::Timer(SWEEP) => self.on_sweep(now, acts),
-            Event::Probed { engine, kind, latency, load } => {
+            Event::Probed {
+                engine,
+                kind,
+                latency,
+                load,
+            } => {
                 self.on_report(now, engine, &load);
                 self.on_probe(now, engine, kind, secs(latency));
                 self.pump(now, acts);
--- a/src/policy/reports.rs
+++ b/src/policy/reports.rs
@@ -4,28 +4,37 @@
 const FRESH: Nanos = 250_000_000; // A report younger than this needs no probe...
 const NEWS: Nanos = 1_000_000_000; // ...and one older than this tells nothing.
 const PROBES: usize = 1; // Engines probed for a query whose share of an engine is under one.
-const PROBE_DEAR: f64 = 0.03; // Price of a probe, in parts of a usual query, that a choice is not worth.
+// Price of a probe, in parts of a usual query, that a choice is not worth.
+const PROBE_DEAR: f64 = 0.03;
 const PROBE_WAIT: Nanos = 30_000_000; // Longest wait of a query for its probes.
 
 impl Gateway {
-    /// Threads of all gateways that an engine is taken to run: its report and own sends since. Where others
-    /// tell, one that has told nothing of late is taken to be full, as it may be in a jam and can be asked.
-    /// Where asking is not allowed it is taken to be as busy as those that told: else what is not used is
-    /// never heard of again. Harms where an engine that others know to be jammed is new to this gateway.
+    /// Threads of all gateways that an engine is taken to run: its report and own sends since.
+    /// Where others tell, one that has told nothing of late is taken to be full, as it may be in a
+    /// jam and can be asked. Where asking is not allowed it is taken to be as busy as those that
+    /// told: else what is not used is never heard of again. Harms where an engine that others know
+    /// to be jammed is new to this gateway.
     pub(super) fn load(&self, now: Nanos, e: &Engine) -> f64 {
         match e.report {
             Some((at, threads)) if now.saturating_sub(at) < NEWS => threads + e.since,
-            Some(_) | None if self.fleet.recent.is_empty() || e.warmth(now, &self.s.rules) < 1.0 => e.since,
+            Some(_) | None
+                if self.fleet.recent.is_empty() || e.warmth(now, &self.s.rules) < 1.0 =>
+            {
+                e.since
+            }
             Some(_) | None if self.asks() => f64::INFINITY,
             Some(_) | None => self.fleet.crowd * e.cores + e.since,
         }
     }
 
-    /// What an engine says of its load, in answers and probes: queries in hand at the threads of a usual one,
-    /// the use of its cores, or its memory, where all of it counts as a full bound; whichever says most.
+    /// What an engine says of its load, in answers and probes: queries in hand at the threads of a
+    /// usual one, the use of its cores, or its memory, where all of it counts as a full bound;
+    /// whichever says most.
     pub(super) fn on_report(&mut self, now: Nanos, engine: EngineId, load: &LoadReport) {
         let mix = self.fleet.mix;
-        let Some(e) = self.engines.get_mut(&engine).filter(|_| load.len > 0) else { return };
+        let Some(e) = self.engines.get_mut(&engine).filter(|_| load.len > 0) else {
+            return;
+        };
         let mut threads: f64 = 0.0;
         for (field, value) in self.s.load_fields.iter().zip(load.values).take(load.len) {
             let value = f64::from(value);
@@ -35,7 +44,9 @@
                 // Most of the memory is granted in normal work; only the last part of it is scarce.
                 LoadField::MemoryGranted => value.powi(4) * e.start,
                 LoadField::Queue => value * e.start,
-                LoadField::RecentMs | LoadField::Rate | LoadField::Errors | LoadField::Unknown => 0.0,
+                LoadField::RecentMs | LoadField::Rate | LoadField::Errors | LoadField::Unknown => {
+                    0.0
+                }
             };
             threads = threads.max(if says.is_finite() { says } else { 0.0 });
         }
@@ -46,12 +57,15 @@
         self.fleet.recent.truncate(CANDIDATES / 2);
     }
 
-    /// A jammed engine may report idle cores, as its queries wait for disks: the delay of its probe beyond
-    /// the best seen, against its peers, raises the report. One that does not answer is full or worse.
+    /// A jammed engine may report idle cores, as its queries wait for disks: the delay of its probe
+    /// beyond the best seen, against its peers, raises the report. One that does not answer is full
+    /// or worse.
     pub(super) fn on_probe(&mut self, now: Nanos, engine: EngineId, kind: OutcomeKind, took: f64) {
         let f = &mut self.fleet;
         f.probes_out = f.probes_out.saturating_sub(1);
-        let Some(e) = self.engines.get_mut(&engine) else { return };
+        let Some(e) = self.engines.get_mut(&engine) else {
+            return;
+        };
         let base = &mut f.probe_base[usize::from(e.entry.zone != self.s.zone)];
         *base = (*base * 1.001).min(took);
         let delay = took - *base;
@@ -68,7 +82,8 @@
         e.report = Some((now, told.max(e.start * full)));
     }
 
-    /// Whether engines are asked for their load: not where all probes together cost more than they help.
+    /// Whether engines are asked for their load: not where all probes together cost more than they
+    /// help.
     pub(super) fn asks(&self) -> bool {
         self.s.limits.may_probe && self.s.probe_price <= PROBE_DEAR
     }
@@ -76,22 +91,44 @@
     /// Where own answers tell too little, a few engines at random are asked for their load.
     pub(super) fn probe(&mut self, now: Nanos, id: RequestId, acts: &mut Vec<Action>) {
         let some = self.candidates();
-        let Some(r) = self.requests.get(&id).filter(|_| self.asks()) else { return };
-        // Where one that counts its queries is half empty and would take this one, a probe tells nothing.
+        let Some(r) = self.requests.get(&id).filter(|_| self.asks()) else {
+            return;
+        };
+        // Where one that counts its queries is half empty and would take this one, a probe tells
+        // nothing.
         let (class, threads) = (self.class(r), self.threads(r));
-        let open =
-            |e: &&Engine| placed(class, &e.entry) && e.health == Health::Closed && self.gate(now, id, r, e);
-        let idle = |e: &&Engine| self.load(now, e) + threads <= FLOOR * e.start && self.has_room(now, r, e);
-        let known = some.iter().filter_map(|id| self.engines.get(id)).filter(|e| e.report.is_some());
+        let open = |e: &&Engine| {
+            placed(class, &e.entry) && e.health == Health::Closed && self.gate(now, id, r, e)
+        };
+        let idle = |e: &&Engine| {
+            self.load(now, e) + threads <= FLOOR * e.start && self.has_room(now, r, e)
+        };
+        let known = some
+            .iter()
+            .filter_map(|id| self.engines.get(id))
+            .filter(|e| e.report.is_some());
         let counts = self.s.load_fields.contains(&LoadField::Inflight);
         if counts && known.filter(open).any(|e| idle(&e)) {
             return;
         }
-        let old = |e: &&Engine| e.report.is_none_or(|(at, _)| now.saturating_sub(at) >= FRESH);
-        // First where this gateway has a turn on a cold engine: what it knows of others does not fill that.
-        let cold = |id: &&EngineId| self.engines.get(id).is_some_and(|e| e.warmth(now, &self.s.rules) < 1.0);
-        let turns = some.iter().take(self.fleet.turns.len().min(CANDIDATES / 2)).filter(cold);
-        let asked = turns.chain(some.iter().rev()).filter_map(|id| self.engines.get(id));
+        let old = |e: &&Engine| {
+            e.report
+                .is_none_or(|(at, _)| now.saturating_sub(at) >= FRESH)
+        };
+        // First where this gateway has a turn on a cold engine: what it knows of others does not
+        // fill that.
+        let cold = |id: &&EngineId| {
+            self.engines
+                .get(id)
+                .is_some_and(|e| e.warmth(now, &self.s.rules) < 1.0)
+        };
+        let turns = some
+            .iter()
+            .take(self.fleet.turns.len().min(CANDIDATES / 2))
+            .filter(cold);
+        let asked = turns
+            .chain(some.iter().rev())
+            .filter_map(|id| self.engines.get(id));
         let useful = asked.filter(|e| self.thin(e, threads));
         let asked = useful.filter(open).filter(old);
         let asked: Vec<EngineId> = asked.map(|e| e.entry.id).take(PROBES).collect();
--- a/src/ranks.rs
+++ b/src/ranks.rs
@@ -1,7 +1,7 @@
 //! Figures in order, so that the one in the middle is at hand without a sort.
 
-/// Figures kept in order while single ones of them change. Reading the median takes no time, a change that of a binary
-/// search and of moving the figures between the old place and the new one.
+/// Figures kept in order while single ones of them change. Reading the median takes no time, a
+/// change that of a binary search and of moving the figures between the old place and the new one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ranks(Vec<f64>);
 
@@ -19,7 +19,9 @@
 
     /// One figure that was `old` is `new` now. Where none is `old`, bit for bit, nothing changes.
     pub fn replace(&mut self, old: f64, new: f64) {
-        let Ok(from) = self.0.binary_search_by(|f| f.total_cmp(&old)) else { return };
+        let Ok(from) = self.0.binary_search_by(|f| f.total_cmp(&old)) else {
+            return;
+        };
         let to = self.0.partition_point(|f| f.total_cmp(&new).is_lt());
         // The old one still stands: a new one above it ends up one place further down.
         if from < to {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -111,7 +111,10 @@
     };
     match c.semantics.as_str() {
         "pure" => Ok(Effect::Safe),
-        "token" => Ok(Effect::Keyed { scope, window: c.window_ns }),
+        "token" => Ok(Effect::Keyed {
+            scope,
+            window: c.window_ns,
+        }),
         "side_effect" => Ok(Effect::Unsafe),
         other => Err(format!("classes[].semantics: unknown word {other:?}")),
     }
@@ -149,8 +152,14 @@
             is_load: flag(&w.extra.loads, i),
             waits_for_loads: flag(&w.extra.blocked_by_loads, i),
             streams: c.stream,
-            only_zones: c.stays_in.as_ref().map(|v| v.iter().copied().map(ZoneId).collect()),
-            only_kinds: c.runs_on.as_ref().map(|v| v.iter().copied().map(KindId).collect()),
+            only_zones: c
+                .stays_in
+                .as_ref()
+                .map(|v| v.iter().copied().map(ZoneId).collect()),
+            only_kinds: c
+                .runs_on
+                .as_ref()
+                .map(|v| v.iter().copied().map(KindId).collect()),
         });
     }
     let kind_count = w.kinds.len().max(w.extra.cores_by_kind.len());
@@ -170,7 +179,14 @@
         tick: w.quantum_ns,
         classes,
         kinds: (0..kind_count).map(kind).collect(),
-        tenants: w.orgs.iter().map(|o| TenantSpec { quota_per_s: o.quota_rps, share: o.share }).collect(),
+        tenants: w
+            .orgs
+            .iter()
+            .map(|o| TenantSpec {
+                quota_per_s: o.quota_rps,
+                share: o.share,
+            })
+            .collect(),
         over_share_worth: w.over_share_worth,
         ask_for_list: w.discovery == "ask",
         load_fields: w.load_info.fields.iter().map(|f| load_field(f)).collect(),
--- a/src/spool/handle.rs
+++ b/src/spool/handle.rs
@@ -1,5 +1,6 @@
-//! The name under which a client finds its result again: opaque, bound to its desk and user, and made with a key that
-//! outlives a restart. Nothing but the key is needed to tell a forged one, so a forger costs no look-up.
+//! The name under which a client finds its result again: opaque, bound to its desk and user, and
+//! made with a key that outlives a restart. Nothing but the key is needed to tell a forged one, so
+//! a forger costs no look-up.
 use super::{Owner, ResultId};
 use base64::Engine as _;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -22,10 +23,14 @@
 impl Keys {
     /// One key, with its number.
     pub fn new(number: u8, key: [u8; 32]) -> Keys {
-        Keys { newest: number, keys: BTreeMap::from([(number, key)]) }
+        Keys {
+            newest: number,
+            keys: BTreeMap::from([(number, key)]),
+        }
     }
 
-    /// A further key, which makes handles from now on. Those of the others are good until they are retired.
+    /// A further key, which makes handles from now on. Those of the others are good until they are
+    /// retired.
     pub fn rotate(&mut self, number: u8, key: [u8; 32]) {
         self.newest = number;
         self.keys.insert(number, key);
@@ -59,7 +64,10 @@
 
     /// The result of a handle, if it was made for this owner here. Compared in constant time.
     pub fn open(&self, handle: &str, owner: &Owner) -> Option<ResultId> {
-        let bytes = URL_SAFE_NO_PAD.decode(handle).ok().filter(|bytes| bytes.len() == HEAD + CODE)?;
+        let bytes = URL_SAFE_NO_PAD
+            .decode(handle)
+            .ok()
+            .filter(|bytes| bytes.len() == HEAD + CODE)?;
         let (head, code) = bytes.split_at(HEAD);
         self.code(head, owner)?.verify_truncated_left(code).ok()?;
         Some(ResultId(u64::from_be_bytes(head[1..].try_into().ok()?)))
@@ -72,15 +80,25 @@
     use crate::interface::TenantId;
 
     fn owner(desk: u16, user: &str) -> Owner {
-        Owner { desk: TenantId(desk), user: user.into() }
+        Owner {
+            desk: TenantId(desk),
+            user: user.into(),
+        }
     }
 
     #[test]
     fn a_handle_opens_for_its_owner_alone_and_after_a_restart() {
-        let made = Keys::new(1, [7; 32]).make(ResultId(42), &owner(1, "anna")).unwrap();
+        let made = Keys::new(1, [7; 32])
+            .make(ResultId(42), &owner(1, "anna"))
+            .unwrap();
         let keys = Keys::new(1, [7; 32]);
         assert_eq!(keys.open(&made, &owner(1, "anna")), Some(ResultId(42)));
-        for stranger in [owner(2, "anna"), owner(1, "ann"), owner(1, "anna2"), owner(1, "")] {
+        for stranger in [
+            owner(2, "anna"),
+            owner(1, "ann"),
+            owner(1, "anna2"),
+            owner(1, ""),
+        ] {
             assert_eq!(keys.open(&made, &stranger), None);
         }
         assert_eq!(Keys::new(1, [8; 32]).open(&made, &owner(1, "anna")), None);
@@ -102,7 +120,13 @@
         for cut in 0..made.len() {
             assert_eq!(keys.open(&made[..cut], &anna), None);
         }
-        for none in ["", "=", "\u{e4}", &format!("{made}A"), &format!("{made}AAAA")] {
+        for none in [
+            "",
+            "=",
+            "\u{e4}",
+            &format!("{made}A"),
+            &format!("{made}AAAA"),
+        ] {
             assert_eq!(keys.open(none, &anna), None);
         }
     }
@@ -113,9 +137,15 @@
         let old = keys.make(ResultId(1), &anna).unwrap();
         keys.rotate(2, [9; 32]);
         let new = keys.make(ResultId(2), &anna).unwrap();
-        assert_eq!((keys.open(&old, &anna), keys.open(&new, &anna)), (Some(ResultId(1)), Some(ResultId(2))));
+        assert_eq!(
+            (keys.open(&old, &anna), keys.open(&new, &anna)),
+            (Some(ResultId(1)), Some(ResultId(2)))
+        );
         keys.retire(1);
         keys.retire(2);
-        assert_eq!((keys.open(&old, &anna), keys.open(&new, &anna)), (None, Some(ResultId(2))));
+        assert_eq!(
+            (keys.open(&old, &anna), keys.open(&new, &anna)),
+            (None, Some(ResultId(2)))
+        );
     }
 }
--- a/src/spool/mod.rs
+++ b/src/spool/mod.rs
@@ -1,8 +1,8 @@
 //! Results that outlive their query: who may have one run, kept and read, and for how long.
 //!
-//! A pure state machine, as the decision module is: events in, steps out, no I/O, no clock of its own, whole
-//! microseconds. The store writes what it orders and says when that is durable; only then does the next step follow.
-//! `docs/SPOOL.md` has the states and why they are so.
+//! A pure state machine, as the decision module is: events in, steps out, no I/O, no clock of its
+//! own, whole microseconds. The store writes what it orders and says when that is durable; only
+//! then does the next step follow. `docs/SPOOL.md` has the states and why they are so.
 pub mod handle;
 
 use crate::clock::Micros;
@@ -49,7 +49,8 @@
     pub results: usize,
     /// How long a sealed result is kept, and a lost one told of.
     pub keep: Micros,
-    /// How long pages are kept once all were acknowledged, for a client whose acknowledgement got lost.
+    /// How long pages are kept once all were acknowledged, for a client whose acknowledgement got
+    /// lost.
     pub keep_consumed: Micros,
 }
 
@@ -161,11 +162,18 @@
 impl Spool {
     /// An empty spool.
     pub fn new(limits: Limits) -> Spool {
-        Spool { limits, now: 0, next: 1, entries: BTreeMap::new(), names: BTreeMap::new() }
+        Spool {
+            limits,
+            now: 0,
+            next: 1,
+            entries: BTreeMap::new(),
+            names: BTreeMap::new(),
+        }
     }
 
-    /// A spool from what a store held. `latest` is the latest time that it noted: a clock that was set back across the
-    /// restart counts from there. What was not sealed is gone, and what must never run twice is lost.
+    /// A spool from what a store held. `latest` is the latest time that it noted: a clock that was
+    /// set back across the restart counts from there. What was not sealed is gone, and what must
+    /// never run twice is lost.
     pub fn recover(
         limits: Limits,
         now: Micros,
@@ -175,10 +183,19 @@
     ) -> Spool {
         let mut spool = Spool::new(limits);
         spool.now = now.max(latest);
-        for Record { id, submission, sealed, acknowledged, until } in records {
+        for Record {
+            id,
+            submission,
+            sealed,
+            acknowledged,
+            until,
+        } in records
+        {
             spool.next = spool.next.max(id.0 + 1);
             let stage = match &sealed {
-                Some(pages) if !pages.is_empty() && acknowledged.len() == pages.len() => Stage::Consumed,
+                Some(pages) if !pages.is_empty() && acknowledged.len() == pages.len() => {
+                    Stage::Consumed
+                }
                 Some(_) => Stage::Sealed,
                 None if submission.once => Stage::Lost,
                 None => {
@@ -186,10 +203,26 @@
                     continue;
                 }
             };
-            spool.names.insert((submission.owner.clone(), submission.query_id.clone()), id);
+            spool
+                .names
+                .insert((submission.owner.clone(), submission.query_id.clone()), id);
             let pages = sealed.unwrap_or_default();
-            let until = if stage == Stage::Lost { spool.now + spool.limits.keep } else { until };
-            spool.entries.insert(id, Entry { submission, stage, pages, acknowledged, readers: 0, until });
+            let until = if stage == Stage::Lost {
+                spool.now + spool.limits.keep
+            } else {
+                until
+            };
+            spool.entries.insert(
+                id,
+                Entry {
+                    submission,
+                    stage,
+                    pages,
+                    acknowledged,
+                    readers: 0,
+                    until,
+                },
+            );
         }
         spool.tick(now, steps);
         spool
@@ -210,20 +243,40 @@
     pub fn submit(&mut self, now: Micros, asked: Submission, steps: &mut Vec<Step>) -> Verdict {
         self.tick(now, steps);
         let name = (asked.owner.clone(), asked.query_id.clone());
-        if let Some((id, e)) = self.names.get(&name).and_then(|id| Some((*id, self.entries.get(id)?))) {
+        if let Some((id, e)) = self
+            .names
+            .get(&name)
+            .and_then(|id| Some((*id, self.entries.get(id)?)))
+        {
             let same = e.submission.statement == asked.statement && e.submission.once == asked.once;
-            return if same { Verdict::Joined(id, e.stage) } else { Verdict::Conflict };
+            return if same {
+                Verdict::Joined(id, e.stage)
+            } else {
+                Verdict::Conflict
+            };
         }
-        if !self.make_room(asked.owner.desk, self.limits.reserve, steps) || !self.place_free(steps) {
-            let free = self.entries.values().filter(|e| ends_by_itself(e.stage)).map(|e| e.until).min();
+        if !self.make_room(asked.owner.desk, self.limits.reserve, steps) || !self.place_free(steps)
+        {
+            let free = self
+                .entries
+                .values()
+                .filter(|e| ends_by_itself(e.stage))
+                .map(|e| e.until)
+                .min();
             return Verdict::NoRoom(free);
         }
         let id = ResultId(self.next);
         self.next += 1;
         self.names.insert(name, id);
         let (pages, acknowledged, until) = (Vec::new(), BTreeSet::new(), Micros::MAX);
-        let entry =
-            Entry { submission: asked, stage: Stage::Admitted, pages, acknowledged, readers: 0, until };
+        let entry = Entry {
+            submission: asked,
+            stage: Stage::Admitted,
+            pages,
+            acknowledged,
+            readers: 0,
+            until,
+        };
         self.entries.insert(id, entry);
         steps.push(Step::WriteIntent(id));
         Verdict::New(id)
@@ -243,7 +296,9 @@
 
     /// A page came. False: it finds no room, and the query is given up.
     pub fn page(&mut self, now: Micros, id: ResultId, bytes: u64, steps: &mut Vec<Step>) -> bool {
-        let Some(e) = self.entries.get(&id).filter(|e| e.stage == Stage::Running) else { return false };
+        let Some(e) = self.entries.get(&id).filter(|e| e.stage == Stage::Running) else {
+            return false;
+        };
         let desk = e.submission.owner.desk;
         if !self.make_room(desk, bytes, steps) {
             steps.push(Step::Stop(id));
@@ -274,12 +329,14 @@
         }
     }
 
-    /// The attempt or the store failed before the seal was durable. What must never run twice and may have run is
-    /// lost from now on; all else is forgotten, and may be handed in again.
+    /// The attempt or the store failed before the seal was durable. What must never run twice and
+    /// may have run is lost from now on; all else is forgotten, and may be handed in again.
     pub fn failed(&mut self, now: Micros, id: ResultId, may_have_run: bool, steps: &mut Vec<Step>) {
         self.now = self.now.max(now);
         let until = self.now + self.limits.keep;
-        let Some(e) = self.entries.get_mut(&id) else { return };
+        let Some(e) = self.entries.get_mut(&id) else {
+            return;
+        };
         if matches!(e.stage, Stage::Sealed | Stage::Consumed | Stage::Lost) {
             return;
         }
@@ -292,11 +349,17 @@
     }
 
     fn mine(&mut self, id: ResultId, owner: &Owner) -> Result<&mut Entry, Denied> {
-        let e = self.entries.get_mut(&id).filter(|e| e.submission.owner == *owner).ok_or(Denied::Unknown)?;
+        let e = self
+            .entries
+            .get_mut(&id)
+            .filter(|e| e.submission.owner == *owner)
+            .ok_or(Denied::Unknown)?;
         match e.stage {
             Stage::Sealed | Stage::Consumed => Ok(e),
             Stage::Lost => Err(Denied::Lost),
-            Stage::Admitted | Stage::Intended | Stage::Running | Stage::Sealing => Err(Denied::NotYet),
+            Stage::Admitted | Stage::Intended | Stage::Running | Stage::Sealing => {
+                Err(Denied::NotYet)
+            }
         }
     }
 
@@ -342,14 +405,19 @@
         }
         e.acknowledged.insert(page);
         if e.stage == Stage::Sealed && e.acknowledged.len() == e.pages.len() {
-            let until = if e.submission.once { e.until } else { e.until.min(until) };
+            let until = if e.submission.once {
+                e.until
+            } else {
+                e.until.min(until)
+            };
             (e.stage, e.until) = (Stage::Consumed, until);
         }
         Ok(e.stage == Stage::Consumed)
     }
 
-    /// The owner needs it no more. One that is being read goes once that is over; of what must never run twice the
-    /// name stays for its time, lest a retry that crosses the deletion runs it again.
+    /// The owner needs it no more. One that is being read goes once that is over; of what must
+    /// never run twice the name stays for its time, lest a retry that crosses the deletion runs it
+    /// again.
     pub fn delete(
         &mut self,
         now: Micros,
@@ -372,12 +440,19 @@
     pub fn tick(&mut self, now: Micros, steps: &mut Vec<Step>) {
         self.now = self.now.max(now);
         let over = |e: &Entry| ends_by_itself(e.stage) && e.readers == 0 && e.until <= self.now;
-        let over: Vec<ResultId> = self.entries.iter().filter(|(_, e)| over(e)).map(|(id, _)| *id).collect();
+        let over: Vec<ResultId> = self
+            .entries
+            .iter()
+            .filter(|(_, e)| over(e))
+            .map(|(id, _)| *id)
+            .collect();
         over.into_iter().for_each(|id| self.remove(id, steps));
     }
 
     fn move_on(&mut self, id: ResultId, from: Stage, to: Stage) -> bool {
-        let Some(e) = self.entries.get_mut(&id).filter(|e| e.stage == from) else { return false };
+        let Some(e) = self.entries.get_mut(&id).filter(|e| e.stage == from) else {
+            return false;
+        };
         e.stage = to;
         true
     }
@@ -389,16 +464,22 @@
         }
     }
 
-    /// Evicts what its client has whole, the oldest first, until so many bytes fit. What nobody has read is never
-    /// evicted before its time: it was promised. Nor is what must never run twice: its name has to be known.
+    /// Evicts what its client has whole, the oldest first, until so many bytes fit. What nobody has
+    /// read is never evicted before its time: it was promised. Nor is what must never run twice:
+    /// its name has to be known.
     fn make_room(&mut self, desk: TenantId, bytes: u64, steps: &mut Vec<Step>) -> bool {
         loop {
             let of_desk = self.bytes(Some(desk)) + bytes > self.limits.desk;
             if !of_desk && self.bytes(None) + bytes <= self.limits.total {
                 return true;
             }
-            let helps = |e: &Entry| !e.pages.is_empty() && (!of_desk || e.submission.owner.desk == desk);
-            let Some(id) = self.entries.iter().find(|(_, e)| e.evictable() && helps(e)).map(|(id, _)| *id)
+            let helps =
+                |e: &Entry| !e.pages.is_empty() && (!of_desk || e.submission.owner.desk == desk);
+            let Some(id) = self
+                .entries
+                .iter()
+                .find(|(_, e)| e.evictable() && helps(e))
+                .map(|(id, _)| *id)
             else {
                 return false;
             };
@@ -411,7 +492,9 @@
             return true;
         }
         let idle = self.entries.iter().find(|(_, e)| e.evictable());
-        let Some(id) = idle.map(|(id, _)| *id) else { return false };
+        let Some(id) = idle.map(|(id, _)| *id) else {
+            return false;
+        };
         self.remove(id, steps);
         true
     }
--- a/src/state/engine.rs
+++ b/src/state/engine.rs
@@ -60,27 +60,41 @@
     pub running: Running,
     pub window: Window,
     pub counted_at: Nanos,
-    pub stretch: f64, // Smoothed latency over expected time alone; the yardstick of pressure and of peers.
+    // Smoothed latency over expected time alone; the yardstick of pressure and of peers.
+    pub stretch: f64,
     pub full_until: Nanos, // A full refusal counts as pressure for a period.
     pub health: Health,
     pub ejections: u32,
     pub fail_share: f64,
     pub life_at: Nanos,
-    pub silent_at: Nanos, // When an attempt there passed its time with no sign of life of the engine since.
-    pub reset_at: Nanos,  // When a reset last counted against it.
+    // When an attempt there passed its time with no sign of life of the engine since.
+    pub silent_at: Nanos,
+    pub reset_at: Nanos, // When a reset last counted against it.
     pub cold_sent: VecDeque<(Nanos, f64)>, // When, and of what weight: oldest first.
     pub report: Option<(Nanos, f64)>, // When it last told its load, and that in threads.
-    pub since: f64,       // Own threads sent there since.
+    pub since: f64,      // Own threads sent there since.
     pub sent_at: Nanos,
     pub held_groups: BTreeMap<u64, u32>,
-    pub stood_still: BTreeMap<u64, Nanos>, // Data sets that queries were told to wait for, and until when.
+    // Data sets that queries were told to wait for, and until when.
+    pub stood_still: BTreeMap<u64, Nanos>,
 }
 
 impl Engine {
     /// One that nothing is known of but its entry and its cores.
     pub fn new(now: Nanos, entry: EngineEntry, cores: f64, start: f64, stretch: f64) -> Engine {
-        let times = Engine { counted_at: now, life_at: now, ..Engine::default() };
-        Engine { entry, cores, start, bound: start, stretch, ..times }
+        let times = Engine {
+            counted_at: now,
+            life_at: now,
+            ..Engine::default()
+        };
+        Engine {
+            entry,
+            cores,
+            start,
+            bound: start,
+            stretch,
+            ..times
+        }
     }
 
     /// Brings the time integrals of the window up to now.
@@ -100,7 +114,8 @@
         self.entry.ready_at.saturating_add(rules.warm_within)
     }
 
-    /// Share of usual capacity that a started engine surely has: the start share, then a late-rising curve.
+    /// Share of usual capacity that a started engine surely has: the start share, then a
+    /// late-rising curve.
     pub fn warmth(&self, now: Nanos, rules: &Rules) -> f64 {
         if self.entry.ready_at == 0 || self.warm_at(rules) <= now {
             return 1.0;
@@ -109,7 +124,8 @@
         rules.cold_from + (1.0 - rules.cold_from) * age * age
     }
 
-    /// Enters work of that weight, sent to it while it is cold, and forgets what was sent before the window.
+    /// Enters work of that weight, sent to it while it is cold, and forgets what was sent before
+    /// the window.
     pub fn count_cold(&mut self, now: Nanos, rules: &Rules, weight: f64) {
         self.cold_sent.push_back((now, weight));
         self.forget_cold(now, rules);
@@ -125,12 +141,13 @@
 
     fn forget_cold(&mut self, now: Nanos, rules: &Rules) {
         let from = now.saturating_sub(rules.fall_window);
-        self.cold_sent.drain(..self.cold_sent.partition_point(|(t, _)| *t < from));
+        self.cold_sent
+            .drain(..self.cold_sent.partition_point(|(t, _)| *t < from));
     }
 }
 
-/// How far an engine is from being a data set's own, 0 to 1: the same at all gateways and after a restart, so that engines
-/// keep warm what they are asked for, without a word between gateways.
+/// How far an engine is from being a data set's own, 0 to 1: the same at all gateways and after a
+/// restart, so that engines keep warm what they are asked for, without a word between gateways.
 pub fn strangeness(group: u64, engine: EngineId) -> f64 {
     let hash = xxh3_64_with_seed(&engine.0.to_be_bytes(), group);
     1.0 - (hash >> 11) as f64 / (1u64 << 53) as f64
--- a/src/state/fleet.rs
+++ b/src/state/fleet.rs
@@ -16,12 +16,14 @@
     pub warm_bound: f64,     // The part of it that does not move by itself...
     pub cold: Vec<EngineId>, // ...and the cold engines whose part does.
     pub stretches: Ranks,    // Of engines that are ready.
-    pub walk_due: Nanos,     // When a look has to walk over all engines again; 0 once something changed.
-    pub walks: u64,          // Such walks, and engines visited by all looks, those of the walks with them.
+    // When a look has to walk over all engines again; 0 once something changed.
+    pub walk_due: Nanos,
+    pub walks: u64, // Such walks, and engines visited by all looks, those of the walks with them.
     pub visits: u64,
     pub running: Running,
     pub mean: Running, // The same as a mean over about a period.
-    pub mix: Running,  // Own queries weighted by the time they take: threads per query of what engines hold.
+    // Own queries weighted by the time they take: threads per query of what engines hold.
+    pub mix: Running,
     pub window: Window,
     pub window_since: Nanos,
     pub stretch: f64, // Smoothed over all own queries; the median over engines; the best seen.
@@ -36,20 +38,32 @@
 }
 
 impl Fleet {
-    /// A fleet of which nothing is known: as fast as expected, and nothing seen yet to compare with.
+    /// A fleet of which nothing is known: as fast as expected, and nothing seen yet to compare
+    /// with.
     pub fn new(now: Nanos) -> Fleet {
         let (stretch, best_stretch) = (1.0, f64::INFINITY);
-        let known = Fleet { stretch, median_stretch: stretch, best_stretch, ..Fleet::default() };
-        Fleet { window_since: now, probe_base: [f64::INFINITY; 2], ..known }
+        let known = Fleet {
+            stretch,
+            median_stretch: stretch,
+            best_stretch,
+            ..Fleet::default()
+        };
+        Fleet {
+            window_since: now,
+            probe_base: [f64::INFINITY; 2],
+            ..known
+        }
     }
 }
 
 /// What one walk over the whole fleet finds.
 #[derive(Default)]
 pub struct Tally {
-    pub turns: Vec<EngineId>, // Of engines that are ready, those where this gateway has a turn, by their ids.
+    // Of engines that are ready, those where this gateway has a turn, by their ids.
+    pub turns: Vec<EngineId>,
     pub stretches: Vec<f64>,
-    pub cores: f64, // Of those that are closed too, with the bounds of the warm and the ids of the cold.
+    // Of those that are closed too, with the bounds of the warm and the ids of the cold.
+    pub cores: f64,
     pub warm_bound: f64,
     pub cold: Vec<EngineId>,
     pub due: Nanos, // The next instant at which time alone changes any of it but warmth.
@@ -78,7 +92,8 @@
         }
     }
 
-    /// An arc of the ring of ready engines, from some place in it: one of the evenly spaced arcs of all gateways.
+    /// An arc of the ring of ready engines, from some place in it: one of the evenly spaced arcs of
+    /// all gateways.
     pub fn arc(
         &self,
         me: usize,
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What a gateway remembers, as plain data, and what the rules say of it: no decisions, no tuned values.
-//! `src/policy/` decides.
+//! What a gateway remembers, as plain data, and what the rules say of it: no decisions, no tuned
+//! values. `src/policy/` decides.
 mod engine;
 mod fleet;
 mod request;
@@ -41,9 +41,11 @@
     pub(crate) extras: VecDeque<Nanos>,
     pub(crate) cancels: f64,
     pub(crate) sharers: f64, // Gateways taken to share the engines now.
-    pub(crate) part: f64,    // Of what this gateway may use, while another process is this gateway too.
+    // Of what this gateway may use, while another process is this gateway too.
+    pub(crate) part: f64,
     pub(crate) updated_at: Nanos,
-    pub(crate) turn_at: Nanos, // When it last had a turn, and when it last woke after having had none.
+    // When it last had a turn, and when it last woke after having had none.
+    pub(crate) turn_at: Nanos,
     pub(crate) woke_at: Nanos,
     pub(crate) swept_at: Nanos,
 }
@@ -51,7 +53,11 @@
 impl Gateway {
     /// A gateway that has seen nothing and learned nothing.
     pub(crate) fn blank(now: Nanos, s: Settings, seed: u64) -> Gateway {
-        let tenant = |t: &TenantSpec| Tenant { quota: t.quota_per_s, tokens: 0.0, filled_at: now };
+        let tenant = |t: &TenantSpec| Tenant {
+            quota: t.quota_per_s,
+            tokens: 0.0,
+            filled_at: now,
+        };
         Gateway {
             rng: Pcg32::seed_from_u64(seed),
             born: now,
@@ -78,8 +84,13 @@
 
     /// Listed engines that get no ordinary work now: they drain, or were found to fail.
     pub fn avoided(&self) -> usize {
-        let listed = self.engines.values().filter(|e| e.entry.readiness != Readiness::Gone);
-        listed.filter(|e| !e.ready() || e.health != Health::Closed).count()
+        let listed = self
+            .engines
+            .values()
+            .filter(|e| e.entry.readiness != Readiness::Gone);
+        listed
+            .filter(|e| !e.ready() || e.health != Health::Closed)
+            .count()
     }
 
     /// Another process is this gateway too, and this one has that part of what the gateway may use.
@@ -90,8 +101,8 @@
         self.fleet.changed();
     }
 
-    /// So many gateways share the warm engines now, those that do not serve left out. Budgets of cold engines stay
-    /// parts of all gateways.
+    /// So many gateways share the warm engines now, those that do not serve left out. Budgets of
+    /// cold engines stay parts of all gateways.
     pub fn share_among(&mut self, gateways: u32) {
         self.sharers = f64::from(gateways.clamp(1, self.s.gateways.max(1))) / self.part;
     }
@@ -105,10 +116,18 @@
         }
     }
 
-    /// Whether this gateway is among the `holders` that have a turn on an engine now, and has not used it.
-    /// Gateways stand evenly on a circle; an arc of `holders` of them is let in, and moves on by the golden
-    /// ratio each slot: whole gateways, `holders` of them on average, also where that is a fraction.
-    pub(crate) fn has_slot(&self, now: Nanos, e: &Engine, slot: Nanos, holders: f64, across: f64) -> bool {
+    /// Whether this gateway is among the `holders` that have a turn on an engine now, and has not
+    /// used it. Gateways stand evenly on a circle; an arc of `holders` of them is let in, and moves
+    /// on by the golden ratio each slot: whole gateways, `holders` of them on average, also where
+    /// that is a fraction.
+    pub(crate) fn has_slot(
+        &self,
+        now: Nanos,
+        e: &Engine,
+        slot: Nanos,
+        holders: f64,
+        across: f64,
+    ) -> bool {
         let gateways = self.s.gateways.max(1);
         let circle = |x: u64| (x.wrapping_mul(MIX) >> 11) as f64 / (1u64 << 53) as f64;
         let place = f64::from(self.s.me % gateways) / f64::from(gateways) + circle(e.entry.id.0);
@@ -117,8 +136,9 @@
         !used && (place + 1.0 + across - circle(turn)).fract() < holders / f64::from(gateways)
     }
 
-    /// Brings what is kept of the fleet from the last walk up to now, by the few engines that moved since: turns that
-    /// were used are none any more, and cold engines, where their bounds count, are a bit warmer.
+    /// Brings what is kept of the fleet from the last walk up to now, by the few engines that moved
+    /// since: turns that were used are none any more, and cold engines, where their bounds count,
+    /// are a bit warmer.
     pub(crate) fn follow(&mut self, now: Nanos, cold_counts: bool) {
         let f = &mut self.fleet;
         f.visits += f.sent.len() as u64;
@@ -131,12 +151,15 @@
         if cold_counts {
             f.visits += f.cold.len() as u64;
             let cold = f.cold.iter().filter_map(|id| self.engines.get(id));
-            f.bound += cold.map(|e| e.bound * e.warmth(now, &self.s.rules)).sum::<f64>();
+            f.bound += cold
+                .map(|e| e.bound * e.warmth(now, &self.s.rules))
+                .sum::<f64>();
         }
         f.median_stretch = f.stretches.median().unwrap_or(1.0);
     }
 
-    /// News of the list: engines that are new have that bound per core, and are taken to be that slow.
+    /// News of the list: engines that are new have that bound per core, and are taken to be that
+    /// slow.
     pub(crate) fn merge(
         &mut self,
         now: Nanos,
@@ -147,51 +170,88 @@
     ) {
         if kind != ListKind::Changes {
             let named: BTreeSet<EngineId> = entries.iter().map(|e| e.id).collect();
-            for e in self.engines.values_mut().filter(|e| !named.contains(&e.entry.id)) {
+            for e in self
+                .engines
+                .values_mut()
+                .filter(|e| !named.contains(&e.entry.id))
+            {
                 e.entry.readiness = Readiness::Gone;
             }
         }
         for entry in entries {
-            let cores = self.s.kinds.get(usize::from(entry.kind.0)).map_or(1.0, |k| k.cores).max(1.0);
+            let cores = self
+                .s
+                .kinds
+                .get(usize::from(entry.kind.0))
+                .map_or(1.0, |k| k.cores)
+                .max(1.0);
             let fresh = || Engine::new(now, *entry, cores, per_core * cores, stretch);
             let e = self.engines.entry(entry.id).or_insert_with(fresh);
             if e.entry.ready_at != entry.ready_at {
-                // A restart under the same id: a cold engine without history, but attempts out still count.
+                // A restart under the same id: a cold engine without history, but attempts out
+                // still count.
                 let old = std::mem::replace(e, fresh());
                 (e.running, e.held_groups) = (old.running, old.held_groups);
             }
             e.entry = *entry;
         }
-        self.fleet.ready = self.engines.values().filter(|e| e.ready()).map(|e| e.entry.id).collect();
+        self.fleet.ready = self
+            .engines
+            .values()
+            .filter(|e| e.ready())
+            .map(|e| e.entry.id)
+            .collect();
         // What is gone is forgotten, unless an attempt there still counts: memory must not grow.
-        let outs = self.requests.values().flat_map(|r| r.outs.iter().map(|o| o.engine));
-        let ran = self.requests.values().filter_map(|r| r.ran_on.map(|(e, _)| e));
+        let outs = self
+            .requests
+            .values()
+            .flat_map(|r| r.outs.iter().map(|o| o.engine));
+        let ran = self
+            .requests
+            .values()
+            .filter_map(|r| r.ran_on.map(|(e, _)| e));
         let needed: BTreeSet<EngineId> = outs.chain(ran).collect();
-        let stays = |e: &Engine| e.entry.readiness != Readiness::Gone || needed.contains(&e.entry.id);
+        let stays =
+            |e: &Engine| e.entry.readiness != Readiness::Gone || needed.contains(&e.entry.id);
         self.engines.retain(|_, e| stays(e));
-        self.fleet.recent.retain(|id| self.engines.get(id).is_some_and(Engine::ready));
+        self.fleet
+            .recent
+            .retain(|id| self.engines.get(id).is_some_and(Engine::ready));
         self.fleet.changed();
     }
 
     /// Drops a request that is over and has nothing out, and passes on its key's turn.
     pub(crate) fn forget(&mut self, id: RequestId) {
-        let Some(r) = self.requests.get(&id).filter(|r| r.done && r.outs.is_empty()) else { return };
+        let Some(r) = self
+            .requests
+            .get(&id)
+            .filter(|r| r.done && r.outs.is_empty())
+        else {
+            return;
+        };
         if let Some(k) = r.ask.key.and_then(|k| self.keys.get_mut(&k)) {
             k.line.retain(|other| *other != id);
         }
         self.requests.remove(&id);
     }
 
-    /// Rule 5: the head of its key's line, after the rest that follows an attempt which may still run.
+    /// Rule 5: the head of its key's line, after the rest that follows an attempt which may still
+    /// run.
     pub(crate) fn has_turn(&self, now: Nanos, id: RequestId, r: &Request) -> bool {
-        let (true, Some(key)) = (self.class(r).in_order, r.ask.key) else { return true };
-        let Some(k) = self.keys.get(&key) else { return false };
+        let (true, Some(key)) = (self.class(r).in_order, r.ask.key) else {
+            return true;
+        };
+        let Some(k) = self.keys.get(&key) else {
+            return false;
+        };
         k.line.front() == Some(&id) && now >= k.rest_until
     }
 
     /// Rule 7: attempts beyond the first, over any window of the stated length.
     pub(crate) fn budget_allows(&self, now: Nanos) -> bool {
-        let Some(b) = self.s.rules.extra else { return true };
+        let Some(b) = self.s.rules.extra else {
+            return true;
+        };
         let from = now.saturating_sub(b.span);
         let extras = self.extras.iter().filter(|t| **t >= from).count() as f64;
         let taken = self.taken.iter().rev().take_while(|t| **t > from).count() as f64;
@@ -209,7 +269,11 @@
 
     /// What repeating it may do.
     pub(crate) fn effect(&self, r: &Request) -> Effect {
-        if r.ask.single { Effect::Unsafe } else { self.class(r).effect }
+        if r.ask.single {
+            Effect::Unsafe
+        } else {
+            self.class(r).effect
+        }
     }
 
     pub(crate) fn learned(&self, r: &Request) -> &Learned {
@@ -235,8 +299,13 @@
         (r.arrived + nanos(aim(self.class(r), self.work(r)))).min(r.ask.give_up_at)
     }
 
-    /// The time after which an answer earns nothing: the deadline, or the aim where late answers are void.
+    /// The time after which an answer earns nothing: the deadline, or the aim where late answers
+    /// are void.
     pub(crate) fn useful_end(&self, r: &Request) -> Nanos {
-        if self.class(r).late_worth > 0.0 { r.ask.give_up_at } else { self.aim_end(r) }
+        if self.class(r).late_worth > 0.0 {
+            r.ask.give_up_at
+        } else {
+            self.aim_end(r)
+        }
     }
 }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -23,9 +23,10 @@
     pub over_share: bool,
     pub done: bool, // Answered; kept only while an attempt is out.
     pub sends: u32,
-    pub most_sends: u32,                   // As the settings had it when it came.
-    pub outs: Vec<Out>,                    // Two where a second copy runs beside the first.
-    pub ran_on: Option<(EngineId, Nanos)>, // First engine that may have run it, and when it was sent there.
+    pub most_sends: u32, // As the settings had it when it came.
+    pub outs: Vec<Out>,  // Two where a second copy runs beside the first.
+    // First engine that may have run it, and when it was sent there.
+    pub ran_on: Option<(EngineId, Nanos)>,
     pub tried: BTreeSet<EngineId>,
     pub probing_until: Nanos, // Waits for probes until then.
     pub replans: u32,
@@ -66,9 +67,15 @@
 }
 
 impl Learned {
-    /// Until a class has taught its work, its fixed aim on all its threads is taken for it: pessimistic.
+    /// Until a class has taught its work, its fixed aim on all its threads is taken for it:
+    /// pessimistic.
     pub fn first(c: &ClassSpec, tail: f64) -> Learned {
-        Learned { work: secs(c.promise) * c.threads.max(1.0), samples: 0, bias: 1.0, tail }
+        Learned {
+            work: secs(c.promise) * c.threads.max(1.0),
+            samples: 0,
+            bias: 1.0,
+            tail,
+        }
     }
 }
 
@@ -83,9 +90,15 @@
     (secs(c.promise) + c.aim_stretch * work / c.threads.max(1.0)).max(1e-3)
 }
 
-/// Rule 2: what was sent then and may have run goes again only to engines that discard its duplicates, while they
-/// remember it. The pair: where it went, and where it would go; none if either is not known, or not chosen yet.
-pub fn may_repeat(effect: Effect, sent: Nanos, pair: Option<(EngineEntry, EngineEntry)>, now: Nanos) -> bool {
+/// Rule 2: what was sent then and may have run goes again only to engines that discard its
+/// duplicates, while they remember it. The pair: where it went, and where it would go; none if
+/// either is not known, or not chosen yet.
+pub fn may_repeat(
+    effect: Effect,
+    sent: Nanos,
+    pair: Option<(EngineEntry, EngineEntry)>,
+    now: Nanos,
+) -> bool {
     match effect {
         Effect::Safe => true,
         Effect::Unsafe => false,
@@ -100,14 +113,28 @@
     }
 }
 
-/// Rule 2: whether a refusal is honest, as it promises that trying again is harmless: what may have run, or is out, only
-/// where it may be repeated anywhere.
+/// Rule 2: whether a refusal is honest, as it promises that trying again is harmless: what may have
+/// run, or is out, only where it may be repeated anywhere.
 pub fn may_refuse(effect: Effect, may_have_run: bool) -> bool {
-    !may_have_run || matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. })
+    !may_have_run
+        || matches!(
+            effect,
+            Effect::Safe
+                | Effect::Keyed {
+                    scope: Scope::All,
+                    ..
+                }
+        )
 }
 
 /// Rule 6: the zones and kinds a class is bound to.
 pub fn placed(class: &ClassSpec, entry: &EngineEntry) -> bool {
-    class.only_zones.as_ref().is_none_or(|z| z.contains(&entry.zone))
-        && class.only_kinds.as_ref().is_none_or(|k| k.contains(&entry.kind))
+    class
+        .only_zones
+        .as_ref()
+        .is_none_or(|z| z.contains(&entry.zone))
+        && class
+            .only_kinds
+            .as_ref()
+            .is_none_or(|k| k.contains(&entry.kind))
 }
--- a/src/statement.rs
+++ b/src/statement.rs
@@ -1,7 +1,8 @@
 //! Reads of a statement what the decisions need: its group of tables.
 //!
-//! The group is the number after the underscore in the name of the schema that the statement reads or writes
-//! (17 in `sales_17.orders`). Strings and comments do not count, nor does the schema `staging`.
+//! The group is the number after the underscore in the name of the schema that the statement reads
+//! or writes (17 in `sales_17.orders`). Strings and comments do not count, nor does the schema
+//! `staging`.
 
 #[derive(Clone, Debug, PartialEq)]
 enum Token<'a> {
@@ -22,8 +23,8 @@
         taken
     }
 
-    /// Skips to the end of what a quote opened. A doubled quote stands for itself; so does one behind a
-    /// backslash in a string.
+    /// Skips to the end of what a quote opened. A doubled quote stands for itself; so does one
+    /// behind a backslash in a string.
     fn quoted(&mut self, quote: u8) -> &'a [u8] {
         let text = self.rest;
         let mut at = 1;
@@ -40,7 +41,11 @@
     }
 
     fn line_comment(&mut self) {
-        let end = self.rest.iter().position(|c| *c == b'\n').unwrap_or(self.rest.len());
+        let end = self
+            .rest
+            .iter()
+            .position(|c| *c == b'\n')
+            .unwrap_or(self.rest.len());
         self.take(end);
     }
 
@@ -88,8 +93,14 @@
                     return Some(Token::Comma);
                 }
                 [c, ..] if c.is_ascii_alphanumeric() || *c == b'_' || *c >= 0x80 => {
-                    let inside = |c: &u8| c.is_ascii_alphanumeric() || matches!(c, b'_' | b'$') || *c >= 0x80;
-                    let end = self.rest.iter().position(|c| !inside(c)).unwrap_or(self.rest.len());
+                    let inside = |c: &u8| {
+                        c.is_ascii_alphanumeric() || matches!(c, b'_' | b'$') || *c >= 0x80
+                    };
+                    let end = self
+                        .rest
+                        .iter()
+                        .position(|c| !inside(c))
+                        .unwrap_or(self.rest.len());
                     return Some(Token::Name(self.take(end)));
                 }
                 _ => {
@@ -105,7 +116,9 @@
     let at = schema.iter().rposition(|c| *c == b'_')?;
     let (name, digits) = (&schema[..at], &schema[at + 1..]);
     let named = !name.is_empty() && !name.eq_ignore_ascii_case(b"staging");
-    let digits = std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|c| c.is_ascii_digit()))?;
+    let digits = std::str::from_utf8(digits)
+        .ok()
+        .filter(|d| d.bytes().all(|c| c.is_ascii_digit()))?;
     digits.parse().ok().filter(|_| named)
 }
 
@@ -116,16 +129,22 @@
 
 /// The bare and the quoted names and the words of a statement, without strings and comments.
 pub fn words(statement: &[u8]) -> Vec<&[u8]> {
-    let name = |token| if let Token::Name(name) = token { Some(name) } else { None };
+    let name = |token| {
+        if let Token::Name(name) = token {
+            Some(name)
+        } else {
+            None
+        }
+    };
     Tokens { rest: statement }.filter_map(name).collect()
 }
 
-/// The number of the group of tables that a statement reads or writes, if need be by the schema that names
-/// without one belong to.
+/// The number of the group of tables that a statement reads or writes, if need be by the schema
+/// that names without one belong to.
 pub fn group(statement: &[u8], schema: Option<&str>) -> Option<u64> {
     let mut tokens = Tokens { rest: statement }.peekable();
-    // A qualified name counts at once where tables are named; elsewhere it may be an alias and a column, and
-    // counts only if no table has such a name.
+    // A qualified name counts at once where tables are named; elsewhere it may be an alias and a
+    // column, and counts only if no table has such a name.
     let (mut in_tables, mut elsewhere) = (false, None);
     while let Some(token) = tokens.next() {
         let Token::Name(first) = token else { continue };
@@ -141,7 +160,11 @@
             in_tables = introduces_tables(first) || more;
             continue;
         }
-        let schema = if in_tables { parts[parts.len() - 2] } else { parts[0] };
+        let schema = if in_tables {
+            parts[parts.len() - 2]
+        } else {
+            parts[0]
+        };
         match number(schema) {
             Some(group) if in_tables => return Some(group),
             found => elsewhere = elsewhere.or(found),
@@ -158,13 +181,22 @@
     fn the_group_is_the_number_of_the_schema() {
         for (text, expected) in [
             ("select a from sales_17.orders", Some(17)),
-            ("INSERT INTO ops_3.calls SELECT * FROM staging.calls", Some(3)),
+            (
+                "INSERT INTO ops_3.calls SELECT * FROM staging.calls",
+                Some(3),
+            ),
             ("insert into sales_4.x select * from staging_9.y", Some(4)),
-            ("select 'from sales_1.a', b from /* sales_2.a /* x */ sales_5.b */ sales_3.c", Some(3)),
+            (
+                "select 'from sales_1.a', b from /* sales_2.a /* x */ sales_5.b */ sales_3.c",
+                Some(3),
+            ),
             ("select x -- from sales_1.a\nfrom sales_8.a", Some(8)),
             ("select t_1.a from sales_6.orders t_1", Some(6)),
             ("select \"it's\" from \"sales_12\".\"orders\"", Some(12)),
-            ("select 'it''s from a_1.b \\' from a_2.b' from c_3.d", Some(3)),
+            (
+                "select 'it''s from a_1.b \\' from a_2.b' from c_3.d",
+                Some(3),
+            ),
             ("select a from big.sales_7.orders", Some(7)),
             ("select 1.5, 2", None),
             ("select 'open from a_1.b", None),
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -1,5 +1,6 @@
-//! What a listed engine costs in memory, counted byte by byte at two sizes of the fleet: a row and what the module knows
-//! of it. Fails if an engine that nobody uses has a mailbox or a task of its own again.
+//! What a listed engine costs in memory, counted byte by byte at two sizes of the fleet: a row and
+//! what the module knows of it. Fails if an engine that nobody uses has a mailbox or a task of its
+//! own again.
 mod common;
 use async_channel::{bounded, unbounded};
 use common::settings;
@@ -35,14 +36,24 @@
 #[global_allocator]
 static COUNTING: Counting = Counting;
 
-/// Bytes that a manager holds once it has taken a whole list of so many engines, over what it held before.
+/// Bytes that a manager holds once it has taken a whole list of so many engines, over what it held
+/// before.
 fn held_with(engines: u32) -> isize {
     let shared = Shared::new(4_096, 1_024);
     let (core, news) = unbounded();
     let (updates, mailbox) = bounded(list::MAILBOX);
-    let names = Rc::new(Names { streams: 4, ..Names::default() });
+    let names = Rc::new(Names {
+        streams: 4,
+        ..Names::default()
+    });
     let make = list::engines(shared.clone(), core.clone(), names, Http::default());
-    shared.spawn(list::run(shared.clone(), core, mailbox, make, Http::default()));
+    shared.spawn(list::run(
+        shared.clone(),
+        core,
+        mailbox,
+        make,
+        Http::default(),
+    ));
     let mut manager = Manager::new(0, settings(), &["a", "b", "c", "d"].map(String::from), 1);
     let mut orders = Vec::new();
     let before = HELD.load(Ordering::Relaxed);
@@ -50,18 +61,27 @@
         let at = SocketAddr::from(([127, 0, (id >> 8) as u8, id as u8], 9_000));
         listed(id, at, Readiness::Ready, (0, 0, 0), 1.0, 0)
     };
-    let update = Update { index: 1, whole: true, engines: (1..=engines).map(one).collect() };
+    let update = Update {
+        index: 1,
+        whole: true,
+        engines: (1..=engines).map(one).collect(),
+    };
     let executor = shared.executor.clone();
     let rows = async_io::block_on(executor.run(async {
         updates.send(update).await.expect("the list's actor");
-        let Ok(Input::List(kind, entries, rows, _)) = news.recv().await else { panic!("no news") };
+        let Ok(Input::List(kind, entries, rows, _)) = news.recv().await else {
+            panic!("no news")
+        };
         manager.list(1, kind, entries, &mut orders);
         orders.clear();
         // A turn for whatever was started with the rows.
         until(Some(yokelift::clock::now() + 1)).await;
         rows
     }));
-    assert_eq!((rows.len(), shared.engine_actors.get()), (engines as usize, 0));
+    assert_eq!(
+        (rows.len(), shared.engine_actors.get()),
+        (engines as usize, 0)
+    );
     let held = HELD.load(Ordering::Relaxed) - before;
     drop(rows);
     held
@@ -76,5 +96,8 @@
         slopes.iter().all(|slope| (1..8 * 1024).contains(slope)),
         "{few} {some} {many}: {slopes:?} an engine"
     );
-    assert!(slopes[1] <= slopes[0] * 5 / 4, "grows with the fleet: {slopes:?}");
+    assert!(
+        slopes[1] <= slopes[0] * 5 / 4,
+        "grows with the fleet: {slopes:?}"
+    );
 }
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -1,5 +1,6 @@
-//! The fleet's audit between real daemons on loopback: what each decided, and on what, as `yokelift-kit audit` gathers
-//! it, through retuning, a list that one manager misses, a partition, SIGKILL and SIGSTOP.
+//! The fleet's audit between real daemons on loopback: what each decided, and on what, as
+//! `yokelift-kit audit` gathers it, through retuning, a list that one manager misses, a partition,
+//! SIGKILL and SIGSTOP.
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -21,12 +22,17 @@
 /// The report of `yokelift-kit audit`, and whether it exited with 0.
 fn audit(fleet: &Fleet, json: bool) -> (String, bool) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_yokelift-kit"));
-    command.arg("audit").args(fleet.consoles.iter().map(ToString::to_string));
+    command
+        .arg("audit")
+        .args(fleet.consoles.iter().map(ToString::to_string));
     if json {
         command.arg("--json");
     }
     let output = command.output().expect("the kit");
-    (String::from_utf8_lossy(&output.stdout).into_owned(), output.status.success())
+    (
+        String::from_utf8_lossy(&output.stdout).into_owned(),
+        output.status.success(),
+    )
 }
 
 fn report(fleet: &Fleet) -> Value {
@@ -36,11 +42,15 @@
 /// The rows of member `i`, the latest last.
 fn rows(report: &Value, name: &str) -> Vec<Value> {
     let all = report["acted"].as_array().expect("rows").iter();
-    all.filter(|row| row["member"] == json!(name)).cloned().collect()
+    all.filter(|row| row["member"] == json!(name))
+        .cloned()
+        .collect()
 }
 
 fn sum(rows: &[Value], what: &str) -> u64 {
-    rows.iter().map(|row| row[what].as_u64().expect("a count")).sum()
+    rows.iter()
+        .map(|row| row[what].as_u64().expect("a count"))
+        .sum()
 }
 
 /// The member's own word of what it acts on.
@@ -53,11 +63,16 @@
 }
 
 fn about(report: &Value, what: &str) -> Option<Value> {
-    report["disagreements"].as_array()?.iter().find(|d| d["about"] == json!(what)).map(|d| d["held"].clone())
+    report["disagreements"]
+        .as_array()?
+        .iter()
+        .find(|d| d["about"] == json!(what))
+        .map(|d| d["held"].clone())
 }
 
-/// Guards the audit's table: each manager's dispatches stand under the build, settings and list that its module acted on
-/// when it made them, before and after a new configuration and a new list; and a manager that missed the list shows.
+/// Guards the audit's table: each manager's dispatches stand under the build, settings and list
+/// that its module acted on when it made them, before and after a new configuration and a new list;
+/// and a manager that missed the list shows.
 #[test]
 fn the_table_names_what_every_manager_acted_on() {
     let fleet = start("table", 11);
@@ -69,17 +84,23 @@
     let before = versions(&fleet, 0);
     // A new configuration for all; then a new list, which the last manager does not hear of.
     ALL.iter().for_each(|i| fleet.retune(*i, (0.5, 0.5), true));
-    assert!(eventually(|| ALL.iter().all(|i| versions(&fleet, *i)["generation"] == json!(2))));
+    assert!(eventually(|| ALL
+        .iter()
+        .all(|i| versions(&fleet, *i)["generation"] == json!(2))));
     ALL.iter().for_each(|i| ask(*i, 2));
     fleet.world(|world| {
         world.tell(0..4, 1, Readiness::Draining);
     });
-    assert!(eventually(|| (0..4).all(|i| versions(&fleet, i)["list"] == json!(2))));
+    assert!(eventually(
+        || (0..4).all(|i| versions(&fleet, i)["list"] == json!(2))
+    ));
     ALL.iter().for_each(|i| ask(*i, 3));
     // The last records may still wait for their batch.
     let report = || report(&fleet);
-    let all_there =
-        |report: &Value| ALL.iter().all(|i| sum(&rows(report, &fleet.name(*i)), "dispatched") >= 3);
+    let all_there = |report: &Value| {
+        ALL.iter()
+            .all(|i| sum(&rows(report, &fleet.name(*i)), "dispatched") >= 3)
+    };
     assert!(eventually(|| all_there(&report())), "{}", report());
     let report = report();
     assert_eq!(report["missing"], json!([]));
@@ -91,13 +112,22 @@
                     && row["list"] == json!(list)
                     && row["settings"] == *settings
             };
-            rows.iter().filter(like).map(|row| row["dispatched"].as_u64().expect("a count")).sum::<u64>()
+            rows.iter()
+                .filter(like)
+                .map(|row| row["dispatched"].as_u64().expect("a count"))
+                .sum::<u64>()
         };
         let after = versions(&fleet, i);
         assert_ne!(after["settings"], before["settings"]);
-        assert!(rows.iter().all(|row| row["build"] == before["build"]), "{rows:?}");
+        assert!(
+            rows.iter().all(|row| row["build"] == before["build"]),
+            "{rows:?}"
+        );
         assert!(on(1, 1, &before["settings"]) >= 1, "{rows:?}");
-        assert!(on(2, 1, &after["settings"]) >= if i == 4 { 2 } else { 1 }, "{rows:?}");
+        assert!(
+            on(2, 1, &after["settings"]) >= if i == 4 { 2 } else { 1 },
+            "{rows:?}"
+        );
         assert_eq!(on(2, 2, &after["settings"]) >= 1, i != 4, "{rows:?}");
     }
     let held = about(&report, "list").expect("the list is not the same everywhere");
@@ -105,43 +135,75 @@
     assert_eq!(held["2"].as_array().map(Vec::len), Some(4));
     assert!(about(&report, "settings").is_none() && about(&report, "build").is_none());
     let spreads = report["spreads"].as_array().expect("spreads");
-    let spread =
-        |change: &str| spreads.iter().find(|s| s["change"].as_str().is_some_and(|c| c.starts_with(change)));
+    let spread = |change: &str| {
+        spreads
+            .iter()
+            .find(|s| s["change"].as_str().is_some_and(|c| c.starts_with(change)))
+    };
     assert_eq!(
-        spread("settings").expect("told")["after"].as_object().map(serde_json::Map::len),
+        spread("settings").expect("told")["after"]
+            .as_object()
+            .map(serde_json::Map::len),
         Some(MEMBERS)
     );
-    assert_eq!(spread("list 2").expect("told")["never"], json!([fleet.name(4)]));
+    assert_eq!(
+        spread("list 2").expect("told")["never"],
+        json!([fleet.name(4)])
+    );
     let (text, whole) = audit(&fleet, false);
     assert!(
-        whole && text.contains("Spread of list 2") && text.contains(&format!("1 ({})", fleet.name(4))),
+        whole
+            && text.contains("Spread of list 2")
+            && text.contains(&format!("1 ({})", fleet.name(4))),
         "{text}"
     );
 }
 
-/// Guards a list that one manager misses: one whose connection to the coordinator is stuck follows it anew by itself; one
-/// whose coordinator itself is behind is shut out, and back once that has caught up.
+/// Guards a list that one manager misses: one whose connection to the coordinator is stuck follows
+/// it anew by itself; one whose coordinator itself is behind is shut out, and back once that has
+/// caught up.
 #[test]
 fn a_manager_behind_on_the_list_is_brought_up_or_shut_out() {
     let fleet = start("behind", 15);
-    assert!(eventually(|| ALL.iter().all(|i| versions(&fleet, *i)["list"] == json!(1))));
+    assert!(eventually(|| ALL
+        .iter()
+        .all(|i| versions(&fleet, *i)["list"] == json!(1))));
     fleet.world(|world| {
         world.coordinators[3].stall();
         world.tell(0..4, 1, Readiness::Draining);
     });
-    assert!(eventually(|| (0..4).all(|i| versions(&fleet, i)["list"] == json!(2))), "{}", fleet.log(3));
-    assert!(fleet.log(3).contains("reading the configuration and the list again"), "{}", fleet.log(3));
-    assert!(eventually(|| fleet.ready(4) == Some(503)), "{}", fleet.log(4));
+    assert!(
+        eventually(|| (0..4).all(|i| versions(&fleet, i)["list"] == json!(2))),
+        "{}",
+        fleet.log(3)
+    );
+    assert!(
+        fleet
+            .log(3)
+            .contains("reading the configuration and the list again"),
+        "{}",
+        fleet.log(3)
+    );
+    assert!(
+        eventually(|| fleet.ready(4) == Some(503)),
+        "{}",
+        fleet.log(4)
+    );
     assert!((0..4).all(|i| fleet.ready(i) == Some(200)));
     fleet.world(|world| {
         world.tell(4..5, 1, Readiness::Draining);
     });
-    assert!(eventually(|| fleet.ready(4) == Some(200)), "{}", fleet.log(4));
+    assert!(
+        eventually(|| fleet.ready(4) == Some(200)),
+        "{}",
+        fleet.log(4)
+    );
     assert_eq!(versions(&fleet, 4)["list"], json!(2));
 }
 
-/// Guards refusals and failures: each is laid to its manager under the request's own name; and the records of a manager
-/// that was killed are there after its new start, under its old life, but for those of the last moment.
+/// Guards refusals and failures: each is laid to its manager under the request's own name; and the
+/// records of a manager that was killed are there after its new start, under its old life, but for
+/// those of the last moment.
 #[test]
 fn records_outlive_a_kill_and_lie_under_their_life() {
     let mut fleet = start("lives", 12);
@@ -149,41 +211,85 @@
     fleet.world(|world| {
         (0..2).for_each(|engine| world.tell(0..MEMBERS, engine, Readiness::Gone));
     });
-    assert!(eventually(|| ALL.iter().all(|i| versions(&fleet, *i)["list"] == json!(3))));
+    assert!(eventually(|| ALL
+        .iter()
+        .all(|i| versions(&fleet, *i)["list"] == json!(3))));
     let got = fleet.ask(2, "lookup", 0xabc, 700);
     assert!(!matches!(got, Got::Served(_)), "{got:?}");
     let told = |fleet: &Fleet| {
         let (_, body) = fleet.call(2, "/audit?since=0").unwrap_or_default();
-        body.lines().map(|l| serde_json::from_str(l).expect("json")).collect::<Vec<Value>>()
+        body.lines()
+            .map(|l| serde_json::from_str(l).expect("json"))
+            .collect::<Vec<Value>>()
+    };
+    let given_up = |lines: &[Value]| {
+        lines
+            .iter()
+            .find(|l| l["request"] == json!("0000000000000abc"))
+            .cloned()
     };
-    let given_up =
-        |lines: &[Value]| lines.iter().find(|l| l["request"] == json!("0000000000000abc")).cloned();
-    assert!(eventually(|| given_up(&told(&fleet)).is_some()), "{:?}", told(&fleet));
+    assert!(
+        eventually(|| given_up(&told(&fleet)).is_some()),
+        "{:?}",
+        told(&fleet)
+    );
     let line = given_up(&told(&fleet)).expect("told");
-    assert!(line["what"] == json!("refuse") || line["what"] == json!("fail"), "{line}");
+    assert!(
+        line["what"] == json!("refuse") || line["what"] == json!("fail"),
+        "{line}"
+    );
     assert_eq!(
         (&line["member"], &line["list"], &line["class"]),
         (&json!(fleet.name(2)), &json!(3), &json!("lookup"))
     );
     fleet.kill(2);
     fleet.launch(2, (0.62, 0.38));
-    assert!(eventually(|| fleet.ready(2) == Some(200)), "{}", fleet.log(2));
-    let lives =
-        |lines: &[Value]| lines.iter().filter_map(|l| l["life"].as_u64()).collect::<BTreeSet<u64>>().len();
-    assert!(eventually(|| lives(&told(&fleet)) == 2), "{:?}", told(&fleet));
+    assert!(
+        eventually(|| fleet.ready(2) == Some(200)),
+        "{}",
+        fleet.log(2)
+    );
+    let lives = |lines: &[Value]| {
+        lines
+            .iter()
+            .filter_map(|l| l["life"].as_u64())
+            .collect::<BTreeSet<u64>>()
+            .len()
+    };
+    assert!(
+        eventually(|| lives(&told(&fleet)) == 2),
+        "{:?}",
+        told(&fleet)
+    );
     // What waits for its batch now is its list, and then nothing more comes.
-    assert!(eventually(|| told(&fleet).iter().rev().nth(1).is_some_and(|l| l["list"] == json!(3))));
+    assert!(eventually(|| told(&fleet)
+        .iter()
+        .rev()
+        .nth(1)
+        .is_some_and(|l| l["list"] == json!(3))));
     let lines = told(&fleet);
     assert_eq!(given_up(&lines).as_ref(), Some(&line));
     // A page from the last place on holds nothing but its end.
-    let next = lines.last().and_then(|end| end["next"].as_str()).expect("the end").to_owned();
-    let (status, body) = fleet.call(2, &format!("/audit?since={next}")).expect("answered");
+    let next = lines
+        .last()
+        .and_then(|end| end["next"].as_str())
+        .expect("the end")
+        .to_owned();
+    let (status, body) = fleet
+        .call(2, &format!("/audit?since={next}"))
+        .expect("answered");
     assert_eq!((status, body.lines().count()), (200, 1), "{body}");
-    assert_eq!(fleet.call(2, "/audit?since=never").map(|(status, _)| status), Some(400));
+    assert_eq!(
+        fleet
+            .call(2, "/audit?since=never")
+            .map(|(status, _)| status),
+        Some(400)
+    );
 }
 
-/// Guards the audit of a fleet in pieces: one manager stopped, two cut off. The kit tells who is missing, exits with 1,
-/// and names where the rest see each other differently; once all is well again it says so.
+/// Guards the audit of a fleet in pieces: one manager stopped, two cut off. The kit tells who is
+/// missing, exits with 1, and names where the rest see each other differently; once all is well
+/// again it says so.
 #[test]
 fn a_fleet_in_pieces_is_told_as_such() {
     let fleet = start("pieces", 13);
@@ -192,41 +298,94 @@
     faults.partition(&[0, 1], &[2, 3, 4]);
     fleet.relay.set(faults);
     let dead = |a: usize, b: usize| fleet.health(a, b).as_deref() == Some("Dead");
-    assert!(eventually(|| dead(0, 3) && dead(3, 0) && dead(2, 0)), "{}", fleet.log(3));
+    assert!(
+        eventually(|| dead(0, 3) && dead(3, 0) && dead(2, 0)),
+        "{}",
+        fleet.log(3)
+    );
     let (text, whole) = audit(&fleet, false);
-    assert!(!whole && text.contains("missing:") && text.contains("The fleet is not one"), "{text}");
+    assert!(
+        !whole && text.contains("missing:") && text.contains("The fleet is not one"),
+        "{text}"
+    );
     let name = fleet.name(0);
-    assert!(text.contains(&format!("health of {name}: Alive ({}); Dead (", fleet.name(1))), "{text}");
+    assert!(
+        text.contains(&format!(
+            "health of {name}: Alive ({}); Dead (",
+            fleet.name(1)
+        )),
+        "{text}"
+    );
     fleet.relay.set(Faults::default());
     fleet.signal(4, Signal::CONT);
     assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
     let (text, whole) = audit(&fleet, false);
-    assert!(whole && text.contains("agree on build, settings, list and each other's health"), "{text}");
+    assert!(
+        whole && text.contains("agree on build, settings, list and each other's health"),
+        "{text}"
+    );
 }
 
-/// Guards shares: while one manager is dead, and while one is shut out, the others share the engines among those that
-/// serve; a side of a partition that is no majority takes nobody's share.
+/// Guards shares: while one manager is dead, and while one is shut out, the others share the
+/// engines among those that serve; a side of a partition that is no majority takes nobody's share.
 #[test]
 fn shares_of_managers_that_do_not_serve_pass_to_a_majority_alone() {
     let fleet = start("shares", 14);
-    let shares =
-        |i: usize, n: usize| fleet.log(i).contains(&format!("fleet: {n} of {MEMBERS} managers share"));
+    let shares = |i: usize, n: usize| {
+        fleet
+            .log(i)
+            .contains(&format!("fleet: {n} of {MEMBERS} managers share"))
+    };
     fleet.signal(4, Signal::STOP);
-    assert!(eventually(|| (0..4).all(|i| shares(i, 4))), "{}", fleet.log(0));
+    assert!(
+        eventually(|| (0..4).all(|i| shares(i, 4))),
+        "{}",
+        fleet.log(0)
+    );
     fleet.signal(4, Signal::CONT);
-    assert!(eventually(|| (0..4).all(|i| shares(i, 5))), "{}", fleet.log(0));
+    assert!(
+        eventually(|| (0..4).all(|i| shares(i, 5))),
+        "{}",
+        fleet.log(0)
+    );
     let mut faults = Faults::default();
     faults.partition(&[0, 1], &[2, 3, 4]);
     fleet.relay.set(faults);
-    assert!(eventually(|| (2..5).all(|i| shares(i, 3))), "{}", fleet.logs());
-    assert!(eventually(|| fleet.health(0, 4).as_deref() == Some("Dead")), "{}", fleet.log(0));
-    assert!((0..2).all(|i| !shares(i, 3) && !shares(i, 2)), "{}", fleet.log(0));
+    assert!(
+        eventually(|| (2..5).all(|i| shares(i, 3))),
+        "{}",
+        fleet.logs()
+    );
+    assert!(
+        eventually(|| fleet.health(0, 4).as_deref() == Some("Dead")),
+        "{}",
+        fleet.log(0)
+    );
+    assert!(
+        (0..2).all(|i| !shares(i, 3) && !shares(i, 2)),
+        "{}",
+        fleet.log(0)
+    );
     fleet.relay.set(Faults::default());
     assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
     // The last manager keeps old settings: shut out, it takes no share.
     (0..4).for_each(|i| fleet.retune(i, (0.4, 0.6), true));
-    assert!(eventually(|| fleet.ready(4) == Some(503)), "{}", fleet.log(4));
-    let last = |i: usize| fleet.log(i).lines().rfind(|l| l.contains("managers share")).map(str::to_owned);
+    assert!(
+        eventually(|| fleet.ready(4) == Some(503)),
+        "{}",
+        fleet.log(4)
+    );
+    let last = |i: usize| {
+        fleet
+            .log(i)
+            .lines()
+            .rfind(|l| l.contains("managers share"))
+            .map(str::to_owned)
+    };
     let four = format!("yokelift: fleet: 4 of {MEMBERS} managers share the engines");
-    assert!(eventually(|| (0..4).all(|i| last(i).as_deref() == Some(&*four))), "{}", fleet.logs());
+    assert!(
+        eventually(|| (0..4).all(|i| last(i).as_deref() == Some(&*four))),
+        "{}",
+        fleet.logs()
+    );
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -26,20 +26,48 @@
     }
 }
 
-/// Class 0: short and safe. 1: long, safe, only on kind 0. 2: an unsafe load in order. 3: keyed within a cell.
+/// Class 0: short and safe. 1: long, safe, only on kind 0. 2: an unsafe load in order. 3: keyed
+/// within a cell.
 pub fn settings() -> Settings {
     let short = class(Effect::Safe, 1.0, S, 6 * S);
-    let long = ClassSpec { only_kinds: Some(vec![KindId(0)]), ..class(Effect::Safe, 4.0, 2 * S, 15 * S) };
-    let load = ClassSpec { in_order: true, is_load: true, ..class(Effect::Unsafe, 2.0, 3 * S, 20 * S) };
-    let keyed = class(Effect::Keyed { scope: Scope::Cell, window: 2 * S }, 1.0, S, 6 * S);
+    let long = ClassSpec {
+        only_kinds: Some(vec![KindId(0)]),
+        ..class(Effect::Safe, 4.0, 2 * S, 15 * S)
+    };
+    let load = ClassSpec {
+        in_order: true,
+        is_load: true,
+        ..class(Effect::Unsafe, 2.0, 3 * S, 20 * S)
+    };
+    let keyed = class(
+        Effect::Keyed {
+            scope: Scope::Cell,
+            window: 2 * S,
+        },
+        1.0,
+        S,
+        6 * S,
+    );
     Settings {
         me: 0,
         gateways: 1,
         zone: ZoneId(0),
         tick: 5 * MS,
         classes: vec![short, long, load, keyed],
-        kinds: vec![KindSpec { cores: 8.0, memory_mb: 16384.0 }, KindSpec { cores: 4.0, memory_mb: 8192.0 }],
-        tenants: vec![TenantSpec { quota_per_s: 1000.0, share: 1.0 }],
+        kinds: vec![
+            KindSpec {
+                cores: 8.0,
+                memory_mb: 16384.0,
+            },
+            KindSpec {
+                cores: 4.0,
+                memory_mb: 8192.0,
+            },
+        ],
+        tenants: vec![TenantSpec {
+            quota_per_s: 1000.0,
+            share: 1.0,
+        }],
         over_share_worth: 0.05,
         ask_for_list: false,
         load_fields: vec![],
@@ -59,7 +87,11 @@
             fall_multiple: 2.0,
             fall_window: 2 * S,
             key_rest: 500 * MS,
-            extra: Some(ExtraBudget { spare: 2.0, ratio: 0.1, span: 5 * S }),
+            extra: Some(ExtraBudget {
+                spare: 2.0,
+                ratio: 0.1,
+                span: 5 * S,
+            }),
             ask_within: 10 * S,
         },
         limits: Limits {
@@ -96,7 +128,13 @@
     }
 }
 
-pub fn outcome(id: u32, attempt: u16, engine: EngineId, kind: OutcomeKind, latency: Nanos) -> Event {
+pub fn outcome(
+    id: u32,
+    attempt: u16,
+    engine: EngineId,
+    kind: OutcomeKind,
+    latency: Nanos,
+) -> Event {
     Event::Outcome(Outcome {
         id: RequestId(id),
         attempt: AttemptNo(attempt),
@@ -118,8 +156,14 @@
 
 impl Rig {
     pub fn new(settings: Settings, entries: Vec<EngineEntry>) -> Rig {
-        let mut rig = Rig { g: Gateway::new(T0, settings, 7), now: T0 };
-        rig.tell(Event::List { kind: ListKind::Full, entries });
+        let mut rig = Rig {
+            g: Gateway::new(T0, settings, 7),
+            now: T0,
+        };
+        rig.tell(Event::List {
+            kind: ListKind::Full,
+            entries,
+        });
         rig
     }
 
@@ -160,5 +204,7 @@
 }
 
 pub fn cancels(acts: &[Action]) -> usize {
-    acts.iter().filter(|a| matches!(a, Action::Cancel { .. })).count()
+    acts.iter()
+        .filter(|a| matches!(a, Action::Cancel { .. }))
+        .count()
 }
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -1,12 +1,17 @@
-//! Second copies, keyed repeats, engines of a data set's own, and priorities, seen from outside the module.
+//! Second copies, keyed repeats, engines of a data set's own, and priorities, seen from outside the
+//! module.
 mod common;
 use common::*;
 use yokelift::interface::*;
 
-/// Keyed over all engines, for 20 s; short and safe otherwise. Copies may run, and priorities count.
+/// Keyed over all engines, for 20 s; short and safe otherwise. Copies may run, and priorities
+/// count.
 fn copying() -> Settings {
     let mut s = settings();
-    s.classes[3].effect = Effect::Keyed { scope: Scope::All, window: 20 * S };
+    s.classes[3].effect = Effect::Keyed {
+        scope: Scope::All,
+        window: 20 * S,
+    };
     s.limits.second_copies = true;
     (s.note_period, s.rules.extra, s.limits.may_probe) = (0, None, false);
     s
@@ -16,26 +21,43 @@
     (1..=4).map(|i| entry(i, 0, 0)).collect()
 }
 
-/// A request of 200 ms that is out and says nothing; where it went, and all that is done about it in a while.
+/// A request of 200 ms that is out and says nothing; where it went, and all that is done about it
+/// in a while.
 fn silent(s: Settings, class: u16, single: bool) -> (Rig, EngineId, Vec<Action>) {
     let mut rig = Rig::new(s, engines());
-    let ask = NewRequest { single, ..ask(1, class, rig.now, 6 * S, 200 * MS) };
+    let ask = NewRequest {
+        single,
+        ..ask(1, class, rig.now, 6 * S, 200 * MS)
+    };
     let first = sends(&rig.tell(Event::Request(ask)));
-    let [(1, engine)] = first[..] else { panic!("{first:?}") };
+    let [(1, engine)] = first[..] else {
+        panic!("{first:?}")
+    };
     let acts = rig.pass(1500 * MS);
     (rig, engine, acts)
 }
 
-/// Guards what has been done so far: where room is free a copy goes beside the first, to another engine, and one only.
+/// Guards what has been done so far: where room is free a copy goes beside the first, to another
+/// engine, and one only.
 #[test]
 fn a_copy_runs_beside_the_first_while_room_is_free() {
     for class in [0, 3] {
         let (mut rig, first, acts) = silent(copying(), class, false);
         let copy = sends(&acts);
-        assert!(matches!(copy[..], [(1, e)] if e != first) && cancels(&acts) == 0, "{class}: {acts:?}");
-        // Whichever answers first is the answer; the other one is called off, and its end changes nothing.
+        assert!(
+            matches!(copy[..], [(1, e)] if e != first) && cancels(&acts) == 0,
+            "{class}: {acts:?}"
+        );
+        // Whichever answers first is the answer; the other one is called off, and its end changes
+        // nothing.
         let acts = rig.tell(outcome(1, 1, copy[0].1, OutcomeKind::Ok, 200 * MS));
-        assert_eq!(acts, [Action::Cancel { id: RequestId(1), attempt: AttemptNo(0) }]);
+        assert_eq!(
+            acts,
+            [Action::Cancel {
+                id: RequestId(1),
+                attempt: AttemptNo(0)
+            }]
+        );
         let late = rig.tell(outcome(1, 0, first, OutcomeKind::Cancelled, 2 * S));
         assert!(late.is_empty() && rig.pass(10 * S).is_empty(), "{late:?}");
     }
@@ -50,7 +72,10 @@
     assert!(finals(&acts).is_empty(), "{acts:?}");
     let acts = rig.tell(outcome(1, 1, second, OutcomeKind::Reset, 2 * S));
     let more = sends(&acts);
-    assert!(more.len() == 1 && finals(&acts).is_empty(), "the last attempt goes out: {acts:?}");
+    assert!(
+        more.len() == 1 && finals(&acts).is_empty(),
+        "the last attempt goes out: {acts:?}"
+    );
     let acts = rig.tell(outcome(1, 2, more[0].1, OutcomeKind::Reset, 2 * S));
     assert_eq!(finals(&acts), [(1, true)]);
     // A client that leaves takes both along.
@@ -58,17 +83,24 @@
     assert_eq!(cancels(&rig.tell(Event::ClientGone(RequestId(1)))), 2);
 }
 
-/// Guards rule 2: no copy where the settings allow none, nor of what must not run twice; what is keyed is not called off.
+/// Guards rule 2: no copy where the settings allow none, nor of what must not run twice; what is
+/// keyed is not called off.
 #[test]
 fn copies_go_only_where_they_are_allowed() {
     let mut alone = copying();
     alone.limits.second_copies = false;
     let (_, _, acts) = silent(alone.clone(), 0, false);
-    assert!(sends(&acts).is_empty() && cancels(&acts) == 1, "called off, to be sent anew: {acts:?}");
+    assert!(
+        sends(&acts).is_empty() && cancels(&acts) == 1,
+        "called off, to be sent anew: {acts:?}"
+    );
     let (_, _, acts) = silent(alone, 3, false);
     assert!(acts.is_empty(), "{acts:?}");
     let (_, _, acts) = silent(copying(), 3, true);
-    assert!(acts.is_empty(), "without a key it must not run twice: {acts:?}");
+    assert!(
+        acts.is_empty(),
+        "without a key it must not run twice: {acts:?}"
+    );
 }
 
 /// A key is known for its window: after that what may have run is not sent again.
@@ -91,7 +123,10 @@
     let mut rig = Rig::new(s, entries);
     rig.pass(3 * S);
     let mut one = |id: u32, group| {
-        let asked = NewRequest { group, ..ask(id, 0, rig.now, 6 * S, 50 * MS) };
+        let asked = NewRequest {
+            group,
+            ..ask(id, 0, rig.now, 6 * S, 50 * MS)
+        };
         let (_, engine) = sends(&rig.tell(Event::Request(asked)))[0];
         rig.tell(outcome(id, 0, engine, OutcomeKind::Ok, 50 * MS));
         engine
@@ -99,32 +134,53 @@
     (1..=groups).map(|group| one(group as u32, group)).collect()
 }
 
-/// Guards what engines keep warm: a data set has engines of its own, the same at all gateways and whatever their age,
-/// and loses them only with those engines.
+/// Guards what engines keep warm: a data set has engines of its own, the same at all gateways and
+/// whatever their age, and loses them only with those engines.
 #[test]
 fn a_data_set_keeps_to_engines_of_its_own() {
     let at = homes(0, 40, engines());
-    assert_eq!(at, homes(2, 40, engines()), "the same at another gateway, whatever its draws");
+    assert_eq!(
+        at,
+        homes(2, 40, engines()),
+        "the same at another gateway, whatever its draws"
+    );
     let share = |engine: u64| at.iter().filter(|e| e.0 == engine).count();
-    assert!((1..=4).all(|e| (4..=18).contains(&share(e))), "all engines have some: {at:?}");
+    assert!(
+        (1..=4).all(|e| (4..=18).contains(&share(e))),
+        "all engines have some: {at:?}"
+    );
     let fewer = homes(0, 40, engines().into_iter().take(3).collect());
     let moved = at.iter().zip(&fewer).filter(|(old, new)| old != new);
-    assert!(moved.clone().all(|(old, _)| old.0 == 4), "only what the lost engine had moves");
+    assert!(
+        moved.clone().all(|(old, _)| old.0 == 4),
+        "only what the lost engine had moves"
+    );
     assert_eq!(moved.count(), share(4));
 }
 
-/// Guards against a home that is down: once what went there passes its time without a sign of life, its data sets go
-/// elsewhere, until it speaks. And where answers tell no cost nothing shows that a home pays: load alone decides.
+/// Guards against a home that is down: once what went there passes its time without a sign of life,
+/// its data sets go elsewhere, until it speaks. And where answers tell no cost nothing shows that a
+/// home pays: load alone decides.
 #[test]
 fn a_silent_engine_is_nobodys_home() {
     let mut rig = Rig::new(copying(), engines());
     rig.pass(3 * S);
-    let asked = |id, now| Event::Request(NewRequest { group: 7, ..ask(id, 0, now, 6 * S, 50 * MS) });
+    let asked = |id, now| {
+        Event::Request(NewRequest {
+            group: 7,
+            ..ask(id, 0, now, 6 * S, 50 * MS)
+        })
+    };
     let (_, home) = sends(&rig.tell(asked(1, rig.now)))[0];
     let again = sends(&rig.tell(asked(2, rig.now)))[0].1;
     assert_eq!(again, home, "room enough");
     rig.pass(400 * MS);
-    assert!(sends(&rig.tell(asked(3, rig.now))).iter().all(|(_, e)| *e != home), "it says nothing");
+    assert!(
+        sends(&rig.tell(asked(3, rig.now)))
+            .iter()
+            .all(|(_, e)| *e != home),
+        "it says nothing"
+    );
     rig.tell(outcome(2, 0, home, OutcomeKind::Ok, 400 * MS));
     assert_eq!(sends(&rig.tell(asked(4, rig.now)))[0].1, home, "it speaks");
     // One that got nothing since is tried again after a while, as it can't speak unasked.
@@ -140,32 +196,50 @@
     let mut untold = copying();
     untold.tells_cost = false;
     let mut rig = Rig::new(untold, engines());
-    let at: Vec<EngineId> = (1..=4).map(|id| sends(&rig.tell(asked(id, rig.now)))[0].1).collect();
-    assert_eq!(at.iter().collect::<std::collections::BTreeSet<_>>().len(), 4, "{at:?}");
+    let at: Vec<EngineId> = (1..=4)
+        .map(|id| sends(&rig.tell(asked(id, rig.now)))[0].1)
+        .collect();
+    assert_eq!(
+        at.iter().collect::<std::collections::BTreeSet<_>>().len(),
+        4,
+        "{at:?}"
+    );
 }
 
-/// Guards engines from queries of which nothing is known to be shared: they spread by load alone. And a busy engine of its
-/// own does not keep a data set from the others.
+/// Guards engines from queries of which nothing is known to be shared: they spread by load alone.
+/// And a busy engine of its own does not keep a data set from the others.
 #[test]
 fn what_has_no_data_set_spreads_and_a_full_engine_does_not_bind() {
     for group in [0, 7] {
         let mut rig = Rig::new(copying(), engines());
         rig.pass(3 * S);
-        let ask = |id| NewRequest { group, ..ask(id, 0, rig.now, 6 * S, 50 * MS) };
+        let ask = |id| NewRequest {
+            group,
+            ..ask(id, 0, rig.now, 6 * S, 50 * MS)
+        };
         let all: Vec<Event> = (0..24).map(|id| Event::Request(ask(id))).collect();
-        let sent: Vec<EngineId> =
-            all.into_iter().flat_map(|event| sends(&rig.tell(event))).map(|(_, e)| e).collect();
-        let mut count: Vec<usize> = (1..=4).map(|e| sent.iter().filter(|s| s.0 == e).count()).collect();
+        let sent: Vec<EngineId> = all
+            .into_iter()
+            .flat_map(|event| sends(&rig.tell(event)))
+            .map(|(_, e)| e)
+            .collect();
+        let mut count: Vec<usize> = (1..=4)
+            .map(|e| sent.iter().filter(|s| s.0 == e).count())
+            .collect();
         count.sort_unstable();
         if group == 0 {
             assert_eq!(count, [6, 6, 6, 6]);
         } else {
-            assert!(sent.len() == 24 && count[3] > 6 && count[1] > 0, "{count:?}");
+            assert!(
+                sent.len() == 24 && count[3] > 6 && count[1] > 0,
+                "{count:?}"
+            );
         }
     }
 }
 
-/// Short queries come first, then long ones under the usual size, and last what misses its aim anyway.
+/// Short queries come first, then long ones under the usual size, and last what misses its aim
+/// anyway.
 #[test]
 fn priorities_follow_size() {
     let mut s = copying();
@@ -173,33 +247,58 @@
     let mut rig = Rig::new(s, engines());
     let mut rank = |id, class, work| {
         let acts = rig.tell(Event::Request(ask(id, class, rig.now, 15 * S, work)));
-        acts.iter().find_map(|a| if let Action::Terms { priority, .. } = a { Some(*priority) } else { None })
+        acts.iter().find_map(|a| {
+            if let Action::Terms { priority, .. } = a {
+                Some(*priority)
+            } else {
+                None
+            }
+        })
     };
     assert_eq!(rank(1, 0, 100 * MS), Some(3));
-    assert_eq!((rank(2, 1, S), rank(3, 1, 9 * S)), (Some(1), Some(0)), "the class is taken to need 8 s");
+    assert_eq!(
+        (rank(2, 1, S), rank(3, 1, 9 * S)),
+        (Some(1), Some(0)),
+        "the class is taken to need 8 s"
+    );
 }
 
-/// Guards rule 2: a key is known from the first attempt that was sent, whichever of two ended first.
+/// Guards rule 2: a key is known from the first attempt that was sent, whichever of two ended
+/// first.
 #[test]
 fn the_window_of_a_key_counts_from_the_first_that_was_sent() {
     let mut s = copying();
-    s.classes[3].effect = Effect::Keyed { scope: Scope::All, window: 3 * S };
+    s.classes[3].effect = Effect::Keyed {
+        scope: Scope::All,
+        window: 3 * S,
+    };
     let (mut rig, first, acts) = silent(s, 3, false);
     let (_, second) = sends(&acts)[0];
     rig.tell(outcome(1, 1, second, OutcomeKind::Reset, S));
     rig.now += 1600 * MS;
     let acts = rig.tell(outcome(1, 0, first, OutcomeKind::Reset, 3 * S));
-    assert!(sends(&acts).is_empty() && finals(&acts) == [(1, true)], "{acts:?}");
+    assert!(
+        sends(&acts).is_empty() && finals(&acts) == [(1, true)],
+        "{acts:?}"
+    );
 }
 
-/// What an engine calls over, or does not take, never ran: the first goes on, and its late answer decides.
+/// What an engine calls over, or does not take, never ran: the first goes on, and its late answer
+/// decides.
 #[test]
 fn a_copy_that_never_ran_leaves_the_first_to_decide() {
-    for kind in [OutcomeKind::Moot, OutcomeKind::Full, OutcomeKind::ConnectFailed] {
+    for kind in [
+        OutcomeKind::Moot,
+        OutcomeKind::Full,
+        OutcomeKind::ConnectFailed,
+    ] {
         let (mut rig, first, acts) = silent(copying(), 3, false);
         let (_, second) = sends(&acts)[0];
         let acts = rig.tell(outcome(1, 1, second, kind, 5 * MS));
-        assert!(finals(&acts).is_empty() && cancels(&acts) == 0, "{kind:?}: {acts:?}");
+        assert!(
+            finals(&acts).is_empty() && cancels(&acts) == 0,
+            "{kind:?}: {acts:?}"
+        );
         let acts = rig.tell(outcome(1, 0, first, OutcomeKind::Ok, 2 * S));
         assert!(finals(&acts).is_empty(), "served: {acts:?}");
     }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,4 +1,5 @@
-//! The system has no descriptor left at the first use of an engine: alone in its process, as the limit is the process's.
+//! The system has no descriptor left at the first use of an engine: alone in its process, as the
+//! limit is the process's.
 use async_channel::bounded;
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::fs::File;
@@ -14,17 +15,28 @@
 use yokelift::net::engine::ToEngine;
 use yokelift::net::list::{Http, engines, listed};
 
-/// Guards an engine's good name and the request: the attempt ends as never sent, for want of room here, the actor goes, and
-/// the next use finds a descriptor again.
+/// Guards an engine's good name and the request: the attempt ends as never sent, for want of room
+/// here, the actor goes, and the next use finds a descriptor again.
 #[test]
 fn no_descriptor_of_the_system_is_left_at_the_first_use() {
     let line = TcpListener::bind("127.0.0.1:0").expect("a port");
     line.set_nonblocking(true).expect("a socket");
     let shared = Shared::new(4_096, 64);
     let (core, inputs) = bounded(100);
-    let names = Names { streams: 4, connect_timeout: 5_000_000_000, ..Names::default() };
+    let names = Names {
+        streams: 4,
+        connect_timeout: 5_000_000_000,
+        ..Names::default()
+    };
     let make = engines(shared.clone(), core, Rc::new(names), Http::default());
-    let row = make(&listed(1, line.local_addr().expect("its address"), Readiness::Ready, (0, 0, 0), 1.0, 0));
+    let row = make(&listed(
+        1,
+        line.local_addr().expect("its address"),
+        Readiness::Ready,
+        (0, 0, 0),
+        1.0,
+        0,
+    ));
     assert_eq!(row.id, EngineId(1));
     let executor = shared.executor.clone();
     let run = |holds: &mut dyn FnMut() -> bool| async_io::block_on(executor.run(eventually(holds)));
@@ -34,10 +46,18 @@
         looks > 1
     });
     assert!(again, "after a pause the reactor has its own descriptors");
-    let start = |id| ToEngine::Start(Job { id: RequestId(id), ..Job::default() });
+    let start = |id| {
+        ToEngine::Start(Job {
+            id: RequestId(id),
+            ..Job::default()
+        })
+    };
     // Every place up to the limit is taken.
     let before = getrlimit(Resource::Nofile);
-    let few = Rlimit { current: Some(64), ..before };
+    let few = Rlimit {
+        current: Some(64),
+        ..before
+    };
     setrlimit(Resource::Nofile, few).expect("a lower limit");
     let taken: Vec<File> = std::iter::from_fn(|| File::open("/dev/null").ok()).collect();
     assert_eq!(row.tell(start(1)), Ok(()));
@@ -65,5 +85,8 @@
         came.extend(line.accept().ok());
         ended.len() == 2 && !came.is_empty()
     });
-    assert!(two && ended[1] == (RequestId(2), End::Withdrawn, Reach::Unsent), "{ended:?}");
+    assert!(
+        two && ended[1] == (RequestId(2), End::Withdrawn, Reach::Unsent),
+        "{ended:?}"
+    );
 }
--- a/tests/inside/audit.rs
+++ b/tests/inside/audit.rs
@@ -1,5 +1,6 @@
-//! The audit's trail and its files against a model: random decisions, changes of what is acted on, batches that find no
-//! room, files that can't be written, and new lives; read back in pages of any size.
+//! The audit's trail and its files against a model: random decisions, changes of what is acted on,
+//! batches that find no room, files that can't be written, and new lives; read back in pages of any
+//! size.
 use super::store::{self, Line, Page, PageEnd, Store, Told};
 use super::*;
 use crate::kit::daemon::Folder;
@@ -9,8 +10,18 @@
 use std::path::Path;
 
 fn under(life: u64) -> Under {
-    let acting = Acting { generation: 1, settings: 77, list: 0 };
-    Under { member: "n0".into(), life, build: "1+test".into(), acting, since: life }
+    let acting = Acting {
+        generation: 1,
+        settings: 77,
+        list: 0,
+    };
+    Under {
+        member: "n0".into(),
+        life,
+        build: "1+test".into(),
+        acting,
+        since: life,
+    }
 }
 
 fn decision(number: u64) -> Decision {
@@ -19,18 +30,30 @@
         1 => What::Refuse(40),
         _ => What::Fail,
     };
-    Decision { what, class: "lookup".into(), request: format!("q{number}").into() }
+    Decision {
+        what,
+        class: "lookup".into(),
+        request: format!("q{number}").into(),
+    }
 }
 
-/// All records of the files from the start on, in pages of that size, and the spoilt frames of the last page.
+/// All records of the files from the start on, in pages of that size, and the spoilt frames of the
+/// last page.
 fn read_all(store: &Store, page: usize) -> (Vec<Line>, u64) {
     let (mut all, mut since) = (Vec::new(), Place::default());
     loop {
         let page: Page = store.read(since, page).expect("readable");
         let text = page.text();
-        let (end, lines) = text.trim_end().rsplit_once('\n').map_or((text.trim_end(), ""), |(l, e)| (e, l));
+        let (end, lines) = text
+            .trim_end()
+            .rsplit_once('\n')
+            .map_or((text.trim_end(), ""), |(l, e)| (e, l));
         let end: PageEnd = serde_json::from_str(end).expect("the page's end");
-        all.extend(lines.lines().map(|l| serde_json::from_str::<Line>(l).expect("a record")));
+        all.extend(
+            lines
+                .lines()
+                .map(|l| serde_json::from_str::<Line>(l).expect("a record")),
+        );
         assert_eq!(end.next, page.next.to_string());
         if !end.more {
             return (all, end.spoilt);
@@ -76,8 +99,9 @@
         cases: 64, failure_persistence: None, rng_seed: RngSeed::Fixed(20_261_202), ..ProptestConfig::default()
     })]
 
-    /// Guards the record of all decisions: whatever happens to batches, files and processes, each number of each life
-    /// is there once, with what was decided and under what, or is told as lost; nothing is there twice or out of order.
+    /// Guards the record of all decisions: whatever happens to batches, files and processes, each
+    /// number of each life is there once, with what was decided and under what, or is told as lost;
+    /// nothing is there twice or out of order.
     #[test]
     fn every_decision_is_kept_under_its_versions_or_told_as_lost(
         steps in proptest::collection::vec(step(), 1..60), page in 1usize..50,
@@ -89,7 +113,8 @@
         let (mut life, mut now) = (1_000, 1_000);
         let mut store = Store::open(&folder, "n0", bounds).expect("opened");
         let mut trail = Trail::new(under(life));
-        // What the model says: by life and number, the decision or the change, and what was acted on.
+        // What the model says: by life and number, the decision or the change, and what was acted
+        // on.
         let mut model: BTreeMap<(u64, u64), (What, Acting)> = BTreeMap::new();
         let (mut acting, mut number) = (under(life).acting, 1);
         model.insert((life, 1), (What::Act, acting));
@@ -156,8 +181,8 @@
         prop_assert!(left.is_empty(), "neither kept nor told as lost: {left:?}");
     }
 
-    /// Guards reading against what a crash or a bad disk leaves: a file cut anywhere gives the records before the cut,
-    /// and a spoilt byte costs its own frame, told as spoilt, and no other.
+    /// Guards reading against what a crash or a bad disk leaves: a file cut anywhere gives the
+    /// records before the cut, and a spoilt byte costs its own frame, told as spoilt, and no other.
     #[test]
     fn a_torn_or_spoilt_file_costs_only_what_it_hit(cut in 0usize..4_000, at in 0usize..4_000, bit in 0u8..8) {
         let frames: Vec<Vec<u8>> = (1..60u64)
@@ -178,14 +203,21 @@
     }
 }
 
-/// Guards the disk: however much is decided, over however many lives, the files stay within their bound, the oldest
-/// records go first, and files that are not the audit's stay.
+/// Guards the disk: however much is decided, over however many lives, the files stay within their
+/// bound, the oldest records go first, and files that are not the audit's stay.
 #[test]
 fn files_are_turned_over_within_their_bound() {
     let folder = Folder::new().expect("a folder");
-    let other =
-        folder.put("yokelift-audit-n1-00000000000000000001-00000000000000000001.seg", "x").expect("put");
-    let bounds = Bounds { segment_kb: 4, segments: 3 };
+    let other = folder
+        .put(
+            "yokelift-audit-n1-00000000000000000001-00000000000000000001.seg",
+            "x",
+        )
+        .expect("put");
+    let bounds = Bounds {
+        segment_kb: 4,
+        segments: 3,
+    };
     for life in [5_000_000, 6_000_000, 7_000_000] {
         let mut store = Store::open(&folder.path(""), "n0", bounds).expect("opened");
         let mut trail = Trail::new(under(life));
@@ -197,7 +229,10 @@
                 store.append(batch).expect("kept");
             }
         }
-        let mine: Vec<_> = segments(&folder.path("")).into_iter().filter(|p| *p != other).collect();
+        let mine: Vec<_> = segments(&folder.path(""))
+            .into_iter()
+            .filter(|p| *p != other)
+            .collect();
         assert!(mine.len() <= 3, "{mine:?}");
         for file in &mine {
             let bytes = std::fs::metadata(file).expect("there").len();
@@ -208,21 +243,29 @@
         assert!(lines.len() > 100, "only {} records are left", lines.len());
         // What is left is without a hole.
         assert!(
-            lines.windows(2).all(|w| w[0].under.life < w[1].under.life || w[0].number + 1 == w[1].number)
+            lines
+                .windows(2)
+                .all(|w| w[0].under.life < w[1].under.life || w[0].number + 1 == w[1].number)
         );
     }
     assert!(other.exists());
 }
 
-/// Guards a caller that polls: a page from the last place on gives what is new and nothing else, also when nothing is.
+/// Guards a caller that polls: a page from the last place on gives what is new and nothing else,
+/// also when nothing is.
 #[test]
 fn a_poll_gives_what_is_new_alone() {
     let folder = Folder::new().expect("a folder");
     let mut store = Store::open(&folder.path(""), "n/0 é", Bounds::default()).expect("opened");
     let mut trail = Trail::new(under(9));
-    store.append(trail.finish().expect("its start")).expect("kept");
+    store
+        .append(trail.finish().expect("its start"))
+        .expect("kept");
     let first = store.read(Place::default(), 10).expect("read");
-    assert_eq!((first.next, first.more), (Place { life: 9, number: 1 }, false));
+    assert_eq!(
+        (first.next, first.more),
+        (Place { life: 9, number: 1 }, false)
+    );
     let none = store.read(first.next, 10).expect("read");
     assert_eq!((none.lines.as_str(), none.next), ("", first.next));
     trail.note(60, &decision(2));
@@ -230,6 +273,13 @@
     let one = store.read(first.next, 10).expect("read");
     assert_eq!(one.lines.lines().count(), 1);
     let line: Line = serde_json::from_str(&one.lines).expect("a record");
-    assert_eq!((line.number, &*line.request, &*line.class, line.told), (2, "q2", "lookup", Told::Fail));
-    assert!(segments(&folder.path(""))[0].to_string_lossy().contains("yokelift-audit-n_0__-"));
+    assert_eq!(
+        (line.number, &*line.request, &*line.class, line.told),
+        (2, "q2", "lookup", Told::Fail)
+    );
+    assert!(
+        segments(&folder.path(""))[0]
+            .to_string_lossy()
+            .contains("yokelift-audit-n_0__-")
+    );
 }
--- a/tests/inside/backoff.rs
+++ b/tests/inside/backoff.rs
@@ -12,12 +12,16 @@
     let pauses: Vec<Micros> = (0..8).map(|_| backoff.pause(false)).collect();
     for (n, pause) in pauses.iter().enumerate() {
         let most = (FIRST << (n + 1)).min(LONGEST);
-        assert!((most / 2..=most).contains(pause), "{pause} after {n} failures");
+        assert!(
+            (most / 2..=most).contains(pause),
+            "{pause} after {n} failures"
+        );
     }
     assert!(backoff.pause(true) <= FIRST);
 }
 
-/// Guards the drain rule: what came while three watches in a row fell silent is known before it counts as told.
+/// Guards the drain rule: what came while three watches in a row fell silent is known before it
+/// counts as told.
 #[test]
 fn three_silent_watches_in_a_row_end_before_what_they_hide_counts_as_told() {
     for seed in 0..500 {
@@ -31,7 +35,8 @@
     }
 }
 
-/// Guards the coordinator: 300 watches that fall silent in the same moment are not dialled in the same moment.
+/// Guards the coordinator: 300 watches that fall silent in the same moment are not dialled in the
+/// same moment.
 #[test]
 fn a_fleet_does_not_dial_in_step() {
     let mut dials: BTreeMap<Micros, usize> = BTreeMap::new();
--- a/tests/inside/clickhouse.rs
+++ b/tests/inside/clickhouse.rs
@@ -1,5 +1,5 @@
-//! The ClickHouse interface without sockets: what a client sees, and what an engine's words mean, however the
-//! bytes are cut.
+//! The ClickHouse interface without sockets: what a client sees, and what an engine's words mean,
+//! however the bytes are cut.
 use super::{ClickHouse as Front, Service};
 use crate::clock::{MS, SEC};
 use crate::config::Names;
@@ -17,27 +17,58 @@
     let text = include_str!("../../deploy/clickhouse.toml");
     let deploy = deploy::parse(text).expect("the file that is shipped");
     let named = |list: &[&str]| list.iter().map(|n| (*n).to_owned()).collect();
-    let (classes, tenants) = (named(&["lookup", "report", "load"]), named(&["billing-desk", "channel-desk"]));
-    let names = Names { classes, tenants, ..Names::default() };
+    let (classes, tenants) = (
+        named(&["lookup", "report", "load"]),
+        named(&["billing-desk", "channel-desk"]),
+    );
+    let names = Names {
+        classes,
+        tenants,
+        ..Names::default()
+    };
     let users = Users::new(&deploy, &names).expect("users").into();
     let rules = ClassRules::new(&deploy, &names).expect("classes");
-    let (databases, stopping, new_key) =
-        (Box::new(|| true), Box::new(|| false), Box::new(|| "00ff".to_owned()));
-    let (deadlines, loads) = (vec![6 * SEC, 15 * SEC, 25 * SEC].into(), vec![false, false, true].into());
+    let (databases, stopping, new_key) = (
+        Box::new(|| true),
+        Box::new(|| false),
+        Box::new(|| "00ff".to_owned()),
+    );
+    let (deadlines, loads) = (
+        vec![6 * SEC, 15 * SEC, 25 * SEC].into(),
+        vec![false, false, true].into(),
+    );
     Front::new(
         9,
-        Rc::new(Service { rules: rules.into(), users, deadlines, loads, databases, stopping, new_key }),
+        Rc::new(Service {
+            rules: rules.into(),
+            users,
+            deadlines,
+            loads,
+            databases,
+            stopping,
+            new_key,
+        }),
     )
 }
 
 fn feed(front: &mut Front, bytes: &[u8]) -> (Vec<Ask>, String) {
     let (mut said, mut replies) = (Vec::new(), Vec::new());
-    front.feed(SEC, bytes, &mut said, &mut replies).expect("no fault");
+    front
+        .feed(SEC, bytes, &mut said, &mut replies)
+        .expect("no fault");
     (asks(said), String::from_utf8(replies).expect("text"))
 }
 
 fn asks(said: Vec<Said>) -> Vec<Ask> {
-    said.into_iter().filter_map(|s| if let Said::Ask(ask) = s { Some(ask) } else { None }).collect()
+    said.into_iter()
+        .filter_map(|s| {
+            if let Said::Ask(ask) = s {
+                Some(ask)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
 
 fn answer(front: &mut Front, tag: u64, answer: Answer) -> (Vec<Ask>, String) {
@@ -50,32 +81,56 @@
 
 fn post(params: &str, statement: &str) -> Vec<u8> {
     let length = statement.len();
-    format!("POST /?{params} HTTP/1.1\r\n{LOGIN}Content-Length: {length}\r\n\r\n{statement}").into_bytes()
+    format!("POST /?{params} HTTP/1.1\r\n{LOGIN}Content-Length: {length}\r\n\r\n{statement}")
+        .into_bytes()
 }
 
 #[test]
 fn a_request_says_what_the_core_needs() {
     let mut front = front();
-    let params =
-        "query=SELECT+a&database=ops_4&max_execution_time=1.5&max_memory_usage=2097152&query_id=mine";
+    let params = "query=SELECT+a&database=ops_4&max_execution_time=1.5&max_memory_usage=2097152&query_id=mine";
     let (asked, _) = feed(&mut front, &post(params, "FROM orders GROUP BY a"));
     let ask = &asked[0];
     assert_eq!(&ask.statement[..], b"SELECT a\nFROM orders GROUP BY a");
-    assert_eq!((ask.class, ask.tenant.0, ask.give_up_at), (ClassId(1), 1, SEC + 1_500 * MS));
+    assert_eq!(
+        (ask.class, ask.tenant.0, ask.give_up_at),
+        (ClassId(1), 1, SEC + 1_500 * MS)
+    );
     assert_eq!((ask.memory_mb, ask.cost), (Some(2.0), None));
     let session = ask.session.as_ref().expect("a session");
-    assert_eq!((session.database.as_deref(), session.query_id.as_deref()), (Some("ops_4"), Some("mine")));
+    assert_eq!(
+        (session.database.as_deref(), session.query_id.as_deref()),
+        (Some("ops_4"), Some("mine"))
+    );
     // No more than the class's own deadline, and the class follows from the words outside strings.
-    let (_, text) = answer(&mut front, ask.origin.tag, Answer::Refused(Some(1_200 * MS)));
-    assert!(text.starts_with("HTTP/1.1 503 ") && text.contains("\r\nRetry-After: 2\r\n"), "{text}");
+    let (_, text) = answer(
+        &mut front,
+        ask.origin.tag,
+        Answer::Refused(Some(1_200 * MS)),
+    );
+    assert!(
+        text.starts_with("HTTP/1.1 503 ") && text.contains("\r\nRetry-After: 2\r\n"),
+        "{text}"
+    );
     assert!(
-        text.contains("X-ClickHouse-Exception-Code: 202\r\n") && text.contains("Query-Id: mine\r\n"),
+        text.contains("X-ClickHouse-Exception-Code: 202\r\n")
+            && text.contains("Query-Id: mine\r\n"),
         "{text}"
     );
-    let (asked, _) = feed(&mut front, &post("max_execution_time=99", "-- join\nSELECT 'join'"));
+    let (asked, _) = feed(
+        &mut front,
+        &post("max_execution_time=99", "-- join\nSELECT 'join'"),
+    );
     assert_eq!((asked[0].class, asked[0].give_up_at), (ClassId(0), 7 * SEC));
-    let (_, text) = answer(&mut front, asked[0].origin.tag, Answer::Failed(Failure::Deadline));
-    assert!(text.starts_with("HTTP/1.1 500 ") && text.contains("Exception-Code: 159\r\n"), "{text}");
+    let (_, text) = answer(
+        &mut front,
+        asked[0].origin.tag,
+        Answer::Failed(Failure::Deadline),
+    );
+    assert!(
+        text.starts_with("HTTP/1.1 500 ") && text.contains("Exception-Code: 159\r\n"),
+        "{text}"
+    );
 }
 
 #[test]
@@ -85,17 +140,31 @@
         ("", "a\\tb\t\\N\nq\"\t2\n"),
         ("TSV", "a\\tb\t\\N\nq\"\t2\n"),
         ("CSV", "\"a\tb\",\\N\n\"q\"\"\",\"2\"\n"),
-        ("JSONCompactEachRow", "[\"a\\tb\", null]\n[\"q\\\"\", \"2\"]\n"),
+        (
+            "JSONCompactEachRow",
+            "[\"a\\tb\", null]\n[\"q\\\"\", \"2\"]\n",
+        ),
     ] {
         let mut front = front();
-        let (asked, _) = feed(&mut front, &post(&format!("default_format={format}"), "SELECT 1"));
-        let (_, text) = answer(&mut front, asked[0].origin.tag, Answer::Served(rows.to_vec()));
+        let (asked, _) = feed(
+            &mut front,
+            &post(&format!("default_format={format}"), "SELECT 1"),
+        );
+        let (_, text) = answer(
+            &mut front,
+            asked[0].origin.tag,
+            Answer::Served(rows.to_vec()),
+        );
         let body = format!("\r\n\r\n{:x}\r\n{expected}\r\n0\r\n\r\n", expected.len());
-        assert!(text.ends_with(&body) && text.contains("\"result_rows\":\"2\""), "{text}");
+        assert!(
+            text.ends_with(&body) && text.contains("\"result_rows\":\"2\""),
+            "{text}"
+        );
     }
 }
 
-/// Requests that come together are answered in turn, each once, also when the bytes are cut anywhere.
+/// Requests that come together are answered in turn, each once, also when the bytes are cut
+/// anywhere.
 #[test]
 fn requests_on_one_connection_take_turns() {
     fn cut(step: u8) -> bool {
@@ -112,7 +181,8 @@
         }
         let mut at = 0;
         while at < asked.len() && front.open() == 1 {
-            let (more, replies) = answer(&mut front, asked[at].origin.tag, Answer::Served(Vec::new()));
+            let (more, replies) =
+                answer(&mut front, asked[at].origin.tag, Answer::Served(Vec::new()));
             asked.extend(more);
             text += &replies;
             at += 1;
@@ -120,38 +190,60 @@
         let ids = ["Query-Id: one", "Query-Id: two", "Ok.\n"].map(|id| text.find(id));
         asked.len() == 2 && ids.iter().all(Option::is_some) && ids.is_sorted()
     }
-    let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(255, 17)).tests(200);
+    let mut check = QuickCheck::new()
+        .rng(Gen::from_size_and_seed(255, 17))
+        .tests(200);
     check.quickcheck(cut as fn(u8) -> bool);
 }
 
-/// Guards rule 2 on this wire: only a 503 with code 202 says that nothing ran; half an answer is none.
+/// Guards rule 2 on this wire: only a 503 with code 202 says that nothing ran; half an answer is
+/// none.
 #[test]
 fn an_engines_words_mean_the_same_however_they_are_cut() {
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\na\n\r\n";
     let late = "Code: 241. DB::Exception: Memory limit exceeded\n";
     let cases = [
         (format!("{chunked}0\r\n\r\n"), Some(End::Done)),
-        ("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na\n".to_owned(), Some(End::Done)),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na\n".to_owned(),
+            Some(End::Done),
+        ),
         ("HTTP/1.1 200 OK\r\n\r\na\n".to_owned(), Some(End::Done)),
         (chunked.to_owned(), Some(End::Broke)),
-        ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na\n".to_owned(), Some(End::Broke)),
-        (format!("{chunked}{:x}\r\n{late}\r\n0\r\n\r\n", late.len()), Some(End::Broke)),
         (
-            "HTTP/1.1 200 OK\r\nX-ClickHouse-Exception-Code: 60\r\nContent-Length: 0\r\n\r\n".to_owned(),
+            "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na\n".to_owned(),
+            Some(End::Broke),
+        ),
+        (
+            format!("{chunked}{:x}\r\n{late}\r\n0\r\n\r\n", late.len()),
+            Some(End::Broke),
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nX-ClickHouse-Exception-Code: 60\r\nContent-Length: 0\r\n\r\n"
+                .to_owned(),
             Some(End::Broke),
         ),
         (
-            "HTTP/1.1 503 X\r\nX-ClickHouse-Exception-Code: 202\r\nContent-Length: 0\r\n\r\n".to_owned(),
+            "HTTP/1.1 503 X\r\nX-ClickHouse-Exception-Code: 202\r\nContent-Length: 0\r\n\r\n"
+                .to_owned(),
+            Some(End::Full),
+        ),
+        (
+            "HTTP/1.1 503 X\r\nContent-Length: 18\r\n\r\nCode: 202. too man".to_owned(),
             Some(End::Full),
         ),
-        ("HTTP/1.1 503 X\r\nContent-Length: 18\r\n\r\nCode: 202. too man".to_owned(), Some(End::Full)),
-        ("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".to_owned(), Some(End::Broke)),
         (
-            "HTTP/1.1 500 X\r\nX-ClickHouse-Exception-Code: 202\r\nContent-Length: 0\r\n\r\n".to_owned(),
+            "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".to_owned(),
+            Some(End::Broke),
+        ),
+        (
+            "HTTP/1.1 500 X\r\nX-ClickHouse-Exception-Code: 202\r\nContent-Length: 0\r\n\r\n"
+                .to_owned(),
             Some(End::Broke),
         ),
         (
-            "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na\n".to_owned(),
+            "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na\n"
+                .to_owned(),
             Some(End::Done),
         ),
         // Closed before a word: for the connection's own end to say.
@@ -163,22 +255,52 @@
             let (id, attempt, class) = (RequestId(1), AttemptNo(0), "lookup".into());
             let (key, statement) = (Rc::from("k"), Rc::from(&b"select"[..]));
             let (session, until, memory_mb) = (None, 2 * SEC, 0.0);
-            let job = Job { id, attempt, key, class, statement, session, until, memory_mb, ..Job::default() };
+            let job = Job {
+                id,
+                attempt,
+                key,
+                class,
+                statement,
+                session,
+                until,
+                memory_mb,
+                ..Job::default()
+            };
             let sent = String::from_utf8(engine.start(SEC, &job)).expect("text");
-            assert!(sent.starts_with("POST /?query_id=k&max_execution_time=1.000&"), "{sent}");
+            assert!(
+                sent.starts_with("POST /?query_id=k&max_execution_time=1.000&"),
+                "{sent}"
+            );
             let (mut heard, mut replies) = (Vec::new(), Vec::new());
             for piece in text.as_bytes().chunks(step) {
-                engine.feed(SEC, piece, &mut heard, &mut replies).expect("no fault");
+                engine
+                    .feed(SEC, piece, &mut heard, &mut replies)
+                    .expect("no fault");
             }
             engine.finish(&mut heard);
             let ends: Vec<(End, &[u8])> = heard
                 .iter()
                 .filter_map(|h| {
-                    if let Heard::Ended(_, end, rows, ..) = h { Some((*end, &rows[..])) } else { None }
+                    if let Heard::Ended(_, end, rows, ..) = h {
+                        Some((*end, &rows[..]))
+                    } else {
+                        None
+                    }
                 })
                 .collect();
-            let rows: &[u8] = if expected == Some(End::Done) { b"a\n" } else { b"" };
-            assert_eq!(ends, expected.map(|end| (end, rows)).into_iter().collect::<Vec<_>>(), "{text}");
+            let rows: &[u8] = if expected == Some(End::Done) {
+                b"a\n"
+            } else {
+                b""
+            };
+            assert_eq!(
+                ends,
+                expected
+                    .map(|end| (end, rows))
+                    .into_iter()
+                    .collect::<Vec<_>>(),
+                "{text}"
+            );
         }
     }
 }
