--- a/tests/inside/client.rs
+++ b/tests/inside/client.rs
@@ -1,5 +1,5 @@
-//! Crossings on a client's connection, on real sockets: the actor stands still until the byte, the close or the word is
-//! where the test wants it, then goes on. Both orders of each.
+//! Crossings on a client's connection, on real sockets: the actor stands still until the byte, the
+//! close or the word is where the test wants it, then goes on. Both orders of each.
 use super::*;
 use crate::config::Names;
 use crate::front::jsonrpc::JsonRpc;
@@ -23,11 +23,19 @@
 
 fn front(shared: &Rc<Shared>) -> impl Fn(u64) -> JsonRpc + use<> {
     let named = |list: &[&str]| list.iter().map(|n| (*n).to_owned()).collect();
-    let names = Names { classes: named(&["lookup"]), tenants: named(&["acme"]), ..Names::default() };
+    let names = Names {
+        classes: named(&["lookup"]),
+        tenants: named(&["acme"]),
+        ..Names::default()
+    };
     let (names, life) = (Rc::new(RefCell::new(Rc::new(names))), shared.clone());
     move |conn| {
         let life = life.clone();
-        JsonRpc::new(conn, names.clone(), Rc::new(move || life.life.borrow().ready()))
+        JsonRpc::new(
+            conn,
+            names.clone(),
+            Rc::new(move || life.life.borrow().ready()),
+        )
     }
 }
 
@@ -40,25 +48,48 @@
     let (useful, idle_since) = (Cell::new(true), Cell::new(None));
     let (leaving, passes) = (Cell::new(false), Cell::new(false));
     let (shed, stream) = (bounded(1).0, Rc::downgrade(&here));
-    let standing = Standing { useful, idle_since, leaving, passes, shed, stream };
+    let standing = Standing {
+        useful,
+        idle_since,
+        leaving,
+        passes,
+        shed,
+        stream,
+    };
     shared.clients.borrow_mut().insert(conn, Rc::new(standing));
     (here, client)
 }
 
 fn line(id: u64) -> Vec<u8> {
-    rpc_line(id, "lookup", &format!("{id:016x}"), "acme", 9_000, "SELECT 1")
+    rpc_line(
+        id,
+        "lookup",
+        &format!("{id:016x}"),
+        "acme",
+        9_000,
+        "SELECT 1",
+    )
 }
 
 fn withdraw(id: u64) -> Vec<u8> {
-    format!("{{\"jsonrpc\":\"2.0\",\"method\":\"withdraw\",\"params\":{{\"id\":{id}}}}}\n").into_bytes()
+    format!("{{\"jsonrpc\":\"2.0\",\"method\":\"withdraw\",\"params\":{{\"id\":{id}}}}}\n")
+        .into_bytes()
 }
 
 fn ask_of(input: &Input) -> Option<&Ask> {
-    if let Input::Ask(ask) = input { Some(ask) } else { None }
+    if let Input::Ask(ask) = input {
+        Some(ask)
+    } else {
+        None
+    }
 }
 
 fn withdrawn(input: Input) -> Option<u64> {
-    if let Input::Withdraw(origin) = input { Some(origin.tag) } else { None }
+    if let Input::Withdraw(origin) = input {
+        Some(origin.tag)
+    } else {
+        None
+    }
 }
 
 impl Rig {
@@ -71,7 +102,13 @@
         let (core, inputs) = bounded(1_000);
         let stream = Async::new(stream).expect("a socket");
         let answers = start(&shared, core, stream, 1, front(&shared)(1), None);
-        Rig { shared, inputs, answers, client, here }
+        Rig {
+            shared,
+            inputs,
+            answers,
+            client,
+            here,
+        }
     }
 
     /// Lets it go on until that holds.
@@ -149,7 +186,8 @@
     }
 }
 
-/// Guards what crosses the end of the process, first order: a request that has come before the shutdown is answered.
+/// Guards what crosses the end of the process, first order: a request that has come before the
+/// shutdown is answered.
 #[test]
 fn a_request_that_came_before_the_shutdown_is_answered() {
     let rig = Rig::new();
@@ -161,7 +199,10 @@
     rig.has_come(request.len());
     rig.ends();
     let text = rig.reads();
-    assert!(text.contains("\"code\":-32050") && text.contains("\"id\":7"), "{text}");
+    assert!(
+        text.contains("\"code\":-32050") && text.contains("\"id\":7"),
+        "{text}"
+    );
     rig.parts();
 }
 
@@ -171,14 +212,21 @@
     let rig = Rig::new();
     rig.opened();
     rig.asks(1);
-    rig.answers.try_send((1, Answer::Served(vec![b'x'; 1 << 15]))).expect("room");
+    rig.answers
+        .try_send((1, Answer::Served(vec![b'x'; 1 << 15])))
+        .expect("room");
     rig.ends();
     // The client has not read a byte when its side is shut; what it sends then crosses that.
     rig.until(|| rig.shared.closing_sockets.get() == 1);
     rig.write(&line(2));
     let text = rig.reads();
-    assert!(text.ends_with('\n') && text.len() > 1 << 15, "{} bytes", text.len());
-    let asks = std::iter::from_fn(|| rig.inputs.try_recv().ok()).filter(|input| ask_of(input).is_some());
+    assert!(
+        text.ends_with('\n') && text.len() > 1 << 15,
+        "{} bytes",
+        text.len()
+    );
+    let asks =
+        std::iter::from_fn(|| rig.inputs.try_recv().ok()).filter(|input| ask_of(input).is_some());
     assert_eq!(asks.count(), 0);
     rig.parts();
 }
@@ -199,7 +247,9 @@
         rig.shared.clients.borrow()[&1].shed.close();
         if before {
             rig.says(|input| ask_of(&input).map(|ask| ask.origin.tag));
-            rig.answers.try_send((7, Answer::Refused(None))).expect("room");
+            rig.answers
+                .try_send((7, Answer::Refused(None)))
+                .expect("room");
         } else {
             rig.until(|| rig.shared.closing_sockets.get() == 1);
             rig.write(&request);
@@ -222,7 +272,8 @@
     rig.parts();
 }
 
-/// Guards clients in the listener's line at the end of the process: each gets its answer or a farewell, not a reset.
+/// Guards clients in the listener's line at the end of the process: each gets its answer or a
+/// farewell, not a reset.
 #[test]
 fn what_waits_in_the_listeners_line_at_the_end_is_answered() {
     let (line_of, addr) = listener();
@@ -232,7 +283,9 @@
     let run = |holds: &dyn Fn() -> bool| assert!(block_on(shared.executor.run(eventually(holds))));
     run(&|| shared.listening.get() == 1);
     // Connected while nothing accepts; the end comes first.
-    let clients: Vec<TcpStream> = (0..3).map(|_| TcpStream::connect(addr).expect("a connection")).collect();
+    let clients: Vec<TcpStream> = (0..3)
+        .map(|_| TcpStream::connect(addr).expect("a connection"))
+        .collect();
     (&clients[0]).write_all(&line(7)).expect("written");
     shared.life.borrow_mut().stop(clock::turn());
     shared.life.borrow_mut().close();
@@ -245,12 +298,19 @@
     }
     drop(clients);
     run(&|| shared.clients.borrow().is_empty());
-    assert_eq!(std::iter::from_fn(|| inputs.try_recv().ok()).filter(|i| ask_of(i).is_some()).count(), 0);
+    assert_eq!(
+        std::iter::from_fn(|| inputs.try_recv().ok())
+            .filter(|i| ask_of(i).is_some())
+            .count(),
+        0
+    );
 }
 
 /// So many messages that are turned away that the client is read slowly for a while.
 fn flooded(rig: &Rig) {
-    let bad: Vec<u8> = (1_000..1_100).flat_map(|id| rpc_line(id, "none", "", "acme", 1, "")).collect();
+    let bad: Vec<u8> = (1_000..1_100)
+        .flat_map(|id| rpc_line(id, "none", "", "acme", 1, ""))
+        .collect();
     rig.write(&bad);
     // All of them were turned away: their answers are there.
     rig.client.set_nonblocking(true).expect("a socket");
@@ -264,7 +324,8 @@
     rig.client.set_nonblocking(false).expect("a socket");
 }
 
-/// Guards against work for nobody: a withdrawal counts at once, also behind a request that is read later.
+/// Guards against work for nobody: a withdrawal counts at once, also behind a request that is read
+/// later.
 #[test]
 fn a_withdrawal_counts_while_its_client_is_read_slowly() {
     let rig = Rig::new();
@@ -280,7 +341,8 @@
     rig.parts();
 }
 
-/// Guards a mark that comes again: a withdrawal is of what was asked before it, not of what is asked after it.
+/// Guards a mark that comes again: a withdrawal is of what was asked before it, not of what is
+/// asked after it.
 #[test]
 fn a_withdrawal_is_of_what_was_asked_before_it() {
     let rig = Rig::new();
@@ -313,7 +375,9 @@
     rig.opened();
     (1..=9).for_each(|id| rig.asks(id));
     for id in 1..=8 {
-        rig.answers.try_send((id, Answer::Served(vec![b'x'; 4 << 20]))).expect("room");
+        rig.answers
+            .try_send((id, Answer::Served(vec![b'x'; 4 << 20])))
+            .expect("room");
     }
     rig.until(|| rig.shared.unwritten_bytes.get() > 8 << 20);
     rig.write(&withdraw(9));
@@ -342,8 +406,8 @@
     rig.parts();
 }
 
-/// Guards places for new clients: one that only waits for its client's end holds none, and beyond the places for those
-/// it is closed at once.
+/// Guards places for new clients: one that only waits for its client's end holds none, and beyond
+/// the places for those it is closed at once.
 #[test]
 fn ended_connections_hold_no_clients_places() {
     let shared = Shared::new(64, 64);
@@ -352,10 +416,16 @@
     let (core, _inputs) = bounded(1_000);
     shared.spawn(listen(shared.clone(), core, line_of, front(&shared)));
     let run = |holds: &dyn Fn() -> bool| assert!(block_on(shared.executor.run(eventually(holds))));
-    let clients: Vec<TcpStream> = (0..5).map(|_| TcpStream::connect(addr).expect("a connection")).collect();
+    let clients: Vec<TcpStream> = (0..5)
+        .map(|_| TcpStream::connect(addr).expect("a connection"))
+        .collect();
     run(&|| shared.client_sockets.get() == 5);
     send_away(&shared);
-    shared.clients.borrow().values().for_each(|standing| _ = standing.shed.close());
+    shared
+        .clients
+        .borrow()
+        .values()
+        .for_each(|standing| _ = standing.shed.close());
     run(&|| shared.client_sockets.get() == 0);
     assert!(shared.closing_sockets.get() <= 2);
     drop(clients);
--- a/tests/inside/coordinator.rs
+++ b/tests/inside/coordinator.rs
@@ -13,7 +13,8 @@
     Rc::new(Place::at(last))
 }
 
-/// Guards the numbers across a move: a second connection tells nothing twice and goes on where all stand.
+/// Guards the numbers across a move: a second connection tells nothing twice and goes on where all
+/// stand.
 #[test]
 fn two_connections_tell_each_event_once() {
     let place = at(3);
@@ -21,17 +22,32 @@
     assert_eq!(old.feed(&event(4, 2, 1)).unwrap().len(), 1);
     assert_eq!(new.hello(), 4u64.to_be_bytes());
     assert_eq!(new.feed(&event(5, 2, 1)).unwrap().len(), 1);
-    assert_eq!(old.feed(&[event(5, 2, 1), event(6, 2, 1)].concat()).unwrap()[0].index, 6);
+    assert_eq!(
+        old.feed(&[event(5, 2, 1), event(6, 2, 1)].concat())
+            .unwrap()[0]
+            .index,
+        6
+    );
     assert!(new.feed(&event(6, 2, 1)).unwrap().is_empty());
 }
 
 #[test]
 fn events_come_once_and_in_order_however_the_bytes_are_cut() {
-    let wire = [event(4, 1, 2), event(4, 0, 0), event(4, 1, 2), event(5, 2, 1)].concat();
+    let wire = [
+        event(4, 1, 2),
+        event(4, 0, 0),
+        event(4, 1, 2),
+        event(5, 2, 1),
+    ]
+    .concat();
     for step in 1..wire.len() {
         let mut follower = Follower::new(at(3));
-        let pieces = wire.chunks(step).flat_map(|piece| follower.feed(piece).unwrap());
-        let got: Vec<(u64, bool, usize)> = pieces.map(|u| (u.index, u.whole, u.engines.len())).collect();
+        let pieces = wire
+            .chunks(step)
+            .flat_map(|piece| follower.feed(piece).unwrap());
+        let got: Vec<(u64, bool, usize)> = pieces
+            .map(|u| (u.index, u.whole, u.engines.len()))
+            .collect();
         assert_eq!(got, [(4, true, 2), (5, false, 1)]);
     }
 }
@@ -58,8 +74,8 @@
     assert_eq!(frame(&event(1, 2, 1)[..20]), Ok(None));
 }
 
-/// Guards the drain rule against open watches that fall silent, several in a row: each is dialled anew from the last
-/// number, and what it hid is told.
+/// Guards the drain rule against open watches that fall silent, several in a row: each is dialled
+/// anew from the last number, and what it hid is told.
 #[test]
 fn watches_that_fall_silent_are_dialled_anew_from_the_last_number() {
     let shared = Shared::new(64, 64);
@@ -68,7 +84,12 @@
     let (list, updates) = async_channel::bounded(16);
     shared.spawn(run(shared.clone(), (3, 9), moves, list, || {}));
     let (hellos, told) = async_io::block_on(shared.executor.run(async {
-        let _ = where_to.send(Move { addr: Some(addr), known: Vec::new() }).await;
+        let _ = where_to
+            .send(Move {
+                addr: Some(addr),
+                known: Vec::new(),
+            })
+            .await;
         let (mut hellos, mut open) = (Vec::new(), Vec::new());
         for n in 0..3 {
             let (mut stream, _) = line.accept().await.expect("a watch");
@@ -80,7 +101,10 @@
             stream.write_all(&words[n]).await.expect("written");
             open.push(stream);
         }
-        (hellos, [updates.recv().await, updates.recv().await].map(|u| u.expect("news").index))
+        (
+            hellos,
+            [updates.recv().await, updates.recv().await].map(|u| u.expect("news").index),
+        )
     }));
     assert_eq!((hellos, told), (vec![3, 4, 4], [4, 5]));
 }
--- a/tests/inside/duties.rs
+++ b/tests/inside/duties.rs
@@ -1,5 +1,6 @@
-//! Leases among simulated managers: clocks that drift, datagrams that are lost, late, doubled and overtaken, processes
-//! that are stopped, killed and started anew, partitions. All from fixed seeds.
+//! Leases among simulated managers: clocks that drift, datagrams that are lost, late, doubled and
+//! overtaken, processes that are stopped, killed and started anew, partitions. All from fixed
+//! seeds.
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config as ProptestConfig, RngSeed};
@@ -51,14 +52,20 @@
 }
 
 fn terms() -> Terms {
-    Terms { term_ms: 1_000, drift: 20, margin_ms: 20, ..Terms::default() }
+    Terms {
+        term_ms: 1_000,
+        drift: 20,
+        margin_ms: 20,
+        ..Terms::default()
+    }
 }
 
 impl World {
     fn new(seed: u64) -> World {
         let mut random = Pcg32::seed_from_u64(seed);
         let all = (0..MEMBERS).map(|i| Process {
-            // As many voters as members; what no earlier life granted needs no silence, but it is kept all the same.
+            // As many voters as members; what no earlier life granted needs no silence, but it is
+            // kept all the same.
             voter: Voter::new(terms(), Highest::default(), 0),
             candidate: World::candidate(i, 1, seed),
             fence: Fence::default(),
@@ -71,12 +78,30 @@
         });
         let all = all.collect();
         let (letters, cut, owned, ready) = (Vec::new(), BTreeSet::new(), Vec::new(), Vec::new());
-        World { all, now: 0, letters, cut, loss: 0, late: false, random, owned, ready }
+        World {
+            all,
+            now: 0,
+            letters,
+            cut,
+            loss: 0,
+            late: false,
+            random,
+            owned,
+            ready,
+        }
     }
 
     fn candidate(i: usize, life: u64, seed: u64) -> Candidate {
-        let me = Holder { name: name(i), life };
-        Candidate::new(me, (0..MEMBERS).map(name).collect(), terms(), seed + life * 31 + i as u64)
+        let me = Holder {
+            name: name(i),
+            life,
+        };
+        Candidate::new(
+            me,
+            (0..MEMBERS).map(name).collect(),
+            terms(),
+            seed + life * 31 + i as u64,
+        )
     }
 
     fn clock(&self, i: usize) -> Micros {
@@ -87,11 +112,20 @@
         if self.cut.contains(&(from, to)) || self.random.next_u32() % 100 < self.loss {
             return;
         }
-        let copies = if self.random.next_u32().is_multiple_of(20) { 2 } else { 1 };
+        let copies = if self.random.next_u32().is_multiple_of(20) {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
-            let most = if self.late && self.random.next_u32().is_multiple_of(4) { 2_500 } else { 30 };
+            let most = if self.late && self.random.next_u32().is_multiple_of(4) {
+                2_500
+            } else {
+                30
+            };
             let way = u64::from(1 + self.random.next_u32() % most) * MS;
-            self.letters.push((self.now + way, from, to, letter.clone()));
+            self.letters
+                .push((self.now + way, from, to, letter.clone()));
         }
     }
 
@@ -103,7 +137,9 @@
                 Action::Ask(voter, _, token, number) => {
                     self.send(i, to(&voter), Letter::Ask(me, token, number))
                 }
-                Action::Release(voter, _, token) => self.send(i, to(&voter), Letter::Release(me, token)),
+                Action::Release(voter, _, token) => {
+                    self.send(i, to(&voter), Letter::Release(me, token))
+                }
                 Action::Owned(_, token) => self.owned.push((i, token)),
                 Action::Over(..) => {}
             }
@@ -119,7 +155,14 @@
                 self.send(to, from, Letter::Vote(name(to), number, vote));
             }
             Letter::Vote(voter, number, vote) => {
-                process.candidate.vote(&voter, (DUTY, number), &vote, &mut process.fence, now, &mut out);
+                process.candidate.vote(
+                    &voter,
+                    (DUTY, number),
+                    &vote,
+                    &mut process.fence,
+                    now,
+                    &mut out,
+                );
             }
             Letter::Release(holder, token) => process.voter.release(DUTY, &holder, token),
             Letter::Result(token) => {
@@ -134,7 +177,9 @@
     /// One step of time; an error if two own the duty at once, or tokens do not grow.
     fn step(&mut self) -> Result<(), String> {
         self.now += STEP;
-        let (due, rest) = std::mem::take(&mut self.letters).into_iter().partition(|l| l.0 <= self.now);
+        let (due, rest) = std::mem::take(&mut self.letters)
+            .into_iter()
+            .partition(|l| l.0 <= self.now);
         self.letters = rest;
         let mut due: Vec<(Micros, usize, usize, Letter)> = due;
         due.sort_by_key(|l| l.0);
@@ -150,7 +195,12 @@
                 continue;
             }
             let (now, mut out) = (self.clock(i), Vec::new());
-            let Process { candidate, fence, wants, .. } = &mut self.all[i];
+            let Process {
+                candidate,
+                fence,
+                wants,
+                ..
+            } = &mut self.all[i];
             if *wants {
                 candidate.want(DUTY, fence, now, &mut out);
             }
@@ -165,7 +215,9 @@
             }
         }
         let owners: Vec<usize> = (0..self.all.len())
-            .filter(|i| !self.all[*i].dead && self.all[*i].candidate.owns(DUTY, self.clock(*i)).is_some())
+            .filter(|i| {
+                !self.all[*i].dead && self.all[*i].candidate.owns(DUTY, self.clock(*i)).is_some()
+            })
             .collect();
         if owners.len() > 1 {
             return Err(format!("{owners:?} own it at {} ms", self.now / MS));
@@ -192,10 +244,13 @@
         self.all[i].paused = true;
     }
 
-    /// It goes on: what it had decided on before it was stopped goes out now, whatever its lease has become.
+    /// It goes on: what it had decided on before it was stopped goes out now, whatever its lease
+    /// has become.
     fn resume(&mut self, i: usize) {
         self.all[i].paused = false;
-        let (mine, rest) = std::mem::take(&mut self.ready).into_iter().partition(|(who, _)| *who == i);
+        let (mine, rest) = std::mem::take(&mut self.ready)
+            .into_iter()
+            .partition(|(who, _)| *who == i);
         self.ready = rest;
         let mine: Vec<(usize, Token)> = mine;
         for (from, token) in mine {
@@ -215,12 +270,16 @@
 
     /// The duty is this one's to do, as all agree.
     fn first(&mut self, i: usize) {
-        self.all.iter_mut().enumerate().for_each(|(at, p)| p.wants = at == i);
+        self.all
+            .iter_mut()
+            .enumerate()
+            .for_each(|(at, p)| p.wants = at == i);
     }
 
     fn owner(&self) -> Option<usize> {
-        (0..self.all.len())
-            .find(|i| !self.all[*i].dead && self.all[*i].candidate.owns(DUTY, self.clock(*i)).is_some())
+        (0..self.all.len()).find(|i| {
+            !self.all[*i].dead && self.all[*i].candidate.owns(DUTY, self.clock(*i)).is_some()
+        })
     }
 }
 
@@ -264,9 +323,10 @@
         cases: 96, failure_persistence: None, rng_seed: RngSeed::Fixed(20_261_203), ..ProptestConfig::default()
     })]
 
-    /// Guards the whole of it under random faults: never two owners at once, whoever takes itself for the one to do the
-    /// duty; tokens only grow; no result is accepted under a lower token than one before it; and once the faults are
-    /// over, the one whose duty it is owns it within a few terms.
+    /// Guards the whole of it under random faults: never two owners at once, whoever takes itself
+    /// for the one to do the duty; tokens only grow; no result is accepted under a lower token than
+    /// one before it; and once the faults are over, the one whose duty it is owns it within a few
+    /// terms.
     #[test]
     fn never_two_owners_and_always_one_after_the_faults(
         seed in any::<u64>(), faults in proptest::collection::vec(fault(), 1..40),
@@ -304,8 +364,9 @@
     }
 }
 
-/// Guards the late waker, step by step: the owner is stopped past its term, another owns the duty meanwhile; when the
-/// first goes on it owns nothing, and the result that it had ready is dropped by whoever has seen the other's.
+/// Guards the late waker, step by step: the owner is stopped past its term, another owns the duty
+/// meanwhile; when the first goes on it owns nothing, and the result that it had ready is dropped
+/// by whoever has seen the other's.
 #[test]
 fn an_owner_that_wakes_late_does_no_harm() {
     let mut world = World::new(3);
@@ -314,7 +375,11 @@
     world.pause(0);
     world.first(1);
     world.run(500).expect("no two owners");
-    assert_eq!(world.owner(), Some(0), "its term still stands, by its own clock");
+    assert_eq!(
+        world.owner(),
+        Some(0),
+        "its term still stands, by its own clock"
+    );
     world.run(2_000).expect("no two owners");
     assert_eq!(world.owner(), Some(1));
     let late = world.ready[0].1;
@@ -323,11 +388,15 @@
     world.resume(0);
     world.run(300).expect("no two owners");
     let dropped = world.all.iter().map(|p| p.fence.dropped).sum::<u64>() - before;
-    assert!(dropped >= MEMBERS as u64 - 1, "{dropped} of the late results were dropped");
+    assert!(
+        dropped >= MEMBERS as u64 - 1,
+        "{dropped} of the late results were dropped"
+    );
     assert_eq!(world.owner(), Some(1));
 }
 
-/// Guards handover on a planned end: what is given up is another's within moments, not after the term.
+/// Guards handover on a planned end: what is given up is another's within moments, not after the
+/// term.
 #[test]
 fn a_lease_that_is_given_up_passes_at_once() {
     let mut world = World::new(4);
@@ -341,83 +410,172 @@
         world.step().expect("no two owners");
     }
     assert_eq!(world.owner(), Some(2));
-    assert!(world.now < from + 400 * MS, "took {} ms", (world.now - from) / MS);
+    assert!(
+        world.now < from + 400 * MS,
+        "took {} ms",
+        (world.now - from) / MS
+    );
 }
 
-/// Guards a voter's restart: it may have granted just before it ended, so it grants nothing for a term; and a token
-/// that an earlier life granted is never granted again.
+/// Guards a voter's restart: it may have granted just before it ended, so it grants nothing for a
+/// term; and a token that an earlier life granted is never granted again.
 #[test]
 fn a_voter_that_was_started_anew_is_silent_for_a_term() {
-    let (a, b) = (Holder { name: "a".into(), life: 1 }, Holder { name: "b".into(), life: 1 });
+    let (a, b) = (
+        Holder {
+            name: "a".into(),
+            life: 1,
+        },
+        Holder {
+            name: "b".into(),
+            life: 1,
+        },
+    );
     let mut voter = Voter::new(terms(), Highest::default(), 0);
-    assert_eq!(voter.request(999 * MS, DUTY, &a, 1), (Vote::Refused(0), false));
-    assert_eq!(voter.request(1_000 * MS, DUTY, &a, 1), (Vote::Granted, true));
-    assert_eq!(voter.request(1_500 * MS, DUTY, &a, 1), (Vote::Granted, false), "renewed");
-    assert_eq!(voter.request(1_600 * MS, DUTY, &b, 2), (Vote::Refused(1), false), "it is taken");
+    assert_eq!(
+        voter.request(999 * MS, DUTY, &a, 1),
+        (Vote::Refused(0), false)
+    );
+    assert_eq!(
+        voter.request(1_000 * MS, DUTY, &a, 1),
+        (Vote::Granted, true)
+    );
+    assert_eq!(
+        voter.request(1_500 * MS, DUTY, &a, 1),
+        (Vote::Granted, false),
+        "renewed"
+    );
+    assert_eq!(
+        voter.request(1_600 * MS, DUTY, &b, 2),
+        (Vote::Refused(1), false),
+        "it is taken"
+    );
     assert_eq!(
         voter.request(2_500 * MS, DUTY, &a, 1),
         (Vote::Refused(1), false),
         "over: not under the same token"
     );
     let mut voter = Voter::new(terms(), voter.highest().clone(), 2_600 * MS);
-    assert_eq!(voter.request(3_500 * MS, DUTY, &b, 2), (Vote::Refused(1), false), "silent");
-    assert_eq!(voter.request(3_600 * MS, DUTY, &b, 1), (Vote::Refused(1), false));
-    assert_eq!(voter.request(3_600 * MS, DUTY, &b, 2), (Vote::Granted, true));
+    assert_eq!(
+        voter.request(3_500 * MS, DUTY, &b, 2),
+        (Vote::Refused(1), false),
+        "silent"
+    );
+    assert_eq!(
+        voter.request(3_600 * MS, DUTY, &b, 1),
+        (Vote::Refused(1), false)
+    );
+    assert_eq!(
+        voter.request(3_600 * MS, DUTY, &b, 2),
+        (Vote::Granted, true)
+    );
     voter.release(DUTY, &a, 2);
-    assert_eq!(voter.request(3_700 * MS, DUTY, &a, 3).0, Vote::Refused(2), "not another's to give up");
+    assert_eq!(
+        voter.request(3_700 * MS, DUTY, &a, 3).0,
+        Vote::Refused(2),
+        "not another's to give up"
+    );
     voter.release(DUTY, &b, 2);
-    assert_eq!(voter.request(3_700 * MS, DUTY, &a, 3), (Vote::Granted, true));
+    assert_eq!(
+        voter.request(3_700 * MS, DUTY, &a, 3),
+        (Vote::Granted, true)
+    );
 }
 
-/// Guards those that wait for an owner: an engine that never answers, one that can't be asked, and a lease that ends while
-/// the engine is asked all make them ask by themselves; and nobody is told anything under a lease that is over.
+/// Guards those that wait for an owner: an engine that never answers, one that can't be asked, and
+/// a lease that ends while the engine is asked all make them ask by themselves; and nobody is told
+/// anything under a lease that is over.
 #[test]
 fn whoever_waits_for_an_owner_is_answered_or_told_to_ask_itself() {
     use probing::{Prober, Sounding, Step};
     let from = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     let terms = terms();
-    let me = Holder { name: "a".into(), life: 1 };
-    let (mut candidate, mut fence) = (Candidate::new(me, vec!["v".into()], terms, 1), Fence::default());
+    let me = Holder {
+        name: "a".into(),
+        life: 1,
+    };
+    let (mut candidate, mut fence) = (
+        Candidate::new(me, vec!["v".into()], terms, 1),
+        Fence::default(),
+    );
     let (mut actions, mut steps) = (Vec::new(), Vec::new());
     candidate.want(DUTY, &fence, 0, &mut actions);
-    let Some(Action::Ask(_, _, token, number)) = actions.first().cloned() else { panic!("it asks") };
-    candidate.vote("v", (DUTY, number), &Vote::Granted, &mut fence, MS, &mut actions);
+    let Some(Action::Ask(_, _, token, number)) = actions.first().cloned() else {
+        panic!("it asks")
+    };
+    candidate.vote(
+        "v",
+        (DUTY, number),
+        &Vote::Granted,
+        &mut fence,
+        MS,
+        &mut actions,
+    );
     let end = terms.valid();
     assert_eq!(candidate.lease(DUTY, MS), Some((token, end)));
     let mut prober = Prober::new(20 * MS);
-    let heard = Sounding { well: true, took: 5, ..Sounding::default() };
+    let heard = Sounding {
+        well: true,
+        took: 5,
+        ..Sounding::default()
+    };
     let mut ask = |prober: &mut Prober, candidate: &mut Candidate, now, number| {
         let mut steps = Vec::new();
-        prober.asked((from, 7, number), true, (candidate, &fence), now, (&mut actions, &mut steps));
+        prober.asked(
+            (from, 7, number),
+            true,
+            (candidate, &fence),
+            now,
+            (&mut actions, &mut steps),
+        );
         steps
     };
     // Two that wait cost one probe, which must not go out after the lease; both are told.
-    assert_eq!(ask(&mut prober, &mut candidate, 2 * MS, 1), [Step::ProbeForOthers(7, end)]);
+    assert_eq!(
+        ask(&mut prober, &mut candidate, 2 * MS, 1),
+        [Step::ProbeForOthers(7, end)]
+    );
     assert_eq!(ask(&mut prober, &mut candidate, 3 * MS, 2), []);
     prober.answered(7, Some(heard), &candidate, 4 * MS, &mut steps);
     let tell = |number| Step::Tell(from, 7, number, token, heard);
     assert_eq!(std::mem::take(&mut steps), [tell(1), tell(2)]);
-    assert_eq!(ask(&mut prober, &mut candidate, 50 * MS, 3), [tell(3)], "it was just told");
+    assert_eq!(
+        ask(&mut prober, &mut candidate, 50 * MS, 3),
+        [tell(3)],
+        "it was just told"
+    );
     // It can't be asked.
-    assert_eq!(ask(&mut prober, &mut candidate, 200 * MS, 4), [Step::ProbeForOthers(7, end)]);
+    assert_eq!(
+        ask(&mut prober, &mut candidate, 200 * MS, 4),
+        [Step::ProbeForOthers(7, end)]
+    );
     prober.answered(7, None, &candidate, 201 * MS, &mut steps);
     assert_eq!(std::mem::take(&mut steps), [Step::NotMine(from, 7, 4)]);
     // The lease ends while it is asked.
-    assert_eq!(ask(&mut prober, &mut candidate, 300 * MS, 5), [Step::ProbeForOthers(7, end)]);
+    assert_eq!(
+        ask(&mut prober, &mut candidate, 300 * MS, 5),
+        [Step::ProbeForOthers(7, end)]
+    );
     prober.answered(7, Some(heard), &candidate, end, &mut steps);
     assert_eq!(std::mem::take(&mut steps), [Step::NotMine(from, 7, 5)]);
-    assert_eq!(ask(&mut prober, &mut candidate, end + MS, 6), [Step::NotMine(from, 7, 6)]);
+    assert_eq!(
+        ask(&mut prober, &mut candidate, end + MS, 6),
+        [Step::NotMine(from, 7, 6)]
+    );
     // It never answers.
     let mut prober = Prober::new(20 * MS);
-    assert_eq!(ask(&mut prober, &mut candidate, 400 * MS, 7), [Step::ProbeForOthers(7, end)]);
+    assert_eq!(
+        ask(&mut prober, &mut candidate, 400 * MS, 7),
+        [Step::ProbeForOthers(7, end)]
+    );
     let wakes = prober.wakes().expect("it looks after those that wait");
     prober.tick(wakes, &mut steps);
     assert_eq!(steps, [Step::NotMine(from, 7, 7)]);
     assert_eq!(prober.wakes(), None);
 }
 
-/// Guards memory and the disk against duties without end, as of engines that come and go: so many are remembered, and what is
-/// forgotten lowers no token.
+/// Guards memory and the disk against duties without end, as of engines that come and go: so many
+/// are remembered, and what is forgotten lowers no token.
 #[test]
 fn what_is_forgotten_lowers_no_token() {
     let (mut highest, mut model) = (Highest::default(), BTreeMap::new());
@@ -432,25 +590,38 @@
         assert!(highest.tokens.len() <= KNOWN);
     }
     assert!(model.len() > 2 * KNOWN);
-    assert!(model.iter().all(|(duty, token)| highest.of(*duty) >= *token));
+    assert!(
+        model
+            .iter()
+            .all(|(duty, token)| highest.of(*duty) >= *token)
+    );
     let mut voter = Voter::new(terms(), highest.clone(), 0);
-    let me = Holder { name: "a".into(), life: 1 };
+    let me = Holder {
+        name: "a".into(),
+        life: 1,
+    };
     let now = 2_000 * MS;
     let granted = |voter: &mut Voter, n: u64| {
         let duty = Duty::Probe(10_000 + n);
-        voter.request(now, duty, &me, highest.of(duty) + 1_000_000 + n).0 == Vote::Granted
+        voter
+            .request(now, duty, &me, highest.of(duty) + 1_000_000 + n)
+            .0
+            == Vote::Granted
     };
     let count = (0..3_000).filter(|n| granted(&mut voter, *n)).count();
     assert_eq!(count, KNOWN, "leases at once");
 }
 
-/// Guards duties against a wholesale move: one member that goes leaves every other member's duties where they are.
+/// Guards duties against a wholesale move: one member that goes leaves every other member's duties
+/// where they are.
 #[test]
 fn a_member_that_goes_moves_only_its_own_duties() {
     let names: Vec<String> = (0..300).map(name).collect();
     let of = |without: &str| -> Vec<String> {
         let live = || names.iter().map(String::as_str).filter(|n| *n != without);
-        (0..80).map(|e| first(Duty::Probe(e), live()).expect("one").to_owned()).collect()
+        (0..80)
+            .map(|e| first(Duty::Probe(e), live()).expect("one").to_owned())
+            .collect()
     };
     let all = of("");
     let gone = all[5].clone();
@@ -458,5 +629,9 @@
         assert_eq!(*before == after, *before != gone);
     }
     let owners: BTreeSet<&String> = all.iter().collect();
-    assert!(owners.len() > 60, "80 duties on {} of 300 members", owners.len());
+    assert!(
+        owners.len() > 60,
+        "80 duties on {} of 300 members",
+        owners.len()
+    );
 }
--- a/tests/inside/ends.rs
+++ b/tests/inside/ends.rs
@@ -21,17 +21,45 @@
     End::Dropped,
 ];
 
-/// Guards rule 2: after a byte went out only the engine's word, or a connection that never was, clears it.
+/// Guards rule 2: after a byte went out only the engine's word, or a connection that never was,
+/// clears it.
 #[test]
 fn only_the_engine_says_that_what_went_out_never_ran() {
     let clears = |end: &End| never_ran(outcome(*end, Reach::Sent));
     let cleared: Vec<End> = ALL.into_iter().filter(clears).collect();
-    assert_eq!(cleared, [End::Full, End::Past, End::Refused, End::ConnectTimeout, End::Unreachable]);
-    // With its end held back nothing can run, whatever breaks; but what this side gives up may still go out.
-    let breaks = [End::Closed, End::Reset, End::Garbled, End::Silent, End::Dropped];
-    assert!(breaks.into_iter().all(|end| never_ran(outcome(end, Reach::Begun))));
-    assert!([End::Withdrawn, End::Deadline].into_iter().all(|end| !never_ran(outcome(end, Reach::Begun))));
-    let stuck: Vec<End> = ALL.into_iter().filter(|e| !never_ran(outcome(*e, Reach::Unsent))).collect();
+    assert_eq!(
+        cleared,
+        [
+            End::Full,
+            End::Past,
+            End::Refused,
+            End::ConnectTimeout,
+            End::Unreachable
+        ]
+    );
+    // With its end held back nothing can run, whatever breaks; but what this side gives up may
+    // still go out.
+    let breaks = [
+        End::Closed,
+        End::Reset,
+        End::Garbled,
+        End::Silent,
+        End::Dropped,
+    ];
+    assert!(
+        breaks
+            .into_iter()
+            .all(|end| never_ran(outcome(end, Reach::Begun)))
+    );
+    assert!(
+        [End::Withdrawn, End::Deadline]
+            .into_iter()
+            .all(|end| !never_ran(outcome(end, Reach::Begun)))
+    );
+    let stuck: Vec<End> = ALL
+        .into_iter()
+        .filter(|e| !never_ran(outcome(*e, Reach::Unsent)))
+        .collect();
     assert_eq!(stuck, [End::Done, End::Broke]);
 }
 
--- a/tests/inside/engine.rs
+++ b/tests/inside/engine.rs
@@ -19,7 +19,17 @@
 fn job(single: bool) -> Job {
     let (id, attempt, class, until) = (RequestId(1), AttemptNo(0), "lookup".into(), 9_000_000);
     let (key, statement, session) = ("k".into(), Rc::from(&b"select"[..]), None);
-    Job { id, attempt, key, class, statement, session, single, until, ..Job::default() }
+    Job {
+        id,
+        attempt,
+        key,
+        class,
+        statement,
+        session,
+        single,
+        until,
+        ..Job::default()
+    }
 }
 
 /// A connection of four streams, one attempt on it or none, which has answered before or not.
@@ -35,17 +45,28 @@
         alone: Cell::new(false),
         proven: Rc::new(Cell::new(proven)),
     };
-    handle.attempts.borrow_mut().extend(taken.then_some(RequestId(9)));
+    handle
+        .attempts
+        .borrow_mut()
+        .extend(taken.then_some(RequestId(9)));
     handle
 }
 
-/// Guards against resets, which strike most at the first that a connection carries, and against spoilt answers to
-/// others: what must never run twice goes alone, on one that has answered before where there is one.
+/// Guards against resets, which strike most at the first that a connection carries, and against
+/// spoilt answers to others: what must never run twice goes alone, on one that has answered before
+/// where there is one.
 #[test]
 fn what_must_never_run_twice_prefers_an_idle_connection_that_has_answered() {
-    let conns = [connection(false, false), connection(true, true), connection(false, true)];
+    let conns = [
+        connection(false, false),
+        connection(true, true),
+        connection(false, true),
+    ];
     let pick = |job: Job| {
-        let room = conns.iter().enumerate().filter(|(_, c)| c.takes(&job, true));
+        let room = conns
+            .iter()
+            .enumerate()
+            .filter(|(_, c)| c.takes(&job, true));
         room.min_by_key(|(_, c)| c.rank(&job)).map(|(at, _)| at)
     };
     assert_eq!(pick(job(true)), Some(2));
@@ -58,35 +79,56 @@
     let client = TcpStream::connect(addr).expect("a connection");
     let (stream, _) = line.get_ref().accept().expect("a connection");
     let front = JsonRpc::new(conn, Rc::default(), Rc::new(|| true));
-    crate::net::client::start(shared, core.clone(), Async::new(stream).expect("a socket"), conn, front, None);
+    crate::net::client::start(
+        shared,
+        core.clone(),
+        Async::new(stream).expect("a socket"),
+        conn,
+        front,
+        None,
+    );
     client
 }
 
-/// What an engine reads of one attempt whose client goes, with bytes of it that nobody has read, before or after the
-/// attempt's first byte; and what the core is told.
+/// What an engine reads of one attempt whose client goes, with bytes of it that nobody has read,
+/// before or after the attempt's first byte; and what the core is told.
 fn dispatch(gone_before: bool) -> (String, Vec<String>) {
     let shared = Shared::new(64, 64);
     let (core, inputs) = async_channel::bounded(100);
     let (line, addr) = listener();
-    let names = Rc::new(Names { streams: 4, ..Names::default() });
+    let names = Rc::new(Names {
+        streams: 4,
+        ..Names::default()
+    });
     let (all, module) = (shared.clone(), core.clone());
     let start: Start = Rc::new(move |row| {
         let (peer, names) = (row.peer(5 * SEC, 15 * SEC, false), names.clone());
-        spawn(&all, module.clone(), row, peer, move || Platform::new(names.clone()))
+        spawn(&all, module.clone(), row, peer, move || {
+            Platform::new(names.clone())
+        })
     });
     let row = Row::new(EngineId(1), addr, Readiness::Ready, start);
     let run = |holds: &mut dyn FnMut() -> bool| {
-        assert!(async_io::block_on(shared.executor.run(eventually(holds))), "it never came to that");
+        assert!(
+            async_io::block_on(shared.executor.run(eventually(holds))),
+            "it never came to that"
+        );
     };
     let mut client = Some(client(&shared, &core, 7));
     run(&mut || shared.clients.borrow().contains_key(&7));
     let leaves = |client: &mut Option<TcpStream>| {
-        // Its actor reads slowly, or is about to: it stands still while this is written and the end follows.
+        // Its actor reads slowly, or is about to: it stands still while this is written and the end
+        // follows.
         let mut client = client.take().expect("a client");
         client.write_all(b"{\"jsonrpc\":").expect("written");
     };
     let now = crate::clock::turn();
-    let job = Job { conn: 7, statement: Rc::from(&b"SELECT 1"[..]), until: now + 9 * SEC, ..job(false) };
+    let job = Job {
+        conn: 7,
+        statement: Rc::from(&b"SELECT 1"[..]),
+        until: now + 9 * SEC,
+        ..job(false)
+    };
     if gone_before {
         leaves(&mut client);
     }
@@ -95,9 +137,12 @@
     let (mut told, mut kept) = (Vec::new(), Vec::new());
     let mut stream = None;
     run(&mut || {
-        stream = stream.take().or_else(|| line.get_ref().accept().ok()).inspect(|(stream, _)| {
-            stream.set_nonblocking(true).expect("a socket");
-        });
+        stream = stream
+            .take()
+            .or_else(|| line.get_ref().accept().ok())
+            .inspect(|(stream, _)| {
+                stream.set_nonblocking(true).expect("a socket");
+            });
         let mut piece = [0; 256];
         if let Some((stream, _)) = &stream
             && let Ok(n) = (&*stream).read(&mut piece)
@@ -120,8 +165,9 @@
     (String::from_utf8(text).expect("text"), told)
 }
 
-/// Guards against work for nobody, first order: the client has gone when the attempt is about to go out, its end behind
-/// bytes that nobody has read. Not a byte goes out, and the core hears of the client before it hears of the attempt.
+/// Guards against work for nobody, first order: the client has gone when the attempt is about to go
+/// out, its end behind bytes that nobody has read. Not a byte goes out, and the core hears of the
+/// client before it hears of the attempt.
 #[test]
 fn no_attempt_begins_for_a_client_that_has_gone() {
     let (text, told) = dispatch(true);
@@ -136,5 +182,8 @@
 fn an_attempt_that_has_begun_goes_out_whole_though_its_client_goes() {
     let (text, told) = dispatch(false);
     assert_eq!(text.matches("do k ").count(), 1, "{text}");
-    assert!(told.iter().any(|t| t == "hung up 7") && !told.iter().any(|t| t.contains("Unsent")), "{told:?}");
+    assert!(
+        told.iter().any(|t| t == "hung up 7") && !told.iter().any(|t| t.contains("Unsent")),
+        "{told:?}"
+    );
 }
--- a/tests/inside/generations.rs
+++ b/tests/inside/generations.rs
@@ -5,7 +5,11 @@
 use std::collections::BTreeMap;
 
 fn class(name: u8, kind: u8) -> Class {
-    let effect = if kind.is_multiple_of(2) { Effect::Safe } else { Effect::Unsafe };
+    let effect = if kind.is_multiple_of(2) {
+        Effect::Safe
+    } else {
+        Effect::Unsafe
+    };
     let spec = ClassSpec {
         worth: 1.0,
         late_worth: 0.1,
@@ -21,7 +25,10 @@
         only_zones: None,
         only_kinds: None,
     };
-    Class { name: format!("class-{name}").as_str().into(), spec }
+    Class {
+        name: format!("class-{name}").as_str().into(),
+        spec,
+    }
 }
 
 #[derive(Clone, Debug)]
@@ -36,7 +43,11 @@
         match u8::arbitrary(g) % 4 {
             0 => {
                 let count = u8::arbitrary(g) % 5 + 1;
-                Step::Next((0..count).map(|_| (u8::arbitrary(g) % 6, u8::arbitrary(g) % 2)).collect())
+                Step::Next(
+                    (0..count)
+                        .map(|_| (u8::arbitrary(g) % 6, u8::arbitrary(g) % 2))
+                        .collect(),
+                )
             }
             1 => Step::Close(u8::arbitrary(g)),
             _ => Step::Open(u8::arbitrary(g) % 6),
@@ -44,13 +55,15 @@
     }
 }
 
-/// Guards the rules of open requests: whatever is configured meanwhile, the slot that a request was taken under
-/// says what it said then; what is in force is exactly the last file; and slots do not pile up.
+/// Guards the rules of open requests: whatever is configured meanwhile, the slot that a request was
+/// taken under says what it said then; what is in force is exactly the last file; and slots do not
+/// pile up.
 #[test]
 fn a_slot_keeps_its_meaning_while_anything_open_refers_to_it() {
     fn play(steps: Vec<Step>) -> bool {
         let mut now: BTreeMap<u8, u8> = [(0, 0), (1, 0), (2, 1)].into();
-        let all = |now: &BTreeMap<u8, u8>| now.iter().map(|(n, k)| class(*n, *k)).collect::<Vec<_>>();
+        let all =
+            |now: &BTreeMap<u8, u8>| now.iter().map(|(n, k)| class(*n, *k)).collect::<Vec<_>>();
         let mut generations = Generations::new(all(&now));
         let mut open: Vec<(ClassId, Class)> = Vec::new();
         let mut most = now.len();
@@ -67,7 +80,9 @@
                     for Fresh { slot, heir_of } in fresh {
                         let class = generations.class(slot).cloned();
                         let Some(class) = class else { return false };
-                        let named = now.iter().any(|(n, k)| self::class(*n, *k).name == class.name);
+                        let named = now
+                            .iter()
+                            .any(|(n, k)| self::class(*n, *k).name == class.name);
                         let from = heir_of.map(|at| &before[usize::from(at.0)]);
                         if named && from.is_none_or(|from| from.name != class.name) {
                             return false;
@@ -79,7 +94,9 @@
                     let name = format!("class-{name}");
                     if let Some(id) = generations.find(&name) {
                         generations.opened(id);
-                        let Some(class) = generations.class(id).cloned() else { return false };
+                        let Some(class) = generations.class(id).cloned() else {
+                            return false;
+                        };
                         open.push((id, class));
                     }
                 }
@@ -90,12 +107,19 @@
                 Step::Close(_) => {}
             }
             most = most.max(now.len() + open.len());
-            let kept = open.iter().all(|(id, class)| generations.class(*id) == Some(class));
-            let in_force: BTreeMap<&str, &Class> =
-                generations.slots().filter(|(_, on)| *on).map(|(c, _)| (&*c.name, c)).collect();
+            let kept = open
+                .iter()
+                .all(|(id, class)| generations.class(*id) == Some(class));
+            let in_force: BTreeMap<&str, &Class> = generations
+                .slots()
+                .filter(|(_, on)| *on)
+                .map(|(c, _)| (&*c.name, c))
+                .collect();
             let wanted = all(&now);
             let right = in_force.len() == wanted.len()
-                && wanted.iter().all(|class| in_force.get(&*class.name) == Some(&class));
+                && wanted
+                    .iter()
+                    .all(|class| in_force.get(&*class.name) == Some(&class));
             // At most the two latest files and what is open.
             if !kept || !right || generations.slots().count() > most + 2 * 6 {
                 return false;
@@ -103,7 +127,9 @@
         }
         true
     }
-    let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(60, 23)).tests(2_000);
+    let mut check = QuickCheck::new()
+        .rng(Gen::from_size_and_seed(60, 23))
+        .tests(2_000);
     check.quickcheck(play as fn(Vec<Step>) -> bool);
 }
 
@@ -113,8 +139,20 @@
     let mut generations = Generations::new(vec![class(0, 0), class(1, 0)]);
     let fresh = generations.next(vec![class(0, 1), class(4, 0)]);
     let expected = [(2, Some(ClassId(0))), (3, Some(ClassId(1)))];
-    assert_eq!(fresh.iter().map(|f| (f.slot.0, f.heir_of)).collect::<Vec<_>>(), expected);
+    assert_eq!(
+        fresh
+            .iter()
+            .map(|f| (f.slot.0, f.heir_of))
+            .collect::<Vec<_>>(),
+        expected
+    );
     // The slots that were dropped then are free now.
     let fresh = generations.next(vec![class(0, 0)]);
-    assert_eq!(fresh, [Fresh { slot: ClassId(0), heir_of: Some(ClassId(2)) }]);
+    assert_eq!(
+        fresh,
+        [Fresh {
+            slot: ClassId(0),
+            heir_of: Some(ClassId(2))
+        }]
+    );
 }
--- a/tests/inside/law.rs
+++ b/tests/inside/law.rs
@@ -1,4 +1,5 @@
-//! The law at small shares, seen from inside: 300 gateways, twenty engines, two queries a second here.
+//! The law at small shares, seen from inside: 300 gateways, twenty engines, two queries a second
+//! here.
 use crate::interface::*;
 use crate::policy::Gateway;
 use crate::state::{Health, Out, secs};
@@ -47,7 +48,10 @@
         zone: ZoneId(0),
         tick: S / 200,
         classes: vec![class],
-        kinds: vec![KindSpec { cores: 8.0, memory_mb: 0.0 }],
+        kinds: vec![KindSpec {
+            cores: 8.0,
+            memory_mb: 0.0,
+        }],
         tenants: vec![],
         over_share_worth: 1.0,
         ask_for_list: false,
@@ -83,7 +87,8 @@
         }
     }
 
-    /// Some seconds with `come` queries each half second, of which every other one is answered after `latency`.
+    /// Some seconds with `come` queries each half second, of which every other one is answered
+    /// after `latency`.
     fn seconds(&mut self, n: u64, come: u32, latency: Nanos) {
         for half in 0..2 * n {
             for _ in 0..come {
@@ -93,7 +98,10 @@
                     give_up_at: self.now + 60 * S,
                     ..NewRequest::default()
                 };
-                self.tell(Event::Request(NewRequest { work_hint: Some(S / 5), ..ask }));
+                self.tell(Event::Request(NewRequest {
+                    work_hint: Some(S / 5),
+                    ..ask
+                }));
             }
             for _ in 0..25 {
                 self.now += S / 50;
@@ -120,47 +128,100 @@
     }
 
     fn mean_bound(&self) -> f64 {
-        self.g.engines.values().map(|e| e.bound / e.start).sum::<f64>() / self.g.engines.len() as f64
+        self.g
+            .engines
+            .values()
+            .map(|e| e.bound / e.start)
+            .sum::<f64>()
+            / self.g.engines.len() as f64
     }
 }
 
 #[test]
 fn at_a_share_far_under_one_query_the_law_falls_recovers_and_holds() {
-    let mut p = Play { g: Gateway::new(100 * S, settings(), 5), now: 100 * S, next: 0, out: vec![] };
-    let entry = |i| EngineEntry { id: EngineId(i), readiness: Readiness::Ready, ..EngineEntry::default() };
-    p.tell(Event::List { kind: ListKind::Full, entries: (1..=20).map(entry).collect() });
+    let mut p = Play {
+        g: Gateway::new(100 * S, settings(), 5),
+        now: 100 * S,
+        next: 0,
+        out: vec![],
+    };
+    let entry = |i| EngineEntry {
+        id: EngineId(i),
+        readiness: Readiness::Ready,
+        ..EngineEntry::default()
+    };
+    p.tell(Event::List {
+        kind: ListKind::Full,
+        entries: (1..=20).map(entry).collect(),
+    });
     assert_eq!(p.mean_bound(), 1.0);
-    // More comes than goes, and what goes is late: no engine has a sample a period, yet all bounds fall.
+    // More comes than goes, and what goes is late: no engine has a sample a period, yet all bounds
+    // fall.
     p.seconds(30, 1, 6 * S);
     let low = p.mean_bound();
-    assert!((0.5..0.9).contains(&low), "falls: {low:.2} after {:.0} s", secs(p.now - 100 * S));
+    assert!(
+        (0.5..0.9).contains(&low),
+        "falls: {low:.2} after {:.0} s",
+        secs(p.now - 100 * S)
+    );
     // Nothing comes and what is out has ended: no samples, and the bound holds.
     p.g.requests.clear();
-    p.g.engines.values_mut().for_each(|e| e.running = Default::default());
+    p.g.engines
+        .values_mut()
+        .for_each(|e| e.running = Default::default());
     p.out.clear();
     let before = p.mean_bound();
     p.seconds(10, 0, 0);
-    assert!((p.mean_bound() - before).abs() < 0.21, "holds: {before:.2} to {:.2}", p.mean_bound());
+    assert!(
+        (p.mean_bound() - before).abs() < 0.21,
+        "holds: {before:.2} to {:.2}",
+        p.mean_bound()
+    );
     // Answers well within the aim while queries run: it rises again.
     let held = p.mean_bound();
     p.g.fleet.running = Default::default();
     p.seconds(30, 2, S / 5);
-    assert!(p.mean_bound() > held + 0.05, "recovers: {held:.2} to {:.2}", p.mean_bound());
+    assert!(
+        p.mean_bound() > held + 0.05,
+        "recovers: {held:.2} to {:.2}",
+        p.mean_bound()
+    );
 }
 
-/// Guards against time that passes for work where no engine tells its load: aims grew with it, and the law saw no
-/// lateness while all answers took five times their time.
+/// Guards against time that passes for work where no engine tells its load: aims grew with it, and
+/// the law saw no lateness while all answers took five times their time.
 #[test]
 fn slow_answers_teach_no_work_where_no_engine_is_asked() {
-    let s = Settings { tells_cost: false, probe_price: 0.08, gateways: 30, ..settings() };
-    let mut p = Play { g: Gateway::new(100 * S, s, 5), now: 100 * S, next: 0, out: vec![] };
-    let entry = |i| EngineEntry { id: EngineId(i), readiness: Readiness::Ready, ..EngineEntry::default() };
-    p.tell(Event::List { kind: ListKind::Full, entries: (1..=4).map(entry).collect() });
+    let s = Settings {
+        tells_cost: false,
+        probe_price: 0.08,
+        gateways: 30,
+        ..settings()
+    };
+    let mut p = Play {
+        g: Gateway::new(100 * S, s, 5),
+        now: 100 * S,
+        next: 0,
+        out: vec![],
+    };
+    let entry = |i| EngineEntry {
+        id: EngineId(i),
+        readiness: Readiness::Ready,
+        ..EngineEntry::default()
+    };
+    p.tell(Event::List {
+        kind: ListKind::Full,
+        entries: (1..=4).map(entry).collect(),
+    });
     let mut learned = Vec::new();
     for round in 0..300 {
         p.next += 1;
         let id = RequestId(p.next);
-        p.tell(Event::Request(NewRequest { id, give_up_at: p.now + 60 * S, ..NewRequest::default() }));
+        p.tell(Event::Request(NewRequest {
+            id,
+            give_up_at: p.now + 60 * S,
+            ..NewRequest::default()
+        }));
         let latency = if round < 100 { S / 5 } else { S };
         for _ in 0..latency / (S / 50) {
             p.now += S / 50;
@@ -169,39 +230,83 @@
         while let Some((id, engine)) = p.out.pop() {
             let (id, attempt, kind) = (RequestId(id), AttemptNo(0), OutcomeKind::Ok);
             let (closed, work, memory_mb, load) = (true, None, None, LoadReport::default());
-            let done = Outcome { id, attempt, engine, kind, latency, closed, work, memory_mb, load };
+            let done = Outcome {
+                id,
+                attempt,
+                engine,
+                kind,
+                latency,
+                closed,
+                work,
+                memory_mb,
+                load,
+            };
             p.tell(Event::Outcome(done));
         }
         if [99, 299].contains(&round) {
             learned.push(p.g.learned[0].work);
         }
     }
-    assert!(learned[0] < 0.4 && learned[1] < 1.3 * learned[0], "{learned:?}");
+    assert!(
+        learned[0] < 0.4 && learned[1] < 1.3 * learned[0],
+        "{learned:?}"
+    );
 }
 
 #[test]
 fn learned_work_stays_while_engines_are_crowded() {
-    // Neither hints nor answers tell the cost; engines tell of four threads a core, so that 0.2 s of work take
-    // 0.8 s. What is learned must neither grow with the time nor shrink with the slowness it is measured by.
-    let s = Settings { tells_cost: false, load_fields: vec![LoadField::Inflight], ..settings() };
-    let mut p = Play { g: Gateway::new(100 * S, s, 5), now: 100 * S, next: 0, out: vec![] };
-    let entry = |i| EngineEntry { id: EngineId(i), readiness: Readiness::Ready, ..EngineEntry::default() };
-    p.tell(Event::List { kind: ListKind::Full, entries: (1..=4).map(entry).collect() });
+    // Neither hints nor answers tell the cost; engines tell of four threads a core, so that 0.2 s
+    // of work take 0.8 s. What is learned must neither grow with the time nor shrink with the
+    // slowness it is measured by.
+    let s = Settings {
+        tells_cost: false,
+        load_fields: vec![LoadField::Inflight],
+        ..settings()
+    };
+    let mut p = Play {
+        g: Gateway::new(100 * S, s, 5),
+        now: 100 * S,
+        next: 0,
+        out: vec![],
+    };
+    let entry = |i| EngineEntry {
+        id: EngineId(i),
+        readiness: Readiness::Ready,
+        ..EngineEntry::default()
+    };
+    p.tell(Event::List {
+        kind: ListKind::Full,
+        entries: (1..=4).map(entry).collect(),
+    });
     let mut learned = Vec::new();
     for round in 0..900 {
-        let load = LoadReport { len: 1, values: [32.0, 0.0, 0.0, 0.0] };
+        let load = LoadReport {
+            len: 1,
+            values: [32.0, 0.0, 0.0, 0.0],
+        };
         for i in 1..=4 {
             let engine = EngineId(i);
-            p.tell(Event::Probed { engine, kind: OutcomeKind::Ok, latency: S / 1000, load });
+            p.tell(Event::Probed {
+                engine,
+                kind: OutcomeKind::Ok,
+                latency: S / 1000,
+                load,
+            });
         }
         p.next += 1;
         let id = RequestId(p.next);
         p.g.fleet.bound = f64::INFINITY;
         p.g.engines.values_mut().for_each(|e| e.bound = 1e6);
-        p.tell(Event::Request(NewRequest { id, give_up_at: p.now + 60 * S, ..NewRequest::default() }));
+        p.tell(Event::Request(NewRequest {
+            id,
+            give_up_at: p.now + 60 * S,
+            ..NewRequest::default()
+        }));
         for _ in 0..60 {
             p.now += S / 50;
-            p.g.engines.values_mut().for_each(|e| e.report = e.report.map(|(_, t)| (p.now, t)));
+            p.g.engines
+                .values_mut()
+                .for_each(|e| e.report = e.report.map(|(_, t)| (p.now, t)));
             p.tell(Event::Timer(1));
         }
         while let Some((id, engine)) = p.out.pop() {
@@ -225,40 +330,83 @@
         }
     }
     assert!(learned[1].1 > 60, "answers were learned from: {learned:?}");
-    assert!(learned.iter().all(|(work, _)| (0.12..0.4).contains(work)), "of 0.2 s: {learned:?}");
+    assert!(
+        learned.iter().all(|(work, _)| (0.12..0.4).contains(work)),
+        "of 0.2 s: {learned:?}"
+    );
 }
 
-/// Guards memory on long days: an engine that was replaced is forgotten, once nothing is out there any more.
+/// Guards memory on long days: an engine that was replaced is forgotten, once nothing is out there
+/// any more.
 #[test]
 fn engines_that_are_gone_are_forgotten() {
-    let mut p = Play { g: Gateway::new(100 * S, settings(), 5), now: 100 * S, next: 0, out: vec![] };
-    let entry = |i, readiness| EngineEntry { id: EngineId(i), readiness, ..EngineEntry::default() };
-    p.tell(Event::List { kind: ListKind::Full, entries: vec![entry(1, Readiness::Ready)] });
+    let mut p = Play {
+        g: Gateway::new(100 * S, settings(), 5),
+        now: 100 * S,
+        next: 0,
+        out: vec![],
+    };
+    let entry = |i, readiness| EngineEntry {
+        id: EngineId(i),
+        readiness,
+        ..EngineEntry::default()
+    };
+    p.tell(Event::List {
+        kind: ListKind::Full,
+        entries: vec![entry(1, Readiness::Ready)],
+    });
     p.seconds(1, 3, S / 5);
     assert_eq!(p.out.first().map(|(_, engine)| *engine), Some(EngineId(1)));
     for i in 1..100 {
         let entries = vec![entry(i + 1, Readiness::Ready), entry(i, Readiness::Gone)];
-        p.tell(Event::List { kind: ListKind::Changes, entries });
+        p.tell(Event::List {
+            kind: ListKind::Changes,
+            entries,
+        });
     }
     let left: Vec<u64> = p.g.engines.keys().map(|id| id.0).collect();
-    assert_eq!(left, [1, 100], "the one with attempts out, and the one in service");
+    assert_eq!(
+        left,
+        [1, 100],
+        "the one with attempts out, and the one in service"
+    );
 }
 
-/// Guards against leaving out an engine for one spoilt answer, which ends all attempts on its connection at once.
+/// Guards against leaving out an engine for one spoilt answer, which ends all attempts on its
+/// connection at once.
 #[test]
 fn a_connection_that_breaks_is_one_failure() {
     let mut p = Play {
-        g: Gateway::new(100 * S, Settings { me: 0, gateways: 3, ..settings() }, 5),
+        g: Gateway::new(
+            100 * S,
+            Settings {
+                me: 0,
+                gateways: 3,
+                ..settings()
+            },
+            5,
+        ),
         now: 100 * S,
         next: 0,
         out: vec![],
     };
-    let entry = |i| EngineEntry { id: EngineId(i), readiness: Readiness::Ready, ..EngineEntry::default() };
-    p.tell(Event::List { kind: ListKind::Full, entries: (1..=4).map(entry).collect() });
+    let entry = |i| EngineEntry {
+        id: EngineId(i),
+        readiness: Readiness::Ready,
+        ..EngineEntry::default()
+    };
+    p.tell(Event::List {
+        kind: ListKind::Full,
+        entries: (1..=4).map(entry).collect(),
+    });
     let reset = |p: &mut Play, id: u32| {
         // Out on the first engine, wherever the choice fell.
         let r = p.g.requests.get_mut(&RequestId(id)).expect("open");
-        r.outs = vec![Out { engine: EngineId(1), sent: p.now, ..Out::default() }];
+        r.outs = vec![Out {
+            engine: EngineId(1),
+            sent: p.now,
+            ..Out::default()
+        }];
         r.sends = 1;
         let (id, attempt, engine) = (RequestId(id), AttemptNo(0), EngineId(1));
         let (kind, work, memory_mb, load) = (OutcomeKind::Reset, None, None, LoadReport::default());
@@ -282,10 +430,16 @@
         }));
     }
     (1..=6).for_each(|id| reset(&mut p, id));
-    assert!(p.g.engines[&EngineId(1)].health == Health::Closed, "six attempts on one connection");
+    assert!(
+        p.g.engines[&EngineId(1)].health == Health::Closed,
+        "six attempts on one connection"
+    );
     for id in 7..=12 {
         p.now += S / 10;
         reset(&mut p, id);
     }
-    assert!(matches!(p.g.engines[&EngineId(1)].health, Health::Open(_)), "connection after connection");
+    assert!(
+        matches!(p.g.engines[&EngineId(1)].health, Health::Open(_)),
+        "connection after connection"
+    );
 }
--- a/tests/inside/ledger.rs
+++ b/tests/inside/ledger.rs
@@ -6,11 +6,19 @@
 const WINDOW: Micros = 20 * SEC;
 
 fn keyed(scope: Scope) -> Effect {
-    Effect::Keyed { scope, window: nanos(WINDOW) }
+    Effect::Keyed {
+        scope,
+        window: nanos(WINDOW),
+    }
 }
 
 fn engine(id: u64, zone: u16, cell: u16) -> EngineEntry {
-    EngineEntry { id: EngineId(id), zone: ZoneId(zone), cell: CellId(cell), ..EngineEntry::default() }
+    EngineEntry {
+        id: EngineId(id),
+        zone: ZoneId(zone),
+        cell: CellId(cell),
+        ..EngineEntry::default()
+    }
 }
 
 fn open(effect: Effect, copies: usize) -> Open {
@@ -18,15 +26,33 @@
 }
 
 fn out(to: EngineEntry, attempt: u16, sent_at: Micros) -> Out {
-    Out { to, attempt: AttemptNo(attempt), sent_at, until: SEC, stopping: None }
+    Out {
+        to,
+        attempt: AttemptNo(attempt),
+        sent_at,
+        until: SEC,
+        stopping: None,
+    }
 }
 
 /// Guards rule 2: what may have run goes only where a repeat is known, and while it is.
 #[test]
 fn a_repeat_goes_only_where_engines_know_it() {
-    let (here, cell, zone, far) = (engine(1, 0, 0), engine(2, 0, 0), engine(3, 0, 1), engine(4, 1, 2));
+    let (here, cell, zone, far) = (
+        engine(1, 0, 0),
+        engine(2, 0, 0),
+        engine(3, 0, 1),
+        engine(4, 1, 2),
+    );
     let goes = |effect, now| {
-        let open = Open { ran: Some(Ran { on: here, sent_at: SEC }), sends: 1, ..open(effect, 1) };
+        let open = Open {
+            ran: Some(Ran {
+                on: here,
+                sent_at: SEC,
+            }),
+            sends: 1,
+            ..open(effect, 1)
+        };
         [here, cell, zone, far].map(|to| open.may_send(now, &to))
     };
     let (within, past) = (SEC + WINDOW - MS, SEC + WINDOW);
@@ -38,15 +64,28 @@
     assert_eq!(goes(Effect::Safe, past), [true; 4]);
 }
 
-/// Guards rule 2 and the limits on attempts out: a copy counts like any attempt, and goes to another engine.
+/// Guards rule 2 and the limits on attempts out: a copy counts like any attempt, and goes to
+/// another engine.
 #[test]
 fn copies_go_to_another_engine_within_the_rules() {
     let (here, there, further) = (engine(1, 0, 0), engine(2, 0, 0), engine(3, 0, 0));
-    let with = |effect, copies| Open { outs: vec![out(here, 0, SEC)], sends: 1, ..open(effect, copies) };
-    assert!(with(Effect::Safe, 2).may_send(SEC, &there) && !with(Effect::Safe, 2).may_send(SEC, &here));
+    let with = |effect, copies| Open {
+        outs: vec![out(here, 0, SEC)],
+        sends: 1,
+        ..open(effect, copies)
+    };
+    assert!(
+        with(Effect::Safe, 2).may_send(SEC, &there) && !with(Effect::Safe, 2).may_send(SEC, &here)
+    );
     assert!(with(keyed(Scope::All), 2).may_send(SEC, &there));
-    assert!(!with(keyed(Scope::All), 2).may_send(SEC + WINDOW, &there), "what is out may have run");
-    assert!(!with(Effect::Unsafe, 2).may_send(SEC, &there) && !with(Effect::Safe, 1).may_send(SEC, &there));
+    assert!(
+        !with(keyed(Scope::All), 2).may_send(SEC + WINDOW, &there),
+        "what is out may have run"
+    );
+    assert!(
+        !with(Effect::Unsafe, 2).may_send(SEC, &there)
+            && !with(Effect::Safe, 1).may_send(SEC, &there)
+    );
     let mut two = with(Effect::Safe, 2);
     two.outs.push(out(there, 1, SEC));
     assert!(!two.may_send(SEC, &further));
@@ -55,9 +94,17 @@
     assert!(!two.may_send(SEC, &further) && two.due_at(SEC));
     assert!(two.take_out(AttemptNo(0)).is_some() && two.take_out(AttemptNo(0)).is_none());
     assert!(two.may_send(SEC, &further) && !two.may_send(SEC, &there));
-    let spent = Open { sends: 5, ..open(Effect::Safe, 2) };
+    let spent = Open {
+        sends: 5,
+        ..open(Effect::Safe, 2)
+    };
     assert!(
-        !spent.may_send(SEC, &here) && !Open { closed: true, ..open(Effect::Safe, 2) }.may_send(SEC, &here)
+        !spent.may_send(SEC, &here)
+            && !Open {
+                closed: true,
+                ..open(Effect::Safe, 2)
+            }
+            .may_send(SEC, &here)
     );
 }
 
@@ -74,17 +121,49 @@
     ] {
         let fresh = open(effect, 2);
         assert!(fresh.may_refuse());
-        assert_eq!(Open { ran: Some(Ran { on: here, sent_at: SEC }), ..open(effect, 2) }.may_refuse(), ran);
-        assert_eq!(Open { outs: vec![out(here, 0, SEC)], ..open(effect, 2) }.may_refuse(), is_out);
+        assert_eq!(
+            Open {
+                ran: Some(Ran {
+                    on: here,
+                    sent_at: SEC
+                }),
+                ..open(effect, 2)
+            }
+            .may_refuse(),
+            ran
+        );
+        assert_eq!(
+            Open {
+                outs: vec![out(here, 0, SEC)],
+                ..open(effect, 2)
+            }
+            .may_refuse(),
+            is_out
+        );
     }
 }
 
-/// Guards rule 2 for a window however short: what is sent again has to be over while engines still know its key.
+/// Guards rule 2 for a window however short: what is sent again has to be over while engines still
+/// know its key.
 #[test]
 fn a_repeat_is_over_before_its_keys_window_is() {
     let here = engine(1, 0, 0);
-    let ran = |effect| Open { ran: Some(Ran { on: here, sent_at: SEC }), sends: 1, ..open(effect, 1) };
+    let ran = |effect| Open {
+        ran: Some(Ran {
+            on: here,
+            sent_at: SEC,
+        }),
+        sends: 1,
+        ..open(effect, 1)
+    };
     assert_eq!(ran(keyed(Scope::All)).known_until(), Some(SEC + WINDOW));
-    assert_eq!([ran(Effect::Safe), ran(Effect::Unsafe)].map(|open| open.known_until()), [None; 2]);
-    assert_eq!(open(keyed(Scope::All), 1).known_until(), None, "nothing ran: no window");
+    assert_eq!(
+        [ran(Effect::Safe), ran(Effect::Unsafe)].map(|open| open.known_until()),
+        [None; 2]
+    );
+    assert_eq!(
+        open(keyed(Scope::All), 1).known_until(),
+        None,
+        "nothing ran: no window"
+    );
 }
--- a/tests/inside/lifecycle.rs
+++ b/tests/inside/lifecycle.rs
@@ -34,8 +34,8 @@
     [Next::None, Next::Coming, Next::Ready][usize::from(n)]
 }
 
-/// Guards every pair of purposes that may overlap, as a drain within an upgrade: what the machine says is what the
-/// list of all that happened so far says.
+/// Guards every pair of purposes that may overlap, as a drain within an upgrade: what the machine
+/// says is what the list of all that happened so far says.
 #[test]
 fn what_it_says_follows_from_all_that_happened() {
     fn play(steps: Vec<Step>) -> bool {
@@ -56,14 +56,39 @@
             let upto = |stop: Option<usize>| &past[..stop.unwrap_or(past.len())];
             let listed = past.iter().any(|(_, s)| matches!(s, Step::Listed));
             // The first drain since the last end of one that counted.
-            let undrained =
-                upto(stop).iter().rposition(|(_, s)| matches!(s, Step::Undrain)).map_or(0, |at| at + 1);
-            let drained = past[undrained..].iter().find(|(_, s)| matches!(s, Step::Drain)).map(|(at, _)| *at);
+            let undrained = upto(stop)
+                .iter()
+                .rposition(|(_, s)| matches!(s, Step::Undrain))
+                .map_or(0, |at| at + 1);
+            let drained = past[undrained..]
+                .iter()
+                .find(|(_, s)| matches!(s, Step::Drain))
+                .map(|(at, _)| *at);
             let last = |is: fn(&Step) -> Option<u8>| past.iter().rev().find_map(|(_, s)| is(s));
-            let met = last(|s| if let Step::Followed(n) = s { Some(*n) } else { None }).map(next);
+            let met = last(|s| {
+                if let Step::Followed(n) = s {
+                    Some(*n)
+                } else {
+                    None
+                }
+            })
+            .map(next);
             let follows = met == Some(Next::Ready);
-            let older = last(|s| if let Step::Follows(n) = s { Some(*n) } else { None }).unwrap_or(0);
-            let fades = past.iter().filter_map(|(_, s)| if let Step::Fades(n) = s { Some(*n) } else { None });
+            let older = last(|s| {
+                if let Step::Follows(n) = s {
+                    Some(*n)
+                } else {
+                    None
+                }
+            })
+            .unwrap_or(0);
+            let fades = past.iter().filter_map(|(_, s)| {
+                if let Step::Fades(n) = s {
+                    Some(*n)
+                } else {
+                    None
+                }
+            });
             let left = (f64::from(fades.min().unwrap_or(4)) / 4.0).max(LEAST_LEFT);
             let rest = 1.0 - f64::from(older) / 4.0;
             let part = if follows { 0.5 * left * rest } else { rest };
@@ -77,15 +102,20 @@
                         || (follows && stopped.is_some_and(|at| at + CLOSES_OVER <= now))),
                 (life.part() - part).abs() < 1e-9,
                 // Whoever follows has no more than what this one and those before it leave.
-                life.leaves() <= 1.0 + 1e-9 && (!follows || life.leaves() + 1e-9 >= 1.0 - rest + part),
-                life.accepts_until().is_none_or(|at| (at == stopped.unwrap_or(0)) == follows),
+                life.leaves() <= 1.0 + 1e-9
+                    && (!follows || life.leaves() + 1e-9 >= 1.0 - rest + part),
+                life.accepts_until()
+                    .is_none_or(|at| (at == stopped.unwrap_or(0)) == follows),
                 life.gives_up_at(9 * SEC) > life.accepts_until() || stop.is_none(),
-                // Let go only by a drain, or behind a successor, never before the front can know, all in time.
+                // Let go only by a drain, or behind a successor, never before the front can know,
+                // all in time.
                 (0..50).all(|conn| match life.lets_go_at(conn) {
                     None => drained.is_none() && !(follows && stopped.is_some()),
                     Some(at) => {
-                        let by_drain = drained.is_some_and(|d| (d + LEARNS..d + CLOSES).contains(&at));
-                        let by_stop = stopped.is_some_and(|s| follows && (s..s + SEC).contains(&at));
+                        let by_drain =
+                            drained.is_some_and(|d| (d + LEARNS..d + CLOSES).contains(&at));
+                        let by_stop =
+                            stopped.is_some_and(|s| follows && (s..s + SEC).contains(&at));
                         by_drain || by_stop
                     }
                 }),
@@ -96,12 +126,14 @@
         }
         true
     }
-    let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(40, 7)).tests(3_000);
+    let mut check = QuickCheck::new()
+        .rng(Gen::from_size_and_seed(40, 7))
+        .tests(3_000);
     check.quickcheck(play as fn(Vec<Step>) -> bool);
 }
 
-/// Guards the front's clients: those that connect in the same moment elsewhere are few, and none is held past the
-/// time by which all have to be gone.
+/// Guards the front's clients: those that connect in the same moment elsewhere are few, and none is
+/// held past the time by which all have to be gone.
 #[test]
 fn kept_connections_are_let_go_evenly() {
     let mut life = Lifecycle::default();
--- a/tests/inside/link.rs
+++ b/tests/inside/link.rs
@@ -1,5 +1,5 @@
-//! A model of a connection's states, against which random steps are checked: every attempt ends once, and what
-//! its end says of the bytes that went out is what the socket saw.
+//! A model of a connection's states, against which random steps are checked: every attempt ends
+//! once, and what its end says of the bytes that went out is what the socket saw.
 use super::platform::Platform;
 use super::{End, Event, Link, Reach};
 use crate::clock::{MS, Micros};
@@ -22,7 +22,10 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
-        let (n, words) = (u8::arbitrary(g), ["DONE sheets=1 6", "WAIT - 6", "BROKE - 6", "PAST - 6"]);
+        let (n, words) = (
+            u8::arbitrary(g),
+            ["DONE sheets=1 6", "WAIT - 6", "BROKE - 6", "PAST - 6"],
+        );
         match u8::arbitrary(g) % 10 {
             0..=2 => Step::Start,
             3 => Step::Stop(n),
@@ -64,8 +67,14 @@
             let Event::Ended(ended) = event else { continue };
             let id = ended.id.0;
             let known = self.on_it.remove(&id).ok_or(format!("{id} ended twice"))?;
-            let reach = if known.first_byte { Reach::Sent } else { Reach::Unsent };
-            let word = answered.filter(|(answered, _)| *answered == id).map(|(_, word)| &word[..4]);
+            let reach = if known.first_byte {
+                Reach::Sent
+            } else {
+                Reach::Unsent
+            };
+            let word = answered
+                .filter(|(answered, _)| *answered == id)
+                .map(|(_, word)| &word[..4]);
             let right = match (ended.end, word) {
                 (End::Done, Some("DONE")) | (End::Full, Some("WAIT")) => true,
                 (End::Broke, Some("BROK")) | (End::Past, Some("PAST")) => true,
@@ -79,21 +88,42 @@
             }
         }
         // Given up for longer than it takes to settle, and not over.
-        let late = |a: &&Attempt| a.stopped_at.is_some_and(|at| at + super::SETTLE <= self.now);
+        let late = |a: &&Attempt| {
+            a.stopped_at
+                .is_some_and(|at| at + super::SETTLE <= self.now)
+        };
         let settled = self.on_it.values().find(late).filter(|a| a.first_byte);
         settled.map_or(Ok(()), |a| Err(format!("{a:?} did not settle")))
     }
 
     fn step(&mut self, step: &Step) -> Result<(), String> {
         let (mut events, mut answered) = (Vec::new(), None);
-        let pick = |n: u8| self.on_it.keys().nth(usize::from(n) % self.on_it.len().max(1)).copied();
+        let pick = |n: u8| {
+            self.on_it
+                .keys()
+                .nth(usize::from(n) % self.on_it.len().max(1))
+                .copied()
+        };
         match step {
             Step::Start if self.link.free() > 0 => {
                 self.started += 1;
-                let (id, key) = (RequestId(self.started), format!("{:016x}", self.started).into());
-                let (class, statement, until) =
-                    ("lookup".into(), Rc::from(&b"select"[..]), self.now + 1_000 * MS);
-                let job = Job { id, key, class, statement, until, ..Job::default() };
+                let (id, key) = (
+                    RequestId(self.started),
+                    format!("{:016x}", self.started).into(),
+                );
+                let (class, statement, until) = (
+                    "lookup".into(),
+                    Rc::from(&b"select"[..]),
+                    self.now + 1_000 * MS,
+                );
+                let job = Job {
+                    id,
+                    key,
+                    class,
+                    statement,
+                    until,
+                    ..Job::default()
+                };
                 self.link.start(self.now, &job);
                 self.on_it.insert(self.started, Attempt::default());
             }
@@ -102,16 +132,20 @@
                 let Some(id) = pick(*n) else { return Ok(()) };
                 let known = self.on_it.get_mut(&id).expect("picked");
                 known.stopped_at = known.stopped_at.or(Some(self.now));
-                self.link.stop(self.now, RequestId(id), AttemptNo(0), &mut events);
+                self.link
+                    .stop(self.now, RequestId(id), AttemptNo(0), &mut events);
             }
             Step::Write(n) => {
-                let Some(bytes) = self.link.to_write() else { return Ok(()) };
+                let Some(bytes) = self.link.to_write() else {
+                    return Ok(());
+                };
                 let n = (usize::from(*n) % 90 + 1).min(bytes.len());
                 self.written.extend_from_slice(&bytes[..n]);
                 self.link.wrote(self.now, n);
                 // A command's first byte tells that it is out, however little of its line is.
                 let text = String::from_utf8_lossy(&self.written);
-                let starts = |l: &&str| !l.is_empty() && ("do ".starts_with(*l) || l.starts_with("do "));
+                let starts =
+                    |l: &&str| !l.is_empty() && ("do ".starts_with(*l) || l.starts_with("do "));
                 let begun = text.split("\r\n").filter(starts).count();
                 if begun > self.begun {
                     let next = self.on_it.values_mut().find(|a| !a.first_byte);
@@ -120,7 +154,9 @@
                 self.begun = begun;
             }
             Step::Answer(n, word) => {
-                let Some(id) = pick(*n).filter(|id| self.on_it[id].first_byte) else { return Ok(()) };
+                let Some(id) = pick(*n).filter(|id| self.on_it[id].first_byte) else {
+                    return Ok(());
+                };
                 // What was given up is not known to the wire any more.
                 answered = Some((id, *word)).filter(|_| self.on_it[&id].stopped_at.is_none());
                 let text = format!("{id:016x} {word}\r\na\tb\tc\n\r\n");
@@ -144,35 +180,68 @@
         if matches!(step, Step::Drain) && self.on_it.values().any(|a| !a.first_byte) {
             return Err("a drain left something that waits to go out".into());
         }
-        if over.is_some_and(|end| end != End::Dropped) { Err(format!("over: {over:?}")) } else { Ok(()) }
+        if over.is_some_and(|end| end != End::Dropped) {
+            Err(format!("over: {over:?}"))
+        } else {
+            Ok(())
+        }
     }
 }
 
 #[test]
 fn every_attempt_ends_once_and_says_what_went_out() {
     fn walk(steps: Vec<Step>) -> Result<bool, String> {
-        let names = Names { classes: vec!["lookup".into()], streams: 4, ..Names::default() };
+        let names = Names {
+            classes: vec!["lookup".into()],
+            streams: 4,
+            ..Names::default()
+        };
         let now = 1_000 * MS;
         let link = Link::new(now, Platform::new(Rc::new(names)));
         let (on_it, written) = (BTreeMap::new(), Vec::new());
-        let mut model = Model { link, now, on_it, started: 0, written, begun: 0 };
+        let mut model = Model {
+            link,
+            now,
+            on_it,
+            started: 0,
+            written,
+            begun: 0,
+        };
         steps.iter().try_for_each(|step| model.step(step))?;
         let mut events = Vec::new();
         model.link.close(model.now, End::Reset, &mut events);
         model.check(events, None, true)?;
-        if model.on_it.is_empty() { Ok(true) } else { Err("something did not end".into()) }
+        if model.on_it.is_empty() {
+            Ok(true)
+        } else {
+            Err("something did not end".into())
+        }
     }
-    let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(60, 11)).tests(2_000);
+    let mut check = QuickCheck::new()
+        .rng(Gen::from_size_and_seed(60, 11))
+        .tests(2_000);
     check.quickcheck(walk as fn(Vec<Step>) -> Result<bool, String>);
 }
 
 fn link() -> Link<Platform> {
-    let names = Names { classes: vec!["lookup".into()], streams: 4, ..Names::default() };
+    let names = Names {
+        classes: vec!["lookup".into()],
+        streams: 4,
+        ..Names::default()
+    };
     let mut link = Link::new(0, Platform::new(Rc::new(names)));
     for id in 1..=2 {
         let (key, statement) = (format!("k{id}").into(), Rc::from(&b"select"[..]));
         let (attempt, class, until) = (AttemptNo(0), "lookup".into(), 9_000 * MS);
-        let job = Job { id: RequestId(id), attempt, key, class, statement, until, ..Job::default() };
+        let job = Job {
+            id: RequestId(id),
+            attempt,
+            key,
+            class,
+            statement,
+            until,
+            ..Job::default()
+        };
         link.start(0, &job);
     }
     while let Some(n) = link.to_write().map(<[u8]>::len) {
@@ -181,7 +250,8 @@
     link
 }
 
-/// Guards against passing on what no engine made: a spoilt answer ends its connection, in bounded time and memory.
+/// Guards against passing on what no engine made: a spoilt answer ends its connection, in bounded
+/// time and memory.
 #[test]
 fn a_spoilt_answer_spoils_its_connection() {
     let endless = format!("k1 DONE {}", "x".repeat(5_000));
@@ -202,7 +272,10 @@
     ] {
         let (mut link, mut events) = (link(), Vec::new());
         link.read(MS, text.as_bytes(), &mut events);
-        assert!(link.over() == Some(End::Garbled) && events.is_empty(), "{text:?}: {events:?}");
+        assert!(
+            link.over() == Some(End::Garbled) && events.is_empty(),
+            "{text:?}: {events:?}"
+        );
     }
     // One that stops short ends by the time, and bytes that dribble in do not put that off.
     let (mut link, mut events) = (link(), Vec::new());
@@ -210,10 +283,14 @@
     link.read(400 * MS, b"\t", &mut events);
     let due = link.next_due().expect("due");
     link.due(due, &mut events);
-    assert!(link.over() == Some(End::Silent) && due < 1_000 * MS, "{due}");
+    assert!(
+        link.over() == Some(End::Silent) && due < 1_000 * MS,
+        "{due}"
+    );
 }
 
-/// Guards good answers against what comes with them: second copies, strangers' answers, late reports of load.
+/// Guards good answers against what comes with them: second copies, strangers' answers, late
+/// reports of load.
 #[test]
 fn what_nobody_asked_for_does_no_harm() {
     let (mut link, mut events) = (link(), Vec::new());
@@ -221,30 +298,68 @@
     let page = |n| format!("k1 MORE sheet={n} 6\r\nd\te\tf\n\r\n");
     let told = "k1 DONE sheets=2 6\r\na\tb\tc\n\r\n";
     let load = "p1 FIT meter=queue:1 0\r\n\r\n";
-    let text = format!("zz DONE sheets=1 6\r\na\tb\tc\n\r\n{}{told}{told}{load}{load}", page(1));
+    let text = format!(
+        "zz DONE sheets=1 6\r\na\tb\tc\n\r\n{}{told}{told}{load}{load}",
+        page(1)
+    );
     link.read(MS, text.as_bytes(), &mut events);
-    link.read(MS, format!("{}{}{}{told}", page(9), page(1), page(1)).as_bytes(), &mut events);
-    let probes = events.iter().filter(|e| matches!(e, Event::Probed { .. })).count();
-    let ended = events.iter().filter_map(|e| if let Event::Ended(e) = e { Some(e) } else { None });
+    link.read(
+        MS,
+        format!("{}{}{}{told}", page(9), page(1), page(1)).as_bytes(),
+        &mut events,
+    );
+    let probes = events
+        .iter()
+        .filter(|e| matches!(e, Event::Probed { .. }))
+        .count();
+    let ended = events.iter().filter_map(|e| {
+        if let Event::Ended(e) = e {
+            Some(e)
+        } else {
+            None
+        }
+    });
     let ended: Vec<(u32, End, &[u8])> = ended.map(|e| (e.id.0, e.end, &e.rows[..])).collect();
-    assert_eq!((probes, ended, link.over()), (1, vec![(1, End::Done, &b"a\tb\tc\nd\te\tf\n"[..])], None));
+    assert_eq!(
+        (probes, ended, link.over()),
+        (1, vec![(1, End::Done, &b"a\tb\tc\nd\te\tf\n"[..])], None)
+    );
     // A page that never comes ends its own request alone.
     let mut events = Vec::new();
     link.read(2 * MS, b"k2 DONE sheets=2 0\r\n\r\n", &mut events);
     link.due(9_000 * MS, &mut events);
-    assert!(matches!(&events[..], [Event::Ended(e)] if e.end == End::Silent) && link.over().is_none());
+    assert!(
+        matches!(&events[..], [Event::Ended(e)] if e.end == End::Silent) && link.over().is_none()
+    );
 }
 
-/// Guards a load against a reset of its connection: until its last bytes go out, a moment later, it never ran.
+/// Guards a load against a reset of its connection: until its last bytes go out, a moment later, it
+/// never ran.
 #[test]
 fn the_end_of_what_must_not_run_twice_is_held_back() {
     for (waits, reach) in [(false, Reach::Begun), (true, Reach::Sent)] {
-        let mut link = Link::new(0, Platform::new(Rc::new(Names { streams: 4, ..Names::default() })));
+        let mut link = Link::new(
+            0,
+            Platform::new(Rc::new(Names {
+                streams: 4,
+                ..Names::default()
+            })),
+        );
         let (key, statement, session) = ("k1".into(), Rc::from(&b"insert"[..]), None);
         let (id, attempt, class, until) = (RequestId(1), AttemptNo(0), "lookup".into(), 9_000 * MS);
         link.start(
             0,
-            &Job { id, attempt, key, class, single: true, statement, session, until, ..Job::default() },
+            &Job {
+                id,
+                attempt,
+                key,
+                class,
+                single: true,
+                statement,
+                session,
+                until,
+                ..Job::default()
+            },
         );
         let head = link.to_write().expect("a head").to_vec();
         assert!(head.ends_with(b" 6\r\ninser"), "{head:?}");
@@ -264,10 +379,17 @@
     }
 }
 
-/// The key, the grant and the priority stand in the command as the wire words them, and a new priority follows it.
+/// The key, the grant and the priority stand in the command as the wire words them, and a new
+/// priority follows it.
 #[test]
 fn keys_priorities_and_costs_pass_on_the_platforms_wire() {
-    let mut link = Link::new(0, Platform::new(Rc::new(Names { streams: 4, ..Names::default() })));
+    let mut link = Link::new(
+        0,
+        Platform::new(Rc::new(Names {
+            streams: 4,
+            ..Names::default()
+        })),
+    );
     let job = Job {
         id: RequestId(1),
         key: "k1".into(),
@@ -290,30 +412,59 @@
         written.extend(bytes);
     }
     let fields = "cls=plan-load,limit=9000,nonce=5c0f6e1a,allot=96,urgency=2";
-    assert_eq!(String::from_utf8_lossy(&written), format!("do k1 {fields} 6\r\ninsert\r\nbump k1 3\r\n"));
+    assert_eq!(
+        String::from_utf8_lossy(&written),
+        format!("do k1 {fields} 6\r\ninsert\r\nbump k1 3\r\n")
+    );
     let mut events = Vec::new();
-    link.read(MS, b"k1 DONE sheets=1,toil=412.5,room=96 6\r\na\tb\tc\n\r\n", &mut events);
-    let [Event::Ended(ended)] = &events[..] else { panic!("{events:?}") };
-    assert_eq!(ended.cost, Cost { work: Some(412_500), memory_mb: Some(96.0) });
+    link.read(
+        MS,
+        b"k1 DONE sheets=1,toil=412.5,room=96 6\r\na\tb\tc\n\r\n",
+        &mut events,
+    );
+    let [Event::Ended(ended)] = &events[..] else {
+        panic!("{events:?}")
+    };
+    assert_eq!(
+        ended.cost,
+        Cost {
+            work: Some(412_500),
+            memory_mb: Some(96.0)
+        }
+    );
     // What has ended has no priority.
     link.bump(RequestId(1), AttemptNo(0), 1);
     assert!(link.to_write().is_none());
 }
 
-/// Guards what classes teach: a figure that can't be one is as none, and spoils nothing else of the answer.
+/// Guards what classes teach: a figure that can't be one is as none, and spoils nothing else of the
+/// answer.
 #[test]
 fn costs_that_can_not_be_are_as_none() {
-    for (toil, room) in [("", ""), ("x", "y"), ("-4", "-1"), ("0", "0"), ("NaN", "inf"), ("1e300", "1e99")] {
+    for (toil, room) in [
+        ("", ""),
+        ("x", "y"),
+        ("-4", "-1"),
+        ("0", "0"),
+        ("NaN", "inf"),
+        ("1e300", "1e99"),
+    ] {
         let (mut link, mut events) = (link(), Vec::new());
         let text = format!("k1 DONE sheets=1,toil={toil},room={room},more=1 6\r\na\tb\tc\n\r\n");
         link.read(MS, text.as_bytes(), &mut events);
-        let [Event::Ended(ended)] = &events[..] else { panic!("{events:?}") };
-        assert!(ended.end == End::Done && ended.cost == Cost::default(), "{toil} {room}: {ended:?}");
+        let [Event::Ended(ended)] = &events[..] else {
+            panic!("{events:?}")
+        };
+        assert!(
+            ended.end == End::Done && ended.cost == Cost::default(),
+            "{toil} {room}: {ended:?}"
+        );
     }
 }
 
-/// Guards what follows against a connection that swallows what is sent on it: one that is passed by with another attempt
-/// beside it, and has said nothing since, carries nothing new; any word since clears it.
+/// Guards what follows against a connection that swallows what is sent on it: one that is passed by
+/// with another attempt beside it, and has said nothing since, carries nothing new; any word since
+/// clears it.
 #[test]
 fn a_connection_in_doubt_carries_nothing_new_until_it_speaks() {
     let mut link = link();
@@ -326,7 +477,14 @@
     assert_eq!(link.free(), 3, "it has spoken since");
     let (mut silent, mut events) = (self::link(), Vec::new());
     silent.doubt(RequestId(1), AttemptNo(0));
-    assert!(silent.free() == 0 && silent.over().is_none(), "what is on it may still be answered");
-    silent.read(9 * MS, b"k1 DONE sheets=1 0\r\n\r\nk2 WAIT - 0\r\n\r\n", &mut events);
+    assert!(
+        silent.free() == 0 && silent.over().is_none(),
+        "what is on it may still be answered"
+    );
+    silent.read(
+        9 * MS,
+        b"k1 DONE sheets=1 0\r\n\r\nk2 WAIT - 0\r\n\r\n",
+        &mut events,
+    );
     assert!(events.len() == 2 && silent.over() == Some(End::Dropped));
 }
--- a/tests/inside/list.rs
+++ b/tests/inside/list.rs
@@ -4,8 +4,8 @@
 use crate::net::mailbox::bounded;
 use std::cell::RefCell;
 
-/// Guards memory, descriptors and the drain rule on days when engines are replaced without end, at new
-/// addresses or at the address of one that nobody has told to be gone yet.
+/// Guards memory, descriptors and the drain rule on days when engines are replaced without end, at
+/// new addresses or at the address of one that nobody has told to be gone yet.
 #[test]
 fn a_replaced_engine_leaves_nothing_behind() {
     let shared = Shared::new(64, 32);
@@ -20,7 +20,12 @@
     });
     // Each is in use at once: the harder case, as a row alone is nothing but memory.
     let make: MakeEngine = Box::new(move |listed| {
-        let row = Row::new(listed.entry.id, listed.addr, listed.entry.readiness, start.clone());
+        let row = Row::new(
+            listed.entry.id,
+            listed.addr,
+            listed.entry.readiness,
+            start.clone(),
+        );
         row.tell(ToEngine::Probe(0)).expect("room");
         row
     });
@@ -36,17 +41,36 @@
             if id % 2 == 0 {
                 engines.push(one(id - 1, 1_000 + (id / 2 - 1) as u16, Readiness::Gone));
             }
-            let _ = updates.send(Update { index: u64::from(id), whole: id == 1, engines }).await;
-            let Ok(Input::List(_, entries, ..)) = news.recv().await else { panic!("no news") };
-            told.extend(entries.iter().filter(|e| e.readiness == Readiness::Gone).map(|e| e.id.0));
+            let _ = updates
+                .send(Update {
+                    index: u64::from(id),
+                    whole: id == 1,
+                    engines,
+                })
+                .await;
+            let Ok(Input::List(_, entries, ..)) = news.recv().await else {
+                panic!("no news")
+            };
+            told.extend(
+                entries
+                    .iter()
+                    .filter(|e| e.readiness == Readiness::Gone)
+                    .map(|e| e.id.0),
+            );
         }
         told
     }));
     let actors = actors.borrow();
-    let left = actors.iter().filter(|(_, orders)| !orders.is_closed()).map(|(id, _)| *id);
+    let left = actors
+        .iter()
+        .filter(|(_, orders)| !orders.is_closed())
+        .map(|(id, _)| *id);
     assert_eq!(left.collect::<Vec<u64>>(), [40]);
     let gone = |orders: &Receiver<ToEngine>| {
-        matches!((orders.try_recv(), orders.try_recv()), (Ok(ToEngine::Probe(0)), Ok(ToEngine::Gone)))
+        matches!(
+            (orders.try_recv(), orders.try_recv()),
+            (Ok(ToEngine::Probe(0)), Ok(ToEngine::Gone))
+        )
     };
     let went = actors.iter().filter(|(_, orders)| gone(orders)).count();
     assert_eq!((went, told), (39, (1..=39).collect::<Vec<u64>>()));
--- a/tests/inside/mailbox.rs
+++ b/tests/inside/mailbox.rs
@@ -11,7 +11,10 @@
     assert_eq!((sender.len(), mailbox.try_recv()), (3, Ok(0)));
     sender.try_send(4).expect("room again");
     assert!(sender.close() && sender.is_closed() && !sender.close());
-    assert!(matches!(sender.clone().try_send(5), Err(TrySendError::Closed(5))));
+    assert!(matches!(
+        sender.clone().try_send(5),
+        Err(TrySendError::Closed(5))
+    ));
     let left: Vec<i32> = std::iter::from_fn(|| mailbox.try_recv().ok()).collect();
     assert_eq!(left, [1, 2, 4], "what was in it can still be taken");
     assert!(sender.is_empty());
--- a/tests/inside/manager.rs
+++ b/tests/inside/manager.rs
@@ -1,6 +1,6 @@
-//! The core under random steps: one answer for each request, never more attempts out than the settings allow, what may
-//! have run sent again only as its class and its key allow, and books that balance, whatever is configured meanwhile and
-//! whatever the module orders.
+//! The core under random steps: one answer for each request, never more attempts out than the
+//! settings allow, what may have run sent again only as its class and its key allow, and books that
+//! balance, whatever is configured meanwhile and whatever the module orders.
 use super::ends::Reach;
 use super::*;
 use crate::clock::{MS, SEC};
@@ -21,7 +21,15 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
-        let ends = [End::Done, End::Full, End::Broke, End::Refused, End::Reset, End::Closed, End::Drained];
+        let ends = [
+            End::Done,
+            End::Full,
+            End::Broke,
+            End::Refused,
+            End::Reset,
+            End::Closed,
+            End::Drained,
+        ];
         let n = u8::arbitrary(g);
         match u8::arbitrary(g) % 12 {
             0..=3 => Step::Ask(n),
@@ -81,10 +89,16 @@
 }
 
 fn entry(id: u64, readiness: Readiness) -> EngineEntry {
-    EngineEntry { id: EngineId(id), readiness, weight: 1.0, ..EngineEntry::default() }
+    EngineEntry {
+        id: EngineId(id),
+        readiness,
+        weight: 1.0,
+        ..EngineEntry::default()
+    }
 }
 
-/// One of several files: classes dropped, added, and of another effect, and other numbers of attempts.
+/// One of several files: classes dropped, added, and of another effect, and other numbers of
+/// attempts.
 fn file(n: u8) -> (Settings, Vec<(String, Rule)>, u32, usize) {
     let mut text = crate::kit::daemon::settings();
     let most = 3 - u32::from(n % 3);
@@ -93,7 +107,8 @@
     text["limits"]["second_copies"] = (copies > 1).into();
     let classes = text["classes"].as_array_mut().expect("a list");
     if n & 32 > 0 {
-        (classes[2]["semantics"], classes[2]["window_ns"]) = ("token".into(), 2_000_000_000u64.into());
+        (classes[2]["semantics"], classes[2]["window_ns"]) =
+            ("token".into(), 2_000_000_000u64.into());
     }
     if n & 4 > 0 {
         classes[0]["semantics"] = "side_effect".into();
@@ -115,7 +130,12 @@
         (c["name"].as_str().expect("a name").to_owned(), rule)
     };
     let named = classes.iter().map(named).collect();
-    (settings::parse(text.to_string().as_bytes()).expect("settings"), named, most, copies)
+    (
+        settings::parse(text.to_string().as_bytes()).expect("settings"),
+        named,
+        most,
+        copies,
+    )
 }
 
 impl Model {
@@ -127,7 +147,17 @@
         let (seen, ids) = (BTreeMap::new(), BTreeMap::new());
         let ready = BTreeSet::new();
         let audited = Vec::new();
-        let mut model = Model { manager, now: SEC, seen, ready, classes, most, copies, ids, audited };
+        let mut model = Model {
+            manager,
+            now: SEC,
+            seen,
+            ready,
+            classes,
+            most,
+            copies,
+            ids,
+            audited,
+        };
         model.ready = (1..=3).map(EngineId).collect();
         let all = (1..=3).map(|id| entry(id, Readiness::Ready)).collect();
         let mut orders = Vec::new();
@@ -172,7 +202,10 @@
                     more.push(Ended::bare(id, attempt, End::Withdrawn, Reach::Sent));
                 }
                 Order::Answer(origin, answer) => {
-                    let seen = self.seen.get_mut(&origin.tag).ok_or("an answer for nobody")?;
+                    let seen = self
+                        .seen
+                        .get_mut(&origin.tag)
+                        .ok_or("an answer for nobody")?;
                     seen.answers += 1;
                     seen.how = Some(answer.clone());
                     if seen.answers > 1 || seen.left {
@@ -194,7 +227,11 @@
     }
 
     fn end(&mut self, ended: Ended) -> Result<(), String> {
-        let Some(seen) = self.ids.get(&ended.id).and_then(|tag| self.seen.get_mut(tag)) else {
+        let Some(seen) = self
+            .ids
+            .get(&ended.id)
+            .and_then(|tag| self.seen.get_mut(tag))
+        else {
             return Ok(());
         };
         if let Some((_, at)) = seen.outs.remove(&ended.attempt)
@@ -217,11 +254,31 @@
                 let once = (n % 2 == 0).then(|| Rc::from(format!("key-{tag}")));
                 let keyless = once.is_none() && matches!(effect, Rule::Key(_));
                 let effect = if keyless { Rule::Never } else { effect };
-                let copies = if effect == Rule::Never { 1 } else { self.copies };
-                let id = self.manager.generations.find(&class).ok_or("a class in force has no slot")?;
-                self.seen.insert(tag, Seen { effect, class, most: self.most, copies, ..Seen::default() });
+                let copies = if effect == Rule::Never {
+                    1
+                } else {
+                    self.copies
+                };
+                let id = self
+                    .manager
+                    .generations
+                    .find(&class)
+                    .ok_or("a class in force has no slot")?;
+                self.seen.insert(
+                    tag,
+                    Seen {
+                        effect,
+                        class,
+                        most: self.most,
+                        copies,
+                        ..Seen::default()
+                    },
+                );
                 let ask = Ask {
-                    origin: Origin { conn: u64::from(n % 4), tag },
+                    origin: Origin {
+                        conn: u64::from(n % 4),
+                        tag,
+                    },
                     key: format!("{tag:016x}").into(),
                     class: id,
                     tenant: TenantId(u16::from(n % 2)),
@@ -237,13 +294,23 @@
             }
             Step::End(n, end, sent) => {
                 let outs = |(id, tag): (&RequestId, &u64)| {
-                    self.seen[tag].outs.keys().map(|attempt| (*id, *attempt)).collect::<Vec<_>>()
+                    self.seen[tag]
+                        .outs
+                        .keys()
+                        .map(|attempt| (*id, *attempt))
+                        .collect::<Vec<_>>()
                 };
                 let out: Vec<(RequestId, AttemptNo)> = self.ids.iter().flat_map(outs).collect();
-                let Some(&(id, attempt)) = out.get(usize::from(*n) % out.len().max(1)) else { return Ok(()) };
-                let unsent = matches!(end, End::Refused | End::Drained) || !(*sent || *end == End::Done);
+                let Some(&(id, attempt)) = out.get(usize::from(*n) % out.len().max(1)) else {
+                    return Ok(());
+                };
+                let unsent =
+                    matches!(end, End::Refused | End::Drained) || !(*sent || *end == End::Done);
                 let reach = if unsent { Reach::Unsent } else { Reach::Sent };
-                let ended = Ended { rows: b"a\n".to_vec(), ..Ended::bare(id, attempt, *end, reach) };
+                let ended = Ended {
+                    rows: b"a\n".to_vec(),
+                    ..Ended::bare(id, attempt, *end, reach)
+                };
                 // The same end twice: the second one counts for nothing.
                 self.end(ended.clone())?;
                 self.end(ended)?;
@@ -251,20 +318,32 @@
             Step::Leave(n) => {
                 for (tag, seen) in self.seen.iter_mut().filter(|(_, s)| s.answers == 0) {
                     let _ = tag;
-                    seen.left |=
-                        self.manager.origins.contains_key(&Origin { conn: u64::from(n % 4), tag: *tag });
+                    seen.left |= self.manager.origins.contains_key(&Origin {
+                        conn: u64::from(n % 4),
+                        tag: *tag,
+                    });
                 }
-                self.manager.hung_up(self.now, u64::from(n % 4), &mut orders);
+                self.manager
+                    .hung_up(self.now, u64::from(n % 4), &mut orders);
             }
             Step::List(n) => {
                 let (id, up) = (u64::from(n % 3) + 1, n % 2 == 0);
-                let readiness = if up { Readiness::Ready } else { Readiness::Draining };
+                let readiness = if up {
+                    Readiness::Ready
+                } else {
+                    Readiness::Draining
+                };
                 if up {
                     self.ready.insert(EngineId(id))
                 } else {
                     self.ready.remove(&EngineId(id))
                 };
-                self.manager.list(self.now, ListKind::Changes, vec![entry(id, readiness)], &mut orders);
+                self.manager.list(
+                    self.now,
+                    ListKind::Changes,
+                    vec![entry(id, readiness)],
+                    &mut orders,
+                );
             }
             Step::Retune(n) => {
                 let (settings, classes, most, copies) = file(*n);
@@ -300,7 +379,10 @@
         for (tag, seen) in &self.seen {
             let key = format!("{tag:016x}");
             let of = |is: fn(&What) -> bool| {
-                self.audited.iter().filter(|d| *d.request == *key && is(&d.what)).count() as u32
+                self.audited
+                    .iter()
+                    .filter(|d| *d.request == *key && is(&d.what))
+                    .count() as u32
             };
             let told = (
                 of(|w| matches!(w, What::Dispatch(..))),
@@ -321,8 +403,8 @@
     }
 }
 
-/// Guards the engines where the settings let managers talk: nobody carries words between modules, so one that waited for
-/// them would take all others for dead and use their parts.
+/// Guards the engines where the settings let managers talk: nobody carries words between modules,
+/// so one that waited for them would take all others for dead and use their parts.
 #[test]
 fn a_manager_whose_beats_nobody_carries_keeps_to_its_part() {
     let sent = |peers: bool| {
@@ -333,7 +415,9 @@
         let names: Vec<String> = model.classes.iter().map(|(name, _)| name.clone()).collect();
         model.manager = Manager::new(SEC, settings, &names, 7);
         let all = (1..=3).map(|id| entry(id, Readiness::Ready)).collect();
-        model.manager.list(SEC, ListKind::Cached, all, &mut Vec::new());
+        model
+            .manager
+            .list(SEC, ListKind::Cached, all, &mut Vec::new());
         model.step(&Step::Wait(30_000)).expect("time passes");
         let asked = (0..200).map(|_| model.step(&Step::Ask(252)));
         asked.collect::<Result<Vec<()>, String>>().expect("asked");
@@ -351,7 +435,11 @@
         steps.iter().try_for_each(|step| model.step(step))?;
         // Past the last deadline all is answered, and the books balance.
         model.step(&Step::Wait(10_000))?;
-        let open = model.seen.values().filter(|s| s.answers == 0 && !s.left).count();
+        let open = model
+            .seen
+            .values()
+            .filter(|s| s.answers == 0 && !s.left)
+            .count();
         let counters = &model.manager.counters;
         if open > 0 || counters.open() > 0 || !model.manager.open.is_empty() {
             return Err(format!("{open} without an answer; {counters}"));
@@ -376,18 +464,27 @@
         }
         Ok(counters.taken == model.seen.len() as u64)
     }
-    let mut check = QuickCheck::new().rng(Gen::from_size_and_seed(80, 13)).tests(500);
+    let mut check = QuickCheck::new()
+        .rng(Gen::from_size_and_seed(80, 13))
+        .tests(500);
     check.quickcheck(walk as fn(Vec<Step>) -> Result<bool, String>);
 }
 
 /// A core of one gateway whose loads carry keys, where priorities and costs count.
 fn keyed_manager(window: Micros) -> Manager {
     let mut text = crate::kit::daemon::settings();
-    (text["classes"][2]["semantics"], text["classes"][2]["window_ns"]) =
-        ("token".into(), nanos(window).into());
+    (
+        text["classes"][2]["semantics"],
+        text["classes"][2]["window_ns"],
+    ) = ("token".into(), nanos(window).into());
     (text["extra"]["ranks_heeded"], text["extra"]["says_cost"]) = (true.into(), true.into());
     let settings = settings::parse(text.to_string().as_bytes()).expect("settings");
-    let mut manager = Manager::new(SEC, settings, &["lookup", "report", "load"].map(str::to_owned), 7);
+    let mut manager = Manager::new(
+        SEC,
+        settings,
+        &["lookup", "report", "load"].map(str::to_owned),
+        7,
+    );
     let all = (1..=3).map(|id| entry(id, Readiness::Ready)).collect();
     manager.list(SEC, ListKind::Cached, all, &mut Vec::new());
     manager
@@ -396,10 +493,11 @@
 /// The key and the end of the time of each attempt.
 type Tries = Vec<(Option<Rc<str>>, Micros)>;
 
-/// Takes a load and answers each of its attempts with a reset, for as long as there are any: the key and the end of the
-/// time of each.
+/// Takes a load and answers each of its attempts with a reset, for as long as there are any: the
+/// key and the end of the time of each.
 fn resets(once: Option<&str>, window: Micros, cost: Micros) -> (Tries, Option<Answer>) {
-    let (mut manager, mut now, mut sent, mut answer) = (keyed_manager(window), SEC, Vec::new(), None);
+    let (mut manager, mut now, mut sent, mut answer) =
+        (keyed_manager(window), SEC, Vec::new(), None);
     let ask = Ask {
         origin: Origin { conn: 1, tag: 1 },
         key: "9b1f03aa5c7e2d41".into(),
@@ -430,26 +528,37 @@
     (sent, answer)
 }
 
-/// Guards rule 2: all tries of a keyed request carry its key unchanged, and without one there is a single try.
+/// Guards rule 2: all tries of a keyed request carry its key unchanged, and without one there is a
+/// single try.
 #[test]
 fn a_keyed_request_repeats_under_its_key_alone() {
     let key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     let (sent, answer) = resets(Some(key), 20 * SEC, 50 * MS);
     let nonces: Vec<_> = sent.into_iter().map(|(nonce, _)| nonce).collect();
-    assert_eq!(nonces, vec![Some(Rc::from(key)); 3], "as many as the settings allow");
+    assert_eq!(
+        nonces,
+        vec![Some(Rc::from(key)); 3],
+        "as many as the settings allow"
+    );
     assert!(matches!(answer, Some(Answer::Refused(_))), "{answer:?}");
     let once = Some(Answer::Failed(Failure::Attempt(End::Reset)));
-    assert_eq!(resets(None, 20 * SEC, 50 * MS), (vec![(None, 16 * SEC)], once));
+    assert_eq!(
+        resets(None, 20 * SEC, 50 * MS),
+        (vec![(None, 16 * SEC)], once)
+    );
 }
 
-/// Guards rule 2 where the window is shorter than the deadline: a further attempt has its time up before engines forget
-/// its key, and one that can't be over by then is not made.
+/// Guards rule 2 where the window is shorter than the deadline: a further attempt has its time up
+/// before engines forget its key, and one that can't be over by then is not made.
 #[test]
 fn further_attempts_end_inside_their_keys_window() {
     let (sent, answer) = resets(Some("key"), SEC, 50 * MS);
     let untils: Vec<Micros> = sent.iter().map(|(_, until)| *until).collect();
     assert!(untils[0] == 16 * SEC && untils.len() == 3, "{untils:?}");
-    assert!(untils[1..].iter().all(|until| *until <= 2 * SEC - 50 * MS), "{untils:?}");
+    assert!(
+        untils[1..].iter().all(|until| *until <= 2 * SEC - 50 * MS),
+        "{untils:?}"
+    );
     assert!(matches!(answer, Some(Answer::Refused(_))), "{answer:?}");
     let (sent, answer) = resets(Some("key"), SEC, 5 * SEC);
     assert_eq!(sent.len(), 1, "{sent:?}");
@@ -470,19 +579,40 @@
     };
     manager.take(SEC, ask(1), &mut orders);
     let started = |orders: &[Order]| {
-        orders.iter().find_map(|o| if let Order::Start(e, job) = o { Some((*e, job.clone())) } else { None })
+        orders.iter().find_map(|o| {
+            if let Order::Start(e, job) = o {
+                Some((*e, job.clone()))
+            } else {
+                None
+            }
+        })
     };
     let (engine, job) = started(&orders).expect("sent");
     assert_eq!(job.urgency, Some(3), "a short query comes first");
     let mut orders = Vec::new();
     manager.terms(job.id, 9, 0.0, &mut orders);
-    assert!(orders.is_empty(), "the highest there is, as before: {orders:?}");
+    assert!(
+        orders.is_empty(),
+        "the highest there is, as before: {orders:?}"
+    );
     manager.terms(job.id, 0, 0.0, &mut orders);
-    assert!(matches!(orders[..], [Order::Bump(e, id, n, 0)] if (e, id, n) == (engine, job.id, job.attempt)));
-    let cost = Cost { work: Some(80 * MS), memory_mb: Some(9.0) };
-    let done = Ended { cost, ..Ended::bare(job.id, job.attempt, End::Done, Reach::Sent) };
+    assert!(
+        matches!(orders[..], [Order::Bump(e, id, n, 0)] if (e, id, n) == (engine, job.id, job.attempt))
+    );
+    let cost = Cost {
+        work: Some(80 * MS),
+        memory_mb: Some(9.0),
+    };
+    let done = Ended {
+        cost,
+        ..Ended::bare(job.id, job.attempt, End::Done, Reach::Sent)
+    };
     manager.ended(SEC + 50 * MS, done, &mut Vec::new());
-    assert!((manager.module.learned[0].work - 0.08).abs() < 1e-9, "{}", manager.module.learned[0].work);
+    assert!(
+        (manager.module.learned[0].work - 0.08).abs() < 1e-9,
+        "{}",
+        manager.module.learned[0].work
+    );
     // Neither counts where the settings say nothing of it.
     let mut plain = Model::new().manager;
     let mut orders = Vec::new();
@@ -493,7 +623,10 @@
     assert!(orders.is_empty() && job.urgency.is_none());
     plain.ended(
         SEC + 50 * MS,
-        Ended { cost, ..Ended::bare(job.id, job.attempt, End::Done, Reach::Sent) },
+        Ended {
+            cost,
+            ..Ended::bare(job.id, job.attempt, End::Done, Reach::Sent)
+        },
         &mut orders,
     );
     assert!((plain.module.learned[0].work - 0.08).abs() > 1e-3);
--- a/tests/inside/membership.rs
+++ b/tests/inside/membership.rs
@@ -1,5 +1,6 @@
-//! The membership machine among simulated managers on a simulated network: loss, one-way cuts, partitions, pauses,
-//! restarts, late and doubled datagrams, all from fixed seeds. Every datagram passes through the codec.
+//! The membership machine among simulated managers on a simulated network: loss, one-way cuts,
+//! partitions, pauses, restarts, late and doubled datagrams, all from fixed seeds. Every datagram
+//! passes through the codec.
 use super::wire::{self, Unread};
 use super::*;
 use crate::kit::emulator::{Emulator, addr, name, rumour};
@@ -19,7 +20,8 @@
     assert!(net.agree(), "not all know all after 6 s");
 }
 
-/// Guards against false deaths: with a fifth of all datagrams lost, and some doubled and late, nobody is declared dead.
+/// Guards against false deaths: with a fifth of all datagrams lost, and some doubled and late,
+/// nobody is declared dead.
 #[test]
 fn a_fifth_of_datagrams_lost_kills_nobody() {
     for seed in [1, 2, 3] {
@@ -28,8 +30,15 @@
         assert!(net.agree());
         (net.loss, net.doubled) = (0.2, 0.05);
         net.run(120 * SEC);
-        let dead: Vec<_> = net.changes.iter().filter(|c| c.health == Health::Dead).collect();
-        assert!(dead.is_empty(), "seed {seed}: declared dead under loss: {dead:?}");
+        let dead: Vec<_> = net
+            .changes
+            .iter()
+            .filter(|c| c.health == Health::Dead)
+            .collect();
+        assert!(
+            dead.is_empty(),
+            "seed {seed}: declared dead under loss: {dead:?}"
+        );
         let used = net.bytes.iter().sum::<u64>() / 125 / net.nodes.len() as u64;
         assert!(
             used <= budget(&Timing::default()),
@@ -38,8 +47,9 @@
     }
 }
 
-/// Guards a large fleet against loss: one failed round of probes is no suspicion, or more members are suspected a period
-/// than the news can carry refutations of. Guards its start, too: who joins reads the members page by page.
+/// Guards a large fleet against loss: one failed round of probes is no suspicion, or more members
+/// are suspected a period than the news can carry refutations of. Guards its start, too: who joins
+/// reads the members page by page.
 #[test]
 fn sixty_members_join_soon_and_lose_nobody_to_loss() {
     let mut net = fleet(60, 21);
@@ -47,14 +57,22 @@
     assert!(net.agree(), "not all know all after 5 s");
     net.loss = 0.2;
     net.run(40 * SEC);
-    let dead: Vec<_> = net.changes.iter().filter(|c| c.health == Health::Dead).collect();
+    let dead: Vec<_> = net
+        .changes
+        .iter()
+        .filter(|c| c.health == Health::Dead)
+        .collect();
     assert!(dead.is_empty(), "declared dead under loss: {dead:?}");
-    let suspected = net.changes.iter().filter(|c| c.health == Health::Suspect).count();
+    let suspected = net
+        .changes
+        .iter()
+        .filter(|c| c.health == Health::Suspect)
+        .count();
     assert!(suspected < 60 * 40, "{suspected} suspicions heard");
 }
 
-/// Guards asymmetric loss: A does not hear B, B hears A, and B is still reached through others. Nobody is declared
-/// dead; the indirect probe is what saves it.
+/// Guards asymmetric loss: A does not hear B, B hears A, and B is still reached through others.
+/// Nobody is declared dead; the indirect probe is what saves it.
 #[test]
 fn a_one_way_cut_is_bridged_by_indirect_probes() {
     let mut net = fleet(5, 4);
@@ -66,8 +84,8 @@
     assert!(net.agree());
 }
 
-/// Guards detection: a stopped manager is declared dead by all others within the stated bound; once it goes on, it
-/// refutes and all take it for alive again.
+/// Guards detection: a stopped manager is declared dead by all others within the stated bound; once
+/// it goes on, it refutes and all take it for alive again.
 #[test]
 fn a_stopped_manager_is_found_dead_and_comes_back() {
     for seed in [5, 6, 7] {
@@ -89,7 +107,8 @@
     }
 }
 
-/// Guards a partition into two halves: each side declares the other dead, and after the heal all agree again.
+/// Guards a partition into two halves: each side declares the other dead, and after the heal all
+/// agree again.
 #[test]
 fn two_halves_agree_again_after_the_heal() {
     let mut net = fleet(6, 8);
@@ -103,26 +122,36 @@
     assert!(net.agree(), "no agreement after the heal");
 }
 
-/// Guards a restart under the same name: the new life, with a higher incarnation, is taken; a datagram of the earlier
-/// life that comes late changes nothing.
+/// Guards a restart under the same name: the new life, with a higher incarnation, is taken; a
+/// datagram of the earlier life that comes late changes nothing.
 #[test]
 fn a_new_life_outranks_the_old_one() {
     let mut net = fleet(5, 9);
     net.run(5 * SEC);
-    let old = wire::encode(&Message { from: rumour(3, 1), kind: Kind::Ping(1), gossip: vec![] });
+    let old = wire::encode(&Message {
+        from: rumour(3, 1),
+        kind: Kind::Ping(1),
+        gossip: vec![],
+    });
     net.restart(3, 1_000, 99);
     net.run(5 * SEC);
     assert!(net.agree());
     let before = net.nodes[1].dropped;
     let mut out = Vec::new();
     let now = net.now;
-    net.nodes[1].receive(addr(3), wire::decode(&old, 1_200).expect("ours"), now, &mut out);
+    net.nodes[1].receive(
+        addr(3),
+        wire::decode(&old, 1_200).expect("ours"),
+        now,
+        &mut out,
+    );
     assert_eq!(net.nodes[1].dropped, before + 1);
     assert!(out.is_empty(), "an old life is answered");
     assert_eq!(net.nodes[1].members()[&name(3)].rumour.incarnation, 1_000);
 }
 
-/// Guards the versions: a new generation of one manager reaches all others with its new incarnation.
+/// Guards the versions: a new generation of one manager reaches all others with its new
+/// incarnation.
 #[test]
 fn new_versions_reach_every_member() {
     let mut net = fleet(6, 10);
@@ -132,15 +161,24 @@
     net.nodes[4].versions(versions);
     net.run(3 * SEC);
     for i in (0..6).filter(|i| *i != 4) {
-        assert_eq!(net.nodes[i].members()[&name(4)].rumour.versions.generation, 2, "member {i}");
+        assert_eq!(
+            net.nodes[i].members()[&name(4)].rumour.versions.generation,
+            2,
+            "member {i}"
+        );
     }
 }
 
-/// Guards the straggler's rule: behind a majority it is brought up after the grace and shut out after twice that; a
-/// minority ahead, or half, never shuts it out; a list that moves on while it keeps up is no lag.
+/// Guards the straggler's rule: behind a majority it is brought up after the grace and shut out
+/// after twice that; a minority ahead, or half, never shuts it out; a list that moves on while it
+/// keeps up is no lag.
 #[test]
 fn a_straggler_is_judged_by_the_majority_of_all_members() {
-    let at = |settings, list| Versions { settings, list, ..Versions::default() };
+    let at = |settings, list| Versions {
+        settings,
+        list,
+        ..Versions::default()
+    };
     let (me, new, grace) = (at(1, 3), at(2, 3), 3 * SEC);
     let judge = |me: &Versions, others: &[&Versions], now| {
         let mut straggler = Straggler::default();
@@ -151,27 +189,49 @@
     assert_eq!(judge(&me, &majority, 0), Standing::Behind);
     assert_eq!(judge(&me, &majority, grace), Standing::BringUp);
     assert_eq!(judge(&me, &majority, 2 * grace), Standing::ShutOut);
-    assert_eq!(judge(&me, &[&new, &new, &me, &me, &me], 10 * grace), Standing::InStep);
+    assert_eq!(
+        judge(&me, &[&new, &new, &me, &me, &me], 10 * grace),
+        Standing::InStep
+    );
     // Half is no majority.
     assert_eq!(judge(&me, &[&new, &new, &me], 10 * grace), Standing::InStep);
-    // The list: the majority at 9, this one at 3, until it takes 9; then the majority moves on to 10 and it follows.
+    // The list: the majority at 9, this one at 3, until it takes 9; then the majority moves on to
+    // 10 and it follows.
     let mut straggler = Straggler::default();
     let ahead = at(1, 9);
-    assert_eq!(straggler.judge(&me, &[&ahead, &ahead, &ahead, &me], grace, 0), Standing::Behind);
-    assert_eq!(straggler.judge(&me, &[&ahead, &ahead, &ahead, &me], grace, grace), Standing::BringUp);
+    assert_eq!(
+        straggler.judge(&me, &[&ahead, &ahead, &ahead, &me], grace, 0),
+        Standing::Behind
+    );
+    assert_eq!(
+        straggler.judge(&me, &[&ahead, &ahead, &ahead, &me], grace, grace),
+        Standing::BringUp
+    );
     let (caught, moved) = (at(1, 9), at(1, 10));
-    assert_eq!(straggler.judge(&caught, &[&moved, &moved], grace, 2 * grace), Standing::Behind);
-    assert_eq!(straggler.judge(&moved, &[&moved, &moved], grace, 3 * grace), Standing::InStep);
+    assert_eq!(
+        straggler.judge(&caught, &[&moved, &moved], grace, 2 * grace),
+        Standing::Behind
+    );
+    assert_eq!(
+        straggler.judge(&moved, &[&moved, &moved], grace, 3 * grace),
+        Standing::InStep
+    );
 }
 
-/// Guards engines against shares that two sides take at once: what others leave is taken over by a majority alone and
-/// after the grace; a side that loses sight of the rest piece by piece takes nothing; what is taken back is given back
-/// at once.
+/// Guards engines against shares that two sides take at once: what others leave is taken over by a
+/// majority alone and after the grace; a side that loses sight of the rest piece by piece takes
+/// nothing; what is taken back is given back at once.
 #[test]
 fn shares_pass_to_a_majority_that_has_stood_for_the_grace() {
     let grace = 3 * SEC;
     let with = |what: &[Health]| -> Vec<Rumour> {
-        what.iter().enumerate().map(|(i, h)| Rumour { health: *h, ..rumour(i + 1, 1) }).collect()
+        what.iter()
+            .enumerate()
+            .map(|(i, h)| Rumour {
+                health: *h,
+                ..rumour(i + 1, 1)
+            })
+            .collect()
     };
     let me = rumour(0, 1);
     use Health::*;
@@ -189,13 +249,18 @@
     }
     // The smaller side of a partition finds the others dead one by one.
     let mut now = 100 * grace;
-    for others in [[Alive, Dead, Suspect, Suspect], [Alive, Dead, Dead, Suspect], [Alive, Dead, Dead, Dead]] {
+    for others in [
+        [Alive, Dead, Suspect, Suspect],
+        [Alive, Dead, Dead, Suspect],
+        [Alive, Dead, Dead, Dead],
+    ] {
         for _ in 0..4 {
             now += grace;
             assert_eq!(count(&with(&others), now), 5);
         }
     }
-    // One that is shut out takes none, one that left takes none; the settings may name more than are known.
+    // One that is shut out takes none, one that left takes none; the settings may name more than
+    // are known.
     let mut others = with(&[Alive, Alive, Alive, Left]);
     others[0].versions.stage = SHUT_OUT.into();
     let mut sharers = Sharers::new(300);
@@ -208,8 +273,9 @@
         cases: 24, failure_persistence: None, rng_seed: RngSeed::Fixed(20_261_201), ..ProptestConfig::default()
     })]
 
-    /// Guards the model's two properties under random faults: a member that never stops, and that others reach at
-    /// least through one relay, is never declared dead; once the faults end, all agree within a bound.
+    /// Guards the model's two properties under random faults: a member that never stops, and that
+    /// others reach at least through one relay, is never declared dead; once the faults end, all
+    /// agree within a bound.
     #[test]
     fn random_faults_kill_no_reachable_member_and_end_in_agreement(
         seed in any::<u64>(),
@@ -232,7 +298,8 @@
                     net.cut.insert((a, b));
                 }
                 2 => net.loss = 0.05 * (1 + b % 4) as f64,
-                // A pause of a member shorter than the suspicion: it may be suspected, and must refute.
+                // A pause of a member shorter than the suspicion: it may be suspected, and must
+                // refute.
                 3 => {
                     net.pause(a);
                     net.run(seconds.min(2) * SEC);
@@ -254,8 +321,8 @@
         prop_assert!(net.agree(), "no agreement 15 s after the faults");
     }
 
-    /// Guards the socket against what anyone may send: garbage, cut datagrams and spoilt ones are dropped, never a
-    /// panic.
+    /// Guards the socket against what anyone may send: garbage, cut datagrams and spoilt ones are
+    /// dropped, never a panic.
     #[test]
     fn any_bytes_are_read_or_dropped(bytes in proptest::collection::vec(any::<u8>(), 0..1_400), cut in 0usize..400) {
         let _ = wire::decode(&bytes, 1_200);
@@ -269,10 +336,14 @@
     }
 }
 
-/// Guards the format's tag: another build's format and oversized datagrams are told apart from spoilt ones.
+/// Guards the format's tag: another build's format and oversized datagrams are told apart from
+/// spoilt ones.
 #[test]
 fn foreign_and_oversized_datagrams_are_named() {
     assert_eq!(wire::decode(b"YLM0anything", 1_200), Err(Unread::Foreign));
     assert_eq!(wire::decode(&[0; 2_000], 1_200), Err(Unread::Oversized));
-    assert_eq!(wire::decode(b"YLM2\xff\xff\xff", 1_200), Err(Unread::Spoilt));
+    assert_eq!(
+        wire::decode(b"YLM2\xff\xff\xff", 1_200),
+        Err(Unread::Spoilt)
+    );
 }
--- a/tests/inside/mutation.rs
+++ b/tests/inside/mutation.rs
@@ -1,6 +1,7 @@
-//! Mutation of one message at a time over recorded exchanges, on the wires of clients, engines and the coordinator: a
-//! message dropped, doubled, cut short, held past its deadline, a byte flipped, each figure at its extremes. After each:
-//! one end or answer at most, and whatever else was open is not harmed by more than the wire's end.
+//! Mutation of one message at a time over recorded exchanges, on the wires of clients, engines and
+//! the coordinator: a message dropped, doubled, cut short, held past its deadline, a byte flipped,
+//! each figure at its extremes. After each: one end or answer at most, and whatever else was open
+//! is not harmed by more than the wire's end.
 use crate::clock::{MS, Micros, SEC};
 use crate::config::Names;
 use crate::engine::link::{Event, Link};
@@ -35,10 +36,16 @@
             all.push(with(vec![(MS, flipped)]));
         }
         // Each run of digits at its extremes.
-        let digits: Vec<usize> = (0..message.len()).filter(|i| message[*i].is_ascii_digit()).collect();
-        for start in digits.iter().filter(|i| **i == 0 || !message[**i - 1].is_ascii_digit()) {
-            let end =
-                (*start..message.len()).find(|i| !message[*i].is_ascii_digit()).unwrap_or(message.len());
+        let digits: Vec<usize> = (0..message.len())
+            .filter(|i| message[*i].is_ascii_digit())
+            .collect();
+        for start in digits
+            .iter()
+            .filter(|i| **i == 0 || !message[**i - 1].is_ascii_digit())
+        {
+            let end = (*start..message.len())
+                .find(|i| !message[*i].is_ascii_digit())
+                .unwrap_or(message.len());
             for extreme in ["", "0", "-1", "1e308", "NaN", "18446744073709551616"] {
                 let new = [&message[..*start], extreme.as_bytes(), &message[end..]].concat();
                 all.push(with(vec![(MS, new)]));
@@ -48,8 +55,8 @@
     all
 }
 
-/// Guards rule 2 and the one answer: however one message of an engine is spoilt, each attempt ends once, and none that
-/// went out is taken for one that never ran but by the engine's own word.
+/// Guards rule 2 and the one answer: however one message of an engine is spoilt, each attempt ends
+/// once, and none that went out is taken for one that never ran but by the engine's own word.
 #[test]
 fn an_engines_spoilt_message_ends_each_attempt_once() {
     let messages: Vec<Vec<u8>> = [
@@ -63,7 +70,11 @@
     .into();
     let words = |m: &[u8], word: &str| String::from_utf8_lossy(m).contains(word);
     for (number, mutant) in mutants(&messages).into_iter().enumerate() {
-        let names = Names { streams: 8, load_fields: vec!["queue".into()], ..Names::default() };
+        let names = Names {
+            streams: 8,
+            load_fields: vec!["queue".into()],
+            ..Names::default()
+        };
         let (mut now, mut events) = (SEC, Vec::new());
         let mut link = Link::new(now, Platform::new(Rc::new(names)));
         link.probe(now);
@@ -71,7 +82,17 @@
             let key: Rc<str> = format!("a{id}").into();
             let statement = Rc::from(&b"SELECT 1"[..]);
             let (id, until) = (RequestId(id), now + 9 * SEC);
-            link.start(now, &Job { id, key, statement, until, class: "lookup".into(), ..Job::default() });
+            link.start(
+                now,
+                &Job {
+                    id,
+                    key,
+                    statement,
+                    until,
+                    class: "lookup".into(),
+                    ..Job::default()
+                },
+            );
         }
         let write = |link: &mut Link<Platform>, now| {
             while let Some(n) = link.to_write().map(<[u8]>::len) {
@@ -79,7 +100,9 @@
             }
         };
         write(&mut link, now);
-        let told_full = mutant.iter().any(|(_, m)| words(m, "WAIT") || words(m, "PAST"));
+        let told_full = mutant
+            .iter()
+            .any(|(_, m)| words(m, "WAIT") || words(m, "PAST"));
         for (wait, message) in mutant {
             now += wait;
             link.due(now, &mut events);
@@ -89,27 +112,42 @@
             }
         }
         link.due(now + 5 * SEC, &mut events);
-        link.close(now + 5 * SEC, link.over().unwrap_or(End::Reset), &mut events);
+        link.close(
+            now + 5 * SEC,
+            link.over().unwrap_or(End::Reset),
+            &mut events,
+        );
         let mut ends: BTreeMap<RequestId, usize> = BTreeMap::new();
         let mut probes = 0;
         for event in events {
             match event {
                 Event::Ended(ended) => {
-                    assert_eq!((ended.attempt, ended.reach), (AttemptNo(0), Reach::Sent), "{number}");
+                    assert_eq!(
+                        (ended.attempt, ended.reach),
+                        (AttemptNo(0), Reach::Sent),
+                        "{number}"
+                    );
                     let cleared = never_ran(outcome(ended.end, ended.reach));
-                    assert!(!cleared || (told_full && ended.id != RequestId(3)), "{number}: {ended:?}");
+                    assert!(
+                        !cleared || (told_full && ended.id != RequestId(3)),
+                        "{number}: {ended:?}"
+                    );
                     *ends.entry(ended.id).or_default() += 1;
                 }
                 Event::Probed { .. } => probes += 1,
             }
         }
-        assert_eq!(ends, (0..4).map(|id| (RequestId(id), 1)).collect(), "{number}");
+        assert_eq!(
+            ends,
+            (0..4).map(|id| (RequestId(id), 1)).collect(),
+            "{number}"
+        );
         assert_eq!(probes, 1, "{number}");
     }
 }
 
-/// Guards the one answer: however one message of a client is spoilt, what it asked is answered once at most, in lines that
-/// can be read, and nothing of what it withdrew is.
+/// Guards the one answer: however one message of a client is spoilt, what it asked is answered once
+/// at most, in lines that can be read, and nothing of what it withdrew is.
 #[test]
 fn a_clients_spoilt_message_brings_one_answer_at_most() {
     let messages = vec![
@@ -121,7 +159,11 @@
     ];
     for (number, mutant) in mutants(&messages).into_iter().enumerate() {
         let named = |name: &str| vec![name.to_owned()];
-        let names = Names { classes: named("lookup"), tenants: named("acme"), ..Names::default() };
+        let names = Names {
+            classes: named("lookup"),
+            tenants: named("acme"),
+            ..Names::default()
+        };
         let names = Rc::new(std::cell::RefCell::new(Rc::new(names)));
         let mut front = JsonRpc::new(1, names, Rc::new(|| true));
         let (mut now, mut said, mut replies) = (SEC, Vec::new(), Vec::new());
@@ -133,10 +175,22 @@
         }
         let asked: Vec<u64> = said
             .iter()
-            .filter_map(|s| if let Said::Ask(a) = s { Some(a.origin.tag) } else { None })
+            .filter_map(|s| {
+                if let Said::Ask(a) = s {
+                    Some(a.origin.tag)
+                } else {
+                    None
+                }
+            })
             .collect();
         for tag in asked.iter().chain(&asked) {
-            front.answer(now, *tag, Answer::Refused(Some(MS)), &mut Vec::new(), &mut replies);
+            front.answer(
+                now,
+                *tag,
+                Answer::Refused(Some(MS)),
+                &mut Vec::new(),
+                &mut replies,
+            );
         }
         let text = String::from_utf8(replies).expect("text");
         let mut answers: BTreeMap<u64, usize> = BTreeMap::new();
@@ -150,14 +204,22 @@
                 .into_iter()
                 .for_each(|id| *answers.entry(id).or_default() += 1);
         }
-        assert!(asked.iter().all(|tag| answers.get(tag).is_none_or(|n| *n == 1)), "{number}: {text}");
-        let withdrawn = said.iter().filter(|s| matches!(s, Said::Withdraw(_))).count();
+        assert!(
+            asked
+                .iter()
+                .all(|tag| answers.get(tag).is_none_or(|n| *n == 1)),
+            "{number}: {text}"
+        );
+        let withdrawn = said
+            .iter()
+            .filter(|s| matches!(s, Said::Withdraw(_)))
+            .count();
         assert!(withdrawn <= 1 && front.open() == 0, "{number}");
     }
 }
 
-/// Guards the list: however one frame of the coordinator is spoilt, numbers only grow, and a reader that was thrown off
-/// asks again from the last event it has.
+/// Guards the list: however one frame of the coordinator is spoilt, numbers only grow, and a reader
+/// that was thrown off asks again from the last event it has.
 #[test]
 fn a_coordinators_spoilt_frame_never_turns_its_numbers_back() {
     let frame = |number: u64, kind: u8, records: usize| {
@@ -167,7 +229,13 @@
         out.extend((0..27 * records).map(|i| (i % 7) as u8));
         out
     };
-    let messages = vec![frame(4, 2, 1), frame(4, 0, 0), frame(5, 2, 2), frame(6, 1, 2), frame(7, 2, 1)];
+    let messages = vec![
+        frame(4, 2, 1),
+        frame(4, 0, 0),
+        frame(5, 2, 2),
+        frame(6, 1, 2),
+        frame(7, 2, 1),
+    ];
     for (number, mutant) in mutants(&messages).into_iter().enumerate() {
         let mut follower = Follower::new(Rc::new(Place::at(3)));
         let mut told = vec![u64::from_be_bytes(follower.hello())];
--- a/tests/inside/net_console.rs
+++ b/tests/inside/net_console.rs
@@ -9,21 +9,33 @@
 
 fn answer(status: &str, stage: &str) -> String {
     let head = format!("HTTP/1.1 {status}\r\nContent-Type: text/plain; charset=utf-8\r\n");
-    format!("{head}Content-Length: {}\r\nConnection: close\r\n\r\n{stage}\n", stage.len() + 1)
+    format!(
+        "{head}Content-Length: {}\r\nConnection: close\r\n\r\n{stage}\n",
+        stage.len() + 1
+    )
 }
 
 #[test]
 fn each_stage_is_told_with_the_same_status_and_word_as_before() {
     let shared = Shared::new(64, 64);
     let life = || shared.life.borrow_mut();
-    assert_eq!(ready(&shared), answer("503 Service Unavailable", "starting"));
+    assert_eq!(
+        ready(&shared),
+        answer("503 Service Unavailable", "starting")
+    );
     life().listed();
     assert_eq!(ready(&shared), answer("200 OK", "ready"));
     life().drain(clock::now());
-    assert_eq!(ready(&shared), answer("503 Service Unavailable", "draining"));
+    assert_eq!(
+        ready(&shared),
+        answer("503 Service Unavailable", "draining")
+    );
     life().undrain();
     life().followed(Next::Ready);
     assert_eq!(ready(&shared), answer("200 OK", "handingover"));
     life().stop(clock::now());
-    assert_eq!(ready(&shared), answer("503 Service Unavailable", "stopping"));
+    assert_eq!(
+        ready(&shared),
+        answer("503 Service Unavailable", "stopping")
+    );
 }
--- a/tests/inside/net_duties.rs
+++ b/tests/inside/net_duties.rs
@@ -16,7 +16,10 @@
     let folder = Folder::new().expect("a folder");
     let path = folder.path("yokelift-duties-n0");
     keep(&path, &highest()).expect("kept");
-    assert!(std::fs::read(&path).expect("there") == VOTES_FILE, "tests/fixtures/votes.bin");
+    assert!(
+        std::fs::read(&path).expect("there") == VOTES_FILE,
+        "tests/fixtures/votes.bin"
+    );
     std::fs::write(&path, VOTES_FILE).expect("written");
     assert_eq!(kept(&path), Ok(highest()));
 }
@@ -25,7 +28,14 @@
 fn rows_of_duties_have_the_same_keys_in_the_same_order() {
     let row = |owns, left_ms| {
         let duty = Duty::Probe(0x2a).to_string();
-        serde_json::to_string(&Row { duty, member: "n0".into(), owns, token: 17, left_ms }).expect("JSON")
+        serde_json::to_string(&Row {
+            duty,
+            member: "n0".into(),
+            owns,
+            token: 17,
+            left_ms,
+        })
+        .expect("JSON")
     };
     assert_eq!(
         [row(true, Some(2_400)), row(false, None)],
@@ -36,8 +46,9 @@
     );
 }
 
-/// Guards the tokens over a voter's restarts: what was kept is there again, a first start begins with nothing, and a file
-/// that was spoilt makes no voter, rather than one that would grant tokens a second time.
+/// Guards the tokens over a voter's restarts: what was kept is there again, a first start begins
+/// with nothing, and a file that was spoilt makes no voter, rather than one that would grant tokens
+/// a second time.
 #[test]
 fn a_voter_finds_what_it_kept_or_gives_no_votes() {
     let folder = Folder::new().expect("a folder");
--- a/tests/inside/rows.rs
+++ b/tests/inside/rows.rs
@@ -1,5 +1,6 @@
-//! An engine's actor is there while something is open or owed. What may cross its making and its end is forced here: the
-//! crossing word comes after every number of steps that the actors can have taken, so that each order of the two is met.
+//! An engine's actor is there while something is open or owed. What may cross its making and its
+//! end is forced here: the crossing word comes after every number of steps that the actors can have
+//! taken, so that each order of the two is met.
 use super::{Platform, Row, Start, ToEngine, bounded, spawn};
 use crate::clock::SEC;
 use crate::config::Names;
@@ -62,10 +63,15 @@
 impl World {
     fn row(&self, id: u64) -> Rc<Row> {
         let (shared, core) = (self.shared.clone(), self.core.clone());
-        let names = Rc::new(Names { streams: 4, ..Names::default() });
+        let names = Rc::new(Names {
+            streams: 4,
+            ..Names::default()
+        });
         let start: Start = Rc::new(move |row| {
             let (peer, names) = (row.peer(5 * SEC, 600 * SEC, false), names.clone());
-            spawn(&shared, core.clone(), row, peer, move || Platform::new(names.clone()))
+            spawn(&shared, core.clone(), row, peer, move || {
+                Platform::new(names.clone())
+            })
         });
         Row::new(EngineId(id), self.addr, Readiness::Ready, start)
     }
@@ -111,18 +117,31 @@
             self.look();
             holds(self)
         })));
-        assert!(came, "it never came to that: {:?} {:?} {:?}", self.read, self.ended, self.probed);
+        assert!(
+            came,
+            "it never came to that: {:?} {:?} {:?}",
+            self.read, self.ended, self.probed
+        );
     }
 
-    /// Runs until those have ended, and, with all connections closed by the engine, until no actor is left; each has ended
-    /// once, and what never went out was never read.
+    /// Runs until those have ended, and, with all connections closed by the engine, until no actor
+    /// is left; each has ended once, and what never went out was never read.
     fn settles(&mut self, ids: &[u32]) {
-        self.until(&mut |w| ids.iter().all(|id| w.ended.iter().any(|e| e.0 == RequestId(*id))));
+        self.until(&mut |w| {
+            ids.iter()
+                .all(|id| w.ended.iter().any(|e| e.0 == RequestId(*id)))
+        });
         self.hangs_up = true;
-        self.until(&mut |w| w.shared.engine_actors.get() == 0 && w.shared.engine_sockets.get() == 0);
+        self.until(&mut |w| {
+            w.shared.engine_actors.get() == 0 && w.shared.engine_sockets.get() == 0
+        });
         self.hangs_up = false;
         for id in ids {
-            let ends: Vec<_> = self.ended.iter().filter(|e| e.0 == RequestId(*id)).collect();
+            let ends: Vec<_> = self
+                .ended
+                .iter()
+                .filter(|e| e.0 == RequestId(*id))
+                .collect();
             let read = self.read.matches(&format!("do k{id} ")).count();
             let most = usize::from(ends[0].2 != Reach::Unsent);
             assert!(ends.len() == 1 && read <= most, "{ends:?} {}", self.read);
@@ -130,7 +149,11 @@
     }
 
     fn end_of(&self, id: u32) -> (End, Reach) {
-        let end = self.ended.iter().find(|e| e.0 == RequestId(id)).expect("an end");
+        let end = self
+            .ended
+            .iter()
+            .find(|e| e.0 == RequestId(id))
+            .expect("an end");
         (end.1, end.2)
     }
 }
@@ -150,13 +173,21 @@
     })
 }
 
-/// Guards memory: an engine that nobody uses is a row. One that was used is one again once its connections are over.
+/// Guards memory: an engine that nobody uses is a row. One that was used is one again once its
+/// connections are over.
 #[test]
 fn an_actor_is_there_while_something_is_open() {
     let mut w = world();
     let row = w.row(1);
-    for order in [ToEngine::Stop(RequestId(1), AttemptNo(0)), ToEngine::CloseIdle] {
-        assert_eq!(row.tell(order), Ok(()), "nothing is open: there is nothing to do");
+    for order in [
+        ToEngine::Stop(RequestId(1), AttemptNo(0)),
+        ToEngine::CloseIdle,
+    ] {
+        assert_eq!(
+            row.tell(order),
+            Ok(()),
+            "nothing is open: there is nothing to do"
+        );
     }
     w.steps(STEPS);
     assert!(!row.is_active() && w.shared.engine_actors.get() == 0);
@@ -164,12 +195,16 @@
         assert_eq!(row.tell(start(id)), Ok(()));
         assert!(row.is_active());
         w.settles(&[id]);
-        assert!(!row.is_active() && !row.is_closed(), "a row again, and in the list");
+        assert!(
+            !row.is_active() && !row.is_closed(),
+            "a row again, and in the list"
+        );
     }
 }
 
-/// Guards rule 3, both orders: a drain that is told while the actor is being made, while it connects, and after the
-/// first byte. What has not gone out by then does not go out, and nothing starts afterwards, actor or none.
+/// Guards rule 3, both orders: a drain that is told while the actor is being made, while it
+/// connects, and after the first byte. What has not gone out by then does not go out, and nothing
+/// starts afterwards, actor or none.
 #[test]
 fn a_drain_crosses_the_first_use() {
     let mut reaches = Vec::new();
@@ -188,7 +223,11 @@
             assert_eq!(w.end_of(2), (End::Drained, Reach::Unsent));
         }
         let (end, reach) = w.end_of(1);
-        assert_eq!(end == End::Drained, reach == Reach::Unsent, "{end:?} {reach:?}");
+        assert_eq!(
+            end == End::Drained,
+            reach == Reach::Unsent,
+            "{end:?} {reach:?}"
+        );
         reaches.push(reach);
         // Without an actor the drain holds as well, until the engine is in service again.
         assert_eq!(row.tell(start(3)), Err(End::Drained));
@@ -197,11 +236,15 @@
         w.settles(&[4]);
         assert_ne!(w.end_of(4).1, Reach::Unsent);
     }
-    assert!(reaches[0] == Reach::Unsent && reaches[STEPS] != Reach::Unsent, "both orders: {reaches:?}");
+    assert!(
+        reaches[0] == Reach::Unsent && reaches[STEPS] != Reach::Unsent,
+        "both orders: {reaches:?}"
+    );
 }
 
-/// Guards the rule of one end: an attempt, a probe or a withdrawal that comes while the last connection ends and the
-/// actor is let go, after every number of steps. Nothing that was taken is lost, nothing ends twice.
+/// Guards the rule of one end: an attempt, a probe or a withdrawal that comes while the last
+/// connection ends and the actor is let go, after every number of steps. Nothing that was taken is
+/// lost, nothing ends twice.
 #[test]
 fn an_order_crosses_the_end_of_an_idle_actor() {
     for steps in 0..=STEPS {
@@ -230,8 +273,9 @@
     }
 }
 
-/// Guards attempts that nobody could give up any more: an engine leaves, and another process has its address, while the
-/// actor of the first ends. What was out on the first ends, and the second's attempt goes out on its own connection.
+/// Guards attempts that nobody could give up any more: an engine leaves, and another process has
+/// its address, while the actor of the first ends. What was out on the first ends, and the second's
+/// attempt goes out on its own connection.
 #[test]
 fn an_engine_leaves_and_comes_back_while_its_actor_ends() {
     for steps in 0..=STEPS {
@@ -248,8 +292,13 @@
             let new = w.row(1);
             assert_eq!(new.tell(start(2)), Ok(()));
             assert!(old.tell(start(3)).is_err() && old.is_closed());
-            w.until(&mut |w| w.read.contains("do k2 ") && w.ended.iter().any(|e| e.0 == RequestId(1)));
-            assert!(w.ended.iter().all(|e| e.0 != RequestId(2)), "the second's is out");
+            w.until(&mut |w| {
+                w.read.contains("do k2 ") && w.ended.iter().any(|e| e.0 == RequestId(1))
+            });
+            assert!(
+                w.ended.iter().all(|e| e.0 != RequestId(2)),
+                "the second's is out"
+            );
             w.closes = true;
             w.conns.clear();
             w.settles(&[1, 2]);
@@ -257,8 +306,8 @@
     }
 }
 
-/// Guards an engine's good name, and the next attempt: no descriptor is left at the first use. The attempt ends as never
-/// sent, the actor goes, and the next use finds a descriptor again.
+/// Guards an engine's good name, and the next attempt: no descriptor is left at the first use. The
+/// attempt ends as never sent, the actor goes, and the next use finds a descriptor again.
 #[test]
 fn no_descriptor_is_left_at_the_first_use() {
     let mut w = world();
@@ -273,15 +322,18 @@
     assert_ne!(w.end_of(2).1, Reach::Unsent);
 }
 
-/// Guards the bound on what waits for an engine, which is as it was: what does not fit is never sent, and a withdrawal
-/// that does not fit ends the connections.
+/// Guards the bound on what waits for an engine, which is as it was: what does not fit is never
+/// sent, and a withdrawal that does not fit ends the connections.
 #[test]
 fn a_full_mailbox_refuses() {
     let mut w = world();
     let row = w.row(1);
     let filled = (1..).take_while(|id| row.tell(start(*id)).is_ok()).count();
     assert_eq!(filled, super::MAILBOX);
-    assert_eq!(row.tell(ToEngine::Stop(RequestId(1), AttemptNo(0))), Err(End::Overflow));
+    assert_eq!(
+        row.tell(ToEngine::Stop(RequestId(1), AttemptNo(0))),
+        Err(End::Overflow)
+    );
     row.cut();
     assert!(!row.is_active() && !row.is_closed());
     let (orders, _mailbox) = bounded(1);
--- a/tests/inside/sweep.rs
+++ b/tests/inside/sweep.rs
@@ -1,4 +1,5 @@
-//! What a sweep keeps of the fleet without walking over it, against a walk; and how many engines it visits.
+//! What a sweep keeps of the fleet without walking over it, against a walk; and how many engines it
+//! visits.
 use crate::interface::*;
 use crate::policy::Gateway;
 use crate::state::Health;
@@ -9,13 +10,22 @@
 const STEP: Nanos = S / 50;
 
 fn settings(gateways: u32, asks: bool) -> Settings {
-    let mut s = Settings { me: gateways / 3, gateways, ..crate::law::settings() };
+    let mut s = Settings {
+        me: gateways / 3,
+        gateways,
+        ..crate::law::settings()
+    };
     s.limits.may_probe = asks;
     s
 }
 
 fn entry(id: u64, readiness: Readiness, ready_at: Nanos) -> EngineEntry {
-    EngineEntry { id: EngineId(id), readiness, ready_at, ..EngineEntry::default() }
+    EngineEntry {
+        id: EngineId(id),
+        readiness,
+        ready_at,
+        ..EngineEntry::default()
+    }
 }
 
 struct Play {
@@ -29,9 +39,18 @@
 impl Play {
     fn new(s: Settings, seed: u64, ids: impl Iterator<Item = u64>) -> Play {
         let (g, rng) = (Gateway::new(100 * S, s, seed), Pcg32::seed_from_u64(seed));
-        let mut p = Play { g, now: 100 * S, rng, out: Vec::new(), next: 0 };
+        let mut p = Play {
+            g,
+            now: 100 * S,
+            rng,
+            out: Vec::new(),
+            next: 0,
+        };
         let entries = ids.map(|id| entry(id, Readiness::Ready, 0)).collect();
-        p.tell(Event::List { kind: ListKind::Full, entries });
+        p.tell(Event::List {
+            kind: ListKind::Full,
+            entries,
+        });
         p
     }
 
@@ -62,32 +81,61 @@
         self.next += 1;
         let (id, give_up_at) = (RequestId(self.next), self.now + 20 * S);
         let work_hint = Some(S / 10);
-        self.tell(Event::Request(NewRequest { id, give_up_at, work_hint, ..NewRequest::default() }));
+        self.tell(Event::Request(NewRequest {
+            id,
+            give_up_at,
+            work_hint,
+            ..NewRequest::default()
+        }));
     }
 
     fn end(&mut self, at: usize, kind: OutcomeKind) {
         let (id, attempt, engine, sent) = self.out.remove(at);
         let (work, closed) = (Some(S / 10), kind == OutcomeKind::Ok);
         let (latency, load) = (self.now - sent, LoadReport::default());
-        let o = Outcome { id, attempt, engine, kind, latency, closed, work, memory_mb: None, load };
+        let o = Outcome {
+            id,
+            attempt,
+            engine,
+            kind,
+            latency,
+            closed,
+            work,
+            memory_mb: None,
+            load,
+        };
         self.tell(Event::Outcome(o));
     }
 
-    /// Something of the list: an engine comes, starts anew, drains or goes, or the whole list is told.
+    /// Something of the list: an engine comes, starts anew, drains or goes, or the whole list is
+    /// told.
     fn list(&mut self, ids: u64) {
         let id = u64::from(self.draw(ids as u32)) + 1;
-        let known = self.g.engines.get(&EngineId(id)).map_or(0, |e| e.entry.ready_at);
+        let known = self
+            .g
+            .engines
+            .get(&EngineId(id))
+            .map_or(0, |e| e.entry.ready_at);
         let told = match self.draw(5) {
             0 | 1 => entry(id, Readiness::Ready, self.now - self.now % 7),
             2 => entry(id, Readiness::Draining, known),
             3 => entry(id, Readiness::Gone, known),
             _ => {
                 let all: Vec<_> = self.g.engines.values().map(|e| e.entry).collect();
-                let entries = all.into_iter().filter(|e| e.readiness != Readiness::Gone).collect();
-                return self.tell(Event::List { kind: ListKind::Full, entries });
+                let entries = all
+                    .into_iter()
+                    .filter(|e| e.readiness != Readiness::Gone)
+                    .collect();
+                return self.tell(Event::List {
+                    kind: ListKind::Full,
+                    entries,
+                });
             }
         };
-        self.tell(Event::List { kind: ListKind::Changes, entries: vec![told] });
+        self.tell(Event::List {
+            kind: ListKind::Changes,
+            entries: vec![told],
+        });
     }
 
     /// Whether what is kept equals what a walk finds now, told by name.
@@ -101,17 +149,37 @@
         let mut stretches: Vec<f64> = ready().map(|e| e.stretch).collect();
         stretches.sort_by(f64::total_cmp);
         let median = stretches.get(stretches.len() / 2).copied().unwrap_or(1.0);
-        assert_eq!(f.median_stretch.to_bits(), median.to_bits(), "median, {why}");
+        assert_eq!(
+            f.median_stretch.to_bits(),
+            median.to_bits(),
+            "median, {why}"
+        );
         assert_eq!(f.turns, g.tally(now).turns, "turns, {why}");
-        assert_eq!(f.cores, usable().map(|e| e.cores).fold(0.0, |a, b| a + b), "cores, {why}");
+        assert_eq!(
+            f.cores,
+            usable().map(|e| e.cores).fold(0.0, |a, b| a + b),
+            "cores, {why}"
+        );
         let counts = |asks: bool, warmth: f64| if asks || warmth >= 1.0 { warmth } else { 0.0 };
         let asks = g.s.limits.may_probe;
-        let bound: f64 = usable().map(|e| e.bound * counts(asks, e.warmth(now, &rules))).sum();
-        assert!((f.bound - bound).abs() <= 1e-9 * bound, "bound {} for {bound}, {why}", f.bound);
+        let bound: f64 = usable()
+            .map(|e| e.bound * counts(asks, e.warmth(now, &rules)))
+            .sum();
+        assert!(
+            (f.bound - bound).abs() <= 1e-9 * bound,
+            "bound {} for {bound}, {why}",
+            f.bound
+        );
         for e in g.engines.values() {
-            assert!(!matches!(e.health, Health::Open(until) if until <= now), "an ejection is over, {why}");
+            assert!(
+                !matches!(e.health, Health::Open(until) if until <= now),
+                "an ejection is over, {why}"
+            );
             let ends = e.cold_sent.front().zip(e.cold_sent.back());
-            assert!(ends.is_none_or(|(a, b)| a.0 + rules.fall_window >= b.0), "one window is kept, {why}");
+            assert!(
+                ends.is_none_or(|(a, b)| a.0 + rules.fall_window >= b.0),
+                "one window is kept, {why}"
+            );
         }
     }
 }
@@ -120,9 +188,12 @@
 #[test]
 fn what_is_kept_between_walks_is_what_a_walk_would_find() {
     let (mut ejected, mut cold, mut short) = (0, 0, 0);
-    for (seed, gateways, asks, ids) in
-        [(1, 1, true, 6), (2, 4, false, 9), (3, 60, true, 40), (4, 60, false, 40)]
-    {
+    for (seed, gateways, asks, ids) in [
+        (1, 1, true, 6),
+        (2, 4, false, 9),
+        (3, 60, true, 40),
+        (4, 60, false, 40),
+    ] {
         let settings = |warm_within| {
             let mut s = settings(gateways, asks);
             // Turns on cold engines end at other instants than those on warm ones.
@@ -141,7 +212,14 @@
                 let at = p.draw(p.out.len() as u32) as usize;
                 // Each engine has seconds in which all fails there.
                 let fails = (p.now / (3 * S) + p.out[at].2.0).is_multiple_of(4);
-                p.end(at, if fails { OutcomeKind::Error } else { OutcomeKind::Ok });
+                p.end(
+                    at,
+                    if fails {
+                        OutcomeKind::Error
+                    } else {
+                        OutcomeKind::Ok
+                    },
+                );
             }
             // Quiet spells of ten seconds show what the time alone changes.
             match p.draw(if step % 1000 < 500 { 4000 } else { 60 }) {
@@ -150,7 +228,13 @@
                 2 => p.g.share_among(gateways / 2 + 1),
                 3 => {
                     let me = (p.g.s.me + 1) % gateways;
-                    p.g.retune(Settings { me, ..settings(15 * S + S / 3 * (step as Nanos % 2)) }, &[]);
+                    p.g.retune(
+                        Settings {
+                            me,
+                            ..settings(15 * S + S / 3 * (step as Nanos % 2))
+                        },
+                        &[],
+                    );
                 }
                 _ => {}
             }
@@ -163,16 +247,23 @@
             cold += p.g.fleet.cold.len();
         }
     }
-    assert!(short > 10_000 && ejected > 5 && cold > 1000, "{short} short, {ejected} ejected, {cold} cold");
+    assert!(
+        short > 10_000 && ejected > 5 && cold > 1000,
+        "{short} short, {ejected} ejected, {cold} cold"
+    );
 }
 
-/// Guards the median: an engine that drains is no peer, whatever it answers, and however like a peer it was.
+/// Guards the median: an engine that drains is no peer, whatever it answers, and however like a
+/// peer it was.
 #[test]
 fn an_answer_of_an_engine_that_drains_leaves_the_median() {
     let mut p = Play::new(settings(1, false), 1, 1..=3);
     (0..9).for_each(|_| p.ask());
     let entries = vec![entry(1, Readiness::Draining, 0)];
-    p.tell(Event::List { kind: ListKind::Changes, entries });
+    p.tell(Event::List {
+        kind: ListKind::Changes,
+        entries,
+    });
     p.now += S;
     p.tell(Event::Timer(1));
     // At the instant when it woke it would learn nothing.
@@ -191,8 +282,13 @@
     for asks in [true, false] {
         let visits = [100, 900].map(|n| {
             let mut p = Play::new(settings(3, asks), 1, 1..=n);
-            let entries = (1..=3).map(|id| entry(id, Readiness::Ready, p.now)).collect();
-            p.tell(Event::List { kind: ListKind::Changes, entries });
+            let entries = (1..=3)
+                .map(|id| entry(id, Readiness::Ready, p.now))
+                .collect();
+            p.tell(Event::List {
+                kind: ListKind::Changes,
+                entries,
+            });
             let (walks, visits) = (p.g.fleet.walks, p.g.fleet.visits);
             for _ in 0..500 {
                 p.now += STEP;
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -9,26 +9,29 @@
     }
 }
 
-/// Guards readiness, the figures, and clients that are sent away: none is held, none loses a request.
+/// Guards readiness, the figures, and clients that are sent away: none is held, none loses a
+/// request.
 #[test]
 fn a_drain_lets_clients_go_and_loses_nothing() {
     play(include_str!("../rehearsals/drain.txt"));
 }
 
-/// Guards open requests against new rules, and new ones against old rules; and that a bad file changes nothing.
+/// Guards open requests against new rules, and new ones against old rules; and that a bad file
+/// changes nothing.
 #[test]
 fn a_new_configuration_is_taken_whole_or_not_at_all() {
     play(include_str!("../rehearsals/retune.txt"));
 }
 
-/// Guards each request through a change of versions: one answer, a load run once, no connection lost.
+/// Guards each request through a change of versions: one answer, a load run once, no connection
+/// lost.
 #[test]
 fn a_new_version_takes_over_and_nobody_notices() {
     play(include_str!("../rehearsals/upgrade.txt"));
 }
 
-/// Guards the process that runs against a successor that dies before or after its yes: it serves on, and another
-/// can follow.
+/// Guards the process that runs against a successor that dies before or after its yes: it serves
+/// on, and another can follow.
 #[test]
 fn a_new_version_that_dies_leaves_the_old_one_serving() {
     play(
@@ -40,8 +43,8 @@
     );
 }
 
-/// Guards clients whose connection passed on before its old process was killed: what it had open fails at once,
-/// the load is not run again, and the connection goes on.
+/// Guards clients whose connection passed on before its old process was killed: what it had open
+/// fails at once, the load is not run again, and the connection goes on.
 #[test]
 fn an_old_version_killed_halfway_fails_only_what_it_had_open() {
     play(
@@ -64,7 +67,8 @@
     );
 }
 
-/// Guards operators against a crowd at their own door: callers that finish no call cost nobody an answer.
+/// Guards operators against a crowd at their own door: callers that finish no call cost nobody an
+/// answer.
 #[test]
 fn callers_that_finish_no_call_keep_nobody_out() {
     play(
@@ -73,28 +77,40 @@
     );
 }
 
-/// Guards operators against a daemon that runs without the address that they were promised: it does not start, and
-/// says why in one line.
+/// Guards operators against a daemon that runs without the address that they were promised: it does
+/// not start, and says why in one line.
 #[test]
 fn a_console_that_can_not_be_had_ends_the_start() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let known = serde_json::json!({"index": 0, "updates": []});
     let addr = |l: &std::net::TcpListener| l.local_addr().expect("an address");
-    let config = yokelift::kit::daemon::config(yokelift::kit::daemon::free_addr(), addr(&taken), &known, 64);
+    let config =
+        yokelift::kit::daemon::config(yokelift::kit::daemon::free_addr(), addr(&taken), &known, 64);
     let folder = yokelift::kit::daemon::Folder::new().expect("a folder");
-    let path = folder.put("config.json", &config.to_string()).expect("a file");
+    let path = folder
+        .put("config.json", &config.to_string())
+        .expect("a file");
     for console in [addr(&taken).to_string(), "nowhere".to_owned()] {
         let mut daemon = std::process::Command::new(env!("CARGO_BIN_EXE_yokelift"));
-        daemon.env("PROXY_CONFIG", &path).env("PROXY_CONSOLE", &console).env("TMPDIR", folder.path(""));
+        daemon
+            .env("PROXY_CONFIG", &path)
+            .env("PROXY_CONSOLE", &console)
+            .env("TMPDIR", folder.path(""));
         let ended = daemon.output().expect("its end");
         let said = String::from_utf8_lossy(&ended.stderr).into_owned();
-        assert!(!ended.status.success() && said.lines().count() == 1, "{said}");
-        assert!(said.contains("console") || said.contains("PROXY_CONSOLE"), "{said}");
+        assert!(
+            !ended.status.success() && said.lines().count() == 1,
+            "{said}"
+        );
+        assert!(
+            said.contains("console") || said.contains("PROXY_CONSOLE"),
+            "{said}"
+        );
     }
 }
 
-/// Guards settings that change while something else does: twice in quick succession, in a drain, and between two
-/// processes. What the last file says holds, and nothing else is disturbed.
+/// Guards settings that change while something else does: twice in quick succession, in a drain,
+/// and between two processes. What the last file says holds, and nothing else is disturbed.
 #[test]
 fn new_settings_come_at_any_moment() {
     play(
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,5 +1,6 @@
-//! Cold engines under the sum of a whole fleet: many instances of the module that share nothing, with uneven traffic and
-//! bursts, told of a start at different instants, some of them started anew with nothing of what they had sent.
+//! Cold engines under the sum of a whole fleet: many instances of the module that share nothing,
+//! with uneven traffic and bursts, told of a start at different instants, some of them started anew
+//! with nothing of what they had sent.
 mod common;
 use common::*;
 use rand_core::{Rng, SeedableRng};
@@ -40,17 +41,27 @@
     rules.fall_multiple * warmth * cores * 0.8 * rules.fall_window as f64 / WORK as f64
 }
 
-/// Plays it, and gives the most that the cold engine was sent in a window, over what is allowed there and then.
+/// Plays it, and gives the most that the cold engine was sent in a window, over what is allowed
+/// there and then.
 fn worst(plan: &Plan, seed: u64) -> (f64, f64, usize) {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut draw = move || f64::from(rng.next_u32()) / f64::from(u32::MAX);
     let warm = 10;
     let rules = fleet_settings(plan, 0).rules;
     let listed = |cold: bool| {
-        let cold = cold.then_some(EngineEntry { id: COLD, ..entry(99, 0, T0) });
-        (1..=warm).map(|id| entry(id, 0, 0)).chain(cold).collect::<Vec<_>>()
+        let cold = cold.then_some(EngineEntry {
+            id: COLD,
+            ..entry(99, 0, T0)
+        });
+        (1..=warm)
+            .map(|id| entry(id, 0, 0))
+            .chain(cold)
+            .collect::<Vec<_>>()
+    };
+    let full = |cold| Event::List {
+        kind: ListKind::Full,
+        entries: listed(cold),
     };
-    let full = |cold| Event::List { kind: ListKind::Full, entries: listed(cold) };
     struct Manager {
         g: Gateway,
         told_at: Nanos,
@@ -65,10 +76,21 @@
             g.handle(T0 - S, full(false), &mut Vec::new());
             let told_at = T0 + (draw() * 1.5e9) as Nanos;
             let restarts = draw() < plan.restarts;
-            let restart_at = if restarts { T0 + (draw() * 8e9) as Nanos } else { Nanos::MAX };
+            let restart_at = if restarts {
+                T0 + (draw() * 8e9) as Nanos
+            } else {
+                Nanos::MAX
+            };
             // Some get five times what others get.
             let rate = 0.4 + 1.6 * draw() * draw();
-            Manager { g, told_at, restart_at, rate, out: VecDeque::new(), next: 1 }
+            Manager {
+                g,
+                told_at,
+                restart_at,
+                rate,
+                out: VecDeque::new(),
+                next: 1,
+            }
         })
         .collect();
     let sum: f64 = all.iter().map(|m| m.rate).sum();
@@ -79,7 +101,11 @@
     while now < T0 + 12 * S {
         now += STEP;
         // A burst of three times the usual in every third second.
-        let burst = if (now / S).is_multiple_of(3) { 3.0 } else { 1.0 };
+        let burst = if (now / S).is_multiple_of(3) {
+            3.0
+        } else {
+            1.0
+        };
         for (me, m) in all.iter_mut().enumerate() {
             let mut acts = Vec::new();
             if now >= m.restart_at {
@@ -93,7 +119,11 @@
             }
             while m.out.front().is_some_and(|(at, ..)| *at <= now) {
                 let (_, id, attempt, engine) = m.out.pop_front().expect("one");
-                m.g.handle(now, outcome(id, attempt, engine, OutcomeKind::Ok, WORK), &mut acts);
+                m.g.handle(
+                    now,
+                    outcome(id, attempt, engine, OutcomeKind::Ok, WORK),
+                    &mut acts,
+                );
             }
             m.g.handle(now, Event::Timer(1), &mut acts);
             let mut due = plan.demand * capacity * burst * m.rate / sum * STEP as f64 / 1e9;
@@ -115,9 +145,21 @@
                     }
                     Action::Probe { engine } => {
                         let util = if engine == COLD { 0.1 } else { 0.95 };
-                        let load = LoadReport { len: 1, values: [util; 4] };
+                        let load = LoadReport {
+                            len: 1,
+                            values: [util; 4],
+                        };
                         let kind = OutcomeKind::Ok;
-                        m.g.handle(now, Event::Probed { engine, kind, latency: MS, load }, &mut acts);
+                        m.g.handle(
+                            now,
+                            Event::Probed {
+                                engine,
+                                kind,
+                                latency: MS,
+                                load,
+                            },
+                            &mut acts,
+                        );
                     }
                     _ => {}
                 }
@@ -138,16 +180,24 @@
     (most, bound, calls)
 }
 
-/// Guards rule 4 for the sum of the fleet: beyond the budget of N calls only 2√N + 2 is chance, with any number of
-/// managers, also where every third of them has forgotten what it sent.
+/// Guards rule 4 for the sum of the fleet: beyond the budget of N calls only 2√N + 2 is chance,
+/// with any number of managers, also where every third of them has forgotten what it sent.
 #[test]
 fn a_cold_engine_gets_no_more_than_its_budget_from_all_managers_together() {
     for (managers, seed) in [(3, 1), (8, 2), (20, 3), (30, 4), (100, 5), (300, 6)] {
         for (restarts, probes) in [(0.0, false), (0.3, false), (0.7, true)] {
-            let plan = Plan { managers, demand: 1.6, restarts, probes };
+            let plan = Plan {
+                managers,
+                demand: 1.6,
+                restarts,
+                probes,
+            };
             let (most, bound, calls) = worst(&plan, seed);
             println!("{managers} {restarts} {probes}: {most:.2} of {bound:.2}, {calls} calls");
-            assert!(most <= bound, "{managers} managers, {restarts} started anew: {most:.2} over {bound:.2}");
+            assert!(
+                most <= bound,
+                "{managers} managers, {restarts} started anew: {most:.2} over {bound:.2}"
+            );
             // It is no bound to send it nothing.
             assert!(calls > 20, "{managers} managers: {calls} calls");
         }
--- a/tests/recorded_run.rs
+++ b/tests/recorded_run.rs
@@ -1,5 +1,6 @@
-//! A recorded run of the decision module: random events of all kinds under fixed seeds, and a digest of all actions so far
-//! after each thousand events. Whatever only moves or renames code leaves every digest as it is.
+//! A recorded run of the decision module: random events of all kinds under fixed seeds, and a
+//! digest of all actions so far after each thousand events. Whatever only moves or renames code
+//! leaves every digest as it is.
 mod common;
 use common::*;
 use rand_core::{Rng, SeedableRng};
@@ -45,8 +46,13 @@
             engines,
             digest: Xxh3::new(),
         };
-        let entries = (1..=engines).map(|id| recording.entry(id, Readiness::Ready, 0)).collect();
-        recording.handle(Event::List { kind: ListKind::Full, entries });
+        let entries = (1..=engines)
+            .map(|id| recording.entry(id, Readiness::Ready, 0))
+            .collect();
+        recording.handle(Event::List {
+            kind: ListKind::Full,
+            entries,
+        });
         recording
     }
 
@@ -77,17 +83,28 @@
     /// Takes up what an action says, independent of the names that the code gives it.
     fn record(&mut self, action: &Action) {
         let (code, words): (u8, Vec<u64>) = match action {
-            Action::Send { id, engine, timeout } => (1, vec![u64::from(id.0), engine.0, *timeout]),
-            Action::Terms { id, priority, memory_mb } => {
-                (2, vec![u64::from(id.0), u64::from(*priority), memory_mb.to_bits()])
-            }
+            Action::Send {
+                id,
+                engine,
+                timeout,
+            } => (1, vec![u64::from(id.0), engine.0, *timeout]),
+            Action::Terms {
+                id,
+                priority,
+                memory_mb,
+            } => (
+                2,
+                vec![u64::from(id.0), u64::from(*priority), memory_mb.to_bits()],
+            ),
             Action::Cancel { id, attempt } => (3, vec![u64::from(id.0), u64::from(attempt.0)]),
             Action::Refuse { id, retry_after } => (4, vec![u64::from(id.0), *retry_after]),
             Action::Fail { id } => (5, vec![u64::from(id.0)]),
             Action::Timer { after, token } => (6, vec![*after, *token]),
             Action::Probe { engine } => (7, vec![engine.0]),
             Action::CloseIdle { engine } => (8, vec![engine.0]),
-            Action::Tell { peer, data } => (9, vec![peer.map_or(u64::MAX, u64::from), data.len() as u64]),
+            Action::Tell { peer, data } => {
+                (9, vec![peer.map_or(u64::MAX, u64::from), data.len() as u64])
+            }
             Action::FetchList => (10, vec![]),
             Action::Watch(on) => (11, vec![u64::from(*on)]),
             Action::Log(line) => (12, vec![line.len() as u64]),
@@ -103,10 +120,18 @@
             Action::Send { id, engine, .. } => {
                 let attempt = AttemptNo(self.attempts[id.0 as usize]);
                 self.attempts[id.0 as usize] += 1;
-                self.running.push(Running { id, attempt, engine, sent: self.now });
+                self.running.push(Running {
+                    id,
+                    attempt,
+                    engine,
+                    sent: self.now,
+                });
             }
             Action::Cancel { id, attempt } => {
-                let at = self.running.iter().position(|r| (r.id, r.attempt) == (id, attempt));
+                let at = self
+                    .running
+                    .iter()
+                    .position(|r| (r.id, r.attempt) == (id, attempt));
                 // Some cancels cross an end that is on its way.
                 if let Some(at) = at.filter(|_| id.0 % 5 != 0) {
                     self.end(at, OutcomeKind::Cancelled);
@@ -141,7 +166,12 @@
     }
 
     fn end(&mut self, at: usize, kind: OutcomeKind) {
-        let Running { id, attempt, engine, sent } = self.running.remove(at);
+        let Running {
+            id,
+            attempt,
+            engine,
+            sent,
+        } = self.running.remove(at);
         let ok = kind == OutcomeKind::Ok;
         let told = ok && self.settings.tells_cost;
         let work = told.then(|| Nanos::from(self.draw(900) + 1) * MS);
@@ -176,7 +206,11 @@
             OutcomeKind::Moot,
         ];
         let fails = self.draw(if bad { 2 } else { 25 }) == 0;
-        let kind = if fails { kinds[self.draw(6) as usize] } else { OutcomeKind::Ok };
+        let kind = if fails {
+            kinds[self.draw(6) as usize]
+        } else {
+            OutcomeKind::Ok
+        };
         self.end(at, kind);
     }
 
@@ -198,29 +232,53 @@
     fn list(&mut self) {
         let id = self.draw(self.engines) + 1;
         let entry = match self.draw(6) {
-            0 => return self.handle(Event::List { kind: ListKind::Failed, entries: Vec::new() }),
+            0 => {
+                return self.handle(Event::List {
+                    kind: ListKind::Failed,
+                    entries: Vec::new(),
+                });
+            }
             1 => self.entry(id, Readiness::Draining, 0),
             2 => self.entry(id, Readiness::Gone, 0),
             3 | 4 => self.entry(id, Readiness::Ready, self.now - self.now % MS),
             _ => {
-                let entries = (1..=self.engines).map(|id| self.entry(id, Readiness::Ready, 0)).collect();
-                return self.handle(Event::List { kind: ListKind::Full, entries });
+                let entries = (1..=self.engines)
+                    .map(|id| self.entry(id, Readiness::Ready, 0))
+                    .collect();
+                return self.handle(Event::List {
+                    kind: ListKind::Full,
+                    entries,
+                });
             }
         };
-        self.handle(Event::List { kind: ListKind::Changes, entries: vec![entry] });
+        self.handle(Event::List {
+            kind: ListKind::Changes,
+            entries: vec![entry],
+        });
     }
 
     fn probed(&mut self) {
         let engine = EngineId(u64::from(self.draw(self.engines)) + 1);
-        let kind = if self.draw(12) == 0 { OutcomeKind::ConnectFailed } else { OutcomeKind::Ok };
+        let kind = if self.draw(12) == 0 {
+            OutcomeKind::ConnectFailed
+        } else {
+            OutcomeKind::Ok
+        };
         let (latency, load) = (Nanos::from(self.draw(40) + 1) * MS / 4, self.load());
-        self.handle(Event::Probed { engine, kind, latency, load });
+        self.handle(Event::Probed {
+            engine,
+            kind,
+            latency,
+            load,
+        });
     }
 
     /// What operators change while the module runs.
     fn reconfigure(&mut self) {
         match self.draw(4) {
-            0 => self.gateway.split([0.25, 0.5, 1.0][self.attempts.len() % 3]),
+            0 => self
+                .gateway
+                .split([0.25, 0.5, 1.0][self.attempts.len() % 3]),
             1 => {
                 let gateways = self.settings.gateways;
                 let serving = self.draw(gateways) + 1;
@@ -228,7 +286,12 @@
             }
             2 => {
                 let quota_per_s = f64::from(self.draw(60) + 1);
-                self.gateway.set_tenants(&[TenantSpec { quota_per_s, share: 0.5 }; 2]);
+                self.gateway.set_tenants(
+                    &[TenantSpec {
+                        quota_per_s,
+                        share: 0.5,
+                    }; 2],
+                );
             }
             _ if self.settings.classes.len() < 8 => {
                 let of = self.draw(self.settings.classes.len() as u32) as u16;
@@ -236,7 +299,8 @@
                 self.settings.classes.push(class);
                 let new = ClassId(self.settings.classes.len() as u16 - 1);
                 let heir_of = Some(ClassId(of)).filter(|_| of.is_multiple_of(2));
-                self.gateway.retune(self.settings.clone(), &[(new, heir_of)]);
+                self.gateway
+                    .retune(self.settings.clone(), &[(new, heir_of)]);
             }
             _ => {}
         }
@@ -259,7 +323,10 @@
                 self.handle(Event::FirstByte { id, attempt });
             }
             820..=822 => self.reconfigure(),
-            823 => self.handle(Event::Peer { from: 1, data: vec![1, 2] }),
+            823 => self.handle(Event::Peer {
+                from: 1,
+                data: vec![1, 2],
+            }),
             // A stall of this manager itself.
             824 => self.now += 200 * MS,
             825..=829 => self.now += 40 * MS,
@@ -294,7 +361,13 @@
     settings.ask_for_list = true;
     settings.crossing_costs = true;
     settings.tells_cost = false;
-    settings.tenants = vec![TenantSpec { quota_per_s: 5.0, share: 0.5 }; 2];
+    settings.tenants = vec![
+        TenantSpec {
+            quota_per_s: 5.0,
+            share: 0.5
+        };
+        2
+    ];
     settings
 }
 
@@ -303,16 +376,26 @@
     settings.gateways = 60;
     settings.me = 17;
     settings.limits.may_probe = may_probe;
-    settings.load_fields =
-        vec![LoadField::Util, LoadField::DisksBusy, LoadField::MemoryGranted, LoadField::Queue];
+    settings.load_fields = vec![
+        LoadField::Util,
+        LoadField::DisksBusy,
+        LoadField::MemoryGranted,
+        LoadField::Queue,
+    ];
     settings.rules.extra = None;
     settings
 }
 
 fn keyed_everywhere() -> Settings {
     let mut settings = settings();
-    settings.classes[0].effect = Effect::Keyed { scope: Scope::All, window: 3 * S };
-    settings.classes[3].effect = Effect::Keyed { scope: Scope::Zone, window: 3 * S };
+    settings.classes[0].effect = Effect::Keyed {
+        scope: Scope::All,
+        window: 3 * S,
+    };
+    settings.classes[3].effect = Effect::Keyed {
+        scope: Scope::Zone,
+        window: 3 * S,
+    };
     settings.limits.may_cancel = false;
     settings.note_period = 0;
     settings.limits.retry_after = false;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Seeded property test: random legal events in odd orders, and a checker of the seven rules that shares nothing
-//! with the module.
+//! Seeded property test: random legal events in odd orders, and a checker of the seven rules that
+//! shares nothing with the module.
 mod common;
 use common::*;
 use proptest::prelude::*;
@@ -44,7 +44,10 @@
 }
 
 fn never_ran(kind: OutcomeKind) -> bool {
-    matches!(kind, OutcomeKind::Full | OutcomeKind::ConnectFailed | OutcomeKind::Moot)
+    matches!(
+        kind,
+        OutcomeKind::Full | OutcomeKind::ConnectFailed | OutcomeKind::Moot
+    )
 }
 
 fn may_have_run(t: &Try) -> bool {
@@ -62,7 +65,11 @@
             vec![],
             vec![LoadField::Inflight],
             vec![LoadField::Util],
-            vec![LoadField::Util, LoadField::DisksBusy, LoadField::MemoryGranted],
+            vec![
+                LoadField::Util,
+                LoadField::DisksBusy,
+                LoadField::MemoryGranted,
+            ],
         ];
         s.load_fields = fields[rng.next_u32() as usize % 4].clone();
         // What an operator may forbid or leave out.
@@ -81,7 +88,10 @@
         if odd(2) {
             s.rules.fall_window = S;
         }
-        let rig = Rig { g: yokelift::policy::Gateway::new(T0, s.clone(), seed), now: T0 };
+        let rig = Rig {
+            g: yokelift::policy::Gateway::new(T0, s.clone(), seed),
+            now: T0,
+        };
         let mut w = World {
             s,
             rig,
@@ -125,12 +135,22 @@
 
     fn answer(&mut self, id: RequestId, refused: bool) {
         let now = self.rig.now;
-        let r = self.seen.get_mut(&id).expect("a final answer for an unknown request");
+        let r = self
+            .seen
+            .get_mut(&id)
+            .expect("a final answer for an unknown request");
         r.answers += 1;
         assert_eq!(r.answers, 1, "two final answers for {id:?}");
         let (from, woke) = self.stood;
-        let due = if (from..=woke).contains(&r.ask.give_up_at) { woke } else { r.ask.give_up_at };
-        assert!(now <= due + self.s.rules.answer_slack, "late answer for {id:?}");
+        let due = if (from..=woke).contains(&r.ask.give_up_at) {
+            woke
+        } else {
+            r.ask.give_up_at
+        };
+        assert!(
+            now <= due + self.s.rules.answer_slack,
+            "late answer for {id:?}"
+        );
         r.over.get_or_insert(now);
         let unsure = r.tries.iter().any(may_have_run);
         let class = &self.s.classes[usize::from(r.ask.class.0)];
@@ -145,10 +165,16 @@
             Action::Refuse { id, .. } => self.answer(*id, true),
             Action::Fail { id } => self.answer(*id, false),
             Action::Timer { after, .. } => drop(self.timers.insert(now + after)),
-            Action::Probe { .. } => assert!(self.s.limits.may_probe, "probed where that is not allowed"),
+            Action::Probe { .. } => {
+                assert!(self.s.limits.may_probe, "probed where that is not allowed")
+            }
             Action::Cancel { id, attempt } => {
-                assert!(self.s.limits.may_cancel, "cancelled where that is not allowed");
-                let t = &mut self.seen.get_mut(id).expect("unknown request").tries[usize::from(attempt.0)];
+                assert!(
+                    self.s.limits.may_cancel,
+                    "cancelled where that is not allowed"
+                );
+                let t = &mut self.seen.get_mut(id).expect("unknown request").tries
+                    [usize::from(attempt.0)];
                 t.cancelled = true;
             }
             Action::Send { id, engine, .. } => self.check_send(now, *id, *engine),
@@ -158,16 +184,39 @@
 
     fn check_send(&mut self, now: Nanos, id: RequestId, engine: EngineId) {
         let e = self.listed[&engine];
-        assert_eq!(e.readiness, Readiness::Ready, "sent to an engine that drains or is gone");
+        assert_eq!(
+            e.readiness,
+            Readiness::Ready,
+            "sent to an engine that drains or is gone"
+        );
         let r = &self.seen[&id];
         let class = self.s.classes[usize::from(r.ask.class.0)].clone();
-        assert!(r.over.is_none() && now < r.ask.give_up_at, "sent after the end");
+        assert!(
+            r.over.is_none() && now < r.ask.give_up_at,
+            "sent after the end"
+        );
         let out = r.tries.iter().filter(|t| t.ended.is_none()).count();
-        let there = r.tries.iter().any(|t| t.ended.is_none() && t.engine == engine);
+        let there = r
+            .tries
+            .iter()
+            .any(|t| t.ended.is_none() && t.engine == engine);
         assert!(!there, "a second copy to the engine of the first");
-        assert!(out <= usize::from(self.s.limits.second_copies), "{} attempts out at once", out + 1);
-        assert!(r.tries.len() < self.s.limits.send_cap as usize, "too many attempts");
-        assert!(class.only_kinds.as_ref().is_none_or(|k| k.contains(&e.kind)), "placement");
+        assert!(
+            out <= usize::from(self.s.limits.second_copies),
+            "{} attempts out at once",
+            out + 1
+        );
+        assert!(
+            r.tries.len() < self.s.limits.send_cap as usize,
+            "too many attempts"
+        );
+        assert!(
+            class
+                .only_kinds
+                .as_ref()
+                .is_none_or(|k| k.contains(&e.kind)),
+            "placement"
+        );
         let first_run = r.tries.iter().find(|t| may_have_run(t));
         match (class.effect, first_run) {
             (Effect::Unsafe, run) => assert!(run.is_none(), "unsafe request sent again"),
@@ -182,43 +231,72 @@
                 let o = &self.seen[other];
                 assert!(o.over.is_some(), "{id:?} sent before {other:?} is over");
                 for t in &o.tries {
-                    let (kind, at) = t.ended.expect("sent while an earlier attempt has no outcome");
-                    let rests = [OutcomeKind::Timeout, OutcomeKind::Reset, OutcomeKind::Cancelled];
-                    assert!(!rests.contains(&kind) || now >= at + self.s.rules.key_rest, "key not rested");
+                    let (kind, at) = t
+                        .ended
+                        .expect("sent while an earlier attempt has no outcome");
+                    let rests = [
+                        OutcomeKind::Timeout,
+                        OutcomeKind::Reset,
+                        OutcomeKind::Cancelled,
+                    ];
+                    assert!(
+                        !rests.contains(&kind) || now >= at + self.s.rules.key_rest,
+                        "key not rested"
+                    );
                 }
             }
         }
         if let (false, Some(b)) = (r.tries.is_empty(), self.s.rules.extra) {
             self.extras.push((now, id));
-            let extras = self.extras.iter().filter(|(t, _)| *t + b.span > now).count() as f64;
+            let extras = self
+                .extras
+                .iter()
+                .filter(|(t, _)| *t + b.span > now)
+                .count() as f64;
             let taken = self.taken.iter().filter(|t| **t + b.span > now).count() as f64;
-            assert!(extras <= b.spare + b.ratio * taken, "{extras} further attempts for {taken} taken");
+            assert!(
+                extras <= b.spare + b.ratio * taken,
+                "{extras} further attempts for {taken} taken"
+            );
         }
         if e.ready_at > 0 && now < e.ready_at + self.s.rules.warm_within {
-            self.cold.push((now, engine, WORK[usize::from(r.ask.class.0)] as f64));
+            self.cold
+                .push((now, engine, WORK[usize::from(r.ask.class.0)] as f64));
             let since = e.ready_at.max(now - self.s.rules.fall_window);
-            let sent = self.cold.iter().filter(|(t, c, _)| *c == engine && *t >= since);
+            let sent = self
+                .cold
+                .iter()
+                .filter(|(t, c, _)| *c == engine && *t >= since);
             let (count, sent) = sent.fold((0, 0.0), |(n, sum), (_, _, w)| (n + 1, sum + w));
             let cores = self.s.kinds[usize::from(e.kind.0)].cores;
             let age = (now - e.ready_at) as f64 / self.s.rules.warm_within as f64;
             let window = self.s.rules.fall_window as f64;
             let budget = 2.0 * cores * 0.85 * (0.3 + 0.7 * age) * window;
-            // One gateway keeps to its part; where that is under one query, it sends a whole one in its turn, and
-            // never more than the engine could take. `fleet.rs` adds up all gateways.
+            // One gateway keeps to its part; where that is under one query, it sends a whole one in
+            // its turn, and never more than the engine could take. `fleet.rs` adds up all gateways.
             let part = budget / f64::from(self.s.gateways);
             assert!(
                 sent <= part || (sent <= budget && (count == 1 || self.s.gateways > 3)),
                 "cold engine over its part: {sent} of {part} in {count} sends"
             );
         }
-        let t = Try { engine, sent: now, ended: None, cancelled: false };
+        let t = Try {
+            engine,
+            sent: now,
+            ended: None,
+            cancelled: false,
+        };
         self.seen.get_mut(&id).expect("known").tries.push(t);
     }
 
     fn end(&mut self, (id, n): (RequestId, usize), kind: OutcomeKind) {
         let now = self.rig.now;
-        let Some(r) = self.seen.get_mut(&id) else { return };
-        let Some(t) = r.tries.get_mut(n).filter(|t| t.ended.is_none()) else { return };
+        let Some(r) = self.seen.get_mut(&id) else {
+            return;
+        };
+        let Some(t) = r.tries.get_mut(n).filter(|t| t.ended.is_none()) else {
+            return;
+        };
         t.ended = Some((kind, now));
         if kind == OutcomeKind::Ok && r.over.is_none() {
             r.over = Some(now);
@@ -246,9 +324,13 @@
 
     /// What is out: requests, and the numbers of their attempts.
     fn out(&self) -> Vec<(RequestId, usize)> {
-        let all =
-            self.seen.iter().flat_map(|(id, r)| r.tries.iter().enumerate().map(move |(n, t)| (*id, n, t)));
-        all.filter(|(.., t)| t.ended.is_none()).map(|(id, n, _)| (id, n)).collect()
+        let all = self
+            .seen
+            .iter()
+            .flat_map(|(id, r)| r.tries.iter().enumerate().map(move |(n, t)| (*id, n, t)));
+        all.filter(|(.., t)| t.ended.is_none())
+            .map(|(id, n, _)| (id, n))
+            .collect()
     }
 
     /// Moves the clock, with the timers and the time-outs at deadlines on the way.
@@ -273,7 +355,8 @@
         }
     }
 
-    /// No turn for up to two seconds, then all at once: first the timer, then what came meanwhile, a list last.
+    /// No turn for up to two seconds, then all at once: first the timer, then what came meanwhile,
+    /// a list last.
     fn stall(&mut self) {
         let from = self.rig.now;
         self.rig.now += (300 + self.below(1700)) * MS;
@@ -284,7 +367,14 @@
             let r = &self.seen[&id];
             let lost = r.tries[n].cancelled;
             if lost || self.rig.now >= r.ask.give_up_at {
-                self.end((id, n), if lost { OutcomeKind::Cancelled } else { OutcomeKind::Timeout });
+                self.end(
+                    (id, n),
+                    if lost {
+                        OutcomeKind::Cancelled
+                    } else {
+                        OutcomeKind::Timeout
+                    },
+                );
             } else if self.below(2) == 0 {
                 self.end((id, n), OutcomeKind::Ok);
             }
@@ -310,7 +400,15 @@
                     self.order.entry(key).or_default().push(ask.id);
                 }
                 self.taken.push(now);
-                self.seen.insert(ask.id, Seen { ask, tries: vec![], over: None, answers: 0 });
+                self.seen.insert(
+                    ask.id,
+                    Seen {
+                        ask,
+                        tries: vec![],
+                        over: None,
+                        answers: 0,
+                    },
+                );
                 self.tell(Event::Request(ask));
             }
             9..=14 if !out.is_empty() => {
@@ -332,14 +430,22 @@
                 let (id, n) = out[self.below(out.len() as u64) as usize];
                 let attempt = AttemptNo(n as u16);
                 let share = self.below(100) as f64 / 100.0;
-                let notes =
-                    [Note::Progress(share), Note::WaitsForLoad, Note::WaitsForMemory, Note::Spill(80.0)];
+                let notes = [
+                    Note::Progress(share),
+                    Note::WaitsForLoad,
+                    Note::WaitsForMemory,
+                    Note::Spill(80.0),
+                ];
                 let note = notes[self.below(4) as usize];
                 self.tell(Event::Note { id, attempt, note });
             }
             16 => {
-                let open: Vec<RequestId> =
-                    self.seen.iter().filter(|(_, r)| r.over.is_none()).map(|(id, _)| *id).collect();
+                let open: Vec<RequestId> = self
+                    .seen
+                    .iter()
+                    .filter(|(_, r)| r.over.is_none())
+                    .map(|(id, _)| *id)
+                    .collect();
                 if let Some(id) = open.first() {
                     let r = self.seen.get_mut(id).expect("known");
                     (r.over, r.answers) = (Some(now), 1);
@@ -348,30 +454,43 @@
             }
             17 => {
                 let i = 1 + self.below(6);
-                let readiness =
-                    [Readiness::Ready, Readiness::Draining, Readiness::Gone][self.below(3) as usize];
+                let readiness = [Readiness::Ready, Readiness::Draining, Readiness::Gone]
+                    [self.below(3) as usize];
                 let old = self.listed.get(&EngineId(i)).map_or(0, |e| e.ready_at);
                 let ready_at = if self.below(2) == 0 { now } else { old };
-                let e = EngineEntry { readiness, ..entry(i, (i % 2) as u16, ready_at) };
+                let e = EngineEntry {
+                    readiness,
+                    ..entry(i, (i % 2) as u16, ready_at)
+                };
                 self.list(ListKind::Changes, vec![e]);
             }
             18 if self.below(4) == 0 => self.stall(),
             18 if self.below(3) == 0 => {
                 // A wave: half the engines drain at once, and are replaced by cold ones of new ids.
-                let gone =
-                    |i: u64| EngineEntry { readiness: Readiness::Draining, ..entry(i, (i % 2) as u16, 0) };
+                let gone = |i: u64| EngineEntry {
+                    readiness: Readiness::Draining,
+                    ..entry(i, (i % 2) as u16, 0)
+                };
                 let fresh = |i: u64| entry(i + 3, ((i + 3) % 2) as u16, now);
-                self.list(ListKind::Changes, (1..=3).map(gone).chain((1..=3).map(fresh)).collect());
+                self.list(
+                    ListKind::Changes,
+                    (1..=3).map(gone).chain((1..=3).map(fresh)).collect(),
+                );
             }
             18 => {
                 let n = self.below(6);
                 let at = |w: &World, i| w.listed.get(&EngineId(i)).map_or(0, |e| e.ready_at);
-                let entries = (1..=n).map(|i| entry(i, (i % 2) as u16, at(self, i))).collect();
+                let entries = (1..=n)
+                    .map(|i| entry(i, (i % 2) as u16, at(self, i)))
+                    .collect();
                 self.list(ListKind::Full, entries);
             }
             _ => {
                 let from = 1 + self.below(3) as u32;
-                self.tell(Event::Peer { from, data: vec![1] });
+                self.tell(Event::Peer {
+                    from,
+                    data: vec![1],
+                });
             }
         }
     }
