--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -17,9 +17,15 @@
                 "rpc lookup billing-desk 9000 SELECT 1",
                 "rpc load billing-desk 9000 INSERT INTO a_1.b SELECT 1",
             ),
-            ("http anna secret 9 SELECT 1", "http anna secret 9 INSERT INTO a_1.b SELECT 1"),
+            (
+                "http anna secret 9 SELECT 1",
+                "http anna secret 9 INSERT INTO a_1.b SELECT 1",
+            ),
         ] {
-            let text = text.replace("LOOKUP", lookup).replace("LOAD", load).replace("KIND", engine);
+            let text = text
+                .replace("LOOKUP", lookup)
+                .replace("LOAD", load)
+                .replace("KIND", engine);
             play(&format!("user anna secret billing-desk\n{text}"));
         }
     }
@@ -40,14 +46,15 @@
     play(include_str!("../rehearsals/service.txt"));
 }
 
-/// Guards the verdict of all that is rehearsed: a port that was free may be taken before the daemon has it.
-/// A deployment whose loads carry keys: rehearsals/keyed.txt.
+/// Guards the verdict of all that is rehearsed: a port that was free may be taken before the daemon
+/// has it. A deployment whose loads carry keys: rehearsals/keyed.txt.
 #[test]
 fn keyed_loads_priorities_and_copies() {
     play(include_str!("../rehearsals/keyed.txt"));
 }
 
-/// Guards an engine of a small model: what it turns away never ran, so its refusal is honest and its key still unknown.
+/// Guards an engine of a small model: what it turns away never ran, so its refusal is honest and
+/// its key still unknown.
 #[test]
 fn an_engine_that_is_full_turns_a_keyed_load_away_unseen() {
     play(
@@ -143,8 +150,9 @@
     );
 }
 
-/// Guards against an end by SIGHUP, and against numbers that start anew with the coordinator's address: what was
-/// open goes on, the next events come from the new one, and a file that can't be used changes nothing.
+/// Guards against an end by SIGHUP, and against numbers that start anew with the coordinator's
+/// address: what was open goes on, the next events come from the new one, and a file that can't be
+/// used changes nothing.
 #[test]
 fn a_new_configuration_moves_the_coordinator_and_keeps_requests() {
     on_both(
@@ -155,8 +163,9 @@
     );
 }
 
-/// Guards against clients that connect by the hundred and say nothing, or half of something: the usual ones get
-/// in at once, since the idlest are shed, and the others are let go in seconds, with a word where there is one.
+/// Guards against clients that connect by the hundred and say nothing, or half of something: the
+/// usual ones get in at once, since the idlest are shed, and the others are let go in seconds, with
+/// a word where there is one.
 #[test]
 fn clients_that_say_nothing_keep_nobody_out() {
     play(
@@ -169,7 +178,8 @@
     );
 }
 
-/// Guards the rules on attempts and answers: a name that is in use, or was a moment ago, is no second request.
+/// Guards the rules on attempts and answers: a name that is in use, or was a moment ago, is no
+/// second request.
 #[test]
 fn the_name_of_another_request_is_turned_away() {
     let again = "rpc {\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"lookup\",\"params\":{\"id\":\"0000000000000001\",\
@@ -181,7 +191,8 @@
     ));
 }
 
-/// Guards against waiting for an engine that vanished without a word: what the list says to be gone ends soon.
+/// Guards against waiting for an engine that vanished without a word: what the list says to be gone
+/// ends soon.
 #[test]
 fn what_is_out_on_an_engine_that_is_gone_ends() {
     on_both(
@@ -191,7 +202,8 @@
     );
 }
 
-/// Guards against requests that the kill finds unanswered: before it all are given up, as far as is honest.
+/// Guards against requests that the kill finds unanswered: before it all are given up, as far as is
+/// honest.
 #[test]
 fn a_planned_end_gives_up_what_would_outlast_it() {
     for engine in ["platform", "clickhouse"] {
@@ -282,10 +294,19 @@
     let lines = [
         ("{]", "-32700"),
         ("[]", "-32600"),
-        (r#"{"jsonrpc":"2.0","id":1,"method":"lookup","params":[1]}"#, "-32602"),
-        (r#"{"jsonrpc":"2.0","id":1,"method":"nothing","params":{}}"#, "-32601"),
+        (
+            r#"{"jsonrpc":"2.0","id":1,"method":"lookup","params":[1]}"#,
+            "-32602",
+        ),
+        (
+            r#"{"jsonrpc":"2.0","id":1,"method":"nothing","params":{}}"#,
+            "-32601",
+        ),
         (r#"{"jsonrpc":"1.0","id":1,"method":"status"}"#, "-32600"),
-        (r#"{"jsonrpc":"2.0","id":-1,"method":"lookup","params":{}}"#, "-32600"),
+        (
+            r#"{"jsonrpc":"2.0","id":-1,"method":"lookup","params":{}}"#,
+            "-32600",
+        ),
         (
             r#"{"jsonrpc":"2.0","id":1,"method":"lookup","params":{"id":"xyz","wait":5,"tenant":"billing-desk","arg":""}}"#,
             "-32602",
@@ -296,13 +317,34 @@
         ("GET /none HTTP/1.1\\r\\n\\r\\n", "404"),
         ("hello\\r\\n\\r\\n", "400"),
         ("GET /?query=%zz HTTP/1.1\\r\\n\\r\\n", "400"),
-        ("POST / HTTP/1.1\\r\\nContent-Length: 1\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n", "400"),
-        ("POST / HTTP/1.1\\r\\nContent-Length: 999999999\\r\\n\\r\\nabc", "413"),
-        ("POST / HTTP/1.1\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\nzz\\r\\n", "400"),
-        ("POST / HTTP/1.1\\r\\nAuthorization: Basic !!\\r\\nContent-Length: 1\\r\\n\\r\\nx", "401"),
-        ("GET /?user=anna&password=secret&query=INSERT+INTO+x HTTP/1.1\\r\\n\\r\\n", "405"),
-        ("GET /?user=anna&password=secret&query=SELECT&default_format=Parquet HTTP/1.1\\r\\n\\r\\n", "400"),
-        ("GET /?user=anna&password=secret&query=SELECT&database=other HTTP/1.1\\r\\n\\r\\n", "400"),
+        (
+            "POST / HTTP/1.1\\r\\nContent-Length: 1\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n",
+            "400",
+        ),
+        (
+            "POST / HTTP/1.1\\r\\nContent-Length: 999999999\\r\\n\\r\\nabc",
+            "413",
+        ),
+        (
+            "POST / HTTP/1.1\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\nzz\\r\\n",
+            "400",
+        ),
+        (
+            "POST / HTTP/1.1\\r\\nAuthorization: Basic !!\\r\\nContent-Length: 1\\r\\n\\r\\nx",
+            "401",
+        ),
+        (
+            "GET /?user=anna&password=secret&query=INSERT+INTO+x HTTP/1.1\\r\\n\\r\\n",
+            "405",
+        ),
+        (
+            "GET /?user=anna&password=secret&query=SELECT&default_format=Parquet HTTP/1.1\\r\\n\\r\\n",
+            "400",
+        ),
+        (
+            "GET /?user=anna&password=secret&query=SELECT&database=other HTTP/1.1\\r\\n\\r\\n",
+            "400",
+        ),
     ];
     let mut text = "engine one platform\nuser anna secret billing-desk\nstart\n".to_owned();
     for (at, (line, code)) in lines.iter().enumerate() {
@@ -311,10 +353,14 @@
     for (at, (request, code)) in requests.iter().enumerate() {
         text += &format!("raw h{at} http {request}\nexpect h{at} rejected {code}\n");
     }
-    text += &format!("raw long rpc {}\nexpect long rejected -32600\n", "x".repeat(300_000));
-    text +=
-        "ask a rpc lookup billing-desk 5000 SELECT 1\nexpect a served\nask b http anna secret 5 SELECT 1\n";
-    play(&(text + "expect b served\nterm\nended\ncounter taken 2\ncounter served 2\ncounter open 0"));
+    text += &format!(
+        "raw long rpc {}\nexpect long rejected -32600\n",
+        "x".repeat(300_000)
+    );
+    text += "ask a rpc lookup billing-desk 5000 SELECT 1\nexpect a served\nask b http anna secret 5 SELECT 1\n";
+    play(
+        &(text + "expect b served\nterm\nended\ncounter taken 2\ncounter served 2\ncounter open 0"),
+    );
 }
 
 /// A database is taken where every engine in service knows databases, and nowhere else.
@@ -347,27 +393,46 @@
         text.as_object_mut().expect("an object").remove(key);
         text.to_string()
     };
-    let files = ["{".to_owned(), without("listen"), without("settings"), without("known")];
+    let files = [
+        "{".to_owned(),
+        without("listen"),
+        without("settings"),
+        without("known"),
+    ];
     for (at, text) in files.iter().enumerate() {
         let path = folder.put(&format!("{at}.json"), text).expect("a file");
-        let output =
-            Command::new(env!("CARGO_BIN_EXE_yokelift")).env("PROXY_CONFIG", path).output().expect("runs");
+        let output = Command::new(env!("CARGO_BIN_EXE_yokelift"))
+            .env("PROXY_CONFIG", path)
+            .output()
+            .expect("runs");
         let line = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && line.lines().count() == 1 && line.contains(".json"), "{line}");
+        assert!(
+            !output.status.success() && line.lines().count() == 1 && line.contains(".json"),
+            "{line}"
+        );
     }
     let toml = "listen = \"127.0.0.1:0\"\nusual_class = \"lookup\"\n";
     for (at, (text, hint)) in [
         (format!("{toml}surprise = 1\n"), "surprise"),
         (toml.to_owned(), "nobody could connect"),
-        (format!("{toml}[[user]]\nname = \"a\"\n[[engine]]\nid = \"x\"\n"), "8 hex digits"),
+        (
+            format!("{toml}[[user]]\nname = \"a\"\n[[engine]]\nid = \"x\"\n"),
+            "8 hex digits",
+        ),
     ]
     .iter()
     .enumerate()
     {
         let path = folder.put(&format!("{at}.toml"), text).expect("a file");
-        let output =
-            Command::new(env!("CARGO_BIN_EXE_yokelift-kit")).arg("check").arg(path).output().expect("runs");
+        let output = Command::new(env!("CARGO_BIN_EXE_yokelift-kit"))
+            .arg("check")
+            .arg(path)
+            .output()
+            .expect("runs");
         let line = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && line.lines().count() == 1 && line.contains(hint), "{line}");
+        assert!(
+            !output.status.success() && line.lines().count() == 1 && line.contains(hint),
+            "{line}"
+        );
     }
 }
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -1,6 +1,7 @@
-//! Everything that leaves the process, byte for byte: datagrams between managers, votes, audit segments, the lines of a
-//! hot restart, handles, and the texts of the second address. The fixtures were written by the program as it was before
-//! the names in its code changed; old and new processes meet in one fleet and in one hot restart.
+//! Everything that leaves the process, byte for byte: datagrams between managers, votes, audit
+//! segments, the lines of a hot restart, handles, and the texts of the second address. The fixtures
+//! were written by the program as it was before the names in its code changed; old and new
+//! processes meet in one fleet and in one hot restart.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -25,7 +26,9 @@
 const LONGEST_DATAGRAM: usize = 1_200;
 
 fn fixture_path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
 }
 
 fn fixture_text(name: &str) -> String {
@@ -38,7 +41,10 @@
     let parse = |line: &str| {
         let (name, hex) = line.split_once(' ').expect("a name and its bytes");
         let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
-        (name.to_owned(), (0..hex.len()).step_by(2).map(byte).collect())
+        (
+            name.to_owned(),
+            (0..hex.len()).step_by(2).map(byte).collect(),
+        )
     };
     fixture_text(name).lines().map(parse).collect()
 }
@@ -49,7 +55,10 @@
 
 /// Compares what is written today with a fixture file of `name hex` lines.
 fn assert_writes(file: &str, written: &[(&str, Vec<u8>)]) {
-    let text: String = written.iter().map(|(name, bytes)| format!("{name} {}\n", hex(bytes))).collect();
+    let text: String = written
+        .iter()
+        .map(|(name, bytes)| format!("{name} {}\n", hex(bytes)))
+        .collect();
     assert_text(file, &text);
 }
 
@@ -96,31 +105,64 @@
         ("sync", Kind::Sync("n2".into())),
         ("page", Kind::Page("n4".into(), true)),
     ];
-    let message = |kind| Message { from: member("n0", 7000, Health::Alive), kind, gossip: gossip.clone() };
-    kinds.into_iter().map(|(name, kind)| (name, message(kind))).collect()
+    let message = |kind| Message {
+        from: member("n0", 7000, Health::Alive),
+        kind,
+        gossip: gossip.clone(),
+    };
+    kinds
+        .into_iter()
+        .map(|(name, kind)| (name, message(kind)))
+        .collect()
 }
 
 #[test]
 fn membership_datagrams_are_read_and_written_as_before() {
     let messages = membership_messages();
-    let written: Vec<_> = messages.iter().map(|(name, m)| (*name, member_wire::encode(m))).collect();
+    let written: Vec<_> = messages
+        .iter()
+        .map(|(name, m)| (*name, member_wire::encode(m)))
+        .collect();
     assert_writes("membership.hex", &written);
     let fixtures = fixture_bytes("membership.hex");
     assert_eq!(fixtures.len(), messages.len());
     for (name, message) in messages {
-        assert_eq!(member_wire::decode(&fixtures[name], LONGEST_DATAGRAM), Ok(message), "{name}");
+        assert_eq!(
+            member_wire::decode(&fixtures[name], LONGEST_DATAGRAM),
+            Ok(message),
+            "{name}"
+        );
     }
 }
 
 fn lease_messages() -> Vec<(&'static str, Letter)> {
-    let holder = || Holder { name: "n0".into(), life: 1_700_000_000_000_001 };
+    let holder = || Holder {
+        name: "n0".into(),
+        life: 1_700_000_000_000_001,
+    };
     let duty = Duty::Probe(0x2a);
-    let loaded = Sounding { well: true, unreachable: false, took: 1_250, len: 2, load: [3.0, 0.5, 0.0, 0.0] };
-    let unreachable = Sounding { unreachable: true, took: 30_000, ..Sounding::default() };
+    let loaded = Sounding {
+        well: true,
+        unreachable: false,
+        took: 1_250,
+        len: 2,
+        load: [3.0, 0.5, 0.0, 0.0],
+    };
+    let unreachable = Sounding {
+        unreachable: true,
+        took: 30_000,
+        ..Sounding::default()
+    };
     vec![
         ("ask", Letter::Ask(holder(), duty, 17, 4)),
-        ("vote-granted", Letter::Vote("n1".into(), duty, 4, Vote::Granted)),
-        ("vote-refused", Letter::Vote("n1".into(), duty, 4, Vote::Refused(18))),
+        (
+            "vote-granted",
+            Letter::Vote("n1".into(), duty, 4, Vote::Granted),
+        ),
+        (
+            "vote-refused",
+            Letter::Vote("n1".into(), duty, 4, Vote::Refused(18)),
+        ),
         ("release", Letter::Release(holder(), duty, 17)),
         ("want", Letter::Want(0x2a, 900)),
         ("told", Letter::Told(0x2a, 900, 17, loaded)),
@@ -132,12 +174,19 @@
 #[test]
 fn lease_datagrams_are_read_and_written_as_before() {
     let letters = lease_messages();
-    let written: Vec<_> = letters.iter().map(|(name, l)| (*name, lease_wire::encode(l))).collect();
+    let written: Vec<_> = letters
+        .iter()
+        .map(|(name, l)| (*name, lease_wire::encode(l)))
+        .collect();
     assert_writes("lease.hex", &written);
     let fixtures = fixture_bytes("lease.hex");
     assert_eq!(fixtures.len(), letters.len());
     for (name, letter) in letters {
-        assert_eq!(lease_wire::decode(&fixtures[name], LONGEST_DATAGRAM), Ok(letter), "{name}");
+        assert_eq!(
+            lease_wire::decode(&fixtures[name], LONGEST_DATAGRAM),
+            Ok(letter),
+            "{name}"
+        );
     }
 }
 
@@ -147,7 +196,11 @@
 }
 
 fn restart_words() -> Vec<Word> {
-    let handed = Handed { open: vec![3, 9], input: b"{\n".to_vec(), unwritten: b"half\n".to_vec() };
+    let handed = Handed {
+        open: vec![3, 9],
+        input: b"{\n".to_vec(),
+        unwritten: b"half\n".to_vec(),
+    };
     vec![
         Word::Hello("n0".into()),
         Word::Take(vec![addr(5050), addr(8123)]),
@@ -166,13 +219,20 @@
 fn hot_restart_lines_are_read_and_written_as_before() {
     let words = restart_words();
     let written: Vec<u8> = words.iter().flat_map(Word::bytes).collect();
-    assert_text("hot_restart.txt", std::str::from_utf8(&written).expect("text"));
+    assert_text(
+        "hot_restart.txt",
+        std::str::from_utf8(&written).expect("text"),
+    );
     let read = Reader::default().feed(fixture_text("hot_restart.txt").as_bytes());
     assert_eq!(read.expect("lines of this version"), words);
 }
 
 fn under() -> Under {
-    let acting = Acting { generation: 3, settings: 0x0123_4567_89ab_cdef, list: 41 };
+    let acting = Acting {
+        generation: 3,
+        settings: 0x0123_4567_89ab_cdef,
+        list: 41,
+    };
     Under {
         member: "n0".into(),
         life: 1_700_000_000_000_001,
@@ -195,9 +255,19 @@
     ];
     let record = |(at, what): (usize, What)| {
         let of_request = matches!(what, What::Dispatch(..) | What::Refuse(_) | What::Fail);
-        let (class, request) = if of_request { ("lookup", "c-7") } else { ("", "") };
+        let (class, request) = if of_request {
+            ("lookup", "c-7")
+        } else {
+            ("", "")
+        };
         let number = at as u64 + 1;
-        Entry::Record { number, at: 6_000 + number, what, class: class.into(), request: request.into() }
+        Entry::Record {
+            number,
+            at: 6_000 + number,
+            what,
+            class: class.into(),
+            request: request.into(),
+        }
     };
     let records = kinds.into_iter().enumerate().map(record);
     [Entry::from(&under())].into_iter().chain(records).collect()
@@ -208,7 +278,10 @@
     let all = audit_entries();
     let written: Vec<u8> = all.iter().flat_map(frame).collect();
     assert_writes("audit_segment.hex", &[("segment", written)]);
-    assert_eq!(entries(&fixture_bytes("audit_segment.hex")["segment"]), (all, 0));
+    assert_eq!(
+        entries(&fixture_bytes("audit_segment.hex")["segment"]),
+        (all, 0)
+    );
 }
 
 /// The names of the files and the lines of `GET /audit`.
@@ -218,22 +291,40 @@
     let bounds = Bounds::default();
     let mut store = Store::open(&folder.path(""), "n0", bounds).expect("a store");
     let records = audit_entries().split_off(1);
-    store.append(Batch { under: under(), first: 1, entries: records }).expect("kept");
+    store
+        .append(Batch {
+            under: under(),
+            first: 1,
+            entries: records,
+        })
+        .expect("kept");
     let page = store.read(Place::default(), 1_000).expect("a page");
     assert_text("audit_page.txt", &page.text());
-    let names =
-        std::fs::read_dir(folder.path("")).expect("a folder").map(|file| file.expect("a file").file_name());
-    let names: Vec<String> = names.map(|name| name.to_string_lossy().into_owned()).collect();
-    assert_eq!(names, ["yokelift-audit-n0-00001700000000000001-00000000000000000001.seg"]);
+    let names = std::fs::read_dir(folder.path(""))
+        .expect("a folder")
+        .map(|file| file.expect("a file").file_name());
+    let names: Vec<String> = names
+        .map(|name| name.to_string_lossy().into_owned())
+        .collect();
+    assert_eq!(
+        names,
+        ["yokelift-audit-n0-00001700000000000001-00000000000000000001.seg"]
+    );
 }
 
 #[test]
 fn handles_are_made_and_opened_as_before() {
-    let owner = Owner { desk: TenantId(3), user: "anna".into() };
+    let owner = Owner {
+        desk: TenantId(3),
+        user: "anna".into(),
+    };
     let keys = Keys::new(1, [7; 32]);
     let handle = keys.make(ResultId(42), &owner).expect("a handle");
     assert_text("handle.txt", &format!("{handle}\n"));
-    assert_eq!(keys.open(fixture_text("handle.txt").trim_end(), &owner), Some(ResultId(42)));
+    assert_eq!(
+        keys.open(fixture_text("handle.txt").trim_end(), &owner),
+        Some(ResultId(42))
+    );
 }
 
 const ALL_ENDS: [End; 17] = [
@@ -284,10 +375,17 @@
 
 #[test]
 fn metrics_are_as_before() {
-    let tally = |success| Tally { success, overload: 2, error: 1 };
+    let tally = |success| Tally {
+        success,
+        overload: 2,
+        error: 1,
+    };
     let classes = [("load", tally(30)), ("lookup", tally(60))];
     let figures = Figures {
-        classes: classes.into_iter().map(|(name, tally)| (Rc::from(name), tally)).collect(),
+        classes: classes
+            .into_iter()
+            .map(|(name, tally)| (Rc::from(name), tally))
+            .collect(),
         dispatches: 110,
         concurrent: 4,
         targets: 10,
@@ -300,13 +398,21 @@
 
 #[test]
 fn fleet_lines_have_the_same_keys_in_the_same_order() {
-    let row = |me, rumour| Row { me, rumour, since_ms: 1_500 };
+    let row = |me, rumour| Row {
+        me,
+        rumour,
+        since_ms: 1_500,
+    };
     let members = vec![
         row(true, member("n0", 7000, Health::Alive)),
         row(false, member("n1", 7001, Health::Suspect)),
         row(false, member("n2", 7002, Health::Dead)),
         row(false, member("n3", 7003, Health::Left)),
     ];
-    let view = View { members, standing: yokelift::membership::Standing::InStep, dropped: 0 };
+    let view = View {
+        members,
+        standing: yokelift::membership::Standing::InStep,
+        dropped: 0,
+    };
     assert_text("fleet.txt", &view.lines());
 }
