--- a/src/audit/mod.rs
+++ b/src/audit/mod.rs
@@ -415,5 +415,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/audit.rs"]
+#[path = "../../tests/unit/audit.rs"]
 mod tests;
--- a/src/engine/clickhouse.rs
+++ b/src/backend/clickhouse.rs
@@ -2,10 +2,10 @@
 //! kept alive.
 use super::{Said, Wire};
 use crate::clock::{MS, Micros, SEC};
+use crate::dispatcher::termination::End;
+use crate::dispatcher::{Cost, Job};
 use crate::http::{self, Body, Head};
-use crate::interface::{LoadReport, OutcomeKind, RequestId};
-use crate::manager::ends::End;
-use crate::manager::{Cost, Job};
+use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
 use std::rc::Rc;
 
 /// An answer longer than this is not gathered.
--- a/src/engine/link.rs
+++ b/src/backend/connection_state.rs
@@ -3,9 +3,9 @@
 //! parameter.
 use super::{Said, Wire};
 use crate::clock::{MS, Micros};
-use crate::interface::{AttemptNo, LoadReport, OutcomeKind, RequestId};
-use crate::manager::ends::{End, Reach};
-use crate::manager::{Cost, Ended, Job};
+use crate::dispatcher::termination::{End, Reach};
+use crate::dispatcher::{Cost, Ended, Job};
+use crate::policy::api::{AttemptNo, LoadReport, OutcomeKind, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How long after the word that gives an attempt up it counts as given up: the word has to get
@@ -454,7 +454,7 @@
             events.extend(self.end_plain(now, id, if given_up { End::Withdrawn } else { end }));
         }
         for (_, at) in std::mem::take(&mut self.probes) {
-            let kind = crate::manager::ends::outcome(end, Reach::Sent);
+            let kind = crate::dispatcher::termination::outcome(end, Reach::Sent);
             events.push(Event::Probed {
                 kind,
                 latency: now - at,
@@ -469,5 +469,5 @@
 use super::platform;
 
 #[cfg(test)]
-#[path = "../../tests/inside/link.rs"]
+#[path = "../../tests/unit/connection_state.rs"]
 mod model;
--- a/src/engine/mod.rs
+++ b/src/backend/mod.rs
@@ -1,12 +1,12 @@
 //! Wires to engines: parsers and mapping only. The sockets are in `src/net`.
 pub mod clickhouse;
-pub mod link;
+pub mod connection_state;
 pub mod platform;
 
 use crate::clock::Micros;
-use crate::interface::{LoadReport, OutcomeKind, RequestId};
-use crate::manager::ends::End;
-use crate::manager::{Cost, Job};
+use crate::dispatcher::termination::End;
+use crate::dispatcher::{Cost, Job};
+use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
 
 /// What a wire made of the bytes of an engine.
 #[derive(Debug)]
--- a/src/engine/platform.rs
+++ b/src/backend/platform.rs
@@ -1,10 +1,10 @@
 //! The platform's engine protocol: lines of words, with pages for long answers.
 use super::{Said, Wire};
 use crate::clock::{MS, Micros};
-use crate::config::Names;
-use crate::interface::{LoadReport, OutcomeKind, RequestId};
-use crate::manager::ends::End;
-use crate::manager::{Cost, Job};
+use crate::config::process::Names;
+use crate::dispatcher::termination::End;
+use crate::dispatcher::{Cost, Job};
+use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::rc::Rc;
--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -49,5 +49,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/inside/backoff.rs"]
+#[path = "../tests/unit/backoff.rs"]
 mod tests;
--- a/src/bin/yokelift-drill/frames.rs
+++ b/src/bin/yokelift-sim-adapter/frames.rs
@@ -1,7 +1,7 @@
 //! Binary frames: events in, actions out. Big-endian, no padding.
 
 use bytes::{Buf, BufMut};
-use yokelift::interface::*;
+use yokelift::policy::api::*;
 
 /// Reads fields off one frame and remembers where it stands.
 pub struct Reader<'a> {
--- a/src/bin/yokelift-drill/main.rs
+++ b/src/bin/yokelift-sim-adapter/main.rs
@@ -8,9 +8,9 @@
 use frames::{Reader, put_action};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
-use yokelift::interface::*;
+use yokelift::config::settings;
 use yokelift::policy::Gateway;
-use yokelift::settings;
+use yokelift::policy::api::*;
 
 /// A frame longer than this is taken for a broken length field.
 const MAX_FRAME: usize = 1 << 30;
@@ -284,7 +284,7 @@
     match serve() {
         Ok(()) => std::process::ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("yokelift-drill: {message}");
+            eprintln!("yokelift-sim-adapter: {message}");
             std::process::ExitCode::FAILURE
         }
     }
--- a/src/bin/yokelift-kit/main.rs
+++ b/src/bin/yokelift-testkit/main.rs
@@ -14,40 +14,42 @@
 use std::sync::LazyLock;
 use yokelift::audit::Place;
 use yokelift::audit::report::report;
-use yokelift::kit::emulator::Figures;
-use yokelift::kit::{audit, emulator, plot, script, soundings};
+use yokelift::config::clickhouse;
+use yokelift::config::fleet::Fleet;
 use yokelift::membership::Timing;
-use yokelift::membership::file::Fleet;
-use yokelift::{deploy, net};
+use yokelift::net;
+use yokelift::testkit::membership_simulation::Figures;
+use yokelift::testkit::{audit, membership_simulation, plot, probe_simulation, scenario};
 
 /// The build, as the fleet is told it.
-static BUILD: LazyLock<String> = LazyLock::new(net::membership::build);
+static BUILD: LazyLock<String> = LazyLock::new(net::fleet::membership::build);
 
-/// The test and rehearsal kit of yokelift.
+/// The test kit of yokelift: scenarios against the daemon, audits of a fleet, simulations and scale runs.
 #[derive(Parser)]
-#[command(name = "yokelift-kit", version = BUILD.as_str())]
+#[command(name = "yokelift-testkit", version = BUILD.as_str())]
 struct Args {
     #[command(subcommand)]
-    what: What,
+    subcommand: Subcommands,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Subcommands {
     /// Says whether a deploy file can be used.
     Check {
         /// The deploy file.
         file: PathBuf,
     },
     /// Plays a scripted scenario against the daemon beside this program.
-    Rehearse {
-        /// The script.
-        script: PathBuf,
+    #[command(alias = "rehearse")]
+    RunScenario {
+        /// The scenario.
+        scenario: PathBuf,
     },
     /// Gathers the audit of several managers: who acted on what, where they disagree, how changes
     /// spread.
     ///
     /// Exits with 1 if something could not be had of one of them.
-    #[command(after_help = "Example:\n  yokelift-kit audit 127.8.0.1:10250 127.8.0.2:10250")]
+    #[command(after_help = "Example:\n  yokelift-testkit audit 127.8.0.1:10250 127.8.0.2:10250")]
     Audit {
         /// The managers' second addresses.
         #[arg(required = true)]
@@ -61,8 +63,11 @@
     },
     /// Counts the probes of engines over emulated fleets, without owners and with one owner an
     /// engine.
-    #[command(after_help = "Example:\n  yokelift-kit soundings --managers 100,300 --engines 80")]
-    Soundings {
+    #[command(
+        alias = "soundings",
+        after_help = "Example:\n  yokelift-testkit simulate-probes --managers 100,300 --engines 80"
+    )]
+    SimulateProbes {
         /// The sizes of the fleets.
         #[arg(long, value_delimiter = ',', default_values_t = [100usize, 300])]
         managers: Vec<usize>,
@@ -82,9 +87,11 @@
     /// Measures fleets of managers emulated in this process: detection, spread and traffic by their
     /// size.
     #[command(
-        after_help = "Example:\n  yokelift-kit emulate --members 10,100,300 --svg docs/fleet-scale.svg"
+        alias = "emulate",
+        after_help = "Example:\n  yokelift-testkit simulate-membership --members 10,100,300 \
+            --svg docs/fleet-scale.svg"
     )]
-    Emulate {
+    SimulateMembership {
         /// The sizes of the fleets.
         #[arg(long, value_delimiter = ',', default_values_t = [10usize, 100, 300])]
         members: Vec<usize>,
@@ -107,7 +114,7 @@
     /// Measures fleets of hollow managers: the daemon's own actors of the fleet on real sockets on
     /// loopback.
     #[command(
-        after_help = "Example:\n  yokelift-kit scale-fleet --sizes 58x114,460x910 --limit 600 --json"
+        after_help = "Example:\n  yokelift-testkit scale-fleet --sizes 58x114,460x910 --limit 600 --json"
     )]
     ScaleFleet(scale_fleet::ScaleFleet),
     /// Measures what one real daemon needs by the number of engines, idle clients and statements
@@ -115,7 +122,7 @@
     ///
     /// Starts the daemon between stand-ins, one size after the other. Ends all that it started,
     /// also on an error.
-    #[command(after_help = "Example:\n  yokelift-kit scale --point 910:2600:0 --json")]
+    #[command(after_help = "Example:\n  yokelift-testkit scale --point 910:2600:0 --json")]
     Scale(scale::Words),
 }
 
@@ -124,11 +131,11 @@
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-fn run(what: What) -> Result<(), Vec<String>> {
+fn run(subcommand: Subcommands) -> Result<(), Vec<String>> {
     let one = |e: String| vec![e];
-    match what {
-        What::Check { file } => {
-            let deploy = deploy::read(&file).map_err(one)?;
+    match subcommand {
+        Subcommands::Check { file } => {
+            let deploy = clickhouse::read(&file).map_err(one)?;
             let (engines, users) = (deploy.engines.len(), deploy.users.len());
             let file = file.display();
             print(&format!(
@@ -137,15 +144,15 @@
             ));
             Ok(())
         }
-        What::Rehearse { script } => {
-            let text = std::fs::read_to_string(&script)
-                .map_err(|e| one(format!("{}: {e}", script.display())))?;
+        Subcommands::RunScenario { scenario: file } => {
+            let text = std::fs::read_to_string(&file)
+                .map_err(|e| one(format!("{}: {e}", file.display())))?;
             let me = std::env::current_exe().map_err(|e| one(e.to_string()))?;
             // The daemon is shipped beside the kit.
             let daemon: PathBuf = me.with_file_name("yokelift");
-            script::play(&daemon, &text, &mut |line| print(&format!("{line}\n")))
+            scenario::play(&daemon, &text, &mut |line| print(&format!("{line}\n")))
         }
-        What::Audit {
+        Subcommands::Audit {
             managers,
             since,
             json,
@@ -162,7 +169,7 @@
                 Err(report.missing)
             }
         }
-        What::Soundings {
+        Subcommands::SimulateProbes {
             managers,
             engines,
             wants,
@@ -178,19 +185,19 @@
                         .into(),
                 ));
             }
-            let figures = soundings::compare(&managers, engines, wants, seed);
+            let figures = probe_simulation::compare(&managers, engines, wants, seed);
             if json {
                 print(&(serde_json::to_string(&figures).map_err(|e| one(e.to_string()))? + "\n"));
             } else {
-                print(&format!("{}\n", soundings::table(&figures)));
+                print(&format!("{}\n", probe_simulation::table(&figures)));
             }
             Ok(())
         }
-        What::Scale(words) => {
+        Subcommands::Scale(words) => {
             print(&scale::run(words).map_err(one)?);
             Ok(())
         }
-        What::Emulate {
+        Subcommands::SimulateMembership {
             members,
             stops,
             seed,
@@ -209,7 +216,7 @@
             let timing = timing.map_err(one)?;
             let figures = members
                 .iter()
-                .map(|n| emulator::measure(*n, &timing, stops, seed));
+                .map(|n| membership_simulation::measure(*n, &timing, stops, seed));
             let figures = figures
                 .collect::<Result<Vec<Figures>, String>>()
                 .map_err(one)?;
@@ -220,11 +227,11 @@
             if json {
                 print(&(serde_json::to_string(&figures).map_err(|e| one(e.to_string()))? + "\n"));
             } else {
-                print(&format!("{}\n", emulator::table(&figures)));
+                print(&format!("{}\n", membership_simulation::table(&figures)));
             }
             Ok(())
         }
-        What::ScaleFleet(scale) => {
+        Subcommands::ScaleFleet(scale) => {
             let (text, wrong) = scale.run().map_err(one)?;
             print(&text);
             if wrong.is_empty() { Ok(()) } else { Err(wrong) }
@@ -233,12 +240,12 @@
 }
 
 fn main() -> ExitCode {
-    match run(Args::parse().what) {
+    match run(Args::parse().subcommand) {
         Ok(()) => ExitCode::SUCCESS,
         Err(wrong) => {
             wrong
                 .iter()
-                .for_each(|line| eprintln!("yokelift-kit: {line}"));
+                .for_each(|line| eprintln!("yokelift-testkit: {line}"));
             ExitCode::FAILURE
         }
     }
--- a/src/bin/yokelift-kit/scale.rs
+++ b/src/bin/yokelift-testkit/scale.rs
@@ -6,9 +6,9 @@
 use futures_lite::future::or;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use yokelift::kit::scale::report::Report;
-use yokelift::kit::scale::room::Room;
-use yokelift::kit::scale::{self, Options, Point, Progress, daemons};
+use yokelift::testkit::scale::capacity_check::Room;
+use yokelift::testkit::scale::report::Report;
+use yokelift::testkit::scale::{self, Options, Point, Progress, daemons};
 
 /// What `scale` is told.
 #[derive(Args)]
--- a/src/bin/yokelift-kit/scale_fleet.rs
+++ b/src/bin/yokelift-testkit/scale_fleet.rs
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
-use yokelift::kit::scale::figures::{self, Figures};
-use yokelift::kit::scale::{events, fleet::Plan};
-use yokelift::membership::file::Fleet;
+use yokelift::config::fleet::Fleet;
+use yokelift::testkit::scale::figures::{self, Figures};
+use yokelift::testkit::scale::{events, fleet::Plan};
 
 /// How many managers and engines.
 #[derive(Clone, Copy, Debug)]
--- a/src/generations/mod.rs
+++ b/src/class_registry/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A slot is a [`ClassId`]: what the module, its queues and the connections to engines know a class
 //! by. It keeps its meaning for as long as anything open refers to it.
-use crate::interface::{ClassId, ClassSpec};
+use crate::policy::api::{ClassId, ClassSpec};
 use std::rc::Rc;
 
 /// A class under its name.
@@ -145,5 +145,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/generations.rs"]
+#[path = "../../tests/unit/class_registry.rs"]
 mod model;
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -3,7 +3,7 @@
 //!
 //! Each loop reads the clock once a turn with [`turn`]; all that happens in that turn happens at
 //! [`now`].
-use crate::interface::Nanos;
+use crate::policy::api::Nanos;
 use std::cell::Cell;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
--- a/src/deploy.rs
+++ b/src/config/clickhouse.rs
@@ -1,7 +1,7 @@
 //! A deploy file of ours, as `deploy/clickhouse.toml`: the second front, its engines, and who may
 //! use it.
-use crate::config::Names;
-use crate::interface::{ClassId, EngineId, TenantId};
+use crate::config::process::Names;
+use crate::policy::api::{ClassId, EngineId, TenantId};
 use crate::statement;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/membership/file.rs
+++ b/src/config/fleet.rs
@@ -1,8 +1,8 @@
 //! The operator's file of the fleet's membership: where this manager takes datagrams, whom it
 //! greets first, and the protocol's timings. TOML; unknown keys are refused.
-use super::Timing;
 use crate::audit::Bounds;
-use crate::duties::Terms;
+use crate::lease::Terms;
+use crate::membership::Timing;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/src/config.rs
+++ b/src/config/process.rs
@@ -1,6 +1,6 @@
 //! What one workload manager is told at its start: `PROXY_CONFIG`, a JSON file.
-use crate::interface::{ClassId, ClassSpec, Effect, Nanos, Settings};
-use crate::settings;
+use crate::config::settings;
+use crate::policy::api::{ClassId, ClassSpec, Effect, Nanos, Settings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::cell::RefCell;
@@ -258,7 +258,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::kit::daemon;
+    use crate::testkit::daemon;
     use serde_json::json;
 
     fn good() -> Value {
--- a/src/settings.rs
+++ b/src/config/settings.rs
@@ -1,6 +1,6 @@
 //! Start settings as JSON, turned into the library's own.
 
-use crate::interface::*;
+use crate::policy::api::*;
 use serde::Deserialize;
 
 #[derive(Deserialize, Default)]
--- a/src/manager/ledger.rs
+++ b/src/dispatcher/in_flight.rs
@@ -1,10 +1,10 @@
 //! The ledger of one request: what is out for it, what may have run, and what the rules then allow.
 //! Pure.
-use super::ends::End;
-use super::words::Ask;
+use super::message::Ask;
+use super::termination::End;
 use crate::clock::{Micros, micros, nanos};
-use crate::interface::{AttemptNo, Effect, EngineEntry};
-use crate::state::{may_refuse, may_repeat};
+use crate::policy::api::{AttemptNo, Effect, EngineEntry};
+use crate::policy::state::{may_refuse, may_repeat};
 
 /// An attempt that is out.
 pub struct Out {
@@ -135,5 +135,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/ledger.rs"]
+#[path = "../../tests/unit/in_flight.rs"]
 mod tests;
--- a/src/manager/words.rs
+++ b/src/dispatcher/message.rs
@@ -1,7 +1,7 @@
 //! What fronts, engines and the core tell one another, in no wire's terms.
-use super::ends::{End, Reach};
+use super::termination::{End, Reach};
 use crate::clock::{MS, Micros};
-use crate::interface::{AttemptNo, ClassId, EngineId, LoadReport, RequestId, TenantId};
+use crate::policy::api::{AttemptNo, ClassId, EngineId, LoadReport, RequestId, TenantId};
 use std::rc::Rc;
 
 /// Which connection of which front a request came from, and the front's own mark for it there.
--- a/src/manager/counters.rs
+++ b/src/dispatcher/metrics.rs
@@ -1,5 +1,5 @@
 //! What the program has taken in, sent and answered. Printed on SIGUSR1 and at exit.
-use super::ends::End;
+use super::termination::End;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::rc::Rc;
--- a/src/manager/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -4,26 +4,26 @@
 //! answer each, at most the stated attempts, never two out, nothing to what drains, and outcomes
 //! that say exactly what is known. Fronts hand in [`Ask`]s, engines hand in [`Ended`]s; out come
 //! [`Order`]s.
-mod answers;
 mod attempts;
-pub mod counters;
-pub mod ends;
-mod ledger;
-pub mod words;
+mod in_flight;
+pub mod message;
+pub mod metrics;
+mod responses;
+pub mod termination;
 
 use crate::audit::{Decision, What};
+use crate::class_registry::{Class, Generations};
 use crate::clock::{MS, Micros, micros, nanos};
-use crate::generations::{Class, Generations};
-use crate::interface::*;
 use crate::policy::Gateway;
+use crate::policy::api::*;
 use crate::statement;
-use counters::{Counters, Figures};
-use ends::{End, never_ran, outcome};
-use ledger::{Open, Out, Ran};
+use in_flight::{Open, Out, Ran};
+pub use message::{Answer, Ask, Cost, Ended, Failure, Job, Order, Origin, Session};
+use metrics::{Counters, Figures};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::rc::Rc;
-pub use words::{Answer, Ask, Cost, Ended, Failure, Job, Order, Origin, Session};
+use termination::{End, never_ran, outcome};
 
 /// How long after a client's deadline the core waits for the module's answer before it gives its
 /// own.
@@ -599,5 +599,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/manager.rs"]
+#[path = "../../tests/unit/dispatcher.rs"]
 mod model;
--- a/src/manager/ends.rs
+++ b/src/dispatcher/termination.rs
@@ -1,6 +1,6 @@
 //! Every way in which a connection to an engine, or an attempt on it, can end, and what each
 //! proves.
-use crate::interface::OutcomeKind;
+use crate::policy::api::OutcomeKind;
 use rustix::io::Errno;
 use std::io;
 
@@ -116,5 +116,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/ends.rs"]
+#[path = "../../tests/unit/termination.rs"]
 mod tests;
--- a/src/front/console.rs
+++ b/src/frontend/admin.rs
@@ -2,8 +2,8 @@
 //! no sockets.
 use crate::audit::Place;
 use crate::audit::store::PAGE;
+use crate::dispatcher::metrics::{Figures, Tally};
 use crate::http::{self, Fault};
-use crate::manager::counters::{Figures, Tally};
 use std::fmt::Write as _;
 
 /// A longer head is refused.
--- a/src/front/clickhouse.rs
+++ b/src/frontend/clickhouse.rs
@@ -2,11 +2,11 @@
 //! alive.
 use super::{Cut, Front, Said};
 use crate::clock::{MS, Micros, SEC};
-use crate::deploy::{ClassRules, Users};
+use crate::config::clickhouse::{ClassRules, Users};
+use crate::dispatcher::termination::End;
+use crate::dispatcher::{Answer, Ask, Failure, Origin, Session};
 use crate::http::{self, Body, Fault, Head};
-use crate::interface::{ClassId, TenantId};
-use crate::manager::ends::End;
-use crate::manager::{Answer, Ask, Failure, Origin, Session};
+use crate::policy::api::{ClassId, TenantId};
 use base64::prelude::{BASE64_STANDARD, Engine as _};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -756,5 +756,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/clickhouse.rs"]
+#[path = "../../tests/unit/clickhouse.rs"]
 mod tests;
--- a/src/front/jsonrpc.rs
+++ b/src/frontend/jsonrpc.rs
@@ -1,12 +1,12 @@
 //! The platform's protocol for clients: JSON-RPC 2.0 over TCP, one message per line.
 use super::{Cut, Front, Said};
 use crate::clock::{MS, Micros};
-use crate::config::LiveNames;
-use crate::interface::{ClassId, TenantId};
-use crate::lifecycle::words::Handed;
-use crate::manager::ends::End;
-use crate::manager::words::MOST_FIGURE;
-use crate::manager::{Answer, Ask, Failure, Origin};
+use crate::config::process::LiveNames;
+use crate::dispatcher::message::MOST_FIGURE;
+use crate::dispatcher::termination::End;
+use crate::dispatcher::{Answer, Ask, Failure, Origin};
+use crate::hot_restart::message::Handed;
+use crate::policy::api::{ClassId, TenantId};
 use base64::prelude::{BASE64_STANDARD, Engine as _};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -486,5 +486,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/jsonrpc.rs"]
+#[path = "../../tests/unit/jsonrpc.rs"]
 mod tests;
--- a/src/front/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,14 +1,14 @@
 //! The fronts: parsers and mapping between a client's protocol and the core. The sockets are in
 //! `src/net`.
+pub mod admin;
 pub mod clickhouse;
-pub mod console;
 pub mod jsonrpc;
 
 use crate::clock::Micros;
-use crate::interface::ClassId;
-use crate::lifecycle::words::Handed;
-use crate::manager::ends::End;
-use crate::manager::{Answer, Ask};
+use crate::dispatcher::termination::End;
+use crate::dispatcher::{Answer, Ask};
+use crate::hot_restart::message::Handed;
+use crate::policy::api::ClassId;
 
 /// What a front made of a client's bytes.
 pub enum Said {
--- a/src/duties/wire.rs
+++ b/src/lease/codec.rs
@@ -1,8 +1,8 @@
 //! The datagrams of duties, in postcard behind a tag of the format, beside those of the membership
 //! on one socket.
-use super::probing::Sounding;
+use super::shared_probe::Sounding;
 use super::{Duty, Holder, Token, Vote};
-use crate::membership::wire::{self, Unread};
+use crate::membership::codec::{self, Unread};
 use serde::{Deserialize, Serialize};
 
 /// The first bytes of each datagram.
@@ -28,10 +28,10 @@
 
 /// The datagram of a letter.
 pub fn encode(letter: &Letter) -> Vec<u8> {
-    wire::pack(TAG, letter)
+    codec::pack(TAG, letter)
 }
 
 /// The letter of a datagram no longer than `most`.
 pub fn decode(datagram: &[u8], most: usize) -> Result<Letter, Unread> {
-    wire::unpack(TAG, datagram, most)
+    codec::unpack(TAG, datagram, most)
 }
--- a/src/duties/mod.rs
+++ b/src/lease/mod.rs
@@ -11,8 +11,8 @@
 //! What an owner hands out carries its token. Whoever takes it drops what comes under a lower token
 //! than the highest seen for that duty: an owner that was stopped past its term and goes on does no
 //! harm.
-pub mod probing;
-pub mod wire;
+pub mod codec;
+pub mod shared_probe;
 
 use crate::clock::{MS, Micros};
 use rand_core::{Rng, SeedableRng};
@@ -533,5 +533,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/duties.rs"]
+#[path = "../../tests/unit/lease.rs"]
 mod tests;
--- a/src/duties/probing.rs
+++ b/src/lease/shared_probe.rs
@@ -6,7 +6,7 @@
 //! the engine itself, as it does without duties: nothing is worse than that.
 use super::{Action, Candidate, Duty, Fence, Token};
 use crate::clock::{MS, Micros};
-use crate::interface::{LoadReport, OutcomeKind};
+use crate::policy::api::{LoadReport, OutcomeKind};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,38 +11,34 @@
 pub struct ReadmeExample;
 
 pub mod audit;
+pub mod backend;
 pub mod backoff;
+pub mod class_registry;
 pub mod clock;
 pub mod config;
-pub mod deploy;
-pub mod directory;
-pub mod duties;
-pub mod engine;
-pub mod front;
-pub mod generations;
+pub mod dispatcher;
+pub mod frontend;
+pub mod hot_restart;
 pub mod http;
-pub mod interface;
-pub mod kit;
+pub mod lease;
 pub mod lifecycle;
-pub mod log;
-pub mod manager;
+pub mod logging;
 pub mod membership;
 pub mod net;
 pub mod policy;
-mod ranks;
-pub mod settings;
 pub mod spool;
-mod state;
 pub mod statement;
+pub mod tenant_directory;
+pub mod testkit;
 
 #[cfg(test)]
-#[path = "../tests/inside/law.rs"]
-mod law;
+#[path = "../tests/unit/concurrency_limit.rs"]
+mod concurrency_limit_tests;
 
 #[cfg(test)]
-#[path = "../tests/inside/mutation.rs"]
-mod mutation;
+#[path = "../tests/unit/mutation.rs"]
+mod mutation_tests;
 
 #[cfg(test)]
-#[path = "../tests/inside/sweep.rs"]
-mod sweep;
+#[path = "../tests/unit/fleet_scan.rs"]
+mod fleet_scan_tests;
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -3,7 +3,6 @@
 //!
 //! It is the one source of what `status` and `GET /ready` say, of whether the listeners accept, and
 //! of when a kept connection of a client is let go.
-pub mod words;
 
 use crate::clock::{MS, Micros};
 
@@ -296,5 +295,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/lifecycle.rs"]
+#[path = "../../tests/unit/lifecycle.rs"]
 mod model;
--- a/src/log.rs
+++ b/src/logging.rs
@@ -54,8 +54,8 @@
 #[macro_export]
 macro_rules! log {
     ($($arg:tt)*) => {{
-        thread_local! { static PLACE: $crate::log::Place = const { $crate::log::Place::new() }; }
-        if let Some(dropped) = PLACE.with($crate::log::Place::admit) {
+        thread_local! { static PLACE: $crate::logging::Place = const { $crate::logging::Place::new() }; }
+        if let Some(dropped) = PLACE.with($crate::logging::Place::admit) {
             let line = format!($($arg)*);
             match dropped {
                 0 => eprintln!("yokelift: {line}"),
--- a/src/main.rs
+++ b/src/main.rs
@@ -14,31 +14,32 @@
 use std::rc::Rc;
 use std::time::Duration;
 use yokelift::audit::{Acting, Under};
-use yokelift::config::{self, Config};
-use yokelift::deploy::{self, ClassRules, Deploy, Users};
-use yokelift::directory::Tenants;
-use yokelift::engine::clickhouse::Login;
-use yokelift::front::clickhouse::{ClickHouse, Service};
-use yokelift::front::jsonrpc::JsonRpc;
-use yokelift::interface::Readiness;
-use yokelift::manager::Manager;
-use yokelift::membership::file::Fleet;
-use yokelift::net::coordinator::Move;
-use yokelift::net::core::Input;
-use yokelift::net::list::Http;
+use yokelift::backend::clickhouse::Login;
+use yokelift::config::clickhouse::{self, ClassRules, Deploy, Users};
+use yokelift::config::fleet::Fleet;
+use yokelift::config::process::{self, Config};
+use yokelift::dispatcher::Manager;
+use yokelift::frontend::clickhouse::{ClickHouse, Service};
+use yokelift::frontend::jsonrpc::JsonRpc;
+use yokelift::net::discovery::coordinator::Move;
+use yokelift::net::discovery::endpoint_list::Http;
+use yokelift::net::discovery::{coordinator, endpoint_list};
+use yokelift::net::dispatcher::Input;
 use yokelift::net::reload::{Reload, Second};
-use yokelift::net::{self, Shared, client, coordinator, core, directory, handover, list};
+use yokelift::net::{self, Shared, client, dispatcher, hot_restart, tenant_directory};
+use yokelift::policy::api::Readiness;
+use yokelift::tenant_directory::Tenants;
 use yokelift::{clock, log};
 
 /// Without a word of the coordinator for so long the list of the start has to do.
 const READY_ANYWAY: Duration = Duration::from_millis(700);
 
 /// The engines of a deploy file, with the names of the settings.
-fn http_engines(deploy: &Deploy, names: &config::Names) -> Result<Http, String> {
+fn http_engines(deploy: &Deploy, names: &process::Names) -> Result<Http, String> {
     let mut http = Http::default();
     let mut ids = std::collections::BTreeSet::new();
     for line in &deploy.engines {
-        let id = deploy::engine_id(&line.id)?;
+        let id = clickhouse::engine_id(&line.id)?;
         ids.insert(id);
         if let Some(addr) = line.addr {
             let place = |list: &[String], name: &str| {
@@ -49,7 +50,7 @@
                 place(&names.kinds, &line.kind),
                 0,
             );
-            http.fixed.push(list::listed(
+            http.fixed.push(endpoint_list::listed(
                 id.0 as u32,
                 addr,
                 Readiness::Ready,
@@ -71,7 +72,7 @@
 fn service(
     deploy: &Deploy,
     config: &Config,
-    names: &config::Names,
+    names: &process::Names,
     shared: &Rc<Shared>,
 ) -> Result<Service, String> {
     let (databases, stopping, next) = (shared.clone(), shared.clone(), Cell::new(config.seed));
@@ -108,7 +109,7 @@
 fn serve(config: Config, deploy: Option<Deploy>, files: Files) -> Result<(), String> {
     let shared = Shared::new(config.limits.sockets, config.limits.memory_mb);
     let life = clock::turn();
-    let settings = net::membership::settings_hash(&config.text);
+    let settings = net::fleet::membership::settings_hash(&config.text);
     shared.acting.set(Acting {
         generation: 1,
         settings,
@@ -121,7 +122,7 @@
         .map(|bounds| {
             let (member, build, acting) = (
                 config.name.clone(),
-                net::membership::build(),
+                net::fleet::membership::build(),
                 shared.acting.get(),
             );
             net::audit::start(
@@ -139,13 +140,15 @@
     let audit = audit.transpose()?;
     // With an address for operators there may be a process that this one follows, or one that will
     // follow it.
-    let place = config.console.and_then(|_| handover::place(&config.name));
+    let place = config
+        .console
+        .and_then(|_| hot_restart::place(&config.name));
     let mut taken = place
         .as_deref()
-        .and_then(|place| block_on(handover::ask(place, &config.name)));
+        .and_then(|place| block_on(hot_restart::ask(place, &config.name)));
     let fleet = files.fleet.clone().map(|fleet| {
         let at = fleet.bind(config.listen);
-        match net::membership::bind(at) {
+        match net::fleet::membership::bind(at) {
             // The process before this one is the member until it ends.
             Err(_) if taken.is_some() => Ok((None, at, fleet)),
             bound => bound.map(|socket| (Some(socket), at, fleet)),
@@ -190,18 +193,18 @@
         .map(|d| service(d, &config, &names, &shared))
         .transpose()?
         .map(Rc::new);
-    let (last, known) = list::parse_known(&config.known, &names)?;
+    let (last, known) = endpoint_list::parse_known(&config.known, &names)?;
 
     let tenants = Tenants::new(&names, config.settings.tenants.clone());
     let settings = config.settings.clone();
     let mut manager = Manager::new(clock::turn(), config.settings, &names.classes, config.seed);
     manager.hold_at_most(shared.most_unread_bytes.get());
-    let (core, mailbox) = bounded(core::MAILBOX);
+    let (core, mailbox) = bounded(dispatcher::MAILBOX);
     let (coordinator, moves) = bounded(1);
     if let Some((socket, at, fleet)) = fleet {
         let (name, module, coordinator) = (config.name.clone(), core.clone(), coordinator.clone());
         let managers = settings.gateways;
-        let seat = net::membership::Seat {
+        let seat = net::fleet::membership::Seat {
             name,
             life,
             fleet,
@@ -209,11 +212,16 @@
             module,
             coordinator,
         };
-        shared.spawn(net::membership::take_seat(shared.clone(), socket, at, seat));
+        shared.spawn(net::fleet::membership::take_seat(
+            shared.clone(),
+            socket,
+            at,
+            seat,
+        ));
     }
-    let (updates, list_mailbox) = bounded(list::MAILBOX);
-    let make = list::engines(shared.clone(), core.clone(), names.clone(), http.clone());
-    shared.spawn(list::run(
+    let (updates, list_mailbox) = bounded(endpoint_list::MAILBOX);
+    let make = endpoint_list::engines(shared.clone(), core.clone(), names.clone(), http.clone());
+    shared.spawn(endpoint_list::run(
         shared.clone(),
         core.clone(),
         list_mailbox,
@@ -244,7 +252,7 @@
         Timer::after(READY_ANYWAY).await;
         flags.life.borrow_mut().listed();
     });
-    let live: config::LiveNames = Rc::new(RefCell::new(names.clone()));
+    let live: process::LiveNames = Rc::new(RefCell::new(names.clone()));
     let mut reload = Reload {
         path: files.config,
         names: live.clone(),
@@ -258,7 +266,7 @@
     };
     if let Some(console) = console {
         shared.console.set(true);
-        shared.spawn(net::console::listen(shared.clone(), console));
+        shared.spawn(net::admin::listen(shared.clone(), console));
     }
     let starts = bounded::<()>(1);
     if let Some(taken) = taken {
@@ -273,16 +281,16 @@
         let serves = move || {
             starts.close();
             if let Some(place) = place {
-                let older = handover::Older {
+                let older = hot_restart::Older {
                     place,
                     name,
                     listeners: passed,
                 };
-                all.clone().spawn(handover::listen(all, older));
+                all.clone().spawn(hot_restart::listen(all, older));
             }
         };
         let (all, module, names) = (shared.clone(), core.clone(), live.clone());
-        let adopt: handover::Adopt = Box::new(move |stream, adopted| {
+        let adopt: hot_restart::Adopt = Box::new(move |stream, adopted| {
             let (conn, flags) = (all.next_conn.get(), all.clone());
             all.next_conn.set(conn + 1);
             let front = JsonRpc::new(
@@ -299,16 +307,16 @@
                 Err(_) => bounded(1).0,
             }
         });
-        shared.spawn(handover::follow(shared.clone(), taken, adopt, serves));
+        shared.spawn(hot_restart::follow(shared.clone(), taken, adopt, serves));
     } else {
         starts.0.close();
         if let Some(place) = place {
-            let older = handover::Older {
+            let older = hot_restart::Older {
                 place,
                 name: config.name.clone(),
                 listeners: passed,
             };
-            shared.spawn(handover::listen(shared.clone(), older));
+            shared.spawn(hot_restart::listen(shared.clone(), older));
         }
     }
     let starts = starts.1;
@@ -331,7 +339,7 @@
         });
         let reader = deploy.directory.map(|line| {
             let (service, core) = (service.clone(), core.clone());
-            directory::Reader {
+            tenant_directory::Reader {
                 line,
                 file,
                 tenants,
@@ -377,7 +385,7 @@
         }
     });
     let executor = shared.executor.clone();
-    let manager = block_on(executor.run(core::run(shared, manager, mailbox, audit)));
+    let manager = block_on(executor.run(dispatcher::run(shared, manager, mailbox, audit)));
     eprintln!("yokelift: {}", manager.counters);
     Ok(())
 }
@@ -387,7 +395,7 @@
         std::env::var_os("PROXY_CONFIG").ok_or("PROXY_CONFIG names no configuration file")?;
     let mut files = std::env::args_os().skip(1);
     let second = files.next().map(PathBuf::from);
-    let deploy = second.as_deref().map(deploy::read).transpose()?;
+    let deploy = second.as_deref().map(clickhouse::read).transpose()?;
     if files.next().is_some() {
         return Err("use: yokelift [DEPLOY-FILE]".into());
     }
@@ -404,7 +412,7 @@
         deploy: second,
         fleet: fleet.transpose()?,
     };
-    let mut config = config::read(&files.config)?;
+    let mut config = process::read(&files.config)?;
     if let Some(at) = std::env::var_os("PROXY_CONSOLE").filter(|at| !at.is_empty()) {
         let at = at.to_str().and_then(|at| at.parse().ok());
         config.console = Some(at.ok_or("PROXY_CONSOLE is no address")?);
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -10,8 +10,7 @@
 //! Every member also carries its [`Versions`]: the build, the settings generation and the list
 //! version it acts on. From these, [`straggling`] tells a manager whether the fleet's majority has
 //! moved on without it.
-pub mod file;
-pub mod wire;
+pub mod codec;
 
 use crate::clock::{MS, Micros, SEC};
 use rand_core::{Rng, SeedableRng};
@@ -435,13 +434,13 @@
         let mut room = self
             .timing
             .datagram
-            .saturating_sub(wire::size(&head) + longest + 2);
+            .saturating_sub(codec::size(&head) + longest + 2);
         let behind = (
             std::ops::Bound::Excluded(after.to_owned()),
             std::ops::Bound::Unbounded,
         );
         for (name, member) in self.members.range::<String, _>(behind) {
-            let size = wire::rumour_size(&member.rumour);
+            let size = codec::rumour_size(&member.rumour);
             if size > room {
                 // One that would never fit is passed over.
                 let last = gossip.last().map_or(name, |last| &last.name).clone();
@@ -733,7 +732,7 @@
             kind,
             gossip: first.into_iter().collect(),
         };
-        let mut room = self.timing.datagram.saturating_sub(wire::size(&message));
+        let mut room = self.timing.datagram.saturating_sub(codec::size(&message));
         let mut kept = VecDeque::with_capacity(self.news.len());
         while let Some((name, left)) = self.news.pop_front() {
             let rumour = if name == self.me.name {
@@ -742,7 +741,7 @@
                 self.members.get(&name).map(|m| &m.rumour)
             };
             let Some(rumour) = rumour else { continue };
-            let size = wire::rumour_size(rumour);
+            let size = codec::rumour_size(rumour);
             if size <= room && left > 0 {
                 room -= size;
                 message.gossip.push(rumour.clone());
@@ -931,5 +930,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/membership.rs"]
+#[path = "../../tests/unit/membership.rs"]
 mod tests;
--- a/src/net/console.rs
+++ b/src/net/admin.rs
@@ -3,7 +3,7 @@
 use super::{Held, Shared, until};
 use crate::audit::Place;
 use crate::clock::{self, MS, Micros, SEC};
-use crate::front::console::{self, Call, Wrong};
+use crate::frontend::admin::{self, Call, Wrong};
 use crate::log;
 use async_channel::{Receiver, Sender, bounded};
 use async_io::{Async, Timer};
@@ -77,7 +77,7 @@
     };
     let answer = match call {
         Ok(call) => carry_out(shared, call).await,
-        Err(why) => console::wrong(why),
+        Err(why) => admin::wrong(why),
     };
     let last_at = clock::turn() + SEC;
     let write = async {
@@ -98,7 +98,7 @@
     loop {
         let n = stream.read(&mut piece).await.ok().filter(|n| *n > 0)?;
         input.extend_from_slice(&piece[..n]);
-        match console::call(&input) {
+        match admin::call(&input) {
             Ok(None) => {}
             Ok(Some(call)) => return Some(Ok(call)),
             Err(why) => return Some(Err(why)),
@@ -108,9 +108,9 @@
 
 async fn audit(shared: &Shared, since: Place, most: usize) -> Vec<u8> {
     match super::audit::read(shared, since, most).await {
-        Some(Ok(page)) => console::answer(200, None, &page.text()),
-        Some(Err(why)) => console::answer(503, None, &format!("{why}\n")),
-        None => console::answer(404, None, "no audit is kept: no fleet file with [audit]\n"),
+        Some(Ok(page)) => admin::answer(200, None, &page.text()),
+        Some(Err(why)) => admin::answer(503, None, &format!("{why}\n")),
+        None => admin::answer(404, None, "no audit is kept: no fleet file with [audit]\n"),
     }
 }
 
@@ -120,17 +120,17 @@
         Call::Ready => {
             let life = shared.life.borrow();
             let status = if life.ready() { 200 } else { 503 };
-            console::answer(
+            admin::answer(
                 status,
                 None,
                 &format!("{:?}\n", life.stage()).to_lowercase(),
             )
         }
-        Call::Metrics => console::answer(200, None, &console::figures(&shared.figures())),
+        Call::Metrics => admin::answer(200, None, &admin::figures(&shared.figures())),
         Call::Drain => {
             shared.life.borrow_mut().drain(now);
             log!("told to send clients away");
-            console::answer(200, None, "draining\n")
+            admin::answer(200, None, "draining\n")
         }
         Call::Undrain => {
             let may = shared.life.borrow_mut().undrain();
@@ -143,23 +143,23 @@
                 }
             );
             if may {
-                console::answer(200, None, "serving\n")
+                admin::answer(200, None, "serving\n")
             } else {
-                console::answer(409, None, "the program is about to end\n")
+                admin::answer(409, None, "the program is about to end\n")
             }
         }
         Call::Audit(since, most) => audit(shared, since, most).await,
         Call::Duties => match shared.owned.borrow().as_ref() {
-            Some(view) => console::answer(200, None, view),
-            None => console::answer(
+            Some(view) => admin::answer(200, None, view),
+            None => admin::answer(
                 404,
                 None,
                 "no duties are shared out: no fleet file with [duties]\n",
             ),
         },
         Call::Fleet => match shared.fleet.borrow().as_ref() {
-            Some(view) => console::answer(200, None, &view.lines()),
-            None => console::answer(
+            Some(view) => admin::answer(200, None, &view.lines()),
+            None => admin::answer(
                 404,
                 None,
                 "no fleet membership: started without a fleet file\n",
@@ -169,5 +169,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/net_console.rs"]
+#[path = "../../tests/unit/net_admin.rs"]
 mod tests;
--- a/src/net/client/peer.rs
+++ b/src/net/client/connection.rs
@@ -1,12 +1,12 @@
 //! The actor of one client connection: reads requests, writes answers, and decides when to leave.
 use super::Standing;
-use super::strikes::Strikes;
+use super::rejection_penalty::Strikes;
 use crate::clock::{self, MS, Micros, SEC};
-use crate::front::{Cut, Front, Said};
-use crate::lifecycle::words::Word;
-use crate::manager::ends::End;
-use crate::manager::{Answer, Origin};
-use crate::net::core::Input;
+use crate::dispatcher::termination::End;
+use crate::dispatcher::{Answer, Origin};
+use crate::frontend::{Cut, Front, Said};
+use crate::hot_restart::message::Word;
+use crate::net::dispatcher::Input;
 use crate::net::{Bytes, Held, Shared, until};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
--- a/src/net/client/leave.rs
+++ b/src/net/client/graceful_close.rs
@@ -1,12 +1,12 @@
 //! How a client's connection is left: passed on, or with a farewell.
-use super::peer::{Peer, take_some};
+use super::connection::{Peer, take_some};
 use crate::clock::{self, MS, Micros, SEC};
-use crate::front::Front;
-use crate::lifecycle::words::{Handed, Word};
-use crate::manager::ends::End;
-use crate::manager::{Answer, Origin};
-use crate::net::core::Input;
-use crate::net::handover::Passed;
+use crate::dispatcher::termination::End;
+use crate::dispatcher::{Answer, Origin};
+use crate::frontend::Front;
+use crate::hot_restart::message::{Handed, Word};
+use crate::net::dispatcher::Input;
+use crate::net::hot_restart::Passed;
 use crate::net::{Held, until};
 use async_channel::{Receiver, Sender};
 use futures_lite::AsyncWriteExt;
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -1,9 +1,9 @@
 //! The listeners of the fronts.
-use super::standing::shed;
+use super::connection_registry::shed;
 use super::start;
-use crate::front::Front;
+use crate::frontend::Front;
 use crate::log;
-use crate::net::core::Input;
+use crate::net::dispatcher::Input;
 use crate::net::{Held, Shared};
 use async_channel::Sender;
 use async_io::{Async, Timer};
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -1,24 +1,24 @@
 //! The listeners of the fronts and the actor of each client connection.
-mod leave;
+mod connection;
+mod connection_registry;
+mod graceful_close;
 mod listener;
-mod peer;
-mod standing;
-mod strikes;
+mod rejection_penalty;
 
+pub use connection_registry::{Standing, let_go, send_away};
 pub use listener::{bind, bind_shared, listen};
-pub use standing::{Standing, let_go, send_away};
 
-use super::core::Input;
+use super::dispatcher::Input;
 use super::{Bytes, Held, Shared};
 use crate::clock::{self, MS, Micros};
-use crate::front::Front;
-use crate::lifecycle::words::{Handed, Word};
+use crate::dispatcher::Answer;
+use crate::dispatcher::termination::End;
+use crate::frontend::Front;
+use crate::hot_restart::message::{Handed, Word};
 use crate::log;
-use crate::manager::Answer;
-use crate::manager::ends::End;
 use async_channel::{Receiver, Sender, bounded};
 use async_io::Async;
-use peer::Peer;
+use connection::Peer;
 use std::cell::Cell;
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -133,5 +133,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/inside/client.rs"]
+#[path = "../../../tests/unit/net_client.rs"]
 pub(super) mod tests;
--- a/src/net/coordinator.rs
+++ b/src/net/discovery/coordinator.rs
@@ -1,11 +1,11 @@
 //! The actor of the coordinator: follows its numbered events, comes back after every break, and
 //! moves with it.
-use super::list::{Update, parse_record};
-use super::{Shared, until};
 use crate::backoff::Backoff;
 use crate::clock::{self, Micros, SEC};
+use crate::dispatcher::termination::End;
 use crate::log;
-use crate::manager::ends::End;
+use crate::net::discovery::endpoint_list::{Update, parse_record};
+use crate::net::{Shared, until};
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future::or;
@@ -249,5 +249,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/coordinator.rs"]
+#[path = "../../../tests/unit/coordinator.rs"]
 mod tests;
--- a/src/net/list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -1,13 +1,15 @@
 //! The actor of the list of engines: applies what the coordinator tells, keeps a row for each
 //! engine, and passes the news on to the module.
-use super::Shared;
-use super::core::Input;
-use super::engine::{Row, Start, spawn};
+use crate::backend::clickhouse::{ClickHouse, Login};
+use crate::backend::platform::Platform;
 use crate::clock::{Micros, SEC, micros};
-use crate::config::Names;
-use crate::engine::clickhouse::{ClickHouse, Login};
-use crate::engine::platform::Platform;
-use crate::interface::{CellId, EngineEntry, EngineId, KindId, ListKind, Nanos, Readiness, ZoneId};
+use crate::config::process::Names;
+use crate::net::Shared;
+use crate::net::dispatcher::Input;
+use crate::net::engine::{Row, Start, spawn};
+use crate::policy::api::{
+    CellId, EngineEntry, EngineId, KindId, ListKind, Nanos, Readiness, ZoneId,
+};
 use async_channel::{Receiver, Sender};
 use serde::Deserialize;
 use serde_json::Value;
@@ -341,5 +343,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/list.rs"]
+#[path = "../../../tests/unit/endpoint_list.rs"]
 mod tests;
--- a/src/net/core.rs
+++ b/src/net/dispatcher.rs
@@ -1,20 +1,20 @@
 //! The actor of the module: takes in what all others report, and hands out what the core orders. It
 //! never waits for any of them.
 use super::audit::Keeper;
-use super::duties::Word;
 use super::engine::{Row, ToEngine};
+use super::fleet::lease::Word;
 use super::{Shared, client, until};
 use crate::audit::Acting;
+use crate::class_registry::Class;
 use crate::clock::{self, MS, Micros};
-use crate::duties::probing::Sounding;
-use crate::duties::{Duty, Token};
-use crate::generations::Class;
-use crate::interface::{
+use crate::dispatcher::termination::{End, Reach};
+use crate::dispatcher::{Answer, Ask, Ended, Manager, Order, Origin};
+use crate::lease::shared_probe::Sounding;
+use crate::lease::{Duty, Token};
+use crate::log;
+use crate::policy::api::{
     ClassId, EngineEntry, EngineId, ListKind, LoadReport, OutcomeKind, Settings, TenantSpec,
 };
-use crate::log;
-use crate::manager::ends::{End, Reach};
-use crate::manager::{Answer, Ask, Ended, Manager, Order, Origin};
 use async_channel::{Receiver, Sender};
 use futures_lite::future::or;
 use std::collections::HashMap;
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -1,13 +1,13 @@
 //! A connection to an engine: made, written and read, with its link's machine between.
 use super::{Peer, ToEngine, refuse};
+use crate::backend::Wire;
+use crate::backend::connection_state::{Event, Link};
 use crate::clock::{self, Micros, SEC};
-use crate::engine::Wire;
-use crate::engine::link::{Event, Link};
-use crate::interface::{LoadReport, OutcomeKind, RequestId};
-use crate::manager::ends::End;
-use crate::net::core::Input;
+use crate::dispatcher::termination::End;
+use crate::net::dispatcher::Input;
 use crate::net::mailbox::Sender as Post;
 use crate::net::{Held, Shared, until};
+use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use futures_lite::future::or;
--- a/src/net/engine/row.rs
+++ b/src/net/engine/endpoint.rs
@@ -2,9 +2,9 @@
 //! there only while something is open or owed: made at the first use, and over once its last
 //! connection is.
 use super::{Peer, ToEngine};
-use crate::interface::{EngineId, Readiness};
-use crate::manager::ends::End;
+use crate::dispatcher::termination::End;
 use crate::net::mailbox::Sender;
+use crate::policy::api::{EngineId, Readiness};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -1,19 +1,19 @@
 //! The actor of one engine and its pool of connections, each with a task of its own. It lives only
 //! while something is open or owed there: see [`Row`].
 mod connection;
-mod row;
+mod endpoint;
 
-pub use row::{Row, Start};
+pub use endpoint::{Row, Start};
 
-use super::core::Input;
+use super::dispatcher::Input;
 use super::mailbox::{Sender as Post, bounded};
 use super::{Held, Shared, until};
+use crate::backend::Wire;
+use crate::backend::connection_state::Link;
 use crate::clock::{self, Micros, SEC};
-use crate::engine::Wire;
-use crate::engine::link::Link;
-use crate::interface::{AttemptNo, EngineId, LoadReport, OutcomeKind, RequestId};
-use crate::manager::ends::{End, Reach};
-use crate::manager::{Ended, Job};
+use crate::dispatcher::termination::{End, Reach};
+use crate::dispatcher::{Ended, Job};
+use crate::policy::api::{AttemptNo, EngineId, LoadReport, OutcomeKind, RequestId};
 use async_channel::{Receiver, Sender};
 use connection::Connection;
 use futures_lite::future::or;
@@ -302,12 +302,12 @@
 }
 
 #[cfg(test)]
-use crate::engine::platform::Platform;
+use crate::backend::platform::Platform;
 
 #[cfg(test)]
-#[path = "../../../tests/inside/engine.rs"]
+#[path = "../../../tests/unit/net_engine.rs"]
 mod tests;
 
 #[cfg(test)]
-#[path = "../../../tests/inside/rows.rs"]
+#[path = "../../../tests/unit/net_engine_endpoint.rs"]
 mod rows;
--- a/src/net/duties.rs
+++ b/src/net/fleet/lease.rs
@@ -1,15 +1,15 @@
 //! What the membership's actor does for duties: the voter, the candidate and the prober of this
 //! manager on the fleet's socket, and what they put down for the second address. Started only with
 //! `[duties]` in the operator's fleet file.
-use super::Shared;
-use super::core::Input;
 use crate::clock::{self, MS, Micros};
-use crate::duties::probing::{Prober, Sounding, Step};
-use crate::duties::wire::{self, Letter};
-use crate::duties::{Action, Candidate, Duty, Fence, Highest, Holder, Token, Voter, first};
+use crate::config::fleet::Duties;
+use crate::lease::codec::{self, Letter};
+use crate::lease::shared_probe::{Prober, Sounding, Step};
+use crate::lease::{Action, Candidate, Duty, Fence, Highest, Holder, Token, Voter, first};
 use crate::log;
-use crate::membership::file::Duties;
 use crate::membership::{Health, Membership};
+use crate::net::Shared;
+use crate::net::dispatcher::Input;
 use async_channel::{Receiver, Sender, TrySendError, bounded};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
@@ -104,10 +104,13 @@
         send: impl Fn(Out) + 'static,
         now: Micros,
     ) -> Result<Desk, String> {
-        let name = format!("yokelift-duties-{}", super::handover::plain(&me.name));
+        let name = format!(
+            "yokelift-duties-{}",
+            crate::net::hot_restart::plain(&me.name)
+        );
         let path: PathBuf = match shared.hollow.get() {
             Some(hollow) => hollow.folder.join(name),
-            None => super::audit::file(&name)?,
+            None => crate::net::audit::file(&name)?,
         };
         let (jobs, work) = bounded::<(Highest, Out)>(VOTES);
         let (done, votes) = bounded::<Out>(VOTES);
@@ -284,7 +287,7 @@
         let Some(voter) = &mut self.voter else { return };
         let (vote, new) = voter.request(now, duty, &holder, token);
         let letter = Letter::Vote(self.candidate.me().name.clone(), duty, number, vote);
-        let letter = (from, wire::encode(&letter));
+        let letter = (from, codec::encode(&letter));
         if new {
             // Without room it is as if the vote were lost.
             let _ = self.keeper.jobs.try_send((voter.highest().clone(), letter));
@@ -343,7 +346,7 @@
                         Desk::addr(fleet, &voter)
                     };
                     let letter = Letter::Ask(me, duty, token, number);
-                    out.extend(to.map(|to| (to, wire::encode(&letter))));
+                    out.extend(to.map(|to| (to, codec::encode(&letter))));
                 }
                 Action::Release(voter, duty, token) if voter == me.name => {
                     self.voter
@@ -351,7 +354,7 @@
                         .for_each(|voter| voter.release(duty, &me, token));
                 }
                 Action::Release(voter, duty, token) => {
-                    let letter = wire::encode(&Letter::Release(me, duty, token));
+                    let letter = codec::encode(&Letter::Release(me, duty, token));
                     out.extend(Desk::addr(fleet, &voter).map(|to| (to, letter)));
                 }
                 Action::Owned(duty, token) => {
@@ -374,18 +377,18 @@
                     self.unsaid.push_back(Input::Sounded(engine, sounding))
                 }
                 Step::Want(name, engine, number) => {
-                    let letter = wire::encode(&Letter::Want(engine, number));
+                    let letter = codec::encode(&Letter::Want(engine, number));
                     out.extend(Desk::addr(fleet, &name).map(|to| (to, letter)));
                 }
                 Step::Tell(to, engine, number, token, sounding) => {
                     out.push((
                         to,
-                        wire::encode(&Letter::Told(engine, number, token, sounding)),
+                        codec::encode(&Letter::Told(engine, number, token, sounding)),
                     ));
                 }
                 Step::NotMine(to, engine, number) => {
                     let token = self.fence.highest(Duty::Probe(engine));
-                    out.push((to, wire::encode(&Letter::NotMine(engine, number, token))));
+                    out.push((to, codec::encode(&Letter::NotMine(engine, number, token))));
                 }
             }
         }
@@ -445,5 +448,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/net_duties.rs"]
+#[path = "../../../tests/unit/net_lease.rs"]
 mod tests;
--- a/src/net/membership.rs
+++ b/src/net/fleet/membership.rs
@@ -1,21 +1,21 @@
 //! The actor of the fleet's membership: one UDP socket between managers, the pure machine of
 //! `crate::membership`, and what it puts down for the second address. Started only with the
 //! operator's fleet file.
-use super::coordinator::Move;
-use super::core::Input;
-use super::duties::{self, Desk};
-use super::{Shared, until};
 use crate::audit::Acting;
 use crate::clock::{self, MS, Micros};
-use crate::duties::Holder;
-use crate::duties::wire::{self as letters, Letter};
+use crate::config::fleet::Fleet;
+use crate::lease::Holder;
+use crate::lease::codec::{self as letters, Letter};
 use crate::lifecycle::Stage;
 use crate::log;
-use crate::membership::file::Fleet;
-use crate::membership::wire::{self, Unread};
+use crate::membership::codec::{self, Unread};
 use crate::membership::{
     Action, Health, Membership, Message, Rumour, SHUT_OUT, Sharers, Standing, Straggler, Versions,
 };
+use crate::net::discovery::coordinator::Move;
+use crate::net::dispatcher::Input;
+use crate::net::fleet::lease::{self, Desk};
+use crate::net::{Shared, until};
 use async_channel::Sender;
 use async_io::Async;
 use futures_lite::future::or;
@@ -200,7 +200,7 @@
             socket.clone(),
         );
         let traffic = shared.traffic.clone();
-        let send = move |(to, bytes): duties::Out| traffic.send(late.get_ref(), to, &bytes);
+        let send = move |(to, bytes): lease::Out| traffic.send(late.get_ref(), to, &bytes);
         Desk::open(&shared, me, &duties, module.clone(), send, now)
     });
     let mut desk =
@@ -268,7 +268,7 @@
                 Action::Send(to, message) => {
                     shared
                         .traffic
-                        .send(socket.get_ref(), to, &wire::encode(&message));
+                        .send(socket.get_ref(), to, &codec::encode(&message));
                 }
                 Action::Changed(name, health) => {
                     changed = true;
@@ -308,7 +308,7 @@
                 if let Action::Send(to, message) = action {
                     shared
                         .traffic
-                        .send(socket.get_ref(), to, &wire::encode(&message));
+                        .send(socket.get_ref(), to, &codec::encode(&message));
                 }
             }
             return;
@@ -319,7 +319,7 @@
 /// What woke the actor.
 enum Came {
     Datagram((usize, SocketAddr)),
-    Word(duties::Word),
+    Word(lease::Word),
 }
 
 /// What a datagram holds.
@@ -331,7 +331,7 @@
 fn read(datagram: &[u8], most: usize) -> Result<Read, Unread> {
     match datagram.starts_with(&letters::TAG) {
         true => letters::decode(datagram, most).map(Read::Letter),
-        false => wire::decode(datagram, most).map(|message| Read::Message(Box::new(message))),
+        false => codec::decode(datagram, most).map(|message| Read::Message(Box::new(message))),
     }
 }
 
--- /dev/null
+++ b/src/net/fleet/mod.rs
@@ -0,0 +1,4 @@
+//! The actors of the fleet: membership, leases and the datagrams between managers.
+pub mod lease;
+pub mod membership;
+pub mod traffic;
--- a/src/net/traffic.rs
+++ b/src/net/fleet/traffic.rs
@@ -1,6 +1,6 @@
 //! What the fleet's actor sends and receives, counted always: two cells a datagram. The scale rig
 //! reads the counts, and may have datagrams lost on their way out.
-use crate::duties::wire as letters;
+use crate::lease::codec as letters;
 use serde::Serialize;
 use std::cell::{Cell, OnceCell};
 use std::net::{SocketAddr, UdpSocket};
--- a/src/net/handover.rs
+++ b/src/net/hot_restart/mod.rs
@@ -1,13 +1,13 @@
 //! Two processes as one manager while a new version takes over: the socket in `$TMPDIR` over which
 //! the older one passes its listening descriptors, and the actors at both ends. What it means is
 //! the lifecycle's to say.
-use super::client::Adopted;
-use super::{Held, Shared, until};
 use crate::clock::{self, MS, Micros};
+use crate::dispatcher::{Answer, Failure};
+use crate::hot_restart::message::{Handed, Reader, Word};
 use crate::lifecycle::Next;
-use crate::lifecycle::words::{Handed, Reader, Word};
 use crate::log;
-use crate::manager::{Answer, Failure};
+use crate::net::client::Adopted;
+use crate::net::{Held, Shared, until};
 use async_channel::{Sender, bounded};
 use async_io::{Async, Timer};
 use futures_lite::AsyncWriteExt;
@@ -531,7 +531,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::kit::daemon::Folder;
+    use crate::testkit::daemon::Folder;
     use async_io::block_on;
     use std::io::{Read, Write};
 
--- a/src/net/mailbox.rs
+++ b/src/net/mailbox.rs
@@ -60,5 +60,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/mailbox.rs"]
+#[path = "../../tests/unit/mailbox.rs"]
 mod tests;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,24 +1,21 @@
 //! The sockets. Each peer has an actor with a bounded mailbox (a client connection, an engine, the
 //! coordinator), and so have the list of engines and the module. All run on one thread.
+pub mod admin;
 pub mod audit;
 pub mod client;
-pub mod console;
-pub mod coordinator;
-pub mod core;
-pub mod directory;
-pub mod duties;
+pub mod discovery;
+pub mod dispatcher;
 pub mod engine;
-pub mod handover;
-pub mod list;
+pub mod fleet;
+pub mod hot_restart;
 pub mod mailbox;
-pub mod membership;
 pub mod reload;
-pub mod traffic;
+pub mod tenant_directory;
 
 use crate::audit::Acting;
 use crate::clock::{self, Micros};
+use crate::dispatcher::metrics::Figures;
 use crate::lifecycle::Lifecycle;
-use crate::manager::counters::Figures;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -39,7 +36,7 @@
     /// Closed once the listeners are to accept no more.
     pub accepting: (Sender<()>, Receiver<()>),
     /// To the process that follows this one and serves.
-    pub newer: RefCell<Option<Sender<handover::Passed>>>,
+    pub newer: RefCell<Option<Sender<hot_restart::Passed>>>,
     /// Runs the actors.
     pub executor: Rc<LocalExecutor<'static>>,
     /// Where the process stands.
@@ -88,17 +85,17 @@
     /// What the module acts on, as the core put it down last.
     pub acting: Cell<Acting>,
     /// To the fleet's actor, where duties are shared out.
-    pub duties: RefCell<Option<Sender<duties::Word>>>,
+    pub duties: RefCell<Option<Sender<fleet::lease::Word>>>,
     /// What it put down of them last, for the second address.
     pub owned: RefCell<Option<Rc<str>>>,
     /// To the thread that has the audit's files, where there is one.
     pub audit: RefCell<Option<Sender<audit::Job>>>,
     /// What the fleet's membership put down last, for the second address.
-    pub fleet: RefCell<Option<Rc<membership::View>>>,
+    pub fleet: RefCell<Option<Rc<fleet::membership::View>>>,
     /// What the fleet's actor sends and receives.
-    pub traffic: Rc<traffic::Traffic>,
+    pub traffic: Rc<fleet::traffic::Traffic>,
     /// Set where this is one of many managers in one process.
-    pub hollow: OnceCell<membership::Hollow>,
+    pub hollow: OnceCell<fleet::membership::Hollow>,
 }
 
 impl Shared {
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -2,17 +2,17 @@
 //! applied as one new generation; requests and engines stay. A file that can't be used leaves
 //! everything as it was.
 use super::Shared;
-use super::coordinator::Move;
-use super::core::Input;
-use super::list::parse_known;
-use super::membership::settings_hash;
+use super::discovery::coordinator::Move;
+use super::discovery::endpoint_list::parse_known;
+use super::dispatcher::Input;
+use super::fleet::membership::settings_hash;
+use crate::class_registry::Class;
 use crate::clock::micros;
-use crate::config::{self, Config, LiveNames, Names};
-use crate::deploy::{self, ClassRules, Users};
-use crate::front::clickhouse::Service;
-use crate::generations::Class;
-use crate::interface::Settings;
+use crate::config::clickhouse::{self, ClassRules, Users};
+use crate::config::process::{self, Config, LiveNames, Names};
+use crate::frontend::clickhouse::Service;
 use crate::log;
+use crate::policy::api::Settings;
 use async_channel::{Sender, bounded};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -57,8 +57,8 @@
 impl Reload {
     /// Reads both files; only if both can be used is anything changed.
     pub async fn again(&self) -> Result<(), String> {
-        let config = config::read(&self.path)?;
-        if let Some(key) = config::lacks(&config.text, &self.text.borrow()) {
+        let config = process::read(&self.path)?;
+        if let Some(key) = process::lacks(&config.text, &self.text.borrow()) {
             return Err(format!(
                 "{}: not whole: there is no {key}",
                 self.path.display()
@@ -75,7 +75,7 @@
             ..(*names).clone()
         };
         let second = self.second.as_ref().map(|second| {
-            let deploy = deploy::read(&second.path)?;
+            let deploy = clickhouse::read(&second.path)?;
             ClassRules::new(&deploy, &next)?;
             let users = Users::new(&deploy, &next)?;
             Ok::<_, String>((second, deploy, users))
@@ -95,7 +95,7 @@
                 .iter()
                 .map(|(class, _)| class.name.to_string())
                 .collect(),
-            keyed: config::keyed(classes.iter().map(|(class, _)| &class.spec)),
+            keyed: process::keyed(classes.iter().map(|(class, _)| &class.spec)),
             dropped: (0..)
                 .zip(&classes)
                 .filter(|(_, (_, in_force))| !in_force)
--- a/src/net/directory.rs
+++ b/src/net/tenant_directory.rs
@@ -1,12 +1,12 @@
 //! The actor of the directory: reads it at the start and then slowly again; a failure keeps the
 //! last good list.
-use super::core::Input;
+use super::dispatcher::Input;
 use super::until;
 use crate::clock::{self, SEC};
-use crate::deploy::{DirectoryLine, Users};
-use crate::directory::{Fault, Listing, Reading, Tenants};
-use crate::front::clickhouse::Service;
+use crate::config::clickhouse::{DirectoryLine, Users};
+use crate::frontend::clickhouse::Service;
 use crate::log;
+use crate::tenant_directory::{Fault, Listing, Reading, Tenants};
 use async_channel::Sender;
 use async_io::{Async, Timer};
 use futures_lite::future::or;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -2,19 +2,21 @@
 //! it remembers those of `src/state/`. Ordinary path: each engine has a bound on running threads,
 //! moved by formula (5); a gateway keeps to its share of it, sends where most threads are free, and
 //! holds or refuses the rest. One file a concern.
-mod anew;
+mod admission_queue;
+pub mod api;
 mod attempts;
-mod bounds;
-mod choice;
-mod cold;
-mod fleet;
-mod health;
-mod held;
-mod reports;
+mod concurrency_limit;
+mod endpoint_list;
+mod endpoint_selection;
+mod load_reports;
+mod outlier_detection;
+mod slow_start;
+mod stall_detection;
+pub(crate) mod state;
 
-use crate::interface::*;
-pub use crate::state::Gateway;
-use crate::state::*;
+use crate::policy::api::*;
+pub use crate::policy::state::Gateway;
+use crate::policy::state::*;
 use rand_core::Rng;
 
 const SWEEP: u64 = 1; // Timer token of the sweep; the module has no other timer.
--- a/src/state/engine.rs
+++ b/src/policy/state/engine.rs
@@ -1,6 +1,6 @@
 //! What is remembered of one engine.
 use super::secs;
-use crate::interface::*;
+use crate::policy::api::*;
 use std::collections::{BTreeMap, VecDeque};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/src/state/fleet.rs
+++ b/src/policy/state/fleet.rs
@@ -1,7 +1,7 @@
 //! What is kept of the whole fleet.
 use super::{Running, Window};
-use crate::interface::*;
-use crate::ranks::Ranks;
+use crate::policy::api::*;
+use crate::policy::state::running_median::Ranks;
 use std::collections::{BTreeSet, VecDeque};
 
 /// What is kept of the whole fleet, so that no request walks over it.
--- a/src/state/mod.rs
+++ b/src/policy/state/mod.rs
@@ -3,8 +3,9 @@
 mod engine;
 mod fleet;
 mod request;
+pub mod running_median;
 
-use crate::interface::*;
+use crate::policy::api::*;
 pub use engine::*;
 pub use fleet::*;
 use rand_core::SeedableRng;
--- a/src/state/request.rs
+++ b/src/policy/state/request.rs
@@ -1,6 +1,6 @@
 //! What is remembered of requests, their classes and tenants, and what the rules say of repeats.
 use super::{Running, secs};
-use crate::interface::*;
+use crate::policy::api::*;
 use std::collections::{BTreeSet, VecDeque};
 
 #[derive(Default)]
--- a/src/ranks.rs
+++ b/src/policy/state/running_median.rs
@@ -35,5 +35,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/inside/ranks.rs"]
+#[path = "../../../tests/unit/running_median.rs"]
 mod tests;
--- a/src/spool/handle.rs
+++ b/src/spool/handle.rs
@@ -77,7 +77,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::interface::TenantId;
+    use crate::policy::api::TenantId;
 
     fn owner(desk: u16, user: &str) -> Owner {
         Owner {
--- a/src/spool/mod.rs
+++ b/src/spool/mod.rs
@@ -6,7 +6,7 @@
 pub mod handle;
 
 use crate::clock::Micros;
-use crate::interface::TenantId;
+use crate::policy::api::TenantId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -505,5 +505,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/inside/spool.rs"]
+#[path = "../../tests/unit/spool.rs"]
 mod model;
--- a/src/directory/mod.rs
+++ b/src/tenant_directory/mod.rs
@@ -3,9 +3,9 @@
 //!
 //! One reading binds, searches the tenants and then the users page by page, and unbinds. It gives a
 //! whole list or none: whoever reads keeps the last good one.
-use crate::config::Names;
-use crate::deploy::{DirectoryLine, Users};
-use crate::interface::{TenantId, TenantSpec};
+use crate::config::clickhouse::{DirectoryLine, Users};
+use crate::config::process::Names;
+use crate::policy::api::{TenantId, TenantSpec};
 use rasn::prelude::*;
 use rasn_ldap::{
     AuthenticationChoice, BindRequest, Control, Filter, LdapMessage, PartialAttribute, ProtocolOp,
--- a/src/kit/coordinator.rs
+++ b/src/testkit/coordinator.rs
@@ -1,7 +1,7 @@
 //! A stand-in coordinator: numbered events, sent on to whoever follows.
 use super::{Executor, listener};
-use crate::interface::Readiness;
-use crate::net::list::Listed;
+use crate::net::discovery::endpoint_list::Listed;
+use crate::policy::api::Readiness;
 use async_channel::{Sender, bounded};
 use async_io::{Async, Timer};
 use futures_lite::future::or;
--- a/src/kit/directory.rs
+++ b/src/testkit/directory.rs
@@ -1,7 +1,7 @@
 //! A stand-in directory: binds, and searches in pages, as far as a list of tenants and users needs
 //! it.
 use super::{Executor, listener};
-use crate::directory::{PAGED, PagedValue, take_message};
+use crate::tenant_directory::{PAGED, PagedValue, take_message};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, StreamExt};
 use rasn::types::SetOf;
--- a/src/kit/emulator.rs
+++ b/src/testkit/membership_simulation.rs
@@ -3,7 +3,7 @@
 //! one seed: the same run each time. Every datagram passes through the codec.
 use crate::clock::{MS, Micros, SEC};
 use crate::membership::{
-    Action, Health, Membership, Rumour, Timing, Versions, budget, detection_bound, wire,
+    Action, Health, Membership, Rumour, Timing, Versions, budget, codec, detection_bound,
 };
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
@@ -152,7 +152,7 @@
         for action in actions {
             match action {
                 Action::Send(to, message) => {
-                    let bytes = wire::encode(&message);
+                    let bytes = codec::encode(&message);
                     assert!(
                         bytes.len() <= self.timing.datagram,
                         "a datagram over its bound"
@@ -196,7 +196,7 @@
 
     fn receive(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let mut out = Vec::new();
-        match wire::decode(bytes, self.timing.datagram) {
+        match codec::decode(bytes, self.timing.datagram) {
             Ok(message) => self.nodes[to].receive(addr(from), message, self.now, &mut out),
             Err(_) => self.nodes[to].dropped += 1,
         }
--- a/src/kit/mod.rs
+++ b/src/testkit/mod.rs
@@ -5,14 +5,14 @@
 pub mod coordinator;
 pub mod daemon;
 pub mod directory;
-pub mod emulator;
 pub mod engines;
+pub mod fault_proxy;
 pub mod fleet;
+pub mod membership_simulation;
 pub mod plot;
-pub mod relay;
+pub mod probe_simulation;
 pub mod scale;
-pub mod script;
-pub mod soundings;
+pub mod scenario;
 
 use crate::clock::{self, Micros};
 use async_executor::LocalExecutor;
--- a/src/kit/plot.rs
+++ b/src/testkit/plot.rs
@@ -1,5 +1,5 @@
 //! Plots of what the kit measured, as SVG.
-use super::emulator::Figures;
+use super::membership_simulation::Figures;
 use plotters::prelude::*;
 
 /// A line of a chart: its name, and its value for a fleet.
--- a/src/kit/soundings.rs
+++ b/src/testkit/probe_simulation.rs
@@ -1,9 +1,9 @@
 //! Probes of engines over an emulated fleet, with and without an owner for each engine: the
 //! machines of duties of many managers on a simulated network. All from one seed.
 use crate::clock::{MS, Micros, SEC};
-use crate::duties::probing::{Prober, Sounding, Step};
-use crate::duties::wire::{self, Letter};
-use crate::duties::{Action, Candidate, Duty, Fence, Highest, Holder, Terms, Voter, first};
+use crate::lease::codec::{self, Letter};
+use crate::lease::shared_probe::{Prober, Sounding, Step};
+use crate::lease::{Action, Candidate, Duty, Fence, Highest, Holder, Terms, Voter, first};
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
 use rand_core::{Rng, SeedableRng};
@@ -132,7 +132,7 @@
     fn send(&mut self, from: usize, to: usize, letter: Letter) {
         if self.counts {
             self.datagrams += 1;
-            self.bytes += wire::encode(&letter).len() as u64;
+            self.bytes += codec::encode(&letter).len() as u64;
         }
         let way = self.way();
         self.put(way, Event::Letter(from, to, letter));
--- a/src/kit/scale/daemons.rs
+++ b/src/testkit/scale/daemons.rs
@@ -1,13 +1,13 @@
 //! One point: a real daemon between stand-ins, and what it used.
 use super::load::BUSY;
-use super::site::Site;
+use super::testbed::Site;
 use super::{Options, Point, Progress};
-use crate::interface::Readiness;
-use crate::kit::coordinator::{Coordinator, known};
-use crate::kit::daemon::{self, Daemon, KINDS, ZONES};
-use crate::kit::engines::Engine;
-use crate::kit::{Book, Executor, pause};
-use crate::net::list::{Listed, listed};
+use crate::net::discovery::endpoint_list::{Listed, listed};
+use crate::policy::api::Readiness;
+use crate::testkit::coordinator::{Coordinator, known};
+use crate::testkit::daemon::{self, Daemon, KINDS, ZONES};
+use crate::testkit::engines::Engine;
+use crate::testkit::{Book, Executor, pause};
 use async_executor::LocalExecutor;
 use async_io::block_on;
 use futures_lite::future::or;
--- a/src/kit/scale/events.rs
+++ b/src/testkit/scale/events.rs
@@ -1,9 +1,9 @@
 //! What is done to a fleet of hollow managers, one event after the other, and how long they need.
-use super::board::{Goal, Owner, Spread};
 use super::figures::{Accounts, Cut, Death, Figures, Load, MOST_LATE_MS, Rolling, Took};
 use super::fleet::{Plan, Rig};
 use super::hollow::Reading;
 use super::needs;
+use super::observations::{Goal, Owner, Spread};
 use crate::clock::Micros;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/src/kit/scale/figures.rs
+++ b/src/testkit/scale/figures.rs
@@ -1,7 +1,7 @@
 //! The figures of a run, as JSON and as a table.
 use super::fleet::Plan;
 use super::hollow::Reading;
-use crate::net::traffic::{Counts, Flow};
+use crate::net::fleet::traffic::{Counts, Flow};
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
 use serde::Serialize;
--- a/src/kit/scale/fit.rs
+++ b/src/testkit/scale/fit.rs
@@ -71,5 +71,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/inside/fit.rs"]
+#[path = "../../../tests/unit/fit.rs"]
 mod tests;
--- a/src/kit/scale/fleet.rs
+++ b/src/testkit/scale/fleet.rs
@@ -1,14 +1,14 @@
 //! A fleet of hollow managers: their threads, the orders to them, and the waits for what they see.
 //! Whatever ends a thread before its time, a signal and the end of the time allowed are errors of
 //! the run.
-use super::board::{Board, Goal, Spread};
 use super::hollow::{Batch, Order, Reading};
-use super::life::home;
+use super::hollow_node::home;
 use super::needs::{self, Needs};
-use crate::duties::Terms;
-use crate::kit::daemon::Folder;
+use super::observations::{Board, Goal, Spread};
+use crate::config::fleet::{Duties, Fleet};
+use crate::lease::Terms;
 use crate::membership::Timing;
-use crate::membership::file::{Duties, Fleet};
+use crate::testkit::daemon::Folder;
 use async_channel::{Sender, unbounded};
 use std::any::Any;
 use std::net::{SocketAddr, UdpSocket};
--- a/src/kit/scale/hollow.rs
+++ b/src/testkit/scale/hollow.rs
@@ -1,15 +1,15 @@
 //! One thread with a batch of hollow managers: for each the daemon's own actor of the fleet on a
 //! UDP socket of its own, and in place of its module a loop that answers probes at once and wants
 //! engines' loads now and then.
-use super::board::{Board, Goal};
 use super::fleet::Plan;
-use super::life::{Asked, Pulse, Run, hollow_module, resident};
+use super::hollow_node::{Asked, Pulse, Run, hollow_module, resident};
+use super::observations::{Board, Goal};
 use crate::audit::Acting;
 use crate::clock::{self, Micros};
 use crate::membership::Health;
 use crate::net::Shared;
-use crate::net::membership::{Hollow, Seat, View, take_seat};
-use crate::net::traffic::{Counts, Flow};
+use crate::net::fleet::membership::{Hollow, Seat, View, take_seat};
+use crate::net::fleet::traffic::{Counts, Flow};
 use async_channel::{Receiver, bounded};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer, block_on};
@@ -125,7 +125,7 @@
 impl Batch {
     /// Runs it until nobody can tell it anything any more.
     pub fn run(mut self) {
-        crate::log::mute();
+        crate::logging::mute();
         let managers = std::mem::take(&mut self.sockets)
             .into_iter()
             .map(|(who, socket)| Manager {
--- a/src/kit/scale/life.rs
+++ b/src/testkit/scale/hollow_node.rs
@@ -1,12 +1,12 @@
 //! What one hollow manager is made of beside the daemon's actor: its address, its place in its
 //! thread, and what stands in place of its module.
-use super::board::Board;
 use super::fleet::Plan;
+use super::observations::Board;
 use crate::clock::{self, Micros, SEC};
-use crate::duties::Duty;
-use crate::duties::probing::Sounding;
-use crate::net::core::Input;
-use crate::net::duties::Word;
+use crate::lease::Duty;
+use crate::lease::shared_probe::Sounding;
+use crate::net::dispatcher::Input;
+use crate::net::fleet::lease::Word;
 use crate::net::{Shared, until};
 use async_channel::Receiver;
 use futures_lite::future::or;
--- a/src/kit/scale/load.rs
+++ b/src/testkit/scale/load.rs
@@ -1,7 +1,7 @@
 //! The clients of a point: idle ones that say a little now and then, and a few busy ones that send
 //! statements at a steady rate.
-use crate::kit::clients::{Got, STATUS, read_line, rpc_got};
-use crate::kit::{Executor, pause};
+use crate::testkit::clients::{Got, STATUS, read_line, rpc_got};
+use crate::testkit::{Executor, pause};
 use async_executor::Task;
 use async_io::{Async, Timer};
 use base64::prelude::{BASE64_STANDARD, Engine as _};
--- a/src/kit/scale/mod.rs
+++ b/src/testkit/scale/mod.rs
@@ -1,19 +1,19 @@
 //! The scale rig, all on real sockets on loopback: what one real daemon needs by the size of what
 //! stands around it (`daemons`), and fleets of many hollow managers in one process (`fleet`).
-pub mod board;
+pub mod capacity_check;
 pub mod daemons;
 pub mod events;
 pub mod figures;
 pub mod fit;
 pub mod fleet;
 pub mod hollow;
-pub mod life;
+pub mod hollow_node;
 pub mod load;
 pub mod needs;
+pub mod observations;
 pub mod proc;
 pub mod report;
-pub mod room;
-mod site;
+mod testbed;
 
 use std::path::PathBuf;
 use std::str::FromStr;
--- a/src/kit/scale/board.rs
+++ b/src/testkit/scale/observations.rs
@@ -1,8 +1,8 @@
 //! What the hollow managers of all threads saw, and when: written by their threads, read by the one
 //! that drives the run.
-use crate::duties::Token;
+use crate::lease::Token;
 use crate::membership::Health;
-use crate::net::membership::View;
+use crate::net::fleet::membership::View;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/src/kit/script/deployment.rs
+++ b/src/testkit/scenario/deployment.rs
@@ -2,9 +2,9 @@
 //! keys.
 use super::Stage;
 use crate::clock::micros;
-use crate::kit::Terms;
-use crate::kit::daemon::KINDS;
-use crate::kit::engines::Engine;
+use crate::testkit::Terms;
+use crate::testkit::daemon::KINDS;
+use crate::testkit::engines::Engine;
 use serde_json::Value;
 
 /// What the rules allow under these settings.
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -82,7 +82,7 @@
 }
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_yokelift-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_yokelift-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -8,12 +8,12 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicIsize, Ordering};
-use yokelift::config::Names;
-use yokelift::interface::Readiness;
-use yokelift::manager::Manager;
-use yokelift::net::core::Input;
-use yokelift::net::list::{self, Http, Update, listed};
+use yokelift::config::process::Names;
+use yokelift::dispatcher::Manager;
+use yokelift::net::discovery::endpoint_list::{self, Http, Update, listed};
+use yokelift::net::dispatcher::Input;
 use yokelift::net::{Shared, until};
+use yokelift::policy::api::Readiness;
 
 static HELD: AtomicIsize = AtomicIsize::new(0);
 
@@ -41,13 +41,13 @@
 fn held_with(engines: u32) -> isize {
     let shared = Shared::new(4_096, 1_024);
     let (core, news) = unbounded();
-    let (updates, mailbox) = bounded(list::MAILBOX);
+    let (updates, mailbox) = bounded(endpoint_list::MAILBOX);
     let names = Rc::new(Names {
         streams: 4,
         ..Names::default()
     });
-    let make = list::engines(shared.clone(), core.clone(), names, Http::default());
-    shared.spawn(list::run(
+    let make = endpoint_list::engines(shared.clone(), core.clone(), names, Http::default());
+    shared.spawn(endpoint_list::run(
         shared.clone(),
         core,
         mailbox,
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -1,15 +1,15 @@
 //! The fleet's audit between real daemons on loopback: what each decided, and on what, as
-//! `yokelift-kit audit` gathers it, through retuning, a list that one manager misses, a partition,
+//! `yokelift-testkit audit` gathers it, through retuning, a list that one manager misses, a partition,
 //! SIGKILL and SIGSTOP.
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::process::Command;
-use yokelift::interface::Readiness;
-use yokelift::kit::clients::Got;
-use yokelift::kit::fleet::{Fleet, MEMBERS, eventually};
-use yokelift::kit::relay::Faults;
+use yokelift::policy::api::Readiness;
+use yokelift::testkit::clients::Got;
+use yokelift::testkit::fault_proxy::Faults;
+use yokelift::testkit::fleet::{Fleet, MEMBERS, eventually};
 
 const ALL: [usize; MEMBERS] = [0, 1, 2, 3, 4];
 
@@ -19,9 +19,9 @@
     fleet
 }
 
-/// The report of `yokelift-kit audit`, and whether it exited with 0.
+/// The report of `yokelift-testkit audit`, and whether it exited with 0.
 fn audit(fleet: &Fleet, json: bool) -> (String, bool) {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_yokelift-kit"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
     command
         .arg("audit")
         .args(fleet.consoles.iter().map(ToString::to_string));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Settings and small helpers that the tests share.
 #![allow(dead_code)]
 
-use yokelift::interface::*;
 use yokelift::policy::Gateway;
+use yokelift::policy::api::*;
 
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000_000_000;
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -5,15 +5,15 @@
 use std::fs::File;
 use std::net::TcpListener;
 use std::rc::Rc;
-use yokelift::config::Names;
-use yokelift::interface::{EngineId, Readiness, RequestId};
-use yokelift::kit::eventually;
-use yokelift::manager::Job;
-use yokelift::manager::ends::{End, Reach};
+use yokelift::config::process::Names;
+use yokelift::dispatcher::Job;
+use yokelift::dispatcher::termination::{End, Reach};
 use yokelift::net::Shared;
-use yokelift::net::core::Input;
+use yokelift::net::discovery::endpoint_list::{Http, engines, listed};
+use yokelift::net::dispatcher::Input;
 use yokelift::net::engine::ToEngine;
-use yokelift::net::list::{Http, engines, listed};
+use yokelift::policy::api::{EngineId, Readiness, RequestId};
+use yokelift::testkit::eventually;
 
 /// Guards an engine's good name and the request: the attempt ends as never sent, for want of room
 /// here, the actor goes, and the next use finds a descriptor again.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! Shares under one query: many gateways side by side, each with its own clock and seed.
 mod common;
 use common::*;
-use yokelift::interface::*;
 use yokelift::policy::Gateway;
+use yokelift::policy::api::*;
 
 const GATEWAYS: u32 = 300;
 
--- a/tests/copies.rs
+++ b/tests/hedging.rs
@@ -2,7 +2,7 @@
 //! module.
 mod common;
 use common::*;
-use yokelift::interface::*;
+use yokelift::policy::api::*;
 
 /// Keyed over all engines, for 20 s; short and safe otherwise. Copies may run, and priorities
 /// count.
--- a/tests/duties.rs
+++ b/tests/leases.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::process::Command;
-use yokelift::kit::clients::Got;
-use yokelift::kit::fleet::{Fleet, MEMBERS, Options, eventually};
-use yokelift::kit::relay::Faults;
+use yokelift::testkit::clients::Got;
+use yokelift::testkit::fault_proxy::Faults;
+use yokelift::testkit::fleet::{Fleet, MEMBERS, Options, eventually};
 
 const ALL: [usize; MEMBERS] = [0, 1, 2, 3, 4];
 const DUTY: &str = "probe:s-00000001";
@@ -93,7 +93,7 @@
 
 /// Who owned the duty, by token, from the audit of all that answer.
 fn history(fleet: &Fleet) -> BTreeMap<u64, (String, u64)> {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_yokelift-kit"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
     command
         .args(["audit", "--json"])
         .args(fleet.consoles.iter().map(ToString::to_string));
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -4,8 +4,8 @@
 use serde_json::{Value, json};
 use std::path::Path;
 use std::time::Duration;
-use yokelift::kit::fleet::{Fleet, MEMBERS, SHARES, eventually};
-use yokelift::kit::relay::Faults;
+use yokelift::testkit::fault_proxy::Faults;
+use yokelift::testkit::fleet::{Fleet, MEMBERS, SHARES, eventually};
 
 fn start(tag: &str, seed: u64) -> Fleet {
     Fleet::start(Path::new(env!("CARGO_BIN_EXE_yokelift")), tag, seed)
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,10 +1,10 @@
 //! Daily operation of the daemon as it is shipped, between stand-ins on loopback.
 use std::path::Path;
-use yokelift::kit::script;
+use yokelift::testkit::scenario;
 
 fn play(text: &str) {
     let daemon = Path::new(env!("CARGO_BIN_EXE_yokelift"));
-    if let Err(wrong) = script::play(daemon, text, &mut |_| {}) {
+    if let Err(wrong) = scenario::play(daemon, text, &mut |_| {}) {
         panic!("{}", wrong.join("\n"));
     }
 }
@@ -13,21 +13,21 @@
 /// request.
 #[test]
 fn a_drain_lets_clients_go_and_loses_nothing() {
-    play(include_str!("../rehearsals/drain.txt"));
+    play(include_str!("../scenarios/drain.txt"));
 }
 
 /// Guards open requests against new rules, and new ones against old rules; and that a bad file
 /// changes nothing.
 #[test]
 fn a_new_configuration_is_taken_whole_or_not_at_all() {
-    play(include_str!("../rehearsals/retune.txt"));
+    play(include_str!("../scenarios/retune.txt"));
 }
 
 /// Guards each request through a change of versions: one answer, a load run once, no connection
 /// lost.
 #[test]
 fn a_new_version_takes_over_and_nobody_notices() {
-    play(include_str!("../rehearsals/upgrade.txt"));
+    play(include_str!("../scenarios/upgrade.txt"));
 }
 
 /// Guards the process that runs against a successor that dies before or after its yes: it serves
@@ -84,9 +84,13 @@
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let known = serde_json::json!({"index": 0, "updates": []});
     let addr = |l: &std::net::TcpListener| l.local_addr().expect("an address");
-    let config =
-        yokelift::kit::daemon::config(yokelift::kit::daemon::free_addr(), addr(&taken), &known, 64);
-    let folder = yokelift::kit::daemon::Folder::new().expect("a folder");
+    let config = yokelift::testkit::daemon::config(
+        yokelift::testkit::daemon::free_addr(),
+        addr(&taken),
+        &known,
+        64,
+    );
+    let folder = yokelift::testkit::daemon::Folder::new().expect("a folder");
     let path = folder
         .put("config.json", &config.to_string())
         .expect("a file");
--- a/tests/module.rs
+++ b/tests/policy.rs
@@ -1,7 +1,7 @@
 //! Small tests of the decision module, one behaviour each, through its public interface.
 mod common;
 use common::*;
-use yokelift::interface::*;
+use yokelift::policy::api::*;
 
 fn two() -> Vec<EngineEntry> {
     vec![entry(1, 0, 0), entry(2, 0, 0)]
--- a/tests/recorded_run.rs
+++ b/tests/recorded_run.rs
@@ -6,8 +6,8 @@
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use xxhash_rust::xxh3::Xxh3;
-use yokelift::interface::*;
 use yokelift::policy::Gateway;
+use yokelift::policy::api::*;
 
 /// Events of one deployment's run.
 const EVENTS: usize = 8_000;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,7 +7,7 @@
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
-use yokelift::interface::*;
+use yokelift::policy::api::*;
 
 const WORK: [Nanos; 4] = [200 * MS, S, 2 * S, 100 * MS];
 const DEADLINE: [Nanos; 4] = [6 * S, 15 * S, 20 * S, 6 * S];
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -6,10 +6,10 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 use std::time::Duration;
-use yokelift::kit::scale::daemons::{Measured, measure, sockets};
-use yokelift::kit::scale::report::Report;
-use yokelift::kit::scale::room::Room;
-use yokelift::kit::scale::{Options, Point, Progress, grid, proc};
+use yokelift::testkit::scale::capacity_check::Room;
+use yokelift::testkit::scale::daemons::{Measured, measure, sockets};
+use yokelift::testkit::scale::report::Report;
+use yokelift::testkit::scale::{Options, Point, Progress, grid, proc};
 
 fn options(window_ms: u64) -> Options {
     Options {
@@ -116,7 +116,7 @@
             "--limit",
             limit,
         ];
-        let mut kit = Command::new(env!("CARGO_BIN_EXE_yokelift-kit"));
+        let mut kit = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
         let mut kit = kit
             .args(words)
             .arg("--daemon")
@@ -168,7 +168,7 @@
         "--managers",
         "2",
     ];
-    let kit = Command::new(env!("CARGO_BIN_EXE_yokelift-kit"))
+    let kit = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"))
         .args(["scale", "--json", "--plays", "3"])
         .args(words)
         .args(["--daemon", env!("CARGO_BIN_EXE_yokelift")])
--- a/tests/scale_fleet.rs
+++ b/tests/scale_fleet.rs
@@ -9,17 +9,17 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
-use yokelift::duties::Terms;
-use yokelift::kit::daemon::{self, Folder, KINDS, ZONES, free_addr};
-use yokelift::kit::fleet::eventually;
-use yokelift::kit::scale::board::Goal;
-use yokelift::kit::scale::events::Run;
-use yokelift::kit::scale::fleet::{Plan, Rig};
-use yokelift::kit::scale::life::{home, resident};
-use yokelift::kit::scale::needs::Needs;
-use yokelift::kit::{clients, coordinator};
+use yokelift::config::fleet::Fleet;
+use yokelift::lease::Terms;
 use yokelift::membership::Timing;
-use yokelift::membership::file::Fleet;
+use yokelift::testkit::daemon::{self, Folder, KINDS, ZONES, free_addr};
+use yokelift::testkit::fleet::eventually;
+use yokelift::testkit::scale::events::Run;
+use yokelift::testkit::scale::fleet::{Plan, Rig};
+use yokelift::testkit::scale::hollow_node::{home, resident};
+use yokelift::testkit::scale::needs::Needs;
+use yokelift::testkit::scale::observations::Goal;
+use yokelift::testkit::{clients, coordinator};
 
 const ENGINES: u64 = 12;
 const PERIOD_MS: u64 = 100;
@@ -198,7 +198,7 @@
 #[test]
 fn a_run_ends_by_its_limit_and_by_a_signal() {
     let kit = || {
-        let mut kit = Command::new(env!("CARGO_BIN_EXE_yokelift-kit"));
+        let mut kit = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
         kit.args(["scale-fleet", "--sizes", "4x4", "--voters", "3"])
             .stdin(Stdio::null());
         kit
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,10 +1,10 @@
 //! The daemon as it is shipped, between stand-ins on loopback: one script a rule.
 use std::path::Path;
-use yokelift::kit::script;
+use yokelift::testkit::scenario;
 
 fn play(text: &str) {
     let daemon = Path::new(env!("CARGO_BIN_EXE_yokelift"));
-    if let Err(wrong) = script::play(daemon, text, &mut |_| {}) {
+    if let Err(wrong) = scenario::play(daemon, text, &mut |_| {}) {
         panic!("{}", wrong.join("\n"));
     }
 }
@@ -33,24 +33,24 @@
 
 #[test]
 fn mixed_traffic_has_one_accounting() {
-    play(include_str!("../rehearsals/mixed.txt"));
+    play(include_str!("../scenarios/mixed.txt"));
 }
 
 #[test]
 fn what_engines_can_do_to_a_query() {
-    play(include_str!("../rehearsals/faults.txt"));
+    play(include_str!("../scenarios/faults.txt"));
 }
 
 #[test]
 fn what_the_days_of_service_bring() {
-    play(include_str!("../rehearsals/service.txt"));
+    play(include_str!("../scenarios/service.txt"));
 }
 
 /// Guards the verdict of all that is rehearsed: a port that was free may be taken before the daemon
-/// has it. A deployment whose loads carry keys: rehearsals/keyed.txt.
+/// has it. A deployment whose loads carry keys: scenarios/keyed.txt.
 #[test]
 fn keyed_loads_priorities_and_copies() {
-    play(include_str!("../rehearsals/keyed.txt"));
+    play(include_str!("../scenarios/keyed.txt"));
 }
 
 /// Guards an engine of a small model: what it turns away never ran, so its refusal is honest and
@@ -384,7 +384,7 @@
 #[test]
 fn a_bad_configuration_is_one_line_and_a_failure() {
     use std::process::Command;
-    use yokelift::kit::daemon::{Folder, config, free_addr};
+    use yokelift::testkit::daemon::{Folder, config, free_addr};
     let folder = Folder::new().expect("a folder");
     let known = serde_json::json!({"index": 1, "updates": []});
     let good = config(free_addr(), free_addr(), &known, 64);
@@ -424,7 +424,7 @@
     .enumerate()
     {
         let path = folder.put(&format!("{at}.toml"), text).expect("a file");
-        let output = Command::new(env!("CARGO_BIN_EXE_yokelift-kit"))
+        let output = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"))
             .arg("check")
             .arg(path)
             .output()
--- a/tests/ramp.rs
+++ b/tests/slow_start.rs
@@ -6,8 +6,8 @@
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::VecDeque;
-use yokelift::interface::*;
 use yokelift::policy::Gateway;
+use yokelift::policy::api::*;
 
 /// Mean work of a query, and the engine that starts cold beside the warm ones.
 const WORK: Nanos = 300 * MS;
--- a/tests/inside/audit.rs
+++ b/tests/unit/audit.rs
@@ -3,7 +3,7 @@
 //! size.
 use super::store::{self, Line, Page, PageEnd, Store, Told};
 use super::*;
-use crate::kit::daemon::Folder;
+use crate::testkit::daemon::Folder;
 use proptest::prelude::*;
 use proptest::test_runner::{Config as ProptestConfig, RngSeed};
 use std::collections::BTreeMap;
--- a/tests/inside/generations.rs
+++ b/tests/unit/class_registry.rs
@@ -1,6 +1,6 @@
 //! Generations of settings against a model under random steps.
 use super::*;
-use crate::interface::Effect;
+use crate::policy::api::Effect;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 
--- a/tests/inside/clickhouse.rs
+++ b/tests/unit/clickhouse.rs
@@ -1,21 +1,21 @@
 //! The ClickHouse interface without sockets: what a client sees, and what an engine's words mean,
 //! however the bytes are cut.
 use super::{ClickHouse as Front, Service};
+use crate::backend::clickhouse::ClickHouse as Engine;
+use crate::backend::{Said as Heard, Wire};
 use crate::clock::{MS, SEC};
-use crate::config::Names;
-use crate::deploy::{self, ClassRules, Users};
-use crate::engine::clickhouse::ClickHouse as Engine;
-use crate::engine::{Said as Heard, Wire};
-use crate::front::{Front as _, Said};
-use crate::interface::{AttemptNo, ClassId, RequestId};
-use crate::manager::ends::End;
-use crate::manager::{Answer, Ask, Failure, Job};
+use crate::config::clickhouse::{self, ClassRules, Users};
+use crate::config::process::Names;
+use crate::dispatcher::termination::End;
+use crate::dispatcher::{Answer, Ask, Failure, Job};
+use crate::frontend::{Front as _, Said};
+use crate::policy::api::{AttemptNo, ClassId, RequestId};
 use quickcheck::{Gen, QuickCheck};
 use std::rc::Rc;
 
 fn front() -> Front {
     let text = include_str!("../../deploy/clickhouse.toml");
-    let deploy = deploy::parse(text).expect("the file that is shipped");
+    let deploy = clickhouse::parse(text).expect("the file that is shipped");
     let named = |list: &[&str]| list.iter().map(|n| (*n).to_owned()).collect();
     let (classes, tenants) = (
         named(&["lookup", "report", "load"]),
--- a/tests/inside/law.rs
+++ b/tests/unit/concurrency_limit.rs
@@ -1,8 +1,8 @@
 //! The law at small shares, seen from inside: 300 gateways, twenty engines, two queries a second
 //! here.
-use crate::interface::*;
 use crate::policy::Gateway;
-use crate::state::{Health, Out, secs};
+use crate::policy::api::*;
+use crate::policy::state::{Health, Out, secs};
 
 const S: Nanos = 1_000_000_000;
 
--- a/tests/inside/link.rs
+++ b/tests/unit/connection_state.rs
@@ -3,9 +3,9 @@
 use super::platform::Platform;
 use super::{End, Event, Link, Reach};
 use crate::clock::{MS, Micros};
-use crate::config::Names;
-use crate::interface::{AttemptNo, RequestId};
-use crate::manager::{Cost, Job};
+use crate::config::process::Names;
+use crate::dispatcher::{Cost, Job};
+use crate::policy::api::{AttemptNo, RequestId};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/tests/inside/coordinator.rs
+++ b/tests/unit/coordinator.rs
@@ -79,7 +79,7 @@
 #[test]
 fn watches_that_fall_silent_are_dialled_anew_from_the_last_number() {
     let shared = Shared::new(64, 64);
-    let (line, addr) = crate::kit::listener();
+    let (line, addr) = crate::testkit::listener();
     let (where_to, moves) = async_channel::bounded(1);
     let (list, updates) = async_channel::bounded(16);
     shared.spawn(run(shared.clone(), (3, 9), moves, list, || {}));
--- a/tests/inside/manager.rs
+++ b/tests/unit/dispatcher.rs
@@ -1,10 +1,10 @@
 //! The core under random steps: one answer for each request, never more attempts out than the
 //! settings allow, what may have run sent again only as its class and its key allow, and books that
 //! balance, whatever is configured meanwhile and whatever the module orders.
-use super::ends::Reach;
+use super::termination::Reach;
 use super::*;
 use crate::clock::{MS, SEC};
-use crate::settings;
+use crate::config::settings;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 #[derive(Clone, Debug)]
@@ -100,7 +100,7 @@
 /// One of several files: classes dropped, added, and of another effect, and other numbers of
 /// attempts.
 fn file(n: u8) -> (Settings, Vec<(String, Rule)>, u32, usize) {
-    let mut text = crate::kit::daemon::settings();
+    let mut text = crate::testkit::daemon::settings();
     let most = 3 - u32::from(n % 3);
     text["limits"]["send_cap"] = most.into();
     let copies = if n & 64 > 0 { 2 } else { 1 };
@@ -408,7 +408,7 @@
 #[test]
 fn a_manager_whose_beats_nobody_carries_keeps_to_its_part() {
     let sent = |peers: bool| {
-        let mut text = crate::kit::daemon::settings();
+        let mut text = crate::testkit::daemon::settings();
         (text["peers_total"], text["limits"]["peers"]) = (8.into(), peers.into());
         let settings = settings::parse(text.to_string().as_bytes()).expect("settings");
         let mut model = Model::new();
@@ -472,7 +472,7 @@
 
 /// A core of one gateway whose loads carry keys, where priorities and costs count.
 fn keyed_manager(window: Micros) -> Manager {
-    let mut text = crate::kit::daemon::settings();
+    let mut text = crate::testkit::daemon::settings();
     (
         text["classes"][2]["semantics"],
         text["classes"][2]["window_ns"],
--- a/tests/inside/sweep.rs
+++ b/tests/unit/fleet_scan.rs
@@ -1,8 +1,8 @@
 //! What a sweep keeps of the fleet without walking over it, against a walk; and how many engines it
 //! visits.
-use crate::interface::*;
 use crate::policy::Gateway;
-use crate::state::Health;
+use crate::policy::api::*;
+use crate::policy::state::Health;
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -13,7 +13,7 @@
     let mut s = Settings {
         me: gateways / 3,
         gateways,
-        ..crate::law::settings()
+        ..crate::concurrency_limit_tests::settings()
     };
     s.limits.may_probe = asks;
     s
--- a/tests/inside/ledger.rs
+++ b/tests/unit/in_flight.rs
@@ -1,7 +1,7 @@
 //! What the ledger allows next, by what a request's attempts have done so far.
 use super::*;
 use crate::clock::{MS, SEC};
-use crate::interface::{CellId, EngineId, Scope, ZoneId};
+use crate::policy::api::{CellId, EngineId, Scope, ZoneId};
 
 const WINDOW: Micros = 20 * SEC;
 
--- a/tests/inside/jsonrpc.rs
+++ b/tests/unit/jsonrpc.rs
@@ -1,8 +1,8 @@
 //! The platform's protocol for clients without sockets: the same however the bytes are cut.
 use super::*;
-use crate::config::Names;
-use crate::kit::clients::rpc_line;
-use crate::manager::ends::End;
+use crate::config::process::Names;
+use crate::dispatcher::termination::End;
+use crate::testkit::clients::rpc_line;
 use quickcheck::{Gen, QuickCheck};
 
 fn front() -> JsonRpc {
--- a/tests/inside/duties.rs
+++ b/tests/unit/lease.rs
@@ -487,7 +487,7 @@
 /// anything under a lease that is over.
 #[test]
 fn whoever_waits_for_an_owner_is_answered_or_told_to_ask_itself() {
-    use probing::{Prober, Sounding, Step};
+    use shared_probe::{Prober, Sounding, Step};
     let from = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     let terms = terms();
     let me = Holder {
--- a/tests/inside/membership.rs
+++ b/tests/unit/membership.rs
@@ -1,9 +1,9 @@
 //! The membership machine among simulated managers on a simulated network: loss, one-way cuts,
 //! partitions, pauses, restarts, late and doubled datagrams, all from fixed seeds. Every datagram
 //! passes through the codec.
-use super::wire::{self, Unread};
+use super::codec::{self, Unread};
 use super::*;
-use crate::kit::emulator::{Emulator, addr, name, rumour};
+use crate::testkit::membership_simulation::{Emulator, addr, name, rumour};
 use proptest::prelude::*;
 use proptest::test_runner::{Config as ProptestConfig, RngSeed};
 use std::collections::BTreeSet;
@@ -128,7 +128,7 @@
 fn a_new_life_outranks_the_old_one() {
     let mut net = fleet(5, 9);
     net.run(5 * SEC);
-    let old = wire::encode(&Message {
+    let old = codec::encode(&Message {
         from: rumour(3, 1),
         kind: Kind::Ping(1),
         gossip: vec![],
@@ -141,7 +141,7 @@
     let now = net.now;
     net.nodes[1].receive(
         addr(3),
-        wire::decode(&old, 1_200).expect("ours"),
+        codec::decode(&old, 1_200).expect("ours"),
         now,
         &mut out,
     );
@@ -325,14 +325,14 @@
     /// dropped, never a panic.
     #[test]
     fn any_bytes_are_read_or_dropped(bytes in proptest::collection::vec(any::<u8>(), 0..1_400), cut in 0usize..400) {
-        let _ = wire::decode(&bytes, 1_200);
-        let good = wire::encode(&Message { from: rumour(1, 3), kind: Kind::PingReq(4, addr(2)), gossip: vec![rumour(2, 5)] });
-        prop_assert!(wire::decode(&good, 1_200).is_ok());
+        let _ = codec::decode(&bytes, 1_200);
+        let good = codec::encode(&Message { from: rumour(1, 3), kind: Kind::PingReq(4, addr(2)), gossip: vec![rumour(2, 5)] });
+        prop_assert!(codec::decode(&good, 1_200).is_ok());
         let short = &good[..cut.min(good.len() - 1)];
-        prop_assert!(wire::decode(short, 1_200).is_err());
-        let mut tagged = wire::TAG.to_vec();
+        prop_assert!(codec::decode(short, 1_200).is_err());
+        let mut tagged = codec::TAG.to_vec();
         tagged.extend(&bytes);
-        let _ = wire::decode(&tagged, 1_200);
+        let _ = codec::decode(&tagged, 1_200);
     }
 }
 
@@ -340,10 +340,10 @@
 /// spoilt ones.
 #[test]
 fn foreign_and_oversized_datagrams_are_named() {
-    assert_eq!(wire::decode(b"YLM0anything", 1_200), Err(Unread::Foreign));
-    assert_eq!(wire::decode(&[0; 2_000], 1_200), Err(Unread::Oversized));
+    assert_eq!(codec::decode(b"YLM0anything", 1_200), Err(Unread::Foreign));
+    assert_eq!(codec::decode(&[0; 2_000], 1_200), Err(Unread::Oversized));
     assert_eq!(
-        wire::decode(b"YLM2\xff\xff\xff", 1_200),
+        codec::decode(b"YLM2\xff\xff\xff", 1_200),
         Err(Unread::Spoilt)
     );
 }
--- a/tests/inside/mutation.rs
+++ b/tests/unit/mutation.rs
@@ -2,17 +2,17 @@
 //! the coordinator: a message dropped, doubled, cut short, held past its deadline, a byte flipped,
 //! each figure at its extremes. After each: one end or answer at most, and whatever else was open
 //! is not harmed by more than the wire's end.
+use crate::backend::connection_state::{Event, Link};
+use crate::backend::platform::Platform;
 use crate::clock::{MS, Micros, SEC};
-use crate::config::Names;
-use crate::engine::link::{Event, Link};
-use crate::engine::platform::Platform;
-use crate::front::jsonrpc::JsonRpc;
-use crate::front::{Front, Said};
-use crate::interface::{AttemptNo, RequestId};
-use crate::kit::clients::rpc_line;
-use crate::manager::ends::{End, Reach, never_ran, outcome};
-use crate::manager::{Answer, Job};
-use crate::net::coordinator::{Follower, Place};
+use crate::config::process::Names;
+use crate::dispatcher::termination::{End, Reach, never_ran, outcome};
+use crate::dispatcher::{Answer, Job};
+use crate::frontend::jsonrpc::JsonRpc;
+use crate::frontend::{Front, Said};
+use crate::net::discovery::coordinator::{Follower, Place};
+use crate::policy::api::{AttemptNo, RequestId};
+use crate::testkit::clients::rpc_line;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/tests/inside/client.rs
+++ b/tests/unit/net_client.rs
@@ -1,11 +1,11 @@
 //! Crossings on a client's connection, on real sockets: the actor stands still until the byte, the
 //! close or the word is where the test wants it, then goes on. Both orders of each.
 use super::*;
-use crate::config::Names;
-use crate::front::jsonrpc::JsonRpc;
-use crate::kit::clients::{STATUS, rpc_line};
-use crate::kit::{eventually, listener};
-use crate::manager::Ask;
+use crate::config::process::Names;
+use crate::dispatcher::Ask;
+use crate::frontend::jsonrpc::JsonRpc;
+use crate::testkit::clients::{STATUS, rpc_line};
+use crate::testkit::{eventually, listener};
 use async_io::block_on;
 use std::cell::RefCell;
 use std::io::{ErrorKind, Read, Write};
--- a/tests/inside/engine.rs
+++ b/tests/unit/net_engine.rs
@@ -1,14 +1,14 @@
 //! Which connection of an engine carries an attempt, and for whom none begins.
 use super::{Handle, Row, Start, ToEngine, bounded, spawn};
+use crate::backend::platform::Platform;
 use crate::clock::SEC;
-use crate::config::Names;
-use crate::engine::platform::Platform;
-use crate::front::jsonrpc::JsonRpc;
-use crate::interface::{AttemptNo, EngineId, Readiness, RequestId};
-use crate::kit::{eventually, listener};
-use crate::manager::Job;
+use crate::config::process::Names;
+use crate::dispatcher::Job;
+use crate::frontend::jsonrpc::JsonRpc;
 use crate::net::Shared;
-use crate::net::core::Input;
+use crate::net::dispatcher::Input;
+use crate::policy::api::{AttemptNo, EngineId, Readiness, RequestId};
+use crate::testkit::{eventually, listener};
 use async_channel::Sender;
 use async_io::Async;
 use std::cell::Cell;
--- a/tests/inside/rows.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -3,14 +3,14 @@
 //! taken, so that each order of the two is met.
 use super::{Platform, Row, Start, ToEngine, bounded, spawn};
 use crate::clock::SEC;
-use crate::config::Names;
-use crate::interface::{AttemptNo, EngineId, OutcomeKind, Readiness, RequestId};
-use crate::kit::{eventually, listener};
-use crate::manager::Job;
-use crate::manager::ends::{End, Reach};
+use crate::config::process::Names;
+use crate::dispatcher::Job;
+use crate::dispatcher::termination::{End, Reach};
 use crate::net::Shared;
 use crate::net::client::tests::resting;
-use crate::net::core::Input;
+use crate::net::dispatcher::Input;
+use crate::policy::api::{AttemptNo, EngineId, OutcomeKind, Readiness, RequestId};
+use crate::testkit::{eventually, listener};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use std::io::Read;
--- a/tests/inside/net_duties.rs
+++ b/tests/unit/net_lease.rs
@@ -1,6 +1,6 @@
 //! The file of a voter's tokens and the rows of `GET /duties`.
 use super::*;
-use crate::kit::daemon::Folder;
+use crate::testkit::daemon::Folder;
 
 /// A votes file as the program wrote it before the names in its code changed.
 const VOTES_FILE: &[u8] = include_bytes!("../fixtures/votes.bin");
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -8,19 +8,19 @@
 use std::rc::Rc;
 use yokelift::audit::store::{Store, entries, frame};
 use yokelift::audit::{Acting, Batch, Bounds, Entry, Place, Under, What};
-use yokelift::duties::probing::Sounding;
-use yokelift::duties::wire::{self as lease_wire, Letter};
-use yokelift::duties::{Duty, Holder, Vote};
-use yokelift::front::console;
-use yokelift::interface::TenantId;
-use yokelift::kit::daemon::Folder;
-use yokelift::lifecycle::words::{Handed, Reader, Word};
-use yokelift::manager::counters::{Counters, Figures, Tally};
-use yokelift::manager::ends::End;
-use yokelift::membership::{Health, Kind, Message, Rumour, Versions, wire as member_wire};
-use yokelift::net::membership::{Row, View};
+use yokelift::dispatcher::metrics::{Counters, Figures, Tally};
+use yokelift::dispatcher::termination::End;
+use yokelift::frontend::admin;
+use yokelift::hot_restart::message::{Handed, Reader, Word};
+use yokelift::lease::codec::{self as lease_wire, Letter};
+use yokelift::lease::shared_probe::Sounding;
+use yokelift::lease::{Duty, Holder, Vote};
+use yokelift::membership::{Health, Kind, Message, Rumour, Versions, codec as member_wire};
+use yokelift::net::fleet::membership::{Row, View};
+use yokelift::policy::api::TenantId;
 use yokelift::spool::handle::Keys;
 use yokelift::spool::{Owner, ResultId};
+use yokelift::testkit::daemon::Folder;
 
 /// No datagram of the fixtures is longer.
 const LONGEST_DATAGRAM: usize = 1_200;
@@ -393,7 +393,7 @@
         reload_success: 2,
         reload_failure: 1,
     };
-    assert_text("metrics.txt", &console::figures(&figures));
+    assert_text("metrics.txt", &admin::figures(&figures));
 }
 
 #[test]
