--- a/src/audit/mod.rs
+++ b/src/audit/mod.rs
@@ -17,7 +17,7 @@
 
 /// What the module acts on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Acting {
+pub struct ActiveConfiguration {
     /// The number of the settings generation, counted by each process from 1.
     pub generation: u64,
     /// A hash of its settings, equal on managers with equal settings.
@@ -28,7 +28,7 @@
 
 /// What was decided.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum What {
+pub enum DecisionKind {
     /// An attempt was ordered: its number, and the engine.
     Dispatch(u16, u64),
     /// A final answer: refused, with the milliseconds after which to come back.
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
     /// What.
-    pub what: What,
+    pub what: DecisionKind,
     /// The name of its class.
     pub class: Rc<str>,
     /// The client's name for the request; empty where a front turned it away unread.
@@ -59,7 +59,7 @@
 /// Who decided, and on what: stands at the start of each file, and before the first record after
 /// any change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Under {
+pub struct DecisionContext {
     /// The manager's name.
     pub member: String,
     /// The start of its process: the microsecond in Unix time.
@@ -68,7 +68,7 @@
     pub build: String,
     /// What its module acted on.
     #[serde(flatten)]
-    pub acting: Acting,
+    pub acting: ActiveConfiguration,
     /// Since when it did.
     pub since: Micros,
 }
@@ -85,7 +85,7 @@
         /// When.
         at: Micros,
         /// What.
-        what: What,
+        what: DecisionKind,
         /// The class.
         class: Box<str>,
         /// The request.
@@ -94,7 +94,7 @@
 }
 
 impl Entry {
-    fn record(number: u64, at: Micros, what: What, class: &str, request: &str) -> Entry {
+    fn record(number: u64, at: Micros, what: DecisionKind, class: &str, request: &str) -> Entry {
         Entry::Record {
             number,
             at,
@@ -111,12 +111,12 @@
     member: String,
     life: u64,
     build: String,
-    acting: Acting,
+    acting: ActiveConfiguration,
     since: Micros,
 }
 
-impl From<&Under> for Entry {
-    fn from(u: &Under) -> Entry {
+impl From<&DecisionContext> for Entry {
+    fn from(u: &DecisionContext) -> Entry {
         let (member, build) = (u.member.clone(), u.build.clone());
         Entry::Under(Box::new(EntryUnder {
             member,
@@ -128,9 +128,9 @@
     }
 }
 
-impl From<EntryUnder> for Under {
-    fn from(e: EntryUnder) -> Under {
-        Under {
+impl From<EntryUnder> for DecisionContext {
+    fn from(e: EntryUnder) -> DecisionContext {
+        DecisionContext {
             member: e.member,
             life: e.life,
             build: e.build,
@@ -142,25 +142,25 @@
 
 /// A record's place among all of a manager: `LIFE.NUMBER`. A place before all is 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct RecordPosition {
     /// The life.
     pub life: u64,
     /// The number in it.
     pub number: u64,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for RecordPosition {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}.{}", self.life, self.number)
     }
 }
 
-impl FromStr for Place {
+impl FromStr for RecordPosition {
     type Err = std::num::ParseIntError;
 
-    fn from_str(text: &str) -> Result<Place, Self::Err> {
+    fn from_str(text: &str) -> Result<RecordPosition, Self::Err> {
         let (life, number) = text.split_once('.').unwrap_or((text, "0"));
-        Ok(Place {
+        Ok(RecordPosition {
             life: life.parse()?,
             number: number.parse()?,
         })
@@ -171,7 +171,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
     /// What its first record was decided under.
-    pub under: Under,
+    pub under: DecisionContext,
     /// The number of its first record.
     pub first: u64,
     /// Its entries, the earliest first.
@@ -184,7 +184,7 @@
         if lost > 0 {
             self.entries.insert(
                 0,
-                Entry::record(self.first - 1, at, What::Lost(lost), "", ""),
+                Entry::record(self.first - 1, at, DecisionKind::Lost(lost), "", ""),
             );
             self.first -= lost;
         }
@@ -195,7 +195,7 @@
         let told = |entry: &Entry| match entry {
             // The record of a loss stands at the place of the last one lost.
             Entry::Record {
-                what: What::Lost(count),
+                what: DecisionKind::Lost(count),
                 ..
             } => *count,
             Entry::Record { .. } => 1,
@@ -206,10 +206,10 @@
 }
 
 /// The decisions of one process on their way to the files.
-pub struct Trail {
-    under: Under,
+pub struct AuditBuffer {
+    under: DecisionContext,
     /// What the first record of the batch was decided under.
-    batch_under: Under,
+    batch_under: DecisionContext,
     batch: Vec<Entry>,
     /// When the batch's first entry came.
     begun: Option<Micros>,
@@ -219,11 +219,11 @@
     lost: u64,
 }
 
-impl Trail {
+impl AuditBuffer {
     /// The trail of a process that begins now. That it began is told at once, before any decision.
-    pub fn new(under: Under) -> Trail {
+    pub fn new(under: DecisionContext) -> AuditBuffer {
         let now = under.since;
-        let mut trail = Trail {
+        let mut trail = AuditBuffer {
             batch_under: under.clone(),
             under,
             batch: Vec::new(),
@@ -236,7 +236,7 @@
     }
 
     /// The module acts on this from now on.
-    pub fn acts_on(&mut self, now: Micros, acting: Acting) {
+    pub fn acts_on(&mut self, now: Micros, acting: ActiveConfiguration) {
         if acting != self.under.acting {
             (self.under.acting, self.under.since) = (acting, now);
             self.act(now);
@@ -246,7 +246,10 @@
     fn act(&mut self, now: Micros) {
         self.push(now, Entry::from(&self.under));
         self.number += 1;
-        self.push(now, Entry::record(self.number, now, What::Act, "", ""));
+        self.push(
+            now,
+            Entry::record(self.number, now, DecisionKind::Act, "", ""),
+        );
     }
 
     /// A decision was made.
@@ -354,11 +357,11 @@
 
 /// What the files are to become before a batch is written.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Turn {
+pub struct RotationPlan {
     /// A new file begins with this place.
-    pub opens: Option<Place>,
+    pub opens: Option<RecordPosition>,
     /// These go.
-    pub deletes: Vec<Place>,
+    pub deletes: Vec<RecordPosition>,
 }
 
 /// Which files of a manager there are, by the place of their first record, and which are to go.
@@ -367,13 +370,13 @@
     bounds: Bounds,
     /// All files, the oldest first, and whether the last one is written by this process, with its
     /// bytes.
-    files: Vec<Place>,
-    open: Option<(Place, u64)>,
+    files: Vec<RecordPosition>,
+    open: Option<(RecordPosition, u64)>,
 }
 
 impl Rotation {
     /// With these files there, of earlier lives.
-    pub fn new(bounds: Bounds, mut there: Vec<Place>) -> Rotation {
+    pub fn new(bounds: Bounds, mut there: Vec<RecordPosition>) -> Rotation {
         there.sort_unstable();
         Rotation {
             bounds,
@@ -383,8 +386,8 @@
     }
 
     /// Before a batch of so many bytes that begins with that place.
-    pub fn before(&mut self, first: Place, bytes: u64) -> Turn {
-        let mut turn = Turn::default();
+    pub fn before(&mut self, first: RecordPosition, bytes: u64) -> RotationPlan {
+        let mut turn = RotationPlan::default();
         let full = |held: u64| held > 0 && held + bytes > self.bounds.segment_kb * 1024;
         if self.open.is_none_or(|(_, held)| full(held)) {
             // Guards a name that is in use: the last file may have begun with the same place, and
@@ -409,7 +412,7 @@
     }
 
     /// The file that is written.
-    pub fn open(&self) -> Option<Place> {
+    pub fn open(&self) -> Option<RecordPosition> {
         self.open.map(|(place, _)| place)
     }
 }
--- a/src/audit/report.rs
+++ b/src/audit/report.rs
@@ -1,8 +1,8 @@
 //! The audit of several managers side by side: who acted on what, where the fleet disagrees, and
 //! how long each change took to spread. Pure: records and views in, figures and text out.
-use super::store::{Line, Told};
+use super::store::{AuditRecord, Line};
 use crate::clock::{MS, Micros, SEC};
-use crate::membership::{Health, Versions};
+use crate::membership::{MemberState, RunningVersions};
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
 use serde::{Deserialize, Serialize};
@@ -18,14 +18,14 @@
     /// Its name.
     pub name: String,
     /// What it is taken to be.
-    pub health: Health,
+    pub health: MemberState,
     /// What it says it acts on.
-    pub versions: Versions,
+    pub versions: RunningVersions,
 }
 
 /// What one manager answered.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Gathered {
+pub struct NodeReport {
     /// Where it was asked.
     pub addr: String,
     /// Its view of the fleet; this manager first.
@@ -38,7 +38,7 @@
     pub missing: Vec<String>,
 }
 
-impl Gathered {
+impl NodeReport {
     /// The manager's name: its own word, or that of its records.
     pub fn name(&self) -> &str {
         let seen = self.fleet.iter().find(|s| s.me).map(|s| s.name.as_str());
@@ -49,7 +49,7 @@
 
 /// What one process of a manager did while it acted on one thing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Acted {
+pub struct ActivityInterval {
     /// The manager.
     pub member: String,
     /// Its process.
@@ -87,7 +87,7 @@
 
 /// How a change came to the managers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Spread {
+pub struct PropagationDelay {
     /// What changed, and to what.
     pub change: String,
     /// When the first manager acted on it.
@@ -100,7 +100,7 @@
 
 /// Who owned a duty, and when.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Owned {
+pub struct LeaseInterval {
     /// The duty.
     pub duty: String,
     /// The lease's token.
@@ -117,20 +117,20 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
     /// Who owned each duty, by its tokens.
-    pub owned: Vec<Owned>,
+    pub owned: Vec<LeaseInterval>,
     /// A row for each thing that a process acted on, the latest last.
-    pub acted: Vec<Acted>,
+    pub acted: Vec<ActivityInterval>,
     /// Where the fleet is not one.
     pub disagreements: Vec<Disagreement>,
     /// How changes spread.
-    pub spreads: Vec<Spread>,
+    pub spreads: Vec<PropagationDelay>,
     /// What could not be had, a line each.
     pub missing: Vec<String>,
 }
 
 /// The report on what several managers answered.
-pub fn report(all: &[Gathered]) -> Report {
-    let acted: Vec<Acted> = all.iter().flat_map(|one| acted(&one.records)).collect();
+pub fn report(all: &[NodeReport]) -> Report {
+    let acted: Vec<ActivityInterval> = all.iter().flat_map(|one| acted(&one.records)).collect();
     let mut missing = Vec::new();
     for one in all {
         missing.extend(
@@ -142,7 +142,10 @@
             missing.push(format!("{}: {} spoilt records", one.name(), one.spoilt));
         }
     }
-    let spreads = spreads(&acted, &all.iter().map(Gathered::name).collect::<Vec<_>>());
+    let spreads = spreads(
+        &acted,
+        &all.iter().map(NodeReport::name).collect::<Vec<_>>(),
+    );
     Report {
         owned: owned(all),
         disagreements: disagreements(all),
@@ -152,19 +155,19 @@
     }
 }
 
-fn acted(records: &[Line]) -> Vec<Acted> {
-    let mut rows: Vec<Acted> = Vec::new();
+fn acted(records: &[Line]) -> Vec<ActivityInterval> {
+    let mut rows: Vec<ActivityInterval> = Vec::new();
     for Line {
         under, at, told, ..
     } in records
     {
-        let same = |row: &&mut Acted| {
+        let same = |row: &&mut ActivityInterval| {
             (row.life, row.since) == (under.life, under.since) && row.member == under.member
         };
         let row = match rows.last_mut().filter(same) {
             Some(row) => row,
             None => {
-                rows.push(Acted {
+                rows.push(ActivityInterval {
                     member: under.member.clone(),
                     life: under.life,
                     build: under.build.clone(),
@@ -183,24 +186,24 @@
         };
         row.last = *at;
         match told {
-            Told::Dispatch { .. } => row.dispatched += 1,
-            Told::Refuse { .. } => row.refused += 1,
-            Told::Fail => row.failed += 1,
-            Told::Lost { count } => row.lost += count,
-            Told::Act | Told::Own { .. } | Told::Disown { .. } => {}
+            AuditRecord::Dispatch { .. } => row.dispatched += 1,
+            AuditRecord::Refuse { .. } => row.refused += 1,
+            AuditRecord::Fail => row.failed += 1,
+            AuditRecord::Lost { count } => row.lost += count,
+            AuditRecord::Act | AuditRecord::Own { .. } | AuditRecord::Disown { .. } => {}
         }
     }
     rows
 }
 
-fn owned(all: &[Gathered]) -> Vec<Owned> {
-    let mut rows: BTreeMap<(String, u64, String), Owned> = BTreeMap::new();
+fn owned(all: &[NodeReport]) -> Vec<LeaseInterval> {
+    let mut rows: BTreeMap<(String, u64, String), LeaseInterval> = BTreeMap::new();
     for line in all.iter().flat_map(|one| &one.records) {
         let row = |token: u64| (line.request.to_string(), token, line.under.member.clone());
         match line.told {
-            Told::Own { token } => {
+            AuditRecord::Own { token } => {
                 let (duty, token, member) = row(token);
-                let owned = Owned {
+                let owned = LeaseInterval {
                     duty,
                     token,
                     member,
@@ -209,7 +212,7 @@
                 };
                 rows.insert(row(token), owned);
             }
-            Told::Disown { token } => {
+            AuditRecord::Disown { token } => {
                 rows.get_mut(&row(token))
                     .into_iter()
                     .for_each(|owned| owned.until = Some(line.at));
@@ -221,8 +224,8 @@
 }
 
 /// Where managers act on different things now, by their own word, or see different members.
-fn disagreements(all: &[Gathered]) -> Vec<Disagreement> {
-    type Word = (&'static str, fn(&Versions) -> String);
+fn disagreements(all: &[NodeReport]) -> Vec<Disagreement> {
+    type Word = (&'static str, fn(&RunningVersions) -> String);
     let words: [Word; 3] = [
         ("build", |v| v.build.clone()),
         ("settings", |v| format!("{:016x}", v.settings)),
@@ -251,7 +254,7 @@
         .flat_map(|one| one.fleet.iter().map(|s| s.name.as_str()))
         .collect();
     for member in members {
-        let seen = |one: &Gathered| match one.fleet.iter().find(|s| s.name == member) {
+        let seen = |one: &NodeReport| match one.fleet.iter().find(|s| s.name == member) {
             Some(seen) if seen.me => None,
             Some(seen) => Some(format!("{:?}", seen.health)),
             None if one.fleet.is_empty() => None,
@@ -267,7 +270,7 @@
 
 /// Each change of settings or of the list that some process took while it ran, and when it came to
 /// each manager.
-fn spreads(acted: &[Acted], members: &[&str]) -> Vec<Spread> {
+fn spreads(acted: &[ActivityInterval], members: &[&str]) -> Vec<PropagationDelay> {
     let mut settings: BTreeSet<u64> = BTreeSet::new();
     let mut lists: BTreeSet<u64> = BTreeSet::new();
     for pair in acted
@@ -281,7 +284,7 @@
             lists.insert(pair[1].list);
         }
     }
-    let spread = |change: String, took: &dyn Fn(&Acted) -> bool| {
+    let spread = |change: String, took: &dyn Fn(&ActivityInterval) -> bool| {
         let mut when: BTreeMap<&str, Micros> = BTreeMap::new();
         for row in acted.iter().filter(|row| took(row)) {
             let at = when.entry(&row.member).or_insert(row.since);
@@ -297,7 +300,7 @@
             .into_iter()
             .map(|(m, at)| (m.to_owned(), at - first))
             .collect();
-        Spread {
+        PropagationDelay {
             change,
             first,
             after,
@@ -310,7 +313,7 @@
     let lists = lists
         .into_iter()
         .map(|list| spread(format!("list {list}"), &|row| row.list >= list));
-    let mut all: Vec<Spread> = settings.chain(lists).collect();
+    let mut all: Vec<PropagationDelay> = settings.chain(lists).collect();
     all.sort_by_key(|spread| spread.first);
     all
 }
@@ -324,7 +327,7 @@
     (Micros::MAX, "later"),
 ];
 
-impl Spread {
+impl PropagationDelay {
     /// How many managers took the change within each bin, and how many never did.
     pub fn bins(&self) -> Vec<(&'static str, usize)> {
         let mut from = 0;
--- a/src/audit/store.rs
+++ b/src/audit/store.rs
@@ -1,6 +1,6 @@
 //! The files of the audit: frames of postcard with a CRC, delimited by COBS, in files that are
 //! turned over. Blocks; belongs to a thread of its own.
-use super::{Batch, Bounds, Entry, Place, Rotation, Under, What};
+use super::{Batch, Bounds, DecisionContext, DecisionKind, Entry, RecordPosition, Rotation};
 use serde::{Deserialize, Serialize};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
@@ -18,7 +18,7 @@
     rotation: Rotation,
     file: Option<File>,
     /// What the last records of that file were decided under.
-    told: Option<Under>,
+    told: Option<DecisionContext>,
     /// What is told of batches that could not be kept, before the next one or in the end: how many
     /// records, and a batch of none that stands where the next one would.
     lost: Option<(u64, Batch)>,
@@ -30,7 +30,7 @@
     /// JSON, one [`Line`] a line.
     pub lines: String,
     /// Where the next page begins: after the last record of this one.
-    pub next: Place,
+    pub next: RecordPosition,
     /// Whether there is more.
     pub more: bool,
     /// Frames that could not be read.
@@ -40,7 +40,7 @@
 /// What a record says, as operators are told it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "lowercase")]
-pub enum Told {
+pub enum AuditRecord {
     /// An attempt was ordered.
     Dispatch {
         /// Its number: 0 for the first.
@@ -74,21 +74,21 @@
     },
 }
 
-impl From<&What> for Told {
-    fn from(what: &What) -> Told {
+impl From<&DecisionKind> for AuditRecord {
+    fn from(what: &DecisionKind) -> AuditRecord {
         match what {
-            What::Dispatch(attempt, engine) => Told::Dispatch {
+            DecisionKind::Dispatch(attempt, engine) => AuditRecord::Dispatch {
                 attempt: *attempt,
                 engine: format!("s-{engine:08x}"),
             },
-            What::Refuse(after_ms) => Told::Refuse {
+            DecisionKind::Refuse(after_ms) => AuditRecord::Refuse {
                 after_ms: *after_ms,
             },
-            What::Fail => Told::Fail,
-            What::Act => Told::Act,
-            What::Lost(count) => Told::Lost { count: *count },
-            What::Own(token) => Told::Own { token: *token },
-            What::Disown(token) => Told::Disown { token: *token },
+            DecisionKind::Fail => AuditRecord::Fail,
+            DecisionKind::Act => AuditRecord::Act,
+            DecisionKind::Lost(count) => AuditRecord::Lost { count: *count },
+            DecisionKind::Own(token) => AuditRecord::Own { token: *token },
+            DecisionKind::Disown(token) => AuditRecord::Disown { token: *token },
         }
     }
 }
@@ -98,14 +98,14 @@
 pub struct Line {
     /// Who, and on what.
     #[serde(flatten)]
-    pub under: Under,
+    pub under: DecisionContext,
     /// Its number in this life.
     pub number: u64,
     /// When, in microseconds of Unix time.
     pub at: u64,
     /// What.
     #[serde(flatten)]
-    pub told: Told,
+    pub told: AuditRecord,
     /// The class, if it is of one.
     #[serde(default, skip_serializing_if = "str::is_empty")]
     pub class: Box<str>,
@@ -196,7 +196,7 @@
         })
     }
 
-    fn path(&self, place: Place) -> PathBuf {
+    fn path(&self, place: RecordPosition) -> PathBuf {
         self.folder.join(format!(
             "{}{:020}-{:020}.seg",
             self.stem, place.life, place.number
@@ -210,7 +210,7 @@
             batch.after(lost, at);
         }
         let mut frames: Vec<u8> = batch.entries.iter().flat_map(frame).collect();
-        let first = Place {
+        let first = RecordPosition {
             life: batch.under.life,
             number: batch.first,
         };
@@ -225,7 +225,7 @@
             frames.splice(0..0, frame(&Entry::from(&batch.under)));
         }
         let last = batch.entries.iter().rev().find_map(|entry| match entry {
-            Entry::Under(under) => Some(Under::from((**under).clone())),
+            Entry::Under(under) => Some(DecisionContext::from((**under).clone())),
             Entry::Record { .. } => None,
         });
         let done = self.write(turn.opens, &frames);
@@ -254,7 +254,7 @@
         }
     }
 
-    fn write(&mut self, opens: Option<Place>, frames: &[u8]) -> io::Result<()> {
+    fn write(&mut self, opens: Option<RecordPosition>, frames: &[u8]) -> io::Result<()> {
         if let Some(place) = opens {
             let mut file = OpenOptions::new()
                 .create(true)
@@ -272,7 +272,7 @@
     }
 
     /// The records after that place, at most so many.
-    pub fn read(&self, since: Place, most: usize) -> io::Result<Page> {
+    pub fn read(&self, since: RecordPosition, most: usize) -> io::Result<Page> {
         let mut page = Page {
             next: since,
             ..Page::default()
@@ -295,11 +295,11 @@
             };
             let (entries, spoilt) = entries(&bytes);
             page.spoilt += spoilt;
-            let mut under = Under::default();
+            let mut under = DecisionContext::default();
             for entry in entries {
                 let (number, at, what, class, request) = match entry {
                     Entry::Under(next) => {
-                        under = Under::from(*next);
+                        under = DecisionContext::from(*next);
                         continue;
                     }
                     Entry::Record {
@@ -310,7 +310,7 @@
                         request,
                     } => (number, at, what, class, request),
                 };
-                let here = Place {
+                let here = RecordPosition {
                     life: under.life,
                     number,
                 };
@@ -326,7 +326,7 @@
                     under,
                     number,
                     at,
-                    told: Told::from(&what),
+                    told: AuditRecord::from(&what),
                     class,
                     request,
                 };
@@ -341,7 +341,7 @@
 }
 
 /// The files there are, the oldest first.
-fn files(folder: &Path, stem: &str) -> io::Result<Vec<Place>> {
+fn files(folder: &Path, stem: &str) -> io::Result<Vec<RecordPosition>> {
     let mut all = Vec::new();
     for file in std::fs::read_dir(folder)? {
         let name = file?.file_name();
@@ -350,7 +350,7 @@
             .and_then(|n| n.strip_prefix(stem)?.strip_suffix(".seg")?.split_once('-'));
         let place =
             place.and_then(|(life, number)| Some((life.parse().ok()?, number.parse().ok()?)));
-        all.extend(place.map(|(life, number)| Place { life, number }));
+        all.extend(place.map(|(life, number)| RecordPosition { life, number }));
     }
     all.sort_unstable();
     Ok(all)
--- a/src/backend/clickhouse.rs
+++ b/src/backend/clickhouse.rs
@@ -1,9 +1,9 @@
 //! Engines that speak the ClickHouse HTTP interface: one query at a time on a connection that is
 //! kept alive.
-use super::{Said, Wire};
+use super::{BackendEvent, Protocol};
 use crate::clock::{MS, Micros, SEC};
-use crate::dispatcher::termination::End;
-use crate::dispatcher::{Cost, Job};
+use crate::dispatcher::termination::Termination;
+use crate::dispatcher::{AttemptRequest, Cost};
 use crate::http::{self, Body, Head};
 use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 
 /// Who the manager is to an engine.
 #[derive(Clone, Debug, Default)]
-pub struct Login {
+pub struct Credentials {
     /// The user; empty for none.
     pub user: String,
     /// The user's key.
@@ -39,7 +39,7 @@
 
 /// One connection to a ClickHouse engine.
 pub struct ClickHouse {
-    login: Rc<Login>,
+    login: Rc<Credentials>,
     asked: Option<Asked>,
     input: Vec<u8>,
     answer: Option<(Head, Body)>,
@@ -51,7 +51,7 @@
 
 impl ClickHouse {
     /// A new connection.
-    pub fn new(login: Rc<Login>) -> ClickHouse {
+    pub fn new(login: Rc<Credentials>) -> ClickHouse {
         let (input, rows) = (Vec::new(), Vec::new());
         ClickHouse {
             login,
@@ -65,7 +65,7 @@
     }
 
     fn headers(&self) -> String {
-        let Login { user, key } = &*self.login;
+        let Credentials { user, key } = &*self.login;
         let login = match user.is_empty() {
             true => String::new(),
             false => format!("X-ClickHouse-User: {user}\r\nX-ClickHouse-Key: {key}\r\n"),
@@ -74,7 +74,7 @@
     }
 
     /// An answer is whole: what does it say?
-    fn whole(&mut self, said: &mut Vec<Said>) {
+    fn whole(&mut self, said: &mut Vec<BackendEvent>) {
         let Some((head, _)) = self.answer.take() else {
             return;
         };
@@ -101,36 +101,40 @@
         });
         let load = LoadReport::default();
         match (self.asked.take(), head.first[1].as_str(), code) {
-            (Some(Asked::Query(id, _)), "200", None) if same_columns(&rows) => {
-                said.push(Said::Ended(id, End::Done, rows, load, Cost::default()))
-            }
+            (Some(Asked::Query(id, _)), "200", None) if same_columns(&rows) => said.push(
+                BackendEvent::Ended(id, Termination::Done, rows, load, Cost::default()),
+            ),
             // Its own word that it took nothing on. Any other error may come after the query began.
             (Some(Asked::Query(id, _)), "503", Some(TOO_MANY_QUERIES)) => {
-                said.push(Said::Ended(
+                said.push(BackendEvent::Ended(
                     id,
-                    End::Full,
+                    Termination::Rejected,
                     Vec::new(),
                     load,
                     Cost::default(),
                 ));
             }
-            (Some(Asked::Query(id, _)), _, _) => said.push(Said::Ended(
+            (Some(Asked::Query(id, _)), _, _) => said.push(BackendEvent::Ended(
                 id,
-                End::Broke,
+                Termination::EngineError,
                 Vec::new(),
                 load,
                 Cost::default(),
             )),
-            (Some(Asked::Ping(n)), "200", _) => said.push(Said::Probed(n, OutcomeKind::Ok, load)),
-            (Some(Asked::Ping(n)), _, _) => said.push(Said::Probed(n, OutcomeKind::Error, load)),
+            (Some(Asked::Ping(n)), "200", _) => {
+                said.push(BackendEvent::Probed(n, OutcomeKind::Ok, load))
+            }
+            (Some(Asked::Ping(n)), _, _) => {
+                said.push(BackendEvent::Probed(n, OutcomeKind::Error, load))
+            }
             (Some(Asked::Nobody) | None, _, _) => {}
         }
     }
 
-    fn end(&mut self, end: End, said: &mut Vec<Said>) {
+    fn end(&mut self, end: Termination, said: &mut Vec<BackendEvent>) {
         self.reusable = false;
         if let Some(Asked::Query(id, _)) = self.asked.take() {
-            said.push(Said::Ended(
+            said.push(BackendEvent::Ended(
                 id,
                 end,
                 Vec::new(),
@@ -161,12 +165,12 @@
     std::str::from_utf8(&digits[..end]).ok()?.parse().ok()
 }
 
-impl Wire for ClickHouse {
+impl Protocol for ClickHouse {
     fn streams(&self) -> usize {
         1
     }
 
-    fn start(&mut self, now: Micros, job: &Job) -> Vec<u8> {
+    fn start(&mut self, now: Micros, job: &AttemptRequest) -> Vec<u8> {
         let seconds = job.until.saturating_sub(now).max(MS) as f64 / SEC as f64;
         let session = job.session.as_deref();
         let id = session
@@ -211,21 +215,23 @@
         &mut self,
         now: Micros,
         input: &[u8],
-        said: &mut Vec<Said>,
+        said: &mut Vec<BackendEvent>,
         _: &mut Vec<u8>,
-    ) -> Result<(), End> {
+    ) -> Result<(), Termination> {
         self.heard_at = Some(now);
         self.input.extend_from_slice(input);
         while !self.input.is_empty() {
             if self.answer.is_none() {
-                let Some((head, used)) = http::head(&self.input).map_err(|_| End::Garbled)? else {
+                let Some((head, used)) =
+                    http::head(&self.input).map_err(|_| Termination::ProtocolViolation)?
+                else {
                     break;
                 };
                 let version = head.first[0].as_str();
                 // An answer that nobody asked for: the two sides no longer agree on what belongs to
                 // what.
                 if self.asked.is_none() || !matches!(version, "HTTP/1.1" | "HTTP/1.0") {
-                    return Err(End::Garbled);
+                    return Err(Termination::ProtocolViolation);
                 }
                 self.input.drain(..used);
                 if head.first[1].starts_with('1') {
@@ -237,18 +243,20 @@
                 } else {
                     Body::UntilClose
                 };
-                let body = head.body(without).map_err(|_| End::Garbled)?;
+                let body = head
+                    .body(without)
+                    .map_err(|_| Termination::ProtocolViolation)?;
                 // Guards against a second copy, or an answer to an earlier query: where it tells
                 // whose it is.
                 if let (Some(Asked::Query(_, mine)), Some(theirs)) =
                     (&self.asked, head.field(QUERY_ID))
                     && **mine != *theirs
                 {
-                    return Err(End::Garbled);
+                    return Err(Termination::ProtocolViolation);
                 }
                 if matches!(body, Body::Length(n) if n > MOST_ROWS as u64) {
-                    self.end(End::Broke, said);
-                    return Err(End::Dropped);
+                    self.end(Termination::EngineError, said);
+                    return Err(Termination::Dropped);
                 }
                 self.answer = Some((head, body));
             }
@@ -264,10 +272,10 @@
                     }
                 }
                 Err(http::Fault::BodyTooLong) => {
-                    self.end(End::Broke, said);
-                    return Err(End::Dropped);
+                    self.end(Termination::EngineError, said);
+                    return Err(Termination::Dropped);
                 }
-                Err(_) => return Err(End::Garbled),
+                Err(_) => return Err(Termination::ProtocolViolation),
             }
         }
         // A body of no bytes is whole with its head.
@@ -283,9 +291,14 @@
         self.heard_at.map(|at| at + GAP)
     }
 
-    fn due(&mut self, now: Micros, _: &mut Vec<Said>, _: &mut Vec<u8>) -> Result<(), End> {
+    fn due(
+        &mut self,
+        now: Micros,
+        _: &mut Vec<BackendEvent>,
+        _: &mut Vec<u8>,
+    ) -> Result<(), Termination> {
         if self.heard_at.is_some_and(|at| at + GAP <= now) {
-            Err(End::Silent)
+            Err(Termination::Unresponsive)
         } else {
             Ok(())
         }
@@ -293,10 +306,10 @@
 
     /// Guards against a cut-off answer that passes for a whole one: only a body with no length of
     /// its own may end with the connection; one that promised more has failed.
-    fn finish(&mut self, said: &mut Vec<Said>) {
+    fn finish(&mut self, said: &mut Vec<BackendEvent>) {
         match self.answer {
             Some((_, Body::UntilClose)) => self.whole(said),
-            Some(_) => self.end(End::Broke, said),
+            Some(_) => self.end(Termination::EngineError, said),
             None => {}
         }
         self.reusable = false;
--- a/src/backend/connection_state.rs
+++ b/src/backend/connection_state.rs
@@ -1,10 +1,10 @@
 //! The state of one connection to an engine, without its socket: what waits to go out, what is out,
 //! and how each attempt on it ends. Sockets push bytes through it; the wire's protocol is its
 //! parameter.
-use super::{Said, Wire};
+use super::{BackendEvent, Protocol};
 use crate::clock::{MS, Micros};
-use crate::dispatcher::termination::{End, Reach};
-use crate::dispatcher::{Cost, Ended, Job};
+use crate::dispatcher::termination::{Termination, TransmitProgress};
+use crate::dispatcher::{AttemptRequest, AttemptResult, Cost};
 use crate::policy::api::{AttemptNo, LoadReport, OutcomeKind, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -31,11 +31,11 @@
     done: usize,
 }
 
-struct OnIt {
+struct PendingAttempt {
     attempt: AttemptNo,
     /// Its client's connection.
     conn: u64,
-    reach: Reach,
+    reach: TransmitProgress,
     sent_at: Micros,
     /// Given up; over at that time.
     settles: Option<Micros>,
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub enum Event {
     /// An attempt ended.
-    Ended(Ended),
+    Ended(AttemptResult),
     /// A probe came back.
     Probed {
         /// How.
@@ -58,9 +58,9 @@
 }
 
 /// One connection.
-pub struct Link<W> {
+pub struct ConnectionState<W> {
     wire: W,
-    on_it: BTreeMap<RequestId, OnIt>,
+    on_it: BTreeMap<RequestId, PendingAttempt>,
     /// Probes without an answer: their numbers, and when they went out.
     probes: VecDeque<(u64, Micros)>,
     next_probe: u64,
@@ -76,13 +76,13 @@
     stale: VecDeque<RequestId>,
     /// Attempts written to their last byte.
     dispatched: u64,
-    over: Option<End>,
+    over: Option<Termination>,
 }
 
-impl<W: Wire> Link<W> {
+impl<W: Protocol> ConnectionState<W> {
     /// A connection that is about to be made.
-    pub fn new(now: Micros, wire: W) -> Link<W> {
-        Link {
+    pub fn new(now: Micros, wire: W) -> ConnectionState<W> {
+        ConnectionState {
             wire,
             on_it: BTreeMap::new(),
             probes: VecDeque::new(),
@@ -127,10 +127,10 @@
     }
 
     /// Whether it has to be closed, and why.
-    pub fn over(&self) -> Option<End> {
+    pub fn over(&self) -> Option<Termination> {
         let worn_out = self.suspect || !self.wire.reusable();
         let used_up = worn_out && self.on_it.is_empty() && self.outbox.is_empty();
-        self.over.or(used_up.then_some(End::Dropped))
+        self.over.or(used_up.then_some(Termination::Dropped))
     }
 
     /// When it wants its next turn by itself.
@@ -146,7 +146,7 @@
     }
 
     /// Takes an attempt on.
-    pub fn start(&mut self, now: Micros, job: &Job) {
+    pub fn start(&mut self, now: Micros, job: &AttemptRequest) {
         let mut bytes = self.wire.start(now, job);
         let tail = bytes.split_off(
             bytes.len()
@@ -170,10 +170,10 @@
                 done: 0,
             });
         }
-        let on_it = OnIt {
+        let on_it = PendingAttempt {
             attempt: job.attempt,
             conn: job.conn,
-            reach: Reach::Unsent,
+            reach: TransmitProgress::Unsent,
             sent_at: now,
             settles: None,
         };
@@ -202,19 +202,24 @@
         &mut self,
         now: Micros,
         id: RequestId,
-        end: End,
+        end: Termination,
         rows: Vec<u8>,
         load: LoadReport,
         cost: Cost,
     ) -> Option<Event> {
-        let OnIt { attempt, reach, .. } = self.on_it.remove(&id)?;
+        let PendingAttempt { attempt, reach, .. } = self.on_it.remove(&id)?;
         self.quiet_since = now;
-        if reach != Reach::Unsent && !matches!(end, End::Done | End::Full | End::Past) {
+        if reach != TransmitProgress::Unsent
+            && !matches!(
+                end,
+                Termination::Done | Termination::Rejected | Termination::AlreadyFinished
+            )
+        {
             self.stale.push_back(id);
             self.stale
                 .drain(..self.stale.len().saturating_sub(MOST_STALE));
         }
-        Some(Event::Ended(Ended {
+        Some(Event::Ended(AttemptResult {
             id,
             attempt,
             end,
@@ -225,7 +230,7 @@
         }))
     }
 
-    fn end_plain(&mut self, now: Micros, id: RequestId, end: End) -> Option<Event> {
+    fn end_plain(&mut self, now: Micros, id: RequestId, end: Termination) -> Option<Event> {
         self.end(
             now,
             id,
@@ -237,7 +242,7 @@
     }
 
     /// Takes an attempt back before its first byte.
-    fn take_back(&mut self, now: Micros, id: RequestId, end: End) -> Option<Event> {
+    fn take_back(&mut self, now: Micros, id: RequestId, end: Termination) -> Option<Event> {
         self.outbox
             .retain(|chunk| chunk.starts != Some(id) && chunk.ends != Some(id));
         self.wire.stop(id);
@@ -255,8 +260,8 @@
         let Some(on_it) = self.on_it.get_mut(&id).filter(|a| a.attempt == attempt) else {
             return;
         };
-        if on_it.reach == Reach::Unsent {
-            return events.extend(self.take_back(now, id, End::Withdrawn));
+        if on_it.reach == TransmitProgress::Unsent {
+            return events.extend(self.take_back(now, id, Termination::Cancelled));
         }
         if on_it.settles.is_some() {
             return;
@@ -266,8 +271,8 @@
         match self.wire.stop(id) {
             Some(bytes) => self.say(bytes),
             None => {
-                self.over = Some(End::Dropped);
-                events.extend(self.end_plain(now, id, End::Withdrawn));
+                self.over = Some(Termination::Dropped);
+                events.extend(self.end_plain(now, id, Termination::Cancelled));
             }
         }
     }
@@ -279,7 +284,7 @@
         let on_it = self
             .on_it
             .get(&id)
-            .filter(|a| a.attempt == attempt && a.reach != Reach::Unsent);
+            .filter(|a| a.attempt == attempt && a.reach != TransmitProgress::Unsent);
         self.suspect |= on_it.is_some_and(|a| self.heard_at <= a.sent_at);
     }
 
@@ -301,12 +306,15 @@
     /// The engine drains or is gone. Guards rule 3: what waits to go out, as it does while the
     /// connection is being made or while the engine does not read, must not go out any more.
     pub fn drain(&mut self, now: Micros, events: &mut Vec<Event>) {
-        let unsent = self.on_it.iter().filter(|(_, a)| a.reach == Reach::Unsent);
+        let unsent = self
+            .on_it
+            .iter()
+            .filter(|(_, a)| a.reach == TransmitProgress::Unsent);
         let unsent: Vec<RequestId> = unsent.map(|(id, _)| *id).collect();
         events.extend(
             unsent
                 .into_iter()
-                .filter_map(|id| self.take_back(now, id, End::Drained)),
+                .filter_map(|id| self.take_back(now, id, Termination::Drained)),
         );
     }
 
@@ -339,12 +347,12 @@
             .starts
             .filter(|_| n > 0)
             .and_then(|id| self.on_it.get_mut(&id))
-            && on_it.reach == Reach::Unsent
+            && on_it.reach == TransmitProgress::Unsent
         {
-            (on_it.reach, on_it.sent_at) = (Reach::Sent, now);
+            (on_it.reach, on_it.sent_at) = (TransmitProgress::Complete, now);
         }
         if let Some(on_it) = chunk.ends.and_then(|id| self.on_it.get_mut(&id)) {
-            on_it.reach = Reach::Sent;
+            on_it.reach = TransmitProgress::Complete;
         }
         if chunk.done < chunk.bytes.len() {
             return;
@@ -362,7 +370,7 @@
         let whole = chunk.ends.is_some() || (started.is_some() && held.is_none());
         self.dispatched += u64::from(whole);
         if let Some(on_it) = held.and_then(|id| self.on_it.get_mut(&id)) {
-            (on_it.reach, self.held_until) = (Reach::Begun, Some(now + HOLD));
+            (on_it.reach, self.held_until) = (TransmitProgress::Partial, Some(now + HOLD));
         }
     }
 
@@ -377,25 +385,31 @@
         self.heard_at = now;
         if input.is_empty() {
             self.wire.finish(&mut said);
-            self.over = self.over.or(Some(End::Closed));
+            self.over = self.over.or(Some(Termination::Closed));
         } else if let Err(end) = self.wire.feed(now, input, &mut said, &mut replies) {
             self.over = self.over.or(Some(end));
         }
         self.hear(now, said, replies, events);
     }
 
-    fn hear(&mut self, now: Micros, said: Vec<Said>, replies: Vec<u8>, events: &mut Vec<Event>) {
+    fn hear(
+        &mut self,
+        now: Micros,
+        said: Vec<BackendEvent>,
+        replies: Vec<u8>,
+        events: &mut Vec<Event>,
+    ) {
         if !replies.is_empty() {
             self.say(replies);
         }
         for said in said {
             match said {
-                Said::Ended(id, end, rows, load, cost) => {
+                BackendEvent::Ended(id, end, rows, load, cost) => {
                     events.extend(self.end(now, id, end, rows, load, cost));
                 }
                 // Guards against a second copy, or one that comes too late: it tells nothing of a
                 // later probe.
-                Said::Probed(number, kind, load) => {
+                BackendEvent::Probed(number, kind, load) => {
                     let sent = self.probes.iter().position(|(n, _)| *n == number);
                     if let Some((_, at)) = sent.and_then(|sent| self.probes.remove(sent)) {
                         events.push(Event::Probed {
@@ -420,7 +434,7 @@
         events.extend(
             settled
                 .into_iter()
-                .filter_map(|id| self.end_plain(now, id, End::Withdrawn)),
+                .filter_map(|id| self.end_plain(now, id, Termination::Cancelled)),
         );
         if self.wire.next_due().is_some_and(|at| at <= now) {
             let (mut said, mut replies) = (Vec::new(), Vec::new());
@@ -446,15 +460,23 @@
     }
 
     /// The connection ended, or was never made: so does all that is on it.
-    pub fn close(&mut self, now: Micros, end: End, events: &mut Vec<Event>) {
+    pub fn close(&mut self, now: Micros, end: Termination, events: &mut Vec<Event>) {
         self.over = self.over.or(Some(end));
         let all: Vec<RequestId> = self.attempts().collect();
         for id in all {
             let given_up = self.on_it.get(&id).is_some_and(|a| a.settles.is_some());
-            events.extend(self.end_plain(now, id, if given_up { End::Withdrawn } else { end }));
+            events.extend(self.end_plain(
+                now,
+                id,
+                if given_up {
+                    Termination::Cancelled
+                } else {
+                    end
+                },
+            ));
         }
         for (_, at) in std::mem::take(&mut self.probes) {
-            let kind = crate::dispatcher::termination::outcome(end, Reach::Sent);
+            let kind = crate::dispatcher::termination::outcome(end, TransmitProgress::Complete);
             events.push(Event::Probed {
                 kind,
                 latency: now - at,
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -4,25 +4,25 @@
 pub mod platform;
 
 use crate::clock::Micros;
-use crate::dispatcher::termination::End;
-use crate::dispatcher::{Cost, Job};
+use crate::dispatcher::termination::Termination;
+use crate::dispatcher::{AttemptRequest, Cost};
 use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
 
 /// What a wire made of the bytes of an engine.
 #[derive(Debug)]
-pub enum Said {
+pub enum BackendEvent {
     /// An attempt ended; with [`End::Done`] come all its rows.
-    Ended(RequestId, End, Vec<u8>, LoadReport, Cost),
+    Ended(RequestId, Termination, Vec<u8>, LoadReport, Cost),
     /// The probe with that number came back.
     Probed(u64, OutcomeKind, LoadReport),
 }
 
 /// One connection's protocol, without its socket.
-pub trait Wire {
+pub trait Protocol {
     /// Attempts that the connection carries together.
     fn streams(&self) -> usize;
     /// The bytes that start an attempt.
-    fn start(&mut self, now: Micros, job: &Job) -> Vec<u8>;
+    fn start(&mut self, now: Micros, job: &AttemptRequest) -> Vec<u8>;
     /// The bytes that give up an attempt that went out; `None` if only closing the connection does.
     fn stop(&mut self, id: RequestId) -> Option<Vec<u8>>;
     /// The bytes that give an attempt that went out a new priority; none if the protocol has no
@@ -37,15 +37,20 @@
         &mut self,
         now: Micros,
         input: &[u8],
-        said: &mut Vec<Said>,
+        said: &mut Vec<BackendEvent>,
         replies: &mut Vec<u8>,
-    ) -> Result<(), End>;
+    ) -> Result<(), Termination>;
     /// By when the rest of what has begun to come must be there.
     fn next_due(&self) -> Option<Micros>;
     /// Ends what is overdue by now: an answer, or the whole connection.
-    fn due(&mut self, now: Micros, said: &mut Vec<Said>, replies: &mut Vec<u8>) -> Result<(), End>;
+    fn due(
+        &mut self,
+        now: Micros,
+        said: &mut Vec<BackendEvent>,
+        replies: &mut Vec<u8>,
+    ) -> Result<(), Termination>;
     /// The engine closed its side: an answer may end by that.
-    fn finish(&mut self, said: &mut Vec<Said>);
+    fn finish(&mut self, said: &mut Vec<BackendEvent>);
     /// Whether the connection may carry a further attempt after those on it.
     fn reusable(&self) -> bool;
 }
--- a/src/backend/platform.rs
+++ b/src/backend/platform.rs
@@ -1,9 +1,9 @@
 //! The platform's engine protocol: lines of words, with pages for long answers.
-use super::{Said, Wire};
+use super::{BackendEvent, Protocol};
 use crate::clock::{MS, Micros};
 use crate::config::process::Names;
-use crate::dispatcher::termination::End;
-use crate::dispatcher::{Cost, Job};
+use crate::dispatcher::termination::Termination;
+use crate::dispatcher::{AttemptRequest, Cost};
 use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -87,9 +87,9 @@
         (key, word): (&str, &str),
         fields: &[(&str, &str)],
         body: Vec<u8>,
-        said: &mut Vec<Said>,
+        said: &mut Vec<BackendEvent>,
         replies: &mut Vec<u8>,
-    ) -> Result<(), End> {
+    ) -> Result<(), Termination> {
         if matches!(word, "FIT" | "UNFIT") {
             let kind = if word == "FIT" {
                 OutcomeKind::Ok
@@ -97,7 +97,7 @@
                 OutcomeKind::Full
             };
             let number = key.strip_prefix('p').and_then(|n| n.parse().ok());
-            said.extend(number.map(|number| Said::Probed(number, kind, self.load(fields))));
+            said.extend(number.map(|number| BackendEvent::Probed(number, kind, self.load(fields))));
             return Ok(());
         }
         let load = self.load(fields);
@@ -112,27 +112,27 @@
             word,
             "DONE" | "MORE" | "WAIT" | "PAST" | "BROKE" | "KEEP" | "LACK" | "TELL"
         ) {
-            return Err(End::Garbled);
+            return Err(Termination::ProtocolViolation);
         }
         // An answer to what was given up a moment ago is no fault.
         let Some(running) = self.running.get_mut(key) else {
             return Ok(());
         };
         if matches!(word, "DONE" | "MORE") && !whole_rows(&body) {
-            return Err(End::Garbled);
+            return Err(Termination::ProtocolViolation);
         }
         let id = running.id;
         let mut ended = None;
         match word {
             "DONE" if running.sheets.is_empty() => {
                 let Some(sheets) = count("sheets").filter(|n| *n > 0) else {
-                    return Err(End::Garbled);
+                    return Err(Termination::ProtocolViolation);
                 };
                 let told = |name| field(name).and_then(|v| v.parse().ok());
                 let cost = Cost::told(told("toil"), told("room"));
                 (running.load, running.cost, running.told_at) = (load, cost, now);
                 if sheets > MOST_SHEETS {
-                    ended = Some(End::Broke);
+                    ended = Some(Termination::EngineError);
                 } else {
                     running.sheets.resize(sheets, None);
                     running.sheets[0] = Some(body);
@@ -147,19 +147,19 @@
                     *sheet = Some(body);
                 }
             }
-            "WAIT" => ended = Some(End::Full),
-            "PAST" => ended = Some(End::Past),
-            "BROKE" => ended = Some(End::Broke),
+            "WAIT" => ended = Some(Termination::Rejected),
+            "PAST" => ended = Some(Termination::AlreadyFinished),
+            "BROKE" => ended = Some(Termination::EngineError),
             "KEEP" | "LACK" | "TELL" => {}
-            _ => return Err(End::Garbled),
+            _ => return Err(Termination::ProtocolViolation),
         }
         let gathered: usize = running.sheets.iter().flatten().map(Vec::len).sum();
         if gathered > MOST_ROWS {
-            ended = Some(End::Broke);
+            ended = Some(Termination::EngineError);
         }
         let whole = !running.sheets.is_empty() && running.sheets.iter().all(Option::is_some);
         if whole && ended.is_none() {
-            ended = Some(End::Done);
+            ended = Some(Termination::Done);
         }
         let Some(end) = ended else { return Ok(()) };
         let Some(running) = self.running.remove(key) else {
@@ -169,12 +169,18 @@
             replies.extend_from_slice(format!("forget {key}\r\n").as_bytes());
         }
         // Pages hold whole rows and go out in order, or not at all.
-        let rows = if end == End::Done {
+        let rows = if end == Termination::Done {
             running.sheets.into_iter().flatten().flatten().collect()
         } else {
             vec![]
         };
-        said.push(Said::Ended(id, end, rows, running.load, running.cost));
+        said.push(BackendEvent::Ended(
+            id,
+            end,
+            rows,
+            running.load,
+            running.cost,
+        ));
         Ok(())
     }
 }
@@ -191,12 +197,12 @@
     }
 }
 
-impl Wire for Platform {
+impl Protocol for Platform {
     fn streams(&self) -> usize {
         self.names.streams
     }
 
-    fn start(&mut self, now: Micros, job: &Job) -> Vec<u8> {
+    fn start(&mut self, now: Micros, job: &AttemptRequest) -> Vec<u8> {
         let class = &job.class;
         let limit = (job.until.saturating_sub(now) / MS).max(1);
         let (key, length) = (&job.key, job.statement.len());
@@ -265,9 +271,9 @@
         &mut self,
         now: Micros,
         input: &[u8],
-        said: &mut Vec<Said>,
+        said: &mut Vec<BackendEvent>,
         replies: &mut Vec<u8>,
-    ) -> Result<(), End> {
+    ) -> Result<(), Termination> {
         self.input.extend_from_slice(input);
         let mut used = 0;
         while let Some(message) = message(&self.input[used..])? {
@@ -276,10 +282,10 @@
                 body,
                 length,
             } = message;
-            let line = std::str::from_utf8(&words).map_err(|_| End::Garbled)?;
+            let line = std::str::from_utf8(&words).map_err(|_| Termination::ProtocolViolation)?;
             let words: Vec<&str> = line.split(' ').collect();
             let [key, word, fields, _] = words[..] else {
-                return Err(End::Garbled);
+                return Err(Termination::ProtocolViolation);
             };
             let fields: Option<Vec<(&str, &str)>> = match fields {
                 "-" => Some(Vec::new()),
@@ -288,7 +294,7 @@
             self.answer(
                 now,
                 (key, word),
-                &fields.ok_or(End::Garbled)?,
+                &fields.ok_or(Termination::ProtocolViolation)?,
                 body,
                 said,
                 replies,
@@ -314,16 +320,21 @@
         pages.chain(self.began.map(|at| at + WHOLE)).min()
     }
 
-    fn due(&mut self, now: Micros, said: &mut Vec<Said>, replies: &mut Vec<u8>) -> Result<(), End> {
+    fn due(
+        &mut self,
+        now: Micros,
+        said: &mut Vec<BackendEvent>,
+        replies: &mut Vec<u8>,
+    ) -> Result<(), Termination> {
         if self.began.is_some_and(|at| at + WHOLE <= now) {
-            return Err(End::Silent);
+            return Err(Termination::Unresponsive);
         }
         let late = |r: &Running| !r.sheets.is_empty() && r.told_at + PAGES <= now;
         for (key, running) in self.running.extract_if(.., |_, r| late(r)) {
             replies.extend_from_slice(format!("forget {key}\r\n").as_bytes());
-            said.push(Said::Ended(
+            said.push(BackendEvent::Ended(
                 running.id,
-                End::Silent,
+                Termination::Unresponsive,
                 Vec::new(),
                 running.load,
                 Cost::default(),
@@ -332,7 +343,7 @@
         Ok(())
     }
 
-    fn finish(&mut self, _: &mut Vec<Said>) {}
+    fn finish(&mut self, _: &mut Vec<BackendEvent>) {}
 
     fn reusable(&self) -> bool {
         true
@@ -347,11 +358,11 @@
 
 /// The first whole message, if it is there. Guards against noise: an answer is four words and a
 /// body that ends where the last of them says, and nothing else.
-fn message(input: &[u8]) -> Result<Option<Message>, End> {
+fn message(input: &[u8]) -> Result<Option<Message>, Termination> {
     let seen = &input[..input.len().min(MOST_LINE)];
     let Some(end) = seen.windows(2).position(|w| w == b"\r\n") else {
         return if input.len() > MOST_LINE {
-            Err(End::Garbled)
+            Err(Termination::ProtocolViolation)
         } else {
             Ok(None)
         };
@@ -363,7 +374,9 @@
         .ok()
         .filter(|_| digits)
         .and_then(|w| w.parse::<usize>().ok());
-    let size = size.filter(|size| *size <= MOST_BODY).ok_or(End::Garbled)?;
+    let size = size
+        .filter(|size| *size <= MOST_BODY)
+        .ok_or(Termination::ProtocolViolation)?;
     let (from, to) = (end + 2, end + 2 + size);
     match input.get(to..to + 2) {
         None => Ok(None),
@@ -372,7 +385,7 @@
             body: input[from..to].to_vec(),
             length: to + 2,
         })),
-        Some(_) => Err(End::Garbled),
+        Some(_) => Err(Termination::ProtocolViolation),
     }
 }
 
--- a/src/bin/yokelift-sim-adapter/frames.rs
+++ b/src/bin/yokelift-sim-adapter/frames.rs
@@ -122,7 +122,7 @@
     }
 
     /// The entries of a numbered list.
-    pub fn entries(&mut self) -> Result<Vec<EngineEntry>, String> {
+    pub fn entries(&mut self) -> Result<Vec<Endpoint>, String> {
         let n = self.u32("LIST rows")? as usize;
         self.need(n.saturating_mul(24), "LIST rows")?;
         let mut entries = Vec::with_capacity(n);
@@ -141,7 +141,7 @@
             self.rest.advance(1);
             let weight = f64::from(self.f32("rows nominal")?);
             let ready_at = self.u64("rows ready_at_ns")?;
-            entries.push(EngineEntry {
+            entries.push(Endpoint {
                 id,
                 zone,
                 kind,
--- a/src/bin/yokelift-sim-adapter/main.rs
+++ b/src/bin/yokelift-sim-adapter/main.rs
@@ -26,7 +26,7 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Instance>,
-    lists: BTreeMap<u16, Vec<EngineEntry>>,
+    lists: BTreeMap<u16, Vec<Endpoint>>,
 }
 
 impl Host {
@@ -96,10 +96,10 @@
                 r.u32("TARGETS rev")?;
                 let kind_at = r.at();
                 let kind = match r.u8("TARGETS kind")? {
-                    0 => ListKind::Cached,
-                    1 => ListKind::Changes,
-                    2 => ListKind::Failed,
-                    3 => ListKind::Full,
+                    0 => EndpointListKind::Cached,
+                    1 => EndpointListKind::Changes,
+                    2 => EndpointListKind::Failed,
+                    3 => EndpointListKind::Full,
                     other => {
                         return Err(format!(
                             "byte {kind_at}: TARGETS kind: unknown value {other}"
@@ -109,7 +109,7 @@
                 let set_at = r.at();
                 let number = r.u16("TARGETS set_id")?;
                 let entries = match (kind, self.lists.get(&number)) {
-                    (ListKind::Failed, _) => Vec::new(),
+                    (EndpointListKind::Failed, _) => Vec::new(),
                     (_, Some(list)) => list.clone(),
                     (_, None) => {
                         return Err(format!("byte {set_at}: TARGETS set_id: no list {number}"));
@@ -162,10 +162,10 @@
                 let amount = f64::from(r.f32("INTERIM amount")?);
                 let topic_at = r.at();
                 let note = match (r.u8("INTERIM topic")?, amount) {
-                    (1, share) => Note::Progress(share),
-                    (2, mb) => Note::Spill(mb),
-                    (3, what) if what >= 1.5 => Note::WaitsForLoad,
-                    (3, _) => Note::WaitsForMemory,
+                    (1, share) => ProgressUpdate::Progress(share),
+                    (2, mb) => ProgressUpdate::Spill(mb),
+                    (3, what) if what >= 1.5 => ProgressUpdate::WaitsForLoad,
+                    (3, _) => ProgressUpdate::WaitsForMemory,
                     (other, _) => {
                         return Err(format!(
                             "byte {topic_at}: INTERIM topic: unknown value {other}"
@@ -198,7 +198,7 @@
     let memory = f64::from(r.f32("NEW_REQUEST ram_mb")?);
     let group = u64::from(r.f32("NEW_REQUEST table_group")?.to_bits()) + 1;
     let marks = r.u16("NEW_REQUEST marks")?;
-    Ok(Event::Request(NewRequest {
+    Ok(Event::Request(Request {
         id,
         class,
         tenant,
--- a/src/bin/yokelift-testkit/main.rs
+++ b/src/bin/yokelift-testkit/main.rs
@@ -12,10 +12,10 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::sync::LazyLock;
-use yokelift::audit::Place;
+use yokelift::audit::RecordPosition;
 use yokelift::audit::report::report;
 use yokelift::config::clickhouse;
-use yokelift::config::fleet::Fleet;
+use yokelift::config::fleet::FleetConfig;
 use yokelift::membership::Timing;
 use yokelift::net;
 use yokelift::testkit::membership_simulation::Figures;
@@ -56,7 +56,7 @@
         managers: Vec<SocketAddr>,
         /// Only records after this one: LIFE.NUMBER.
         #[arg(long, default_value = "0")]
-        since: Place,
+        since: RecordPosition,
         /// The report as one JSON object.
         #[arg(long)]
         json: bool,
@@ -211,7 +211,7 @@
             let timing = fleet.map_or(Ok(Timing::default()), |path| {
                 let text = std::fs::read_to_string(&path)
                     .map_err(|e| format!("{}: {e}", path.display()))?;
-                Ok(Fleet::parse(&text)?.timing)
+                Ok(FleetConfig::parse(&text)?.timing)
             });
             let timing = timing.map_err(one)?;
             let figures = members
--- a/src/bin/yokelift-testkit/scale_fleet.rs
+++ b/src/bin/yokelift-testkit/scale_fleet.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
-use yokelift::config::fleet::Fleet;
+use yokelift::config::fleet::FleetConfig;
 use yokelift::testkit::scale::figures::{self, Figures};
 use yokelift::testkit::scale::{events, fleet::Plan};
 
@@ -98,7 +98,7 @@
         if let Some(path) = &self.fleet {
             let text =
                 std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-            let file = Fleet::parse(&text)?;
+            let file = FleetConfig::parse(&text)?;
             plan.timing = file.timing;
             plan.terms = file.duties.map_or(plan.terms, |duties| duties.terms);
         }
--- a/src/class_registry/mod.rs
+++ b/src/class_registry/mod.rs
@@ -23,29 +23,29 @@
 
 /// The classes of all generations that still count.
 #[derive(Default)]
-pub struct Generations {
+pub struct ClassRegistry {
     number: u64,
     slots: Vec<Slot>,
 }
 
 /// A slot that a new generation fills, and the slot whose teachings pass to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fresh {
+pub struct NewSlot {
     /// The slot.
     pub slot: ClassId,
     /// Whose class it follows.
     pub heir_of: Option<ClassId>,
 }
 
-impl Generations {
+impl ClassRegistry {
     /// The first generation: each class in its place.
-    pub fn new(classes: Vec<Class>) -> Generations {
+    pub fn new(classes: Vec<Class>) -> ClassRegistry {
         let slot = |class| Slot {
             class,
             dropped: None,
             open: 0,
         };
-        Generations {
+        ClassRegistry {
             number: 1,
             slots: classes.into_iter().map(slot).collect(),
         }
@@ -92,7 +92,7 @@
     }
 
     /// A new generation, whose classes have different names. Tells which slots it fills.
-    pub fn next(&mut self, classes: Vec<Class>) -> Vec<Fresh> {
+    pub fn next(&mut self, classes: Vec<Class>) -> Vec<NewSlot> {
         self.number += 1;
         let was: Vec<usize> = (0..self.slots.len())
             .filter(|at| self.slots[*at].dropped.is_none())
@@ -122,7 +122,7 @@
             } else {
                 self.slots.push(slot);
             }
-            fresh.push(Fresh {
+            fresh.push(NewSlot {
                 slot: ClassId(at as u16),
                 heir_of,
             });
--- a/src/config/clickhouse.rs
+++ b/src/config/clickhouse.rs
@@ -11,31 +11,31 @@
 /// The file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Deploy {
+pub struct ClickHouseConfig {
     /// Where clients of the ClickHouse HTTP interface connect.
     pub listen: SocketAddr,
     /// Engines that speak it.
     #[serde(default, rename = "engine")]
-    pub engines: Vec<EngineLine>,
+    pub engines: Vec<EngineConfig>,
     /// Who the manager is to these engines.
     #[serde(default)]
-    pub login: LoginLine,
+    pub login: CredentialsConfig,
     /// Users and their tenants.
     #[serde(default, rename = "user")]
-    pub users: Vec<UserLine>,
+    pub users: Vec<UserConfig>,
     /// Which statements belong to which class; the first rule that fits counts.
     #[serde(default, rename = "class")]
-    pub classes: Vec<ClassLine>,
+    pub classes: Vec<ClassRuleConfig>,
     /// The class of all other statements.
     pub usual_class: String,
     /// A directory of tenants.
-    pub directory: Option<DirectoryLine>,
+    pub directory: Option<DirectoryConfig>,
 }
 
 /// An engine: one of the coordinator's list, or with an address one that is always in service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct EngineLine {
+pub struct EngineConfig {
     /// Its id, as `s-00c41f7a`.
     pub id: String,
     /// Where it listens, if it is not of the coordinator's list.
@@ -51,7 +51,7 @@
 /// User and key for engines.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct LoginLine {
+pub struct CredentialsConfig {
     /// The user.
     pub user: String,
     /// The key.
@@ -62,7 +62,7 @@
 /// A user.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct UserLine {
+pub struct UserConfig {
     /// The name.
     pub name: String,
     /// The key; empty if there is none.
@@ -75,7 +75,7 @@
 /// A rule for a class: all that is given must fit.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ClassLine {
+pub struct ClassRuleConfig {
     /// The class, as named in the settings.
     pub name: String,
     /// The statement begins with one of these words.
@@ -92,7 +92,7 @@
 /// A directory of tenants, read over LDAPv3.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct DirectoryLine {
+pub struct DirectoryConfig {
     /// Where it listens.
     pub addr: SocketAddr,
     /// Who to bind as; empty for an anonymous bind.
@@ -104,13 +104,13 @@
     /// Where the users are.
     pub users_base: String,
     /// Their object class.
-    #[serde(default = "DirectoryLine::users_class")]
+    #[serde(default = "DirectoryConfig::users_class")]
     pub users_class: String,
     /// The attribute with the user's name.
-    #[serde(default = "DirectoryLine::name_attribute")]
+    #[serde(default = "DirectoryConfig::name_attribute")]
     pub name_attribute: String,
     /// The attribute with the user's tenant.
-    #[serde(default = "DirectoryLine::tenant_attribute")]
+    #[serde(default = "DirectoryConfig::tenant_attribute")]
     pub tenant_attribute: String,
     /// The attribute with the user's key for this interface, if the directory holds one.
     #[serde(default)]
@@ -118,23 +118,23 @@
     /// Where the tenants are.
     pub tenants_base: String,
     /// Their object class.
-    #[serde(default = "DirectoryLine::tenants_class")]
+    #[serde(default = "DirectoryConfig::tenants_class")]
     pub tenants_class: String,
     /// The attribute with the tenant's name.
-    #[serde(default = "DirectoryLine::tenant_name_attribute")]
+    #[serde(default = "DirectoryConfig::tenant_name_attribute")]
     pub tenant_name_attribute: String,
     /// The attribute with the tenant's share, as a number of any scale.
-    #[serde(default = "DirectoryLine::share_attribute")]
+    #[serde(default = "DirectoryConfig::share_attribute")]
     pub share_attribute: String,
     /// Entries asked for at once.
-    #[serde(default = "DirectoryLine::page")]
+    #[serde(default = "DirectoryConfig::page")]
     pub page: u32,
     /// Seconds between two readings.
-    #[serde(default = "DirectoryLine::refresh_s")]
+    #[serde(default = "DirectoryConfig::refresh_s")]
     pub refresh_s: u64,
 }
 
-impl DirectoryLine {
+impl DirectoryConfig {
     fn users_class() -> String {
         "inetOrgPerson".into()
     }
@@ -162,8 +162,8 @@
 }
 
 /// Reads a deploy file from its text.
-pub fn parse(text: &str) -> Result<Deploy, String> {
-    let deploy: Deploy = toml::from_str(text).map_err(|e| {
+pub fn parse(text: &str) -> Result<ClickHouseConfig, String> {
+    let deploy: ClickHouseConfig = toml::from_str(text).map_err(|e| {
         let line = e
             .span()
             .map_or(0, |span| text[..span.start].lines().count().max(1));
@@ -194,7 +194,7 @@
 }
 
 /// Reads a deploy file.
-pub fn read(path: &Path) -> Result<Deploy, String> {
+pub fn read(path: &Path) -> Result<ClickHouseConfig, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
@@ -220,13 +220,13 @@
 
 /// Which statements belong to which class.
 pub struct ClassRules {
-    rules: Vec<(ClassLine, ClassId)>,
+    rules: Vec<(ClassRuleConfig, ClassId)>,
     usual: ClassId,
 }
 
 impl ClassRules {
     /// The rules of a file, with the names of the settings.
-    pub fn new(deploy: &Deploy, names: &Names) -> Result<ClassRules, String> {
+    pub fn new(deploy: &ClickHouseConfig, names: &Names) -> Result<ClassRules, String> {
         let class = |name: &str| {
             names
                 .class(name)
@@ -249,7 +249,7 @@
         let is = |word: &[u8], list: &[String]| {
             list.iter().any(|w| word.eq_ignore_ascii_case(w.as_bytes()))
         };
-        let fits = |line: &ClassLine| {
+        let fits = |line: &ClassRuleConfig| {
             (line.begins.is_empty() || words.first().is_some_and(|w| is(w, &line.begins)))
                 && (line.holds.is_empty() || words.iter().any(|w| is(w, &line.holds)))
                 && (line.users.is_empty() || line.users.iter().any(|u| u == user))
@@ -269,7 +269,7 @@
 
 impl Users {
     /// The users of a file.
-    pub fn new(deploy: &Deploy, names: &Names) -> Result<Users, String> {
+    pub fn new(deploy: &ClickHouseConfig, names: &Names) -> Result<Users, String> {
         let mut users = Users::default();
         for line in &deploy.users {
             let tenant = line
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -1,7 +1,7 @@
 //! The operator's file of the fleet's membership: where this manager takes datagrams, whom it
 //! greets first, and the protocol's timings. TOML; unknown keys are refused.
 use crate::audit::Bounds;
-use crate::lease::Terms;
+use crate::lease::LeaseTiming;
 use crate::membership::Timing;
 use serde::Deserialize;
 use std::collections::BTreeSet;
@@ -10,15 +10,15 @@
 /// One owner at a time for fleet work.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Duties {
+pub struct LeaseConfig {
     /// The managers that grant leases, by their names: the same on all managers, an odd number.
     pub voters: Vec<String>,
     /// The bounds of leases: the same on all managers.
     #[serde(default)]
-    pub terms: Terms,
+    pub terms: LeaseTiming,
 }
 
-impl Duties {
+impl LeaseConfig {
     fn check(&self) -> Result<(), String> {
         let all: BTreeSet<&String> = self.voters.iter().collect();
         if self.voters.is_empty() || self.voters.len() > 15 || all.len() < self.voters.len() {
@@ -33,7 +33,7 @@
 /// What the file says.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Fleet {
+pub struct FleetConfig {
     /// The UDP address of this manager; without it, the address of the clients' listener at `port`.
     pub bind: Option<SocketAddr>,
     /// The address others are to send to, where it is not `bind`: one of a relay between managers.
@@ -50,20 +50,21 @@
     /// The bounds on the audit's files; without it no audit is kept.
     pub audit: Option<Bounds>,
     /// Leases; without them each manager does all fleet work itself.
-    pub duties: Option<Duties>,
+    pub duties: Option<LeaseConfig>,
 }
 
 fn port() -> u16 {
     7946
 }
 
-impl Fleet {
+impl FleetConfig {
     /// Reads the file's text.
-    pub fn parse(text: &str) -> Result<Fleet, String> {
-        let fleet: Fleet = toml::from_str(text).map_err(|e| format!("fleet: {}", e.message()))?;
+    pub fn parse(text: &str) -> Result<FleetConfig, String> {
+        let fleet: FleetConfig =
+            toml::from_str(text).map_err(|e| format!("fleet: {}", e.message()))?;
         fleet.timing.check()?;
         fleet.audit.iter().try_for_each(Bounds::check)?;
-        fleet.duties.iter().try_for_each(Duties::check)?;
+        fleet.duties.iter().try_for_each(LeaseConfig::check)?;
         if [fleet.bind, fleet.advertise]
             .iter()
             .flatten()
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -1,6 +1,6 @@
 //! What one workload manager is told at its start: `PROXY_CONFIG`, a JSON file.
 use crate::config::settings;
-use crate::policy::api::{ClassId, ClassSpec, Effect, Nanos, Settings};
+use crate::policy::api::{ClassId, ClassSpec, Idempotency, Nanos, Settings};
 use serde::Deserialize;
 use serde_json::Value;
 use std::cell::RefCell;
@@ -106,7 +106,7 @@
 pub fn keyed<'a>(classes: impl Iterator<Item = &'a ClassSpec>) -> BTreeSet<u16> {
     let keyed = (0..)
         .zip(classes)
-        .filter(|(_, class)| matches!(class.effect, Effect::Keyed { .. }));
+        .filter(|(_, class)| matches!(class.effect, Idempotency::WithKey { .. }));
     keyed.map(|(at, _)| at).collect()
 }
 
@@ -140,7 +140,8 @@
             "settings: the deadline of {name} is not a positive number"
         ));
     }
-    let windowless = |class: &ClassSpec| matches!(class.effect, Effect::Keyed { window: 0, .. });
+    let windowless =
+        |class: &ClassSpec| matches!(class.effect, Idempotency::WithKey { window: 0, .. });
     if let Some((name, _)) = names
         .iter()
         .zip(&settings.classes)
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -5,26 +5,26 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct Wire {
+struct SettingsJson {
     me: u32,
     peers_total: u32,
     az: u16,
     quantum_ns: u64,
-    classes: Vec<Class>,
+    classes: Vec<ClassJson>,
     kinds: Vec<serde_json::Value>,
-    orgs: Vec<Org>,
+    orgs: Vec<TenantJson>,
     over_share_worth: f64,
     discovery: String,
-    load_info: LoadInfo,
-    prices: Prices,
-    extra: Extra,
-    invariants: Invariants,
-    limits: WireLimits,
+    load_info: LoadInfoJson,
+    prices: PricesJson,
+    extra: ExtraJson,
+    invariants: InvariantsJson,
+    limits: LimitsJson,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct Class {
+struct ClassJson {
     worth: f64,
     late_worth: f64,
     promise_ns: u64,
@@ -41,27 +41,27 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct Org {
+struct TenantJson {
     quota_rps: f64,
     share: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct LoadInfo {
+struct LoadInfoJson {
     fields: Vec<String>,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct Prices {
+struct PricesJson {
     cross_zone: f64,
     probe: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct Extra {
+struct ExtraJson {
     loads: Vec<bool>,
     class_threads: Vec<f64>,
     blocked_by_loads: Vec<bool>,
@@ -77,7 +77,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct Invariants {
+struct InvariantsJson {
     answer_slack_ns: u64,
     ask_within_ns: u64,
     cold_from: f64,
@@ -93,7 +93,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct WireLimits {
+struct LimitsJson {
     send_cap: u32,
     may_cancel: bool,
     probing: bool,
@@ -103,19 +103,19 @@
     second_copies: bool,
 }
 
-fn effect(c: &Class) -> Result<Effect, String> {
+fn effect(c: &ClassJson) -> Result<Idempotency, String> {
     let scope = match c.dedup_scope.as_str() {
         "zone" => Scope::Zone,
         "cell" => Scope::Cell,
         _ => Scope::All,
     };
     match c.semantics.as_str() {
-        "pure" => Ok(Effect::Safe),
-        "token" => Ok(Effect::Keyed {
+        "pure" => Ok(Idempotency::Idempotent),
+        "token" => Ok(Idempotency::WithKey {
             scope,
             window: c.window_ns,
         }),
-        "side_effect" => Ok(Effect::Unsafe),
+        "side_effect" => Ok(Idempotency::NonIdempotent),
         other => Err(format!("classes[].semantics: unknown word {other:?}")),
     }
 }
@@ -136,7 +136,7 @@
 
 /// Reads the settings text of a start event.
 pub fn parse(text: &[u8]) -> Result<Settings, String> {
-    let w: Wire = serde_json::from_slice(text).map_err(|e| e.to_string())?;
+    let w: SettingsJson = serde_json::from_slice(text).map_err(|e| e.to_string())?;
     let flag = |list: &[bool], i: usize| list.get(i).copied().unwrap_or(false);
     let mut classes = Vec::with_capacity(w.classes.len());
     for (i, c) in w.classes.iter().enumerate() {
@@ -167,7 +167,7 @@
         cores: w.extra.cores_by_kind.get(i).copied().unwrap_or(1.0),
         memory_mb: w.extra.ram_of_kind_mb.get(i).copied().unwrap_or(0.0),
     };
-    let extra = w.invariants.ratio_span_ns.map(|span| ExtraBudget {
+    let extra = w.invariants.ratio_span_ns.map(|span| RetryBudget {
         spare: w.invariants.spare_attempts.unwrap_or(0.0),
         ratio: w.invariants.extra_ratio.unwrap_or(0.0),
         span,
@@ -196,13 +196,13 @@
         priorities_heeded: w.extra.ranks_heeded,
         most_grant: w.extra.most_grant,
         when_short: match w.extra.out_of_memory.as_str() {
-            "shrink" => WhenShort::Shrink,
-            "page" => WhenShort::Page,
-            _ => WhenShort::Wait,
+            "shrink" => MemoryExhaustionPolicy::Shrink,
+            "page" => MemoryExhaustionPolicy::Page,
+            _ => MemoryExhaustionPolicy::Wait,
         },
         note_period: w.extra.note_period_ns,
         tells_cost: w.extra.says_cost,
-        rules: Rules {
+        rules: Invariants {
             answer_slack: w.invariants.answer_slack_ns,
             drain_grace: w.invariants.drain_grace_ns,
             cold_from: w.invariants.cold_from,
--- a/src/dispatcher/attempts.rs
+++ b/src/dispatcher/attempts.rs
@@ -4,7 +4,7 @@
 /// What engines know by its key they may forget a little sooner than this side thinks.
 const WINDOW_MARGIN: Micros = 100 * MS;
 
-impl Manager {
+impl Dispatcher {
     /// The ledger of the rules on sends. What it stops comes back to the module as 'never sent'.
     pub(super) fn send(
         &mut self,
@@ -12,7 +12,7 @@
         id: RequestId,
         engine: EngineId,
         timeout: Nanos,
-        orders: &mut Vec<Order>,
+        orders: &mut Vec<Command>,
     ) {
         let to = self
             .engines
@@ -55,8 +55,8 @@
         self.counters.attempts += 1;
         self.counters.copies += u64::from(!open.outs.is_empty());
         let late = open.outs.iter().filter(|out| out.stopping.is_none());
-        orders.extend(late.map(|out| Order::Doubt(out.to.id, id, out.attempt)));
-        open.outs.push(Out {
+        orders.extend(late.map(|out| Command::Doubt(out.to.id, id, out.attempt)));
+        open.outs.push(InFlightAttempt {
             to,
             attempt,
             sent_at: now,
@@ -64,7 +64,7 @@
             stopping: None,
         });
         self.deadlines.insert((until, id));
-        let job = Job {
+        let job = AttemptRequest {
             id,
             attempt,
             conn: open.ask.origin.conn,
@@ -72,19 +72,19 @@
             class: name.clone(),
             statement: open.ask.statement.clone(),
             session: open.ask.session.clone(),
-            single: open.effect == Effect::Unsafe,
+            single: open.effect == Idempotency::NonIdempotent,
             nonce: open
                 .ask
                 .once
                 .clone()
-                .filter(|_| matches!(open.effect, Effect::Keyed { .. })),
+                .filter(|_| matches!(open.effect, Idempotency::WithKey { .. })),
             until,
             memory_mb: open.memory_mb,
             urgency: open.urgency,
         };
         let of = open.ask.class;
-        self.note(of, &job.key, What::Dispatch(attempt.0, engine.0));
-        orders.push(Order::Start(engine, job));
+        self.note(of, &job.key, DecisionKind::Dispatch(attempt.0, engine.0));
+        orders.push(Command::Start(engine, job));
     }
 
     /// Memory and priority of the next attempts, and at once the priority of those that are out.
@@ -94,7 +94,7 @@
         id: RequestId,
         priority: u8,
         memory_mb: f64,
-        orders: &mut Vec<Order>,
+        orders: &mut Vec<Command>,
     ) {
         let heeds = self.heeds;
         let Some(open) = self.open.get_mut(&id) else {
@@ -104,7 +104,9 @@
         let urgency = Some(priority.min(MOST_URGENCY)).filter(|_| heeds.priorities);
         if std::mem::replace(&mut open.urgency, urgency) != urgency {
             let out = open.outs.iter().filter(|out| out.stopping.is_none());
-            let bump = |out: &Out| urgency.map(|n| Order::Bump(out.to.id, id, out.attempt, n));
+            let bump = |out: &InFlightAttempt| {
+                urgency.map(|n| Command::Bump(out.to.id, id, out.attempt, n))
+            };
             orders.extend(out.filter_map(bump));
         }
     }
@@ -115,8 +117,8 @@
         &mut self,
         id: RequestId,
         attempt: AttemptNo,
-        why: End,
-        orders: &mut Vec<Order>,
+        why: Termination,
+        orders: &mut Vec<Command>,
     ) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
@@ -131,11 +133,11 @@
         if !open.due_at(until) {
             self.deadlines.remove(&(until, id));
         }
-        orders.push(Order::Stop(engine, id, attempt));
+        orders.push(Command::Stop(engine, id, attempt));
     }
 
     /// Gives up all that is out for a request.
-    pub(super) fn stop_all(&mut self, id: RequestId, why: End, orders: &mut Vec<Order>) {
+    pub(super) fn stop_all(&mut self, id: RequestId, why: Termination, orders: &mut Vec<Command>) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
--- a/src/dispatcher/in_flight.rs
+++ b/src/dispatcher/in_flight.rs
@@ -1,15 +1,15 @@
 //! The ledger of one request: what is out for it, what may have run, and what the rules then allow.
 //! Pure.
-use super::message::Ask;
-use super::termination::End;
+use super::message::ClientRequest;
+use super::termination::Termination;
 use crate::clock::{Micros, micros, nanos};
-use crate::policy::api::{AttemptNo, Effect, EngineEntry};
+use crate::policy::api::{AttemptNo, Endpoint, Idempotency};
 use crate::policy::state::{may_refuse, may_repeat};
 
 /// An attempt that is out.
-pub struct Out {
+pub struct InFlightAttempt {
     /// Where it went, as the list had that engine.
-    pub to: EngineEntry,
+    pub to: Endpoint,
     /// Its number.
     pub attempt: AttemptNo,
     /// When it went.
@@ -17,25 +17,25 @@
     /// When its time is up.
     pub until: Micros,
     /// Asked to stop: by the module, since another one was answered, or since its time was up.
-    pub stopping: Option<End>,
+    pub stopping: Option<Termination>,
 }
 
 /// The first attempt that may have run.
 #[derive(Clone, Copy)]
-pub struct Ran {
+pub struct PossibleExecution {
     /// Where it went.
-    pub on: EngineEntry,
+    pub on: Endpoint,
     /// When it was sent.
     pub sent_at: Micros,
 }
 
 /// A request that is open, or closed with something out.
-pub struct Open {
+pub struct InFlightRequest {
     /// As its front handed it in.
-    pub ask: Ask,
+    pub ask: ClientRequest,
     /// What repeating this one may do: a request of a keyed class without a key must never run
     /// twice.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Attempts so far.
     pub sends: u16,
     /// Attempts that it may have.
@@ -43,25 +43,30 @@
     /// Attempts that may be out together.
     pub copies: usize,
     /// What is out.
-    pub outs: Vec<Out>,
+    pub outs: Vec<InFlightAttempt>,
     /// The first attempt that ended and may have run.
-    pub ran: Option<Ran>,
+    pub ran: Option<PossibleExecution>,
     /// Memory to grant with the next attempt.
     pub memory_mb: f64,
     /// Its priority, where one was set.
     pub urgency: Option<u8>,
     /// How its last attempt ended.
-    pub last_end: Option<End>,
+    pub last_end: Option<Termination>,
     /// The final answer was given, or the client left.
     pub closed: bool,
 }
 
-impl Open {
+impl InFlightRequest {
     /// A request that has just come.
-    pub fn new(ask: Ask, effect: Effect, most_sends: u16, copies: usize) -> Open {
+    pub fn new(
+        ask: ClientRequest,
+        effect: Idempotency,
+        most_sends: u16,
+        copies: usize,
+    ) -> InFlightRequest {
         let (outs, ran, memory_mb, urgency) = (Vec::new(), None, 0.0, None);
         let (sends, last_end, closed) = (0, None, false);
-        Open {
+        InFlightRequest {
             ask,
             effect,
             sends,
@@ -77,8 +82,8 @@
     }
 
     /// The first attempt that may have run, or is out.
-    fn first(&self) -> Option<Ran> {
-        let out = self.outs.iter().map(|out| Ran {
+    fn first(&self) -> Option<PossibleExecution> {
+        let out = self.outs.iter().map(|out| PossibleExecution {
             on: out.to,
             sent_at: out.sent_at,
         });
@@ -87,13 +92,13 @@
 
     /// Whether an attempt may go to that engine now: the rules on effects and on attempts out. Two
     /// never go to one engine, which would take the word about one of them for the other.
-    pub fn may_send(&self, now: Micros, to: &EngineEntry) -> bool {
+    pub fn may_send(&self, now: Micros, to: &Endpoint) -> bool {
         let place = self.outs.len() < self.copies && self.outs.iter().all(|out| out.to.id != to.id);
         !self.closed && place && self.sends < self.most_sends && self.repeats(now, to)
     }
 
-    fn repeats(&self, now: Micros, to: &EngineEntry) -> bool {
-        let Some(Ran { on, sent_at }) = self.first() else {
+    fn repeats(&self, now: Micros, to: &Endpoint) -> bool {
+        let Some(PossibleExecution { on, sent_at }) = self.first() else {
             return true;
         };
         may_repeat(self.effect, nanos(sent_at), Some((on, *to)), nanos(now))
@@ -103,7 +108,7 @@
     /// have run.
     pub fn known_until(&self) -> Option<Micros> {
         match (self.effect, self.first()) {
-            (Effect::Keyed { window, .. }, Some(ran)) => {
+            (Idempotency::WithKey { window, .. }, Some(ran)) => {
                 Some(ran.sent_at.saturating_add(micros(window)))
             }
             _ => None,
@@ -116,12 +121,12 @@
     }
 
     /// The attempt of that number, if it is out.
-    pub fn out(&self, attempt: AttemptNo) -> Option<&Out> {
+    pub fn out(&self, attempt: AttemptNo) -> Option<&InFlightAttempt> {
         self.outs.iter().find(|out| out.attempt == attempt)
     }
 
     /// Takes that attempt off the book.
-    pub fn take_out(&mut self, attempt: AttemptNo) -> Option<Out> {
+    pub fn take_out(&mut self, attempt: AttemptNo) -> Option<InFlightAttempt> {
         let at = self.outs.iter().position(|out| out.attempt == attempt)?;
         Some(self.outs.remove(at))
     }
--- a/src/dispatcher/message.rs
+++ b/src/dispatcher/message.rs
@@ -1,5 +1,5 @@
 //! What fronts, engines and the core tell one another, in no wire's terms.
-use super::termination::{End, Reach};
+use super::termination::{Termination, TransmitProgress};
 use crate::clock::{MS, Micros};
 use crate::policy::api::{AttemptNo, ClassId, EngineId, LoadReport, RequestId, TenantId};
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 
 /// A request, as a front hands it in.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Where the answer goes.
     pub origin: Origin,
     /// The client's name for the request, passed on unchanged.
@@ -55,7 +55,7 @@
     /// Its time was up.
     Deadline,
     /// Its last attempt ended so.
-    Attempt(End),
+    Attempt(Termination),
     /// It was never sent.
     NotSent,
     /// Its name is that of another request.
@@ -64,20 +64,20 @@
 
 /// A final answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Response {
     /// All rows, as text with tabs and line feeds.
-    Served(Vec<u8>),
+    Completed(Vec<u8>),
     /// Trying again is harmless; after so long, if advice is given.
-    Refused(Option<Micros>),
+    Rejected(Option<Micros>),
     /// Nothing is promised.
     Failed(Failure),
     /// One that another process gave and worded, on a connection that was passed to this one.
-    Worded(Vec<u8>),
+    Preformatted(Vec<u8>),
 }
 
 /// An attempt to start.
 #[derive(Clone, Debug, Default)]
-pub struct Job {
+pub struct AttemptRequest {
     /// The request.
     pub id: RequestId,
     /// The attempt.
@@ -106,9 +106,9 @@
 
 /// What the core wants done.
 #[derive(Clone, Debug)]
-pub enum Order {
+pub enum Command {
     /// Start an attempt.
-    Start(EngineId, Job),
+    Start(EngineId, AttemptRequest),
     /// Give up an attempt; its end comes back.
     Stop(EngineId, RequestId, AttemptNo),
     /// Another attempt goes beside this one, which takes longer than it should.
@@ -120,22 +120,22 @@
     /// Close idle connections to an engine.
     CloseIdle(EngineId),
     /// Give a final answer.
-    Answer(Origin, Answer),
+    Answer(Origin, Response),
     /// A line of the module for the log.
     Log(String),
 }
 
 /// An attempt that ended.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     /// The request.
     pub id: RequestId,
     /// The attempt.
     pub attempt: AttemptNo,
     /// How.
-    pub end: End,
+    pub end: Termination,
     /// How much of it went out.
-    pub reach: Reach,
+    pub reach: TransmitProgress,
     /// With [`End::Done`]: the rows.
     pub rows: Vec<u8>,
     /// The engine's load, where told.
@@ -144,11 +144,16 @@
     pub cost: Cost,
 }
 
-impl Ended {
+impl AttemptResult {
     /// The end of an attempt that brought nothing.
-    pub fn bare(id: RequestId, attempt: AttemptNo, end: End, reach: Reach) -> Ended {
+    pub fn bare(
+        id: RequestId,
+        attempt: AttemptNo,
+        end: Termination,
+        reach: TransmitProgress,
+    ) -> AttemptResult {
         let (rows, load, cost) = (Vec::new(), LoadReport::default(), Cost::default());
-        Ended {
+        AttemptResult {
             id,
             attempt,
             end,
--- a/src/dispatcher/metrics.rs
+++ b/src/dispatcher/metrics.rs
@@ -1,12 +1,12 @@
 //! What the program has taken in, sent and answered. Printed on SIGUSR1 and at exit.
-use super::termination::End;
+use super::termination::Termination;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::rc::Rc;
 
 /// Final answers of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct ClassMetrics {
     /// Served.
     pub success: u64,
     /// Refused.
@@ -17,9 +17,9 @@
 
 /// What operators are told, as of one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct MetricsSnapshot {
     /// Answers by the name of the class, also of classes that are no more.
-    pub classes: BTreeMap<Rc<str>, Tally>,
+    pub classes: BTreeMap<Rc<str>, ClassMetrics>,
     /// Attempts written whole to engines.
     pub dispatches: u64,
     /// Requests taken and not ended.
@@ -70,9 +70,9 @@
     /// Those that could not, and left the old one in force.
     pub reload_failures: u64,
     /// Final answers by the name of the class, with those that a front gave without the core.
-    pub classes: BTreeMap<Rc<str>, Tally>,
+    pub classes: BTreeMap<Rc<str>, ClassMetrics>,
     /// How attempts ended.
-    pub ends: BTreeMap<End, u64>,
+    pub ends: BTreeMap<Termination, u64>,
 }
 
 impl Counters {
@@ -120,6 +120,6 @@
         write!(f, "reload-failures {} ends", self.reload_failures)?;
         self.ends
             .iter()
-            .try_for_each(|(end, n)| write!(f, " {end:?}:{n}"))
+            .try_for_each(|(end, n)| write!(f, " {end}:{n}"))
     }
 }
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -11,19 +11,21 @@
 mod responses;
 pub mod termination;
 
-use crate::audit::{Decision, What};
-use crate::class_registry::{Class, Generations};
+use crate::audit::{Decision, DecisionKind};
+use crate::class_registry::{Class, ClassRegistry};
 use crate::clock::{MS, Micros, micros, nanos};
 use crate::policy::Gateway;
 use crate::policy::api::*;
 use crate::statement;
-use in_flight::{Open, Out, Ran};
-pub use message::{Answer, Ask, Cost, Ended, Failure, Job, Order, Origin, Session};
-use metrics::{Counters, Figures};
+use in_flight::{InFlightAttempt, InFlightRequest, PossibleExecution};
+pub use message::{
+    AttemptRequest, AttemptResult, ClientRequest, Command, Cost, Failure, Origin, Response, Session,
+};
+use metrics::{Counters, MetricsSnapshot};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::rc::Rc;
-use termination::{End, never_ran, outcome};
+use termination::{Termination, never_ran, outcome};
 
 /// How long after a client's deadline the core waits for the module's answer before it gives its
 /// own.
@@ -44,13 +46,13 @@
 const ELSEWHERE_AFTER: Micros = 50_000;
 
 /// The core.
-pub struct Manager {
+pub struct Dispatcher {
     module: Gateway,
-    generations: Generations,
+    generations: ClassRegistry,
     send_cap: u16,
-    engines: BTreeMap<EngineId, EngineEntry>,
-    heeds: Heeds,
-    open: BTreeMap<RequestId, Open>,
+    engines: BTreeMap<EngineId, Endpoint>,
+    heeds: EngineCapabilities,
+    open: BTreeMap<RequestId, InFlightRequest>,
     origins: BTreeMap<Origin, RequestId>,
     deadlines: BTreeSet<(Micros, RequestId)>,
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
@@ -68,14 +70,14 @@
     pub counters: Counters,
 }
 
-impl Manager {
+impl Dispatcher {
     /// A core that knows nothing but its settings.
-    pub fn new(now: Micros, settings: Settings, names: &[String], seed: u64) -> Manager {
-        let mut manager = Manager {
-            generations: Generations::new(named(&settings, names)),
+    pub fn new(now: Micros, settings: Settings, names: &[String], seed: u64) -> Dispatcher {
+        let mut manager = Dispatcher {
+            generations: ClassRegistry::new(named(&settings, names)),
             send_cap: send_cap(&settings),
             engines: BTreeMap::new(),
-            heeds: Heeds::of(&settings),
+            heeds: EngineCapabilities::of(&settings),
             open: BTreeMap::new(),
             module: Gateway::new(nanos(now), settings, seed),
             origins: BTreeMap::new(),
@@ -108,7 +110,7 @@
             .map(|(class, _)| class.spec.clone())
             .collect();
         self.send_cap = send_cap(&settings);
-        self.heeds = Heeds::of(&settings);
+        self.heeds = EngineCapabilities::of(&settings);
         self.module.retune(
             Settings {
                 classes,
@@ -155,7 +157,7 @@
             .unwrap_or_default()
     }
 
-    fn note(&mut self, class: ClassId, request: &Rc<str>, what: What) {
+    fn note(&mut self, class: ClassId, request: &Rc<str>, what: DecisionKind) {
         let (Some(decisions), Some(class)) = (&mut self.decisions, self.generations.class(class))
         else {
             return;
@@ -167,45 +169,45 @@
         });
     }
 
-    fn note_answer(&mut self, class: ClassId, request: &Rc<str>, answer: &Answer) {
+    fn note_answer(&mut self, class: ClassId, request: &Rc<str>, answer: &Response) {
         match answer {
-            Answer::Refused(after) => {
+            Response::Rejected(after) => {
                 let after = u32::try_from(after.unwrap_or(0) / MS).unwrap_or(u32::MAX);
-                self.note(class, request, What::Refuse(after));
+                self.note(class, request, DecisionKind::Refuse(after));
             }
-            Answer::Failed(_) => self.note(class, request, What::Fail),
+            Response::Failed(_) => self.note(class, request, DecisionKind::Fail),
             // One that was served is told by its dispatch; one that another process worded, by that
             // process.
-            Answer::Served(_) | Answer::Worded(_) => {}
+            Response::Completed(_) | Response::Preformatted(_) => {}
         }
     }
 
     /// Counts a final answer.
-    fn count(&mut self, class: ClassId, answer: &Answer) {
+    fn count(&mut self, class: ClassId, answer: &Response) {
         match answer {
-            Answer::Served(_) => self.counters.served += 1,
-            Answer::Refused(_) => self.counters.refused += 1,
-            Answer::Failed(_) => self.counters.failed += 1,
-            Answer::Worded(_) => {}
+            Response::Completed(_) => self.counters.served += 1,
+            Response::Rejected(_) => self.counters.refused += 1,
+            Response::Failed(_) => self.counters.failed += 1,
+            Response::Preformatted(_) => {}
         }
         self.tally(class, answer);
     }
 
-    fn tally(&mut self, class: ClassId, answer: &Answer) {
+    fn tally(&mut self, class: ClassId, answer: &Response) {
         let Some(class) = self.generations.class(class) else {
             return;
         };
         let tally = self.counters.classes.entry(class.name.clone()).or_default();
         match answer {
-            Answer::Served(_) => tally.success += 1,
-            Answer::Refused(_) => tally.overload += 1,
-            Answer::Failed(_) => tally.error += 1,
-            Answer::Worded(_) => {}
+            Response::Completed(_) => tally.success += 1,
+            Response::Rejected(_) => tally.overload += 1,
+            Response::Failed(_) => tally.error += 1,
+            Response::Preformatted(_) => {}
         }
     }
 
     /// A front turned a request of that class away by itself.
-    pub fn turned_away(&mut self, class: ClassId, answer: &Answer) {
+    pub fn turned_away(&mut self, class: ClassId, answer: &Response) {
         if self.decisions.is_some() {
             self.note_answer(class, &Rc::from(""), answer);
         }
@@ -214,8 +216,8 @@
 
     /// What operators are told; all but the attempts written, which the connections to engines
     /// count.
-    pub fn figures(&self) -> Figures {
-        Figures {
+    pub fn figures(&self) -> MetricsSnapshot {
+        MetricsSnapshot {
             classes: self.counters.classes.clone(),
             dispatches: 0,
             concurrent: self.counters.open(),
@@ -233,7 +235,7 @@
         timer.into_iter().chain(deadline).min()
     }
 
-    fn tell(&mut self, now: Micros, event: Event, orders: &mut Vec<Order>) {
+    fn tell(&mut self, now: Micros, event: Event, orders: &mut Vec<Command>) {
         let mut acts = std::mem::take(&mut self.acts);
         self.module.handle(nanos(now), event, &mut acts);
         acts.drain(..)
@@ -245,12 +247,12 @@
     pub fn list(
         &mut self,
         now: Micros,
-        kind: ListKind,
-        entries: Vec<EngineEntry>,
-        orders: &mut Vec<Order>,
+        kind: EndpointListKind,
+        entries: Vec<Endpoint>,
+        orders: &mut Vec<Command>,
     ) {
         self.counters.lists += 1;
-        if matches!(kind, ListKind::Cached | ListKind::Full) {
+        if matches!(kind, EndpointListKind::Cached | EndpointListKind::Full) {
             self.engines.clear();
         }
         self.engines.extend(entries.iter().map(|e| (e.id, *e)));
@@ -275,7 +277,7 @@
     }
 
     /// A request came in.
-    pub fn take(&mut self, now: Micros, ask: Ask, orders: &mut Vec<Order>) {
+    pub fn take(&mut self, now: Micros, ask: ClientRequest, orders: &mut Vec<Command>) {
         self.counters.taken += 1;
         // Guards the rule of one answer: a second request under a mark that is still open would
         // take the first one's answer.
@@ -284,17 +286,17 @@
             .class(ask.class)
             .filter(|_| !self.origins.contains_key(&ask.origin));
         let Some(of_class) = class.map(|class| class.spec.effect) else {
-            return self.turn_down(&ask, Answer::Failed(Failure::NotSent), orders);
+            return self.turn_down(&ask, Response::Failed(Failure::NotSent), orders);
         };
         // Guards rule 2: engines know a repeat by its key alone, so without one there is to be
         // none.
-        let keyed = matches!(of_class, Effect::Keyed { .. });
+        let keyed = matches!(of_class, Idempotency::WithKey { .. });
         let effect = if keyed && ask.once.is_none() {
-            Effect::Unsafe
+            Idempotency::NonIdempotent
         } else {
             of_class
         };
-        let copies = if self.heeds.copies && effect != Effect::Unsafe {
+        let copies = if self.heeds.copies && effect != Idempotency::NonIdempotent {
             MOST_COPIES
         } else {
             1
@@ -303,18 +305,18 @@
         // their names, and a second one under the name of the first would pass for its further
         // attempt, or take its answer.
         if self.keys.contains(&ask.key) {
-            return self.turn_down(&ask, Answer::Failed(Failure::InUse), orders);
+            return self.turn_down(&ask, Response::Failed(Failure::InUse), orders);
         }
         // Guards the limit on memory: as the module sees none of it, it is refused here.
         if self.statements + ask.statement.len() > self.most_statements {
-            return self.turn_down(&ask, Answer::Refused(Some(NO_ROOM_AFTER)), orders);
+            return self.turn_down(&ask, Response::Rejected(Some(NO_ROOM_AFTER)), orders);
         }
         self.keys.insert(ask.key.clone());
         self.statements += ask.statement.len();
         self.next_id = self.next_id.wrapping_add(1);
         let id = RequestId(self.next_id);
         let schema = ask.session.as_ref().and_then(|s| s.database.as_deref());
-        let event = Event::Request(NewRequest {
+        let event = Event::Request(Request {
             id,
             class: ask.class,
             tenant: ask.tenant,
@@ -325,24 +327,24 @@
             group: statement::group(&ask.statement, schema)
                 .map_or(0, |group| group.wrapping_add(1)),
             repeated: ask.repeated,
-            single: effect == Effect::Unsafe,
+            single: effect == Idempotency::NonIdempotent,
         });
         self.generations.opened(ask.class);
         self.origins.insert(ask.origin, id);
         self.deadlines.insert((ask.give_up_at + GUARD, id));
-        let open = Open::new(ask, effect, self.send_cap, copies);
+        let open = InFlightRequest::new(ask, effect, self.send_cap, copies);
         self.open.insert(id, open);
         self.tell(now, event, orders);
     }
 
-    fn turn_down(&mut self, ask: &Ask, answer: Answer, orders: &mut Vec<Order>) {
+    fn turn_down(&mut self, ask: &ClientRequest, answer: Response, orders: &mut Vec<Command>) {
         self.count(ask.class, &answer);
         self.note_answer(ask.class, &ask.key, &answer);
-        orders.push(Order::Answer(ask.origin, answer));
+        orders.push(Command::Answer(ask.origin, answer));
     }
 
     /// The client stopped waiting for one request.
-    pub fn withdraw(&mut self, now: Micros, origin: Origin, orders: &mut Vec<Order>) {
+    pub fn withdraw(&mut self, now: Micros, origin: Origin, orders: &mut Vec<Command>) {
         if let Some(id) = self.origins.remove(&origin) {
             self.counters.gone += 1;
             self.leave(now, id, orders);
@@ -350,7 +352,7 @@
     }
 
     /// A client's connection ended, with all that was open on it.
-    pub fn hung_up(&mut self, now: Micros, conn: u64, orders: &mut Vec<Order>) {
+    pub fn hung_up(&mut self, now: Micros, conn: u64, orders: &mut Vec<Command>) {
         let all = Origin { conn, tag: 0 }..=Origin {
             conn,
             tag: u64::MAX,
@@ -360,19 +362,19 @@
             .for_each(|origin| self.withdraw(now, origin, orders));
     }
 
-    fn leave(&mut self, now: Micros, id: RequestId, orders: &mut Vec<Order>) {
+    fn leave(&mut self, now: Micros, id: RequestId, orders: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
         open.closed = true;
         self.deadlines.remove(&(open.ask.give_up_at + GUARD, id));
         self.tell(now, Event::ClientGone(id), orders);
-        self.stop_all(id, End::Withdrawn, orders);
+        self.stop_all(id, Termination::Cancelled, orders);
         self.forget(id);
     }
 
     /// An attempt ended.
-    pub fn ended(&mut self, now: Micros, ended: Ended, orders: &mut Vec<Order>) {
+    pub fn ended(&mut self, now: Micros, ended: AttemptResult, orders: &mut Vec<Command>) {
         let id = ended.id;
         let known = self.open.get_mut(&id);
         // Guards against an end that comes twice, as when a time-out crosses an answer: the first
@@ -388,13 +390,13 @@
         }
         // An attempt that was given up did not fail: its time was up, or it was called off.
         let end = match (ended.end, out.stopping) {
-            (End::Withdrawn, Some(why)) => why,
+            (Termination::Cancelled, Some(why)) => why,
             (end, _) => end,
         };
         *self.counters.ends.entry(end).or_default() += 1;
         let kind = outcome(end, ended.reach);
         if !never_ran(kind) {
-            let ran = Ran {
+            let ran = PossibleExecution {
                 on: out.to,
                 sent_at: out.sent_at,
             };
@@ -413,7 +415,7 @@
         let served = kind == OutcomeKind::Ok && !open.closed;
         let closed = open.closed || served;
         if served {
-            self.close(id, Answer::Served(ended.rows), orders);
+            self.close(id, Response::Completed(ended.rows), orders);
         }
         let event = Event::Outcome(Outcome {
             id,
@@ -441,7 +443,7 @@
 
     /// The program is about to be killed: gives up what is open, refused where that is honest,
     /// since another manager may still serve it.
-    pub fn end_all(&mut self, now: Micros, orders: &mut Vec<Order>) {
+    pub fn end_all(&mut self, now: Micros, orders: &mut Vec<Command>) {
         let open: Vec<RequestId> = self
             .open
             .iter()
@@ -462,7 +464,7 @@
         kind: OutcomeKind,
         latency: Micros,
         load: LoadReport,
-        orders: &mut Vec<Order>,
+        orders: &mut Vec<Command>,
     ) {
         self.tell(
             now,
@@ -477,7 +479,7 @@
     }
 
     /// Timers and deadlines that are due.
-    pub fn due(&mut self, now: Micros, orders: &mut Vec<Order>) {
+    pub fn due(&mut self, now: Micros, orders: &mut Vec<Command>) {
         while let Some((at, id)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
             self.deadlines.remove(&(at, id));
             let Some(open) = self.open.get_mut(&id) else {
@@ -491,14 +493,14 @@
                     .map(|out| out.attempt);
                 let late: Vec<AttemptNo> = late.collect();
                 late.into_iter()
-                    .for_each(|attempt| self.stop(id, attempt, End::Deadline, orders));
+                    .for_each(|attempt| self.stop(id, attempt, Termination::Deadline, orders));
             } else if !open.closed {
                 // Guards the rule of one answer against an oversight of the module: it is late
                 // already.
                 self.counters.stopped += 1;
                 self.fail(id, Failure::Deadline, orders);
                 self.tell(now, Event::ClientGone(id), orders);
-                self.stop_all(id, End::Deadline, orders);
+                self.stop_all(id, Termination::Deadline, orders);
                 self.forget(id);
             }
         }
@@ -516,7 +518,7 @@
             .for_each(|token| self.tell(now, Event::Timer(token), orders));
     }
 
-    fn carry_out(&mut self, now: Micros, act: Action, orders: &mut Vec<Order>) {
+    fn carry_out(&mut self, now: Micros, act: Action, orders: &mut Vec<Command>) {
         match act {
             Action::Send {
                 id,
@@ -535,7 +537,7 @@
                     .is_some_and(|open| open.out(attempt).is_some())
                 {
                     self.counters.withdrawn += 1;
-                    self.stop(id, attempt, End::Withdrawn, orders);
+                    self.stop(id, attempt, Termination::Cancelled, orders);
                 }
             }
             Action::Refuse { id, retry_after } => self.refuse(id, micros(retry_after), orders),
@@ -543,7 +545,7 @@
                 let why = self.open.get(&id).and_then(|open| open.last_end);
                 let why = match why {
                     None => Failure::NotSent,
-                    Some(End::Deadline) => Failure::Deadline,
+                    Some(Termination::Deadline) => Failure::Deadline,
                     Some(end) => Failure::Attempt(end),
                 };
                 self.fail(id, why, orders);
@@ -554,10 +556,10 @@
             }
             Action::Probe { engine } => {
                 self.counters.probes += 1;
-                orders.push(Order::Probe(engine));
+                orders.push(Command::Probe(engine));
             }
-            Action::CloseIdle { engine } => orders.push(Order::CloseIdle(engine)),
-            Action::Log(line) => orders.push(Order::Log(line)),
+            Action::CloseIdle { engine } => orders.push(Command::CloseIdle(engine)),
+            Action::Log(line) => orders.push(Command::Log(line)),
             // Changes come by themselves, and gateways share nothing: there is nobody to ask or
             // tell.
             Action::Tell { .. } | Action::FetchList | Action::Watch(_) => {}
@@ -576,16 +578,16 @@
 
 /// What the settings let a manager say to engines, and believe of what they say.
 #[derive(Clone, Copy)]
-struct Heeds {
+struct EngineCapabilities {
     priorities: bool,
     grants: bool,
     costs: bool,
     copies: bool,
 }
 
-impl Heeds {
-    fn of(settings: &Settings) -> Heeds {
-        Heeds {
+impl EngineCapabilities {
+    fn of(settings: &Settings) -> EngineCapabilities {
+        EngineCapabilities {
             priorities: settings.priorities_heeded,
             grants: settings.grants_heeded,
             costs: settings.tells_cost,
--- a/src/dispatcher/responses.rs
+++ b/src/dispatcher/responses.rs
@@ -1,8 +1,8 @@
 //! Final answers: one each, and what is forgotten with them.
 use super::*;
 
-impl Manager {
-    pub(super) fn refuse(&mut self, id: RequestId, after: Micros, orders: &mut Vec<Order>) {
+impl Dispatcher {
+    pub(super) fn refuse(&mut self, id: RequestId, after: Micros, orders: &mut Vec<Command>) {
         let Some(open) = self.open.get(&id).filter(|open| !open.closed) else {
             return;
         };
@@ -11,16 +11,20 @@
             self.counters.stopped += 1;
             return self.fail(id, Failure::NotSent, orders);
         }
-        self.close(id, Answer::Refused(Some(after).filter(|t| *t > 0)), orders);
+        self.close(
+            id,
+            Response::Rejected(Some(after).filter(|t| *t > 0)),
+            orders,
+        );
     }
 
-    pub(super) fn fail(&mut self, id: RequestId, why: Failure, orders: &mut Vec<Order>) {
+    pub(super) fn fail(&mut self, id: RequestId, why: Failure, orders: &mut Vec<Command>) {
         if self.open.get(&id).is_some_and(|open| !open.closed) {
-            self.close(id, Answer::Failed(why), orders);
+            self.close(id, Response::Failed(why), orders);
         }
     }
 
-    pub(super) fn close(&mut self, id: RequestId, answer: Answer, orders: &mut Vec<Order>) {
+    pub(super) fn close(&mut self, id: RequestId, answer: Response, orders: &mut Vec<Command>) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
@@ -31,8 +35,8 @@
         self.note_answer(class, &key, &answer);
         self.origins.remove(&origin);
         self.deadlines.remove(&(at, id));
-        orders.push(Order::Answer(origin, answer));
-        self.stop_all(id, End::Withdrawn, orders);
+        orders.push(Command::Answer(origin, answer));
+        self.stop_all(id, Termination::Cancelled, orders);
         self.forget(id);
     }
 
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -1,8 +1,8 @@
 //! The second address, for operators alone: HTTP/1.1, one call to a connection. Parser and wording,
 //! no sockets.
-use crate::audit::Place;
+use crate::audit::RecordPosition;
 use crate::audit::store::PAGE;
-use crate::dispatcher::metrics::{Figures, Tally};
+use crate::dispatcher::metrics::{ClassMetrics, MetricsSnapshot};
 use crate::http::{self, Fault};
 use std::fmt::Write as _;
 
@@ -11,7 +11,7 @@
 
 /// What an operator can ask for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminRequest {
     /// `GET /ready`
     Ready,
     /// `GET /metrics`
@@ -26,12 +26,12 @@
     Duties,
     /// `GET /audit?since=LIFE.NUMBER&most=N`: what this manager decided after that record, and on
     /// what.
-    Audit(Place, usize),
+    Audit(RecordPosition, usize),
 }
 
 /// Why a call can't be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
+pub enum RequestError {
     /// It is not HTTP/1.x.
     Malformed,
     /// Its head is too long.
@@ -46,62 +46,66 @@
     Query,
 }
 
-const CALLS: [(&str, &str, Call); 7] = [
-    ("GET", "/ready", Call::Ready),
-    ("GET", "/metrics", Call::Metrics),
-    ("POST", "/drain", Call::Drain),
-    ("POST", "/undrain", Call::Undrain),
-    ("GET", "/fleet", Call::Fleet),
-    ("GET", "/duties", Call::Duties),
+const CALLS: [(&str, &str, AdminRequest); 7] = [
+    ("GET", "/ready", AdminRequest::Ready),
+    ("GET", "/metrics", AdminRequest::Metrics),
+    ("POST", "/drain", AdminRequest::Drain),
+    ("POST", "/undrain", AdminRequest::Undrain),
+    ("GET", "/fleet", AdminRequest::Fleet),
+    ("GET", "/duties", AdminRequest::Duties),
     (
         "GET",
         "/audit",
-        Call::Audit(Place { life: 0, number: 0 }, PAGE),
+        AdminRequest::Audit(RecordPosition { life: 0, number: 0 }, PAGE),
     ),
 ];
 
 /// Reads a call, if its head is there whole. A body means nothing.
-pub fn call(input: &[u8]) -> Result<Option<Call>, Wrong> {
+pub fn call(input: &[u8]) -> Result<Option<AdminRequest>, RequestError> {
     let (head, length) = match http::head(&input[..input.len().min(MOST_HEAD)]) {
         Ok(Some(read)) => read,
-        Ok(None) if input.len() >= MOST_HEAD => return Err(Wrong::TooLong),
+        Ok(None) if input.len() >= MOST_HEAD => return Err(RequestError::TooLong),
         // What can't become a call is told so at once, not after the deadline.
         Ok(None) if !input.is_empty() && !input[0].is_ascii_uppercase() => {
-            return Err(Wrong::Malformed);
+            return Err(RequestError::Malformed);
         }
         Ok(None) => return Ok(None),
-        Err(Fault::HeadTooLong) => return Err(Wrong::TooLong),
-        Err(_) => return Err(Wrong::Malformed),
+        Err(Fault::HeadTooLong) => return Err(RequestError::TooLong),
+        Err(_) => return Err(RequestError::Malformed),
     };
     debug_assert!(length <= input.len());
     let [method, target, version] = &head.first;
     if !version.starts_with("HTTP/1.") {
-        return Err(Wrong::Malformed);
+        return Err(RequestError::Malformed);
     }
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let (right, _, call) = CALLS
         .iter()
         .find(|(_, p, _)| *p == path)
-        .ok_or(Wrong::Unknown)?;
+        .ok_or(RequestError::Unknown)?;
     if method != right {
-        return Err(Wrong::Method(right));
+        return Err(RequestError::Method(right));
     }
     match call {
-        Call::Audit(since, most) => audit(query, *since, *most).map(Some),
+        AdminRequest::Audit(since, most) => audit(query, *since, *most).map(Some),
         _ => Ok(Some(*call)),
     }
 }
 
 /// The words of `GET /audit`: others than its own are left aside, as on the other calls.
-fn audit(query: &str, mut since: Place, mut most: usize) -> Result<Call, Wrong> {
+fn audit(
+    query: &str,
+    mut since: RecordPosition,
+    mut most: usize,
+) -> Result<AdminRequest, RequestError> {
     for word in query.split('&') {
         match word.split_once('=') {
-            Some(("since", place)) => since = place.parse().map_err(|_| Wrong::Query)?,
-            Some(("most", count)) => most = count.parse().map_err(|_| Wrong::Query)?,
+            Some(("since", place)) => since = place.parse().map_err(|_| RequestError::Query)?,
+            Some(("most", count)) => most = count.parse().map_err(|_| RequestError::Query)?,
             _ => {}
         }
     }
-    Ok(Call::Audit(since, most.clamp(1, PAGE)))
+    Ok(AdminRequest::Audit(since, most.clamp(1, PAGE)))
 }
 
 /// An answer, whole.
@@ -130,27 +134,27 @@
 }
 
 /// The answer to a call that can't be answered.
-pub fn wrong(why: Wrong) -> Vec<u8> {
+pub fn wrong(why: RequestError) -> Vec<u8> {
     match why {
-        Wrong::Malformed => answer(400, None, "this is no HTTP/1.1 request\n"),
-        Wrong::TooLong => answer(431, None, "the head of the request is too long\n"),
-        Wrong::Late => answer(408, None, "the request did not come whole in time\n"),
-        Wrong::Unknown => {
+        RequestError::Malformed => answer(400, None, "this is no HTTP/1.1 request\n"),
+        RequestError::TooLong => answer(431, None, "the head of the request is too long\n"),
+        RequestError::Late => answer(408, None, "the request did not come whole in time\n"),
+        RequestError::Unknown => {
             let calls = CALLS
                 .map(|(method, path, _)| format!("{method} {path}"))
                 .join(", ");
             answer(404, None, &format!("there are {calls}\n"))
         }
-        Wrong::Query => answer(400, None, "use since=LIFE.NUMBER and most=COUNT\n"),
-        Wrong::Method(right) => answer(405, Some(right), &format!("use {right}\n")),
+        RequestError::Query => answer(400, None, "use since=LIFE.NUMBER and most=COUNT\n"),
+        RequestError::Method(right) => answer(405, Some(right), &format!("use {right}\n")),
     }
 }
 
 /// All figures, one a line: the one table of their names.
-pub fn figures(f: &Figures) -> String {
+pub fn figures(f: &MetricsSnapshot) -> String {
     let mut out = String::with_capacity(1024);
     for (class, tally) in &f.classes {
-        let Tally {
+        let ClassMetrics {
             success,
             overload,
             error,
@@ -188,45 +192,48 @@
         for cut in 0..wire.len() {
             assert_eq!(call(&wire[..cut]), Ok(None));
         }
-        assert_eq!(call(wire), Ok(Some(Call::Drain)));
+        assert_eq!(call(wire), Ok(Some(AdminRequest::Drain)));
         assert_eq!(
             call(b"GET /metrics HTTP/1.0\r\n\r\n"),
-            Ok(Some(Call::Metrics))
+            Ok(Some(AdminRequest::Metrics))
         );
         assert_eq!(
             call(b"GET /drain HTTP/1.1\r\n\r\n"),
-            Err(Wrong::Method("POST"))
+            Err(RequestError::Method("POST"))
         );
-        assert_eq!(call(b"GET / HTTP/1.1\r\n\r\n"), Err(Wrong::Unknown));
-        assert_eq!(call(b"GET /ready HTTP/2\r\n\r\n"), Err(Wrong::Malformed));
-        assert_eq!(call(b"\x16\x03\x01"), Err(Wrong::Malformed));
+        assert_eq!(call(b"GET / HTTP/1.1\r\n\r\n"), Err(RequestError::Unknown));
+        assert_eq!(
+            call(b"GET /ready HTTP/2\r\n\r\n"),
+            Err(RequestError::Malformed)
+        );
+        assert_eq!(call(b"\x16\x03\x01"), Err(RequestError::Malformed));
         let long = [b"GET /ready HTTP/1.1\r\nX: ".as_slice(), &[b'a'; MOST_HEAD]].concat();
-        assert_eq!(call(&long), Err(Wrong::TooLong));
+        assert_eq!(call(&long), Err(RequestError::TooLong));
         let text = |why| String::from_utf8_lossy(&wrong(why)).into_owned();
         assert!(
-            text(Wrong::Method("POST")).starts_with("HTTP/1.1 405 ")
-                && text(Wrong::Method("POST")).contains("Allow: POST\r\n")
+            text(RequestError::Method("POST")).starts_with("HTTP/1.1 405 ")
+                && text(RequestError::Method("POST")).contains("Allow: POST\r\n")
         );
         assert!(
-            text(Wrong::Unknown).starts_with("HTTP/1.1 404 ")
-                && text(Wrong::TooLong).starts_with("HTTP/1.1 431 ")
+            text(RequestError::Unknown).starts_with("HTTP/1.1 404 ")
+                && text(RequestError::TooLong).starts_with("HTTP/1.1 431 ")
         );
     }
 
     /// Guards the names, which the operators' scrapers look for.
     #[test]
     fn each_figure_has_its_name_and_kind() {
-        let tally = Tally {
+        let tally = ClassMetrics {
             success: 812,
             overload: 3,
             error: 0,
         };
         let classes = [("lookup".into(), tally)].into_iter().collect();
-        let figures_now = Figures {
+        let figures_now = MetricsSnapshot {
             classes,
             concurrent: 14,
             targets: 7,
-            ..Figures::default()
+            ..MetricsSnapshot::default()
         };
         let text = figures(&figures_now);
         let lines: Vec<&str> = text.lines().collect();
--- a/src/frontend/clickhouse.rs
+++ b/src/frontend/clickhouse.rs
@@ -1,10 +1,10 @@
 //! The ClickHouse HTTP interface for clients: one query at a time on a connection that is kept
 //! alive.
-use super::{Cut, Front, Said};
+use super::{DisconnectReason, Front, FrontendEvent};
 use crate::clock::{MS, Micros, SEC};
 use crate::config::clickhouse::{ClassRules, Users};
-use crate::dispatcher::termination::End;
-use crate::dispatcher::{Answer, Ask, Failure, Origin, Session};
+use crate::dispatcher::termination::Termination;
+use crate::dispatcher::{ClientRequest, Failure, Origin, Response, Session};
 use crate::http::{self, Body, Fault, Head};
 use crate::policy::api::{ClassId, TenantId};
 use base64::prelude::{BASE64_STANDARD, Engine as _};
@@ -22,7 +22,7 @@
 const SERVER: &str = "X-ClickHouse-Server-Display-Name: yokelift\r\nX-ClickHouse-Timezone: UTC\r\n";
 
 /// What all connections of this front share.
-pub struct Service {
+pub struct ClickHouseShared {
     /// Which statements belong to which class.
     pub rules: RefCell<ClassRules>,
     /// Who belongs to which tenant.
@@ -40,74 +40,74 @@
 }
 
 /// A refusal or an error of this front: status, ClickHouse's code and its name, and what was wrong.
-type Wrong = (u16, u32, &'static str, &'static str);
+type RequestError = (u16, u32, &'static str, &'static str);
 
-const MALFORMED: Wrong = (
+const MALFORMED: RequestError = (
     400,
     27,
     "CANNOT_PARSE_INPUT_ASSERTION_FAILED",
     "the request is not HTTP/1.1",
 );
-const TOO_LONG: Wrong = (413, 307, "TOO_MANY_BYTES", "the statement is too long");
-const HEAD_TOO_LONG: Wrong = (
+const TOO_LONG: RequestError = (413, 307, "TOO_MANY_BYTES", "the statement is too long");
+const HEAD_TOO_LONG: RequestError = (
     431,
     307,
     "TOO_MANY_BYTES",
     "the head of the request is too long",
 );
-const TOO_SLOW: Wrong = (
+const TOO_SLOW: RequestError = (
     408,
     209,
     "SOCKET_TIMEOUT",
     "the request did not come whole in time",
 );
-const NO_ROOM: Wrong = (
+const NO_ROOM: RequestError = (
     503,
     202,
     "TOO_MANY_SIMULTANEOUS_QUERIES",
     "there is no room for long statements now: try again later",
 );
-const UNSUPPORTED: Wrong = (
+const UNSUPPORTED: RequestError = (
     501,
     48,
     "NOT_IMPLEMENTED",
     "this transfer coding is not supported",
 );
-const NO_PAGE: Wrong = (404, 60, "UNKNOWN_TABLE", "there is no such page");
-const NO_METHOD: Wrong = (405, 48, "NOT_IMPLEMENTED", "use GET or POST");
-const NO_QUERY: Wrong = (400, 62, "SYNTAX_ERROR", "empty query");
-const BAD_NUMBER: Wrong = (
+const NO_PAGE: RequestError = (404, 60, "UNKNOWN_TABLE", "there is no such page");
+const NO_METHOD: RequestError = (405, 48, "NOT_IMPLEMENTED", "use GET or POST");
+const NO_QUERY: RequestError = (400, 62, "SYNTAX_ERROR", "empty query");
+const BAD_NUMBER: RequestError = (
     400,
     27,
     "CANNOT_PARSE_INPUT_ASSERTION_FAILED",
     "a setting is not a number",
 );
-const BAD_URL: Wrong = (
+const BAD_URL: RequestError = (
     400,
     27,
     "CANNOT_PARSE_INPUT_ASSERTION_FAILED",
     "the URL can't be read",
 );
-const NO_FORMAT: Wrong = (
+const NO_FORMAT: RequestError = (
     400,
     73,
     "UNKNOWN_FORMAT",
     "use TabSeparated, CSV or JSONCompactEachRow",
 );
-const NO_DATABASES: Wrong = (
+const NO_DATABASES: RequestError = (
     400,
     48,
     "NOT_IMPLEMENTED",
     "some engines take qualified names only: name the schema in the statement",
 );
-const READONLY: Wrong = (405, 164, "READONLY", "a statement that writes needs POST");
-const UNKNOWN_USER: Wrong = (
+const READONLY: RequestError = (405, 164, "READONLY", "a statement that writes needs POST");
+const UNKNOWN_USER: RequestError = (
     401,
     516,
     "AUTHENTICATION_FAILED",
     "the user is unknown or the key is wrong",
 );
-const NO_TENANT: Wrong = (403, 497, "ACCESS_DENIED", "the user belongs to no tenant");
+const NO_TENANT: RequestError = (403, 497, "ACCESS_DENIED", "the user belongs to no tenant");
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Format {
@@ -229,7 +229,7 @@
 /// One client connection.
 pub struct ClickHouse {
     conn: u64,
-    service: Rc<Service>,
+    service: Rc<ClickHouseShared>,
     input: Vec<u8>,
     state: State,
     tags: u64,
@@ -242,7 +242,7 @@
 
 impl ClickHouse {
     /// A new connection.
-    pub fn new(conn: u64, service: Rc<Service>) -> ClickHouse {
+    pub fn new(conn: u64, service: Rc<ClickHouseShared>) -> ClickHouse {
         let (input, state, tags) = (Vec::new(), State::Head, 0);
         ClickHouse {
             conn,
@@ -258,7 +258,7 @@
     }
 
     /// Reads on until a request is open or more bytes are needed.
-    fn advance(&mut self, now: Micros, said: &mut Vec<Said>, replies: &mut Vec<u8>) {
+    fn advance(&mut self, now: Micros, said: &mut Vec<FrontendEvent>, replies: &mut Vec<u8>) {
         loop {
             match std::mem::replace(&mut self.state, State::Head) {
                 State::Head => match http::head(&self.input) {
@@ -308,7 +308,7 @@
     }
 
     /// Reads on, and notes since when the request has begun that is not whole.
-    fn read_on(&mut self, now: Micros, said: &mut Vec<Said>, replies: &mut Vec<u8>) {
+    fn read_on(&mut self, now: Micros, said: &mut Vec<FrontendEvent>, replies: &mut Vec<u8>) {
         let before = self.seen;
         self.advance(now, said, replies);
         let began = self.began.filter(|_| self.seen == before).unwrap_or(now);
@@ -324,7 +324,7 @@
 
     /// Answers what can't be read, and reads nothing more: where the next request begins is not
     /// known.
-    fn give_up(&mut self, what: Wrong, replies: &mut Vec<u8>) {
+    fn give_up(&mut self, what: RequestError, replies: &mut Vec<u8>) {
         self.strikes += 1;
         error(replies, what, "", false, (what == NO_ROOM).then_some(SEC));
         (self.input, self.state) = (Vec::new(), State::Last);
@@ -335,7 +335,7 @@
         now: Micros,
         head: &Head,
         body: Vec<u8>,
-        said: &mut Vec<Said>,
+        said: &mut Vec<FrontendEvent>,
         replies: &mut Vec<u8>,
     ) {
         self.seen += 1;
@@ -370,7 +370,7 @@
             ("GET" | "POST", "/") => match self.ask(now, head, &pairs, body) {
                 Ok((ask, busy)) => {
                     self.state = State::Busy(Busy { keep, ..busy });
-                    said.push(Said::Ask(ask));
+                    said.push(FrontendEvent::Ask(ask));
                 }
                 Err(what) => error(
                     replies,
@@ -389,7 +389,11 @@
         }
     }
 
-    fn tenant(&self, head: &Head, pairs: &[(String, String)]) -> Result<(String, TenantId), Wrong> {
+    fn tenant(
+        &self,
+        head: &Head,
+        pairs: &[(String, String)],
+    ) -> Result<(String, TenantId), RequestError> {
         let param = |name: &str| {
             pairs
                 .iter()
@@ -429,7 +433,7 @@
         head: &Head,
         pairs: &[(String, String)],
         body: Vec<u8>,
-    ) -> Result<(Ask, Busy), Wrong> {
+    ) -> Result<(ClientRequest, Busy), RequestError> {
         let param = |name: &str| {
             pairs
                 .iter()
@@ -497,7 +501,7 @@
             database: database.map(Into::into),
             query_id: Some(query_id.as_str().into()),
         };
-        let ask = Ask {
+        let ask = ClientRequest {
             origin: Origin {
                 conn: self.conn,
                 tag: self.tags,
@@ -527,7 +531,7 @@
     }
 }
 
-fn wrong(fault: Fault) -> Wrong {
+fn wrong(fault: Fault) -> RequestError {
     match fault {
         Fault::Malformed => MALFORMED,
         Fault::HeadTooLong => HEAD_TOO_LONG,
@@ -585,7 +589,13 @@
     replies.extend_from_slice(rest.as_bytes());
 }
 
-fn error(replies: &mut Vec<u8>, what: Wrong, query_id: &str, keep: bool, after: Option<Micros>) {
+fn error(
+    replies: &mut Vec<u8>,
+    what: RequestError,
+    query_id: &str,
+    keep: bool,
+    after: Option<Micros>,
+) {
     let (status, code, name, text) = what;
     start(replies, status, keep, query_id);
     let body = format!("Code: {code}. DB::Exception: {text}. ({name})\n");
@@ -608,24 +618,28 @@
         &mut self,
         now: Micros,
         input: &[u8],
-        said: &mut Vec<Said>,
+        said: &mut Vec<FrontendEvent>,
         replies: &mut Vec<u8>,
-    ) -> Result<(), End> {
+    ) -> Result<(), Termination> {
         if matches!(self.state, State::Last) {
             return Ok(());
         }
         self.input.extend_from_slice(input);
         self.read_on(now, said, replies);
         let ahead = matches!(self.state, State::Busy(_)) && self.input.len() > MOST_AHEAD;
-        if ahead { Err(End::Overflow) } else { Ok(()) }
+        if ahead {
+            Err(Termination::LocalLimit)
+        } else {
+            Ok(())
+        }
     }
 
     fn answer(
         &mut self,
         now: Micros,
         tag: u64,
-        answer: Answer,
-        said: &mut Vec<Said>,
+        answer: Response,
+        said: &mut Vec<FrontendEvent>,
         replies: &mut Vec<u8>,
     ) {
         let busy = match std::mem::replace(&mut self.state, State::Head) {
@@ -640,7 +654,7 @@
             busy.keep && !(self.service.stopping)(),
         );
         match answer {
-            Answer::Served(rows) => {
+            Response::Completed(rows) => {
                 let (format, name, mime) = busy.format;
                 let count = rows.iter().filter(|c| **c == b'\n').count();
                 let summary = format!(
@@ -670,14 +684,14 @@
                     replies.extend_from_slice(&rows);
                 }
             }
-            Answer::Refused(after) => {
+            Response::Rejected(after) => {
                 let text = "the pool is full, the query did not run: try again later";
                 let what = (503, 202, "TOO_MANY_SIMULTANEOUS_QUERIES", text);
                 error(replies, what, id, keep, Some(after.unwrap_or(SEC)));
             }
-            Answer::Failed(why) => error(replies, failure(why), id, keep, None),
+            Response::Failed(why) => error(replies, failure(why), id, keep, None),
             // Connections of this front are not passed on.
-            Answer::Worded(_) => {}
+            Response::Preformatted(_) => {}
         }
         self.state = if keep { State::Head } else { State::Last };
         self.read_on(now, said, replies);
@@ -700,14 +714,21 @@
             }
     }
 
-    fn cut_off(&mut self, why: Cut, replies: &mut Vec<u8>) {
+    fn cut_off(&mut self, why: DisconnectReason, replies: &mut Vec<u8>) {
         self.began = None;
         // What is ahead of its turn is dropped; the connection ends behind the answer that is owed.
         if let State::Busy(busy) = &mut self.state {
             (busy.keep, self.input) = (false, Vec::new());
             return;
         }
-        self.give_up(if why == Cut::Late { TOO_SLOW } else { NO_ROOM }, replies);
+        self.give_up(
+            if why == DisconnectReason::Late {
+                TOO_SLOW
+            } else {
+                NO_ROOM
+            },
+            replies,
+        );
     }
 
     fn useful(&self) -> bool {
@@ -725,7 +746,7 @@
 
 /// What has failed may have run, so no status here is one that client libraries repeat by
 /// themselves.
-fn failure(why: Failure) -> Wrong {
+fn failure(why: Failure) -> RequestError {
     match why {
         Failure::Deadline => (
             500,
@@ -740,7 +761,7 @@
             "the name of the query is in use",
         ),
         Failure::NotSent => (500, 439, "CANNOT_SCHEDULE_TASK", "the query was not sent"),
-        Failure::Attempt(End::Broke) => (
+        Failure::Attempt(Termination::EngineError) => (
             500,
             1002,
             "UNKNOWN_EXCEPTION",
--- a/src/frontend/jsonrpc.rs
+++ b/src/frontend/jsonrpc.rs
@@ -1,11 +1,11 @@
 //! The platform's protocol for clients: JSON-RPC 2.0 over TCP, one message per line.
-use super::{Cut, Front, Said};
+use super::{DisconnectReason, Front, FrontendEvent};
 use crate::clock::{MS, Micros};
 use crate::config::process::LiveNames;
 use crate::dispatcher::message::MOST_FIGURE;
-use crate::dispatcher::termination::End;
-use crate::dispatcher::{Answer, Ask, Failure, Origin};
-use crate::hot_restart::message::Handed;
+use crate::dispatcher::termination::Termination;
+use crate::dispatcher::{ClientRequest, Failure, Origin, Response};
+use crate::hot_restart::message::TransferredConnection;
 use crate::policy::api::{ClassId, TenantId};
 use base64::prelude::{BASE64_STANDARD, Engine as _};
 use serde::Deserialize;
@@ -104,7 +104,7 @@
     }
 
     /// Goes on with one that another process passed on.
-    pub fn resume(now: Micros, handed: &Handed, mut fresh: JsonRpc) -> JsonRpc {
+    pub fn resume(now: Micros, handed: &TransferredConnection, mut fresh: JsonRpc) -> JsonRpc {
         fresh.elsewhere = handed.open.iter().copied().collect();
         fresh.input = handed.input.clone();
         fresh.began = (!fresh.input.is_empty()).then_some(now);
@@ -132,7 +132,13 @@
         self.closing = true;
     }
 
-    fn line(&mut self, now: Micros, line: &[u8], said: &mut Vec<Said>, replies: &mut Vec<u8>) {
+    fn line(
+        &mut self,
+        now: Micros,
+        line: &[u8],
+        said: &mut Vec<FrontendEvent>,
+        replies: &mut Vec<u8>,
+    ) {
         if line.iter().all(u8::is_ascii_whitespace) {
             return;
         }
@@ -174,17 +180,17 @@
                 Ok(ask) => {
                     self.open.insert(ask.origin.tag);
                     self.useful = true;
-                    said.push(Said::Ask(ask));
+                    said.push(FrontendEvent::Ask(ask));
                 }
                 Err((code, what)) => {
                     if let Some(class) = self.class(method) {
                         let refused = code == REFUSED;
                         let answer = if refused {
-                            Answer::Refused(None)
+                            Response::Rejected(None)
                         } else {
-                            Answer::Failed(Failure::NotSent)
+                            Response::Failed(Failure::NotSent)
                         };
-                        said.push(Said::TurnedAway(class, answer));
+                        said.push(FrontendEvent::TurnedAway(class, answer));
                     }
                     // Guards the answer to the first request under a number: the second one's error
                     // is not for it.
@@ -196,7 +202,7 @@
     }
 
     /// One that was answered a moment ago is no fault, and no answer is owed.
-    fn withdraw(&mut self, params: &Value, said: &mut Vec<Said>) {
+    fn withdraw(&mut self, params: &Value, said: &mut Vec<FrontendEvent>) {
         let named = match params {
             Value::Object(params) => params.get("id").or_else(|| params.get("rpc")),
             Value::Array(params) => params.first(),
@@ -204,9 +210,9 @@
         };
         let named = named.and_then(Value::as_u64);
         if let Some(tag) = named.filter(|tag| self.open.remove(tag)) {
-            said.push(Said::Withdraw(tag));
+            said.push(FrontendEvent::Withdraw(tag));
         } else if let Some(tag) = named.filter(|tag| self.elsewhere.remove(tag)) {
-            said.push(Said::WithdrawElsewhere(tag));
+            said.push(FrontendEvent::WithdrawElsewhere(tag));
         }
     }
 
@@ -224,7 +230,7 @@
         method: &str,
         id: &Value,
         params: Value,
-    ) -> Result<Ask, (i64, &'static str)> {
+    ) -> Result<ClientRequest, (i64, &'static str)> {
         let class = self.class(method).ok_or((NO_METHOD, "no such class"))?;
         let tag = id
             .as_u64()
@@ -271,7 +277,7 @@
         let statement = BASE64_STANDARD
             .decode(&params.arg)
             .map_err(|_| (INVALID_PARAMS, "arg is not base64"))?;
-        Ok(Ask {
+        Ok(ClientRequest {
             origin: Origin {
                 conn: self.conn,
                 tag,
@@ -331,9 +337,9 @@
         &mut self,
         now: Micros,
         input: &[u8],
-        said: &mut Vec<Said>,
+        said: &mut Vec<FrontendEvent>,
         replies: &mut Vec<u8>,
-    ) -> Result<(), End> {
+    ) -> Result<(), Termination> {
         if self.closing {
             return Ok(());
         }
@@ -367,7 +373,7 @@
         Ok(())
     }
 
-    fn skim(&mut self, waiting: &[u8], from: usize, said: &mut Vec<Said>) -> usize {
+    fn skim(&mut self, waiting: &[u8], from: usize, said: &mut Vec<FrontendEvent>) -> usize {
         let mut at = from;
         while let Some(end) = waiting[at..]
             .iter()
@@ -399,8 +405,8 @@
         &mut self,
         _: Micros,
         tag: u64,
-        answer: Answer,
-        _: &mut Vec<Said>,
+        answer: Response,
+        _: &mut Vec<FrontendEvent>,
         replies: &mut Vec<u8>,
     ) {
         // Withdrawn a moment ago: no answer is owed.
@@ -409,28 +415,28 @@
         }
         let id = Value::from(tag);
         match answer {
-            Answer::Served(rows) => {
+            Response::Completed(rows) => {
                 let arg = BASE64_STANDARD.encode(rows);
                 reply(
                     replies,
                     &json!({"jsonrpc": "2.0", "id": id, "result": {"arg": arg}}),
                 );
             }
-            Answer::Worded(line) => replies.extend_from_slice(&line),
-            Answer::Refused(after) => {
+            Response::Preformatted(line) => replies.extend_from_slice(&line),
+            Response::Rejected(after) => {
                 error(replies, &id, REFUSED, "refused: try again later", after)
             }
-            Answer::Failed(Failure::Deadline) => {
+            Response::Failed(Failure::Deadline) => {
                 error(replies, &id, DEADLINE, "failed: time is up", None)
             }
-            Answer::Failed(Failure::InUse) => {
+            Response::Failed(Failure::InUse) => {
                 error(replies, &id, INVALID_PARAMS, "params.id is in use", None)
             }
-            Answer::Failed(Failure::NotSent) => {
+            Response::Failed(Failure::NotSent) => {
                 error(replies, &id, FAILED, "failed: not sent", None)
             }
-            Answer::Failed(Failure::Attempt(end)) => {
-                error(replies, &id, FAILED, &format!("failed: {end:?}"), None);
+            Response::Failed(Failure::Attempt(end)) => {
+                error(replies, &id, FAILED, &format!("failed: {end}"), None);
             }
         }
     }
@@ -439,11 +445,11 @@
         self.open.len() + self.elsewhere.len()
     }
 
-    fn hand_over(&self) -> Option<Handed> {
+    fn hand_over(&self) -> Option<TransferredConnection> {
         let open = self.open.iter().chain(&self.elsewhere).copied().collect();
         // Twice over there is nobody to ask: what an older process has open is waited for here.
         let may = !self.closing && self.elsewhere.is_empty();
-        may.then(|| Handed {
+        may.then(|| TransferredConnection {
             open,
             input: self.input.clone(),
             unwritten: Vec::new(),
@@ -462,11 +468,13 @@
         self.input.len()
     }
 
-    fn cut_off(&mut self, why: Cut, replies: &mut Vec<u8>) {
+    fn cut_off(&mut self, why: DisconnectReason, replies: &mut Vec<u8>) {
         (self.input, self.began) = (Vec::new(), None);
         match why {
-            Cut::Late => self.no_message(replies, PARSE_ERROR, "the message did not end in time"),
-            Cut::Room => {
+            DisconnectReason::Late => {
+                self.no_message(replies, PARSE_ERROR, "the message did not end in time")
+            }
+            DisconnectReason::Room => {
                 self.no_message(replies, REFUSED, "there is no room for long messages now")
             }
         }
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -5,26 +5,26 @@
 pub mod jsonrpc;
 
 use crate::clock::Micros;
-use crate::dispatcher::termination::End;
-use crate::dispatcher::{Answer, Ask};
-use crate::hot_restart::message::Handed;
+use crate::dispatcher::termination::Termination;
+use crate::dispatcher::{ClientRequest, Response};
+use crate::hot_restart::message::TransferredConnection;
 use crate::policy::api::ClassId;
 
 /// What a front made of a client's bytes.
-pub enum Said {
+pub enum FrontendEvent {
     /// A request.
-    Ask(Ask),
+    Ask(ClientRequest),
     /// The client stopped waiting for the request with that mark.
     Withdraw(u64),
     /// The same for a request that another process has open.
     WithdrawElsewhere(u64),
     /// A request of that class was turned away here, with that answer.
-    TurnedAway(ClassId, Answer),
+    TurnedAway(ClassId, Response),
 }
 
 /// Why a client is cut off within a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum DisconnectReason {
     /// The message takes too long.
     Late,
     /// All clients together have sent more than there is room for.
@@ -38,12 +38,12 @@
         &mut self,
         now: Micros,
         input: &[u8],
-        said: &mut Vec<Said>,
+        said: &mut Vec<FrontendEvent>,
         replies: &mut Vec<u8>,
-    ) -> Result<(), End>;
+    ) -> Result<(), Termination>;
     /// Looks through bytes that are to be read later, from a place in them on, for withdrawals of
     /// what is open: those count at once. Tells how far it looked.
-    fn skim(&mut self, waiting: &[u8], _from: usize, _said: &mut Vec<Said>) -> usize {
+    fn skim(&mut self, waiting: &[u8], _from: usize, _said: &mut Vec<FrontendEvent>) -> usize {
         waiting.len()
     }
     /// Words the final answer to the request with that mark, and reads on in what waited behind it.
@@ -51,8 +51,8 @@
         &mut self,
         now: Micros,
         tag: u64,
-        answer: Answer,
-        said: &mut Vec<Said>,
+        answer: Response,
+        said: &mut Vec<FrontendEvent>,
         replies: &mut Vec<u8>,
     );
     /// Requests on it that wait for their answer.
@@ -63,13 +63,13 @@
     fn held(&self) -> usize;
     /// Says why nothing more is read; what is open is answered, and then the connection is to be
     /// closed.
-    fn cut_off(&mut self, why: Cut, replies: &mut Vec<u8>);
+    fn cut_off(&mut self, why: DisconnectReason, replies: &mut Vec<u8>);
     /// Whether the client has said anything that could be used.
     fn useful(&self) -> bool;
     /// Messages that cost and brought nothing: turned away here, or withdrawn.
     fn strikes(&self) -> u64;
     /// What another process needs to go on with this connection; nothing if none can.
-    fn hand_over(&self) -> Option<Handed> {
+    fn hand_over(&self) -> Option<TransferredConnection> {
         None
     }
     /// The client withdrew this request, as another process says that now reads from it.
--- a/src/hot_restart/message.rs
+++ b/src/hot_restart/message.rs
@@ -21,7 +21,7 @@
 
 /// A line.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
+pub enum HotRestartMessage {
     /// The newer one's name, in this version of the protocol.
     Hello(String),
     /// The listeners that come with it.
@@ -33,7 +33,7 @@
     /// What the newer one leaves to others.
     Leave(f64),
     /// A client's connection, by its number at the older one.
-    Client(u64, Handed),
+    Client(u64, TransferredConnection),
     /// An answer of the older one to the request with that mark, worded.
     Answer(u64, u64, Vec<u8>),
     /// The client withdrew that request of the older one.
@@ -44,7 +44,7 @@
 
 /// What passes with a client's connection.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Handed {
+pub struct TransferredConnection {
     /// The marks of requests that are open elsewhere.
     pub open: Vec<u64>,
     /// What was read of a message that is not whole.
@@ -53,16 +53,16 @@
     pub unwritten: Vec<u8>,
 }
 
-impl Word {
+impl HotRestartMessage {
     /// As bytes: its line, and what follows it.
     pub fn bytes(&self) -> Vec<u8> {
         let mut out = self.line().into_bytes();
         match self {
-            Word::Client(_, handed) => {
+            HotRestartMessage::Client(_, handed) => {
                 out.extend_from_slice(&handed.input);
                 out.extend_from_slice(&handed.unwritten);
             }
-            Word::Answer(_, _, bytes) => out.extend_from_slice(bytes),
+            HotRestartMessage::Answer(_, _, bytes) => out.extend_from_slice(bytes),
             _ => {}
         }
         out
@@ -71,17 +71,17 @@
     /// As a line.
     pub fn line(&self) -> String {
         match self {
-            Word::Hello(name) => format!("{HELLO} {name}\n"),
-            Word::Take(addrs) => {
+            HotRestartMessage::Hello(name) => format!("{HELLO} {name}\n"),
+            HotRestartMessage::Take(addrs) => {
                 let all: Vec<String> = addrs.iter().map(SocketAddr::to_string).collect();
                 format!("take {}\n", all.join(" "))
             }
-            Word::Drained => "drained\n".into(),
-            Word::Ready => "ready\n".into(),
-            Word::Leave(part) => format!("leave {part:.3}\n"),
-            Word::Client(
+            HotRestartMessage::Drained => "drained\n".into(),
+            HotRestartMessage::Ready => "ready\n".into(),
+            HotRestartMessage::Leave(part) => format!("leave {part:.3}\n"),
+            HotRestartMessage::Client(
                 n,
-                Handed {
+                TransferredConnection {
                     open,
                     input,
                     unwritten,
@@ -95,17 +95,17 @@
                 };
                 format!("client {n} {ids} {} {}\n", input.len(), unwritten.len())
             }
-            Word::Answer(n, id, bytes) => format!("answer {n} {id} {}\n", bytes.len()),
-            Word::Withdraw(n, id) => format!("withdraw {n} {id}\n"),
-            Word::Gone(n) => format!("gone {n}\n"),
+            HotRestartMessage::Answer(n, id, bytes) => format!("answer {n} {id} {}\n", bytes.len()),
+            HotRestartMessage::Withdraw(n, id) => format!("withdraw {n} {id}\n"),
+            HotRestartMessage::Gone(n) => format!("gone {n}\n"),
         }
     }
 
     /// How many bytes follow its line, as it was read.
     fn follows(&self) -> usize {
         match self {
-            Word::Client(_, handed) => handed.input.len() + handed.unwritten.len(),
-            Word::Answer(_, _, bytes) => bytes.len(),
+            HotRestartMessage::Client(_, handed) => handed.input.len() + handed.unwritten.len(),
+            HotRestartMessage::Answer(_, _, bytes) => bytes.len(),
             _ => 0,
         }
     }
@@ -113,24 +113,24 @@
     /// Puts the bytes in that follow its line.
     fn fill(&mut self, bytes: &[u8]) {
         match self {
-            Word::Client(_, handed) => {
+            HotRestartMessage::Client(_, handed) => {
                 let (input, unwritten) = bytes.split_at(handed.input.len());
                 handed.input.copy_from_slice(input);
                 handed.unwritten.copy_from_slice(unwritten);
             }
-            Word::Answer(_, _, into) => into.copy_from_slice(bytes),
+            HotRestartMessage::Answer(_, _, into) => into.copy_from_slice(bytes),
             _ => {}
         }
     }
 
     /// From a line without its end, with zeros for bytes that follow; nothing if it is none of this
     /// version's.
-    pub fn read(line: &str) -> Option<Word> {
+    pub fn read(line: &str) -> Option<HotRestartMessage> {
         if let Some(name) = line.strip_prefix(HELLO) {
             return name
                 .strip_prefix(' ')
                 .filter(|n| !n.is_empty())
-                .map(|name| Word::Hello(name.to_owned()));
+                .map(|name| HotRestartMessage::Hello(name.to_owned()));
         }
         let (first, rest) = line.split_once(' ').unwrap_or((line, ""));
         let parts: Vec<&str> = rest.split(' ').collect();
@@ -151,28 +151,32 @@
                     .into_iter()
                     .map(|id| id.parse().ok())
                     .collect::<Option<_>>()?;
-                Some(Word::Client(
+                Some(HotRestartMessage::Client(
                     number(0)?,
-                    Handed {
+                    TransferredConnection {
                         open,
                         input: room(2)?,
                         unwritten: room(3)?,
                     },
                 ))
             }
-            "answer" if parts.len() == 3 => Some(Word::Answer(number(0)?, number(1)?, room(2)?)),
-            "withdraw" if parts.len() == 2 => Some(Word::Withdraw(number(0)?, number(1)?)),
-            "gone" if parts.len() == 1 => Some(Word::Gone(number(0)?)),
+            "answer" if parts.len() == 3 => {
+                Some(HotRestartMessage::Answer(number(0)?, number(1)?, room(2)?))
+            }
+            "withdraw" if parts.len() == 2 => {
+                Some(HotRestartMessage::Withdraw(number(0)?, number(1)?))
+            }
+            "gone" if parts.len() == 1 => Some(HotRestartMessage::Gone(number(0)?)),
             "take" => rest
                 .split(' ')
                 .map(|addr| addr.parse().ok())
                 .collect::<Option<_>>()
-                .map(Word::Take),
-            "drained" if rest.is_empty() => Some(Word::Drained),
-            "ready" if rest.is_empty() => Some(Word::Ready),
+                .map(HotRestartMessage::Take),
+            "drained" if rest.is_empty() => Some(HotRestartMessage::Drained),
+            "ready" if rest.is_empty() => Some(HotRestartMessage::Ready),
             "leave" => {
                 let part = rest.parse().ok().filter(|part| (0.0..=1.0).contains(part));
-                part.map(Word::Leave)
+                part.map(HotRestartMessage::Leave)
             }
             _ => None,
         }
@@ -181,19 +185,19 @@
 
 /// What came is no word of this version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoWord;
+pub struct UnknownMessage;
 
 /// Cuts what comes into words.
 #[derive(Default)]
-pub struct Reader {
+pub struct MessageReader {
     input: Vec<u8>,
     /// A word whose bytes are still to come.
-    begun: Option<Word>,
+    begun: Option<HotRestartMessage>,
 }
 
-impl Reader {
+impl MessageReader {
     /// The words that are whole by now; an error for anything else.
-    pub fn feed(&mut self, input: &[u8]) -> Result<Vec<Word>, NoWord> {
+    pub fn feed(&mut self, input: &[u8]) -> Result<Vec<HotRestartMessage>, UnknownMessage> {
         self.input.extend_from_slice(input);
         let mut words = Vec::new();
         loop {
@@ -208,13 +212,13 @@
             }
             let Some(end) = self.input.iter().position(|c| *c == b'\n') else {
                 return if self.input.len() > MOST_LINE {
-                    Err(NoWord)
+                    Err(UnknownMessage)
                 } else {
                     Ok(words)
                 };
             };
-            let text = std::str::from_utf8(&self.input[..end]).map_err(|_| NoWord)?;
-            self.begun = Some(Word::read(text).ok_or(NoWord)?);
+            let text = std::str::from_utf8(&self.input[..end]).map_err(|_| UnknownMessage)?;
+            self.begun = Some(HotRestartMessage::read(text).ok_or(UnknownMessage)?);
             self.input.drain(..=end);
         }
     }
@@ -230,27 +234,27 @@
     fn words_come_through_and_noise_does_not() {
         let addr = |port| SocketAddr::from(([127, 0, 0, 1], port));
         let all = [
-            Word::Hello("n0".into()),
-            Word::Take(vec![addr(5050), addr(8123)]),
-            Word::Drained,
-            Word::Ready,
-            Word::Leave(0.375),
-            Word::Client(
+            HotRestartMessage::Hello("n0".into()),
+            HotRestartMessage::Take(vec![addr(5050), addr(8123)]),
+            HotRestartMessage::Drained,
+            HotRestartMessage::Ready,
+            HotRestartMessage::Leave(0.375),
+            HotRestartMessage::Client(
                 7,
-                Handed {
+                TransferredConnection {
                     open: vec![3, 9],
                     input: b"{\n".to_vec(),
                     unwritten: b"half\n".to_vec(),
                 },
             ),
-            Word::Client(8, Handed::default()),
-            Word::Answer(7, 9, b"leave 1\n".to_vec()),
-            Word::Withdraw(7, 3),
-            Word::Gone(8),
+            HotRestartMessage::Client(8, TransferredConnection::default()),
+            HotRestartMessage::Answer(7, 9, b"leave 1\n".to_vec()),
+            HotRestartMessage::Withdraw(7, 3),
+            HotRestartMessage::Gone(8),
         ];
-        let wire: Vec<u8> = all.iter().flat_map(Word::bytes).collect();
+        let wire: Vec<u8> = all.iter().flat_map(HotRestartMessage::bytes).collect();
         for step in 1..wire.len() {
-            let mut reader = Reader::default();
+            let mut reader = MessageReader::default();
             let words = wire
                 .chunks(step)
                 .flat_map(|piece| reader.feed(piece).expect("words"));
@@ -265,9 +269,13 @@
             "leave NaN",
             "\u{1}",
         ] {
-            assert_eq!(Word::read(noise), None, "{noise}");
+            assert_eq!(HotRestartMessage::read(noise), None, "{noise}");
         }
-        assert!(Reader::default().feed(&[b'a'; MOST_LINE + 1]).is_err());
-        assert!(Reader::default().feed(b"\xff\xfe\n").is_err());
+        assert!(
+            MessageReader::default()
+                .feed(&[b'a'; MOST_LINE + 1])
+                .is_err()
+        );
+        assert!(MessageReader::default().feed(b"\xff\xfe\n").is_err());
     }
 }
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -24,21 +24,21 @@
 
 /// A named piece of fleet work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Duty {
+pub enum Resource {
     /// Asking an engine for its load.
     Probe(u64),
 }
 
-impl fmt::Display for Duty {
+impl fmt::Display for Resource {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Duty::Probe(engine) => write!(f, "probe:s-{engine:08x}"),
+            Resource::Probe(engine) => write!(f, "probe:s-{engine:08x}"),
         }
     }
 }
 
 /// Grows with each owner of a duty.
-pub type Token = u64;
+pub type FencingToken = u64;
 
 /// A process that may hold a lease: a restart under the same name is another one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
 /// The bounds of leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Terms {
+pub struct LeaseTiming {
     /// A lease stands so long unless it is renewed. All voters and candidates have to be given the
     /// same.
     pub term_ms: u64,
@@ -65,9 +65,9 @@
     pub ask_ms: u64,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms {
+impl Default for LeaseTiming {
+    fn default() -> LeaseTiming {
+        LeaseTiming {
             term_ms: 3_000,
             drift: 20,
             margin_ms: 100,
@@ -76,7 +76,7 @@
     }
 }
 
-impl Terms {
+impl LeaseTiming {
     /// Whether a lease can hold at all under these bounds.
     pub fn check(&self) -> Result<(), String> {
         let left = self
@@ -101,9 +101,9 @@
 
 /// The member that is to own a duty: the first by rendezvous hashing, so that one that comes or
 /// goes moves only its own duties.
-pub fn first<'a>(duty: Duty, members: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+pub fn first<'a>(duty: Resource, members: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let seed = match duty {
-        Duty::Probe(engine) => xxh3_64(&engine.to_be_bytes()),
+        Resource::Probe(engine) => xxh3_64(&engine.to_be_bytes()),
     };
     members.max_by_key(|name| (xxh3_64_with_seed(name.as_bytes(), seed), *name))
 }
@@ -111,22 +111,22 @@
 /// The highest token of each duty, for so many duties at most. Of those that go the highest token
 /// stays, as a floor for all that are not known: tokens never fall, whatever is forgotten.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Highest {
-    tokens: BTreeMap<Duty, Token>,
-    floor: Token,
+pub struct TokenHighWaterMarks {
+    tokens: BTreeMap<Resource, FencingToken>,
+    floor: FencingToken,
 }
 
 /// More duties than this are not remembered one by one.
 const KNOWN: usize = 1_024;
 
-impl Highest {
+impl TokenHighWaterMarks {
     /// The highest token of a duty.
-    pub fn of(&self, duty: Duty) -> Token {
+    pub fn of(&self, duty: Resource) -> FencingToken {
         self.tokens.get(&duty).copied().unwrap_or(self.floor)
     }
 
     /// A token was seen or granted.
-    pub fn raise(&mut self, duty: Duty, token: Token) {
+    pub fn raise(&mut self, duty: Resource, token: FencingToken) {
         if token <= self.of(duty) {
             return;
         }
@@ -144,7 +144,7 @@
     }
 
     /// All that are remembered one by one.
-    pub fn iter(&self) -> impl Iterator<Item = (Duty, Token)> {
+    pub fn iter(&self) -> impl Iterator<Item = (Resource, FencingToken)> {
         self.tokens.iter().map(|(duty, token)| (*duty, *token))
     }
 }
@@ -155,32 +155,32 @@
     /// The lease is the holder's, from now on for a term.
     Granted,
     /// It is not, and this is the highest token that the voter has granted.
-    Refused(Token),
+    Refused(FencingToken),
 }
 
 #[derive(Clone, Debug)]
 struct Grant {
     holder: Holder,
-    token: Token,
+    token: FencingToken,
     until: Micros,
 }
 
 /// The voter in a manager.
 #[derive(Clone, Debug)]
 pub struct Voter {
-    terms: Terms,
+    terms: LeaseTiming,
     /// What an earlier life of this voter granted may stand until then.
     silent_until: Micros,
-    grants: BTreeMap<Duty, Grant>,
+    grants: BTreeMap<Resource, Grant>,
     /// The highest token granted, kept over restarts.
-    highest: Highest,
+    highest: TokenHighWaterMarks,
 }
 
 impl Voter {
     /// A voter that starts now, with the highest tokens that its earlier lives granted as far as
     /// they were kept. It grants nothing for a term: an earlier life may have granted just before
     /// it ended.
-    pub fn new(terms: Terms, kept: Highest, now: Micros) -> Voter {
+    pub fn new(terms: LeaseTiming, kept: TokenHighWaterMarks, now: Micros) -> Voter {
         Voter {
             terms,
             silent_until: now + terms.granted(),
@@ -190,7 +190,7 @@
     }
 
     /// The highest tokens granted: to be kept before a grant under a new one is told.
-    pub fn highest(&self) -> &Highest {
+    pub fn highest(&self) -> &TokenHighWaterMarks {
         &self.highest
     }
 
@@ -199,9 +199,9 @@
     pub fn request(
         &mut self,
         now: Micros,
-        duty: Duty,
+        duty: Resource,
         holder: &Holder,
-        token: Token,
+        token: FencingToken,
     ) -> (Vote, bool) {
         let highest = self.highest.of(duty);
         // What is over is forgotten: its token stays among the highest.
@@ -232,7 +232,7 @@
     }
 
     /// An owner gives a lease up before its end.
-    pub fn release(&mut self, duty: Duty, holder: &Holder, token: Token) {
+    pub fn release(&mut self, duty: Resource, holder: &Holder, token: FencingToken) {
         if self
             .grants
             .get(&duty)
@@ -245,15 +245,15 @@
 
 /// The highest token seen for each duty. Guards against what a former owner still hands out.
 #[derive(Clone, Debug, Default)]
-pub struct Fence {
-    highest: Highest,
+pub struct FencingGuard {
+    highest: TokenHighWaterMarks,
     /// What was dropped for its token.
     pub dropped: u64,
 }
 
-impl Fence {
+impl FencingGuard {
     /// Whether what comes under that token counts.
-    pub fn accepts(&mut self, duty: Duty, token: Token) -> bool {
+    pub fn accepts(&mut self, duty: Resource, token: FencingToken) -> bool {
         let counts = token >= self.highest.of(duty);
         self.dropped += u64::from(!counts);
         self.highest.raise(duty, token);
@@ -261,17 +261,17 @@
     }
 
     /// A token was seen in use.
-    pub fn saw(&mut self, duty: Duty, token: Token) {
+    pub fn saw(&mut self, duty: Resource, token: FencingToken) {
         self.highest.raise(duty, token);
     }
 
     /// All that was seen.
-    pub fn seen(&self) -> impl Iterator<Item = (Duty, Token)> {
+    pub fn seen(&self) -> impl Iterator<Item = (Resource, FencingToken)> {
         self.highest.iter()
     }
 
     /// The highest token seen.
-    pub fn highest(&self, duty: Duty) -> Token {
+    pub fn highest(&self, duty: Resource) -> FencingToken {
         self.highest.of(duty)
     }
 }
@@ -283,14 +283,14 @@
     /// same token would count for a term that this voter never granted.
     number: u32,
     asked: Micros,
-    token: Token,
+    token: FencingToken,
     granted: BTreeSet<String>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Lease {
     /// Held under that token until then, by this manager's clock.
-    held: Option<(Token, Micros)>,
+    held: Option<(FencingToken, Micros)>,
     round: Option<Round>,
     /// Nobody needs it after that.
     wanted_until: Micros,
@@ -304,28 +304,28 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Ask that voter for the duty under the token; the vote has to carry the number.
-    Ask(String, Duty, Token, u32),
+    Ask(String, Resource, FencingToken, u32),
     /// Tell that voter that the lease is given up.
-    Release(String, Duty, Token),
+    Release(String, Resource, FencingToken),
     /// The duty is owned from now on.
-    Owned(Duty, Token),
+    Owned(Resource, FencingToken),
     /// It is not any more.
-    Over(Duty, Token),
+    Over(Resource, FencingToken),
 }
 
 /// The candidate in a manager, and the owner of what it holds.
 pub struct Candidate {
     me: Holder,
     voters: Vec<String>,
-    terms: Terms,
-    leases: BTreeMap<Duty, Lease>,
+    terms: LeaseTiming,
+    leases: BTreeMap<Resource, Lease>,
     rounds: u32,
     random: Pcg32,
 }
 
 impl Candidate {
     /// A candidate that holds nothing.
-    pub fn new(me: Holder, voters: Vec<String>, terms: Terms, seed: u64) -> Candidate {
+    pub fn new(me: Holder, voters: Vec<String>, terms: LeaseTiming, seed: u64) -> Candidate {
         Candidate {
             me,
             voters,
@@ -343,13 +343,13 @@
 
     /// The token under which it owns a duty now. To be asked before every action for the duty, and
     /// again after every wait.
-    pub fn owns(&self, duty: Duty, now: Micros) -> Option<Token> {
+    pub fn owns(&self, duty: Resource, now: Micros) -> Option<FencingToken> {
         self.lease(duty, now).map(|(token, _)| token)
     }
 
     /// The same, and until when: what was ordered for the duty and not done by then must not be
     /// done.
-    pub fn lease(&self, duty: Duty, now: Micros) -> Option<(Token, Micros)> {
+    pub fn lease(&self, duty: Resource, now: Micros) -> Option<(FencingToken, Micros)> {
         self.leases
             .get(&duty)?
             .held
@@ -357,7 +357,7 @@
     }
 
     /// All that it owns, with what is left of each term.
-    pub fn owned(&self, now: Micros) -> impl Iterator<Item = (Duty, Token, Micros)> {
+    pub fn owned(&self, now: Micros) -> impl Iterator<Item = (Resource, FencingToken, Micros)> {
         let held = self
             .leases
             .iter()
@@ -368,7 +368,13 @@
 
     /// The duty is this manager's to do, and somebody needs it: for two terms more it is asked for
     /// and renewed.
-    pub fn want(&mut self, duty: Duty, fence: &Fence, now: Micros, out: &mut Vec<Action>) {
+    pub fn want(
+        &mut self,
+        duty: Resource,
+        fence: &FencingGuard,
+        now: Micros,
+        out: &mut Vec<Action>,
+    ) {
         let lease = self.leases.entry(duty).or_default();
         lease.wanted_until = now + 2 * self.terms.granted();
         if lease.held.is_none_or(|(_, until)| now >= until)
@@ -379,7 +385,7 @@
         }
     }
 
-    fn ask(&mut self, duty: Duty, token: Token, now: Micros, out: &mut Vec<Action>) {
+    fn ask(&mut self, duty: Resource, token: FencingToken, now: Micros, out: &mut Vec<Action>) {
         self.rounds = self.rounds.wrapping_add(1);
         let lease = self.leases.entry(duty).or_default();
         lease.round = Some(Round {
@@ -402,9 +408,9 @@
     pub fn vote(
         &mut self,
         voter: &str,
-        (duty, number): (Duty, u32),
+        (duty, number): (Resource, u32),
         vote: &Vote,
-        fence: &mut Fence,
+        fence: &mut FencingGuard,
         now: Micros,
         out: &mut Vec<Action>,
     ) {
@@ -438,7 +444,7 @@
 
     /// Time passes: leases end, are renewed while they are needed and this manager is the one to
     /// own them, or are given up.
-    pub fn tick(&mut self, mine: impl Fn(Duty) -> bool, now: Micros, out: &mut Vec<Action>) {
+    pub fn tick(&mut self, mine: impl Fn(Resource) -> bool, now: Micros, out: &mut Vec<Action>) {
         let renew_before = self.terms.valid() - self.terms.granted() / 3;
         let (mut renew, mut give_up) = (Vec::new(), Vec::new());
         for (duty, lease) in &mut self.leases {
@@ -490,7 +496,7 @@
         });
     }
 
-    fn give_up(&mut self, duty: Duty, token: Token, out: &mut Vec<Action>) {
+    fn give_up(&mut self, duty: Resource, token: FencingToken, out: &mut Vec<Action>) {
         self.leases.remove(&duty);
         out.push(Action::Over(duty, token));
         out.extend(
--- a/src/lease/shared_probe.rs
+++ b/src/lease/shared_probe.rs
@@ -4,7 +4,7 @@
 //! owner asks the engine once for all that wait, tells what it heard under its token, and tells it
 //! again for a moment. Wherever there is no owner, or it does not answer in time, a manager asks
 //! the engine itself, as it does without duties: nothing is worse than that.
-use super::{Action, Candidate, Duty, Fence, Token};
+use super::{Action, Candidate, FencingGuard, FencingToken, Resource};
 use crate::clock::{MS, Micros};
 use crate::policy::api::{LoadReport, OutcomeKind};
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,7 @@
 
 /// What a probe brought.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Sounding {
+pub struct ProbeResult {
     /// The engine answered well.
     pub well: bool,
     /// It could not be reached.
@@ -36,11 +36,11 @@
     pub load: [f32; 4],
 }
 
-impl Sounding {
+impl ProbeResult {
     /// From what a probe brought here.
-    pub fn new(kind: OutcomeKind, took: Micros, load: &LoadReport) -> Sounding {
+    pub fn new(kind: OutcomeKind, took: Micros, load: &LoadReport) -> ProbeResult {
         let (well, unreachable) = (kind == OutcomeKind::Ok, kind == OutcomeKind::ConnectFailed);
-        Sounding {
+        ProbeResult {
             well,
             unreachable,
             took,
@@ -74,16 +74,16 @@
     /// Ask the engine, for others that wait, unless it is later than this by then.
     ProbeForOthers(u64, Micros),
     /// Tell the module.
-    Give(u64, Sounding),
+    Give(u64, ProbeResult),
     /// Ask that member under that number.
     Want(String, u64, u32),
     /// Tell one that asked, under its number and this token.
-    Tell(SocketAddr, u64, u32, Token, Sounding),
+    Tell(SocketAddr, u64, u32, FencingToken, ProbeResult),
     /// This manager does not own the duty.
     NotMine(SocketAddr, u64, u32),
 }
 
-struct Asked {
+struct PendingProbe {
     number: u32,
     at: Micros,
     /// How often the module wants it.
@@ -92,27 +92,27 @@
 
 /// Both sides: the one that wants to know, and the owner.
 #[derive(Default)]
-pub struct Prober {
+pub struct SharedProber {
     /// An owner that has not answered by then is as none.
     ask_wait: Micros,
     numbers: u32,
-    asked: BTreeMap<u64, Asked>,
+    asked: BTreeMap<u64, PendingProbe>,
     /// Engines whose owner is not asked until then.
     silent: BTreeMap<u64, Micros>,
     /// What engines told, and when.
-    heard: BTreeMap<u64, (Sounding, Micros)>,
+    heard: BTreeMap<u64, (ProbeResult, Micros)>,
     /// Who waits for an engine that was asked, and since when the first does.
     waiting: BTreeMap<u64, (Micros, Vec<(SocketAddr, u32)>)>,
     /// Probes spared: answered by an owner, or by the owner from what it had heard.
     pub spared: u64,
 }
 
-impl Prober {
+impl SharedProber {
     /// One that waits so long for an owner.
-    pub fn new(ask_wait: Micros) -> Prober {
-        Prober {
+    pub fn new(ask_wait: Micros) -> SharedProber {
+        SharedProber {
             ask_wait,
-            ..Prober::default()
+            ..SharedProber::default()
         }
     }
 
@@ -122,11 +122,11 @@
         &mut self,
         engine: u64,
         first: Option<&str>,
-        (candidate, fence): (&mut Candidate, &Fence),
+        (candidate, fence): (&mut Candidate, &FencingGuard),
         now: Micros,
         (actions, steps): (&mut Vec<Action>, &mut Vec<Step>),
     ) {
-        let duty = Duty::Probe(engine);
+        let duty = Resource::Probe(engine);
         let Some(first) = first else {
             candidate.want(duty, fence, now, actions);
             let fresh = self
@@ -149,7 +149,7 @@
         self.numbers = self.numbers.wrapping_add(1);
         self.asked.insert(
             engine,
-            Asked {
+            PendingProbe {
                 number: self.numbers,
                 at: now,
                 times: 1,
@@ -158,7 +158,7 @@
         steps.push(Step::Want(first.to_owned(), engine, self.numbers));
     }
 
-    fn fresh(&self, engine: u64, now: Micros) -> Option<Sounding> {
+    fn fresh(&self, engine: u64, now: Micros) -> Option<ProbeResult> {
         self.heard
             .get(&engine)
             .filter(|(_, at)| now < at + FRESH)
@@ -170,11 +170,11 @@
         &mut self,
         (from, engine, number): (SocketAddr, u64, u32),
         mine: bool,
-        (candidate, fence): (&mut Candidate, &Fence),
+        (candidate, fence): (&mut Candidate, &FencingGuard),
         now: Micros,
         (actions, steps): (&mut Vec<Action>, &mut Vec<Step>),
     ) {
-        let duty = Duty::Probe(engine);
+        let duty = Resource::Probe(engine);
         if mine {
             candidate.want(duty, fence, now, actions);
         }
@@ -199,14 +199,14 @@
     pub fn answered(
         &mut self,
         engine: u64,
-        sounding: Option<Sounding>,
+        sounding: Option<ProbeResult>,
         candidate: &Candidate,
         now: Micros,
         steps: &mut Vec<Step>,
     ) {
         self.heard
             .extend(sounding.map(|sounding| (engine, (sounding, now))));
-        let token = candidate.owns(Duty::Probe(engine), now);
+        let token = candidate.owns(Resource::Probe(engine), now);
         for (whom, number) in self
             .waiting
             .remove(&engine)
@@ -224,13 +224,13 @@
     pub fn told(
         &mut self,
         (engine, number): (u64, u32),
-        token: Token,
-        sounding: Sounding,
-        fence: &mut Fence,
+        token: FencingToken,
+        sounding: ProbeResult,
+        fence: &mut FencingGuard,
         steps: &mut Vec<Step>,
     ) {
         if self.asked.get(&engine).is_none_or(|a| a.number != number)
-            || !fence.accepts(Duty::Probe(engine), token)
+            || !fence.accepts(Resource::Probe(engine), token)
         {
             return;
         }
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -56,7 +56,7 @@
 
 /// A process that follows this one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Next {
+pub enum SuccessorState {
     /// There is none.
     #[default]
     None,
@@ -76,7 +76,7 @@
     closing: bool,
     /// The part of the manager that older processes still have.
     older: f64,
-    next: Next,
+    next: SuccessorState,
     /// What is left of the work that was open when it was asked to end, as a part of it.
     left: f64,
     /// Behind the fleet's majority for too long: it says it is not ready.
@@ -92,7 +92,7 @@
             stopping_at,
             closing: false,
             older: 0.0,
-            next: Next::None,
+            next: SuccessorState::None,
             left: 1.0,
             shut_out: false,
         }
@@ -144,7 +144,7 @@
     }
 
     /// A process that follows this one came, is ready, or went.
-    pub fn followed(&mut self, next: Next) {
+    pub fn followed(&mut self, next: SuccessorState) {
         self.next = next;
     }
 
@@ -163,8 +163,8 @@
             (Some(_), ..) => Stage::Stopping,
             (_, Some(_), ..) => Stage::Draining,
             (_, _, false, _) => Stage::Starting,
-            (_, _, true, Next::Ready) => Stage::HandingOver,
-            (_, _, true, Next::None | Next::Coming) => Stage::Ready,
+            (_, _, true, SuccessorState::Ready) => Stage::HandingOver,
+            (_, _, true, SuccessorState::None | SuccessorState::Coming) => Stage::Ready,
         }
     }
 
@@ -208,7 +208,11 @@
     /// Until when it accepts connections: forever unless it was asked to end. With a successor at
     /// the same line nothing that waits there is lost.
     pub fn accepts_until(&self) -> Option<Micros> {
-        let linger = if self.next == Next::Ready { 0 } else { LINGER };
+        let linger = if self.next == SuccessorState::Ready {
+            0
+        } else {
+            LINGER
+        };
         self.stopping_at.map(|at| at + linger)
     }
 
@@ -224,7 +228,7 @@
         let drained = self.drained_at.map(|at| at + LEARNS + spread(SPREAD));
         let stopped = self
             .stopping_at
-            .filter(|_| self.next == Next::Ready)
+            .filter(|_| self.next == SuccessorState::Ready)
             .map(|at| at + spread(SPREAD_OVER));
         drained.into_iter().chain(stopped).min()
     }
@@ -234,7 +238,7 @@
         let drained = self.drained_at.map(|at| at + CLOSES);
         let over = self
             .stopping_at
-            .filter(|_| self.next == Next::Ready)
+            .filter(|_| self.next == SuccessorState::Ready)
             .map(|at| at + CLOSES_OVER);
         self.closing || drained.into_iter().chain(over).any(|at| at <= now)
     }
@@ -257,14 +261,14 @@
     /// Whether the process that follows this one takes the clients: then it ends once it holds
     /// none.
     pub fn handed_over(&self) -> bool {
-        self.stopping_at.is_some() && self.next == Next::Ready
+        self.stopping_at.is_some() && self.next == SuccessorState::Ready
     }
 
     /// When what is still open is given up, so that its client hears of it before the kill, which
     /// comes no sooner than the longest deadline, within the bounds of the platform, and 0.7 s
     /// more.
     pub fn gives_up_at(&self, longest: Micros) -> Option<Micros> {
-        let most = if self.next == Next::Ready {
+        let most = if self.next == SuccessorState::Ready {
             LONGEST_OVER
         } else {
             LONGEST
@@ -275,7 +279,7 @@
 
     /// What part of the limits and shares of this manager is this process's.
     pub fn part(&self) -> f64 {
-        let mine = if self.next == Next::Ready {
+        let mine = if self.next == SuccessorState::Ready {
             0.5 * self.left
         } else {
             1.0
@@ -285,7 +289,7 @@
 
     /// What part a process that follows this one has to leave to those before it.
     pub fn leaves(&self) -> f64 {
-        let mine = if self.next == Next::Ready {
+        let mine = if self.next == SuccessorState::Ready {
             self.part()
         } else {
             (1.0 - self.older) * 0.5
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -15,16 +15,16 @@
 
 /// What one place in the code has logged of late.
 #[derive(Default)]
-pub struct Place {
+pub struct CallSite {
     since: Cell<Micros>,
     lines: Cell<u32>,
     dropped: Cell<u64>,
 }
 
-impl Place {
+impl CallSite {
     /// A place that has logged nothing.
-    pub const fn new() -> Place {
-        Place {
+    pub const fn new() -> CallSite {
+        CallSite {
             since: Cell::new(0),
             lines: Cell::new(0),
             dropped: Cell::new(0),
@@ -54,8 +54,8 @@
 #[macro_export]
 macro_rules! log {
     ($($arg:tt)*) => {{
-        thread_local! { static PLACE: $crate::logging::Place = const { $crate::logging::Place::new() }; }
-        if let Some(dropped) = PLACE.with($crate::logging::Place::admit) {
+        thread_local! { static PLACE: $crate::logging::CallSite = const { $crate::logging::CallSite::new() }; }
+        if let Some(dropped) = PLACE.with($crate::logging::CallSite::admit) {
             let line = format!($($arg)*);
             match dropped {
                 0 => eprintln!("yokelift: {line}"),
@@ -72,7 +72,7 @@
     /// Guards against a fault that comes with every request and fills the log.
     #[test]
     fn a_place_logs_a_few_lines_a_second_and_says_what_it_left_out() {
-        let place = Place::new();
+        let place = CallSite::new();
         let admitted = (0..50).filter(|_| place.admit().is_some()).count();
         assert_eq!((admitted, place.dropped.get()), (MOST as usize, 45));
         place.since.set(0);
--- a/src/main.rs
+++ b/src/main.rs
@@ -13,19 +13,19 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
-use yokelift::audit::{Acting, Under};
-use yokelift::backend::clickhouse::Login;
-use yokelift::config::clickhouse::{self, ClassRules, Deploy, Users};
-use yokelift::config::fleet::Fleet;
+use yokelift::audit::{ActiveConfiguration, DecisionContext};
+use yokelift::backend::clickhouse::Credentials;
+use yokelift::config::clickhouse::{self, ClassRules, ClickHouseConfig, Users};
+use yokelift::config::fleet::FleetConfig;
 use yokelift::config::process::{self, Config};
-use yokelift::dispatcher::Manager;
-use yokelift::frontend::clickhouse::{ClickHouse, Service};
+use yokelift::dispatcher::Dispatcher;
+use yokelift::frontend::clickhouse::{ClickHouse, ClickHouseShared};
 use yokelift::frontend::jsonrpc::JsonRpc;
-use yokelift::net::discovery::coordinator::Move;
+use yokelift::net::discovery::coordinator::CoordinatorMigration;
 use yokelift::net::discovery::endpoint_list::Http;
 use yokelift::net::discovery::{coordinator, endpoint_list};
-use yokelift::net::dispatcher::Input;
-use yokelift::net::reload::{Reload, Second};
+use yokelift::net::dispatcher::DispatcherEvent;
+use yokelift::net::reload::{ClickHouseFrontend, Reload};
 use yokelift::net::{self, Shared, client, dispatcher, hot_restart, tenant_directory};
 use yokelift::policy::api::Readiness;
 use yokelift::tenant_directory::Tenants;
@@ -35,7 +35,7 @@
 const READY_ANYWAY: Duration = Duration::from_millis(700);
 
 /// The engines of a deploy file, with the names of the settings.
-fn http_engines(deploy: &Deploy, names: &process::Names) -> Result<Http, String> {
+fn http_engines(deploy: &ClickHouseConfig, names: &process::Names) -> Result<Http, String> {
     let mut http = Http::default();
     let mut ids = std::collections::BTreeSet::new();
     for line in &deploy.engines {
@@ -61,7 +61,7 @@
         }
     }
     http.engines = Rc::new(ids);
-    http.login = Rc::new(Login {
+    http.login = Rc::new(Credentials {
         user: deploy.login.user.clone(),
         key: deploy.login.key.clone(),
     });
@@ -70,13 +70,13 @@
 
 /// What all connections of the second front share.
 fn service(
-    deploy: &Deploy,
+    deploy: &ClickHouseConfig,
     config: &Config,
     names: &process::Names,
     shared: &Rc<Shared>,
-) -> Result<Service, String> {
+) -> Result<ClickHouseShared, String> {
     let (databases, stopping, next) = (shared.clone(), shared.clone(), Cell::new(config.seed));
-    Ok(Service {
+    Ok(ClickHouseShared {
         rules: RefCell::new(ClassRules::new(deploy, names)?),
         users: RefCell::new(Users::new(deploy, names)?),
         deadlines: RefCell::new(
@@ -103,14 +103,14 @@
     config: PathBuf,
     deploy: Option<PathBuf>,
     /// The fleet's membership, with `PROXY_FLEET`.
-    fleet: Option<Fleet>,
+    fleet: Option<FleetConfig>,
 }
 
-fn serve(config: Config, deploy: Option<Deploy>, files: Files) -> Result<(), String> {
+fn serve(config: Config, deploy: Option<ClickHouseConfig>, files: Files) -> Result<(), String> {
     let shared = Shared::new(config.limits.sockets, config.limits.memory_mb);
     let life = clock::turn();
     let settings = net::fleet::membership::settings_hash(&config.text);
-    shared.acting.set(Acting {
+    shared.acting.set(ActiveConfiguration {
         generation: 1,
         settings,
         list: 0,
@@ -127,7 +127,7 @@
             );
             net::audit::start(
                 &shared,
-                Under {
+                DecisionContext {
                     member,
                     life,
                     build,
@@ -197,14 +197,14 @@
 
     let tenants = Tenants::new(&names, config.settings.tenants.clone());
     let settings = config.settings.clone();
-    let mut manager = Manager::new(clock::turn(), config.settings, &names.classes, config.seed);
+    let mut manager = Dispatcher::new(clock::turn(), config.settings, &names.classes, config.seed);
     manager.hold_at_most(shared.most_unread_bytes.get());
     let (core, mailbox) = bounded(dispatcher::MAILBOX);
     let (coordinator, moves) = bounded(1);
     if let Some((socket, at, fleet)) = fleet {
         let (name, module, coordinator) = (config.name.clone(), core.clone(), coordinator.clone());
         let managers = settings.gateways;
-        let seat = net::fleet::membership::Seat {
+        let seat = net::fleet::membership::MembershipService {
             name,
             life,
             fleet,
@@ -244,7 +244,7 @@
             heard,
         ));
         let _ = move_on
-            .send(Move {
+            .send(CoordinatorMigration {
                 addr: Some(addr),
                 known: Vec::new(),
             })
@@ -281,7 +281,7 @@
         let serves = move || {
             starts.close();
             if let Some(place) = place {
-                let older = hot_restart::Older {
+                let older = hot_restart::Predecessor {
                     place,
                     name,
                     listeners: passed,
@@ -311,7 +311,7 @@
     } else {
         starts.0.close();
         if let Some(place) = place {
-            let older = hot_restart::Older {
+            let older = hot_restart::Predecessor {
                 place,
                 name: config.name.clone(),
                 listeners: passed,
@@ -331,7 +331,7 @@
     if let (Some(service), Some(listener), Some(deploy)) = (second, second_listener, deploy) {
         let file = Rc::new(RefCell::new(service.users.borrow().clone()));
         let directory = deploy.directory.is_some();
-        reload.second = files.deploy.map(|path| Second {
+        reload.second = files.deploy.map(|path| ClickHouseFrontend {
             path,
             service: service.clone(),
             file: file.clone(),
@@ -364,21 +364,21 @@
     shared.spawn(async move {
         while let Some(Ok(signal)) = signals.next().await {
             let input = match signal {
-                Signal::Usr1 => Input::Report,
+                Signal::Usr1 => DispatcherEvent::Report,
                 Signal::Hup => match reload.again().await {
                     Ok(()) => {
                         log!("read the configuration again");
-                        Input::Reloaded(true)
+                        DispatcherEvent::Reloaded(true)
                     }
                     Err(e) => {
                         log!("the configuration can't be used, the old one stands: {e}");
-                        Input::Reloaded(false)
+                        DispatcherEvent::Reloaded(false)
                     }
                 },
                 _ => {
                     log!("asked to end: answering what is open");
                     flags.life.borrow_mut().stop(clock::turn());
-                    Input::Stop
+                    DispatcherEvent::Stop
                 }
             };
             let _ = core.send(input).await;
@@ -405,7 +405,7 @@
     let fleet = fleet.map(|path| {
         let text =
             std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-        Fleet::parse(&text)
+        FleetConfig::parse(&text)
     });
     let files = Files {
         config: PathBuf::from(path),
--- a/src/membership/codec.rs
+++ b/src/membership/codec.rs
@@ -1,6 +1,6 @@
 //! The datagrams between managers, in postcard behind a tag of the format. What can't be read is
 //! dropped and counted by the caller; nothing here panics on what comes in.
-use super::{Message, Rumour};
+use super::{MemberUpdate, Message};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -10,7 +10,7 @@
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum DecodeError {
     /// Not of this protocol, or of another version of its format.
     Foreign,
     /// Of this format, but cut short or spoilt.
@@ -33,7 +33,7 @@
 }
 
 /// The message of a datagram no longer than `most`.
-pub fn decode(datagram: &[u8], most: usize) -> Result<Message, Unread> {
+pub fn decode(datagram: &[u8], most: usize) -> Result<Message, DecodeError> {
     unpack(TAG, datagram, most)
 }
 
@@ -42,14 +42,14 @@
     tag: [u8; 4],
     datagram: &[u8],
     most: usize,
-) -> Result<T, Unread> {
+) -> Result<T, DecodeError> {
     if datagram.len() > most {
-        return Err(Unread::Oversized);
+        return Err(DecodeError::Oversized);
     }
-    let body = datagram.strip_prefix(&tag).ok_or(Unread::Foreign)?;
+    let body = datagram.strip_prefix(&tag).ok_or(DecodeError::Foreign)?;
     match postcard::take_from_bytes::<T>(body) {
         Ok((value, [])) => Ok(value),
-        _ => Err(Unread::Spoilt),
+        _ => Err(DecodeError::Spoilt),
     }
 }
 
@@ -59,6 +59,6 @@
 }
 
 /// The bytes one piece of news takes within a message.
-pub fn rumour_size(rumour: &Rumour) -> usize {
+pub fn rumour_size(rumour: &MemberUpdate) -> usize {
     postcard::to_allocvec(rumour).map_or(usize::MAX / 2, |v| v.len())
 }
