--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -24,7 +24,7 @@
 
 /// What a manager acts on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Versions {
+pub struct RunningVersions {
     /// The program's build.
     pub build: String,
     /// The number of the settings generation: 1 at the start, one more for each configuration
@@ -41,7 +41,7 @@
 
 /// What a member is taken to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Health {
+pub enum MemberState {
     /// It answers.
     Alive,
     /// It did not answer a round of probes; it may still refute.
@@ -54,7 +54,7 @@
 
 /// A member's news, as it is passed on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rumour {
+pub struct MemberUpdate {
     /// Its name, the same after a restart.
     pub name: String,
     /// Where its datagrams are taken.
@@ -62,14 +62,14 @@
     /// Higher in each life, and within a life at each refutation or change of versions.
     pub incarnation: u64,
     /// What it is taken to be.
-    pub health: Health,
+    pub health: MemberState,
     /// What it acts on.
-    pub versions: Versions,
+    pub versions: RunningVersions,
 }
 
 /// What a datagram asks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum MessageBody {
     /// Answer with an ack of this number.
     Ping(u32),
     /// An answer to a ping of this number.
@@ -88,11 +88,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     /// The sender's own news: every datagram is a sign of life.
-    pub from: Rumour,
+    pub from: MemberUpdate,
     /// What it asks.
-    pub kind: Kind,
+    pub kind: MessageBody,
     /// News of others.
-    pub gossip: Vec<Rumour>,
+    pub gossip: Vec<MemberUpdate>,
 }
 
 /// The timings and bounds of the protocol.
@@ -157,14 +157,14 @@
     /// Send this datagram.
     Send(SocketAddr, Box<Message>),
     /// A member is now taken to be this.
-    Changed(String, Health),
+    Changed(String, MemberState),
 }
 
 /// A member as this manager sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// Its latest news.
-    pub rumour: Rumour,
+    pub rumour: MemberUpdate,
     /// Since when it is as it is; of one suspected, the last time that an ack of it came after all.
     pub since: Micros,
     /// Suspected for the whole time, it is pinged a last time.
@@ -186,7 +186,7 @@
 
 /// The membership of one manager.
 pub struct Membership {
-    me: Rumour,
+    me: MemberUpdate,
     timing: Timing,
     members: BTreeMap<String, Member>,
     /// Seeds to ping while they are not known by name.
@@ -212,7 +212,7 @@
     /// One manager, its first news, and the addresses of some others. The incarnation of the first
     /// news should be higher than that of any earlier life under the same name.
     pub fn new(
-        me: Rumour,
+        me: MemberUpdate,
         timing: Timing,
         seeds: Vec<SocketAddr>,
         seed: u64,
@@ -241,7 +241,7 @@
     }
 
     /// This manager's own news.
-    pub fn me(&self) -> &Rumour {
+    pub fn me(&self) -> &MemberUpdate {
         &self.me
     }
 
@@ -263,13 +263,13 @@
         let suspects = self
             .members
             .values()
-            .filter(|m| m.rumour.health == Health::Suspect && !m.last_call);
+            .filter(|m| m.rumour.health == MemberState::Suspect && !m.last_call);
         let suspects = suspects.map(|m| m.since + self.suspicion());
         probes.chain(suspects).fold(self.next_probe, Micros::min)
     }
 
     /// What this manager acts on has changed: a new incarnation carries it.
-    pub fn versions(&mut self, versions: Versions) {
+    pub fn versions(&mut self, versions: RunningVersions) {
         if versions != self.me.versions {
             self.me.versions = versions;
             self.me.incarnation += 1;
@@ -286,7 +286,7 @@
             .take(self.timing.indirect.max(1))
             .collect();
         for to in targets {
-            self.send(to, Kind::Leave, out);
+            self.send(to, MessageBody::Leave, out);
         }
     }
 
@@ -294,7 +294,7 @@
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.time_out_probes(now, out);
         let suspicion = self.suspicion();
-        let unrefuted = |m: &Member| m.rumour.health == Health::Suspect && !m.last_call;
+        let unrefuted = |m: &Member| m.rumour.health == MemberState::Suspect && !m.last_call;
         let over: Vec<String> = (self.members.iter())
             .filter(|(_, m)| unrefuted(m) && now >= m.since + suspicion)
             .map(|(name, _)| name.clone())
@@ -322,10 +322,14 @@
             return;
         }
         let sender = message.from.name.clone();
-        let leaving = message.kind == Kind::Leave;
+        let leaving = message.kind == MessageBody::Leave;
         let mut news = message.from;
         news.addr = from;
-        news.health = if leaving { Health::Left } else { Health::Alive };
+        news.health = if leaving {
+            MemberState::Left
+        } else {
+            MemberState::Alive
+        };
         let incarnation = news.incarnation;
         let heard = self.hear(news, now, out);
         let known = self
@@ -333,7 +337,7 @@
             .get(&sender)
             .map(|m| (m.rumour.incarnation, m.rumour.health));
         let stale = known.is_some_and(|(i, h)| {
-            incarnation < i || !heard && matches!(h, Health::Dead | Health::Left)
+            incarnation < i || !heard && matches!(h, MemberState::Dead | MemberState::Left)
         });
         if stale {
             // A datagram of an earlier life, or of one declared dead that has not refuted yet: it
@@ -341,7 +345,7 @@
             self.dropped += 1;
             // What it says of this manager still counts: one taken for dead on both sides must be
             // able to refute.
-            let mine: Vec<Rumour> = message
+            let mine: Vec<MemberUpdate> = message
                 .gossip
                 .into_iter()
                 .filter(|r| r.name == self.me.name)
@@ -349,12 +353,12 @@
             for rumour in mine {
                 self.hear(rumour, now, out);
             }
-            if known.is_some_and(|(i, h)| incarnation == i && h == Health::Dead) {
+            if known.is_some_and(|(i, h)| incarnation == i && h == MemberState::Dead) {
                 // It is told, so that it can refute if it lives.
                 let dead = self.members[&sender].rumour.clone();
                 let tell = Message {
                     from: self.me.clone(),
-                    kind: Kind::Ack(0),
+                    kind: MessageBody::Ack(0),
                     gossip: vec![dead],
                 };
                 out.push(Action::Send(from, Box::new(tell)));
@@ -362,15 +366,15 @@
             return;
         }
         // What stands on a page was passed on before: it is not news.
-        let news = !matches!(message.kind, Kind::Page(..));
+        let news = !matches!(message.kind, MessageBody::Page(..));
         for rumour in message.gossip {
             self.take_in(rumour, news, now, out);
         }
         match message.kind {
-            Kind::Ping(seq) => {
-                self.send(from, Kind::Ack(seq), out);
+            MessageBody::Ping(seq) => {
+                self.send(from, MessageBody::Ack(seq), out);
             }
-            Kind::Ack(seq) => {
+            MessageBody::Ack(seq) => {
                 let Some(probe) = self.probes.remove(&seq) else {
                     return;
                 };
@@ -378,15 +382,15 @@
                 // everywhere.
                 if let Some(member) = self.members.get_mut(&probe.target) {
                     member.doubted = false;
-                    if member.rumour.health == Health::Suspect {
+                    if member.rumour.health == MemberState::Suspect {
                         (member.since, member.last_call) = (now, false);
                     }
                 }
                 if let Some((whom, their)) = probe.for_whom {
-                    self.send(whom, Kind::Ack(their), out);
+                    self.send(whom, MessageBody::Ack(their), out);
                 }
             }
-            Kind::PingReq(their, target) => {
+            MessageBody::PingReq(their, target) => {
                 self.seq = self.seq.wrapping_add(1);
                 let name = self
                     .members
@@ -403,27 +407,27 @@
                     last: false,
                 };
                 self.probes.insert(self.seq, probe);
-                self.send(target, Kind::Ping(self.seq), out);
+                self.send(target, MessageBody::Ping(self.seq), out);
             }
-            Kind::Sync(after) => {
+            MessageBody::Sync(after) => {
                 let page = self.page(&after);
                 out.push(Action::Send(from, Box::new(page)));
             }
-            Kind::Page(last, end) => {
+            MessageBody::Page(last, end) => {
                 self.synced = match end {
                     // Guards a start of all at once: the first that are asked know few themselves.
                     true => (String::new(), !std::mem::take(&mut self.grew)),
                     false => (last, self.synced.1),
                 };
             }
-            Kind::Leave => {}
+            MessageBody::Leave => {}
         }
     }
 
     /// A datagram with the members after that name, as many as fit.
     fn page(&self, after: &str) -> Message {
-        let mut kind = Kind::Page(after.to_owned(), true);
-        let mut gossip: Vec<Rumour> = Vec::new();
+        let mut kind = MessageBody::Page(after.to_owned(), true);
+        let mut gossip: Vec<MemberUpdate> = Vec::new();
         let head = Message {
             from: self.me.clone(),
             kind: kind.clone(),
@@ -444,7 +448,7 @@
             if size > room {
                 // One that would never fit is passed over.
                 let last = gossip.last().map_or(name, |last| &last.name).clone();
-                kind = Kind::Page(last, false);
+                kind = MessageBody::Page(last, false);
                 break;
             }
             room -= size;
@@ -458,20 +462,20 @@
     }
 
     /// Takes news in if it is newer than what is known. Whether it was.
-    fn hear(&mut self, rumour: Rumour, now: Micros, out: &mut Vec<Action>) -> bool {
+    fn hear(&mut self, rumour: MemberUpdate, now: Micros, out: &mut Vec<Action>) -> bool {
         self.take_in(rumour, true, now, out)
     }
 
     /// The same; with `pass_on` it is passed on to others.
     fn take_in(
         &mut self,
-        rumour: Rumour,
+        rumour: MemberUpdate,
         pass_on: bool,
         now: Micros,
         out: &mut Vec<Action>,
     ) -> bool {
         if rumour.name == self.me.name {
-            if rumour.health != Health::Alive && rumour.incarnation >= self.me.incarnation {
+            if rumour.health != MemberState::Alive && rumour.incarnation >= self.me.incarnation {
                 // Suspected or declared dead while alive: refute with a higher incarnation.
                 self.me.incarnation = rumour.incarnation + 1;
                 let name = self.me.name.clone();
@@ -503,7 +507,7 @@
         if was.as_ref().is_none_or(|w| w.rumour.health != health) {
             out.push(Action::Changed(name.clone(), health));
         }
-        if health != Health::Alive {
+        if health != MemberState::Alive {
             self.probes
                 .retain(|_, p| p.target != name || p.for_whom.is_some());
         }
@@ -513,7 +517,7 @@
         true
     }
 
-    fn set_health(&mut self, name: &str, health: Health, now: Micros, out: &mut Vec<Action>) {
+    fn set_health(&mut self, name: &str, health: MemberState, now: Micros, out: &mut Vec<Action>) {
         let Some(member) = self.members.get_mut(name) else {
             return;
         };
@@ -548,7 +552,7 @@
         });
         for (seq, target) in indirect {
             if let Some(addr) = self.members.get(&target).map(|m| m.rumour.addr) {
-                self.send(addr, Kind::Ping(seq), out);
+                self.send(addr, MessageBody::Ping(seq), out);
             }
             self.ask_others(seq, &target, out);
         }
@@ -560,11 +564,13 @@
                 // Guards the fleet's news: with a fifth of all datagrams lost one round in thirteen
                 // fails, and of 300 members twenty were suspected a period, more than news can
                 // carry refutations of.
-                (Health::Alive, false) => {
+                (MemberState::Alive, false) => {
                     member.doubted = true;
                     self.round.push(target);
                 }
-                (Health::Alive, true) => self.set_health(&target, Health::Suspect, now, out),
+                (MemberState::Alive, true) => {
+                    self.set_health(&target, MemberState::Suspect, now, out)
+                }
                 _ => {}
             }
         }
@@ -572,9 +578,9 @@
             if self
                 .members
                 .get(&target)
-                .is_some_and(|m| m.rumour.health == Health::Suspect && m.last_call)
+                .is_some_and(|m| m.rumour.health == MemberState::Suspect && m.last_call)
             {
-                self.set_health(&target, Health::Dead, now, out);
+                self.set_health(&target, MemberState::Dead, now, out);
             }
         }
     }
@@ -598,7 +604,7 @@
             last: true,
         };
         self.probes.insert(seq, probe);
-        self.send(addr, Kind::Ping(seq), out);
+        self.send(addr, MessageBody::Ping(seq), out);
         self.ask_others(seq, name, out);
     }
 
@@ -617,7 +623,7 @@
             others.swap(i, j);
         }
         for to in others.into_iter().take(self.timing.indirect) {
-            self.send(to, Kind::PingReq(seq, addr), out);
+            self.send(to, MessageBody::PingReq(seq, addr), out);
         }
     }
 
@@ -628,25 +634,27 @@
         if !self.seeds.is_empty() {
             let seed = self.seeds[self.random.next_u32() as usize % self.seeds.len()];
             self.seq = self.seq.wrapping_add(1);
-            self.send(seed, Kind::Ping(self.seq), out);
+            self.send(seed, MessageBody::Ping(self.seq), out);
         }
         // One taken for dead is greeted too: if it lives, each side learns what the other thinks of
         // it and refutes. This heals a partition in which both sides declared the other dead.
         let dead: Vec<SocketAddr> = self
             .members
             .values()
-            .filter(|m| m.rumour.health == Health::Dead)
+            .filter(|m| m.rumour.health == MemberState::Dead)
             .map(|m| m.rumour.addr)
             .collect();
         if !dead.is_empty() {
             let to = dead[self.random.next_u32() as usize % dead.len()];
             self.seq = self.seq.wrapping_add(1);
-            self.send(to, Kind::Ping(self.seq), out);
+            self.send(to, MessageBody::Ping(self.seq), out);
         }
         let target = loop {
             let Some(name) = self.round.pop() else {
                 let mut round: Vec<String> = (self.members.iter())
-                    .filter(|(_, m)| matches!(m.rumour.health, Health::Alive | Health::Suspect))
+                    .filter(|(_, m)| {
+                        matches!(m.rumour.health, MemberState::Alive | MemberState::Suspect)
+                    })
                     .map(|(n, _)| n.clone())
                     .collect();
                 if round.is_empty() {
@@ -659,7 +667,10 @@
                 continue;
             };
             if let Some(member) = self.members.get(&name)
-                && matches!(member.rumour.health, Health::Alive | Health::Suspect)
+                && matches!(
+                    member.rumour.health,
+                    MemberState::Alive | MemberState::Suspect
+                )
             {
                 break (name, member.rumour.addr);
             }
@@ -673,7 +684,7 @@
             last: false,
         };
         self.probes.insert(self.seq, probe);
-        self.send(target.1, Kind::Ping(self.seq), out);
+        self.send(target.1, MessageBody::Ping(self.seq), out);
     }
 
     /// Reads a page of the members from one that lives: each period while that brings new ones,
@@ -687,14 +698,14 @@
         if !alive.is_empty() {
             let whom = alive[self.random.next_u32() as usize % alive.len()];
             let after = self.synced.0.clone();
-            self.send(whom, Kind::Sync(after), out);
+            self.send(whom, MessageBody::Sync(after), out);
         }
     }
 
     fn alive(&self) -> impl Iterator<Item = &Member> {
         self.members
             .values()
-            .filter(|m| m.rumour.health == Health::Alive)
+            .filter(|m| m.rumour.health == MemberState::Alive)
     }
 
     /// log2 of the members, at least 1: how the suspicion's time and the passing on grow with the
@@ -715,18 +726,18 @@
 
     /// Sends a datagram. One taken for suspect or dead is told so first, so that it can refute at
     /// once if it lives.
-    fn send(&mut self, to: SocketAddr, kind: Kind, out: &mut Vec<Action>) {
+    fn send(&mut self, to: SocketAddr, kind: MessageBody, out: &mut Vec<Action>) {
         let told = self
             .members
             .values()
-            .find(|m| m.rumour.addr == to && m.rumour.health != Health::Alive);
+            .find(|m| m.rumour.addr == to && m.rumour.health != MemberState::Alive);
         let told = told.map(|m| m.rumour.clone());
         let message = self.message(kind, told);
         out.push(Action::Send(to, Box::new(message)));
     }
 
     /// A datagram with as much news as fits, the least passed on first.
-    fn message(&mut self, kind: Kind, first: Option<Rumour>) -> Message {
+    fn message(&mut self, kind: MessageBody, first: Option<MemberUpdate>) -> Message {
         let mut message = Message {
             from: self.me.clone(),
             kind,
@@ -761,8 +772,8 @@
 /// Whether `new` is news over `old`, by the precedence of SWIM: a higher incarnation wins; at the
 /// same one, suspicion over life, and death or leaving over both. A new life, with a higher
 /// incarnation, comes back from death.
-pub fn overrides(new: &Rumour, old: &Rumour) -> bool {
-    use Health::*;
+pub fn overrides(new: &MemberUpdate, old: &MemberUpdate) -> bool {
+    use MemberState::*;
     match (new.health, old.health) {
         (Alive, _) => new.incarnation > old.incarnation,
         (Suspect, Alive) => new.incarnation >= old.incarnation,
@@ -774,7 +785,7 @@
 
 /// Where a manager stands against the fleet's majority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Standing {
+pub enum VersionStatus {
     /// It acts on what the majority acts on, or no majority is ahead of it.
     InStep,
     /// It has been behind for less than the grace.
@@ -788,7 +799,7 @@
 /// What the majority of all members not gone holds, counting those taken for dead: settings by
 /// their hash (the numbers of generations are each process's own), and the newest list version that
 /// more than half have reached.
-pub fn majority(all: &[&Versions]) -> (Option<u64>, u64) {
+pub fn majority(all: &[&RunningVersions]) -> (Option<u64>, u64) {
     let half = all.len() / 2;
     let mut hashes: BTreeMap<u64, usize> = BTreeMap::new();
     all.iter()
@@ -817,11 +828,11 @@
     /// Judges this manager's versions against all others not gone.
     pub fn judge(
         &mut self,
-        me: &Versions,
-        others: &[&Versions],
+        me: &RunningVersions,
+        others: &[&RunningVersions],
         grace: Micros,
         now: Micros,
-    ) -> Standing {
+    ) -> VersionStatus {
         let mut all = others.to_vec();
         all.push(me);
         let (settings, list) = majority(&all);
@@ -844,10 +855,10 @@
         .flatten()
         .min();
         match since {
-            None => Standing::InStep,
-            Some(since) if now >= since + 2 * grace => Standing::ShutOut,
-            Some(since) if now >= since + grace => Standing::BringUp,
-            Some(_) => Standing::Behind,
+            None => VersionStatus::InStep,
+            Some(since) if now >= since + 2 * grace => VersionStatus::ShutOut,
+            Some(since) if now >= since + grace => VersionStatus::BringUp,
+            Some(_) => VersionStatus::Behind,
         }
     }
 }
@@ -861,7 +872,7 @@
 /// Guards engines against a fleet in two: of its sides at most one takes over the other's shares,
 /// and none does while it still finds out how much of the fleet it has lost.
 #[derive(Clone, Debug)]
-pub struct Sharers {
+pub struct ActiveGatewayCount {
     /// All managers, by the settings.
     managers: u32,
     counted: u32,
@@ -869,11 +880,11 @@
     fewer_since: Option<Micros>,
 }
 
-impl Sharers {
+impl ActiveGatewayCount {
     /// Everyone counts at first.
-    pub fn new(managers: u32) -> Sharers {
+    pub fn new(managers: u32) -> ActiveGatewayCount {
         let managers = managers.max(1);
-        Sharers {
+        ActiveGatewayCount {
             managers,
             counted: managers,
             fewer_since: None,
@@ -883,18 +894,18 @@
     /// Counts anew; told is how many share.
     pub fn count<'a>(
         &mut self,
-        me: &'a Rumour,
-        others: impl Iterator<Item = &'a Rumour>,
+        me: &'a MemberUpdate,
+        others: impl Iterator<Item = &'a MemberUpdate>,
         grace: Micros,
         now: Micros,
     ) -> u32 {
         let (mut known, mut sure, mut out) = (0, 0, 0);
         for rumour in others.chain([me]) {
-            let gone = matches!(rumour.health, Health::Dead | Health::Left);
+            let gone = matches!(rumour.health, MemberState::Dead | MemberState::Left);
             let shut = rumour.versions.stage == SHUT_OUT;
             known += 1;
             out += u32::from(gone || shut);
-            sure += u32::from(rumour.health == Health::Alive && !shut);
+            sure += u32::from(rumour.health == MemberState::Alive && !shut);
         }
         let majority = 2 * sure > known;
         let counted = if majority {
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,9 +1,9 @@
 //! The second address: its listener and the actor of each caller. Answers from the lifecycle and
 //! from what the core has put down; it never waits for the module.
-use super::{Held, Shared, until};
-use crate::audit::Place;
+use super::{CountGuard, Shared, until};
+use crate::audit::RecordPosition;
 use crate::clock::{self, MS, Micros, SEC};
-use crate::frontend::admin::{self, Call, Wrong};
+use crate::frontend::admin::{self, AdminRequest, RequestError};
 use crate::log;
 use async_channel::{Receiver, Sender, bounded};
 use async_io::{Async, Timer};
@@ -49,7 +49,8 @@
         }
         let (place, shed) = bounded(1);
         places.borrow_mut().insert(next, place);
-        let (all, mine, taken, socket) = (shared.clone(), next, places.clone(), Held::new(&held));
+        let (all, mine, taken, socket) =
+            (shared.clone(), next, places.clone(), CountGuard::new(&held));
         shared.spawn(async move {
             serve(&all, stream, shed).await;
             taken.borrow_mut().remove(&mine);
@@ -70,7 +71,7 @@
     };
     let late = async {
         until(Some(late_at)).await;
-        Some(Err(Wrong::Late))
+        Some(Err(RequestError::Late))
     };
     let Some(call) = or(shed, or(read(&mut stream), late)).await else {
         return;
@@ -93,7 +94,7 @@
 }
 
 /// Reads a call; nothing if the caller went away.
-async fn read(stream: &mut Async<TcpStream>) -> Option<Result<Call, Wrong>> {
+async fn read(stream: &mut Async<TcpStream>) -> Option<Result<AdminRequest, RequestError>> {
     let (mut input, mut piece) = (Vec::new(), [0; 1024]);
     loop {
         let n = stream.read(&mut piece).await.ok().filter(|n| *n > 0)?;
@@ -106,7 +107,7 @@
     }
 }
 
-async fn audit(shared: &Shared, since: Place, most: usize) -> Vec<u8> {
+async fn audit(shared: &Shared, since: RecordPosition, most: usize) -> Vec<u8> {
     match super::audit::read(shared, since, most).await {
         Some(Ok(page)) => admin::answer(200, None, &page.text()),
         Some(Err(why)) => admin::answer(503, None, &format!("{why}\n")),
@@ -114,10 +115,10 @@
     }
 }
 
-async fn carry_out(shared: &Shared, call: Call) -> Vec<u8> {
+async fn carry_out(shared: &Shared, call: AdminRequest) -> Vec<u8> {
     let now = clock::turn();
     match call {
-        Call::Ready => {
+        AdminRequest::Ready => {
             let life = shared.life.borrow();
             let status = if life.ready() { 200 } else { 503 };
             admin::answer(
@@ -126,13 +127,13 @@
                 &format!("{:?}\n", life.stage()).to_lowercase(),
             )
         }
-        Call::Metrics => admin::answer(200, None, &admin::figures(&shared.figures())),
-        Call::Drain => {
+        AdminRequest::Metrics => admin::answer(200, None, &admin::figures(&shared.figures())),
+        AdminRequest::Drain => {
             shared.life.borrow_mut().drain(now);
             log!("told to send clients away");
             admin::answer(200, None, "draining\n")
         }
-        Call::Undrain => {
+        AdminRequest::Undrain => {
             let may = shared.life.borrow_mut().undrain();
             log!(
                 "the drain is {}",
@@ -148,8 +149,8 @@
                 admin::answer(409, None, "the program is about to end\n")
             }
         }
-        Call::Audit(since, most) => audit(shared, since, most).await,
-        Call::Duties => match shared.owned.borrow().as_ref() {
+        AdminRequest::Audit(since, most) => audit(shared, since, most).await,
+        AdminRequest::Duties => match shared.owned.borrow().as_ref() {
             Some(view) => admin::answer(200, None, view),
             None => admin::answer(
                 404,
@@ -157,7 +158,7 @@
                 "no duties are shared out: no fleet file with [duties]\n",
             ),
         },
-        Call::Fleet => match shared.fleet.borrow().as_ref() {
+        AdminRequest::Fleet => match shared.fleet.borrow().as_ref() {
             Some(view) => admin::answer(200, None, &view.lines()),
             None => admin::answer(
                 404,
--- a/src/net/audit.rs
+++ b/src/net/audit.rs
@@ -1,7 +1,10 @@
 //! The actors of the audit: the core's side, which never waits, and the thread that owns the files.
 use super::Shared;
 use crate::audit::store::{Page, Store};
-use crate::audit::{Acting, Batch, Bounds, Decision, Place, Trail, Under, What};
+use crate::audit::{
+    ActiveConfiguration, AuditBuffer, Batch, Bounds, Decision, DecisionContext, DecisionKind,
+    RecordPosition,
+};
 use crate::clock::{self, Micros};
 use crate::log;
 use async_channel::{Receiver, Sender, bounded};
@@ -21,12 +24,12 @@
     /// Keep a batch.
     Keep(Batch),
     /// Read a page: after that place, so many records at most.
-    Read(Place, usize, Sender<Result<Page, String>>),
+    Read(RecordPosition, usize, Sender<Result<Page, String>>),
 }
 
 /// The core's side of the audit.
-pub struct Keeper {
-    trail: Trail,
+pub struct AuditWriter {
+    trail: AuditBuffer,
     jobs: Sender<Job>,
     /// Closed once the files' thread has ended.
     ended: Receiver<()>,
@@ -47,7 +50,11 @@
 }
 
 /// Starts the files' thread, and hands out the core's side.
-pub fn start(shared: &Rc<Shared>, under: Under, bounds: Bounds) -> Result<Keeper, String> {
+pub fn start(
+    shared: &Rc<Shared>,
+    under: DecisionContext,
+    bounds: Bounds,
+) -> Result<AuditWriter, String> {
     let folder = folder()?;
     let store = Store::open(&folder, &under.member, bounds);
     let store =
@@ -63,8 +70,8 @@
         .spawn(run)
         .map_err(|e| format!("fleet: the audit's thread: {e}"))?;
     *shared.audit.borrow_mut() = Some(jobs.clone());
-    Ok(Keeper {
-        trail: Trail::new(under),
+    Ok(AuditWriter {
+        trail: AuditBuffer::new(under),
         jobs,
         ended,
     })
@@ -90,7 +97,7 @@
     }
 }
 
-impl Keeper {
+impl AuditWriter {
     /// When the core should come by, if anything waits.
     pub fn due(&self) -> Option<Micros> {
         self.trail.due()
@@ -107,16 +114,16 @@
     }
 
     /// The module acts on this from now on.
-    pub fn acts_on(&mut self, now: Micros, acting: Acting) {
+    pub fn acts_on(&mut self, now: Micros, acting: ActiveConfiguration) {
         self.trail.acts_on(now, acting);
     }
 
     /// A duty came to this manager, or went from it.
     pub fn owns(&mut self, now: Micros, duty: &str, token: u64, owned: bool) {
         let what = if owned {
-            What::Own(token)
+            DecisionKind::Own(token)
         } else {
-            What::Disown(token)
+            DecisionKind::Disown(token)
         };
         self.trail.note(
             now,
@@ -159,7 +166,11 @@
 }
 
 /// Reads a page for an operator. Waits for the files' thread, never for the core.
-pub async fn read(shared: &Shared, since: Place, most: usize) -> Option<Result<Page, String>> {
+pub async fn read(
+    shared: &Shared,
+    since: RecordPosition,
+    most: usize,
+) -> Option<Result<Page, String>> {
     let jobs = shared.audit.borrow().clone()?;
     let (answer, page) = bounded(1);
     if jobs.try_send(Job::Read(since, most, answer)).is_err() {
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -1,13 +1,13 @@
 //! The actor of one client connection: reads requests, writes answers, and decides when to leave.
-use super::Standing;
+use super::ConnectionStatus;
 use super::rejection_penalty::Strikes;
 use crate::clock::{self, MS, Micros, SEC};
-use crate::dispatcher::termination::End;
-use crate::dispatcher::{Answer, Origin};
-use crate::frontend::{Cut, Front, Said};
-use crate::hot_restart::message::Word;
-use crate::net::dispatcher::Input;
-use crate::net::{Bytes, Held, Shared, until};
+use crate::dispatcher::termination::Termination;
+use crate::dispatcher::{Origin, Response};
+use crate::frontend::{DisconnectReason, Front, FrontendEvent};
+use crate::hot_restart::message::HotRestartMessage;
+use crate::net::dispatcher::DispatcherEvent;
+use crate::net::{ByteQuota, CountGuard, Shared, until};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use futures_lite::AsyncWriteExt;
@@ -39,13 +39,13 @@
 const ELSEWHERE_AFTER: Micros = 50 * MS;
 
 /// What came from the client: just now, into the buffer that all share, or a while ago.
-enum Came<'a> {
+enum Received<'a> {
     Read(usize),
     Waited(&'a [u8]),
 }
 
-enum Turn {
-    Answer(Option<(u64, Answer)>),
+enum WakeReason {
+    Answer(Option<(u64, Response)>),
     Shed,
     Read(io::Result<usize>),
     Wrote(io::Result<usize>),
@@ -62,26 +62,26 @@
 /// A connection with its front.
 pub(super) struct Peer<'a, F> {
     pub(super) shared: &'a Shared,
-    pub(super) core: &'a Sender<Input>,
+    pub(super) core: &'a Sender<DispatcherEvent>,
     pub(super) stream: Rc<Async<TcpStream>>,
     /// Its place among the descriptors of clients.
-    pub(super) socket: Held,
+    pub(super) socket: CountGuard,
     pub(super) conn: u64,
     pub(super) front: F,
     pub(super) unwritten: Vec<u8>,
     pub(super) written: usize,
     /// Guards the limit on memory against many clients that do not read: all together are counted.
-    pub(super) held: Bytes<'a>,
+    pub(super) held: ByteQuota<'a>,
     /// The same against many that send long messages.
-    pub(super) unread: Bytes<'a>,
-    pub(super) said: Vec<Said>,
+    pub(super) unread: ByteQuota<'a>,
+    pub(super) said: Vec<FrontendEvent>,
     /// What came while it is read slowly, or while it does not take its answers: the front reads it
     /// later, but withdrawals in it, and the client's end behind it, count at once.
     pub(super) waiting: Vec<u8>,
     /// So much of that was looked through for withdrawals.
     pub(super) skimmed: usize,
     /// The process that passed it on, and its number there.
-    pub(super) older: Option<(u64, Sender<Word>)>,
+    pub(super) older: Option<(u64, Sender<HotRestartMessage>)>,
 }
 
 impl<F: Front> Peer<'_, F> {
@@ -92,8 +92,8 @@
             let input = match said {
                 // Guards against a connection that is never quiet and would be held through a
                 // drain.
-                Said::Ask(ask) if self.shared.life.borrow().closes(now) => {
-                    let answer = Answer::Refused(Some(ELSEWHERE_AFTER));
+                FrontendEvent::Ask(ask) if self.shared.life.borrow().closes(now) => {
+                    let answer = Response::Rejected(Some(ELSEWHERE_AFTER));
                     self.front.answer(
                         now,
                         ask.origin.tag,
@@ -102,17 +102,19 @@
                         &mut self.unwritten,
                     );
                     all.extend(self.said.drain(..));
-                    Input::TurnedAway(ask.class, Answer::Refused(None))
+                    DispatcherEvent::TurnedAway(ask.class, Response::Rejected(None))
                 }
-                Said::Ask(ask) => Input::Ask(ask),
-                Said::TurnedAway(class, answer) => Input::TurnedAway(class, answer),
-                Said::Withdraw(tag) => Input::Withdraw(Origin {
+                FrontendEvent::Ask(ask) => DispatcherEvent::Ask(ask),
+                FrontendEvent::TurnedAway(class, answer) => {
+                    DispatcherEvent::TurnedAway(class, answer)
+                }
+                FrontendEvent::Withdraw(tag) => DispatcherEvent::Withdraw(Origin {
                     conn: self.conn,
                     tag,
                 }),
-                Said::WithdrawElsewhere(tag) => {
+                FrontendEvent::WithdrawElsewhere(tag) => {
                     if let Some((number, older)) = &self.older {
-                        let _ = older.try_send(Word::Withdraw(*number, tag));
+                        let _ = older.try_send(HotRestartMessage::Withdraw(*number, tag));
                     }
                     continue;
                 }
@@ -125,19 +127,20 @@
     async fn take_in(
         &mut self,
         now: Micros,
-        came: Came<'_>,
+        came: Received<'_>,
         strikes: &mut Strikes,
-    ) -> Result<(), End> {
+    ) -> Result<(), Termination> {
         let before = self.front.strikes();
         let fed = match came {
-            Came::Read(n) => {
+            Received::Read(n) => {
                 let buffer = self.shared.buffer.borrow();
                 self.front
                     .feed(now, &buffer[..n], &mut self.said, &mut self.unwritten)
             }
-            Came::Waited(bytes) => self
-                .front
-                .feed(now, bytes, &mut self.said, &mut self.unwritten),
+            Received::Waited(bytes) => {
+                self.front
+                    .feed(now, bytes, &mut self.said, &mut self.unwritten)
+            }
         };
         strikes.add(now, self.front.strikes() - before);
         // A withdrawal of what was just asked may stand in what still waits.
@@ -163,10 +166,10 @@
 
     pub(super) async fn serve(
         mut self,
-        standing: &Standing,
-        mailbox: &Receiver<(u64, Answer)>,
+        standing: &ConnectionStatus,
+        mailbox: &Receiver<(u64, Response)>,
         shedding: &Receiver<()>,
-    ) -> End {
+    ) -> Termination {
         let _ = self.stream.get_ref().set_nodelay(true);
         let came_at = clock::turn();
         let (mut active_at, mut strikes) = (came_at, Strikes::default());
@@ -176,11 +179,11 @@
         loop {
             let writing = self.written < self.unwritten.len();
             if !writing && self.front.last() {
-                return self.farewell(End::Done).await;
+                return self.farewell(Termination::Done).await;
             }
             // The program does not end while this one has something to write.
             busy = if writing {
-                busy.or_else(|| Some(Held::new(&self.shared.unwritten)))
+                busy.or_else(|| Some(CountGuard::new(&self.shared.unwritten)))
             } else {
                 None
             };
@@ -200,7 +203,10 @@
             if !slowly && !self.waiting.is_empty() {
                 let rest = self.waiting.split_off(self.waiting.len().min(PIECE));
                 let piece = std::mem::replace(&mut self.waiting, rest);
-                if let Err(end) = self.take_in(now, Came::Waited(&piece), &mut strikes).await {
+                if let Err(end) = self
+                    .take_in(now, Received::Waited(&piece), &mut strikes)
+                    .await
+                {
                     return self.farewell(end).await;
                 }
                 // Guards the others: what waited long is many messages.
@@ -233,7 +239,7 @@
                 .chain(look)
                 .min();
             let mut writer = &*self.stream;
-            let answer = async { Turn::Answer(mailbox.recv().await.ok()) };
+            let answer = async { WakeReason::Answer(mailbox.recv().await.ok()) };
             // One that has something open by now stays. At the very end half a message asks for
             // nothing.
             let quiet =
@@ -252,49 +258,55 @@
                     (true, _) if !unread => drop(shedding.recv().await),
                     _ => std::future::pending().await,
                 }
-                Turn::Shed
+                WakeReason::Shed
             };
             let write = async {
                 match writing {
-                    true => Turn::Wrote(writer.write(&self.unwritten[self.written..]).await),
+                    true => WakeReason::Wrote(writer.write(&self.unwritten[self.written..]).await),
                     false => std::future::pending().await,
                 }
             };
             let read = async {
                 match blind {
                     true => std::future::pending().await,
-                    false => Turn::Read(take_some(&self.stream, self.shared).await),
+                    false => WakeReason::Read(take_some(&self.stream, self.shared).await),
                 }
             };
             let timer = async {
                 until(due).await;
-                Turn::Due
+                WakeReason::Due
             };
             let turn = or(answer, or(shed, or(write, or(read, timer)))).await;
             let now = clock::turn();
             let by = |at: Option<Micros>| at.is_some_and(|at| at <= now);
             match turn {
-                Turn::Answer(Some((tag, answer))) => {
+                WakeReason::Answer(Some((tag, answer))) => {
                     active_at = if writing { active_at } else { now };
-                    busy = busy.or_else(|| Some(Held::new(&self.shared.unwritten)));
-                    strikes.add(now, u64::from(matches!(answer, Answer::Refused(_))));
+                    busy = busy.or_else(|| Some(CountGuard::new(&self.shared.unwritten)));
+                    strikes.add(now, u64::from(matches!(answer, Response::Rejected(_))));
                     self.front
                         .answer(now, tag, answer, &mut self.said, &mut self.unwritten);
                     self.pass_on(now).await;
                 }
                 // Guards a request that has come and is not read yet.
-                Turn::Shed if shedding.is_closed() || rests_until.is_some_and(|at| at <= now) => {
+                WakeReason::Shed
+                    if shedding.is_closed() || rests_until.is_some_and(|at| at <= now) =>
+                {
                     unread = self.has_unread();
                     if !unread {
                         let shed = shedding.is_closed();
                         return self
-                            .farewell(if shed { End::Overflow } else { End::Idle })
+                            .farewell(if shed {
+                                Termination::LocalLimit
+                            } else {
+                                Termination::Idle
+                            })
                             .await;
                     }
                 }
-                Turn::Shed => {}
-                Turn::Answer(None) => return End::Overflow,
-                Turn::Wrote(Ok(n)) => {
+                WakeReason::Shed => {}
+                WakeReason::Answer(None) => return Termination::LocalLimit,
+                WakeReason::Wrote(Ok(n)) => {
                     self.written += n;
                     active_at = now;
                     if self.written == self.unwritten.len() {
@@ -303,40 +315,44 @@
                         self.written = 0;
                     }
                 }
-                Turn::Read(Ok(0)) => return End::Closed,
-                Turn::Read(Ok(n)) => {
+                WakeReason::Read(Ok(0)) => return Termination::Closed,
+                WakeReason::Read(Ok(n)) => {
                     active_at = if writing { active_at } else { now };
                     unread = false;
                     if slowly {
                         self.put_off(now, n).await;
-                    } else if let Err(end) = self.take_in(now, Came::Read(n), &mut strikes).await {
+                    } else if let Err(end) =
+                        self.take_in(now, Received::Read(n), &mut strikes).await
+                    {
                         return self.farewell(end).await;
                     }
                     let crowded =
                         self.shared.unread_bytes.get() > self.shared.most_unread_bytes.get();
                     if crowded && self.front.held() + self.waiting.len() > SMALL {
                         self.waiting = Vec::new();
-                        self.front.cut_off(Cut::Room, &mut self.unwritten);
+                        self.front
+                            .cut_off(DisconnectReason::Room, &mut self.unwritten);
                     }
                     // Guards the other connections: one that sends without a pause can always be
                     // read.
                     yield_now().await;
                 }
-                Turn::Read(Err(_)) | Turn::Wrote(Err(_)) => return End::Reset,
-                Turn::Due if writing && by(silent) => return End::Silent,
+                WakeReason::Read(Err(_)) | WakeReason::Wrote(Err(_)) => return Termination::Reset,
+                WakeReason::Due if writing && by(silent) => return Termination::Unresponsive,
                 // What is open on it is answered all the same.
-                Turn::Due if by(owed) && self.front.began().is_some() => {
-                    self.front.cut_off(Cut::Late, &mut self.unwritten);
+                WakeReason::Due if by(owed) && self.front.began().is_some() => {
+                    self.front
+                        .cut_off(DisconnectReason::Late, &mut self.unwritten);
                 }
-                Turn::Due if by(owed) || by(silent) => {
+                WakeReason::Due if by(owed) || by(silent) => {
                     // One that sent more than is kept, and nothing usable, is not waited for.
                     unread = self.has_unread() && !blind;
                     if !unread {
-                        return self.farewell(End::Idle).await;
+                        return self.farewell(Termination::Idle).await;
                     }
                 }
-                Turn::Due if blind && standing.gone() => return End::Closed,
-                Turn::Due => {}
+                WakeReason::Due if blind && standing.gone() => return Termination::Closed,
+                WakeReason::Due => {}
             }
         }
     }
@@ -344,13 +360,13 @@
 
 /// Leaves out what was asked and withdrawn after it in one breath: nobody waits for it, and nothing
 /// of it is to be sent on.
-fn without_withdrawn(all: Vec<Said>) -> VecDeque<Said> {
-    let mut kept: VecDeque<Said> = VecDeque::with_capacity(all.len());
+fn without_withdrawn(all: Vec<FrontendEvent>) -> VecDeque<FrontendEvent> {
+    let mut kept: VecDeque<FrontendEvent> = VecDeque::with_capacity(all.len());
     for said in all {
         let asked = match said {
-            Said::Withdraw(tag) => kept
+            FrontendEvent::Withdraw(tag) => kept
                 .iter()
-                .rposition(|s| matches!(s, Said::Ask(ask) if ask.origin.tag == tag)),
+                .rposition(|s| matches!(s, FrontendEvent::Ask(ask) if ask.origin.tag == tag)),
             _ => None,
         };
         match asked {
--- a/src/net/client/connection_registry.rs
+++ b/src/net/client/connection_registry.rs
@@ -11,7 +11,7 @@
 use std::rc::{Rc, Weak};
 
 /// What the listeners know of a connection: whether it may be shed when there are too many.
-pub struct Standing {
+pub struct ConnectionStatus {
     /// It has said something usable.
     pub(super) useful: Cell<bool>,
     /// Nothing is open on it and nothing is to be written, since then.
@@ -26,7 +26,7 @@
     pub(super) stream: Weak<Async<TcpStream>>,
 }
 
-impl Standing {
+impl ConnectionStatus {
     /// Whether its client has closed its side: also where bytes that came before are not read yet,
     /// as with a client that is read slowly or does not take its answers.
     pub fn gone(&self) -> bool {
@@ -53,7 +53,7 @@
     // With the grace first: to wait for a newcomer's would leave one place a tenth of a second to
     // all others.
     let stays = clock::turn().saturating_sub(GRACE);
-    let idle = |s: &&Rc<Standing>| s.idle_since.get().is_some_and(|since| since <= stays);
+    let idle = |s: &&Rc<ConnectionStatus>| s.idle_since.get().is_some_and(|since| since <= stays);
     let all = clients
         .values()
         .filter(idle)
--- a/src/net/client/graceful_close.rs
+++ b/src/net/client/graceful_close.rs
@@ -1,13 +1,13 @@
 //! How a client's connection is left: passed on, or with a farewell.
 use super::connection::{Peer, take_some};
 use crate::clock::{self, MS, Micros, SEC};
-use crate::dispatcher::termination::End;
-use crate::dispatcher::{Answer, Origin};
+use crate::dispatcher::termination::Termination;
+use crate::dispatcher::{Origin, Response};
 use crate::frontend::Front;
-use crate::hot_restart::message::{Handed, Word};
-use crate::net::dispatcher::Input;
-use crate::net::hot_restart::Passed;
-use crate::net::{Held, until};
+use crate::hot_restart::message::{HotRestartMessage, TransferredConnection};
+use crate::net::dispatcher::DispatcherEvent;
+use crate::net::hot_restart::TransferredItem;
+use crate::net::{CountGuard, until};
 use async_channel::{Receiver, Sender};
 use futures_lite::AsyncWriteExt;
 use futures_lite::future::{or, yield_now};
@@ -25,10 +25,10 @@
     /// Passes the connection to the process that follows, and what is still answered here after it.
     pub(super) async fn pass(
         self,
-        newer: Sender<Passed>,
-        mut handed: Handed,
-        mailbox: &Receiver<(u64, Answer)>,
-    ) -> End {
+        newer: Sender<TransferredItem>,
+        mut handed: TransferredConnection,
+        mailbox: &Receiver<(u64, Response)>,
+    ) -> Termination {
         let Peer {
             shared,
             core,
@@ -44,14 +44,14 @@
         // From here on nobody here looks at the socket.
         let stream = Rc::try_unwrap(stream).map(|stream| stream.into_inner());
         let Ok(Ok(stream)) = stream else {
-            return End::Reset;
+            return Termination::Reset;
         };
         let (back, words) = async_channel::unbounded();
-        let held = Held::new(&shared.unwritten);
-        let client = Passed::Client(conn, stream.into(), handed, back, held);
+        let held = CountGuard::new(&shared.unwritten);
+        let client = TransferredItem::Client(conn, stream.into(), handed, back, held);
         drop(socket);
         if newer.send(client).await.is_err() {
-            return End::Dropped;
+            return Termination::Dropped;
         }
         let (mut said, mut bytes) = (Vec::new(), Vec::new());
         while front.open() > 0 {
@@ -59,34 +59,36 @@
             let word = async { Err(words.recv().await) };
             match or(answer, word).await {
                 Ok(Ok((tag, answer))) => {
-                    let held = Held::new(&shared.unwritten);
+                    let held = CountGuard::new(&shared.unwritten);
                     front.answer(clock::turn(), tag, answer, &mut said, &mut bytes);
                     let line = std::mem::take(&mut bytes);
                     if !line.is_empty()
                         && newer
-                            .send(Passed::Answer(conn, tag, line, held))
+                            .send(TransferredItem::Answer(conn, tag, line, held))
                             .await
                             .is_err()
                     {
-                        return End::Dropped;
+                        return Termination::Dropped;
                     }
                 }
-                Err(Ok(Word::Withdraw(_, tag))) => {
+                Err(Ok(HotRestartMessage::Withdraw(_, tag))) => {
                     front.withdrawn(tag);
-                    let _ = core.send(Input::Withdraw(Origin { conn, tag })).await;
+                    let _ = core
+                        .send(DispatcherEvent::Withdraw(Origin { conn, tag }))
+                        .await;
                 }
-                Ok(Err(_)) | Err(_) => return End::Closed,
+                Ok(Err(_)) | Err(_) => return Termination::Closed,
             }
         }
-        End::Done
+        Termination::Done
     }
 
     /// Writes what is owed, ends this side, and takes in a little of what the client still sends,
     /// none of which is acted on: a client sends what crosses an end again elsewhere. Guards the
     /// last answer or error: a close with unread input resets the connection, and the client loses
     /// both.
-    pub(super) async fn farewell(self, end: End) -> End {
-        let busy = Held::new(&self.shared.unwritten);
+    pub(super) async fn farewell(self, end: Termination) -> Termination {
+        let busy = CountGuard::new(&self.shared.unwritten);
         let now = clock::turn();
         let mut writer = &*self.stream;
         let rest = async {
@@ -110,7 +112,8 @@
             ..
         } = self;
         // One that only waits for its client's end has given its place among the clients back.
-        let Some(_place) = Held::up_to(&shared.closing_sockets, shared.most_closing_sockets.get())
+        let Some(_place) =
+            CountGuard::up_to(&shared.closing_sockets, shared.most_closing_sockets.get())
         else {
             let _ = io::Read::read(&mut stream.get_ref(), &mut shared.buffer.borrow_mut());
             return end;
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -3,8 +3,8 @@
 use super::start;
 use crate::frontend::Front;
 use crate::log;
-use crate::net::dispatcher::Input;
-use crate::net::{Held, Shared};
+use crate::net::dispatcher::DispatcherEvent;
+use crate::net::{CountGuard, Shared};
 use async_channel::Sender;
 use async_io::{Async, Timer};
 use futures_lite::StreamExt;
@@ -46,11 +46,11 @@
 /// Accepts connections until the program is about to end; `front` makes the protocol of each.
 pub async fn listen<F: Front + 'static>(
     shared: Rc<Shared>,
-    core: Sender<Input>,
+    core: Sender<DispatcherEvent>,
     listener: Async<TcpListener>,
     front: impl Fn(u64) -> F,
 ) {
-    let _listening = Held::new(&shared.listening);
+    let _listening = CountGuard::new(&shared.listening);
     let mut incoming = Box::pin(listener.incoming());
     let closed = shared.accepting.1.clone();
     let serve = |stream| {
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -5,16 +5,16 @@
 mod listener;
 mod rejection_penalty;
 
-pub use connection_registry::{Standing, let_go, send_away};
+pub use connection_registry::{ConnectionStatus, let_go, send_away};
 pub use listener::{bind, bind_shared, listen};
 
-use super::dispatcher::Input;
-use super::{Bytes, Held, Shared};
+use super::dispatcher::DispatcherEvent;
+use super::{ByteQuota, CountGuard, Shared};
 use crate::clock::{self, MS, Micros};
-use crate::dispatcher::Answer;
-use crate::dispatcher::termination::End;
+use crate::dispatcher::Response;
+use crate::dispatcher::termination::Termination;
 use crate::frontend::Front;
-use crate::hot_restart::message::{Handed, Word};
+use crate::hot_restart::message::{HotRestartMessage, TransferredConnection};
 use crate::log;
 use async_channel::{Receiver, Sender, bounded};
 use async_io::Async;
@@ -30,32 +30,32 @@
 
 /// A connection that another process passed on: its number there, and where to say what is meant
 /// for it.
-pub struct Adopted {
+pub struct AdoptedConnection {
     /// The number.
     pub number: u64,
     /// What was read there and not used, and not written yet.
-    pub handed: Handed,
+    pub handed: TransferredConnection,
     /// To the other process.
-    pub older: Sender<Word>,
+    pub older: Sender<HotRestartMessage>,
 }
 
 /// Both ends of a connection's mailbox, with the mark of the request that each answer is for.
-type Mailbox = (Sender<(u64, Answer)>, Receiver<(u64, Answer)>);
+type Mailbox = (Sender<(u64, Response)>, Receiver<(u64, Response)>);
 
 /// Starts the actor of a connection, and gives its mailbox.
 pub fn start<F: Front + 'static>(
     shared: &Rc<Shared>,
-    core: Sender<Input>,
+    core: Sender<DispatcherEvent>,
     stream: Async<TcpStream>,
     conn: u64,
     front: F,
-    adopted: Option<Adopted>,
-) -> Sender<(u64, Answer)> {
+    adopted: Option<AdoptedConnection>,
+) -> Sender<(u64, Response)> {
     let (answers, mailbox) = bounded(MAILBOX);
     let (all, mine, socket) = (
         shared.clone(),
         answers.clone(),
-        Held::new(&shared.client_sockets),
+        CountGuard::new(&shared.client_sockets),
     );
     shared.spawn(async move {
         actor(
@@ -73,10 +73,10 @@
 
 async fn actor(
     shared: &Shared,
-    core: Sender<Input>,
-    (stream, socket, conn): (Async<TcpStream>, Held, u64),
+    core: Sender<DispatcherEvent>,
+    (stream, socket, conn): (Async<TcpStream>, CountGuard, u64),
     front: impl Front,
-    adopted: Option<Adopted>,
+    adopted: Option<AdoptedConnection>,
     (answers, mailbox): Mailbox,
 ) {
     let (shed, shedding) = bounded(1);
@@ -84,7 +84,7 @@
     let (leaving, passes) = (Cell::new(false), Cell::new(false));
     let stream = Rc::new(stream);
     let at = Rc::downgrade(&stream);
-    let standing = Rc::new(Standing {
+    let standing = Rc::new(ConnectionStatus {
         useful,
         idle_since,
         leaving,
@@ -93,10 +93,10 @@
         stream: at,
     });
     shared.clients.borrow_mut().insert(conn, standing.clone());
-    let _ = core.send(Input::Opened(conn, answers)).await;
+    let _ = core.send(DispatcherEvent::Opened(conn, answers)).await;
     let (held, unread) = (
-        Bytes::new(&shared.unwritten_bytes),
-        Bytes::new(&shared.unread_bytes),
+        ByteQuota::new(&shared.unwritten_bytes),
+        ByteQuota::new(&shared.unread_bytes),
     );
     let (mut unwritten, said, waiting, skimmed) = (Vec::new(), Vec::new(), Vec::new(), 0);
     let older = adopted.map(|adopted| {
@@ -123,13 +123,16 @@
     let passed_by = peer.older.clone();
     let end = peer.serve(&standing, &mailbox, &shedding).await;
     if let Some((number, older)) = passed_by {
-        let _ = older.try_send(Word::Gone(number));
+        let _ = older.try_send(HotRestartMessage::Gone(number));
     }
     shared.clients.borrow_mut().remove(&conn);
-    if !matches!(end, End::Closed | End::Idle | End::Done | End::Overflow) {
+    if !matches!(
+        end,
+        Termination::Closed | Termination::Idle | Termination::Done | Termination::LocalLimit
+    ) {
         log!("a client's connection ended: {end:?}");
     }
-    let _ = core.send(Input::HungUp(conn)).await;
+    let _ = core.send(DispatcherEvent::HungUp(conn)).await;
 }
 
 #[cfg(test)]
--- a/src/net/discovery/coordinator.rs
+++ b/src/net/discovery/coordinator.rs
@@ -2,7 +2,7 @@
 //! moves with it.
 use crate::backoff::Backoff;
 use crate::clock::{self, Micros, SEC};
-use crate::dispatcher::termination::End;
+use crate::dispatcher::termination::Termination;
 use crate::log;
 use crate::net::discovery::endpoint_list::{Update, parse_record};
 use crate::net::{Shared, until};
@@ -29,13 +29,13 @@
 }
 
 /// Reads the first frame, if it is there whole, and tells its length.
-pub fn frame(input: &[u8]) -> Result<Option<(Frame<'_>, usize)>, End> {
+pub fn frame(input: &[u8]) -> Result<Option<(Frame<'_>, usize)>, Termination> {
     let Some((length, rest)) = input.split_first_chunk::<4>() else {
         return Ok(None);
     };
     let length = u32::from_be_bytes(*length) as usize;
     if !(9..=MOST_FRAME).contains(&length) {
-        return Err(End::Garbled);
+        return Err(Termination::ProtocolViolation);
     }
     let Some(body) = rest.get(..length) else {
         return Ok(None);
@@ -47,7 +47,7 @@
     let frame = match body[8] {
         0 => Frame::Empty,
         kind @ (1 | 2) if left.is_empty() => Frame::Event(number, kind == 1, records),
-        _ => return Err(End::Garbled),
+        _ => return Err(Termination::ProtocolViolation),
     };
     Ok(Some((frame, 4 + length)))
 }
@@ -55,7 +55,7 @@
 /// How far the events have come, over all connections: the numbers go on when the coordinator
 /// moves.
 #[derive(Default)]
-pub struct Place {
+pub struct WatchPosition {
     last: Cell<u64>,
     /// A connection showed a gap once: the events between are not to be had.
     gap: Cell<bool>,
@@ -63,25 +63,25 @@
     newest: Cell<u64>,
 }
 
-impl Place {
+impl WatchPosition {
     /// After that event.
-    pub fn at(last: u64) -> Place {
-        Place {
+    pub fn at(last: u64) -> WatchPosition {
+        WatchPosition {
             last: Cell::new(last),
-            ..Place::default()
+            ..WatchPosition::default()
         }
     }
 }
 
 /// One connection's reader.
 pub struct Follower {
-    place: Rc<Place>,
+    place: Rc<WatchPosition>,
     input: Vec<u8>,
 }
 
 impl Follower {
     /// One that goes on from there.
-    pub fn new(place: Rc<Place>) -> Follower {
+    pub fn new(place: Rc<WatchPosition>) -> Follower {
         Follower {
             place,
             input: Vec::new(),
@@ -96,7 +96,7 @@
 
     /// Reads what came. Guards against a gap in the numbers: it asks again from the last event it
     /// has, and takes a second gap at the same place as it is, lest it asks forever.
-    pub fn feed(&mut self, input: &[u8]) -> Result<Vec<Update>, End> {
+    pub fn feed(&mut self, input: &[u8]) -> Result<Vec<Update>, Termination> {
         self.input.extend_from_slice(input);
         let (mut used, mut updates) = (0, Vec::new());
         let result = loop {
@@ -112,7 +112,7 @@
                     }
                     if index > last + 1 && !whole && !self.place.gap.get() {
                         self.place.gap.set(true);
-                        break Err(End::Dropped);
+                        break Err(Termination::Dropped);
                     }
                     self.place.last.set(index);
                     self.place.gap.set(false);
@@ -135,7 +135,7 @@
 }
 
 /// Where the coordinator is from now on, and the events that came with the news.
-pub struct Move {
+pub struct CoordinatorMigration {
     /// Its address; without one it is followed where it is, on a new connection: the present one
     /// seems to be stuck.
     pub addr: Option<SocketAddr>,
@@ -149,13 +149,13 @@
 pub async fn run(
     shared: Rc<Shared>,
     (last, seed): (u64, u64),
-    moves: Receiver<Move>,
+    moves: Receiver<CoordinatorMigration>,
     list: Sender<Update>,
     heard: impl Fn() + Clone + 'static,
 ) {
-    let place = Rc::new(Place::at(last));
+    let place = Rc::new(WatchPosition::at(last));
     let mut at = None;
-    while let Ok(Move { addr, known }) = moves.recv().await {
+    while let Ok(CoordinatorMigration { addr, known }) = moves.recv().await {
         for update in known.into_iter().filter(|u| u.index > place.last.get()) {
             place.last.set(update.index);
             let _ = list.send(update).await;
@@ -179,7 +179,7 @@
 /// Follows one address for as long as it is the newest, and its last connection until that ends.
 async fn stay(
     addr: SocketAddr,
-    place: Rc<Place>,
+    place: Rc<WatchPosition>,
     mut backoff: Backoff,
     list: Sender<Update>,
     heard: impl Fn(),
@@ -204,15 +204,15 @@
     silence: Micros,
     list: &Sender<Update>,
     heard: &impl Fn(),
-) -> End {
+) -> Termination {
     let connect = async {
         Async::<TcpStream>::connect(addr)
             .await
-            .map_err(|e| End::of_connect(&e))
+            .map_err(|e| Termination::of_connect(&e))
     };
     let late = async {
         until(Some(clock::turn() + CONNECT)).await;
-        Err(End::ConnectTimeout)
+        Err(Termination::ConnectTimeout)
     };
     let mut stream = match or(connect, late).await {
         Ok(stream) => stream,
@@ -220,7 +220,7 @@
     };
     let _ = stream.get_ref().set_nodelay(true);
     if stream.write_all(&follower.hello()).await.is_err() {
-        return End::Reset;
+        return Termination::Reset;
     }
     let mut buffer = vec![0; 16 * 1024];
     loop {
@@ -231,10 +231,10 @@
             None
         };
         let n = match or(read, silent).await {
-            None => return End::Silent,
-            Some(Ok(0)) => return End::Closed,
+            None => return Termination::Unresponsive,
+            Some(Ok(0)) => return Termination::Closed,
             Some(Ok(n)) => n,
-            Some(Err(_)) => return End::Reset,
+            Some(Err(_)) => return Termination::Reset,
         };
         match follower.feed(&buffer[..n]) {
             Ok(updates) => {
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -1,14 +1,14 @@
 //! The actor of the list of engines: applies what the coordinator tells, keeps a row for each
 //! engine, and passes the news on to the module.
-use crate::backend::clickhouse::{ClickHouse, Login};
+use crate::backend::clickhouse::{ClickHouse, Credentials};
 use crate::backend::platform::Platform;
 use crate::clock::{Micros, SEC, micros};
 use crate::config::process::Names;
 use crate::net::Shared;
-use crate::net::dispatcher::Input;
-use crate::net::engine::{Row, Start, spawn};
+use crate::net::dispatcher::DispatcherEvent;
+use crate::net::engine::{EndpointHandle, Start, spawn};
 use crate::policy::api::{
-    CellId, EngineEntry, EngineId, KindId, ListKind, Nanos, Readiness, ZoneId,
+    CellId, Endpoint, EndpointListKind, EngineId, KindId, Nanos, Readiness, ZoneId,
 };
 use async_channel::{Receiver, Sender};
 use serde::Deserialize;
@@ -22,9 +22,9 @@
 
 /// An engine in the list.
 #[derive(Clone, Copy, Debug)]
-pub struct Listed {
+pub struct ListedEndpoint {
     /// What the module is told of it.
-    pub entry: EngineEntry,
+    pub entry: Endpoint,
     /// Where it listens.
     pub addr: SocketAddr,
 }
@@ -37,11 +37,11 @@
     /// The whole list, or what has changed.
     pub whole: bool,
     /// The engines it names.
-    pub engines: Vec<Listed>,
+    pub engines: Vec<ListedEndpoint>,
 }
 
 /// Makes the row of one engine.
-pub type MakeEngine = Box<dyn Fn(&Listed) -> Rc<Row>>;
+pub type MakeEngine = Box<dyn Fn(&ListedEndpoint) -> Rc<EndpointHandle>>;
 
 /// The engines that speak the ClickHouse interface, and who the manager is to them.
 #[derive(Clone, Default)]
@@ -49,9 +49,9 @@
     /// Their ids.
     pub engines: Rc<BTreeSet<EngineId>>,
     /// User and key.
-    pub login: Rc<Login>,
+    pub login: Rc<Credentials>,
     /// Those that the coordinator does not list: always in service.
-    pub fixed: Vec<Listed>,
+    pub fixed: Vec<ListedEndpoint>,
 }
 
 /// ClickHouse servers of some versions close connections that are idle for this long.
@@ -60,7 +60,7 @@
 /// How engines are made: by the wire they speak.
 pub fn engines(
     shared: Rc<Shared>,
-    core: Sender<Input>,
+    core: Sender<DispatcherEvent>,
     names: Rc<Names>,
     http: Http,
 ) -> MakeEngine {
@@ -98,19 +98,19 @@
         } else {
             &platform
         };
-        Row::new(id, listed.addr, listed.entry.readiness, start.clone())
+        EndpointHandle::new(id, listed.addr, listed.entry.readiness, start.clone())
     })
 }
 
 struct Known {
-    listed: Listed,
-    row: Rc<Row>,
+    listed: ListedEndpoint,
+    row: Rc<EndpointHandle>,
 }
 
 /// Runs the list. Its first update is what the module knew before it started.
 pub async fn run(
     shared: Rc<Shared>,
-    core: Sender<Input>,
+    core: Sender<DispatcherEvent>,
     mailbox: Receiver<Update>,
     make: MakeEngine,
     http: Http,
@@ -161,14 +161,14 @@
             serving.clone().count() > 0 && serving.clone().all(|id| http.engines.contains(&id)),
         );
         let kind = match (update.whole, first) {
-            (true, true) => ListKind::Cached,
-            (true, false) => ListKind::Full,
-            (false, _) => ListKind::Changes,
+            (true, true) => EndpointListKind::Cached,
+            (true, false) => EndpointListKind::Full,
+            (false, _) => EndpointListKind::Changes,
         };
         first = false;
         let entries = update.engines.iter().map(|l| l.entry).collect();
         let _ = core
-            .send(Input::List(kind, entries, made, update.index))
+            .send(DispatcherEvent::List(kind, entries, made, update.index))
             .await;
     }
 }
@@ -176,8 +176,9 @@
 /// Where a new engine listens, an old one is gone, told or not. Guards against work that goes to
 /// the new process under the name of the old one.
 fn supersede(known: &BTreeMap<EngineId, Known>, update: &mut Update) {
-    let newcomer =
-        |l: &&Listed| l.entry.readiness == Readiness::Ready && !known.contains_key(&l.entry.id);
+    let newcomer = |l: &&ListedEndpoint| {
+        l.entry.readiness == Readiness::Ready && !known.contains_key(&l.entry.id)
+    };
     let taken: BTreeSet<SocketAddr> = update
         .engines
         .iter()
@@ -189,7 +190,7 @@
         .values()
         .map(|k| k.listed)
         .filter(|l| taken.contains(&l.addr) && !named.contains(&l.entry.id));
-    let gone = |mut l: Listed| {
+    let gone = |mut l: ListedEndpoint| {
         l.entry.readiness = Readiness::Gone;
         l
     };
@@ -212,7 +213,7 @@
     (zone, kind, cell): (u16, u16, u16),
     weight: f64,
     started_ms: u64,
-) -> Listed {
+) -> ListedEndpoint {
     let (id, zone, kind, cell) = (
         EngineId(u64::from(id)),
         ZoneId(zone),
@@ -220,8 +221,8 @@
         CellId(cell),
     );
     let ready_at: Nanos = started_ms.saturating_mul(1_000_000);
-    Listed {
-        entry: EngineEntry {
+    ListedEndpoint {
+        entry: Endpoint {
             id,
             zone,
             kind,
@@ -317,7 +318,7 @@
 }
 
 /// Reads one record of the coordinator's frames.
-pub fn parse_record(record: &[u8; 27]) -> Option<Listed> {
+pub fn parse_record(record: &[u8; 27]) -> Option<ListedEndpoint> {
     let u16_at = |at: usize| u16::from_be_bytes([record[at], record[at + 1]]);
     let u32_at = |at: usize| {
         u32::from_be_bytes([record[at], record[at + 1], record[at + 2], record[at + 3]])
--- a/src/net/dispatcher.rs
+++ b/src/net/dispatcher.rs
@@ -1,19 +1,19 @@
 //! The actor of the module: takes in what all others report, and hands out what the core orders. It
 //! never waits for any of them.
-use super::audit::Keeper;
-use super::engine::{Row, ToEngine};
-use super::fleet::lease::Word;
+use super::audit::AuditWriter;
+use super::engine::{EndpointHandle, EngineCommand};
+use super::fleet::lease::ProbeRequest;
 use super::{Shared, client, until};
-use crate::audit::Acting;
+use crate::audit::ActiveConfiguration;
 use crate::class_registry::Class;
 use crate::clock::{self, MS, Micros};
-use crate::dispatcher::termination::{End, Reach};
-use crate::dispatcher::{Answer, Ask, Ended, Manager, Order, Origin};
-use crate::lease::shared_probe::Sounding;
-use crate::lease::{Duty, Token};
+use crate::dispatcher::termination::{Termination, TransmitProgress};
+use crate::dispatcher::{AttemptResult, ClientRequest, Command, Dispatcher, Origin, Response};
+use crate::lease::shared_probe::ProbeResult;
+use crate::lease::{FencingToken, Resource};
 use crate::log;
 use crate::policy::api::{
-    ClassId, EngineEntry, EngineId, ListKind, LoadReport, OutcomeKind, Settings, TenantSpec,
+    ClassId, Endpoint, EndpointListKind, EngineId, LoadReport, OutcomeKind, Settings, TenantSpec,
 };
 use async_channel::{Receiver, Sender};
 use futures_lite::future::or;
@@ -63,19 +63,19 @@
 }
 
 /// What the module's actor is told.
-pub enum Input {
+pub enum DispatcherEvent {
     /// A client connected; its answers go there.
-    Opened(u64, Sender<(u64, Answer)>),
+    Opened(u64, Sender<(u64, Response)>),
     /// A request.
-    Ask(Ask),
+    Ask(ClientRequest),
     /// The client stopped waiting for it.
     Withdraw(Origin),
     /// A front turned a request of that class away by itself.
-    TurnedAway(ClassId, Answer),
+    TurnedAway(ClassId, Response),
     /// A client's connection ended.
     HungUp(u64),
     /// An attempt ended.
-    Ended(Ended),
+    Ended(AttemptResult),
     /// A probe came back.
     Probed {
         /// The engine.
@@ -88,7 +88,12 @@
         load: LoadReport,
     },
     /// News of the list, the rows of new engines, and the number of its event.
-    List(ListKind, Vec<EngineEntry>, Vec<(EngineId, Rc<Row>)>, u64),
+    List(
+        EndpointListKind,
+        Vec<Endpoint>,
+        Vec<(EngineId, Rc<EndpointHandle>)>,
+        u64,
+    ),
     /// New settings with the names of their classes and a hash of them; told back are all classes
     /// by their ids, and whether each is in force.
     Retune(Box<Settings>, Vec<String>, u64, Sender<Vec<(Class, bool)>>),
@@ -107,35 +112,35 @@
     /// Ask an engine for its load: for the module, or, until then, for other managers.
     Probe(u64, Option<Micros>),
     /// Another manager asked an engine that the module wants to hear of.
-    Sounded(u64, Sounding),
+    Sounded(u64, ProbeResult),
     /// A duty came to this manager under a token, or went.
-    Owns(Duty, Token, bool),
+    Owns(Resource, FencingToken, bool),
     /// End once all is answered.
     Stop,
 }
 
 struct Core {
-    manager: Manager,
-    clients: HashMap<u64, Sender<(u64, Answer)>>,
-    engines: HashMap<EngineId, Rc<Row>>,
-    orders: Vec<Order>,
+    manager: Dispatcher,
+    clients: HashMap<u64, Sender<(u64, Response)>>,
+    engines: HashMap<EngineId, Rc<EndpointHandle>>,
+    orders: Vec<Command>,
     /// What was still open at the end has been answered.
     ended: bool,
     /// What the module acts on.
-    acting: Acting,
+    acting: ActiveConfiguration,
     /// The audit, where it is kept.
-    audit: Option<Keeper>,
+    audit: Option<AuditWriter>,
     /// To the fleet's actor, where duties are shared out.
-    duties: Option<Sender<Word>>,
+    duties: Option<Sender<ProbeRequest>>,
 }
 
 /// Runs until it was asked to stop and all is answered.
 pub async fn run(
     shared: Rc<Shared>,
-    manager: Manager,
-    mailbox: Receiver<Input>,
-    audit: Option<Keeper>,
-) -> Manager {
+    manager: Dispatcher,
+    mailbox: Receiver<DispatcherEvent>,
+    audit: Option<AuditWriter>,
+) -> Dispatcher {
     let (clients, engines, acting) = (HashMap::new(), HashMap::new(), shared.acting.get());
     let (orders, duties) = (Vec::new(), None);
     let mut core = Core {
@@ -162,7 +167,7 @@
         let last_at = life()
             .gives_up_at(core.manager.longest_deadline())
             .filter(|_| !core.ended);
-        let kept_at = core.audit.as_ref().and_then(Keeper::due);
+        let kept_at = core.audit.as_ref().and_then(AuditWriter::due);
         let due = core
             .manager
             .next_due()
@@ -240,7 +245,7 @@
 impl Core {
     /// What comes from here on is decided on this; what came before is told under what it was
     /// decided on.
-    fn acts_on(&mut self, now: Micros, acting: Acting) {
+    fn acts_on(&mut self, now: Micros, acting: ActiveConfiguration) {
         self.acting = acting;
         if let Some(audit) = &mut self.audit {
             audit.turn(now, &self.manager.decisions());
@@ -248,22 +253,22 @@
         }
     }
 
-    fn input(&mut self, now: Micros, input: Input) {
+    fn input(&mut self, now: Micros, input: DispatcherEvent) {
         match &input {
-            Input::List(.., version) => {
+            DispatcherEvent::List(.., version) => {
                 self.acts_on(
                     now,
-                    Acting {
+                    ActiveConfiguration {
                         list: self.acting.list.max(*version),
                         ..self.acting
                     },
                 );
             }
-            Input::Retune(_, _, hash, _) => {
+            DispatcherEvent::Retune(_, _, hash, _) => {
                 let generation = self.acting.generation + 1;
                 self.acts_on(
                     now,
-                    Acting {
+                    ActiveConfiguration {
                         generation,
                         settings: *hash,
                         ..self.acting
@@ -274,24 +279,24 @@
         }
         let (manager, orders) = (&mut self.manager, &mut self.orders);
         match input {
-            Input::Opened(conn, answers) => drop(self.clients.insert(conn, answers)),
-            Input::Ask(ask) => manager.take(now, ask, orders),
-            Input::Withdraw(origin) => manager.withdraw(now, origin, orders),
-            Input::TurnedAway(class, answer) => manager.turned_away(class, &answer),
-            Input::HungUp(conn) => {
+            DispatcherEvent::Opened(conn, answers) => drop(self.clients.insert(conn, answers)),
+            DispatcherEvent::Ask(ask) => manager.take(now, ask, orders),
+            DispatcherEvent::Withdraw(origin) => manager.withdraw(now, origin, orders),
+            DispatcherEvent::TurnedAway(class, answer) => manager.turned_away(class, &answer),
+            DispatcherEvent::HungUp(conn) => {
                 self.clients.remove(&conn);
                 manager.hung_up(now, conn, orders);
             }
-            Input::Ended(ended) => manager.ended(now, ended, orders),
-            Input::Probed {
+            DispatcherEvent::Ended(ended) => manager.ended(now, ended, orders),
+            DispatcherEvent::Probed {
                 engine,
                 kind,
                 latency,
                 load,
             } => {
                 if let Some(duties) = &self.duties {
-                    let sounding = Sounding::new(kind, latency, &load);
-                    let _ = duties.try_send(Word::Answered(
+                    let sounding = ProbeResult::new(kind, latency, &load);
+                    let _ = duties.try_send(ProbeRequest::Answered(
                         engine.0,
                         (kind != OutcomeKind::Moot).then_some(sounding),
                     ));
@@ -299,34 +304,34 @@
                 // What was asked for others tells the module something too.
                 manager.probed(now, engine, kind, latency, load, orders);
             }
-            Input::List(kind, entries, rows, _) => {
+            DispatcherEvent::List(kind, entries, rows, _) => {
                 self.engines.retain(|_, row| !row.is_closed());
                 self.engines.extend(rows);
                 manager.list(now, kind, entries, orders);
             }
-            Input::Retune(settings, names, _, done) => {
+            DispatcherEvent::Retune(settings, names, _, done) => {
                 manager.retune(*settings, &names);
                 let _ = done.try_send(manager.classes());
             }
-            Input::Tenants(tenants) => manager.tenants(&tenants),
-            Input::Probe(engine, until) => self.probe(now, EngineId(engine), until),
-            Input::Sounded(engine, sounding) => {
+            DispatcherEvent::Tenants(tenants) => manager.tenants(&tenants),
+            DispatcherEvent::Probe(engine, until) => self.probe(now, EngineId(engine), until),
+            DispatcherEvent::Sounded(engine, sounding) => {
                 let (kind, load) = sounding.outcome();
                 manager.probed(now, EngineId(engine), kind, sounding.took, load, orders);
             }
-            Input::Owns(duty, token, owned) => {
+            DispatcherEvent::Owns(duty, token, owned) => {
                 if let Some(audit) = &mut self.audit {
                     audit.turn(now, &self.manager.decisions());
                     audit.owns(now, &duty.to_string(), token, owned);
                 }
             }
-            Input::Sharers(managers) => manager.share_among(managers),
-            Input::DirectoryRead => manager.counters.directory_readings += 1,
-            Input::Reloaded(true) => manager.counters.reloads += 1,
-            Input::Reloaded(false) => manager.counters.reload_failures += 1,
-            Input::DirectoryFailed => manager.counters.directory_failures += 1,
-            Input::Report => eprintln!("yokelift: {}", manager.counters),
-            Input::Stop => {}
+            DispatcherEvent::Sharers(managers) => manager.share_among(managers),
+            DispatcherEvent::DirectoryRead => manager.counters.directory_readings += 1,
+            DispatcherEvent::Reloaded(true) => manager.counters.reloads += 1,
+            DispatcherEvent::Reloaded(false) => manager.counters.reload_failures += 1,
+            DispatcherEvent::DirectoryFailed => manager.counters.directory_failures += 1,
+            DispatcherEvent::Report => eprintln!("yokelift: {}", manager.counters),
+            DispatcherEvent::Stop => {}
         }
         self.dispatch(now);
     }
@@ -339,42 +344,45 @@
         }
     }
 
-    fn carry_out(&mut self, now: Micros, order: Order) {
+    fn carry_out(&mut self, now: Micros, order: Command) {
         match order {
-            Order::Start(engine, job) => {
+            Command::Start(engine, job) => {
                 let (id, attempt) = (job.id, job.attempt);
-                if let Err(end) = self.to_engine(engine, ToEngine::Start(job)) {
-                    let ended = Ended::bare(id, attempt, end, Reach::Unsent);
+                if let Err(end) = self.to_engine(engine, EngineCommand::Start(job)) {
+                    let ended = AttemptResult::bare(id, attempt, end, TransmitProgress::Unsent);
                     self.manager.ended(now, ended, &mut self.orders);
                 }
             }
-            Order::Stop(engine, id, attempt) => {
-                if self.to_engine(engine, ToEngine::Stop(id, attempt)).is_err() {
+            Command::Stop(engine, id, attempt) => {
+                if self
+                    .to_engine(engine, EngineCommand::Stop(id, attempt))
+                    .is_err()
+                {
                     // Guards against a lost word: with the mailbox closed the engine's connections
                     // end.
                     self.engines.get(&engine).iter().for_each(|row| row.cut());
                     log!("the mailbox of engine {} overflowed", engine.0);
                 }
             }
-            Order::Doubt(engine, id, attempt) => {
-                let _ = self.to_engine(engine, ToEngine::Doubt(id, attempt));
+            Command::Doubt(engine, id, attempt) => {
+                let _ = self.to_engine(engine, EngineCommand::Doubt(id, attempt));
             }
-            Order::Bump(engine, id, attempt, urgency) => {
-                let _ = self.to_engine(engine, ToEngine::Bump(id, attempt, urgency));
+            Command::Bump(engine, id, attempt, urgency) => {
+                let _ = self.to_engine(engine, EngineCommand::Bump(id, attempt, urgency));
             }
-            Order::Probe(engine) => {
+            Command::Probe(engine) => {
                 // Where duties are shared out, their owner asks; without room there it is done as
                 // without duties.
                 if self
                     .duties
                     .as_ref()
-                    .is_none_or(|duties| duties.try_send(Word::Wanted(engine.0)).is_err())
+                    .is_none_or(|duties| duties.try_send(ProbeRequest::Wanted(engine.0)).is_err())
                 {
                     self.probe(now, engine, None);
                 }
             }
-            Order::CloseIdle(engine) => drop(self.to_engine(engine, ToEngine::CloseIdle)),
-            Order::Answer(origin, answer) => {
+            Command::CloseIdle(engine) => drop(self.to_engine(engine, EngineCommand::CloseIdle)),
+            Command::Answer(origin, answer) => {
                 let lost = self
                     .clients
                     .get(&origin.conn)
@@ -388,7 +396,7 @@
                         .for_each(|c| _ = c.close());
                 }
             }
-            Order::Log(line) => log!("module: {line}"),
+            Command::Log(line) => log!("module: {line}"),
         }
     }
 
@@ -397,11 +405,11 @@
         let late = until.is_some_and(|until| now >= until);
         if late
             || self
-                .to_engine(engine, ToEngine::Probe(until.unwrap_or(Micros::MAX)))
+                .to_engine(engine, EngineCommand::Probe(until.unwrap_or(Micros::MAX)))
                 .is_err()
         {
             if until.is_some() {
-                let failed = Word::Answered(engine.0, None);
+                let failed = ProbeRequest::Answered(engine.0, None);
                 self.duties
                     .iter()
                     .for_each(|duties| _ = duties.try_send(failed.clone()));
@@ -414,9 +422,9 @@
     }
 
     /// Passes an order to an engine's row; how an attempt has ended that can't begin there.
-    fn to_engine(&self, engine: EngineId, order: ToEngine) -> Result<(), End> {
+    fn to_engine(&self, engine: EngineId, order: EngineCommand) -> Result<(), Termination> {
         self.engines
             .get(&engine)
-            .map_or(Err(End::Overflow), |row| row.tell(order))
+            .map_or(Err(Termination::LocalLimit), |row| row.tell(order))
     }
 }
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -1,12 +1,12 @@
 //! A connection to an engine: made, written and read, with its link's machine between.
-use super::{Peer, ToEngine, refuse};
-use crate::backend::Wire;
-use crate::backend::connection_state::{Event, Link};
+use super::{EngineCommand, Peer, refuse};
+use crate::backend::Protocol;
+use crate::backend::connection_state::{ConnectionState, Event};
 use crate::clock::{self, Micros, SEC};
-use crate::dispatcher::termination::End;
-use crate::net::dispatcher::Input;
+use crate::dispatcher::termination::Termination;
+use crate::net::dispatcher::DispatcherEvent;
 use crate::net::mailbox::Sender as Post;
-use crate::net::{Held, Shared, until};
+use crate::net::{CountGuard, Shared, until};
 use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
@@ -24,9 +24,9 @@
 
 /// One connection to an engine, from before it is made.
 pub(super) struct Connection<W> {
-    pub(super) link: Link<W>,
-    pub(super) mailbox: Receiver<ToEngine>,
-    pub(super) core: Sender<Input>,
+    pub(super) link: ConnectionState<W>,
+    pub(super) mailbox: Receiver<EngineCommand>,
+    pub(super) core: Sender<DispatcherEvent>,
     pub(super) peer: Rc<Peer>,
     pub(super) free: Rc<Cell<usize>>,
     pub(super) attempts: Rc<RefCell<BTreeSet<RequestId>>>,
@@ -36,36 +36,36 @@
 }
 
 enum Turn {
-    Order(Option<ToEngine>),
+    Order(Option<EngineCommand>),
     Connected(io::Result<Async<TcpStream>>),
     Read(io::Result<usize>),
     Wrote(io::Result<usize>),
     Due,
 }
 
-impl<W: Wire> Connection<W> {
+impl<W: Protocol> Connection<W> {
     /// Runs to its end, of which its engine's actor is told.
-    pub(super) async fn run(mut self, shared: &Shared, actor: &Post<ToEngine>) {
-        let socket = Held::up_to(&shared.engine_sockets, shared.most_engine_sockets.get());
+    pub(super) async fn run(mut self, shared: &Shared, actor: &Post<EngineCommand>) {
+        let socket = CountGuard::up_to(&shared.engine_sockets, shared.most_engine_sockets.get());
         let end = match socket {
             Some(_) => self.serve(shared).await,
-            None => End::Overflow,
+            None => Termination::LocalLimit,
         };
         let now = clock::turn();
         self.mailbox.close();
         self.link.close(now, end, &mut self.events);
         // What came too late for this connection never went out.
         while let Ok(order) = self.mailbox.try_recv() {
-            if let ToEngine::Start(job) = order {
+            if let EngineCommand::Start(job) = order {
                 refuse(&self.core, &job, end).await;
             }
         }
         self.report().await;
         // An actor whose mailbox is full, or closed, looks by itself.
-        let _ = actor.try_send(ToEngine::Parted);
+        let _ = actor.try_send(EngineCommand::Parted);
     }
 
-    async fn serve(&mut self, shared: &Shared) -> End {
+    async fn serve(&mut self, shared: &Shared) -> Termination {
         let stream = match self.make().await {
             Ok(stream) => stream,
             Err(end) => return end,
@@ -112,8 +112,10 @@
                 written_at = now;
             }
             match turn {
-                Turn::Order(None) => return End::Dropped,
-                Turn::Order(Some(ToEngine::CloseIdle)) if idle_at.is_some() => return End::Idle,
+                Turn::Order(None) => return Termination::Dropped,
+                Turn::Order(Some(EngineCommand::CloseIdle)) if idle_at.is_some() => {
+                    return Termination::Idle;
+                }
                 Turn::Order(Some(order)) => self.order(now, order),
                 Turn::Wrote(Ok(n)) => {
                     self.link.wrote(now, n);
@@ -126,9 +128,11 @@
                     self.proven.set(true);
                     self.link.read(now, &buffer[..n], &mut self.events);
                 }
-                Turn::Read(Err(_)) | Turn::Wrote(Err(_)) => return End::Reset,
-                Turn::Due if idle_at.is_some_and(|at| at <= now) => return End::Idle,
-                Turn::Due if stalled_at.is_some_and(|at| at <= now) => return End::Silent,
+                Turn::Read(Err(_)) | Turn::Wrote(Err(_)) => return Termination::Reset,
+                Turn::Due if idle_at.is_some_and(|at| at <= now) => return Termination::Idle,
+                Turn::Due if stalled_at.is_some_and(|at| at <= now) => {
+                    return Termination::Unresponsive;
+                }
                 Turn::Due => self.link.due(now, &mut self.events),
                 Turn::Connected(_) => {}
             }
@@ -143,14 +147,14 @@
             .starts()
             .filter(|(.., conn)| shared.client_gone(*conn))
         {
-            let _ = self.core.send(Input::HungUp(conn)).await;
+            let _ = self.core.send(DispatcherEvent::HungUp(conn)).await;
             self.link.stop(clock::now(), id, attempt, &mut self.events);
         }
     }
 
     /// Makes the connection. Orders are obeyed meanwhile: a drain that comes now takes back what
     /// waits.
-    async fn make(&mut self) -> Result<Async<TcpStream>, End> {
+    async fn make(&mut self) -> Result<Async<TcpStream>, Termination> {
         let mut connecting = pin!(Async::<TcpStream>::connect(self.peer.addr));
         let give_up_at = clock::turn() + self.peer.connect_timeout;
         loop {
@@ -164,25 +168,25 @@
             let turn = or(order, or(connected, timer)).await;
             let now = clock::turn();
             match turn {
-                Turn::Order(None) => return Err(End::Dropped),
+                Turn::Order(None) => return Err(Termination::Dropped),
                 Turn::Order(Some(order)) => self.order(now, order),
                 Turn::Connected(Ok(stream)) => return Ok(stream),
-                Turn::Connected(Err(e)) => return Err(End::of_connect(&e)),
-                Turn::Due => return Err(End::ConnectTimeout),
+                Turn::Connected(Err(e)) => return Err(Termination::of_connect(&e)),
+                Turn::Due => return Err(Termination::ConnectTimeout),
                 Turn::Read(_) | Turn::Wrote(_) => {}
             }
         }
     }
 
-    fn order(&mut self, now: Micros, order: ToEngine) {
+    fn order(&mut self, now: Micros, order: EngineCommand) {
         match order {
-            ToEngine::Start(job) => self.link.start(now, &job),
-            ToEngine::Stop(id, attempt) => self.link.stop(now, id, attempt, &mut self.events),
-            ToEngine::Doubt(id, attempt) => self.link.doubt(id, attempt),
-            ToEngine::Bump(id, attempt, urgency) => self.link.bump(id, attempt, urgency),
+            EngineCommand::Start(job) => self.link.start(now, &job),
+            EngineCommand::Stop(id, attempt) => self.link.stop(now, id, attempt, &mut self.events),
+            EngineCommand::Doubt(id, attempt) => self.link.doubt(id, attempt),
+            EngineCommand::Bump(id, attempt, urgency) => self.link.bump(id, attempt, urgency),
             // Looked up again here: it may have waited for the connection, or the process been
             // stopped meanwhile.
-            ToEngine::Probe(until) if now >= until => {
+            EngineCommand::Probe(until) if now >= until => {
                 let (kind, load) = (OutcomeKind::Moot, LoadReport::default());
                 self.events.push(Event::Probed {
                     kind,
@@ -190,9 +194,9 @@
                     load,
                 });
             }
-            ToEngine::Probe(_) => self.link.probe(now),
-            ToEngine::Drain => self.link.drain(now, &mut self.events),
-            ToEngine::CloseIdle | ToEngine::Gone | ToEngine::Parted => {}
+            EngineCommand::Probe(_) => self.link.probe(now),
+            EngineCommand::Drain => self.link.drain(now, &mut self.events),
+            EngineCommand::CloseIdle | EngineCommand::Gone | EngineCommand::Parted => {}
         }
     }
 
@@ -207,13 +211,13 @@
             let input = match event {
                 Event::Ended(ended) => {
                     self.attempts.borrow_mut().remove(&ended.id);
-                    Input::Ended(ended)
+                    DispatcherEvent::Ended(ended)
                 }
                 Event::Probed {
                     kind,
                     latency,
                     load,
-                } => Input::Probed {
+                } => DispatcherEvent::Probed {
                     engine: self.peer.id,
                     kind,
                     latency,
--- a/src/net/engine/endpoint.rs
+++ b/src/net/engine/endpoint.rs
@@ -1,8 +1,8 @@
 //! An engine in the list. A listed engine is a row; its actor, with a mailbox and connections, is
 //! there only while something is open or owed: made at the first use, and over once its last
 //! connection is.
-use super::{Peer, ToEngine};
-use crate::dispatcher::termination::End;
+use super::{EngineCommand, Peer};
+use crate::dispatcher::termination::Termination;
 use crate::net::mailbox::Sender;
 use crate::policy::api::{EngineId, Readiness};
 use std::cell::{Cell, RefCell};
@@ -10,11 +10,11 @@
 use std::rc::Rc;
 
 /// Starts the actor of a row, and gives its mailbox.
-pub type Start = Rc<dyn Fn(&Rc<Row>) -> Sender<ToEngine>>;
+pub type Start = Rc<dyn Fn(&Rc<EndpointHandle>) -> Sender<EngineCommand>>;
 
 /// What the list and the module share of an engine. Whether it drains is told here, at once and
 /// whether there is an actor or not: no order that comes later, or waits, starts anything on it.
-pub struct Row {
+pub struct EndpointHandle {
     /// Its id, which alone tells engines apart: addresses are used again.
     pub id: EngineId,
     /// Where it listens.
@@ -22,16 +22,21 @@
     readiness: Cell<Readiness>,
     /// Replaced under its id by a process at another address.
     closed: Cell<bool>,
-    actor: RefCell<Option<Sender<ToEngine>>>,
+    actor: RefCell<Option<Sender<EngineCommand>>>,
     start: Start,
 }
 
-impl Row {
+impl EndpointHandle {
     /// A row without an actor.
-    pub fn new(id: EngineId, addr: SocketAddr, readiness: Readiness, start: Start) -> Rc<Row> {
+    pub fn new(
+        id: EngineId,
+        addr: SocketAddr,
+        readiness: Readiness,
+        start: Start,
+    ) -> Rc<EndpointHandle> {
         let (readiness, closed, actor) =
             (Cell::new(readiness), Cell::new(false), RefCell::default());
-        Rc::new(Row {
+        Rc::new(EndpointHandle {
             id,
             addr,
             readiness,
@@ -47,7 +52,7 @@
     }
 
     /// The actor, if one takes orders.
-    fn actor(&self) -> Option<Sender<ToEngine>> {
+    fn actor(&self) -> Option<Sender<EngineCommand>> {
         self.actor
             .borrow()
             .clone()
@@ -70,19 +75,19 @@
     ///
     /// How an attempt that can't begin has ended, never sent. An order about what is open is never
     /// refused for want of an actor: without one nothing is open.
-    pub fn tell(self: &Rc<Row>, order: ToEngine) -> Result<(), End> {
+    pub fn tell(self: &Rc<EndpointHandle>, order: EngineCommand) -> Result<(), Termination> {
         if let Some(actor) = self.actor() {
-            return actor.try_send(order).map_err(|_| End::Overflow);
+            return actor.try_send(order).map_err(|_| Termination::LocalLimit);
         }
         match &order {
-            _ if self.closed.get() => return Err(End::Overflow),
-            ToEngine::Start(_) if self.drains() => return Err(End::Drained),
-            _ if self.is_closed() => return Err(End::Overflow),
-            ToEngine::Start(_) | ToEngine::Probe(_) => {}
+            _ if self.closed.get() => return Err(Termination::LocalLimit),
+            EngineCommand::Start(_) if self.drains() => return Err(Termination::Drained),
+            _ if self.is_closed() => return Err(Termination::LocalLimit),
+            EngineCommand::Start(_) | EngineCommand::Probe(_) => {}
             _ => return Ok(()),
         }
         let actor = (self.start)(self);
-        let told = actor.try_send(order).map_err(|_| End::Overflow);
+        let told = actor.try_send(order).map_err(|_| Termination::LocalLimit);
         *self.actor.borrow_mut() = Some(actor);
         told
     }
@@ -92,8 +97,8 @@
     pub fn mark(&self, readiness: Readiness) {
         let was = self.readiness.replace(readiness);
         let order = match readiness {
-            Readiness::Draining if was == Readiness::Ready => ToEngine::Drain,
-            Readiness::Gone => ToEngine::Gone,
+            Readiness::Draining if was == Readiness::Ready => EngineCommand::Drain,
+            Readiness::Gone => EngineCommand::Gone,
             _ => return,
         };
         // Guards against a lost word: with the mailbox closed the engine's connections end.
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -3,16 +3,16 @@
 mod connection;
 mod endpoint;
 
-pub use endpoint::{Row, Start};
+pub use endpoint::{EndpointHandle, Start};
 
-use super::dispatcher::Input;
+use super::dispatcher::DispatcherEvent;
 use super::mailbox::{Sender as Post, bounded};
-use super::{Held, Shared, until};
-use crate::backend::Wire;
-use crate::backend::connection_state::Link;
+use super::{CountGuard, Shared, until};
+use crate::backend::Protocol;
+use crate::backend::connection_state::ConnectionState;
 use crate::clock::{self, Micros, SEC};
-use crate::dispatcher::termination::{End, Reach};
-use crate::dispatcher::{Ended, Job};
+use crate::dispatcher::termination::{Termination, TransmitProgress};
+use crate::dispatcher::{AttemptRequest, AttemptResult};
 use crate::policy::api::{AttemptNo, EngineId, LoadReport, OutcomeKind, RequestId};
 use async_channel::{Receiver, Sender};
 use connection::Connection;
@@ -33,9 +33,9 @@
 
 /// What an engine's actor is told.
 #[derive(Clone, Debug)]
-pub enum ToEngine {
+pub enum EngineCommand {
     /// Start an attempt.
-    Start(Job),
+    Start(AttemptRequest),
     /// Give one up.
     Stop(RequestId, AttemptNo),
     /// One takes longer than it should.
@@ -71,7 +71,7 @@
 
 /// The far end of a connection's task, as the engine's actor sees it.
 struct Handle {
-    orders: Post<ToEngine>,
+    orders: Post<EngineCommand>,
     free: Rc<Cell<usize>>,
     attempts: Rc<RefCell<BTreeSet<RequestId>>>,
     stale: Rc<RefCell<BTreeSet<RequestId>>>,
@@ -84,7 +84,7 @@
 impl Handle {
     /// Whether it may take this one. Guards what must never run twice: a spoilt answer to another
     /// attempt, or a reset, ends all that is on the connection, and this is lost then.
-    fn takes(&self, job: &Job, spare: bool) -> bool {
+    fn takes(&self, job: &AttemptRequest, spare: bool) -> bool {
         let empty = self.attempts.borrow().is_empty() && self.orders.is_empty();
         let shares = !spare || empty || !(job.single || self.alone.get());
         shares && self.free.get() > self.orders.len() && !self.stale.borrow().contains(&job.id)
@@ -93,23 +93,23 @@
     /// Lowest first: the fullest, so that spare ones fall idle and close; but for what must never
     /// run twice one that has answered before. Guards against resets, which strike most at the
     /// first that a connection carries.
-    fn rank(&self, job: &Job) -> (bool, usize) {
+    fn rank(&self, job: &AttemptRequest) -> (bool, usize) {
         (job.single && !self.proven.get(), self.free.get())
     }
 }
 
 /// Starts the actor of an engine. `wire` makes the protocol of each new connection.
-pub fn spawn<W: Wire + 'static>(
+pub fn spawn<W: Protocol + 'static>(
     shared: &Rc<Shared>,
-    core: Sender<Input>,
-    row: &Rc<Row>,
+    core: Sender<DispatcherEvent>,
+    row: &Rc<EndpointHandle>,
     peer: Peer,
     wire: impl Fn() -> W + 'static,
-) -> Post<ToEngine> {
+) -> Post<EngineCommand> {
     let (orders, mailbox) = bounded(MAILBOX);
     let (row, all, words) = (row.clone(), shared.clone(), orders.clone());
     shared.spawn(async move {
-        let _active = Held::new(&all.engine_actors);
+        let _active = CountGuard::new(&all.engine_actors);
         actor(
             all.clone(),
             core,
@@ -124,13 +124,13 @@
     orders
 }
 
-async fn actor<W: Wire + 'static>(
+async fn actor<W: Protocol + 'static>(
     shared: Rc<Shared>,
-    core: Sender<Input>,
-    row: &Row,
+    core: Sender<DispatcherEvent>,
+    row: &EndpointHandle,
     peer: Rc<Peer>,
     wire: impl Fn() -> W,
-    (words, mailbox): (Post<ToEngine>, Receiver<ToEngine>),
+    (words, mailbox): (Post<EngineCommand>, Receiver<EngineCommand>),
 ) {
     let mut conns: Vec<Handle> = Vec::new();
     let mut gone_at = None;
@@ -151,12 +151,14 @@
         let Some(order) = order.await else { break };
         conns.retain(|c| !c.orders.is_closed());
         match order {
-            ToEngine::Start(job) if row.drains() => refuse(&core, &job, End::Drained).await,
+            EngineCommand::Start(job) if row.drains() => {
+                refuse(&core, &job, Termination::Drained).await
+            }
             // Guards against a statement that would run on the tables of another database.
-            ToEngine::Start(job) if !peer.databases && names_database(&job) => {
-                refuse(&core, &job, End::Overflow).await;
+            EngineCommand::Start(job) if !peer.databases && names_database(&job) => {
+                refuse(&core, &job, Termination::LocalLimit).await;
             }
-            ToEngine::Start(job) => {
+            EngineCommand::Start(job) => {
                 let spare = shared.engine_sockets.get() < shared.most_engine_sockets.get() * 3 / 4;
                 let room = |c: &&Handle| c.takes(&job, spare);
                 let lost = match conns.iter().filter(room).min_by_key(|c| c.rank(&job)) {
@@ -169,10 +171,10 @@
                     }
                 };
                 if let Some(job) = lost {
-                    refuse(&core, &job, End::Overflow).await;
+                    refuse(&core, &job, Termination::LocalLimit).await;
                 }
             }
-            ToEngine::Stop(id, _) => {
+            EngineCommand::Stop(id, _) => {
                 let holder = conns.iter().find(|c| c.attempts.borrow().contains(&id));
                 if let Some(c) = holder.filter(|c| c.orders.try_send(order).is_err()) {
                     // Guards the rule on attempts out: one that can't be given up ends with its
@@ -182,13 +184,13 @@
             }
             // Without room for the word the attempt keeps the priority that it has, and its
             // connection its good name.
-            ToEngine::Bump(id, ..) | ToEngine::Doubt(id, _) => {
+            EngineCommand::Bump(id, ..) | EngineCommand::Doubt(id, _) => {
                 let holder = conns.iter().find(|c| c.attempts.borrow().contains(&id));
                 holder
                     .into_iter()
                     .for_each(|c| _ = c.orders.try_send(order.clone()));
             }
-            ToEngine::Probe(_) => {
+            EngineCommand::Probe(_) => {
                 let c = match conns.iter().find(|c| c.free.get() > 0) {
                     Some(c) => c,
                     None => {
@@ -198,7 +200,7 @@
                 };
                 if c.orders.try_send(order).is_err() {
                     let (engine, kind) = (peer.id, OutcomeKind::Moot);
-                    let input = Input::Probed {
+                    let input = DispatcherEvent::Probed {
                         engine,
                         kind,
                         latency: 0,
@@ -207,62 +209,62 @@
                     let _ = core.send(input).await;
                 }
             }
-            ToEngine::CloseIdle => conns
+            EngineCommand::CloseIdle => conns
                 .iter()
-                .for_each(|c| drop(c.orders.try_send(ToEngine::CloseIdle))),
-            ToEngine::Drain | ToEngine::Gone => {
-                if matches!(order, ToEngine::Gone) {
+                .for_each(|c| drop(c.orders.try_send(EngineCommand::CloseIdle))),
+            EngineCommand::Drain | EngineCommand::Gone => {
+                if matches!(order, EngineCommand::Gone) {
                     gone_at = gone_at.or(Some(clock::now() + GONE_GRACE));
                 }
                 for c in conns
                     .iter()
-                    .filter(|c| c.orders.try_send(ToEngine::Drain).is_err())
+                    .filter(|c| c.orders.try_send(EngineCommand::Drain).is_err())
                 {
                     c.orders.close();
                 }
             }
-            ToEngine::Parted => {}
+            EngineCommand::Parted => {}
         }
     }
     // Its connections end with their handles. What is still in the mailbox never went out.
     mailbox.close();
     while let Ok(order) = mailbox.try_recv() {
-        if let ToEngine::Start(job) = order {
-            refuse(&core, &job, End::Drained).await;
+        if let EngineCommand::Start(job) = order {
+            refuse(&core, &job, Termination::Drained).await;
         }
     }
 }
 
-fn names_database(job: &Job) -> bool {
+fn names_database(job: &AttemptRequest) -> bool {
     job.session.as_ref().is_some_and(|s| s.database.is_some())
 }
 
-async fn refuse(core: &Sender<Input>, job: &Job, end: End) {
-    let ended = Ended::bare(job.id, job.attempt, end, Reach::Unsent);
-    let _ = core.send(Input::Ended(ended)).await;
+async fn refuse(core: &Sender<DispatcherEvent>, job: &AttemptRequest, end: Termination) {
+    let ended = AttemptResult::bare(job.id, job.attempt, end, TransmitProgress::Unsent);
+    let _ = core.send(DispatcherEvent::Ended(ended)).await;
 }
 
 /// Hands an attempt to a connection; gives it back if the connection's mailbox is full.
-fn hand_over(c: &Handle, job: Job) -> Option<Job> {
+fn hand_over(c: &Handle, job: AttemptRequest) -> Option<AttemptRequest> {
     let (id, single) = (job.id, job.single);
-    match c.orders.try_send(ToEngine::Start(job)) {
+    match c.orders.try_send(EngineCommand::Start(job)) {
         Ok(()) => {
             c.attempts.borrow_mut().insert(id);
             c.alone.set(single);
             None
         }
         Err(e) => match e.into_inner() {
-            ToEngine::Start(job) => Some(job),
+            EngineCommand::Start(job) => Some(job),
             _ => None,
         },
     }
 }
 
-fn connect<W: Wire + 'static>(
+fn connect<W: Protocol + 'static>(
     shared: &Rc<Shared>,
-    core: &Sender<Input>,
+    core: &Sender<DispatcherEvent>,
     peer: &Rc<Peer>,
-    words: &Post<ToEngine>,
+    words: &Post<EngineCommand>,
     wire: W,
 ) -> Handle {
     let (orders, mailbox) = bounded(wire.streams() * 2 + SPARE);
@@ -283,7 +285,7 @@
     let (shared, core, peer) = (shared.clone(), core.clone(), peer.clone());
     let (executor, words) = (shared.executor.clone(), words.clone());
     let task = async move {
-        let link = Link::new(clock::turn(), wire);
+        let link = ConnectionState::new(clock::turn(), wire);
         let conn = Connection {
             link,
             mailbox,
--- a/src/net/fleet/lease.rs
+++ b/src/net/fleet/lease.rs
@@ -2,14 +2,17 @@
 //! manager on the fleet's socket, and what they put down for the second address. Started only with
 //! `[duties]` in the operator's fleet file.
 use crate::clock::{self, MS, Micros};
-use crate::config::fleet::Duties;
-use crate::lease::codec::{self, Letter};
-use crate::lease::shared_probe::{Prober, Sounding, Step};
-use crate::lease::{Action, Candidate, Duty, Fence, Highest, Holder, Token, Voter, first};
+use crate::config::fleet::LeaseConfig;
+use crate::lease::codec::{self, LeaseMessage};
+use crate::lease::shared_probe::{ProbeResult, SharedProber, Step};
+use crate::lease::{
+    Action, Candidate, FencingGuard, FencingToken, Holder, Resource, TokenHighWaterMarks, Voter,
+    first,
+};
 use crate::log;
-use crate::membership::{Health, Membership};
+use crate::membership::{MemberState, Membership};
 use crate::net::Shared;
-use crate::net::dispatcher::Input;
+use crate::net::dispatcher::DispatcherEvent;
 use async_channel::{Receiver, Sender, TrySendError, bounded};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
@@ -28,34 +31,34 @@
 
 /// What the core tells.
 #[derive(Clone)]
-pub enum Word {
+pub enum ProbeRequest {
     /// The module wants an engine's load.
     Wanted(u64),
     /// An engine that was asked has answered, or could not be asked.
-    Answered(u64, Option<Sounding>),
+    Answered(u64, Option<ProbeResult>),
 }
 
 /// A datagram to send.
 pub type Out = (SocketAddr, Vec<u8>);
 
 /// Votes under new tokens, on their way to the disk and then to the candidate.
-struct Keeper {
-    jobs: Sender<(Highest, Out)>,
+struct VoteStore {
+    jobs: Sender<(TokenHighWaterMarks, Out)>,
 }
 
 const CRC: crc::Crc<u32> = crc::Crc::<u32>::new(&crc::CRC_32_ISCSI);
 
 /// What an earlier life of this voter kept. Guards the tokens: what is there but can't be read may
 /// have been higher than anything this life would begin with, so there is no voter then.
-fn kept(path: &Path) -> Result<Highest, String> {
+fn kept(path: &Path) -> Result<TokenHighWaterMarks, String> {
     match std::fs::read(path) {
         Ok(bytes) => postcard::from_bytes_crc32(&bytes, CRC.digest()).map_err(|e| e.to_string()),
-        Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(Highest::default()),
+        Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(TokenHighWaterMarks::default()),
         Err(e) => Err(e.to_string()),
     }
 }
 
-fn keep(path: &Path, highest: &Highest) -> std::io::Result<()> {
+fn keep(path: &Path, highest: &TokenHighWaterMarks) -> std::io::Result<()> {
     let bytes = postcard::to_allocvec_crc32(highest, CRC.digest()).unwrap_or_default();
     // Whole or not at all: a reader finds the old file or the new one.
     let next = path.with_extension("next");
@@ -72,38 +75,38 @@
     /// Whether this manager owns it.
     owns: bool,
     /// Its token, or the highest seen.
-    token: Token,
+    token: FencingToken,
     /// What is left of its term.
     #[serde(skip_serializing_if = "Option::is_none")]
     left_ms: Option<u64>,
 }
 
 /// All of it.
-pub struct Desk {
+pub struct LeaseService {
     voter: Option<Voter>,
     candidate: Candidate,
-    fence: Fence,
-    prober: Prober,
-    keeper: Keeper,
-    words: Receiver<Word>,
-    module: Sender<Input>,
+    fence: FencingGuard,
+    prober: SharedProber,
+    keeper: VoteStore,
+    words: Receiver<ProbeRequest>,
+    module: Sender<DispatcherEvent>,
     /// What the module had no room for yet. Guards its count of probes: each one that it ordered is
     /// answered.
-    unsaid: VecDeque<Input>,
+    unsaid: VecDeque<DispatcherEvent>,
     looked_at: Micros,
 }
 
-impl Desk {
+impl LeaseService {
     /// Opens it, with the highest tokens that earlier lives of this voter granted. Votes that were
     /// kept go to `send`.
     pub fn open(
         shared: &Rc<Shared>,
         me: Holder,
-        duties: &Duties,
-        module: Sender<Input>,
+        duties: &LeaseConfig,
+        module: Sender<DispatcherEvent>,
         send: impl Fn(Out) + 'static,
         now: Micros,
-    ) -> Result<Desk, String> {
+    ) -> Result<LeaseService, String> {
         let name = format!(
             "yokelift-duties-{}",
             crate::net::hot_restart::plain(&me.name)
@@ -112,7 +115,7 @@
             Some(hollow) => hollow.folder.join(name),
             None => crate::net::audit::file(&name)?,
         };
-        let (jobs, work) = bounded::<(Highest, Out)>(VOTES);
+        let (jobs, work) = bounded::<(TokenHighWaterMarks, Out)>(VOTES);
         let (done, votes) = bounded::<Out>(VOTES);
         let voter = duties.voters.contains(&me.name).then(|| kept(&path));
         let voter = voter.and_then(|kept| match kept {
@@ -150,13 +153,16 @@
         let (sender, words) = bounded(MAILBOX);
         *shared.duties.borrow_mut() = Some(sender);
         let candidate = Candidate::new(me, duties.voters.clone(), duties.terms, now);
-        let (fence, prober) = (Fence::default(), Prober::new(duties.terms.ask_ms * MS));
-        Ok(Desk {
+        let (fence, prober) = (
+            FencingGuard::default(),
+            SharedProber::new(duties.terms.ask_ms * MS),
+        );
+        Ok(LeaseService {
             voter,
             candidate,
             fence,
             prober,
-            keeper: Keeper { jobs },
+            keeper: VoteStore { jobs },
             words,
             module,
             unsaid: VecDeque::new(),
@@ -165,7 +171,7 @@
     }
 
     /// What the core tells.
-    pub fn words(&self) -> Receiver<Word> {
+    pub fn words(&self) -> Receiver<ProbeRequest> {
         self.words.clone()
     }
 
@@ -185,10 +191,10 @@
 
     /// The member that should own a duty: the first by rank of those that live and serve, this one
     /// among them.
-    fn first<'a>(&'a self, fleet: &'a Membership, duty: Duty) -> &'a str {
+    fn first<'a>(&'a self, fleet: &'a Membership, duty: Resource) -> &'a str {
         let serves = |stage: &str| stage == "ready";
         let others = fleet.members().values().map(|m| &m.rumour);
-        let live = others.filter(|r| matches!(r.health, Health::Alive | Health::Suspect));
+        let live = others.filter(|r| matches!(r.health, MemberState::Alive | MemberState::Suspect));
         let all = live
             .chain([fleet.me()])
             .filter(|r| serves(&r.versions.stage))
@@ -202,11 +208,17 @@
     }
 
     /// A turn: a word of the core, if one came.
-    pub fn word(&mut self, word: Word, fleet: &Membership, now: Micros, out: &mut Vec<Out>) {
+    pub fn word(
+        &mut self,
+        word: ProbeRequest,
+        fleet: &Membership,
+        now: Micros,
+        out: &mut Vec<Out>,
+    ) {
         let (mut actions, mut steps) = (Vec::new(), Vec::new());
         match word {
-            Word::Wanted(engine) => {
-                let first = self.first(fleet, Duty::Probe(engine)).to_owned();
+            ProbeRequest::Wanted(engine) => {
+                let first = self.first(fleet, Resource::Probe(engine)).to_owned();
                 if first.is_empty() {
                     // Nobody serves, as far as is known: as without duties.
                     steps.push(Step::Probe(engine));
@@ -217,7 +229,7 @@
                 self.prober
                     .wanted(engine, first, own, now, (&mut actions, &mut steps));
             }
-            Word::Answered(engine, sounding) => {
+            ProbeRequest::Answered(engine, sounding) => {
                 self.prober
                     .answered(engine, sounding, &self.candidate, now, &mut steps);
             }
@@ -229,27 +241,27 @@
     pub fn receive(
         &mut self,
         from: SocketAddr,
-        letter: Letter,
+        letter: LeaseMessage,
         fleet: &Membership,
         now: Micros,
         out: &mut Vec<Out>,
     ) {
         let (mut actions, mut steps) = (Vec::new(), Vec::new());
         match letter {
-            Letter::Ask(holder, duty, token, number) => {
+            LeaseMessage::Ask(holder, duty, token, number) => {
                 self.vote(from, holder, (duty, token, number), now, out)
             }
-            Letter::Vote(voter, duty, number, vote) => {
+            LeaseMessage::Vote(voter, duty, number, vote) => {
                 let (candidate, fence) = (&mut self.candidate, &mut self.fence);
                 candidate.vote(&voter, (duty, number), &vote, fence, now, &mut actions);
             }
-            Letter::Release(holder, duty, token) => {
+            LeaseMessage::Release(holder, duty, token) => {
                 self.voter
                     .iter_mut()
                     .for_each(|voter| voter.release(duty, &holder, token));
             }
-            Letter::Want(engine, number) => {
-                let mine = self.first(fleet, Duty::Probe(engine)) == fleet.me().name;
+            LeaseMessage::Want(engine, number) => {
+                let mine = self.first(fleet, Resource::Probe(engine)) == fleet.me().name;
                 let own = (&mut self.candidate, &self.fence);
                 self.prober.asked(
                     (from, engine, number),
@@ -259,7 +271,7 @@
                     (&mut actions, &mut steps),
                 );
             }
-            Letter::Told(engine, number, token, sounding) => {
+            LeaseMessage::Told(engine, number, token, sounding) => {
                 self.prober.told(
                     (engine, number),
                     token,
@@ -268,8 +280,8 @@
                     &mut steps,
                 );
             }
-            Letter::NotMine(engine, number, token) => {
-                self.fence.saw(Duty::Probe(engine), token);
+            LeaseMessage::NotMine(engine, number, token) => {
+                self.fence.saw(Resource::Probe(engine), token);
                 self.prober.not_mine(engine, number, now, &mut steps);
             }
         }
@@ -280,13 +292,13 @@
         &mut self,
         from: SocketAddr,
         holder: Holder,
-        (duty, token, number): (Duty, Token, u32),
+        (duty, token, number): (Resource, FencingToken, u32),
         now: Micros,
         out: &mut Vec<Out>,
     ) {
         let Some(voter) = &mut self.voter else { return };
         let (vote, new) = voter.request(now, duty, &holder, token);
-        let letter = Letter::Vote(self.candidate.me().name.clone(), duty, number, vote);
+        let letter = LeaseMessage::Vote(self.candidate.me().name.clone(), duty, number, vote);
         let letter = (from, codec::encode(&letter));
         if new {
             // Without room it is as if the vote were lost.
@@ -306,8 +318,8 @@
             .is_some_and(|at| now >= at.min(self.looked_at + LOOK))
         {
             self.looked_at = now;
-            let held: Vec<Duty> = self.candidate.owned(now).map(|(duty, ..)| duty).collect();
-            let mine: BTreeMap<Duty, bool> = held
+            let held: Vec<Resource> = self.candidate.owned(now).map(|(duty, ..)| duty).collect();
+            let mine: BTreeMap<Resource, bool> = held
                 .into_iter()
                 .map(|duty| (duty, self.first(fleet, duty) == fleet.me().name))
                 .collect();
@@ -343,9 +355,9 @@
                     let to = if voter == me.name {
                         Some(fleet.me().addr)
                     } else {
-                        Desk::addr(fleet, &voter)
+                        LeaseService::addr(fleet, &voter)
                     };
-                    let letter = Letter::Ask(me, duty, token, number);
+                    let letter = LeaseMessage::Ask(me, duty, token, number);
                     out.extend(to.map(|to| (to, codec::encode(&letter))));
                 }
                 Action::Release(voter, duty, token) if voter == me.name => {
@@ -354,41 +366,46 @@
                         .for_each(|voter| voter.release(duty, &me, token));
                 }
                 Action::Release(voter, duty, token) => {
-                    let letter = codec::encode(&Letter::Release(me, duty, token));
-                    out.extend(Desk::addr(fleet, &voter).map(|to| (to, letter)));
+                    let letter = codec::encode(&LeaseMessage::Release(me, duty, token));
+                    out.extend(LeaseService::addr(fleet, &voter).map(|to| (to, letter)));
                 }
                 Action::Owned(duty, token) => {
                     log!("duties: {duty} is owned here under {token}");
-                    self.unsaid.push_back(Input::Owns(duty, token, true));
+                    self.unsaid
+                        .push_back(DispatcherEvent::Owns(duty, token, true));
                 }
                 Action::Over(duty, token) => {
                     log!("duties: {duty} is not owned here any more, under {token}");
-                    self.unsaid.push_back(Input::Owns(duty, token, false));
+                    self.unsaid
+                        .push_back(DispatcherEvent::Owns(duty, token, false));
                 }
             }
         }
         for step in steps {
             match step {
-                Step::Probe(engine) => self.unsaid.push_back(Input::Probe(engine, None)),
-                Step::ProbeForOthers(engine, until) => {
-                    self.unsaid.push_back(Input::Probe(engine, Some(until)))
-                }
-                Step::Give(engine, sounding) => {
-                    self.unsaid.push_back(Input::Sounded(engine, sounding))
-                }
+                Step::Probe(engine) => self.unsaid.push_back(DispatcherEvent::Probe(engine, None)),
+                Step::ProbeForOthers(engine, until) => self
+                    .unsaid
+                    .push_back(DispatcherEvent::Probe(engine, Some(until))),
+                Step::Give(engine, sounding) => self
+                    .unsaid
+                    .push_back(DispatcherEvent::Sounded(engine, sounding)),
                 Step::Want(name, engine, number) => {
-                    let letter = codec::encode(&Letter::Want(engine, number));
-                    out.extend(Desk::addr(fleet, &name).map(|to| (to, letter)));
+                    let letter = codec::encode(&LeaseMessage::Want(engine, number));
+                    out.extend(LeaseService::addr(fleet, &name).map(|to| (to, letter)));
                 }
                 Step::Tell(to, engine, number, token, sounding) => {
                     out.push((
                         to,
-                        codec::encode(&Letter::Told(engine, number, token, sounding)),
+                        codec::encode(&LeaseMessage::Told(engine, number, token, sounding)),
                     ));
                 }
                 Step::NotMine(to, engine, number) => {
-                    let token = self.fence.highest(Duty::Probe(engine));
-                    out.push((to, codec::encode(&Letter::NotMine(engine, number, token))));
+                    let token = self.fence.highest(Resource::Probe(engine));
+                    out.push((
+                        to,
+                        codec::encode(&LeaseMessage::NotMine(engine, number, token)),
+                    ));
                 }
             }
         }
@@ -408,7 +425,7 @@
 
     /// JSON lines for `GET /duties`: what is owned here first, then what else was seen.
     pub fn view(&self, fleet: &Membership, now: Micros) -> String {
-        let mut rows: BTreeMap<(bool, Duty), Row> = BTreeMap::new();
+        let mut rows: BTreeMap<(bool, Resource), Row> = BTreeMap::new();
         for (duty, token, left) in self.candidate.owned(now) {
             let (member, left_ms) = (fleet.me().name.clone(), Some(left / MS));
             rows.insert(
--- a/src/net/fleet/membership.rs
+++ b/src/net/fleet/membership.rs
@@ -1,20 +1,21 @@
 //! The actor of the fleet's membership: one UDP socket between managers, the pure machine of
 //! `crate::membership`, and what it puts down for the second address. Started only with the
 //! operator's fleet file.
-use crate::audit::Acting;
+use crate::audit::ActiveConfiguration;
 use crate::clock::{self, MS, Micros};
-use crate::config::fleet::Fleet;
+use crate::config::fleet::FleetConfig;
 use crate::lease::Holder;
-use crate::lease::codec::{self as letters, Letter};
+use crate::lease::codec::{self as letters, LeaseMessage};
 use crate::lifecycle::Stage;
 use crate::log;
-use crate::membership::codec::{self, Unread};
+use crate::membership::codec::{self, DecodeError};
 use crate::membership::{
-    Action, Health, Membership, Message, Rumour, SHUT_OUT, Sharers, Standing, Straggler, Versions,
+    Action, ActiveGatewayCount, MemberState, MemberUpdate, Membership, Message, RunningVersions,
+    SHUT_OUT, Straggler, VersionStatus,
 };
-use crate::net::discovery::coordinator::Move;
-use crate::net::dispatcher::Input;
-use crate::net::fleet::lease::{self, Desk};
+use crate::net::discovery::coordinator::CoordinatorMigration;
+use crate::net::dispatcher::DispatcherEvent;
+use crate::net::fleet::lease::{self, LeaseService};
 use crate::net::{Shared, until};
 use async_channel::Sender;
 use async_io::Async;
@@ -61,7 +62,7 @@
     pub me: bool,
     /// The member's news.
     #[serde(flatten)]
-    pub rumour: Rumour,
+    pub rumour: MemberUpdate,
     /// Milliseconds since it is as it is.
     pub since_ms: u64,
 }
@@ -72,7 +73,7 @@
     /// This manager first, then the others by name.
     pub members: Vec<Row>,
     /// Where this manager stands against the majority.
-    pub standing: Standing,
+    pub standing: VersionStatus,
     /// Datagrams that could not be used.
     pub dropped: u64,
 }
@@ -90,8 +91,8 @@
 }
 
 /// What this manager acts on now.
-fn versions(shared: &Shared) -> Versions {
-    let Acting {
+fn versions(shared: &Shared) -> RunningVersions {
+    let ActiveConfiguration {
         generation,
         settings,
         list,
@@ -102,7 +103,7 @@
     } else {
         format!("{:?}", life.stage()).to_lowercase()
     };
-    Versions {
+    RunningVersions {
         build: build(),
         generation,
         settings,
@@ -118,19 +119,19 @@
 }
 
 /// Who runs the membership.
-pub struct Seat {
+pub struct MembershipService {
     /// The manager's name.
     pub name: String,
     /// The start of its process.
     pub life: Micros,
     /// The operator's file.
-    pub fleet: Fleet,
+    pub fleet: FleetConfig,
     /// How many managers there are, by the settings.
     pub managers: u32,
     /// The module, which is told how many of them share the engines.
-    pub module: Sender<Input>,
+    pub module: Sender<DispatcherEvent>,
     /// The coordinator's actor, which follows anew where this manager's list is behind.
-    pub coordinator: Sender<Move>,
+    pub coordinator: Sender<CoordinatorMigration>,
 }
 
 /// What differs for a manager that is one of many in one process.
@@ -147,7 +148,7 @@
     shared: Rc<Shared>,
     mut socket: Option<Async<UdpSocket>>,
     at: SocketAddr,
-    seat: Seat,
+    seat: MembershipService,
 ) {
     while socket.is_none() && shared.life.borrow().stage() != Stage::Stopping {
         until(Some(clock::turn() + SEAT_EVERY)).await;
@@ -159,8 +160,8 @@
 }
 
 /// Runs the membership until the program is asked to end; then it says that it goes.
-async fn run(shared: Rc<Shared>, socket: Async<UdpSocket>, seat: Seat) {
-    let Seat {
+async fn run(shared: Rc<Shared>, socket: Async<UdpSocket>, seat: MembershipService) {
+    let MembershipService {
         name,
         life,
         fleet,
@@ -177,11 +178,11 @@
     let fleet_duties = fleet.duties;
     // A new life outranks every earlier one under the same name: its first incarnation is the time
     // of its start.
-    let me = Rumour {
+    let me = MemberUpdate {
         name,
         addr,
         incarnation: life,
-        health: Health::Alive,
+        health: MemberState::Alive,
         versions: versions(&shared),
     };
     let (grace, most) = (timing.grace_ms * MS, timing.datagram);
@@ -189,7 +190,7 @@
     let mut straggler = Straggler::default();
     let (mut buffer, mut shown_at, mut brought_up) = (vec![0; most + 1], 0, false);
     let mut owned_at = 0;
-    let (mut sharers, mut told) = (Sharers::new(managers), managers);
+    let (mut sharers, mut told) = (ActiveGatewayCount::new(managers), managers);
     let socket = Rc::new(socket);
     let desk = fleet_duties.map(|duties| {
         let (me, late) = (
@@ -201,20 +202,24 @@
         );
         let traffic = shared.traffic.clone();
         let send = move |(to, bytes): lease::Out| traffic.send(late.get_ref(), to, &bytes);
-        Desk::open(&shared, me, &duties, module.clone(), send, now)
+        LeaseService::open(&shared, me, &duties, module.clone(), send, now)
     });
     let mut desk =
         desk.and_then(|desk| desk.map_err(|e| log!("{e}: no duties are shared out")).ok());
-    let words = desk.as_ref().map(Desk::words);
+    let words = desk.as_ref().map(LeaseService::words);
     loop {
         let wakes = desk
             .as_ref()
-            .and_then(Desk::wakes)
+            .and_then(LeaseService::wakes)
             .map_or(machine.wakes(), |at| at.min(machine.wakes()));
-        let datagram = async { Some(Came::Datagram(socket.recv_from(&mut buffer).await.ok()?)) };
+        let datagram = async {
+            Some(Received::Datagram(
+                socket.recv_from(&mut buffer).await.ok()?,
+            ))
+        };
         let word = async {
             match &words {
-                Some(words) => words.recv().await.ok().map(Came::Word),
+                Some(words) => words.recv().await.ok().map(Received::Word),
                 None => std::future::pending().await,
             }
         };
@@ -227,12 +232,14 @@
         let mut letters = Vec::new();
         let mut out = Vec::new();
         machine.versions(versions(&shared));
-        if let Some(Came::Datagram((n, _))) = &came {
+        if let Some(Received::Datagram((n, _))) = &came {
             shared.traffic.received(&buffer[..*n]);
         }
         match (came, &mut desk) {
-            (Some(Came::Word(word)), Some(desk)) => desk.word(word, &machine, now, &mut letters),
-            (Some(Came::Datagram((n, from))), desk) => match (read(&buffer[..n], most), desk) {
+            (Some(Received::Word(word)), Some(desk)) => {
+                desk.word(word, &machine, now, &mut letters)
+            }
+            (Some(Received::Datagram((n, from))), desk) => match (read(&buffer[..n], most), desk) {
                 (Ok(Read::Message(message)), _) => machine.receive(from, *message, now, &mut out),
                 (Ok(Read::Letter(letter)), Some(desk)) => {
                     desk.receive(from, letter, &machine, now, &mut letters);
@@ -242,9 +249,9 @@
                 (Err(why), _) => {
                     machine.dropped += 1;
                     let why = match why {
-                        Unread::Foreign => "of another format",
-                        Unread::Spoilt => "spoilt",
-                        Unread::Oversized => "too large",
+                        DecodeError::Foreign => "of another format",
+                        DecodeError::Spoilt => "spoilt",
+                        DecodeError::Oversized => "too large",
                     };
                     log!("fleet: a datagram from {from} dropped: {why}");
                 }
@@ -276,8 +283,8 @@
                 }
             }
         }
-        let others: Vec<&Versions> = (machine.members().values())
-            .filter(|m| m.rumour.health != Health::Left)
+        let others: Vec<&RunningVersions> = (machine.members().values())
+            .filter(|m| m.rumour.health != MemberState::Left)
             .map(|m| &m.rumour.versions)
             .collect();
         let standing = straggler.judge(&machine.me().versions, &others, grace, now);
@@ -286,7 +293,7 @@
         let counted = sharers.count(machine.me(), rumours, grace, now);
         // Without room in the module's mailbox it is told at a later turn: nobody waits for it
         // here.
-        if counted != told && module.try_send(Input::Sharers(counted)).is_ok() {
+        if counted != told && module.try_send(DispatcherEvent::Sharers(counted)).is_ok() {
             told = counted;
             log!("fleet: {counted} of {managers} managers share the engines");
         }
@@ -317,18 +324,18 @@
 }
 
 /// What woke the actor.
-enum Came {
+enum Received {
     Datagram((usize, SocketAddr)),
-    Word(lease::Word),
+    Word(lease::ProbeRequest),
 }
 
 /// What a datagram holds.
 enum Read {
     Message(Box<Message>),
-    Letter(Letter),
+    Letter(LeaseMessage),
 }
 
-fn read(datagram: &[u8], most: usize) -> Result<Read, Unread> {
+fn read(datagram: &[u8], most: usize) -> Result<Read, DecodeError> {
     match datagram.starts_with(&letters::TAG) {
         true => letters::decode(datagram, most).map(Read::Letter),
         false => codec::decode(datagram, most).map(|message| Read::Message(Box::new(message))),
@@ -338,8 +345,13 @@
 /// Acts on where the manager stands: once behind for the grace it reads its settings again, as at
 /// SIGHUP, and follows the coordinator on a new connection; behind for twice that it is shut out;
 /// in step it is back.
-fn stand(shared: &Shared, standing: Standing, brought_up: &mut bool, coordinator: &Sender<Move>) {
-    let out = standing == Standing::ShutOut;
+fn stand(
+    shared: &Shared,
+    standing: VersionStatus,
+    brought_up: &mut bool,
+    coordinator: &Sender<CoordinatorMigration>,
+) {
+    let out = standing == VersionStatus::ShutOut;
     if shared.life.borrow().is_shut_out() != out {
         shared.life.borrow_mut().shut_out(out);
         log!(
@@ -352,11 +364,11 @@
         );
     }
     match standing {
-        Standing::BringUp if !*brought_up => {
+        VersionStatus::BringUp if !*brought_up => {
             *brought_up = true;
             log!("fleet: behind the majority: reading the configuration and the list again");
             // Where there is no room another move waits, which does the same.
-            let _ = coordinator.try_send(Move {
+            let _ = coordinator.try_send(CoordinatorMigration {
                 addr: None,
                 known: Vec::new(),
             });
@@ -368,12 +380,12 @@
                 }
             }
         }
-        Standing::InStep => *brought_up = false,
+        VersionStatus::InStep => *brought_up = false,
         _ => {}
     }
 }
 
-fn view(machine: &Membership, standing: Standing, now: Micros) -> View {
+fn view(machine: &Membership, standing: VersionStatus, now: Micros) -> View {
     let me = Row {
         me: true,
         rumour: machine.me().clone(),
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -2,12 +2,12 @@
 //! the older one passes its listening descriptors, and the actors at both ends. What it means is
 //! the lifecycle's to say.
 use crate::clock::{self, MS, Micros};
-use crate::dispatcher::{Answer, Failure};
-use crate::hot_restart::message::{Handed, Reader, Word};
-use crate::lifecycle::Next;
+use crate::dispatcher::{Failure, Response};
+use crate::hot_restart::message::{HotRestartMessage, MessageReader, TransferredConnection};
+use crate::lifecycle::SuccessorState;
 use crate::log;
-use crate::net::client::Adopted;
-use crate::net::{Held, Shared, until};
+use crate::net::client::AdoptedConnection;
+use crate::net::{CountGuard, Shared, until};
 use async_channel::{Sender, bounded};
 use async_io::{Async, Timer};
 use futures_lite::AsyncWriteExt;
@@ -35,20 +35,26 @@
 const MOST_FOLLOWERS: usize = 4;
 
 /// What passes to the process that follows, and is held to be unwritten until then.
-pub enum Passed {
+pub enum TransferredItem {
     /// A client's connection: its number here, the descriptor, its state, and where words about it
     /// go.
-    Client(u64, OwnedFd, Handed, Sender<Word>, Held),
+    Client(
+        u64,
+        OwnedFd,
+        TransferredConnection,
+        Sender<HotRestartMessage>,
+        CountGuard,
+    ),
     /// An answer to one of the requests that are open here: the connection's number, the mark, and
     /// its bytes.
-    Answer(u64, u64, Vec<u8>, Held),
+    Answer(u64, u64, Vec<u8>, CountGuard),
 }
 
 /// Messages that wait for the process that follows.
 const MAILBOX: usize = 256;
 
 /// Takes a client's connection over, and gives where answers for it go.
-pub type Adopt = Box<dyn Fn(TcpStream, Adopted) -> Sender<(u64, Answer)>>;
+pub type Adopt = Box<dyn Fn(TcpStream, AdoptedConnection) -> Sender<(u64, Response)>>;
 
 /// Where the processes of a manager meet: in `$TMPDIR`, under the manager's name.
 pub fn place(name: &str) -> Option<PathBuf> {
@@ -69,7 +75,7 @@
 }
 
 /// What the process that runs has handed over.
-pub struct Taken {
+pub struct TransferredState {
     /// Its listeners, by the addresses where they listen.
     pub listeners: BTreeMap<SocketAddr, TcpListener>,
     /// Operators sent its clients away.
@@ -77,12 +83,12 @@
     /// What is left to it and those before it.
     pub leave: f64,
     peer: Async<UnixStream>,
-    reader: Reader,
+    reader: MessageReader,
 }
 
 /// Asks the process that runs, if there is one. Guards the start: whatever is wrong there, it goes
 /// on without.
-pub async fn ask(place: &Path, name: &str) -> Option<Taken> {
+pub async fn ask(place: &Path, name: &str) -> Option<TransferredState> {
     let asked = async {
         let mut peer = match Async::<UnixStream>::connect(place).await {
             Ok(peer) => peer,
@@ -97,7 +103,7 @@
             }
             Err(e) => return Err(e.to_string()),
         };
-        peer.write_all(&Word::Hello(name.to_owned()).bytes())
+        peer.write_all(&HotRestartMessage::Hello(name.to_owned()).bytes())
             .await
             .map_err(|e| e.to_string())?;
         hear(peer).await.map(Some)
@@ -135,8 +141,8 @@
 }
 
 /// Reads up to the first word on parts, which comes last.
-async fn hear(peer: Async<UnixStream>) -> Result<Taken, String> {
-    let (mut reader, mut descriptors) = (Reader::default(), VecDeque::new());
+async fn hear(peer: Async<UnixStream>) -> Result<TransferredState, String> {
+    let (mut reader, mut descriptors) = (MessageReader::default(), VecDeque::new());
     let (mut addrs, mut drained) = (Vec::new(), false);
     loop {
         let mut piece = [0; 1024];
@@ -151,15 +157,17 @@
             .map_err(|_| "it speaks another protocol")?
         {
             match word {
-                Word::Take(listed) => addrs = listed,
-                Word::Drained => drained = true,
-                Word::Leave(leave) if addrs.len() == descriptors.len() && !addrs.is_empty() => {
+                HotRestartMessage::Take(listed) => addrs = listed,
+                HotRestartMessage::Drained => drained = true,
+                HotRestartMessage::Leave(leave)
+                    if addrs.len() == descriptors.len() && !addrs.is_empty() =>
+                {
                     // What the descriptor says counts, not what was told of it.
                     let listeners = descriptors.into_iter().map(TcpListener::from);
                     let listeners = listeners
                         .filter_map(|l| Some((l.local_addr().ok()?, l)))
                         .collect();
-                    return Ok(Taken {
+                    return Ok(TransferredState {
                         listeners,
                         drained,
                         leave,
@@ -167,7 +175,7 @@
                         reader,
                     });
                 }
-                Word::Leave(_) => return Err("it passed no descriptors".into()),
+                HotRestartMessage::Leave(_) => return Err("it passed no descriptors".into()),
                 _ => return Err("it speaks out of turn".into()),
             }
         }
@@ -176,14 +184,19 @@
 
 /// A connection that was passed on: where answers for it go, and the marks that wait for them.
 struct Client {
-    answers: Sender<(u64, Answer)>,
+    answers: Sender<(u64, Response)>,
     open: BTreeSet<u64>,
 }
 
 /// The end of the newer process: says when it serves, hears what it has to leave to those before
 /// it, and takes their clients over.
-pub async fn follow(shared: Rc<Shared>, taken: Taken, adopt: Adopt, serves: impl FnOnce()) {
-    let Taken {
+pub async fn follow(
+    shared: Rc<Shared>,
+    taken: TransferredState,
+    adopt: Adopt,
+    serves: impl FnOnce(),
+) {
+    let TransferredState {
         mut peer,
         mut reader,
         ..
@@ -208,12 +221,12 @@
             None if shared.life.borrow().serves() => {
                 if let Some(serves) = serves.take() {
                     serves();
-                    let _ = peer.write_all(&Word::Ready.bytes()).await;
+                    let _ = peer.write_all(&HotRestartMessage::Ready.bytes()).await;
                 }
             }
             None => {}
             Some(Err(word)) => {
-                if let Word::Gone(number) = word {
+                if let HotRestartMessage::Gone(number) = word {
                     clients.remove(&number);
                 }
                 // If it can't be told any more it is gone, and the next read says so.
@@ -242,7 +255,7 @@
     // What it had open there and did not answer is lost with it; its client hears so at once.
     for Client { answers, open } in clients.into_values() {
         for mark in open {
-            let _ = answers.try_send((mark, Answer::Failed(Failure::NotSent)));
+            let _ = answers.try_send((mark, Response::Failed(Failure::NotSent)));
         }
     }
     if let Some(serves) = serves.take() {
@@ -255,20 +268,20 @@
 
 fn hear_of_clients(
     shared: &Shared,
-    word: Word,
+    word: HotRestartMessage,
     clients: &mut BTreeMap<u64, Client>,
     descriptors: &mut VecDeque<OwnedFd>,
     adopt: &Adopt,
-    words: &Sender<Word>,
+    words: &Sender<HotRestartMessage>,
 ) {
     match word {
-        Word::Leave(part) => shared.life.borrow_mut().follows(part),
-        Word::Client(number, handed) => {
+        HotRestartMessage::Leave(part) => shared.life.borrow_mut().follows(part),
+        HotRestartMessage::Client(number, handed) => {
             let Some(socket) = descriptors.pop_front() else {
                 return;
             };
             let open = handed.open.iter().copied().collect();
-            let adopted = Adopted {
+            let adopted = AdoptedConnection {
                 number,
                 handed,
                 older: words.clone(),
@@ -281,10 +294,12 @@
                 },
             );
         }
-        Word::Answer(number, mark, bytes) => {
+        HotRestartMessage::Answer(number, mark, bytes) => {
             if let Some(client) = clients.get_mut(&number) {
                 client.open.remove(&mark);
-                let _ = client.answers.try_send((mark, Answer::Worded(bytes)));
+                let _ = client
+                    .answers
+                    .try_send((mark, Response::Preformatted(bytes)));
             }
         }
         _ => {}
@@ -292,7 +307,7 @@
 }
 
 /// The end of the older process: what it passes to those that follow.
-pub struct Older {
+pub struct Predecessor {
     /// Where they find it.
     pub place: PathBuf,
     /// The manager's name.
@@ -313,9 +328,9 @@
 }
 
 /// Waits for processes that follow, one after the other as they come.
-pub async fn listen(shared: Rc<Shared>, older: Older) {
+pub async fn listen(shared: Rc<Shared>, older: Predecessor) {
     let older = Rc::new(older);
-    let followers: Rc<RefCell<BTreeMap<u64, Next>>> = Rc::default();
+    let followers: Rc<RefCell<BTreeMap<u64, SuccessorState>>> = Rc::default();
     let (lost, losses) = async_channel::bounded::<()>(1);
     let mut number = 0;
     loop {
@@ -344,7 +359,7 @@
                         followers_end(&shared, &older, peer, mine, &all).await;
                         let was = all.borrow_mut().remove(&mine);
                         settle(&shared, &all);
-                        if was == Some(Next::Ready) && !shared.life.borrow().stopping() {
+                        if was == Some(SuccessorState::Ready) && !shared.life.borrow().stopping() {
                             let _ = lost.try_send(());
                         }
                     });
@@ -358,11 +373,11 @@
     }
 }
 
-fn settle(shared: &Shared, followers: &RefCell<BTreeMap<u64, Next>>) {
+fn settle(shared: &Shared, followers: &RefCell<BTreeMap<u64, SuccessorState>>) {
     let all = followers.borrow();
-    let ready = all.values().any(|next| *next == Next::Ready);
+    let ready = all.values().any(|next| *next == SuccessorState::Ready);
     let next = if ready {
-        Next::Ready
+        SuccessorState::Ready
     } else {
         all.values().next().copied().unwrap_or_default()
     };
@@ -374,12 +389,12 @@
 
 async fn followers_end(
     shared: &Shared,
-    older: &Older,
+    older: &Predecessor,
     peer: Async<UnixStream>,
     mine: u64,
-    followers: &RefCell<BTreeMap<u64, Next>>,
+    followers: &RefCell<BTreeMap<u64, SuccessorState>>,
 ) {
-    let (mut reader, mut piece) = (Reader::default(), [0; 256]);
+    let (mut reader, mut piece) = (MessageReader::default(), [0; 256]);
     let late_at = clock::turn() + PATIENCE;
     let hello = async {
         loop {
@@ -397,12 +412,12 @@
         None
     };
     let hello = or(hello, late).await;
-    if hello != Some(Word::Hello(older.name.clone())) {
+    if hello != Some(HotRestartMessage::Hello(older.name.clone())) {
         return log!(
             "a process that wants to follow is left aside: it is of another version or name"
         );
     }
-    followers.borrow_mut().insert(mine, Next::Coming);
+    followers.borrow_mut().insert(mine, SuccessorState::Coming);
     settle(shared, followers);
     let mut leaves = shared.life.borrow().leaves();
     if pass(shared, older, &peer, leaves).await.is_err() {
@@ -411,7 +426,7 @@
     log!("a process follows: the listeners are passed to it");
     let mut start = None;
     let (newer, passing) = bounded(MAILBOX);
-    let mut clients: BTreeMap<u64, Sender<Word>> = BTreeMap::new();
+    let mut clients: BTreeMap<u64, Sender<HotRestartMessage>> = BTreeMap::new();
     loop {
         let read = async { Some(Ok(super::read_some(&peer, &mut piece).await)) };
         let pass = async { passing.recv().await.ok().map(Err) };
@@ -426,33 +441,33 @@
                 };
                 for word in words {
                     match word {
-                        Word::Ready => {
+                        HotRestartMessage::Ready => {
                             log!("the process that follows serves");
-                            followers.borrow_mut().insert(mine, Next::Ready);
+                            followers.borrow_mut().insert(mine, SuccessorState::Ready);
                             settle(shared, followers);
                             *shared.newer.borrow_mut() = Some(newer.clone());
                         }
-                        Word::Withdraw(number, _) => {
+                        HotRestartMessage::Withdraw(number, _) => {
                             clients.get(&number).map(|client| client.try_send(word));
                         }
                         // With its mailbox closed what it has open here is given up.
-                        Word::Gone(number) => drop(clients.remove(&number)),
+                        HotRestartMessage::Gone(number) => drop(clients.remove(&number)),
                         _ => {}
                     }
                 }
             }
             Some(Ok(_)) => return log!("the process that followed has gone"),
-            Some(Err(Passed::Client(number, socket, handed, back, held))) => {
+            Some(Err(TransferredItem::Client(number, socket, handed, back, held))) => {
                 clients.insert(number, back);
-                let word = Word::Client(number, handed);
+                let word = HotRestartMessage::Client(number, handed);
                 if send(&peer, &word.bytes(), &[socket.as_fd()]).await.is_err() {
                     return;
                 }
                 drop((socket, held));
             }
-            Some(Err(Passed::Answer(number, mark, bytes, held))) => {
+            Some(Err(TransferredItem::Answer(number, mark, bytes, held))) => {
                 if (&peer)
-                    .write_all(&Word::Answer(number, mark, bytes).bytes())
+                    .write_all(&HotRestartMessage::Answer(number, mark, bytes).bytes())
                     .await
                     .is_err()
                 {
@@ -466,7 +481,11 @@
         let now = shared.life.borrow().leaves();
         if (now - leaves).abs() > 0.01 {
             leaves = now;
-            if (&peer).write_all(&Word::Leave(now).bytes()).await.is_err() {
+            if (&peer)
+                .write_all(&HotRestartMessage::Leave(now).bytes())
+                .await
+                .is_err()
+            {
                 return;
             }
         }
@@ -492,16 +511,16 @@
 
 async fn pass(
     shared: &Shared,
-    older: &Older,
+    older: &Predecessor,
     peer: &Async<UnixStream>,
     leaves: f64,
 ) -> io::Result<()> {
     let addrs = older.listeners.iter().map(|(addr, _)| *addr).collect();
-    let mut text = Word::Take(addrs).bytes();
+    let mut text = HotRestartMessage::Take(addrs).bytes();
     if shared.life.borrow().drained() {
-        text.extend(Word::Drained.bytes());
+        text.extend(HotRestartMessage::Drained.bytes());
     }
-    text.extend(Word::Leave(leaves).bytes());
+    text.extend(HotRestartMessage::Leave(leaves).bytes());
     let descriptors: Vec<_> = older.listeners.iter().map(|(_, fd)| fd.as_fd()).collect();
     send(peer, &text, &descriptors).await
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -12,9 +12,9 @@
 pub mod reload;
 pub mod tenant_directory;
 
-use crate::audit::Acting;
+use crate::audit::ActiveConfiguration;
 use crate::clock::{self, Micros};
-use crate::dispatcher::metrics::Figures;
+use crate::dispatcher::metrics::MetricsSnapshot;
 use crate::lifecycle::Lifecycle;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -36,7 +36,7 @@
     /// Closed once the listeners are to accept no more.
     pub accepting: (Sender<()>, Receiver<()>),
     /// To the process that follows this one and serves.
-    pub newer: RefCell<Option<Sender<hot_restart::Passed>>>,
+    pub newer: RefCell<Option<Sender<hot_restart::TransferredItem>>>,
     /// Runs the actors.
     pub executor: Rc<LocalExecutor<'static>>,
     /// Where the process stands.
@@ -44,7 +44,7 @@
     /// Operators have an address of their own: figures are put down for them.
     pub console: Cell<bool>,
     /// What the core put down last.
-    pub figures: RefCell<Figures>,
+    pub figures: RefCell<MetricsSnapshot>,
     /// Attempts written whole to engines.
     pub dispatches: Cell<u64>,
     /// Connections to engines, and how many there may be.
@@ -75,7 +75,7 @@
     /// That many.
     pub most_unread_bytes: Cell<usize>,
     /// The connections of clients, for when there are too many.
-    pub clients: RefCell<BTreeMap<u64, Rc<client::Standing>>>,
+    pub clients: RefCell<BTreeMap<u64, Rc<client::ConnectionStatus>>>,
     /// What was just read from a socket: used at once, before any other actor's turn.
     pub buffer: RefCell<Vec<u8>>,
     /// The next number of a client connection.
@@ -83,9 +83,9 @@
     /// Whether all engines in service know databases: those that speak the ClickHouse interface do.
     pub databases: Cell<bool>,
     /// What the module acts on, as the core put it down last.
-    pub acting: Cell<Acting>,
+    pub acting: Cell<ActiveConfiguration>,
     /// To the fleet's actor, where duties are shared out.
-    pub duties: RefCell<Option<Sender<fleet::lease::Word>>>,
+    pub duties: RefCell<Option<Sender<fleet::lease::ProbeRequest>>>,
     /// What it put down of them last, for the second address.
     pub owned: RefCell<Option<Rc<str>>>,
     /// To the thread that has the audit's files, where there is one.
@@ -178,8 +178,8 @@
     }
 
     /// What operators are told now.
-    pub fn figures(&self) -> Figures {
-        Figures {
+    pub fn figures(&self) -> MetricsSnapshot {
+        MetricsSnapshot {
             dispatches: self.dispatches.get(),
             ..self.figures.borrow().clone()
         }
@@ -207,37 +207,37 @@
 }
 
 /// Counts one more while it lives.
-pub struct Held(Rc<Cell<usize>>);
+pub struct CountGuard(Rc<Cell<usize>>);
 
-impl Held {
+impl CountGuard {
     /// One more.
-    pub fn new(count: &Rc<Cell<usize>>) -> Held {
+    pub fn new(count: &Rc<Cell<usize>>) -> CountGuard {
         count.set(count.get() + 1);
-        Held(Rc::clone(count))
+        CountGuard(Rc::clone(count))
     }
 
     /// One more, if that is not too many.
-    pub fn up_to(count: &Rc<Cell<usize>>, most: usize) -> Option<Held> {
-        (count.get() < most).then(|| Held::new(count))
+    pub fn up_to(count: &Rc<Cell<usize>>, most: usize) -> Option<CountGuard> {
+        (count.get() < most).then(|| CountGuard::new(count))
     }
 }
 
-impl Drop for Held {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 /// The part of one connection in a count over all.
-pub struct Bytes<'a> {
+pub struct ByteQuota<'a> {
     all: &'a Cell<usize>,
     mine: usize,
 }
 
-impl<'a> Bytes<'a> {
+impl<'a> ByteQuota<'a> {
     /// None yet.
-    pub fn new(all: &'a Cell<usize>) -> Bytes<'a> {
-        Bytes { all, mine: 0 }
+    pub fn new(all: &'a Cell<usize>) -> ByteQuota<'a> {
+        ByteQuota { all, mine: 0 }
     }
 
     /// So many now.
@@ -247,7 +247,7 @@
     }
 }
 
-impl Drop for Bytes<'_> {
+impl Drop for ByteQuota<'_> {
     fn drop(&mut self) {
         self.set(0);
     }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -2,15 +2,15 @@
 //! applied as one new generation; requests and engines stay. A file that can't be used leaves
 //! everything as it was.
 use super::Shared;
-use super::discovery::coordinator::Move;
+use super::discovery::coordinator::CoordinatorMigration;
 use super::discovery::endpoint_list::parse_known;
-use super::dispatcher::Input;
+use super::dispatcher::DispatcherEvent;
 use super::fleet::membership::settings_hash;
 use crate::class_registry::Class;
 use crate::clock::micros;
 use crate::config::clickhouse::{self, ClassRules, Users};
 use crate::config::process::{self, Config, LiveNames, Names};
-use crate::frontend::clickhouse::Service;
+use crate::frontend::clickhouse::ClickHouseShared;
 use crate::log;
 use crate::policy::api::Settings;
 use async_channel::{Sender, bounded};
@@ -21,11 +21,11 @@
 use std::rc::Rc;
 
 /// The second front, as far as its file can change it.
-pub struct Second {
+pub struct ClickHouseFrontend {
     /// The deploy file.
     pub path: PathBuf,
     /// Whose users and rules these are.
-    pub service: Rc<Service>,
+    pub service: Rc<ClickHouseShared>,
     /// The users of the file, where a directory adds others; those come with its next reading.
     pub file: Rc<RefCell<Users>>,
     /// Whether a directory has the tenants' shares and further users.
@@ -45,13 +45,13 @@
     /// Where clients connect, which only a restart changes.
     pub listen: SocketAddr,
     /// The second front, if there is one.
-    pub second: Option<Second>,
+    pub second: Option<ClickHouseFrontend>,
     /// What all actors share.
     pub shared: Rc<Shared>,
     /// The coordinator's actor.
-    pub coordinator: Sender<Move>,
+    pub coordinator: Sender<CoordinatorMigration>,
     /// The module.
-    pub core: Sender<Input>,
+    pub core: Sender<DispatcherEvent>,
 }
 
 impl Reload {
@@ -121,7 +121,7 @@
         *self.text.borrow_mut() = config.text;
         let _ = self
             .coordinator
-            .send(Move {
+            .send(CoordinatorMigration {
                 addr: Some(config.coordinator),
                 known,
             })
@@ -151,7 +151,12 @@
         let hash = settings_hash(&config.text);
         let _ = self
             .core
-            .send(Input::Retune(Box::new(settings), names, hash, done))
+            .send(DispatcherEvent::Retune(
+                Box::new(settings),
+                names,
+                hash,
+                done,
+            ))
             .await;
         told.recv().await.unwrap_or_default()
     }
@@ -162,7 +167,7 @@
         if !theirs && same {
             let _ = self
                 .core
-                .send(Input::Tenants(config.settings.tenants.clone()))
+                .send(DispatcherEvent::Tenants(config.settings.tenants.clone()))
                 .await;
         }
     }
--- a/src/policy/admission_queue.rs
+++ b/src/policy/admission_queue.rs
@@ -7,14 +7,14 @@
 impl Gateway {
     /// Whether it may be in time. Most queries are smaller than the mean, and so are the aims to be
     /// missed.
-    pub(super) fn in_aim(&self, now: Nanos, r: &Request) -> bool {
+    pub(super) fn in_aim(&self, now: Nanos, r: &PendingRequest) -> bool {
         let small = DOUBT * self.work(r);
         let runs = small / self.threads(r) * self.fleet.median_stretch.max(1.0);
         now + nanos(runs) <= r.arrived + nanos(aim(self.class(r), small))
     }
 
     /// Worth per second of work, less where late or beyond the tenant's share.
-    fn rank(&self, now: Nanos, r: &Request) -> f64 {
+    fn rank(&self, now: Nanos, r: &PendingRequest) -> f64 {
         let c = self.class(r);
         let share = if r.over_share {
             self.s.over_share_worth
--- a/src/policy/api/mod.rs
+++ b/src/policy/api/mod.rs
@@ -37,18 +37,18 @@
 
 /// What repeating a request of a class may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May be repeated freely.
-    Safe,
+    Idempotent,
     /// May be repeated within the scope and the window in which engines discard duplicates.
-    Keyed {
+    WithKey {
         /// Which engines discard duplicates of one another.
         scope: Scope,
         /// How long after the first attempt that may have run.
         window: Nanos,
     },
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// The engines that recognise each other's requests.
@@ -76,7 +76,7 @@
     /// How long a client waits over all its tries.
     pub deadline: Nanos,
     /// Whether it may be repeated.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Requests with the same key run one at a time, in the order taken.
     pub in_order: bool,
     /// Threads that a query runs on.
@@ -113,7 +113,7 @@
 
 /// What an engine does when the memory granted passes what it has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WhenShort {
+pub enum MemoryExhaustionPolicy {
     /// The query waits in line.
     Wait,
     /// The query gets what is left.
@@ -124,7 +124,7 @@
 
 /// The figures of the rules.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
+pub struct Invariants {
     /// How long after a client's deadline a final answer is still valid.
     pub answer_slack: Nanos,
     /// How long sends may go on after news of a drain.
@@ -140,14 +140,14 @@
     /// A key rests this long after an attempt that may still run.
     pub key_rest: Nanos,
     /// Budget of further attempts, if one is stated.
-    pub extra: Option<ExtraBudget>,
+    pub extra: Option<RetryBudget>,
     /// Where the list is asked for: ask at least this often.
     pub ask_within: Nanos,
 }
 
 /// Budget of attempts beyond the first.
 #[derive(Clone, Copy, Debug)]
-pub struct ExtraBudget {
+pub struct RetryBudget {
     /// Allowed in any case.
     pub spare: f64,
     /// Allowed for each request taken.
@@ -232,13 +232,13 @@
     /// Share of an engine's memory that one query gets at most.
     pub most_grant: f64,
     /// What happens when memory is short.
-    pub when_short: WhenShort,
+    pub when_short: MemoryExhaustionPolicy,
     /// Time between notes of progress; 0 if there are none.
     pub note_period: Nanos,
     /// Answers tell work and memory.
     pub tells_cost: bool,
     /// Figures of the rules.
-    pub rules: Rules,
+    pub rules: Invariants,
     /// What is permitted.
     pub limits: Limits,
 }
@@ -257,7 +257,7 @@
 
 /// An entry of the list of engines.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct EngineEntry {
+pub struct Endpoint {
     /// The engine.
     pub id: EngineId,
     /// Where it stands.
@@ -276,7 +276,7 @@
 
 /// How complete a list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum EndpointListKind {
     /// Complete, but perhaps old: the last one this gateway held.
     Cached,
     /// Only what changed.
@@ -289,7 +289,7 @@
 
 /// A request from a client.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct NewRequest {
+pub struct Request {
     /// Its id.
     pub id: RequestId,
     /// Its class.
@@ -345,7 +345,7 @@
 
 /// News of a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum ProgressUpdate {
     /// Share done.
     Progress(f64),
     /// It spills to disk; MB missing.
@@ -385,12 +385,12 @@
     /// News of the list of engines.
     List {
         /// How complete it is.
-        kind: ListKind,
+        kind: EndpointListKind,
         /// Its entries.
-        entries: Vec<EngineEntry>,
+        entries: Vec<Endpoint>,
     },
     /// A request came in.
-    Request(NewRequest),
+    Request(Request),
     /// An attempt ended.
     Outcome(Outcome),
     /// An answer began to stream; the attempt is the client's now.
@@ -407,7 +407,7 @@
         /// The attempt.
         attempt: AttemptNo,
         /// The news.
-        note: Note,
+        note: ProgressUpdate,
     },
     /// The client left.
     ClientGone(RequestId),
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -6,7 +6,7 @@
 const QUOTA_BURST: f64 = 2.0; // Bursts within a tenant's quota, seconds of its rate...
 
 impl Gateway {
-    pub(super) fn on_request(&mut self, now: Nanos, ask: NewRequest, acts: &mut Vec<Action>) {
+    pub(super) fn on_request(&mut self, now: Nanos, ask: Request, acts: &mut Vec<Action>) {
         if usize::from(ask.class.0) >= self.s.classes.len() || self.requests.contains_key(&ask.id) {
             return;
         }
@@ -25,12 +25,12 @@
             t.tokens -= if over_share || ask.repeated { 0.0 } else { 1.0 };
         }
         let most_sends = self.s.limits.send_cap;
-        let r = Request {
+        let r = PendingRequest {
             ask,
             arrived: now,
             over_share,
             most_sends,
-            ..Request::default()
+            ..PendingRequest::default()
         };
         if let (true, Some(key)) = (self.class(&r).in_order, ask.key) {
             self.keys.entry(key).or_default().line.push_back(ask.id);
@@ -105,8 +105,8 @@
         if is_load {
             *e.held_groups.entry(group).or_default() += 1;
         }
-        e.health = if e.health == Health::HalfOpen(None) {
-            Health::HalfOpen(Some(id))
+        e.health = if e.health == CircuitState::HalfOpen(None) {
+            CircuitState::HalfOpen(Some(id))
         } else {
             e.health
         };
@@ -116,14 +116,14 @@
             return;
         };
         let attempt = AttemptNo(r.sends as u16);
-        let times = Out {
+        let times = Attempt {
             sent: now,
             life_at: now,
             alone,
             expected,
-            ..Out::default()
+            ..Attempt::default()
         };
-        r.outs.push(Out {
+        r.outs.push(Attempt {
             attempt,
             engine,
             running,
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -34,7 +34,7 @@
     }
 }
 
-impl Window {
+impl ControlWindow {
     /// Formula (5), MPL = Ne / (1 + gain (L' - 1) / (Ti - To)), in threads.
     fn law(&self, period: f64) -> f64 {
         let lateness = self.lateness / self.samples.max(1.0);
@@ -127,7 +127,7 @@
 
     /// Room under the bound. Short queries keep their part; long ones keep the rest and borrow what
     /// is idle. The bound binds under pressure; before that, a burst may fill some more.
-    pub(super) fn has_room(&self, now: Nanos, r: &Request, e: &Engine) -> bool {
+    pub(super) fn has_room(&self, now: Nanos, r: &PendingRequest, e: &Engine) -> bool {
         let (k, long) = (self.threads(r), self.is_long(r));
         // Far slower than its peers: less, to clear it. Harms after underestimates.
         let jam = (JAM * self.fleet.median_stretch / e.stretch).min(1.0);
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -5,11 +5,11 @@
     pub(super) fn on_list(
         &mut self,
         now: Nanos,
-        kind: ListKind,
-        entries: &[EngineEntry],
+        kind: EndpointListKind,
+        entries: &[Endpoint],
         acts: &mut Vec<Action>,
     ) {
-        if kind == ListKind::Failed {
+        if kind == EndpointListKind::Failed {
             return acts.push(Action::Watch(true));
         }
         // No faster and no slower than the rest: else, as the rest slows, all gateways take the new
@@ -80,15 +80,15 @@
 
     /// The walk over the whole fleet. What it reads beside the time calls `Fleet::changed` when it
     /// changes.
-    pub(crate) fn tally(&self, now: Nanos) -> Tally {
+    pub(crate) fn tally(&self, now: Nanos) -> FleetScan {
         let (rules, cold_slot) = (&self.s.rules, self.s.rules.fall_window / COLD_SLOTS);
         let next = |slot: Nanos| (now / slot.max(1) + 1) * slot.max(1);
-        let mut t = Tally {
+        let mut t = FleetScan {
             due: next(TURN),
-            ..Tally::default()
+            ..FleetScan::default()
         };
         for e in self.engines.values() {
-            t.due = if let Health::Open(until) = e.health {
+            t.due = if let CircuitState::Open(until) = e.health {
                 t.due.min(until)
             } else {
                 t.due
@@ -96,7 +96,7 @@
             if !e.ready() {
                 continue;
             }
-            let (cold, closed) = (e.warmth(now, rules) < 1.0, e.health == Health::Closed);
+            let (cold, closed) = (e.warmth(now, rules) < 1.0, e.health == CircuitState::Closed);
             let slot = if cold { cold_slot } else { TURN };
             let holds = |across| self.has_slot(now, e, slot, e.bound * self.part, across);
             t.turns
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -58,7 +58,7 @@
 
     /// The gate of every send: one out, time left, drain, placement, cold, attempts, effects, key
     /// turn.
-    pub(super) fn gate(&self, now: Nanos, id: RequestId, r: &Request, e: &Engine) -> bool {
+    pub(super) fn gate(&self, now: Nanos, id: RequestId, r: &PendingRequest, e: &Engine) -> bool {
         let open = !r.done && now + nanos(DOUBT * self.alone(r)) < r.ask.give_up_at;
         let beside = self.s.limits.second_copies && r.outs.len() < 2;
         let open = open
@@ -72,7 +72,7 @@
     }
 
     /// Rule 2: whether the request may go out again at all, and to this engine.
-    pub(super) fn effect_allows(&self, now: Nanos, r: &Request, e: Option<&Engine>) -> bool {
+    pub(super) fn effect_allows(&self, now: Nanos, r: &PendingRequest, e: Option<&Engine>) -> bool {
         let Some((first, sent)) = r.first() else {
             return true;
         };
@@ -87,14 +87,14 @@
 
     /// Whether it would stand still there for a load: an own one, or one that others were seen to
     /// wait for.
-    pub(super) fn stands(&self, now: Nanos, r: &Request, e: &Engine) -> bool {
+    pub(super) fn stands(&self, now: Nanos, r: &PendingRequest, e: &Engine) -> bool {
         let (c, group) = (self.class(r), &r.ask.group);
         let seen = || e.stood_still.get(group).is_some_and(|until| *until > now);
         (c.is_load || c.waits_for_loads) && (e.held_groups.contains_key(group) || seen())
     }
 
     /// Lower is better: threads in use under the bound, scaled by slowness against peers.
-    fn cost(&self, now: Nanos, r: &Request, e: &Engine) -> f64 {
+    fn cost(&self, now: Nanos, r: &PendingRequest, e: &Engine) -> f64 {
         let k = self.threads(r);
         let slow = (e.stretch / self.fleet.median_stretch.max(0.1)).max(0.7);
         let whole = e.bound * e.warmth(now, &self.s.rules);
@@ -112,7 +112,7 @@
         let far =
             on(blind && !self.near(0).any(|id| id == e.entry.id), FAR) - on(blind && cold, TRIED);
         let past = on(r.tried.contains(&e.entry.id), TRIED)
-            - on(e.health == Health::HalfOpen(None), TRIAL);
+            - on(e.health == CircuitState::HalfOpen(None), TRIAL);
         let few = self.fleet.ready.len() <= CANDIDATES;
         // Guards against a home that may be down: all that belongs there would pile up. Forgotten
         // after a period, as an engine that gets nothing can't speak; a small share hears too
@@ -138,12 +138,12 @@
             .engines
             .values()
             .filter(mine)
-            .any(|e| e.health == Health::Closed);
-        let first_safe = class.effect == Effect::Safe && r.sends == 0;
+            .any(|e| e.health == CircuitState::Closed);
+        let first_safe = class.effect == Idempotency::Idempotent && r.sends == 0;
         let healthy = |e: &&Engine| match e.health {
-            Health::Closed => true,
-            Health::HalfOpen(None) => first_safe || !any_closed,
-            Health::HalfOpen(Some(_)) | Health::Open(_) => !any_closed,
+            CircuitState::Closed => true,
+            CircuitState::HalfOpen(None) => first_safe || !any_closed,
+            CircuitState::HalfOpen(Some(_)) | CircuitState::Open(_) => !any_closed,
         };
         let fits = some
             .iter()
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -98,7 +98,7 @@
         // nothing.
         let (class, threads) = (self.class(r), self.threads(r));
         let open = |e: &&Engine| {
-            placed(class, &e.entry) && e.health == Health::Closed && self.gate(now, id, r, e)
+            placed(class, &e.entry) && e.health == CircuitState::Closed && self.gate(now, id, r, e)
         };
         let idle = |e: &&Engine| {
             self.load(now, e) + threads <= FLOOR * e.start && self.has_room(now, r, e)
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -61,7 +61,7 @@
         g.learned =
             g.s.classes
                 .iter()
-                .map(|c| Learned::first(c, TAIL_FIRST))
+                .map(|c| ClassEstimates::first(c, TAIL_FIRST))
                 .collect();
         g.tenants.iter_mut().for_each(|t| t.tokens = QUOTA_LEAST);
         g.cancels = CANCEL_SPARE;
@@ -89,10 +89,10 @@
     /// have taught.
     pub fn retune(&mut self, s: Settings, fresh: &[(ClassId, Option<ClassId>)]) {
         self.learned.resize_with(s.classes.len(), || {
-            Learned::first(&s.classes[0], TAIL_FIRST)
+            ClassEstimates::first(&s.classes[0], TAIL_FIRST)
         });
         for (class, heir_of) in fresh.iter().map(|(class, of)| (usize::from(class.0), of)) {
-            let first = Learned::first(&s.classes[class], TAIL_FIRST);
+            let first = ClassEstimates::first(&s.classes[class], TAIL_FIRST);
             self.learned[class] = heir_of.map_or(first, |of| self.learned[usize::from(of.0)]);
         }
         self.s = s;
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -15,7 +15,7 @@
 impl Engine {
     pub(super) fn eject(&mut self, now: Nanos, fleet: &mut Fleet) {
         fleet.changed();
-        self.health = Health::Open(now + (EJECT << self.ejections.min(3)));
+        self.health = CircuitState::Open(now + (EJECT << self.ejections.min(3)));
         self.ejections += 1;
         self.fail_share = 0.0;
     }
@@ -24,11 +24,11 @@
 impl Gateway {
     /// Outlier ejection: fast failures, resets, failed connects, time-outs without life, against
     /// peers.
-    pub(super) fn judge(&mut self, now: Nanos, o: &Outcome, out: &Out) {
+    pub(super) fn judge(&mut self, now: Nanos, o: &Outcome, out: &Attempt) {
         let Some(e) = self.engines.get_mut(&o.engine) else {
             return;
         };
-        let trial = e.health == Health::HalfOpen(Some(o.id));
+        let trial = e.health == CircuitState::HalfOpen(Some(o.id));
         let silent = out.life_at.max(e.life_at) <= out.sent;
         let failed = match o.kind {
             OutcomeKind::Error | OutcomeKind::ConnectFailed | OutcomeKind::Reset => true,
@@ -41,7 +41,7 @@
             OutcomeKind::Cancelled if silent && o.closed && e.start >= self.sharers => true,
             OutcomeKind::Timeout | OutcomeKind::Cancelled | OutcomeKind::Moot => {
                 e.health = if trial {
-                    Health::HalfOpen(None)
+                    CircuitState::HalfOpen(None)
                 } else {
                     e.health
                 };
@@ -81,7 +81,7 @@
             e.life_at = now;
             if trial {
                 // Slow start: back with the least bound.
-                (e.health, e.bound) = (Health::Closed, e.start * FLOOR);
+                (e.health, e.bound) = (CircuitState::Closed, e.start * FLOOR);
                 self.fleet.changed();
             }
         }
@@ -89,13 +89,14 @@
 
     /// Judged against peers: with most engines bad already nobody is ejected.
     pub(super) fn may_eject(&self, engine: EngineId) -> bool {
-        let out = |e: &&Engine| e.ready() && e.health != Health::Closed && e.entry.id != engine;
+        let out =
+            |e: &&Engine| e.ready() && e.health != CircuitState::Closed && e.entry.id != engine;
         (self.engines.values().filter(out).count() + 1) as f64
             <= EJECT_MOST * self.fleet.ready.len() as f64
     }
 
     /// What an answer teaches of its engine and its class.
-    pub(super) fn learn(&mut self, ask: &NewRequest, o: &Outcome, out: &Out) {
+    pub(super) fn learn(&mut self, ask: &Request, o: &Outcome, out: &Attempt) {
         let class = usize::from(ask.class.0);
         let threads = self.s.classes[class].threads.max(1.0);
         // Where none is asked nothing tells a crowd from work: only answers as fast as the best
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -9,7 +9,7 @@
     /// A part that holds the query is kept by counting; below that, whole queries go out in turns.
     /// Bound of the sum: the margin, 1.5 times it with counts and turns beside each other, and the
     /// part that restarts forget.
-    pub(super) fn cold_allows(&self, now: Nanos, r: &Request, e: &Engine) -> bool {
+    pub(super) fn cold_allows(&self, now: Nanos, r: &PendingRequest, e: &Engine) -> bool {
         let (rules, warmth) = (&self.s.rules, e.warmth(now, &self.s.rules));
         let rate = rules.fall_multiple * warmth * e.cores * USUAL_BUSY * COLD_MARGIN;
         let budget = self.part * rate * secs(rules.fall_window);
@@ -35,7 +35,7 @@
     }
 
     /// Weighs a query for that budget by its class and its hint, whichever says more.
-    pub(super) fn cold_weight(&self, r: &Request) -> f64 {
+    pub(super) fn cold_weight(&self, r: &PendingRequest) -> f64 {
         let l = self.learned(r);
         let guess = if l.samples < ENOUGH {
             secs(self.class(r).promise) * self.threads(r)
--- a/src/policy/stall_detection.rs
+++ b/src/policy/stall_detection.rs
@@ -17,7 +17,7 @@
 
 impl Gateway {
     /// Whether withdrawing its attempt could be followed by another.
-    fn may_try_again(&self, now: Nanos, r: &Request) -> bool {
+    fn may_try_again(&self, now: Nanos, r: &PendingRequest) -> bool {
         let again = self.s.limits.may_cancel && !r.done && self.effect_allows(now, r, None);
         again && r.sends < r.most_sends && self.budget_allows(now)
     }
@@ -33,7 +33,7 @@
             // While much room is free the first runs on beside its copy. What is keyed is never
             // given up.
             let beside = self.s.limits.second_copies && self.idle();
-            if beside || self.effect(r) != Effect::Safe {
+            if beside || self.effect(r) != Idempotency::Idempotent {
                 if let Some(engine) = self.choose(now, id).filter(|_| beside) {
                     self.cancels -= 1.0;
                     self.send(now, id, engine, acts);
@@ -78,7 +78,7 @@
         now: Nanos,
         id: RequestId,
         attempt: AttemptNo,
-        note: Note,
+        note: ProgressUpdate,
         acts: &mut Vec<Action>,
     ) {
         let Some(o) = self.requests.get_mut(&id).and_then(|r| r.out(attempt)) else {
@@ -90,7 +90,7 @@
         // A query that stands still for a load on its data is not slow, nor is its engine: it goes
         // where the data is free, and others are kept off for a while. Harms where the load was
         // about to end.
-        let stands = note == Note::WaitsForLoad;
+        let stands = note == ProgressUpdate::WaitsForLoad;
         if let Some(e) = self.engines.get_mut(&engine) {
             e.life_at = now;
             e.stood_still.retain(|_, until| *until > now);
@@ -99,7 +99,9 @@
         if stands {
             return self.try_anew(now, id, attempt, acts);
         }
-        let Note::Progress(share) = note else { return };
+        let ProgressUpdate::Progress(share) = note else {
+            return;
+        };
         let share = share.min(1.0);
         let r = &self.requests[&id];
         let age = secs(now.saturating_sub(sent));
@@ -109,8 +111,10 @@
             .get(&engine)
             .map_or(1.0, |e| e.stretch.max(1.0));
         let expected = self.alone(r) * stretch;
-        let may =
-            !cancelling && self.cancels >= 1.0 && self.class(r).effect == Effect::Safe && !r.done;
+        let may = !cancelling
+            && self.cancels >= 1.0
+            && self.class(r).effect == Idempotency::Idempotent
+            && !r.done;
         let in_time = now + nanos(expected) <= self.useful_end(r) && self.may_try_again(now, r);
         let bad = whole > BAD_PLAN * self.learned(r).tail * alone && whole - age > 2.0 * expected;
         let hopeless = now + nanos(DOUBT * (whole - age)) > r.ask.give_up_at;
@@ -156,8 +160,9 @@
         for (id, attempt, _, _) in found {
             let r = &self.requests[&id];
             let free = |e: &Engine| {
-                let usable =
-                    e.ready() && e.health == Health::Closed && placed(self.class(r), &e.entry);
+                let usable = e.ready()
+                    && e.health == CircuitState::Closed
+                    && placed(self.class(r), &e.entry);
                 usable && !self.stands(now, r, e) && self.has_room(now, r, e)
             };
             if self
@@ -184,7 +189,7 @@
         // What is sent anew runs twice: soon where much room is free, later where it takes that of
         // others.
         let least = if self.idle() { TAIL_LEAST } else { TAIL_FIRST };
-        let lost = |(r, o): (&Request, &Out)| {
+        let lost = |(r, o): (&PendingRequest, &Attempt)| {
             // Where nothing can be cancelled the engine may well work on it for longer still.
             let times = if self.s.limits.may_cancel {
                 1.0
@@ -223,11 +228,13 @@
             };
             e.silent_at = if e.life_at <= sent { now } else { e.silent_at };
             match e.health {
-                Health::HalfOpen(Some(trial)) if trial == id && silent => {
+                CircuitState::HalfOpen(Some(trial)) if trial == id && silent => {
+                    e.eject(now, &mut self.fleet)
+                }
+                CircuitState::Closed if may_eject && e.life_at <= sent => {
                     e.eject(now, &mut self.fleet)
                 }
-                Health::Closed if may_eject && e.life_at <= sent => e.eject(now, &mut self.fleet),
-                Health::Closed | Health::HalfOpen(_) | Health::Open(_) => {}
+                CircuitState::Closed | CircuitState::HalfOpen(_) | CircuitState::Open(_) => {}
             }
             if let Some(o) = self.requests.get_mut(&id).and_then(|r| r.out(attempt)) {
                 let ghost = std::mem::take(&mut o.running);
--- a/src/policy/state/engine.rs
+++ b/src/policy/state/engine.rs
@@ -6,7 +6,7 @@
 
 /// Outlier ejection of one engine.
 #[derive(Clone, Copy, Default, PartialEq)]
-pub enum Health {
+pub enum CircuitState {
     #[default]
     Closed,
     Open(Nanos),                 // Gets no ordinary work until then.
@@ -31,7 +31,7 @@
 
 /// Sums of a window of the ECC09 update.
 #[derive(Clone, Copy, Default)]
-pub struct Window {
+pub struct ControlWindow {
     pub queries: f64, // Query-seconds, thread-seconds.
     pub threads: f64,
     pub finished: f64,
@@ -40,8 +40,8 @@
     pub samples: f64,
 }
 
-impl Window {
-    pub fn add(&mut self, w: &Window, times: f64) {
+impl ControlWindow {
+    pub fn add(&mut self, w: &ControlWindow, times: f64) {
         self.queries += w.queries * times;
         self.threads += w.threads * times;
         self.finished += w.finished * times;
@@ -53,17 +53,17 @@
 
 #[derive(Default)]
 pub struct Engine {
-    pub entry: EngineEntry,
+    pub entry: Endpoint,
     pub cores: f64,
     pub start: f64, // Bounds are in threads of all gateways together.
     pub bound: f64,
     pub running: Running,
-    pub window: Window,
+    pub window: ControlWindow,
     pub counted_at: Nanos,
     // Smoothed latency over expected time alone; the yardstick of pressure and of peers.
     pub stretch: f64,
     pub full_until: Nanos, // A full refusal counts as pressure for a period.
-    pub health: Health,
+    pub health: CircuitState,
     pub ejections: u32,
     pub fail_share: f64,
     pub life_at: Nanos,
@@ -81,7 +81,7 @@
 
 impl Engine {
     /// One that nothing is known of but its entry and its cores.
-    pub fn new(now: Nanos, entry: EngineEntry, cores: f64, start: f64, stretch: f64) -> Engine {
+    pub fn new(now: Nanos, entry: Endpoint, cores: f64, start: f64, stretch: f64) -> Engine {
         let times = Engine {
             counted_at: now,
             life_at: now,
@@ -110,13 +110,13 @@
     }
 
     /// When a started engine is warm at the latest.
-    pub fn warm_at(&self, rules: &Rules) -> Nanos {
+    pub fn warm_at(&self, rules: &Invariants) -> Nanos {
         self.entry.ready_at.saturating_add(rules.warm_within)
     }
 
     /// Share of usual capacity that a started engine surely has: the start share, then a
     /// late-rising curve.
-    pub fn warmth(&self, now: Nanos, rules: &Rules) -> f64 {
+    pub fn warmth(&self, now: Nanos, rules: &Invariants) -> f64 {
         if self.entry.ready_at == 0 || self.warm_at(rules) <= now {
             return 1.0;
         }
@@ -126,20 +126,20 @@
 
     /// Enters work of that weight, sent to it while it is cold, and forgets what was sent before
     /// the window.
-    pub fn count_cold(&mut self, now: Nanos, rules: &Rules, weight: f64) {
+    pub fn count_cold(&mut self, now: Nanos, rules: &Invariants, weight: f64) {
         self.cold_sent.push_back((now, weight));
         self.forget_cold(now, rules);
     }
 
     /// What the time alone ends: an ejection, and the window of what was sent while it was cold.
-    pub fn settle(&mut self, now: Nanos, rules: &Rules) {
+    pub fn settle(&mut self, now: Nanos, rules: &Invariants) {
         self.forget_cold(now, rules);
-        if matches!(self.health, Health::Open(until) if until <= now) {
-            self.health = Health::HalfOpen(None);
+        if matches!(self.health, CircuitState::Open(until) if until <= now) {
+            self.health = CircuitState::HalfOpen(None);
         }
     }
 
-    fn forget_cold(&mut self, now: Nanos, rules: &Rules) {
+    fn forget_cold(&mut self, now: Nanos, rules: &Invariants) {
         let from = now.saturating_sub(rules.fall_window);
         self.cold_sent
             .drain(..self.cold_sent.partition_point(|(t, _)| *t < from));
--- a/src/policy/state/fleet.rs
+++ b/src/policy/state/fleet.rs
@@ -1,7 +1,7 @@
 //! What is kept of the whole fleet.
-use super::{Running, Window};
+use super::{ControlWindow, Running};
 use crate::policy::api::*;
-use crate::policy::state::running_median::Ranks;
+use crate::policy::state::running_median::RunningMedian;
 use std::collections::{BTreeSet, VecDeque};
 
 /// What is kept of the whole fleet, so that no request walks over it.
@@ -15,7 +15,7 @@
     pub bound: f64,
     pub warm_bound: f64,     // The part of it that does not move by itself...
     pub cold: Vec<EngineId>, // ...and the cold engines whose part does.
-    pub stretches: Ranks,    // Of engines that are ready.
+    pub stretches: RunningMedian, // Of engines that are ready.
     // When a look has to walk over all engines again; 0 once something changed.
     pub walk_due: Nanos,
     pub walks: u64, // Such walks, and engines visited by all looks, those of the walks with them.
@@ -24,7 +24,7 @@
     pub mean: Running, // The same as a mean over about a period.
     // Own queries weighted by the time they take: threads per query of what engines hold.
     pub mix: Running,
-    pub window: Window,
+    pub window: ControlWindow,
     pub window_since: Nanos,
     pub stretch: f64, // Smoothed over all own queries; the median over engines; the best seen.
     pub median_stretch: f64,
@@ -58,7 +58,7 @@
 
 /// What one walk over the whole fleet finds.
 #[derive(Default)]
-pub struct Tally {
+pub struct FleetScan {
     // Of engines that are ready, those where this gateway has a turn, by their ids.
     pub turns: Vec<EngineId>,
     pub stretches: Vec<f64>,
@@ -76,10 +76,10 @@
     }
 
     /// Takes over what a walk found that visited so many engines.
-    pub fn take_tally(&mut self, t: Tally, visited: usize) {
+    pub fn take_tally(&mut self, t: FleetScan, visited: usize) {
         (self.turns, self.cores) = (t.turns, t.cores);
         (self.warm_bound, self.cold) = (t.warm_bound, t.cold);
-        (self.stretches, self.walk_due) = (Ranks::new(t.stretches), t.due);
+        (self.stretches, self.walk_due) = (RunningMedian::new(t.stretches), t.due);
         self.sent.clear();
         self.walks += 1;
         self.visits += visited as u64;
--- a/src/policy/state/mod.rs
+++ b/src/policy/state/mod.rs
@@ -32,11 +32,11 @@
     pub(crate) started: bool,
     pub(crate) engines: BTreeMap<EngineId, Engine>,
     pub(crate) fleet: Fleet,
-    pub(crate) requests: BTreeMap<RequestId, Request>,
+    pub(crate) requests: BTreeMap<RequestId, PendingRequest>,
     /// Held queries with their rank, best first as of the last sweep.
     pub(crate) held: Vec<(f64, RequestId, ClassId)>,
-    pub(crate) keys: BTreeMap<OrderKey, KeyLine>,
-    pub(crate) learned: Vec<Learned>,
+    pub(crate) keys: BTreeMap<OrderKey, OrderedQueue>,
+    pub(crate) learned: Vec<ClassEstimates>,
     pub(crate) tenants: Vec<Tenant>,
     pub(crate) taken: VecDeque<Nanos>,
     pub(crate) extras: VecDeque<Nanos>,
@@ -90,7 +90,7 @@
             .values()
             .filter(|e| e.entry.readiness != Readiness::Gone);
         listed
-            .filter(|e| !e.ready() || e.health != Health::Closed)
+            .filter(|e| !e.ready() || e.health != CircuitState::Closed)
             .count()
     }
 
@@ -164,12 +164,12 @@
     pub(crate) fn merge(
         &mut self,
         now: Nanos,
-        kind: ListKind,
-        entries: &[EngineEntry],
+        kind: EndpointListKind,
+        entries: &[Endpoint],
         per_core: f64,
         stretch: f64,
     ) {
-        if kind != ListKind::Changes {
+        if kind != EndpointListKind::Changes {
             let named: BTreeSet<EngineId> = entries.iter().map(|e| e.id).collect();
             for e in self
                 .engines
@@ -238,7 +238,7 @@
 
     /// Rule 5: the head of its key's line, after the rest that follows an attempt which may still
     /// run.
-    pub(crate) fn has_turn(&self, now: Nanos, id: RequestId, r: &Request) -> bool {
+    pub(crate) fn has_turn(&self, now: Nanos, id: RequestId, r: &PendingRequest) -> bool {
         let (true, Some(key)) = (self.class(r).in_order, r.ask.key) else {
             return true;
         };
@@ -260,49 +260,49 @@
     }
 
     /// Long classes: more than one thread, or loads.
-    pub(crate) fn is_long(&self, r: &Request) -> bool {
+    pub(crate) fn is_long(&self, r: &PendingRequest) -> bool {
         self.threads(r) > 1.0 || self.class(r).is_load
     }
 
-    pub(crate) fn class(&self, r: &Request) -> &ClassSpec {
+    pub(crate) fn class(&self, r: &PendingRequest) -> &ClassSpec {
         &self.s.classes[usize::from(r.ask.class.0)]
     }
 
     /// What repeating it may do.
-    pub(crate) fn effect(&self, r: &Request) -> Effect {
+    pub(crate) fn effect(&self, r: &PendingRequest) -> Idempotency {
         if r.ask.single {
-            Effect::Unsafe
+            Idempotency::NonIdempotent
         } else {
             self.class(r).effect
         }
     }
 
-    pub(crate) fn learned(&self, r: &Request) -> &Learned {
+    pub(crate) fn learned(&self, r: &PendingRequest) -> &ClassEstimates {
         &self.learned[usize::from(r.ask.class.0)]
     }
 
-    pub(crate) fn threads(&self, r: &Request) -> f64 {
+    pub(crate) fn threads(&self, r: &PendingRequest) -> f64 {
         self.class(r).threads.max(1.0)
     }
 
     /// Expected work in seconds on one core.
-    pub(crate) fn work(&self, r: &Request) -> f64 {
+    pub(crate) fn work(&self, r: &PendingRequest) -> f64 {
         let l = self.learned(r);
         r.ask.work_hint.map_or(l.work, |h| secs(h) * l.bias)
     }
 
     /// Expected time in seconds on an idle engine.
-    pub(crate) fn alone(&self, r: &Request) -> f64 {
+    pub(crate) fn alone(&self, r: &PendingRequest) -> f64 {
         self.work(r) / self.threads(r)
     }
 
-    pub(crate) fn aim_end(&self, r: &Request) -> Nanos {
+    pub(crate) fn aim_end(&self, r: &PendingRequest) -> Nanos {
         (r.arrived + nanos(aim(self.class(r), self.work(r)))).min(r.ask.give_up_at)
     }
 
     /// The time after which an answer earns nothing: the deadline, or the aim where late answers
     /// are void.
-    pub(crate) fn useful_end(&self, r: &Request) -> Nanos {
+    pub(crate) fn useful_end(&self, r: &PendingRequest) -> Nanos {
         if self.class(r).late_worth > 0.0 {
             r.ask.give_up_at
         } else {
--- a/src/policy/state/request.rs
+++ b/src/policy/state/request.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, VecDeque};
 
 #[derive(Default)]
-pub struct Out {
+pub struct Attempt {
     pub attempt: AttemptNo,
     pub engine: EngineId,
     pub sent: Nanos,
@@ -17,14 +17,14 @@
 }
 
 #[derive(Default)]
-pub struct Request {
-    pub ask: NewRequest,
+pub struct PendingRequest {
+    pub ask: Request,
     pub arrived: Nanos,
     pub over_share: bool,
     pub done: bool, // Answered; kept only while an attempt is out.
     pub sends: u32,
-    pub most_sends: u32, // As the settings had it when it came.
-    pub outs: Vec<Out>,  // Two where a second copy runs beside the first.
+    pub most_sends: u32,    // As the settings had it when it came.
+    pub outs: Vec<Attempt>, // Two where a second copy runs beside the first.
     // First engine that may have run it, and when it was sent there.
     pub ran_on: Option<(EngineId, Nanos)>,
     pub tried: BTreeSet<EngineId>,
@@ -32,7 +32,7 @@
     pub replans: u32,
 }
 
-impl Request {
+impl PendingRequest {
     /// The first attempt that may have run or is out: where it went, and when.
     pub fn first(&self) -> Option<(EngineId, Nanos)> {
         let outs = self.outs.iter().map(|o| (o.engine, o.sent));
@@ -40,37 +40,37 @@
     }
 
     /// The attempt of that number, if it is out.
-    pub fn out(&mut self, attempt: AttemptNo) -> Option<&mut Out> {
+    pub fn out(&mut self, attempt: AttemptNo) -> Option<&mut Attempt> {
         self.outs.iter_mut().find(|o| o.attempt == attempt)
     }
 
     /// The same, off the book.
-    pub fn take_out(&mut self, attempt: AttemptNo) -> Option<Out> {
+    pub fn take_out(&mut self, attempt: AttemptNo) -> Option<Attempt> {
         let at = self.outs.iter().position(|o| o.attempt == attempt)?;
         Some(self.outs.remove(at))
     }
 }
 
 #[derive(Default)]
-pub struct KeyLine {
+pub struct OrderedQueue {
     pub line: VecDeque<RequestId>,
     pub rest_until: Nanos,
 }
 
 /// What a class has taught: work, and how far its hints lie off.
 #[derive(Clone, Copy)]
-pub struct Learned {
+pub struct ClassEstimates {
     pub work: f64,
     pub samples: u32,
     pub bias: f64,
     pub tail: f64, // Time of an answer over its expected time alone that few exceed.
 }
 
-impl Learned {
+impl ClassEstimates {
     /// Until a class has taught its work, its fixed aim on all its threads is taken for it:
     /// pessimistic.
-    pub fn first(c: &ClassSpec, tail: f64) -> Learned {
-        Learned {
+    pub fn first(c: &ClassSpec, tail: f64) -> ClassEstimates {
+        ClassEstimates {
             work: secs(c.promise) * c.threads.max(1.0),
             samples: 0,
             bias: 1.0,
@@ -94,15 +94,15 @@
 /// duplicates, while they remember it. The pair: where it went, and where it would go; none if
 /// either is not known, or not chosen yet.
 pub fn may_repeat(
-    effect: Effect,
+    effect: Idempotency,
     sent: Nanos,
-    pair: Option<(EngineEntry, EngineEntry)>,
+    pair: Option<(Endpoint, Endpoint)>,
     now: Nanos,
 ) -> bool {
     match effect {
-        Effect::Safe => true,
-        Effect::Unsafe => false,
-        Effect::Keyed { scope, window } => {
+        Idempotency::Idempotent => true,
+        Idempotency::NonIdempotent => false,
+        Idempotency::WithKey { scope, window } => {
             let same = pair.is_none_or(|(first, next)| match scope {
                 Scope::All => true,
                 Scope::Zone => first.zone == next.zone,
@@ -115,12 +115,12 @@
 
 /// Rule 2: whether a refusal is honest, as it promises that trying again is harmless: what may have
 /// run, or is out, only where it may be repeated anywhere.
-pub fn may_refuse(effect: Effect, may_have_run: bool) -> bool {
+pub fn may_refuse(effect: Idempotency, may_have_run: bool) -> bool {
     !may_have_run
         || matches!(
             effect,
-            Effect::Safe
-                | Effect::Keyed {
+            Idempotency::Idempotent
+                | Idempotency::WithKey {
                     scope: Scope::All,
                     ..
                 }
@@ -128,7 +128,7 @@
 }
 
 /// Rule 6: the zones and kinds a class is bound to.
-pub fn placed(class: &ClassSpec, entry: &EngineEntry) -> bool {
+pub fn placed(class: &ClassSpec, entry: &Endpoint) -> bool {
     class
         .only_zones
         .as_ref()
--- a/src/policy/state/running_median.rs
+++ b/src/policy/state/running_median.rs
@@ -3,13 +3,13 @@
 /// Figures kept in order while single ones of them change. Reading the median takes no time, a
 /// change that of a binary search and of moving the figures between the old place and the new one.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ranks(Vec<f64>);
+pub struct RunningMedian(Vec<f64>);
 
-impl Ranks {
+impl RunningMedian {
     /// Those figures, sorted by [`f64::total_cmp`].
-    pub fn new(mut figures: Vec<f64>) -> Ranks {
+    pub fn new(mut figures: Vec<f64>) -> RunningMedian {
         figures.sort_unstable_by(f64::total_cmp);
-        Ranks(figures)
+        RunningMedian(figures)
     }
 
     /// The figure in the middle, of an even number the upper of the two; none of none.
