--- a/src/tenant_directory/mod.rs
+++ b/src/tenant_directory/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! One reading binds, searches the tenants and then the users page by page, and unbinds. It gives a
 //! whole list or none: whoever reads keeps the last good one.
-use crate::config::clickhouse::{DirectoryLine, Users};
+use crate::config::clickhouse::{DirectoryConfig, Users};
 use crate::config::process::Names;
 use crate::policy::api::{TenantId, TenantSpec};
 use rasn::prelude::*;
@@ -30,14 +30,14 @@
 
 /// What a directory says, once read whole.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Listing {
+pub struct DirectorySnapshot {
     /// Tenants and their shares.
     pub tenants: Vec<(String, f64)>,
     /// Users: name, key, tenant.
     pub users: Vec<(String, String, Option<String>)>,
 }
 
-impl Listing {
+impl DirectorySnapshot {
     /// What the module and the fronts need of it: shares of the same whole rate as in the settings,
     /// and users. `names` grows by the tenants that the settings do not know.
     pub fn apply(&self, names: &mut Vec<String>, specs: &mut Vec<TenantSpec>, users: &mut Users) {
@@ -72,7 +72,7 @@
 
 /// Why a reading failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ReadError {
     /// The connection could not be made, broke, or was silent.
     Connection,
     /// What came is not LDAP, or not what was asked for.
@@ -84,19 +84,19 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Step {
+enum SearchStep {
     Bind,
     Tenants,
     Users,
 }
 
 /// One reading.
-pub struct Reading {
-    line: DirectoryLine,
-    step: Step,
+pub struct DirectoryRead {
+    line: DirectoryConfig,
+    step: SearchStep,
     message_id: u32,
     input: Vec<u8>,
-    found: Listing,
+    found: DirectorySnapshot,
 }
 
 fn encode(message: &LdapMessage) -> Vec<u8> {
@@ -105,12 +105,12 @@
 }
 
 /// The length of the first message, if its head is there.
-pub fn message_length(input: &[u8]) -> Result<Option<usize>, Fault> {
+pub fn message_length(input: &[u8]) -> Result<Option<usize>, ReadError> {
     let (Some(tag), Some(first)) = (input.first(), input.get(1)) else {
         return Ok(None);
     };
     if *tag != 0x30 {
-        return Err(Fault::Garbled);
+        return Err(ReadError::Garbled);
     }
     let length = match usize::from(*first) {
         short @ 0..=0x7f => 2 + short,
@@ -120,29 +120,29 @@
             };
             2 + bytes.len() + bytes.iter().fold(0, |n, b| n << 8 | usize::from(*b))
         }
-        _ => return Err(Fault::Garbled),
+        _ => return Err(ReadError::Garbled),
     };
     if length > MOST_MESSAGE {
-        Err(Fault::Garbled)
+        Err(ReadError::Garbled)
     } else {
         Ok(Some(length))
     }
 }
 
 /// Takes the first whole message off the input.
-pub fn take_message(input: &mut Vec<u8>) -> Result<Option<LdapMessage>, Fault> {
+pub fn take_message(input: &mut Vec<u8>) -> Result<Option<LdapMessage>, ReadError> {
     let Some(length) = message_length(input)?.filter(|n| *n <= input.len()) else {
         return Ok(None);
     };
     let bytes: Vec<u8> = input.drain(..length).collect();
     rasn::ber::decode(&bytes)
         .map(Some)
-        .map_err(|_| Fault::Garbled)
+        .map_err(|_| ReadError::Garbled)
 }
 
-impl Reading {
+impl DirectoryRead {
     /// A new reading and its first message.
-    pub fn new(line: DirectoryLine) -> (Reading, Vec<u8>) {
+    pub fn new(line: DirectoryConfig) -> (DirectoryRead, Vec<u8>) {
         let password = OctetString::from(line.bind_password.clone().into_bytes());
         let bind = BindRequest::new(
             3,
@@ -150,9 +150,9 @@
             AuthenticationChoice::Simple(password),
         );
         let message = LdapMessage::new(1, ProtocolOp::BindRequest(bind));
-        let (step, found) = (Step::Bind, Listing::default());
+        let (step, found) = (SearchStep::Bind, DirectorySnapshot::default());
         (
-            Reading {
+            DirectoryRead {
                 line,
                 step,
                 message_id: 1,
@@ -166,7 +166,7 @@
     fn search(&mut self, cookie: OctetString) -> Vec<u8> {
         let line = &self.line;
         let (base, class, wanted) = match self.step {
-            Step::Users => {
+            SearchStep::Users => {
                 let wanted = [
                     &line.name_attribute,
                     &line.tenant_attribute,
@@ -174,7 +174,7 @@
                 ];
                 (&line.users_base, &line.users_class, wanted.to_vec())
             }
-            Step::Bind | Step::Tenants => {
+            SearchStep::Bind | SearchStep::Tenants => {
                 let wanted = [&line.tenant_name_attribute, &line.share_attribute];
                 (&line.tenants_base, &line.tenants_class, wanted.to_vec())
             }
@@ -214,7 +214,7 @@
             first(&found.vals).and_then(|v| String::from_utf8(v).ok())
         };
         match self.step {
-            Step::Users => {
+            SearchStep::Users => {
                 if let Some(name) = value(&line.name_attribute) {
                     let key = value(&line.key_attribute).unwrap_or_default();
                     self.found
@@ -222,7 +222,7 @@
                         .push((name, key, value(&line.tenant_attribute)));
                 }
             }
-            Step::Bind | Step::Tenants => {
+            SearchStep::Bind | SearchStep::Tenants => {
                 let share = value(&line.share_attribute).and_then(|s| s.trim().parse::<f64>().ok());
                 let share = share.filter(|s| s.is_finite() && *s >= 0.0);
                 if let Some((name, share)) = value(&line.tenant_name_attribute).zip(share) {
@@ -233,27 +233,30 @@
     }
 
     /// Reads what came. Gives what to write next, and the listing once it is whole.
-    pub fn feed(&mut self, input: &[u8]) -> Result<(Vec<u8>, Option<Listing>), Fault> {
+    pub fn feed(
+        &mut self,
+        input: &[u8],
+    ) -> Result<(Vec<u8>, Option<DirectorySnapshot>), ReadError> {
         self.input.extend_from_slice(input);
         let mut out = Vec::new();
         while let Some(message) = take_message(&mut self.input)? {
             if message.message_id != self.message_id {
-                return Err(Fault::Garbled);
+                return Err(ReadError::Garbled);
             }
             match (message.protocol_op, self.step) {
-                (ProtocolOp::BindResponse(r), Step::Bind) => {
+                (ProtocolOp::BindResponse(r), SearchStep::Bind) => {
                     check(r.result_code, &r.diagnostic_message.0)?;
-                    self.step = Step::Tenants;
+                    self.step = SearchStep::Tenants;
                     out.extend(self.search(OctetString::from(Vec::new())));
                 }
-                (ProtocolOp::SearchResEntry(entry), Step::Tenants | Step::Users) => {
+                (ProtocolOp::SearchResEntry(entry), SearchStep::Tenants | SearchStep::Users) => {
                     self.entry(&entry.attributes);
                     if self.found.users.len() + self.found.tenants.len() > MOST_ENTRIES {
-                        return Err(Fault::TooMany);
+                        return Err(ReadError::TooMany);
                     }
                 }
-                (ProtocolOp::SearchResRef(_), Step::Tenants | Step::Users) => {}
-                (ProtocolOp::SearchResDone(done), Step::Tenants | Step::Users) => {
+                (ProtocolOp::SearchResRef(_), SearchStep::Tenants | SearchStep::Users) => {}
+                (ProtocolOp::SearchResDone(done), SearchStep::Tenants | SearchStep::Users) => {
                     check(done.0.result_code, &done.0.diagnostic_message.0)?;
                     let control = message
                         .controls
@@ -264,15 +267,15 @@
                     let cookie = match value {
                         Some(value) => {
                             rasn::ber::decode::<PagedValue>(value)
-                                .map_err(|_| Fault::Garbled)?
+                                .map_err(|_| ReadError::Garbled)?
                                 .cookie
                         }
                         None => OctetString::from(Vec::new()),
                     };
                     if !cookie.is_empty() {
                         out.extend(self.search(cookie));
-                    } else if self.step == Step::Tenants {
-                        self.step = Step::Users;
+                    } else if self.step == SearchStep::Tenants {
+                        self.step = SearchStep::Users;
                         out.extend(self.search(cookie));
                     } else {
                         let unbind = ProtocolOp::UnbindRequest(UnbindRequest);
@@ -280,7 +283,7 @@
                         return Ok((out, Some(std::mem::take(&mut self.found))));
                     }
                 }
-                _ => return Err(Fault::Garbled),
+                _ => return Err(ReadError::Garbled),
             }
         }
         Ok((out, None))
@@ -291,10 +294,10 @@
     values.to_vec().first().map(|v| v.to_vec())
 }
 
-fn check(code: ResultCode, text: &str) -> Result<(), Fault> {
+fn check(code: ResultCode, text: &str) -> Result<(), ReadError> {
     match code {
         ResultCode::Success => Ok(()),
-        code => Err(Fault::Denied(format!("{code:?} {text}"))),
+        code => Err(ReadError::Denied(format!("{code:?} {text}"))),
     }
 }
 
--- a/src/testkit/audit.rs
+++ b/src/testkit/audit.rs
@@ -1,7 +1,7 @@
 //! Gathers the audit of several managers over their second addresses.
 use super::{clients, pause};
-use crate::audit::Place;
-use crate::audit::report::{Gathered, Seen};
+use crate::audit::RecordPosition;
+use crate::audit::report::{NodeReport, Seen};
 use crate::audit::store::{Line, PageEnd};
 use futures_lite::future::or;
 use std::net::SocketAddr;
@@ -29,10 +29,10 @@
         .map_err(|why| format!("GET {path}: {why}"))
 }
 
-async fn one(addr: SocketAddr, since: Place) -> Gathered {
-    let mut all = Gathered {
+async fn one(addr: SocketAddr, since: RecordPosition) -> NodeReport {
+    let mut all = NodeReport {
         addr: addr.to_string(),
-        ..Gathered::default()
+        ..NodeReport::default()
     };
     match get(addr, "/fleet").await {
         Ok(body) => {
@@ -79,7 +79,7 @@
 }
 
 /// What those managers answer: their views, and their records after that place.
-pub async fn gather(addrs: &[SocketAddr], since: Place) -> Vec<Gathered> {
+pub async fn gather(addrs: &[SocketAddr], since: RecordPosition) -> Vec<NodeReport> {
     let mut all = Vec::new();
     for addr in addrs {
         all.push(one(*addr, since).await);
--- a/src/testkit/clients.rs
+++ b/src/testkit/clients.rs
@@ -16,7 +16,7 @@
 
 /// How a request ended, as its client saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum ClientOutcome {
     /// All rows.
     Served(String),
     /// Refused, and when to come back in milliseconds, if that was said.
@@ -31,16 +31,16 @@
     Cut,
 }
 
-impl fmt::Display for Got {
+impl fmt::Display for ClientOutcome {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Got::Served(rows) => write!(f, "served, {} rows", rows.lines().count()),
-            Got::Refused(Some(ms)) => write!(f, "refused, come back after {ms} ms"),
-            Got::Refused(None) => write!(f, "refused"),
-            Got::Deadline => write!(f, "failed: its time was up"),
-            Got::Failed(code) => write!(f, "failed: code {code}"),
-            Got::Rejected(code) => write!(f, "rejected: {code}"),
-            Got::Cut => write!(f, "cut off with no whole answer"),
+            ClientOutcome::Served(rows) => write!(f, "served, {} rows", rows.lines().count()),
+            ClientOutcome::Refused(Some(ms)) => write!(f, "refused, come back after {ms} ms"),
+            ClientOutcome::Refused(None) => write!(f, "refused"),
+            ClientOutcome::Deadline => write!(f, "failed: its time was up"),
+            ClientOutcome::Failed(code) => write!(f, "failed: code {code}"),
+            ClientOutcome::Rejected(code) => write!(f, "rejected: {code}"),
+            ClientOutcome::Cut => write!(f, "cut off with no whole answer"),
         }
     }
 }
@@ -86,20 +86,20 @@
 }
 
 /// What a line of the platform's protocol says.
-pub fn rpc_got(line: &[u8]) -> Got {
+pub fn rpc_got(line: &[u8]) -> ClientOutcome {
     let Ok(answer) = serde_json::from_slice::<Value>(line) else {
-        return Got::Cut;
+        return ClientOutcome::Cut;
     };
     if let Some(arg) = answer["result"]["arg"].as_str() {
         let rows = BASE64_STANDARD.decode(arg).unwrap_or_default();
-        return Got::Served(String::from_utf8_lossy(&rows).into_owned());
+        return ClientOutcome::Served(String::from_utf8_lossy(&rows).into_owned());
     }
     match answer["error"]["code"].as_i64() {
-        Some(-32050) => Got::Refused(answer["error"]["data"]["after"].as_u64()),
-        Some(-32052) => Got::Deadline,
-        Some(code @ ..=-32600) => Got::Rejected(code),
-        Some(code) => Got::Failed(code),
-        None => Got::Cut,
+        Some(-32050) => ClientOutcome::Refused(answer["error"]["data"]["after"].as_u64()),
+        Some(-32052) => ClientOutcome::Deadline,
+        Some(code @ ..=-32600) => ClientOutcome::Rejected(code),
+        Some(code) => ClientOutcome::Failed(code),
+        None => ClientOutcome::Cut,
     }
 }
 
@@ -112,45 +112,45 @@
 }
 
 /// Sends the lines on a new connection and reads the first answer.
-pub async fn rpc(addr: SocketAddr, lines: &[u8]) -> Got {
+pub async fn rpc(addr: SocketAddr, lines: &[u8]) -> ClientOutcome {
     rpc_or_leave(addr, lines, &Cell::new(false)).await
 }
 
 /// The same, but the client may hang up within the answer.
-pub async fn rpc_or_leave(addr: SocketAddr, lines: &[u8], leaves: &Cell<bool>) -> Got {
+pub async fn rpc_or_leave(addr: SocketAddr, lines: &[u8], leaves: &Cell<bool>) -> ClientOutcome {
     let Ok(mut stream) = Async::<TcpStream>::connect(addr).await else {
-        return Got::Cut;
+        return ClientOutcome::Cut;
     };
     if stream.write_all(lines).await.is_err() {
-        return Got::Cut;
+        return ClientOutcome::Cut;
     }
     let mut input = Vec::new();
     if left(&stream, leaves, &mut input).await {
-        return Got::Cut;
+        return ClientOutcome::Cut;
     }
     read_line(&stream, &mut input)
         .await
-        .map_or(Got::Cut, |line| rpc_got(&line))
+        .map_or(ClientOutcome::Cut, |line| rpc_got(&line))
 }
 
 /// How a request ended, once it has.
-pub type End = Rc<RefCell<Option<Got>>>;
+pub type End = Rc<RefCell<Option<ClientOutcome>>>;
 type Ends = Rc<RefCell<BTreeMap<u64, End>>>;
 
 /// A connection of the platform's protocol that is kept, with several requests open on it.
-pub struct Kept {
+pub struct PersistentClient {
     out: Sender<Vec<u8>>,
     open: Ends,
     closed: Rc<Cell<bool>>,
     next: Cell<u64>,
 }
 
-impl Kept {
+impl PersistentClient {
     /// Connects.
-    pub fn open(executor: &Executor, addr: SocketAddr) -> Kept {
+    pub fn open(executor: &Executor, addr: SocketAddr) -> PersistentClient {
         let (out, lines) = async_channel::unbounded::<Vec<u8>>();
         let (open, closed) = (Ends::default(), Rc::default());
-        let kept = Kept {
+        let kept = PersistentClient {
             out,
             open: Rc::clone(&open),
             closed: Rc::clone(&closed),
@@ -180,7 +180,7 @@
             // What is still open is cut off.
             open.borrow()
                 .values()
-                .for_each(|end| *end.borrow_mut() = Some(Got::Cut));
+                .for_each(|end| *end.borrow_mut() = Some(ClientOutcome::Cut));
             closed.set(true);
         };
         executor.spawn(task).detach();
@@ -194,7 +194,7 @@
         let mut line = rpc_line(id, class, key, tenant, wait, statement);
         let rest = line.split_off(line.len() / part.max(1));
         if self.closed.get() {
-            *end.borrow_mut() = Some(Got::Cut);
+            *end.borrow_mut() = Some(ClientOutcome::Cut);
         } else {
             self.open.borrow_mut().insert(id, end);
         }
@@ -265,30 +265,30 @@
 }
 
 /// Sends a request on a new connection and reads its answer.
-pub async fn http(addr: SocketAddr, request: &[u8]) -> Got {
+pub async fn http(addr: SocketAddr, request: &[u8]) -> ClientOutcome {
     http_or_leave(addr, request, &Cell::new(false)).await
 }
 
 /// The same, but the client may hang up within the answer.
-pub async fn http_or_leave(addr: SocketAddr, request: &[u8], leaves: &Cell<bool>) -> Got {
+pub async fn http_or_leave(addr: SocketAddr, request: &[u8], leaves: &Cell<bool>) -> ClientOutcome {
     let Ok(mut stream) = Async::<TcpStream>::connect(addr).await else {
-        return Got::Cut;
+        return ClientOutcome::Cut;
     };
     if stream.write_all(request).await.is_err() {
-        return Got::Cut;
+        return ClientOutcome::Cut;
     }
     let mut input = Vec::new();
     if left(&stream, leaves, &mut input).await {
-        return Got::Cut;
+        return ClientOutcome::Cut;
     }
     match read_http(&stream, &mut input, Body::UntilClose).await {
         Some((head, body)) => http_got(&head, &body),
-        None => Got::Cut,
+        None => ClientOutcome::Cut,
     }
 }
 
 /// What an answer over HTTP says.
-pub fn http_got(head: &http::Head, body: &[u8]) -> Got {
+pub fn http_got(head: &http::Head, body: &[u8]) -> ClientOutcome {
     let code = head
         .field("x-clickhouse-exception-code")
         .and_then(|c| c.parse::<i64>().ok())
@@ -299,10 +299,10 @@
             .map(|s| s * 1000)
     };
     match (head.first[1].as_str(), code) {
-        ("200", _) => Got::Served(String::from_utf8_lossy(body).into_owned()),
-        ("503", 202) => Got::Refused(after()),
-        ("500", 159) => Got::Deadline,
-        ("500" | "503", code) => Got::Failed(code),
-        (status, _) => Got::Rejected(status.parse().unwrap_or(0)),
+        ("200", _) => ClientOutcome::Served(String::from_utf8_lossy(body).into_owned()),
+        ("503", 202) => ClientOutcome::Refused(after()),
+        ("500", 159) => ClientOutcome::Deadline,
+        ("500" | "503", code) => ClientOutcome::Failed(code),
+        (status, _) => ClientOutcome::Rejected(status.parse().unwrap_or(0)),
     }
 }
--- a/src/testkit/coordinator.rs
+++ b/src/testkit/coordinator.rs
@@ -1,6 +1,6 @@
 //! A stand-in coordinator: numbered events, sent on to whoever follows.
 use super::{Executor, listener};
-use crate::net::discovery::endpoint_list::Listed;
+use crate::net::discovery::endpoint_list::ListedEndpoint;
 use crate::policy::api::Readiness;
 use async_channel::{Sender, bounded};
 use async_io::{Async, Timer};
@@ -26,7 +26,7 @@
     ending: Sender<()>,
 }
 
-fn record(listed: &Listed) -> Vec<u8> {
+fn record(listed: &ListedEndpoint) -> Vec<u8> {
     let entry = &listed.entry;
     let ip = match listed.addr.ip() {
         IpAddr::V4(ip) => ip.octets(),
@@ -100,7 +100,7 @@
     }
 
     /// A new event: what has changed, or the whole list.
-    pub fn tell(&self, whole: bool, engines: &[Listed]) {
+    pub fn tell(&self, whole: bool, engines: &[ListedEndpoint]) {
         let records: Vec<u8> = engines.iter().flat_map(record).collect();
         let mut frames = self.frames.borrow_mut();
         let number = frames.len() as u64 + 2;
@@ -157,8 +157,8 @@
 }
 
 /// The events of a start, as the configuration has them.
-pub fn known(engines: &[Listed], zones: &[&str], kinds: &[&str]) -> Value {
-    let server = |l: &Listed| {
+pub fn known(engines: &[ListedEndpoint], zones: &[&str], kinds: &[&str]) -> Value {
+    let server = |l: &ListedEndpoint| {
         json!({"id": format!("s-{:08x}", l.entry.id.0), "addr": l.addr.to_string(),
             "zone": zones[usize::from(l.entry.zone.0)], "kind": kinds[usize::from(l.entry.kind.0)],
             "cell": l.entry.cell.0, "state": "in_service", "weight": 1, "started_ms": 0})
--- a/src/testkit/engines.rs
+++ b/src/testkit/engines.rs
@@ -1,6 +1,6 @@
 //! Stand-in engines: one speaks the platform's lines, the other the ClickHouse HTTP interface. Both
 //! do with the next query what they were told to.
-use super::{Book, Executor, RunEnd, listener, pause};
+use super::{ExecutionLog, Executor, RunEnd, listener, pause};
 use crate::http::{self, Body, Head};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, StreamExt};
@@ -11,7 +11,7 @@
 
 /// What an engine does with a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum EngineBehavior {
     /// Answers after some milliseconds with so many rows.
     Rows(u64, usize),
     /// Turns it away: it never ran.
@@ -34,8 +34,8 @@
     /// Queries that it runs at once, and those that it runs.
     sessions: usize,
     running: Cell<usize>,
-    script: RefCell<VecDeque<Act>>,
-    book: Book,
+    script: RefCell<VecDeque<EngineBehavior>>,
+    book: ExecutionLog,
     /// Its connections.
     streams: RefCell<Vec<std::rc::Weak<Async<TcpStream>>>>,
 }
@@ -65,7 +65,7 @@
 
 impl Engine {
     /// Starts one.
-    pub fn start(executor: &Executor, name: &str, http: bool, book: Book) -> Engine {
+    pub fn start(executor: &Executor, name: &str, http: bool, book: ExecutionLog) -> Engine {
         Engine::with(executor, name, http, book, usize::MAX)
     }
 
@@ -74,7 +74,7 @@
         executor: &Executor,
         name: &str,
         http: bool,
-        book: Book,
+        book: ExecutionLog,
         sessions: usize,
     ) -> Engine {
         let (listener, addr) = listener();
@@ -112,7 +112,7 @@
     }
 
     /// What to do with the next query that has nothing else to wait for.
-    pub fn next(&self, act: Act) {
+    pub fn next(&self, act: EngineBehavior) {
         self.state.script.borrow_mut().push_back(act);
     }
 
@@ -148,10 +148,10 @@
 }
 
 impl State {
-    fn act(&self) -> Act {
+    fn act(&self) -> EngineBehavior {
         let any = self.book.any.borrow_mut().pop_front();
         any.or_else(|| self.script.borrow_mut().pop_front())
-            .unwrap_or(Act::Rows(1, 3))
+            .unwrap_or(EngineBehavior::Rows(1, 3))
     }
 }
 
@@ -211,9 +211,9 @@
                 let act = if state.running.get() < state.sessions {
                     state.act()
                 } else {
-                    Act::Full
+                    EngineBehavior::Full
                 };
-                if act == Act::Reset {
+                if act == EngineBehavior::Reset {
                     hang_up(stream);
                     break;
                 }
@@ -276,10 +276,10 @@
     id: &str,
     run: usize,
     query: &str,
-    act: Act,
+    act: EngineBehavior,
 ) {
     let (text, how) = match act {
-        Act::Rows(ms, count) => {
+        EngineBehavior::Rows(ms, count) => {
             // What it knows by its key it does not run again: the answer is there.
             let ms = if state.book.runs.borrow()[run].dropped {
                 0
@@ -304,17 +304,17 @@
             )
         }
         // More pages than there are: the engine has lost them by the time they are asked for.
-        Act::Late => (
+        EngineBehavior::Late => (
             format!("{id} DONE sheets=3 6\r\na\tb\tc\n\r\n"),
             RunEnd::Answered,
         ),
-        Act::Full => {
+        EngineBehavior::Full => {
             state.book.unknown(run);
             (format!("{id} WAIT - 0\r\n\r\n"), RunEnd::TurnedAway)
         }
-        Act::Break => (format!("{id} BROKE - 0\r\n\r\n"), RunEnd::Answered),
-        Act::Garble => ("what is this\r\n".to_owned(), RunEnd::Answered),
-        Act::Hang | Act::Reset => return,
+        EngineBehavior::Break => (format!("{id} BROKE - 0\r\n\r\n"), RunEnd::Answered),
+        EngineBehavior::Garble => ("what is this\r\n".to_owned(), RunEnd::Answered),
+        EngineBehavior::Hang | EngineBehavior::Reset => return,
     };
     lines.borrow_mut().runs.remove(id);
     state.book.end(run, how);
@@ -376,7 +376,7 @@
         };
         let act = state.act();
         match act {
-            Act::Rows(ms, count) => {
+            EngineBehavior::Rows(ms, count) => {
                 // A closed connection gives the query up.
                 let mut byte = [0; 1];
                 let closed = async { !matches!((&**stream).read(&mut byte).await, Ok(n) if n > 0) };
@@ -405,17 +405,17 @@
                 )
                 .await;
             }
-            Act::Full => {
+            EngineBehavior::Full => {
                 let (fields, text) = error(202);
                 state.book.end(run, RunEnd::TurnedAway);
                 say(stream, &whole("503 Service Unavailable", &fields, &text)).await;
             }
-            Act::Break => {
+            EngineBehavior::Break => {
                 let (fields, text) = error(241);
                 state.book.end(run, RunEnd::Answered);
                 say(stream, &whole("500 Internal Server Error", &fields, &text)).await;
             }
-            Act::Late => {
+            EngineBehavior::Late => {
                 // Rows, then the end of the connection and no last chunk.
                 state.book.end(run, RunEnd::Answered);
                 say(
@@ -425,15 +425,15 @@
                 .await;
                 return;
             }
-            Act::Garble => {
+            EngineBehavior::Garble => {
                 state.book.end(run, RunEnd::Answered);
                 return say(stream, b"what is this\r\n\r\n").await;
             }
-            Act::Reset => {
+            EngineBehavior::Reset => {
                 state.book.end(run, RunEnd::GivenUp);
                 return hang_up(stream);
             }
-            Act::Hang => {
+            EngineBehavior::Hang => {
                 let mut byte = [0; 1];
                 let _ = (&**stream).read(&mut byte).await;
                 return state.book.end(run, RunEnd::GivenUp);
--- a/src/testkit/fleet.rs
+++ b/src/testkit/fleet.rs
@@ -1,13 +1,13 @@
 //! Several real daemons as one fleet on loopback, with the fault relay between them, a stand-in
 //! coordinator for each and stand-in engines for all: for the tests of what managers do together
 //! when some fail.
-use super::clients::{self, Got};
+use super::clients::{self, ClientOutcome};
 use super::coordinator::{Coordinator, known};
 use super::daemon::{self, Folder, KINDS, ZONES, free_addr};
 use super::engines::Engine;
 use super::fault_proxy::Relay;
-use super::{Book, Executor};
-use crate::net::discovery::endpoint_list::{Listed, listed};
+use super::{ExecutionLog, Executor};
+use crate::net::discovery::endpoint_list::{ListedEndpoint, listed};
 use crate::policy::api::Readiness;
 use async_channel::{Receiver, Sender, bounded};
 use async_executor::LocalExecutor;
@@ -32,17 +32,17 @@
 
 /// The stand-ins: one coordinator a manager, so that one manager alone can miss what others hear;
 /// and each engine at an address of its own for each manager, so that the book tells who came.
-pub struct World {
+pub struct StandIns {
     /// By the number of the manager.
     pub coordinators: Vec<Coordinator>,
     /// By the number of the manager, in the order of the engines' ids, which begin at 1.
     pub engines: Vec<Vec<Engine>>,
     /// What the engines saw.
-    pub book: Book,
+    pub book: ExecutionLog,
 }
 
-impl World {
-    fn listed(&self, member: usize, engine: usize, readiness: Readiness) -> Listed {
+impl StandIns {
+    fn listed(&self, member: usize, engine: usize, readiness: Readiness) -> ListedEndpoint {
         listed(
             engine as u32 + 1,
             self.engines[member][engine].addr,
@@ -89,7 +89,7 @@
     }
 }
 
-type Task = Box<dyn FnOnce(&World) + Send>;
+type Task = Box<dyn FnOnce(&StandIns) + Send>;
 
 /// Managers, and what stands around them.
 pub struct Fleet {
@@ -119,7 +119,7 @@
 /// Runs the stand-ins on a thread of their own until nobody can ask them for anything any more.
 fn stand_ins(tasks: Receiver<Task>, told: std::sync::mpsc::Sender<(Vec<SocketAddr>, Vec<Value>)>) {
     let executor: Executor = Rc::new(LocalExecutor::new());
-    let book = Book::default();
+    let book = ExecutionLog::default();
     let engine = |i, e| Engine::start(&executor, &at(i, e), false, book.clone());
     let engines = (0..MEMBERS)
         .map(|i| (0..ENGINES).map(|e| engine(i, e)).collect())
@@ -127,13 +127,13 @@
     let coordinators = (0..MEMBERS)
         .map(|_| Coordinator::start(&executor))
         .collect();
-    let world = World {
+    let world = StandIns {
         coordinators,
         engines,
         book,
     };
     let lists = (0..MEMBERS).map(|i| {
-        let all: Vec<Listed> = (0..ENGINES)
+        let all: Vec<ListedEndpoint> = (0..ENGINES)
             .map(|e| world.listed(i, e, Readiness::Ready))
             .collect();
         known(&all, &ZONES, &KINDS)
@@ -306,7 +306,10 @@
     }
 
     /// Asks the stand-ins for something and waits for it.
-    pub fn world<T: Send + 'static>(&self, what: impl FnOnce(&World) -> T + Send + 'static) -> T {
+    pub fn world<T: Send + 'static>(
+        &self,
+        what: impl FnOnce(&StandIns) -> T + Send + 'static,
+    ) -> T {
         let (tell, told) = std::sync::mpsc::channel();
         let task: Task = Box::new(move |world| drop(tell.send(what(world))));
         self.tasks.send_blocking(task).expect("the stand-ins");
@@ -314,7 +317,7 @@
     }
 
     /// Sends member `i` a query under that name and waits for its final answer.
-    pub fn ask(&self, i: usize, class: &str, number: u64, wait_ms: u64) -> Got {
+    pub fn ask(&self, i: usize, class: &str, number: u64, wait_ms: u64) -> ClientOutcome {
         let key = format!("{number:016x}");
         let statement = format!("SELECT 1 /* {key} */");
         let line = clients::rpc_line(1, class, &key, "billing-desk", wait_ms, &statement);
--- a/src/testkit/membership_simulation.rs
+++ b/src/testkit/membership_simulation.rs
@@ -3,7 +3,8 @@
 //! one seed: the same run each time. Every datagram passes through the codec.
 use crate::clock::{MS, Micros, SEC};
 use crate::membership::{
-    Action, Health, Membership, Rumour, Timing, Versions, budget, codec, detection_bound,
+    Action, MemberState, MemberUpdate, Membership, RunningVersions, Timing, budget, codec,
+    detection_bound,
 };
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
@@ -28,7 +29,7 @@
     /// Of whom.
     pub of: String,
     /// What it is taken to be.
-    pub health: Health,
+    pub health: MemberState,
 }
 
 enum Event {
@@ -78,20 +79,20 @@
 }
 
 /// A manager's first news in a life.
-pub fn rumour(i: usize, incarnation: u64) -> Rumour {
+pub fn rumour(i: usize, incarnation: u64) -> MemberUpdate {
     let build = "0.1.0+emulated".into();
-    let versions = Versions {
+    let versions = RunningVersions {
         build,
         generation: 1,
         settings: u64::MAX / 7,
         list: 3,
         stage: "ready".into(),
     };
-    Rumour {
+    MemberUpdate {
         name: name(i),
         addr: addr(i),
         incarnation,
-        health: Health::Alive,
+        health: MemberState::Alive,
         versions,
     }
 }
@@ -268,7 +269,7 @@
     }
 
     /// What one manager takes another to be.
-    pub fn health(&self, who: usize, of: usize) -> Option<Health> {
+    pub fn health(&self, who: usize, of: usize) -> Option<MemberState> {
         self.nodes[who]
             .members()
             .get(&name(of))
@@ -278,7 +279,7 @@
     /// Whether every running manager takes every other running one for alive.
     pub fn agree(&self) -> bool {
         let running: Vec<usize> = (0..self.nodes.len()).filter(|i| !self.paused[*i]).collect();
-        let alive = |a: usize, b: usize| a == b || self.health(a, b) == Some(Health::Alive);
+        let alive = |a: usize, b: usize| a == b || self.health(a, b) == Some(MemberState::Alive);
         running
             .iter()
             .all(|a| running.iter().all(|b| alive(*a, *b)))
@@ -290,7 +291,7 @@
         let dead = self
             .changes
             .iter()
-            .filter(|c| c.at >= since && c.of == of && c.health == Health::Dead);
+            .filter(|c| c.at >= since && c.of == of && c.health == MemberState::Dead);
         dead.map(|c| (c.at, c.who)).collect()
     }
 }
@@ -427,7 +428,7 @@
     let dead = fleet
         .changes
         .iter()
-        .filter(|c| c.at >= from && c.health == Health::Dead && alive(&c.of));
+        .filter(|c| c.at >= from && c.health == MemberState::Dead && alive(&c.of));
     let false_deaths = dead
         .map(|c| c.of.as_str())
         .collect::<BTreeSet<&str>>()
--- a/src/testkit/mod.rs
+++ b/src/testkit/mod.rs
@@ -99,7 +99,7 @@
 
 /// What all stand-in engines saw, in one book, and what the rules say of it.
 #[derive(Clone, Default)]
-pub struct Book {
+pub struct ExecutionLog {
     runs: Rc<RefCell<Vec<Run>>>,
     drains: Rc<RefCell<Vec<Drain>>>,
     probes: Rc<RefCell<Vec<(String, Micros)>>>,
@@ -107,7 +107,7 @@
     keys: Rc<RefCell<BTreeMap<String, Micros>>>,
     terms: Rc<Cell<Terms>>,
     /// What whichever engine gets the next query does with it.
-    any: Rc<RefCell<VecDeque<engines::Act>>>,
+    any: Rc<RefCell<VecDeque<engines::EngineBehavior>>>,
 }
 
 /// What the settings allow, as the rules need it.
@@ -134,7 +134,7 @@
 /// The drain rule's time, with the extra that sockets have.
 const DRAIN_GRACE: Micros = 300_000;
 
-impl Book {
+impl ExecutionLog {
     /// A query came; the number of its run.
     pub fn begin(&self, engine: &str, statement: &[u8]) -> usize {
         self.begin_with(engine, statement, BTreeMap::new())
@@ -191,7 +191,7 @@
     }
 
     /// Whichever engine gets the next query does this with it.
-    pub fn next(&self, act: engines::Act) {
+    pub fn next(&self, act: engines::EngineBehavior) {
         self.any.borrow_mut().push_back(act);
     }
 
--- a/src/testkit/probe_simulation.rs
+++ b/src/testkit/probe_simulation.rs
@@ -1,9 +1,12 @@
 //! Probes of engines over an emulated fleet, with and without an owner for each engine: the
 //! machines of duties of many managers on a simulated network. All from one seed.
 use crate::clock::{MS, Micros, SEC};
-use crate::lease::codec::{self, Letter};
-use crate::lease::shared_probe::{Prober, Sounding, Step};
-use crate::lease::{Action, Candidate, Duty, Fence, Highest, Holder, Terms, Voter, first};
+use crate::lease::codec::{self, LeaseMessage};
+use crate::lease::shared_probe::{ProbeResult, SharedProber, Step};
+use crate::lease::{
+    Action, Candidate, FencingGuard, Holder, LeaseTiming, Resource, TokenHighWaterMarks, Voter,
+    first,
+};
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
 use rand_core::{Rng, SeedableRng};
@@ -28,7 +31,7 @@
     /// The voters; none: each manager asks engines itself.
     pub voters: usize,
     /// The bounds of leases.
-    pub terms: Terms,
+    pub terms: LeaseTiming,
     /// Stop one manager in so many halfway through; 0 stops none.
     pub stops: usize,
     /// How long, after a start of ten seconds that does not count.
@@ -61,8 +64,8 @@
 struct Manager {
     voter: Option<Voter>,
     candidate: Candidate,
-    fence: Fence,
-    prober: Prober,
+    fence: FencingGuard,
+    prober: SharedProber,
     stopped: bool,
     /// When the module began to wait for each engine, as often as it wants it.
     waits: BTreeMap<u64, Vec<Micros>>,
@@ -70,7 +73,7 @@
 
 enum Event {
     Want(usize),
-    Letter(usize, usize, Letter),
+    Letter(usize, usize, LeaseMessage),
     Answer(usize, u64, bool),
     Tick(usize),
 }
@@ -93,7 +96,7 @@
     datagrams: u64,
     bytes: u64,
     changes: u64,
-    owned: BTreeSet<Duty>,
+    owned: BTreeSet<Resource>,
 }
 
 fn addr(i: usize) -> SocketAddr {
@@ -121,7 +124,7 @@
             .map(name)
             .collect();
         for engine in 0..self.plan.engines {
-            let first = first(Duty::Probe(engine), names.iter().map(String::as_str));
+            let first = first(Resource::Probe(engine), names.iter().map(String::as_str));
             self.first.insert(
                 engine,
                 first.and_then(|name| name[1..].parse().ok()).unwrap_or(0),
@@ -129,7 +132,7 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, letter: Letter) {
+    fn send(&mut self, from: usize, to: usize, letter: LeaseMessage) {
         if self.counts {
             self.datagrams += 1;
             self.bytes += codec::encode(&letter).len() as u64;
@@ -144,10 +147,18 @@
         for action in actions {
             match action {
                 Action::Ask(voter, duty, token, number) => {
-                    self.send(i, to(&voter), Letter::Ask(me.clone(), duty, token, number));
+                    self.send(
+                        i,
+                        to(&voter),
+                        LeaseMessage::Ask(me.clone(), duty, token, number),
+                    );
                 }
                 Action::Release(voter, duty, token) => {
-                    self.send(i, to(&voter), Letter::Release(me.clone(), duty, token));
+                    self.send(
+                        i,
+                        to(&voter),
+                        LeaseMessage::Release(me.clone(), duty, token),
+                    );
                 }
                 Action::Owned(duty, _) => {
                     self.changes += u64::from(!self.owned.insert(duty) && self.counts)
@@ -168,18 +179,18 @@
                 }
                 Step::Give(engine, _) => self.give(i, engine),
                 Step::Want(whom, engine, number) => {
-                    self.send(i, to(&whom), Letter::Want(engine, number))
+                    self.send(i, to(&whom), LeaseMessage::Want(engine, number))
                 }
                 Step::Tell(whom, engine, number, token, sounding) => {
                     let whom = usize::from(whom.port() - PORT);
-                    self.send(i, whom, Letter::Told(engine, number, token, sounding));
+                    self.send(i, whom, LeaseMessage::Told(engine, number, token, sounding));
                 }
                 Step::NotMine(whom, engine, number) => {
-                    let token = self.all[i].fence.highest(Duty::Probe(engine));
+                    let token = self.all[i].fence.highest(Resource::Probe(engine));
                     self.send(
                         i,
                         usize::from(whom.port() - PORT),
-                        Letter::NotMine(engine, number, token),
+                        LeaseMessage::NotMine(engine, number, token),
                     );
                 }
             }
@@ -247,10 +258,10 @@
                 }
             }
             Event::Answer(i, engine, for_others) => {
-                let sounding = Sounding {
+                let sounding = ProbeResult {
                     well: true,
                     took: 2 * MS,
-                    ..Sounding::default()
+                    ..ProbeResult::default()
                 };
                 prober.answered(engine, Some(sounding), candidate, now, &mut steps);
                 if !for_others {
@@ -260,24 +271,28 @@
             Event::Tick(i) => {
                 prober.tick(now, &mut steps);
                 let first = &self.first;
-                candidate.tick(|Duty::Probe(engine)| first[&engine] == i, now, &mut actions);
+                candidate.tick(
+                    |Resource::Probe(engine)| first[&engine] == i,
+                    now,
+                    &mut actions,
+                );
             }
             Event::Letter(from, to, letter) => match letter {
-                Letter::Ask(holder, duty, token, number) => {
+                LeaseMessage::Ask(holder, duty, token, number) => {
                     if let Some(voter) = voter {
                         let (vote, _) = voter.request(now, duty, &holder, token);
-                        self.send(to, from, Letter::Vote(name(to), duty, number, vote));
+                        self.send(to, from, LeaseMessage::Vote(name(to), duty, number, vote));
                     }
                 }
-                Letter::Vote(voter, duty, number, vote) => {
+                LeaseMessage::Vote(voter, duty, number, vote) => {
                     candidate.vote(&voter, (duty, number), &vote, fence, now, &mut actions);
                 }
-                Letter::Release(holder, duty, token) => {
+                LeaseMessage::Release(holder, duty, token) => {
                     voter
                         .iter_mut()
                         .for_each(|voter| voter.release(duty, &holder, token));
                 }
-                Letter::Want(engine, number) => {
+                LeaseMessage::Want(engine, number) => {
                     let mine = self.first[&engine] == to;
                     let asked = (addr(from), engine, number);
                     prober.asked(
@@ -288,11 +303,11 @@
                         (&mut actions, &mut steps),
                     );
                 }
-                Letter::Told(engine, number, token, sounding) => {
+                LeaseMessage::Told(engine, number, token, sounding) => {
                     prober.told((engine, number), token, sounding, fence, &mut steps);
                 }
-                Letter::NotMine(engine, number, token) => {
-                    fence.saw(Duty::Probe(engine), token);
+                LeaseMessage::NotMine(engine, number, token) => {
+                    fence.saw(Resource::Probe(engine), token);
                     prober.not_mine(engine, number, now, &mut steps);
                 }
             },
@@ -314,7 +329,7 @@
 pub fn measure(plan: &Plan, case: &str) -> Figures {
     let voters: Vec<String> = (0..plan.voters).map(name).collect();
     let manager = |i: usize| Manager {
-        voter: (i < plan.voters).then(|| Voter::new(plan.terms, Highest::default(), 0)),
+        voter: (i < plan.voters).then(|| Voter::new(plan.terms, TokenHighWaterMarks::default(), 0)),
         candidate: Candidate::new(
             Holder {
                 name: name(i),
@@ -324,8 +339,8 @@
             plan.terms,
             plan.seed + i as u64,
         ),
-        fence: Fence::default(),
-        prober: Prober::new(plan.terms.ask_ms * MS),
+        fence: FencingGuard::default(),
+        prober: SharedProber::new(plan.terms.ask_ms * MS),
         stopped: false,
         waits: BTreeMap::new(),
     };
@@ -390,7 +405,7 @@
 pub fn compare(sizes: &[usize], engines: u64, wants: f64, seed: u64) -> Vec<Figures> {
     let mut all = Vec::new();
     for managers in sizes {
-        let terms = Terms::default();
+        let terms = LeaseTiming::default();
         let plan = Plan {
             managers: *managers,
             engines,
@@ -462,7 +477,7 @@
     /// than if each asked by itself.
     #[test]
     fn owners_ask_for_all_and_nothing_is_worse_without_them() {
-        let terms = Terms::default();
+        let terms = LeaseTiming::default();
         let plan = Plan {
             managers: 40,
             engines: 8,
--- a/src/testkit/scale/daemons.rs
+++ b/src/testkit/scale/daemons.rs
@@ -2,12 +2,12 @@
 use super::load::BUSY;
 use super::testbed::Site;
 use super::{Options, Point, Progress};
-use crate::net::discovery::endpoint_list::{Listed, listed};
+use crate::net::discovery::endpoint_list::{ListedEndpoint, listed};
 use crate::policy::api::Readiness;
 use crate::testkit::coordinator::{Coordinator, known};
 use crate::testkit::daemon::{self, Daemon, KINDS, ZONES};
 use crate::testkit::engines::Engine;
-use crate::testkit::{Book, Executor, pause};
+use crate::testkit::{ExecutionLog, Executor, pause};
 use async_executor::LocalExecutor;
 use async_io::block_on;
 use futures_lite::future::or;
@@ -146,7 +146,7 @@
     sockets: u64,
     progress: &mut dyn FnMut(&Progress),
 ) -> Result<Measured, String> {
-    let book = Book::default();
+    let book = ExecutionLog::default();
     let engine = |i| Engine::start(executor, &engine_name(i), false, book.clone());
     let engines: Vec<Engine> = (0..point.engines).map(engine).collect();
     let coordinator = Coordinator::start(executor);
@@ -159,7 +159,7 @@
     };
     let entry =
         |(i, e): (usize, &Engine)| listed(i as u32 + 1, e.addr, Readiness::Ready, place(i), 1.0, 0);
-    let list: Vec<Listed> = engines.iter().enumerate().map(entry).collect();
+    let list: Vec<ListedEndpoint> = engines.iter().enumerate().map(entry).collect();
     let known = known(&list, &ZONES, &KINDS);
     let settings = settings(options.managers);
     let daemon = Daemon::start(
--- a/src/testkit/scale/fleet.rs
+++ b/src/testkit/scale/fleet.rs
@@ -4,9 +4,9 @@
 use super::hollow::{Batch, Order, Reading};
 use super::hollow_node::home;
 use super::needs::{self, Needs};
-use super::observations::{Board, Goal, Spread};
-use crate::config::fleet::{Duties, Fleet};
-use crate::lease::Terms;
+use super::observations::{Goal, Observations, Spread};
+use crate::config::fleet::{FleetConfig, LeaseConfig};
+use crate::lease::LeaseTiming;
 use crate::membership::Timing;
 use crate::testkit::daemon::Folder;
 use async_channel::{Sender, unbounded};
@@ -40,7 +40,7 @@
     /// The membership's timings.
     pub timing: Timing,
     /// The bounds of leases.
-    pub terms: Terms,
+    pub terms: LeaseTiming,
     /// Managers put down what is owned for a second address, as daemons that have one do.
     pub console: bool,
     /// Others that each greets at the start, beside the first few: real daemons.
@@ -73,7 +73,7 @@
             seed: 1,
             threads: cores.min(managers.div_ceil(16)).max(1),
             timing: Timing::default(),
-            terms: Terms::default(),
+            terms: LeaseTiming::default(),
             console: false,
             greet: Vec::new(),
             settle: Duration::from_secs(10),
@@ -104,20 +104,20 @@
     }
 
     /// The fleet file of each manager.
-    pub fn file(&self, seeds: &[SocketAddr]) -> Fleet {
+    pub fn file(&self, seeds: &[SocketAddr]) -> FleetConfig {
         let voters: Vec<String> = self
             .voting()
             .into_iter()
             .map(|who| self.name(who))
             .collect();
-        Fleet {
+        FleetConfig {
             bind: None,
             advertise: None,
             port: 0,
             seeds: seeds.to_vec(),
             timing: self.timing.clone(),
             audit: None,
-            duties: (!voters.is_empty()).then_some(Duties {
+            duties: (!voters.is_empty()).then_some(LeaseConfig {
                 voters,
                 terms: self.terms,
             }),
@@ -152,7 +152,7 @@
     /// The plan.
     pub plan: Arc<Plan>,
     /// What the managers saw.
-    pub board: Arc<Board>,
+    pub board: Arc<Observations>,
     /// Where the managers take datagrams, by their numbers.
     pub homes: Vec<SocketAddr>,
     /// Where somebody asks for the run's end.
@@ -189,7 +189,7 @@
             bound.into_iter().unzip();
         let folder =
             Folder::new().map_err(|e| format!("can't make a folder for the votes: {e}"))?;
-        let board = Arc::new(Board::new(plan.managers, plan.threads));
+        let board = Arc::new(Observations::new(plan.managers, plan.threads));
         let cut = Arc::new(AtomicBool::new(false));
         let seeds: Vec<SocketAddr> = homes
             .iter()
--- a/src/testkit/scale/hollow.rs
+++ b/src/testkit/scale/hollow.rs
@@ -3,12 +3,12 @@
 //! engines' loads now and then.
 use super::fleet::Plan;
 use super::hollow_node::{Asked, Pulse, Run, hollow_module, resident};
-use super::observations::{Board, Goal};
-use crate::audit::Acting;
+use super::observations::{Goal, Observations};
+use crate::audit::ActiveConfiguration;
 use crate::clock::{self, Micros};
-use crate::membership::Health;
+use crate::membership::MemberState;
 use crate::net::Shared;
-use crate::net::fleet::membership::{Hollow, Seat, View, take_seat};
+use crate::net::fleet::membership::{Hollow, MembershipService, View, take_seat};
 use crate::net::fleet::traffic::{Counts, Flow};
 use async_channel::{Receiver, bounded};
 use async_executor::{LocalExecutor, Task};
@@ -117,7 +117,7 @@
     /// Whether the first third is cut off from the others.
     pub cut: Arc<AtomicBool>,
     /// The board.
-    pub board: Arc<Board>,
+    pub board: Arc<Observations>,
     /// What it is told; closed at the end.
     pub orders: Receiver<Order>,
 }
@@ -251,7 +251,7 @@
         let at = manager.socket.local_addr().expect("the socket's address");
         let (who, plan) = (manager.who, &self.plan);
         let shared = Shared::new(64, 64);
-        shared.acting.set(Acting {
+        shared.acting.set(ActiveConfiguration {
             generation: 1,
             settings,
             list: 0,
@@ -273,7 +273,7 @@
         let (coordinator, moves) = bounded(1);
         let (name, fleet, managers) =
             (plan.name(who), plan.file(&self.seeds), plan.managers as u32);
-        let seat = Seat {
+        let seat = MembershipService {
             name,
             life: begun,
             fleet,
@@ -331,7 +331,7 @@
     fn retune(&self, hash: u64) {
         if let Some(life) = &self.life {
             let acting = life.shared.acting.get();
-            let next = Acting {
+            let next = ActiveConfiguration {
                 generation: acting.generation + 1,
                 settings: hash,
                 ..acting
@@ -372,7 +372,7 @@
         let lives = |view: &Rc<View>| {
             view.members
                 .iter()
-                .filter(|row| !row.me && row.rumour.health == Health::Alive)
+                .filter(|row| !row.me && row.rumour.health == MemberState::Alive)
                 .count()
         };
         let (alive, dropped) = view
--- a/src/testkit/scale/hollow_node.rs
+++ b/src/testkit/scale/hollow_node.rs
@@ -1,12 +1,12 @@
 //! What one hollow manager is made of beside the daemon's actor: its address, its place in its
 //! thread, and what stands in place of its module.
 use super::fleet::Plan;
-use super::observations::Board;
+use super::observations::Observations;
 use crate::clock::{self, Micros, SEC};
-use crate::lease::Duty;
-use crate::lease::shared_probe::Sounding;
-use crate::net::dispatcher::Input;
-use crate::net::fleet::lease::Word;
+use crate::lease::Resource;
+use crate::lease::shared_probe::ProbeResult;
+use crate::net::dispatcher::DispatcherEvent;
+use crate::net::fleet::lease::ProbeRequest;
 use crate::net::{Shared, until};
 use async_channel::Receiver;
 use futures_lite::future::or;
@@ -93,10 +93,10 @@
 /// ends.
 pub async fn hollow_module(
     shared: Rc<Shared>,
-    mailbox: Receiver<Input>,
+    mailbox: Receiver<DispatcherEvent>,
     asked: Rc<Asked>,
     mut random: Pcg32,
-    (who, plan, board): (usize, Arc<Plan>, Arc<Board>),
+    (who, plan, board): (usize, Arc<Plan>, Arc<Observations>),
 ) {
     let every = (plan.wants > 0.0 && plan.engines > 0).then(|| (SEC as f64 / plan.wants) as Micros);
     let mut pick = move |below: u64| u64::from(random.next_u32()) % below.max(1);
@@ -110,26 +110,26 @@
         let duties = shared.duties.borrow().clone();
         let say = |word| duties.as_ref().map(|duties| duties.try_send(word));
         match input {
-            Some(Input::Probe(engine, _)) => {
+            Some(DispatcherEvent::Probe(engine, _)) => {
                 asked.probes.set(asked.probes.get() + 1);
                 let load = [1.0, 0.5, 0.0, 0.0];
-                let sounding = Sounding {
+                let sounding = ProbeResult {
                     well: true,
                     unreachable: false,
                     took: ANSWER,
                     len: 2,
                     load,
                 };
-                let _ = say(Word::Answered(engine, Some(sounding)));
+                let _ = say(ProbeRequest::Answered(engine, Some(sounding)));
             }
-            Some(Input::Sounded(..)) => asked.told.set(asked.told.get() + 1),
-            Some(Input::Owns(Duty::Probe(engine), token, owns)) => {
+            Some(DispatcherEvent::Sounded(..)) => asked.told.set(asked.told.get() + 1),
+            Some(DispatcherEvent::Owns(Resource::Probe(engine), token, owns)) => {
                 board.owns(who, engine, token, owns)
             }
             Some(_) => {}
             None => {
                 asked.wants.set(asked.wants.get() + 1);
-                let _ = say(Word::Wanted(1 + pick(plan.engines)));
+                let _ = say(ProbeRequest::Wanted(1 + pick(plan.engines)));
                 next = every.map(|every| clock::turn() + every / 2 + pick(every));
             }
         }
--- a/src/testkit/scale/load.rs
+++ b/src/testkit/scale/load.rs
@@ -1,6 +1,6 @@
 //! The clients of a point: idle ones that say a little now and then, and a few busy ones that send
 //! statements at a steady rate.
-use crate::testkit::clients::{Got, STATUS, read_line, rpc_got};
+use crate::testkit::clients::{ClientOutcome, STATUS, read_line, rpc_got};
 use crate::testkit::{Executor, pause};
 use async_executor::Task;
 use async_io::{Async, Timer};
@@ -195,8 +195,8 @@
                 .await
                 .ok_or("a busy client's connection was closed")?;
             add(match rpc_got(&line) {
-                Got::Served(_) => &tally.served,
-                Got::Refused(_) => &tally.refused,
+                ClientOutcome::Served(_) => &tally.served,
+                ClientOutcome::Refused(_) => &tally.refused,
                 _ => &tally.failed,
             });
         }
--- a/src/testkit/scale/observations.rs
+++ b/src/testkit/scale/observations.rs
@@ -1,7 +1,7 @@
 //! What the hollow managers of all threads saw, and when: written by their threads, read by the one
 //! that drives the run.
-use crate::lease::Token;
-use crate::membership::Health;
+use crate::lease::FencingToken;
+use crate::membership::MemberState;
 use crate::net::fleet::membership::View;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -30,21 +30,21 @@
         match self {
             Goal::Idle => false,
             Goal::Alive(others) => {
-                rows.filter(|row| !row.me && row.rumour.health == Health::Alive)
+                rows.filter(|row| !row.me && row.rumour.health == MemberState::Alive)
                     .count()
                     >= *others
             }
             Goal::Dead(name) => {
-                rows.any(|r| r.rumour.name == *name && r.rumour.health == Health::Dead)
+                rows.any(|r| r.rumour.name == *name && r.rumour.health == MemberState::Dead)
             }
             Goal::Settings(hash) => rows.all(|row| {
-                matches!(row.rumour.health, Health::Dead | Health::Left)
+                matches!(row.rumour.health, MemberState::Dead | MemberState::Left)
                     || row.rumour.versions.settings == *hash
             }),
             Goal::Reborn(name, since) => rows.any(|r| {
                 r.rumour.name == *name
                     && r.rumour.incarnation >= *since
-                    && r.rumour.health == Health::Alive
+                    && r.rumour.health == MemberState::Alive
             }),
         }
     }
@@ -56,7 +56,7 @@
     /// The number of the hollow manager.
     pub who: usize,
     /// The token it owns the duty under.
-    pub token: Token,
+    pub token: FencingToken,
     /// Since when, in milliseconds of the board.
     pub since_ms: u64,
 }
@@ -80,7 +80,7 @@
 const TIME_BITS: u32 = 40;
 
 /// The board.
-pub struct Board {
+pub struct Observations {
     begun: Instant,
     /// By manager: the goal's number and the time since it holds, plus one; 0 where it does not.
     since: Vec<AtomicU64>,
@@ -89,11 +89,11 @@
     late: Vec<AtomicU64>,
 }
 
-impl Board {
+impl Observations {
     /// For so many managers on so many threads.
-    pub fn new(managers: usize, threads: usize) -> Board {
+    pub fn new(managers: usize, threads: usize) -> Observations {
         let zeros = |n| (0..n).map(|_| AtomicU64::new(0)).collect();
-        Board {
+        Observations {
             begun: Instant::now(),
             since: zeros(managers),
             owners: Mutex::default(),
@@ -139,7 +139,7 @@
     }
 
     /// A duty came to a manager under a token, or went from it.
-    pub fn owns(&self, who: usize, engine: u64, token: Token, owns: bool) {
+    pub fn owns(&self, who: usize, engine: u64, token: FencingToken, owns: bool) {
         let since_ms = self.now_ms();
         let Ok(mut owners) = self.owners.lock() else {
             return;
--- a/src/testkit/scale/testbed.rs
+++ b/src/testkit/scale/testbed.rs
@@ -4,12 +4,12 @@
 use super::proc::{self, Usage};
 use super::{Options, Point, Progress};
 use crate::clock;
-use crate::net::discovery::endpoint_list::Listed;
+use crate::net::discovery::endpoint_list::ListedEndpoint;
 use crate::policy::api::Readiness;
 use crate::testkit::coordinator::Coordinator;
 use crate::testkit::daemon::Daemon;
 use crate::testkit::engines::Engine;
-use crate::testkit::{Book, Executor, clients, eventually, pause};
+use crate::testkit::{ExecutionLog, Executor, clients, eventually, pause};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -30,10 +30,10 @@
     pub(super) executor: &'a Executor,
     pub(super) point: &'a Point,
     pub(super) options: &'a Options,
-    pub(super) book: Book,
+    pub(super) book: ExecutionLog,
     pub(super) engines: Vec<Engine>,
     pub(super) coordinator: Coordinator,
-    pub(super) list: Vec<Listed>,
+    pub(super) list: Vec<ListedEndpoint>,
     pub(super) daemon: &'a Daemon,
     pub(super) tally: Rc<Tally>,
     pub(super) doing: Cell<&'static str>,
--- a/src/testkit/scenario/mod.rs
+++ b/src/testkit/scenario/mod.rs
@@ -52,13 +52,13 @@
 //! | `counter NAME VALUE` | compares a counter, after `ended` |
 mod deployment;
 
-use super::clients::{self, Got, Kept};
+use super::clients::{self, ClientOutcome, PersistentClient};
 use super::coordinator::{self, Coordinator};
 use super::daemon::{self, Daemon, KINDS, ZONES, free_addr};
 use super::directory::Directory;
-use super::engines::{Act, Engine, rows};
-use super::{Book, Executor, eventually, in_time, pause};
-use crate::net::discovery::endpoint_list::{Listed, listed};
+use super::engines::{Engine, EngineBehavior, rows};
+use super::{ExecutionLog, Executor, eventually, in_time, pause};
+use crate::net::discovery::endpoint_list::{ListedEndpoint, listed};
 use crate::policy::api::Readiness;
 use async_executor::{LocalExecutor, Task};
 use std::cell::{Cell, RefCell};
@@ -70,7 +70,7 @@
 
 struct Query {
     task: Option<Task<()>>,
-    got: Rc<RefCell<Option<Got>>>,
+    got: Rc<RefCell<Option<ClientOutcome>>>,
     leaves: Rc<Cell<bool>>,
     told: bool,
 }
@@ -78,7 +78,7 @@
 struct Stage<'a> {
     program: &'a Path,
     executor: Executor,
-    book: Book,
+    book: ExecutionLog,
     coordinator: Coordinator,
     directory: Option<Directory>,
     engines: BTreeMap<String, (Engine, u32)>,
@@ -89,8 +89,8 @@
     daemon: Option<Daemon>,
     sockets: usize,
     console: bool,
-    kept: BTreeMap<String, (Kept, Vec<u8>)>,
-    streams: BTreeMap<String, Vec<Rc<RefCell<Option<Got>>>>>,
+    kept: BTreeMap<String, (PersistentClient, Vec<u8>)>,
+    streams: BTreeMap<String, Vec<Rc<RefCell<Option<ClientOutcome>>>>>,
     mute: BTreeMap<String, Vec<Task<()>>>,
     http: SocketAddr,
     occupied: Option<TcpListener>,
@@ -104,7 +104,7 @@
     let executor: Executor = Rc::new(LocalExecutor::new());
     let stage = Stage {
         program,
-        book: Book::default(),
+        book: ExecutionLog::default(),
         coordinator: Coordinator::start(&executor),
         directory: None,
         engines: BTreeMap::new(),
@@ -167,7 +167,7 @@
         wrong
     }
 
-    fn listed(&self, name: &str, readiness: Readiness) -> Result<Listed, String> {
+    fn listed(&self, name: &str, readiness: Readiness) -> Result<ListedEndpoint, String> {
         let (engine, number) = self.engines.get(name).ok_or("no such engine")?;
         let kind = self.kinds.get(name).copied().unwrap_or(0);
         Ok(listed(
@@ -278,13 +278,15 @@
             }
             ["on", name, ref act @ ..] => {
                 let act = match act {
-                    ["rows", ms, count] => Act::Rows(number(ms)?, number(count)? as usize),
-                    ["full"] => Act::Full,
-                    ["break"] => Act::Break,
-                    ["hang"] => Act::Hang,
-                    ["reset"] => Act::Reset,
-                    ["late"] => Act::Late,
-                    ["garble"] => Act::Garble,
+                    ["rows", ms, count] => {
+                        EngineBehavior::Rows(number(ms)?, number(count)? as usize)
+                    }
+                    ["full"] => EngineBehavior::Full,
+                    ["break"] => EngineBehavior::Break,
+                    ["hang"] => EngineBehavior::Hang,
+                    ["reset"] => EngineBehavior::Reset,
+                    ["late"] => EngineBehavior::Late,
+                    ["garble"] => EngineBehavior::Garble,
                     _ => return Err("no such act".into()),
                 };
                 match self.engines.get(name) {
@@ -334,7 +336,7 @@
             }
             ["keep", name] => {
                 let listen = self.daemon.as_ref().ok_or("not started")?.listen;
-                let kept = Kept::open(&self.executor, listen);
+                let kept = PersistentClient::open(&self.executor, listen);
                 self.kept.insert(name.to_owned(), (kept, Vec::new()));
             }
             [
@@ -350,7 +352,7 @@
                 let statement = format!("{} /* {name} */", words[7..].join(" "));
                 let key = format!("{:016x}", self.queries.len() + 1);
                 let (kept, rest) = self.kept.get_mut(kept).ok_or("no such client")?;
-                let got = Rc::<RefCell<Option<Got>>>::default();
+                let got = Rc::<RefCell<Option<ClientOutcome>>>::default();
                 let asked = (
                     class,
                     key.as_str(),
@@ -423,20 +425,20 @@
                 let listen = self.daemon.as_ref().ok_or("not started")?.listen;
                 let ends = self.streams.entry(name.to_owned()).or_default();
                 let all: Vec<_> = (0..number(count)?)
-                    .map(|_| Rc::<RefCell<Option<Got>>>::default())
+                    .map(|_| Rc::<RefCell<Option<ClientOutcome>>>::default())
                     .collect();
                 ends.extend(all.clone());
                 let (class, tenant) = (class.to_owned(), tenant.to_owned());
                 let (wait, gap, name) = (number(wait)?, number(gap)?, name.to_owned());
                 let executor = self.executor.clone();
                 let task = async move {
-                    let open = || Kept::open(&executor, listen);
+                    let open = || PersistentClient::open(&executor, listen);
                     let mut kept = [open(), open(), open()];
                     for (at, end) in all.into_iter().enumerate() {
                         let lane = &mut kept[at % 3];
                         // As the front does: a connection that the daemon closed is replaced.
                         if lane.closed() {
-                            *lane = Kept::open(&executor, listen);
+                            *lane = PersistentClient::open(&executor, listen);
                         }
                         let key = format!("{:016x}", 0x5000_0000 + at);
                         let statement = format!("SELECT 1 /* {name}{at} */");
@@ -454,8 +456,8 @@
             ["expect-all", name, "served"] => {
                 let ends = self.streams.get(name).ok_or("no such stream")?;
                 eventually(|| ends.iter().all(|end| end.borrow().is_some())).await;
-                let served = |end: &&Rc<RefCell<Option<Got>>>| {
-                    matches!(&*end.borrow(), Some(Got::Served(_)))
+                let served = |end: &&Rc<RefCell<Option<ClientOutcome>>>| {
+                    matches!(&*end.borrow(), Some(ClientOutcome::Served(_)))
                 };
                 let served = ends.iter().filter(served).count();
                 (self.said)(&format!("{name}: {served} of {} served", ends.len()));
@@ -525,7 +527,10 @@
                     .into_bytes();
                 let listen = self.daemon.as_ref().ok_or("not started")?.listen;
                 let addr = if front == "http" { self.http } else { listen };
-                let (got, http) = (Rc::<RefCell<Option<Got>>>::default(), front == "http");
+                let (got, http) = (
+                    Rc::<RefCell<Option<ClientOutcome>>>::default(),
+                    front == "http",
+                );
                 let end = got.clone();
                 let task = self.executor.spawn(async move {
                     let ended = if http {
@@ -623,7 +628,7 @@
 
     fn ask(&mut self, name: &str, words: &[&str]) -> Result<(), String> {
         let (got, leaves) = (
-            Rc::<RefCell<Option<Got>>>::default(),
+            Rc::<RefCell<Option<ClientOutcome>>>::default(),
             Rc::<Cell<bool>>::default(),
         );
         let (end, leave) = (got.clone(), leaves.clone());
@@ -677,17 +682,17 @@
         (self.said)(&format!("{name}: {got}"));
         let fits = match (end, &got) {
             // Whole, in order, and its own.
-            (["served"], Got::Served(text)) => {
+            (["served"], ClientOutcome::Served(text)) => {
                 *text == rows(name, text.lines().count()) && !text.is_empty()
             }
-            (["served", count], Got::Served(text)) => {
+            (["served", count], ClientOutcome::Served(text)) => {
                 *text == rows(name, count.parse().unwrap_or(0))
             }
-            (["refused"], Got::Refused(after)) => after.is_some(),
-            (["failed"], Got::Failed(_)) | (["deadline"], Got::Deadline) | (["cut"], Got::Cut) => {
-                true
-            }
-            (["rejected", code], Got::Rejected(found)) => *code == found.to_string(),
+            (["refused"], ClientOutcome::Refused(after)) => after.is_some(),
+            (["failed"], ClientOutcome::Failed(_))
+            | (["deadline"], ClientOutcome::Deadline)
+            | (["cut"], ClientOutcome::Cut) => true,
+            (["rejected", code], ClientOutcome::Rejected(found)) => *code == found.to_string(),
             _ => false,
         };
         if fits {
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -9,9 +9,9 @@
 use std::rc::Rc;
 use std::sync::atomic::{AtomicIsize, Ordering};
 use yokelift::config::process::Names;
-use yokelift::dispatcher::Manager;
+use yokelift::dispatcher::Dispatcher;
 use yokelift::net::discovery::endpoint_list::{self, Http, Update, listed};
-use yokelift::net::dispatcher::Input;
+use yokelift::net::dispatcher::DispatcherEvent;
 use yokelift::net::{Shared, until};
 use yokelift::policy::api::Readiness;
 
@@ -54,7 +54,7 @@
         make,
         Http::default(),
     ));
-    let mut manager = Manager::new(0, settings(), &["a", "b", "c", "d"].map(String::from), 1);
+    let mut manager = Dispatcher::new(0, settings(), &["a", "b", "c", "d"].map(String::from), 1);
     let mut orders = Vec::new();
     let before = HELD.load(Ordering::Relaxed);
     let one = |id: u32| {
@@ -69,7 +69,7 @@
     let executor = shared.executor.clone();
     let rows = async_io::block_on(executor.run(async {
         updates.send(update).await.expect("the list's actor");
-        let Ok(Input::List(kind, entries, rows, _)) = news.recv().await else {
+        let Ok(DispatcherEvent::List(kind, entries, rows, _)) = news.recv().await else {
             panic!("no news")
         };
         manager.list(1, kind, entries, &mut orders);
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::process::Command;
 use yokelift::policy::api::Readiness;
-use yokelift::testkit::clients::Got;
+use yokelift::testkit::clients::ClientOutcome;
 use yokelift::testkit::fault_proxy::Faults;
 use yokelift::testkit::fleet::{Fleet, MEMBERS, eventually};
 
@@ -78,7 +78,11 @@
     let fleet = start("table", 11);
     let ask = |i: usize, round: u64| {
         let got = fleet.ask(i, "lookup", 16 * round + i as u64, 9_000);
-        assert!(matches!(got, Got::Served(_)), "{got:?}: {}", fleet.log(i));
+        assert!(
+            matches!(got, ClientOutcome::Served(_)),
+            "{got:?}: {}",
+            fleet.log(i)
+        );
     };
     ALL.iter().for_each(|i| ask(*i, 1));
     let before = versions(&fleet, 0);
@@ -215,7 +219,7 @@
         .iter()
         .all(|i| versions(&fleet, *i)["list"] == json!(3))));
     let got = fleet.ask(2, "lookup", 0xabc, 700);
-    assert!(!matches!(got, Got::Served(_)), "{got:?}");
+    assert!(!matches!(got, ClientOutcome::Served(_)), "{got:?}");
     let told = |fleet: &Fleet| {
         let (_, body) = fleet.call(2, "/audit?since=0").unwrap_or_default();
         body.lines()
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,7 +8,7 @@
 pub const S: Nanos = 1_000_000_000;
 pub const T0: Nanos = 100 * S;
 
-pub fn class(effect: Effect, threads: f64, promise: Nanos, deadline: Nanos) -> ClassSpec {
+pub fn class(effect: Idempotency, threads: f64, promise: Nanos, deadline: Nanos) -> ClassSpec {
     ClassSpec {
         worth: 1.0,
         late_worth: 0.5,
@@ -29,18 +29,18 @@
 /// Class 0: short and safe. 1: long, safe, only on kind 0. 2: an unsafe load in order. 3: keyed
 /// within a cell.
 pub fn settings() -> Settings {
-    let short = class(Effect::Safe, 1.0, S, 6 * S);
+    let short = class(Idempotency::Idempotent, 1.0, S, 6 * S);
     let long = ClassSpec {
         only_kinds: Some(vec![KindId(0)]),
-        ..class(Effect::Safe, 4.0, 2 * S, 15 * S)
+        ..class(Idempotency::Idempotent, 4.0, 2 * S, 15 * S)
     };
     let load = ClassSpec {
         in_order: true,
         is_load: true,
-        ..class(Effect::Unsafe, 2.0, 3 * S, 20 * S)
+        ..class(Idempotency::NonIdempotent, 2.0, 3 * S, 20 * S)
     };
     let keyed = class(
-        Effect::Keyed {
+        Idempotency::WithKey {
             scope: Scope::Cell,
             window: 2 * S,
         },
@@ -76,10 +76,10 @@
         grants_heeded: false,
         priorities_heeded: false,
         most_grant: 0.4,
-        when_short: WhenShort::Wait,
+        when_short: MemoryExhaustionPolicy::Wait,
         note_period: 500 * MS,
         tells_cost: true,
-        rules: Rules {
+        rules: Invariants {
             answer_slack: 20 * MS,
             drain_grace: 250 * MS,
             cold_from: 0.3,
@@ -87,7 +87,7 @@
             fall_multiple: 2.0,
             fall_window: 2 * S,
             key_rest: 500 * MS,
-            extra: Some(ExtraBudget {
+            extra: Some(RetryBudget {
                 spare: 2.0,
                 ratio: 0.1,
                 span: 5 * S,
@@ -106,8 +106,8 @@
     }
 }
 
-pub fn entry(id: u64, kind: u16, ready_at: Nanos) -> EngineEntry {
-    EngineEntry {
+pub fn entry(id: u64, kind: u16, ready_at: Nanos) -> Endpoint {
+    Endpoint {
         id: EngineId(id),
         zone: ZoneId(0),
         kind: KindId(kind),
@@ -118,13 +118,13 @@
     }
 }
 
-pub fn ask(id: u32, class: u16, now: Nanos, deadline: Nanos, work: Nanos) -> NewRequest {
-    NewRequest {
+pub fn ask(id: u32, class: u16, now: Nanos, deadline: Nanos, work: Nanos) -> Request {
+    Request {
         id: RequestId(id),
         class: ClassId(class),
         give_up_at: now + deadline,
         work_hint: Some(work),
-        ..NewRequest::default()
+        ..Request::default()
     }
 }
 
@@ -155,13 +155,13 @@
 }
 
 impl Rig {
-    pub fn new(settings: Settings, entries: Vec<EngineEntry>) -> Rig {
+    pub fn new(settings: Settings, entries: Vec<Endpoint>) -> Rig {
         let mut rig = Rig {
             g: Gateway::new(T0, settings, 7),
             now: T0,
         };
         rig.tell(Event::List {
-            kind: ListKind::Full,
+            kind: EndpointListKind::Full,
             entries,
         });
         rig
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -6,12 +6,12 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 use yokelift::config::process::Names;
-use yokelift::dispatcher::Job;
-use yokelift::dispatcher::termination::{End, Reach};
+use yokelift::dispatcher::AttemptRequest;
+use yokelift::dispatcher::termination::{Termination, TransmitProgress};
 use yokelift::net::Shared;
 use yokelift::net::discovery::endpoint_list::{Http, engines, listed};
-use yokelift::net::dispatcher::Input;
-use yokelift::net::engine::ToEngine;
+use yokelift::net::dispatcher::DispatcherEvent;
+use yokelift::net::engine::EngineCommand;
 use yokelift::policy::api::{EngineId, Readiness, RequestId};
 use yokelift::testkit::eventually;
 
@@ -47,9 +47,9 @@
     });
     assert!(again, "after a pause the reactor has its own descriptors");
     let start = |id| {
-        ToEngine::Start(Job {
+        EngineCommand::Start(AttemptRequest {
             id: RequestId(id),
-            ..Job::default()
+            ..AttemptRequest::default()
         })
     };
     // Every place up to the limit is taken.
@@ -62,9 +62,9 @@
     let taken: Vec<File> = std::iter::from_fn(|| File::open("/dev/null").ok()).collect();
     assert_eq!(row.tell(start(1)), Ok(()));
     let mut ended = Vec::new();
-    let look = |ended: &mut Vec<(RequestId, End, Reach)>| {
+    let look = |ended: &mut Vec<(RequestId, Termination, TransmitProgress)>| {
         while let Ok(input) = inputs.try_recv() {
-            if let Input::Ended(e) = input {
+            if let DispatcherEvent::Ended(e) = input {
                 ended.push((e.id, e.end, e.reach));
             }
         }
@@ -74,7 +74,14 @@
         ended.len() == 1 && shared.engine_actors.get() == 0
     });
     assert!(one && !row.is_active() && !row.is_closed(), "{ended:?}");
-    assert_eq!(ended, [(RequestId(1), End::Overflow, Reach::Unsent)]);
+    assert_eq!(
+        ended,
+        [(
+            RequestId(1),
+            Termination::LocalLimit,
+            TransmitProgress::Unsent
+        )]
+    );
     drop(taken);
     setrlimit(Resource::Nofile, before).expect("the limit of before");
     assert_eq!(row.tell(start(2)), Ok(()));
@@ -86,7 +93,12 @@
         ended.len() == 2 && !came.is_empty()
     });
     assert!(
-        two && ended[1] == (RequestId(2), End::Withdrawn, Reach::Unsent),
+        two && ended[1]
+            == (
+                RequestId(2),
+                Termination::Cancelled,
+                TransmitProgress::Unsent
+            ),
         "{ended:?}"
     );
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -12,13 +12,13 @@
     s
 }
 
-fn one_of(me: u32, s: Settings, entries: Vec<EngineEntry>) -> Rig {
+fn one_of(me: u32, s: Settings, entries: Vec<Endpoint>) -> Rig {
     let mut rig = Rig {
         g: Gateway::new(T0, Settings { me, ..s }, u64::from(me)),
         now: T0,
     };
     rig.tell(Event::List {
-        kind: ListKind::Full,
+        kind: EndpointListKind::Full,
         entries,
     });
     rig
@@ -50,7 +50,7 @@
 
 #[test]
 fn an_idle_fleet_never_holds_a_query_for_a_turn() {
-    let engines: Vec<EngineEntry> = (1..=60).map(|i| entry(i, 0, 0)).collect();
+    let engines: Vec<Endpoint> = (1..=60).map(|i| entry(i, 0, 0)).collect();
     for me in [0, 7, 150, 299] {
         let mut rig = one_of(me, many(), engines.clone());
         rig.pass(3 * S);
@@ -70,7 +70,7 @@
 /// for full.
 #[test]
 fn where_a_probe_is_dear_no_engine_is_asked_and_no_query_waits() {
-    let engines: Vec<EngineEntry> = (1..=60).map(|i| entry(i, 0, 0)).collect();
+    let engines: Vec<Endpoint> = (1..=60).map(|i| entry(i, 0, 0)).collect();
     let mut rig = one_of(
         7,
         Settings {
@@ -94,7 +94,7 @@
 /// connection to each engine that it used once in six seconds.
 #[test]
 fn a_gateway_that_can_not_ask_keeps_to_few_engines_and_all_get_their_part() {
-    let engines: Vec<EngineEntry> = (1..=30).map(|i| entry(i, 0, 0)).collect();
+    let engines: Vec<Endpoint> = (1..=30).map(|i| entry(i, 0, 0)).collect();
     let mut total = std::collections::BTreeMap::new();
     for me in 0..100 {
         let mut rig = one_of(
@@ -127,7 +127,7 @@
 /// tenth.
 #[test]
 fn what_misses_its_aim_anyway_takes_no_room_that_others_need() {
-    let engines: Vec<EngineEntry> = (1..=10).map(|i| entry(i, 0, 0)).collect();
+    let engines: Vec<Endpoint> = (1..=10).map(|i| entry(i, 0, 0)).collect();
     let mut rig = one_of(
         3,
         Settings {
@@ -161,7 +161,7 @@
 #[test]
 fn turns_on_cold_engines_are_used_where_no_engine_is_asked() {
     let warm = (1..=12).map(|i| entry(i, 0, 0));
-    let engines: Vec<EngineEntry> = warm.chain((13..=30).map(|i| entry(i, 0, T0))).collect();
+    let engines: Vec<Endpoint> = warm.chain((13..=30).map(|i| entry(i, 0, T0))).collect();
     let mut on_cold = 0;
     for me in 0..100 {
         let settings = Settings {
@@ -195,7 +195,7 @@
 #[test]
 fn turns_on_cold_engines_do_not_wait_for_queries_stuck_on_warm_ones() {
     let warm = (1..=12).map(|i| entry(i, 0, 0));
-    let engines: Vec<EngineEntry> = warm.chain((13..=30).map(|i| entry(i, 0, T0))).collect();
+    let engines: Vec<Endpoint> = warm.chain((13..=30).map(|i| entry(i, 0, T0))).collect();
     let mut on_cold = 0;
     for me in 0..100 {
         let settings = Settings {
@@ -206,7 +206,7 @@
         };
         let mut rig = one_of(me, settings, engines.clone());
         let stuck = |id| ask(id, 0, rig.now, 60 * S, 4 * S);
-        let asks: Vec<NewRequest> = (0..8).map(stuck).collect();
+        let asks: Vec<Request> = (0..8).map(stuck).collect();
         asks.into_iter()
             .for_each(|a| drop(rig.tell(Event::Request(a))));
         rig.pass(2 * S);
@@ -271,7 +271,7 @@
 #[test]
 fn the_share_of_a_gateway_that_can_not_ask_counts_warm_engines() {
     let warm = (1..=12).map(|i| entry(i, 0, 0));
-    let engines: Vec<EngineEntry> = warm.chain((13..=60).map(|i| entry(i, 0, T0))).collect();
+    let engines: Vec<Endpoint> = warm.chain((13..=60).map(|i| entry(i, 0, T0))).collect();
     let mut on_warm = 0;
     for me in 0..30 {
         let settings = Settings {
@@ -306,7 +306,7 @@
         ..settings()
     };
     let settings = Settings {
-        rules: Rules {
+        rules: Invariants {
             extra: None,
             ..settings.rules
         },
@@ -318,7 +318,7 @@
             .map(|i| entry(i, 0, 0))
             .collect::<Vec<_>>()
     };
-    let draining = |e: EngineEntry| EngineEntry {
+    let draining = |e: Endpoint| Endpoint {
         readiness: Readiness::Draining,
         ..e
     };
@@ -346,7 +346,7 @@
             .map(|(id, _)| id)
             .collect();
         let mut acts = rig.tell(Event::List {
-            kind: ListKind::Full,
+            kind: EndpointListKind::Full,
             entries,
         });
         for _ in 0..5 {
@@ -394,7 +394,7 @@
 /// cold.
 #[test]
 fn a_new_engine_gets_its_part_where_all_others_have_slowed() {
-    let engines: Vec<EngineEntry> = (1..=20).map(|i| entry(i, 0, 0)).collect();
+    let engines: Vec<Endpoint> = (1..=20).map(|i| entry(i, 0, 0)).collect();
     let mut on_new = 0;
     for me in 0..60 {
         let settings = Settings {
@@ -409,7 +409,7 @@
             rig.tell(outcome(id, 0, sent[0].1, OutcomeKind::Ok, 360 * MS));
         }
         rig.tell(Event::List {
-            kind: ListKind::Changes,
+            kind: EndpointListKind::Changes,
             entries: vec![entry(21, 0, 0)],
         });
         for id in 60..63 {
@@ -480,7 +480,7 @@
                 now: T0 + offset(me),
             };
             rig.tell(Event::List {
-                kind: ListKind::Full,
+                kind: EndpointListKind::Full,
                 entries: vec![entry(1, 0, T0 + offset(me))],
             });
             rig
@@ -642,7 +642,7 @@
                 rig.tell(Event::Note {
                     id: RequestId(id),
                     attempt: AttemptNo(0),
-                    note: Note::WaitsForMemory,
+                    note: ProgressUpdate::WaitsForMemory,
                 });
             }
         }
@@ -744,7 +744,7 @@
 }
 
 impl Fleet {
-    fn new(entries: &[EngineEntry]) -> Fleet {
+    fn new(entries: &[Endpoint]) -> Fleet {
         let rig = |me| {
             let mut s = many();
             (s.gateways, s.rules.extra) = (150, None);
@@ -839,7 +839,7 @@
 
 #[test]
 fn dead_engines_cost_few_queries_whatever_their_share() {
-    let engines: Vec<EngineEntry> = (1..=20).map(|i| entry(i, 0, 0)).collect();
+    let engines: Vec<Endpoint> = (1..=20).map(|i| entry(i, 0, 0)).collect();
     for dead in [5, 10, 14] {
         let mut fleet = Fleet::new(&engines);
         fleet.run(3 * S, 800);
@@ -870,10 +870,10 @@
     // The five that are left are all but full, so that queries wait.
     fleet.run(3 * S, 320);
     let now = fleet.rigs[0].now;
-    let back: Vec<EngineEntry> = (6..=10).map(|i| entry(i, 0, now)).collect();
+    let back: Vec<Endpoint> = (6..=10).map(|i| entry(i, 0, now)).collect();
     for me in 0..fleet.rigs.len() {
         let acts = fleet.rigs[me].tell(Event::List {
-            kind: ListKind::Changes,
+            kind: EndpointListKind::Changes,
             entries: back.clone(),
         });
         fleet.carry_out(me, acts);
@@ -893,7 +893,7 @@
 fn a_gateway_whose_network_fails_keeps_its_engines() {
     // Every engine refuses this one gateway; it goes on trying some, and serves again at once when
     // that ends.
-    let engines: Vec<EngineEntry> = (1..=20).map(|i| entry(i, 0, 0)).collect();
+    let engines: Vec<Endpoint> = (1..=20).map(|i| entry(i, 0, 0)).collect();
     let mut fleet = Fleet::new(&engines);
     fleet.run(2 * S, 150);
     fleet.dead = (1..=20).collect();
@@ -922,7 +922,7 @@
         let mut rig = Rig::new(s.clone(), (1..=6).map(|i| entry(i, 0, 0)).collect());
         rig.pass(3 * S);
         for id in 0..12 {
-            let again = NewRequest {
+            let again = Request {
                 repeated,
                 ..ask(id, 0, rig.now, 6 * S, 200 * MS)
             };
@@ -964,7 +964,7 @@
     assert!(sent >= 50, "look-ups were served: {sent}");
     rig.pass(20 * S);
     rig.tell(Event::List {
-        kind: ListKind::Changes,
+        kind: EndpointListKind::Changes,
         entries: vec![entry(2, 0, 0)],
     });
     let acts = rig.tell(Event::Request(ask(999, 1, rig.now, 15 * S, S)));
@@ -994,7 +994,7 @@
     }
     assert_eq!(refused, 12);
     rig.tell(Event::List {
-        kind: ListKind::Full,
+        kind: EndpointListKind::Full,
         entries: vec![entry(1, 0, 0)],
     });
     let acts = rig.tell(Event::Request(ask(20, 0, rig.now, 6 * S, 200 * MS)));
@@ -1060,7 +1060,7 @@
     );
     for id in [1, 2].repeat(20) {
         rig.pass(100 * MS);
-        let note = Note::Progress(0.1);
+        let note = ProgressUpdate::Progress(0.1);
         rig.tell(Event::Note {
             id: RequestId(id),
             attempt: AttemptNo(0),
--- a/tests/hedging.rs
+++ b/tests/hedging.rs
@@ -8,7 +8,7 @@
 /// count.
 fn copying() -> Settings {
     let mut s = settings();
-    s.classes[3].effect = Effect::Keyed {
+    s.classes[3].effect = Idempotency::WithKey {
         scope: Scope::All,
         window: 20 * S,
     };
@@ -17,7 +17,7 @@
     s
 }
 
-fn engines() -> Vec<EngineEntry> {
+fn engines() -> Vec<Endpoint> {
     (1..=4).map(|i| entry(i, 0, 0)).collect()
 }
 
@@ -25,7 +25,7 @@
 /// in a while.
 fn silent(s: Settings, class: u16, single: bool) -> (Rig, EngineId, Vec<Action>) {
     let mut rig = Rig::new(s, engines());
-    let ask = NewRequest {
+    let ask = Request {
         single,
         ..ask(1, class, rig.now, 6 * S, 200 * MS)
     };
@@ -117,13 +117,13 @@
 }
 
 /// Where each of a few data sets goes, at a gateway of that number.
-fn homes(me: u32, groups: u64, entries: Vec<EngineEntry>) -> Vec<EngineId> {
+fn homes(me: u32, groups: u64, entries: Vec<Endpoint>) -> Vec<EngineId> {
     let mut s = copying();
     (s.gateways, s.me) = (3, me);
     let mut rig = Rig::new(s, entries);
     rig.pass(3 * S);
     let mut one = |id: u32, group| {
-        let asked = NewRequest {
+        let asked = Request {
             group,
             ..ask(id, 0, rig.now, 6 * S, 50 * MS)
         };
@@ -166,7 +166,7 @@
     let mut rig = Rig::new(copying(), engines());
     rig.pass(3 * S);
     let asked = |id, now| {
-        Event::Request(NewRequest {
+        Event::Request(Request {
             group: 7,
             ..ask(id, 0, now, 6 * S, 50 * MS)
         })
@@ -213,7 +213,7 @@
     for group in [0, 7] {
         let mut rig = Rig::new(copying(), engines());
         rig.pass(3 * S);
-        let ask = |id| NewRequest {
+        let ask = |id| Request {
             group,
             ..ask(id, 0, rig.now, 6 * S, 50 * MS)
         };
@@ -268,7 +268,7 @@
 #[test]
 fn the_window_of_a_key_counts_from_the_first_that_was_sent() {
     let mut s = copying();
-    s.classes[3].effect = Effect::Keyed {
+    s.classes[3].effect = Idempotency::WithKey {
         scope: Scope::All,
         window: 3 * S,
     };
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::process::Command;
-use yokelift::testkit::clients::Got;
+use yokelift::testkit::clients::ClientOutcome;
 use yokelift::testkit::fault_proxy::Faults;
 use yokelift::testkit::fleet::{Fleet, MEMBERS, Options, eventually};
 
@@ -46,7 +46,7 @@
         let number = NEXT.with(|next| next.replace(next.get() + 1));
         let got = fleet.ask(*i, "lookup", number, 900);
         assert!(
-            !matches!(got, Got::Cut | Got::Rejected(_)),
+            !matches!(got, ClientOutcome::Cut | ClientOutcome::Rejected(_)),
             "{got:?}: {}",
             fleet.log(*i)
         );
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -3,7 +3,7 @@
 use common::*;
 use yokelift::policy::api::*;
 
-fn two() -> Vec<EngineEntry> {
+fn two() -> Vec<Endpoint> {
     vec![entry(1, 0, 0), entry(2, 0, 0)]
 }
 
@@ -109,12 +109,12 @@
 #[test]
 fn a_draining_engine_gets_nothing_new() {
     let mut rig = Rig::new(settings(), two());
-    let entries = vec![EngineEntry {
+    let entries = vec![Endpoint {
         readiness: Readiness::Draining,
         ..entry(1, 0, 0)
     }];
     rig.tell(Event::List {
-        kind: ListKind::Changes,
+        kind: EndpointListKind::Changes,
         entries,
     });
     for id in 0..6 {
@@ -127,11 +127,11 @@
 fn an_engine_missing_from_a_complete_list_is_gone_and_a_failed_list_changes_nothing() {
     let mut rig = Rig::new(settings(), two());
     rig.tell(Event::List {
-        kind: ListKind::Full,
+        kind: EndpointListKind::Full,
         entries: vec![entry(2, 0, 0)],
     });
     rig.tell(Event::List {
-        kind: ListKind::Failed,
+        kind: EndpointListKind::Failed,
         entries: vec![],
     });
     let to = sends(&rig.tell(Event::Request(ask(1, 0, rig.now, 6 * S, 200 * MS))));
@@ -148,7 +148,7 @@
 #[test]
 fn requests_of_one_key_run_in_turn_and_rest_after_a_reset() {
     let mut rig = Rig::new(settings(), two());
-    let keyed = |id, now| NewRequest {
+    let keyed = |id, now| Request {
         key: Some(OrderKey(9)),
         ..ask(id, 2, now, 20 * S, S)
     };
@@ -190,7 +190,7 @@
     let mut rig = Rig::new(settings(), (1..=4).map(|i| entry(i, 0, 0)).collect());
     for id in 0..60u32 {
         rig.pass(20 * MS);
-        for (req, engine) in sends(&rig.tell(Event::Request(NewRequest {
+        for (req, engine) in sends(&rig.tell(Event::Request(Request {
             group: id.into(),
             ..ask(id, 0, rig.now, 6 * S, 200 * MS)
         }))) {
@@ -207,7 +207,7 @@
     let to_bad = |rig: &mut Rig, from: u32| {
         let mut n = 0;
         for id in from..from + 12 {
-            n += sends(&rig.tell(Event::Request(NewRequest {
+            n += sends(&rig.tell(Event::Request(Request {
                 group: id.into(),
                 ..ask(id, 0, rig.now, 6 * S, 200 * MS)
             })))
@@ -219,7 +219,7 @@
     };
     assert!(to_bad(&mut rig, 1000) <= 1, "ejected, at most a trial");
     rig.tell(Event::List {
-        kind: ListKind::Full,
+        kind: EndpointListKind::Full,
         entries: vec![entry(1, 0, 0)],
     });
     assert!(
@@ -233,7 +233,7 @@
     let mut rig = Rig::new(settings(), (1..=4).map(|i| entry(i, 0, 0)).collect());
     let mut to = Vec::new();
     for id in 0..16 {
-        let ask = NewRequest {
+        let ask = Request {
             group: id.into(),
             ..ask(id, 0, rig.now, 6 * S, 100 * MS)
         };
@@ -268,7 +268,7 @@
         let note = Event::Note {
             id: RequestId(1),
             attempt: AttemptNo(0),
-            note: Note::Progress(0.05),
+            note: ProgressUpdate::Progress(0.05),
         };
         assert_eq!(cancels(&rig.tell(note)), expected, "class {class}");
     }
@@ -295,7 +295,7 @@
         let note = Event::Note {
             id: RequestId(id),
             attempt: AttemptNo(0),
-            note: Note::Progress(0.1),
+            note: ProgressUpdate::Progress(0.1),
         };
         n += cancels(&rig.tell(note));
     }
@@ -394,7 +394,7 @@
     for _ in 0..99 {
         rig.now += 20 * MS;
         for id in 0..16 {
-            let note = Note::Progress(0.1);
+            let note = ProgressUpdate::Progress(0.1);
             rig.tell(Event::Note {
                 id: RequestId(id),
                 attempt: AttemptNo(0),
@@ -462,7 +462,7 @@
     for round in 0..12 {
         let mut to = Vec::new();
         for id in 32 * round..32 * (round + 1) {
-            let ask = NewRequest {
+            let ask = Request {
                 group: id.into(),
                 ..ask(id, 0, rig.now, 6 * S, 100 * MS)
             };
@@ -479,7 +479,7 @@
     }
     let mut count = [0; 5];
     for id in 1000..1100 {
-        let ask = NewRequest {
+        let ask = Request {
             group: id.into(),
             ..ask(id, 0, rig.now, 6 * S, 100 * MS)
         };
@@ -508,7 +508,7 @@
     for id in 0..24 {
         rig.tell(Event::Request(ask(id, 0, rig.now, 6 * S, 200 * MS)));
     }
-    let within = NewRequest {
+    let within = Request {
         tenant: TenantId(1),
         ..ask(100, 0, rig.now, 6 * S, 200 * MS)
     };
@@ -529,7 +529,7 @@
         let note = Event::Note {
             id: RequestId(1),
             attempt: AttemptNo(0),
-            note: Note::Progress(0.01),
+            note: ProgressUpdate::Progress(0.01),
         };
         let acts = rig.tell(note);
         assert_eq!(
@@ -580,12 +580,12 @@
     for id in 0..12 {
         acts.extend(rig.tell(Event::Request(ask(id, (id % 3) as u16, rig.now, 6 * S, S))));
     }
-    let gone = |i| EngineEntry {
+    let gone = |i| Endpoint {
         readiness: Readiness::Gone,
         ..entry(i, 0, 0)
     };
     rig.tell(Event::List {
-        kind: ListKind::Changes,
+        kind: EndpointListKind::Changes,
         entries: vec![gone(1), gone(2)],
     });
     let before = sends(&acts);
@@ -610,12 +610,12 @@
     let mut rig = Rig::new(settings(), vec![entry(1, 0, 0)]);
     rig.pass(3 * S);
     for readiness in [Readiness::Gone, Readiness::Ready] {
-        let entries = vec![EngineEntry {
+        let entries = vec![Endpoint {
             readiness,
             ..entry(1, 0, 0)
         }];
         rig.tell(Event::List {
-            kind: ListKind::Changes,
+            kind: EndpointListKind::Changes,
             entries,
         });
     }
@@ -632,7 +632,7 @@
     let to = sends(&rig.tell(Event::Request(ask(1, 2, rig.now, 20 * S, S))))[0].1;
     let other = EngineId(3 - to.0);
     rig.tell(Event::List {
-        kind: ListKind::Full,
+        kind: EndpointListKind::Full,
         entries: vec![entry(other.0, 0, 0)],
     });
     // A load that surely never ran may be sent again.
@@ -703,7 +703,7 @@
                 let note = Event::Note {
                     id: RequestId(id),
                     attempt: AttemptNo(0),
-                    note: Note::Progress(0.9),
+                    note: ProgressUpdate::Progress(0.9),
                 };
                 rig.tell(note);
             }
@@ -719,7 +719,7 @@
         }
         rig.tell(Event::Request(ask(99, 1, rig.now, 15 * S, S)));
         rig.pass(500 * MS);
-        let note = Note::Progress(0.25);
+        let note = ProgressUpdate::Progress(0.25);
         cancels(&rig.tell(Event::Note {
             id: RequestId(99),
             attempt: AttemptNo(0),
@@ -734,7 +734,7 @@
     let mut s = settings();
     s.classes[0].waits_for_loads = true;
     let mut rig = Rig::new(s, two());
-    let look_up = |id, now| NewRequest {
+    let look_up = |id, now| Request {
         group: 7,
         ..ask(id, 0, now, 6 * S, 200 * MS)
     };
@@ -743,7 +743,7 @@
     let note = Event::Note {
         id: RequestId(1),
         attempt: AttemptNo(0),
-        note: Note::WaitsForLoad,
+        note: ProgressUpdate::WaitsForLoad,
     };
     assert_eq!(cancels(&rig.tell(note)), 1);
     let again = sends(&rig.tell(outcome(1, 0, held, OutcomeKind::Cancelled, 500 * MS)));
@@ -764,11 +764,11 @@
     let mut s = settings();
     s.classes[0].waits_for_loads = true;
     let mut rig = Rig::new(s, two());
-    let look_up = |id, group, now| NewRequest {
+    let look_up = |id, group, now| Request {
         group,
         ..ask(id, 0, now, 6 * S, 200 * MS)
     };
-    let load = NewRequest {
+    let load = Request {
         group: 7,
         ..ask(1, 2, rig.now, 20 * S, 2 * S)
     };
@@ -806,7 +806,7 @@
     (s.classes[0].waits_for_loads, s.note_period) = (true, 0);
     let mut rig = Rig::new(s, two());
     let ask_for = |rig: &mut Rig, id, group| {
-        let ask = NewRequest {
+        let ask = Request {
             group,
             ..ask(id, 0, rig.now, 6 * S, 200 * MS)
         };
@@ -899,7 +899,7 @@
     let mut rig = Rig::new(s, two());
     let stands = sends(&rig.tell(Event::Request(ask(1, 0, rig.now, 6 * S, 200 * MS))))[0].1;
     rig.pass(300 * MS);
-    let other = |id| NewRequest {
+    let other = |id| Request {
         group: 8,
         ..ask(id, 0, T0, 6 * S, 200 * MS)
     };
@@ -942,7 +942,7 @@
     let sent = |part: f64| {
         let mut rig = Rig::new(
             settings(),
-            vec![EngineEntry {
+            vec![Endpoint {
                 ready_at: T0,
                 ..entry(1, 0, 0)
             }],
@@ -966,7 +966,8 @@
     let first = sends(&rig.tell(Event::Request(ask(1, 0, rig.now, 6 * S, 200 * MS))))[0].1;
     let mut next = settings();
     next.limits.send_cap = 1;
-    next.classes.push(class(Effect::Unsafe, 1.0, S, 6 * S));
+    next.classes
+        .push(class(Idempotency::NonIdempotent, 1.0, S, 6 * S));
     rig.g.retune(next, &[(ClassId(4), Some(ClassId(0)))]);
     let again = sends(&rig.tell(outcome(1, 0, first, OutcomeKind::ConnectFailed, 5 * MS)));
     assert_eq!(again.len(), 1, "the open one goes on");
--- a/tests/recorded_run.rs
+++ b/tests/recorded_run.rs
@@ -50,7 +50,7 @@
             .map(|id| recording.entry(id, Readiness::Ready, 0))
             .collect();
         recording.handle(Event::List {
-            kind: ListKind::Full,
+            kind: EndpointListKind::Full,
             entries,
         });
         recording
@@ -61,8 +61,8 @@
         self.random.next_u32() % limit
     }
 
-    fn entry(&self, id: u32, readiness: Readiness, ready_at: Nanos) -> EngineEntry {
-        EngineEntry {
+    fn entry(&self, id: u32, readiness: Readiness, ready_at: Nanos) -> Endpoint {
+        Endpoint {
             zone: ZoneId((id % 3) as u16),
             readiness,
             ..entry(u64::from(id), (id % 4 / 3) as u16, ready_at)
@@ -153,7 +153,7 @@
         let class = self.draw(self.settings.classes.len() as u32) as u16;
         let deadline = self.settings.classes[usize::from(class)].deadline;
         let work = Nanos::from(self.draw(400) + 1) * 4 * MS;
-        let request = NewRequest {
+        let request = Request {
             tenant: TenantId(self.draw(2) as u16),
             key: Some(OrderKey(u64::from(self.draw(6)))),
             work_hint: Some(work).filter(|_| !id.is_multiple_of(7)),
@@ -221,10 +221,10 @@
         let at = self.draw(self.running.len() as u32) as usize;
         let (id, attempt) = (self.running[at].id, self.running[at].attempt);
         let note = match self.draw(6) {
-            0 => Note::WaitsForLoad,
-            1 => Note::WaitsForMemory,
-            2 => Note::Spill(100.0),
-            _ => Note::Progress(f64::from(self.draw(100)) / 100.0),
+            0 => ProgressUpdate::WaitsForLoad,
+            1 => ProgressUpdate::WaitsForMemory,
+            2 => ProgressUpdate::Spill(100.0),
+            _ => ProgressUpdate::Progress(f64::from(self.draw(100)) / 100.0),
         };
         self.handle(Event::Note { id, attempt, note });
     }
@@ -234,7 +234,7 @@
         let entry = match self.draw(6) {
             0 => {
                 return self.handle(Event::List {
-                    kind: ListKind::Failed,
+                    kind: EndpointListKind::Failed,
                     entries: Vec::new(),
                 });
             }
@@ -246,13 +246,13 @@
                     .map(|id| self.entry(id, Readiness::Ready, 0))
                     .collect();
                 return self.handle(Event::List {
-                    kind: ListKind::Full,
+                    kind: EndpointListKind::Full,
                     entries,
                 });
             }
         };
         self.handle(Event::List {
-            kind: ListKind::Changes,
+            kind: EndpointListKind::Changes,
             entries: vec![entry],
         });
     }
@@ -388,11 +388,11 @@
 
 fn keyed_everywhere() -> Settings {
     let mut settings = settings();
-    settings.classes[0].effect = Effect::Keyed {
+    settings.classes[0].effect = Idempotency::WithKey {
         scope: Scope::All,
         window: 3 * S,
     };
-    settings.classes[3].effect = Effect::Keyed {
+    settings.classes[3].effect = Idempotency::WithKey {
         scope: Scope::Zone,
         window: 3 * S,
     };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -21,7 +21,7 @@
 }
 
 struct Seen {
-    ask: NewRequest,
+    ask: Request,
     tries: Vec<Try>,
     over: Option<Nanos>,
     answers: u32,
@@ -33,7 +33,7 @@
     rig: Rig,
     rng: Pcg32,
     seen: BTreeMap<RequestId, Seen>,
-    listed: BTreeMap<EngineId, EngineEntry>,
+    listed: BTreeMap<EngineId, Endpoint>,
     order: BTreeMap<OrderKey, Vec<RequestId>>,
     taken: Vec<Nanos>,
     extras: Vec<(Nanos, RequestId)>,
@@ -106,7 +106,7 @@
             stood: (0, 0),
         };
         let entries = (1..=5).map(|i| entry(i, (i % 2) as u16, 0)).collect();
-        w.list(ListKind::Cached, entries);
+        w.list(EndpointListKind::Cached, entries);
         w
     }
 
@@ -114,8 +114,8 @@
         u64::from(self.rng.next_u32()) % n
     }
 
-    fn list(&mut self, kind: ListKind, entries: Vec<EngineEntry>) {
-        if kind != ListKind::Changes {
+    fn list(&mut self, kind: EndpointListKind, entries: Vec<Endpoint>) {
+        if kind != EndpointListKind::Changes {
             let named: Vec<EngineId> = entries.iter().map(|e| e.id).collect();
             for e in self.listed.values_mut().filter(|e| !named.contains(&e.id)) {
                 e.readiness = Readiness::Gone;
@@ -154,7 +154,7 @@
         r.over.get_or_insert(now);
         let unsure = r.tries.iter().any(may_have_run);
         let class = &self.s.classes[usize::from(r.ask.class.0)];
-        if refused && class.effect != Effect::Safe {
+        if refused && class.effect != Idempotency::Idempotent {
             assert!(!unsure, "{id:?} may have run and was refused");
         }
     }
@@ -219,8 +219,10 @@
         );
         let first_run = r.tries.iter().find(|t| may_have_run(t));
         match (class.effect, first_run) {
-            (Effect::Unsafe, run) => assert!(run.is_none(), "unsafe request sent again"),
-            (Effect::Keyed { window, .. }, Some(t)) => {
+            (Idempotency::NonIdempotent, run) => {
+                assert!(run.is_none(), "unsafe request sent again")
+            }
+            (Idempotency::WithKey { window, .. }, Some(t)) => {
                 assert_eq!(self.listed[&t.engine].cell, e.cell, "left its cell");
                 assert!(now < t.sent + window, "resent after the window");
             }
@@ -431,10 +433,10 @@
                 let attempt = AttemptNo(n as u16);
                 let share = self.below(100) as f64 / 100.0;
                 let notes = [
-                    Note::Progress(share),
-                    Note::WaitsForLoad,
-                    Note::WaitsForMemory,
-                    Note::Spill(80.0),
+                    ProgressUpdate::Progress(share),
+                    ProgressUpdate::WaitsForLoad,
+                    ProgressUpdate::WaitsForMemory,
+                    ProgressUpdate::Spill(80.0),
                 ];
                 let note = notes[self.below(4) as usize];
                 self.tell(Event::Note { id, attempt, note });
@@ -458,22 +460,22 @@
                     [self.below(3) as usize];
                 let old = self.listed.get(&EngineId(i)).map_or(0, |e| e.ready_at);
                 let ready_at = if self.below(2) == 0 { now } else { old };
-                let e = EngineEntry {
+                let e = Endpoint {
                     readiness,
                     ..entry(i, (i % 2) as u16, ready_at)
                 };
-                self.list(ListKind::Changes, vec![e]);
+                self.list(EndpointListKind::Changes, vec![e]);
             }
             18 if self.below(4) == 0 => self.stall(),
             18 if self.below(3) == 0 => {
                 // A wave: half the engines drain at once, and are replaced by cold ones of new ids.
-                let gone = |i: u64| EngineEntry {
+                let gone = |i: u64| Endpoint {
                     readiness: Readiness::Draining,
                     ..entry(i, (i % 2) as u16, 0)
                 };
                 let fresh = |i: u64| entry(i + 3, ((i + 3) % 2) as u16, now);
                 self.list(
-                    ListKind::Changes,
+                    EndpointListKind::Changes,
                     (1..=3).map(gone).chain((1..=3).map(fresh)).collect(),
                 );
             }
@@ -483,7 +485,7 @@
                 let entries = (1..=n)
                     .map(|i| entry(i, (i % 2) as u16, at(self, i)))
                     .collect();
-                self.list(ListKind::Full, entries);
+                self.list(EndpointListKind::Full, entries);
             }
             _ => {
                 let from = 1 + self.below(3) as u32;
--- a/tests/scale_fleet.rs
+++ b/tests/scale_fleet.rs
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
-use yokelift::config::fleet::Fleet;
-use yokelift::lease::Terms;
+use yokelift::config::fleet::FleetConfig;
+use yokelift::lease::LeaseTiming;
 use yokelift::membership::Timing;
 use yokelift::testkit::daemon::{self, Folder, KINDS, ZONES, free_addr};
 use yokelift::testkit::fleet::eventually;
@@ -31,10 +31,10 @@
         probe_ms: 40,
         ..Timing::default()
     };
-    let terms = Terms {
+    let terms = LeaseTiming {
         term_ms: 600,
         margin_ms: 50,
-        ..Terms::default()
+        ..LeaseTiming::default()
     };
     let (settle, quiet) = (Duration::from_millis(300), Duration::from_millis(500));
     Plan {
@@ -289,7 +289,7 @@
     assert_eq!(resident(SocketAddr::from(([127, 0, 0, 1], 7_946))), None);
     assert_eq!(resident(SocketAddr::from(([127, 64, 0, 0], 7_946))), None);
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/fleet.toml");
-    let file =
-        Fleet::parse(&std::fs::read_to_string(file).expect("the file")).expect("a fleet file");
+    let file = FleetConfig::parse(&std::fs::read_to_string(file).expect("the file"))
+        .expect("a fleet file");
     assert_eq!(file.timing, Plan::new(460, 910).timing);
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -35,7 +35,7 @@
 }
 
 /// What the settings allow a cold engine in calls of mean work within the stated time.
-fn allowed(rules: &Rules, cores: f64, age: Nanos) -> f64 {
+fn allowed(rules: &Invariants, cores: f64, age: Nanos) -> f64 {
     let part = (age as f64 / rules.warm_within as f64).min(1.0);
     let warmth = rules.cold_from + (1.0 - rules.cold_from) * part * part;
     rules.fall_multiple * warmth * cores * 0.8 * rules.fall_window as f64 / WORK as f64
@@ -49,7 +49,7 @@
     let warm = 10;
     let rules = fleet_settings(plan, 0).rules;
     let listed = |cold: bool| {
-        let cold = cold.then_some(EngineEntry {
+        let cold = cold.then_some(Endpoint {
             id: COLD,
             ..entry(99, 0, T0)
         });
@@ -59,7 +59,7 @@
             .collect::<Vec<_>>()
     };
     let full = |cold| Event::List {
-        kind: ListKind::Full,
+        kind: EndpointListKind::Full,
         entries: listed(cold),
     };
     struct Manager {
--- a/tests/unit/audit.rs
+++ b/tests/unit/audit.rs
@@ -1,7 +1,7 @@
 //! The audit's trail and its files against a model: random decisions, changes of what is acted on,
 //! batches that find no room, files that can't be written, and new lives; read back in pages of any
 //! size.
-use super::store::{self, Line, Page, PageEnd, Store, Told};
+use super::store::{self, AuditRecord, Line, Page, PageEnd, Store};
 use super::*;
 use crate::testkit::daemon::Folder;
 use proptest::prelude::*;
@@ -9,13 +9,13 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-fn under(life: u64) -> Under {
-    let acting = Acting {
+fn under(life: u64) -> DecisionContext {
+    let acting = ActiveConfiguration {
         generation: 1,
         settings: 77,
         list: 0,
     };
-    Under {
+    DecisionContext {
         member: "n0".into(),
         life,
         build: "1+test".into(),
@@ -26,9 +26,9 @@
 
 fn decision(number: u64) -> Decision {
     let what = match number % 3 {
-        0 => What::Dispatch(0, number),
-        1 => What::Refuse(40),
-        _ => What::Fail,
+        0 => DecisionKind::Dispatch(0, number),
+        1 => DecisionKind::Refuse(40),
+        _ => DecisionKind::Fail,
     };
     Decision {
         what,
@@ -40,7 +40,7 @@
 /// All records of the files from the start on, in pages of that size, and the spoilt frames of the
 /// last page.
 fn read_all(store: &Store, page: usize) -> (Vec<Line>, u64) {
-    let (mut all, mut since) = (Vec::new(), Place::default());
+    let (mut all, mut since) = (Vec::new(), RecordPosition::default());
     loop {
         let page: Page = store.read(since, page).expect("readable");
         let text = page.text();
@@ -112,12 +112,12 @@
         let bounds = Bounds { segment_kb: 1, segments: 1_000 };
         let (mut life, mut now) = (1_000, 1_000);
         let mut store = Store::open(&folder, "n0", bounds).expect("opened");
-        let mut trail = Trail::new(under(life));
+        let mut trail = AuditBuffer::new(under(life));
         // What the model says: by life and number, the decision or the change, and what was acted
         // on.
-        let mut model: BTreeMap<(u64, u64), (What, Acting)> = BTreeMap::new();
+        let mut model: BTreeMap<(u64, u64), (DecisionKind, ActiveConfiguration)> = BTreeMap::new();
         let (mut acting, mut number) = (under(life).acting, 1);
-        model.insert((life, 1), (What::Act, acting));
+        model.insert((life, 1), (DecisionKind::Act, acting));
         let gone = outer.path("away");
         for step in steps.into_iter().chain([Step::Flush, Step::Flush]) {
             now += FLUSH_EVERY;
@@ -130,7 +130,7 @@
                 Step::Act(list) if list != acting.list => {
                     (acting.list, number) = (list, number + 1);
                     trail.acts_on(now, acting);
-                    model.insert((life, number), (What::Act, acting));
+                    model.insert((life, number), (DecisionKind::Act, acting));
                 }
                 Step::Act(_) => {}
                 Step::Flush => if let Some(batch) = trail.flush(now) {
@@ -152,9 +152,9 @@
                     prop_assert!(store.settle().is_ok());
                     (life, number, acting) = (life + 1_000_000, 1, under(0).acting);
                     store = Store::open(&folder, "n0", bounds).expect("opened");
-                    trail = Trail::new(under(life));
+                    trail = AuditBuffer::new(under(life));
                     now = now.max(life);
-                    model.insert((life, 1), (What::Act, acting));
+                    model.insert((life, 1), (DecisionKind::Act, acting));
                 }
             }
         }
@@ -167,14 +167,14 @@
             let here = (line.under.life, line.number);
             prop_assert!(here > last, "{here:?} after {last:?}");
             last = here;
-            if let Told::Lost { count } = line.told {
+            if let AuditRecord::Lost { count } = line.told {
                 for number in line.number + 1 - count..=line.number {
                     prop_assert!(left.remove(&(line.under.life, number)).is_some(), "{number} is told twice");
                 }
                 continue;
             }
             let Some((what, acting)) = left.remove(&here) else { panic!("{here:?} was never decided") };
-            prop_assert_eq!(&line.told, &Told::from(&what));
+            prop_assert_eq!(&line.told, &AuditRecord::from(&what));
             prop_assert_eq!(line.under.acting, acting);
             prop_assert_eq!(&*line.under.member, "n0");
         }
@@ -220,7 +220,7 @@
     };
     for life in [5_000_000, 6_000_000, 7_000_000] {
         let mut store = Store::open(&folder.path(""), "n0", bounds).expect("opened");
-        let mut trail = Trail::new(under(life));
+        let mut trail = AuditBuffer::new(under(life));
         let mut now = life;
         for n in 1..1_000 {
             trail.note(now, &decision(n));
@@ -257,14 +257,14 @@
 fn a_poll_gives_what_is_new_alone() {
     let folder = Folder::new().expect("a folder");
     let mut store = Store::open(&folder.path(""), "n/0 é", Bounds::default()).expect("opened");
-    let mut trail = Trail::new(under(9));
+    let mut trail = AuditBuffer::new(under(9));
     store
         .append(trail.finish().expect("its start"))
         .expect("kept");
-    let first = store.read(Place::default(), 10).expect("read");
+    let first = store.read(RecordPosition::default(), 10).expect("read");
     assert_eq!(
         (first.next, first.more),
-        (Place { life: 9, number: 1 }, false)
+        (RecordPosition { life: 9, number: 1 }, false)
     );
     let none = store.read(first.next, 10).expect("read");
     assert_eq!((none.lines.as_str(), none.next), ("", first.next));
@@ -275,7 +275,7 @@
     let line: Line = serde_json::from_str(&one.lines).expect("a record");
     assert_eq!(
         (line.number, &*line.request, &*line.class, line.told),
-        (2, "q2", "lookup", Told::Fail)
+        (2, "q2", "lookup", AuditRecord::Fail)
     );
     assert!(
         segments(&folder.path(""))[0]
--- a/tests/unit/class_registry.rs
+++ b/tests/unit/class_registry.rs
@@ -1,14 +1,14 @@
 //! Generations of settings against a model under random steps.
 use super::*;
-use crate::policy::api::Effect;
+use crate::policy::api::Idempotency;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 
 fn class(name: u8, kind: u8) -> Class {
     let effect = if kind.is_multiple_of(2) {
-        Effect::Safe
+        Idempotency::Idempotent
     } else {
-        Effect::Unsafe
+        Idempotency::NonIdempotent
     };
     let spec = ClassSpec {
         worth: 1.0,
@@ -64,7 +64,7 @@
         let mut now: BTreeMap<u8, u8> = [(0, 0), (1, 0), (2, 1)].into();
         let all =
             |now: &BTreeMap<u8, u8>| now.iter().map(|(n, k)| class(*n, *k)).collect::<Vec<_>>();
-        let mut generations = Generations::new(all(&now));
+        let mut generations = ClassRegistry::new(all(&now));
         let mut open: Vec<(ClassId, Class)> = Vec::new();
         let mut most = now.len();
         for step in steps {
@@ -77,7 +77,7 @@
                         return false;
                     }
                     // What it inherits from was in force, and of its name if there was one.
-                    for Fresh { slot, heir_of } in fresh {
+                    for NewSlot { slot, heir_of } in fresh {
                         let class = generations.class(slot).cloned();
                         let Some(class) = class else { return false };
                         let named = now
@@ -136,7 +136,7 @@
 /// Guards against a class that starts from nothing since it got another name or another effect.
 #[test]
 fn a_class_inherits_from_its_name_or_its_like() {
-    let mut generations = Generations::new(vec![class(0, 0), class(1, 0)]);
+    let mut generations = ClassRegistry::new(vec![class(0, 0), class(1, 0)]);
     let fresh = generations.next(vec![class(0, 1), class(4, 0)]);
     let expected = [(2, Some(ClassId(0))), (3, Some(ClassId(1)))];
     assert_eq!(
@@ -150,7 +150,7 @@
     let fresh = generations.next(vec![class(0, 0)]);
     assert_eq!(
         fresh,
-        [Fresh {
+        [NewSlot {
             slot: ClassId(0),
             heir_of: Some(ClassId(2))
         }]
--- a/tests/unit/clickhouse.rs
+++ b/tests/unit/clickhouse.rs
@@ -1,14 +1,14 @@
 //! The ClickHouse interface without sockets: what a client sees, and what an engine's words mean,
 //! however the bytes are cut.
-use super::{ClickHouse as Front, Service};
+use super::{ClickHouse as Front, ClickHouseShared};
 use crate::backend::clickhouse::ClickHouse as Engine;
-use crate::backend::{Said as Heard, Wire};
+use crate::backend::{BackendEvent as Heard, Protocol};
 use crate::clock::{MS, SEC};
 use crate::config::clickhouse::{self, ClassRules, Users};
 use crate::config::process::Names;
-use crate::dispatcher::termination::End;
-use crate::dispatcher::{Answer, Ask, Failure, Job};
-use crate::frontend::{Front as _, Said};
+use crate::dispatcher::termination::Termination;
+use crate::dispatcher::{AttemptRequest, ClientRequest, Failure, Response};
+use crate::frontend::{Front as _, FrontendEvent};
 use crate::policy::api::{AttemptNo, ClassId, RequestId};
 use quickcheck::{Gen, QuickCheck};
 use std::rc::Rc;
@@ -39,7 +39,7 @@
     );
     Front::new(
         9,
-        Rc::new(Service {
+        Rc::new(ClickHouseShared {
             rules: rules.into(),
             users,
             deadlines,
@@ -51,7 +51,7 @@
     )
 }
 
-fn feed(front: &mut Front, bytes: &[u8]) -> (Vec<Ask>, String) {
+fn feed(front: &mut Front, bytes: &[u8]) -> (Vec<ClientRequest>, String) {
     let (mut said, mut replies) = (Vec::new(), Vec::new());
     front
         .feed(SEC, bytes, &mut said, &mut replies)
@@ -59,10 +59,10 @@
     (asks(said), String::from_utf8(replies).expect("text"))
 }
 
-fn asks(said: Vec<Said>) -> Vec<Ask> {
+fn asks(said: Vec<FrontendEvent>) -> Vec<ClientRequest> {
     said.into_iter()
         .filter_map(|s| {
-            if let Said::Ask(ask) = s {
+            if let FrontendEvent::Ask(ask) = s {
                 Some(ask)
             } else {
                 None
@@ -71,7 +71,7 @@
         .collect()
 }
 
-fn answer(front: &mut Front, tag: u64, answer: Answer) -> (Vec<Ask>, String) {
+fn answer(front: &mut Front, tag: u64, answer: Response) -> (Vec<ClientRequest>, String) {
     let (mut said, mut replies) = (Vec::new(), Vec::new());
     front.answer(SEC, tag, answer, &mut said, &mut replies);
     (asks(said), String::from_utf8(replies).expect("text"))
@@ -106,7 +106,7 @@
     let (_, text) = answer(
         &mut front,
         ask.origin.tag,
-        Answer::Refused(Some(1_200 * MS)),
+        Response::Rejected(Some(1_200 * MS)),
     );
     assert!(
         text.starts_with("HTTP/1.1 503 ") && text.contains("\r\nRetry-After: 2\r\n"),
@@ -125,7 +125,7 @@
     let (_, text) = answer(
         &mut front,
         asked[0].origin.tag,
-        Answer::Failed(Failure::Deadline),
+        Response::Failed(Failure::Deadline),
     );
     assert!(
         text.starts_with("HTTP/1.1 500 ") && text.contains("Exception-Code: 159\r\n"),
@@ -153,7 +153,7 @@
         let (_, text) = answer(
             &mut front,
             asked[0].origin.tag,
-            Answer::Served(rows.to_vec()),
+            Response::Completed(rows.to_vec()),
         );
         let body = format!("\r\n\r\n{:x}\r\n{expected}\r\n0\r\n\r\n", expected.len());
         assert!(
@@ -181,8 +181,11 @@
         }
         let mut at = 0;
         while at < asked.len() && front.open() == 1 {
-            let (more, replies) =
-                answer(&mut front, asked[at].origin.tag, Answer::Served(Vec::new()));
+            let (more, replies) = answer(
+                &mut front,
+                asked[at].origin.tag,
+                Response::Completed(Vec::new()),
+            );
             asked.extend(more);
             text += &replies;
             at += 1;
@@ -203,48 +206,51 @@
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\na\n\r\n";
     let late = "Code: 241. DB::Exception: Memory limit exceeded\n";
     let cases = [
-        (format!("{chunked}0\r\n\r\n"), Some(End::Done)),
+        (format!("{chunked}0\r\n\r\n"), Some(Termination::Done)),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na\n".to_owned(),
-            Some(End::Done),
+            Some(Termination::Done),
+        ),
+        (
+            "HTTP/1.1 200 OK\r\n\r\na\n".to_owned(),
+            Some(Termination::Done),
         ),
-        ("HTTP/1.1 200 OK\r\n\r\na\n".to_owned(), Some(End::Done)),
-        (chunked.to_owned(), Some(End::Broke)),
+        (chunked.to_owned(), Some(Termination::EngineError)),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na\n".to_owned(),
-            Some(End::Broke),
+            Some(Termination::EngineError),
         ),
         (
             format!("{chunked}{:x}\r\n{late}\r\n0\r\n\r\n", late.len()),
-            Some(End::Broke),
+            Some(Termination::EngineError),
         ),
         (
             "HTTP/1.1 200 OK\r\nX-ClickHouse-Exception-Code: 60\r\nContent-Length: 0\r\n\r\n"
                 .to_owned(),
-            Some(End::Broke),
+            Some(Termination::EngineError),
         ),
         (
             "HTTP/1.1 503 X\r\nX-ClickHouse-Exception-Code: 202\r\nContent-Length: 0\r\n\r\n"
                 .to_owned(),
-            Some(End::Full),
+            Some(Termination::Rejected),
         ),
         (
             "HTTP/1.1 503 X\r\nContent-Length: 18\r\n\r\nCode: 202. too man".to_owned(),
-            Some(End::Full),
+            Some(Termination::Rejected),
         ),
         (
             "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".to_owned(),
-            Some(End::Broke),
+            Some(Termination::EngineError),
         ),
         (
             "HTTP/1.1 500 X\r\nX-ClickHouse-Exception-Code: 202\r\nContent-Length: 0\r\n\r\n"
                 .to_owned(),
-            Some(End::Broke),
+            Some(Termination::EngineError),
         ),
         (
             "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na\n"
                 .to_owned(),
-            Some(End::Done),
+            Some(Termination::Done),
         ),
         // Closed before a word: for the connection's own end to say.
         (String::new(), None),
@@ -255,7 +261,7 @@
             let (id, attempt, class) = (RequestId(1), AttemptNo(0), "lookup".into());
             let (key, statement) = (Rc::from("k"), Rc::from(&b"select"[..]));
             let (session, until, memory_mb) = (None, 2 * SEC, 0.0);
-            let job = Job {
+            let job = AttemptRequest {
                 id,
                 attempt,
                 key,
@@ -264,7 +270,7 @@
                 session,
                 until,
                 memory_mb,
-                ..Job::default()
+                ..AttemptRequest::default()
             };
             let sent = String::from_utf8(engine.start(SEC, &job)).expect("text");
             assert!(
@@ -278,7 +284,7 @@
                     .expect("no fault");
             }
             engine.finish(&mut heard);
-            let ends: Vec<(End, &[u8])> = heard
+            let ends: Vec<(Termination, &[u8])> = heard
                 .iter()
                 .filter_map(|h| {
                     if let Heard::Ended(_, end, rows, ..) = h {
@@ -288,7 +294,7 @@
                     }
                 })
                 .collect();
-            let rows: &[u8] = if expected == Some(End::Done) {
+            let rows: &[u8] = if expected == Some(Termination::Done) {
                 b"a\n"
             } else {
                 b""
--- a/tests/unit/concurrency_limit.rs
+++ b/tests/unit/concurrency_limit.rs
@@ -2,7 +2,7 @@
 //! here.
 use crate::policy::Gateway;
 use crate::policy::api::*;
-use crate::policy::state::{Health, Out, secs};
+use crate::policy::state::{Attempt, CircuitState, secs};
 
 const S: Nanos = 1_000_000_000;
 
@@ -13,7 +13,7 @@
         promise: S,
         aim_stretch: 2.0,
         deadline: 60 * S,
-        effect: Effect::Safe,
+        effect: Idempotency::Idempotent,
         in_order: false,
         threads: 1.0,
         is_load: false,
@@ -22,7 +22,7 @@
         only_zones: None,
         only_kinds: None,
     };
-    let rules = Rules {
+    let rules = Invariants {
         answer_slack: S / 50,
         drain_grace: S,
         cold_from: 0.3,
@@ -61,7 +61,7 @@
         grants_heeded: false,
         priorities_heeded: false,
         most_grant: 0.4,
-        when_short: WhenShort::Wait,
+        when_short: MemoryExhaustionPolicy::Wait,
         note_period: 0,
         tells_cost: true,
         rules,
@@ -93,12 +93,12 @@
         for half in 0..2 * n {
             for _ in 0..come {
                 self.next += 1;
-                let ask = NewRequest {
+                let ask = Request {
                     id: RequestId(self.next),
                     give_up_at: self.now + 60 * S,
-                    ..NewRequest::default()
+                    ..Request::default()
                 };
-                self.tell(Event::Request(NewRequest {
+                self.tell(Event::Request(Request {
                     work_hint: Some(S / 5),
                     ..ask
                 }));
@@ -145,13 +145,13 @@
         next: 0,
         out: vec![],
     };
-    let entry = |i| EngineEntry {
+    let entry = |i| Endpoint {
         id: EngineId(i),
         readiness: Readiness::Ready,
-        ..EngineEntry::default()
+        ..Endpoint::default()
     };
     p.tell(Event::List {
-        kind: ListKind::Full,
+        kind: EndpointListKind::Full,
         entries: (1..=20).map(entry).collect(),
     });
     assert_eq!(p.mean_bound(), 1.0);
@@ -204,23 +204,23 @@
         next: 0,
         out: vec![],
     };
-    let entry = |i| EngineEntry {
+    let entry = |i| Endpoint {
         id: EngineId(i),
         readiness: Readiness::Ready,
-        ..EngineEntry::default()
+        ..Endpoint::default()
     };
     p.tell(Event::List {
-        kind: ListKind::Full,
+        kind: EndpointListKind::Full,
         entries: (1..=4).map(entry).collect(),
     });
     let mut learned = Vec::new();
     for round in 0..300 {
         p.next += 1;
         let id = RequestId(p.next);
-        p.tell(Event::Request(NewRequest {
+        p.tell(Event::Request(Request {
             id,
             give_up_at: p.now + 60 * S,
-            ..NewRequest::default()
+            ..Request::default()
         }));
         let latency = if round < 100 { S / 5 } else { S };
         for _ in 0..latency / (S / 50) {
@@ -269,13 +269,13 @@
         next: 0,
         out: vec![],
     };
-    let entry = |i| EngineEntry {
+    let entry = |i| Endpoint {
         id: EngineId(i),
         readiness: Readiness::Ready,
-        ..EngineEntry::default()
+        ..Endpoint::default()
     };
     p.tell(Event::List {
-        kind: ListKind::Full,
+        kind: EndpointListKind::Full,
         entries: (1..=4).map(entry).collect(),
     });
     let mut learned = Vec::new();
@@ -297,10 +297,10 @@
         let id = RequestId(p.next);
         p.g.fleet.bound = f64::INFINITY;
         p.g.engines.values_mut().for_each(|e| e.bound = 1e6);
-        p.tell(Event::Request(NewRequest {
+        p.tell(Event::Request(Request {
             id,
             give_up_at: p.now + 60 * S,
-            ..NewRequest::default()
+            ..Request::default()
         }));
         for _ in 0..60 {
             p.now += S / 50;
@@ -346,13 +346,13 @@
         next: 0,
         out: vec![],
     };
-    let entry = |i, readiness| EngineEntry {
+    let entry = |i, readiness| Endpoint {
         id: EngineId(i),
         readiness,
-        ..EngineEntry::default()
+        ..Endpoint::default()
     };
     p.tell(Event::List {
-        kind: ListKind::Full,
+        kind: EndpointListKind::Full,
         entries: vec![entry(1, Readiness::Ready)],
     });
     p.seconds(1, 3, S / 5);
@@ -360,7 +360,7 @@
     for i in 1..100 {
         let entries = vec![entry(i + 1, Readiness::Ready), entry(i, Readiness::Gone)];
         p.tell(Event::List {
-            kind: ListKind::Changes,
+            kind: EndpointListKind::Changes,
             entries,
         });
     }
@@ -390,22 +390,22 @@
         next: 0,
         out: vec![],
     };
-    let entry = |i| EngineEntry {
+    let entry = |i| Endpoint {
         id: EngineId(i),
         readiness: Readiness::Ready,
-        ..EngineEntry::default()
+        ..Endpoint::default()
     };
     p.tell(Event::List {
-        kind: ListKind::Full,
+        kind: EndpointListKind::Full,
         entries: (1..=4).map(entry).collect(),
     });
     let reset = |p: &mut Play, id: u32| {
         // Out on the first engine, wherever the choice fell.
         let r = p.g.requests.get_mut(&RequestId(id)).expect("open");
-        r.outs = vec![Out {
+        r.outs = vec![Attempt {
             engine: EngineId(1),
             sent: p.now,
-            ..Out::default()
+            ..Attempt::default()
         }];
         r.sends = 1;
         let (id, attempt, engine) = (RequestId(id), AttemptNo(0), EngineId(1));
@@ -423,15 +423,15 @@
         }));
     };
     for id in 1..=12 {
-        p.tell(Event::Request(NewRequest {
+        p.tell(Event::Request(Request {
             id: RequestId(id),
             give_up_at: p.now + 60 * S,
-            ..NewRequest::default()
+            ..Request::default()
         }));
     }
     (1..=6).for_each(|id| reset(&mut p, id));
     assert!(
-        p.g.engines[&EngineId(1)].health == Health::Closed,
+        p.g.engines[&EngineId(1)].health == CircuitState::Closed,
         "six attempts on one connection"
     );
     for id in 7..=12 {
@@ -439,7 +439,7 @@
         reset(&mut p, id);
     }
     assert!(
-        matches!(p.g.engines[&EngineId(1)].health, Health::Open(_)),
+        matches!(p.g.engines[&EngineId(1)].health, CircuitState::Open(_)),
         "connection after connection"
     );
 }
--- a/tests/unit/connection_state.rs
+++ b/tests/unit/connection_state.rs
@@ -1,10 +1,10 @@
 //! A model of a connection's states, against which random steps are checked: every attempt ends
 //! once, and what its end says of the bytes that went out is what the socket saw.
 use super::platform::Platform;
-use super::{End, Event, Link, Reach};
+use super::{ConnectionState, Event, Termination, TransmitProgress};
 use crate::clock::{MS, Micros};
 use crate::config::process::Names;
-use crate::dispatcher::{Cost, Job};
+use crate::dispatcher::{AttemptRequest, Cost};
 use crate::policy::api::{AttemptNo, RequestId};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
@@ -46,7 +46,7 @@
 }
 
 struct Model {
-    link: Link<Platform>,
+    link: ConnectionState<Platform>,
     now: Micros,
     on_it: BTreeMap<u32, Attempt>,
     started: u32,
@@ -68,19 +68,20 @@
             let id = ended.id.0;
             let known = self.on_it.remove(&id).ok_or(format!("{id} ended twice"))?;
             let reach = if known.first_byte {
-                Reach::Sent
+                TransmitProgress::Complete
             } else {
-                Reach::Unsent
+                TransmitProgress::Unsent
             };
             let word = answered
                 .filter(|(answered, _)| *answered == id)
                 .map(|(_, word)| &word[..4]);
             let right = match (ended.end, word) {
-                (End::Done, Some("DONE")) | (End::Full, Some("WAIT")) => true,
-                (End::Broke, Some("BROK")) | (End::Past, Some("PAST")) => true,
-                (End::Drained, None) => known.drained && !known.first_byte,
-                (End::Withdrawn, None) => known.stopped_at.is_some(),
-                (End::Reset, None) => closing && known.stopped_at.is_none(),
+                (Termination::Done, Some("DONE")) | (Termination::Rejected, Some("WAIT")) => true,
+                (Termination::EngineError, Some("BROK"))
+                | (Termination::AlreadyFinished, Some("PAST")) => true,
+                (Termination::Drained, None) => known.drained && !known.first_byte,
+                (Termination::Cancelled, None) => known.stopped_at.is_some(),
+                (Termination::Reset, None) => closing && known.stopped_at.is_none(),
                 _ => false,
             };
             if !right || ended.reach != reach {
@@ -116,13 +117,13 @@
                     Rc::from(&b"select"[..]),
                     self.now + 1_000 * MS,
                 );
-                let job = Job {
+                let job = AttemptRequest {
                     id,
                     key,
                     class,
                     statement,
                     until,
-                    ..Job::default()
+                    ..AttemptRequest::default()
                 };
                 self.link.start(self.now, &job);
                 self.on_it.insert(self.started, Attempt::default());
@@ -180,7 +181,7 @@
         if matches!(step, Step::Drain) && self.on_it.values().any(|a| !a.first_byte) {
             return Err("a drain left something that waits to go out".into());
         }
-        if over.is_some_and(|end| end != End::Dropped) {
+        if over.is_some_and(|end| end != Termination::Dropped) {
             Err(format!("over: {over:?}"))
         } else {
             Ok(())
@@ -197,7 +198,7 @@
             ..Names::default()
         };
         let now = 1_000 * MS;
-        let link = Link::new(now, Platform::new(Rc::new(names)));
+        let link = ConnectionState::new(now, Platform::new(Rc::new(names)));
         let (on_it, written) = (BTreeMap::new(), Vec::new());
         let mut model = Model {
             link,
@@ -209,7 +210,7 @@
         };
         steps.iter().try_for_each(|step| model.step(step))?;
         let mut events = Vec::new();
-        model.link.close(model.now, End::Reset, &mut events);
+        model.link.close(model.now, Termination::Reset, &mut events);
         model.check(events, None, true)?;
         if model.on_it.is_empty() {
             Ok(true)
@@ -223,24 +224,24 @@
     check.quickcheck(walk as fn(Vec<Step>) -> Result<bool, String>);
 }
 
-fn link() -> Link<Platform> {
+fn link() -> ConnectionState<Platform> {
     let names = Names {
         classes: vec!["lookup".into()],
         streams: 4,
         ..Names::default()
     };
-    let mut link = Link::new(0, Platform::new(Rc::new(names)));
+    let mut link = ConnectionState::new(0, Platform::new(Rc::new(names)));
     for id in 1..=2 {
         let (key, statement) = (format!("k{id}").into(), Rc::from(&b"select"[..]));
         let (attempt, class, until) = (AttemptNo(0), "lookup".into(), 9_000 * MS);
-        let job = Job {
+        let job = AttemptRequest {
             id: RequestId(id),
             attempt,
             key,
             class,
             statement,
             until,
-            ..Job::default()
+            ..AttemptRequest::default()
         };
         link.start(0, &job);
     }
@@ -273,7 +274,7 @@
         let (mut link, mut events) = (link(), Vec::new());
         link.read(MS, text.as_bytes(), &mut events);
         assert!(
-            link.over() == Some(End::Garbled) && events.is_empty(),
+            link.over() == Some(Termination::ProtocolViolation) && events.is_empty(),
             "{text:?}: {events:?}"
         );
     }
@@ -284,7 +285,7 @@
     let due = link.next_due().expect("due");
     link.due(due, &mut events);
     assert!(
-        link.over() == Some(End::Silent) && due < 1_000 * MS,
+        link.over() == Some(Termination::Unresponsive) && due < 1_000 * MS,
         "{due}"
     );
 }
@@ -319,17 +320,23 @@
             None
         }
     });
-    let ended: Vec<(u32, End, &[u8])> = ended.map(|e| (e.id.0, e.end, &e.rows[..])).collect();
+    let ended: Vec<(u32, Termination, &[u8])> =
+        ended.map(|e| (e.id.0, e.end, &e.rows[..])).collect();
     assert_eq!(
         (probes, ended, link.over()),
-        (1, vec![(1, End::Done, &b"a\tb\tc\nd\te\tf\n"[..])], None)
+        (
+            1,
+            vec![(1, Termination::Done, &b"a\tb\tc\nd\te\tf\n"[..])],
+            None
+        )
     );
     // A page that never comes ends its own request alone.
     let mut events = Vec::new();
     link.read(2 * MS, b"k2 DONE sheets=2 0\r\n\r\n", &mut events);
     link.due(9_000 * MS, &mut events);
     assert!(
-        matches!(&events[..], [Event::Ended(e)] if e.end == End::Silent) && link.over().is_none()
+        matches!(&events[..], [Event::Ended(e)] if e.end == Termination::Unresponsive)
+            && link.over().is_none()
     );
 }
 
@@ -337,8 +344,11 @@
 /// never ran.
 #[test]
 fn the_end_of_what_must_not_run_twice_is_held_back() {
-    for (waits, reach) in [(false, Reach::Begun), (true, Reach::Sent)] {
-        let mut link = Link::new(
+    for (waits, reach) in [
+        (false, TransmitProgress::Partial),
+        (true, TransmitProgress::Complete),
+    ] {
+        let mut link = ConnectionState::new(
             0,
             Platform::new(Rc::new(Names {
                 streams: 4,
@@ -349,7 +359,7 @@
         let (id, attempt, class, until) = (RequestId(1), AttemptNo(0), "lookup".into(), 9_000 * MS);
         link.start(
             0,
-            &Job {
+            &AttemptRequest {
                 id,
                 attempt,
                 key,
@@ -358,7 +368,7 @@
                 statement,
                 session,
                 until,
-                ..Job::default()
+                ..AttemptRequest::default()
             },
         );
         let head = link.to_write().expect("a head").to_vec();
@@ -371,9 +381,9 @@
             assert_eq!(link.to_write(), Some(&b"t\r\n"[..]));
             link.wrote(super::HOLD, 3);
         }
-        link.close(9 * MS, End::Reset, &mut events);
+        link.close(9 * MS, Termination::Reset, &mut events);
         assert!(
-            matches!(&events[..], [Event::Ended(e)] if e.end == End::Reset && e.reach == reach),
+            matches!(&events[..], [Event::Ended(e)] if e.end == Termination::Reset && e.reach == reach),
             "{events:?}"
         );
     }
@@ -383,14 +393,14 @@
 /// priority follows it.
 #[test]
 fn keys_priorities_and_costs_pass_on_the_platforms_wire() {
-    let mut link = Link::new(
+    let mut link = ConnectionState::new(
         0,
         Platform::new(Rc::new(Names {
             streams: 4,
             ..Names::default()
         })),
     );
-    let job = Job {
+    let job = AttemptRequest {
         id: RequestId(1),
         key: "k1".into(),
         class: "plan-load".into(),
@@ -399,7 +409,7 @@
         memory_mb: 95.2,
         urgency: Some(2),
         until: 9_000 * MS,
-        ..Job::default()
+        ..AttemptRequest::default()
     };
     link.start(0, &job);
     // Before its own words are out as well as after.
@@ -456,7 +466,7 @@
             panic!("{events:?}")
         };
         assert!(
-            ended.end == End::Done && ended.cost == Cost::default(),
+            ended.end == Termination::Done && ended.cost == Cost::default(),
             "{toil} {room}: {ended:?}"
         );
     }
@@ -486,5 +496,5 @@
         b"k1 DONE sheets=1 0\r\n\r\nk2 WAIT - 0\r\n\r\n",
         &mut events,
     );
-    assert!(events.len() == 2 && silent.over() == Some(End::Dropped));
+    assert!(events.len() == 2 && silent.over() == Some(Termination::Dropped));
 }
--- a/tests/unit/coordinator.rs
+++ b/tests/unit/coordinator.rs
@@ -9,8 +9,8 @@
     out
 }
 
-fn at(last: u64) -> Rc<Place> {
-    Rc::new(Place::at(last))
+fn at(last: u64) -> Rc<WatchPosition> {
+    Rc::new(WatchPosition::at(last))
 }
 
 /// Guards the numbers across a move: a second connection tells nothing twice and goes on where all
@@ -56,7 +56,10 @@
 #[test]
 fn a_gap_is_asked_for_again_once() {
     let mut follower = Follower::new(at(3));
-    assert_eq!(follower.feed(&event(6, 2, 1)).unwrap_err(), End::Dropped);
+    assert_eq!(
+        follower.feed(&event(6, 2, 1)).unwrap_err(),
+        Termination::Dropped
+    );
     assert_eq!(follower.hello(), 3u64.to_be_bytes());
     assert_eq!(follower.feed(&event(6, 2, 1)).unwrap()[0].index, 6);
     assert_eq!(follower.hello(), 6u64.to_be_bytes());
@@ -66,11 +69,17 @@
 
 #[test]
 fn what_is_no_frame_ends_the_connection() {
-    assert_eq!(frame(&[0xff; 16]).unwrap_err(), End::Garbled);
-    assert_eq!(frame(&event(1, 7, 0)).unwrap_err(), End::Garbled);
+    assert_eq!(
+        frame(&[0xff; 16]).unwrap_err(),
+        Termination::ProtocolViolation
+    );
+    assert_eq!(
+        frame(&event(1, 7, 0)).unwrap_err(),
+        Termination::ProtocolViolation
+    );
     let mut ragged = event(1, 2, 1);
     ragged[3] -= 1;
-    assert_eq!(frame(&ragged).unwrap_err(), End::Garbled);
+    assert_eq!(frame(&ragged).unwrap_err(), Termination::ProtocolViolation);
     assert_eq!(frame(&event(1, 2, 1)[..20]), Ok(None));
 }
 
@@ -85,7 +94,7 @@
     shared.spawn(run(shared.clone(), (3, 9), moves, list, || {}));
     let (hellos, told) = async_io::block_on(shared.executor.run(async {
         let _ = where_to
-            .send(Move {
+            .send(CoordinatorMigration {
                 addr: Some(addr),
                 known: Vec::new(),
             })
--- a/tests/unit/dispatcher.rs
+++ b/tests/unit/dispatcher.rs
@@ -1,7 +1,7 @@
 //! The core under random steps: one answer for each request, never more attempts out than the
 //! settings allow, what may have run sent again only as its class and its key allow, and books that
 //! balance, whatever is configured meanwhile and whatever the module orders.
-use super::termination::Reach;
+use super::termination::TransmitProgress;
 use super::*;
 use crate::clock::{MS, SEC};
 use crate::config::settings;
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Ask(u8),
-    End(u8, End, bool),
+    End(u8, Termination, bool),
     Leave(u8),
     List(u8),
     Retune(u8),
@@ -22,13 +22,13 @@
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
         let ends = [
-            End::Done,
-            End::Full,
-            End::Broke,
-            End::Refused,
-            End::Reset,
-            End::Closed,
-            End::Drained,
+            Termination::Done,
+            Termination::Rejected,
+            Termination::EngineError,
+            Termination::Refused,
+            Termination::Reset,
+            Termination::Closed,
+            Termination::Drained,
         ];
         let n = u8::arbitrary(g);
         match u8::arbitrary(g) % 12 {
@@ -54,7 +54,7 @@
     ran: Option<Micros>,
     sends: u32,
     answers: u32,
-    how: Option<Answer>,
+    how: Option<Response>,
     left: bool,
 }
 
@@ -75,7 +75,7 @@
 }
 
 struct Model {
-    manager: Manager,
+    manager: Dispatcher,
     now: Micros,
     seen: BTreeMap<u64, Seen>,
     ready: BTreeSet<EngineId>,
@@ -88,12 +88,12 @@
     audited: Vec<Decision>,
 }
 
-fn entry(id: u64, readiness: Readiness) -> EngineEntry {
-    EngineEntry {
+fn entry(id: u64, readiness: Readiness) -> Endpoint {
+    Endpoint {
         id: EngineId(id),
         readiness,
         weight: 1.0,
-        ..EngineEntry::default()
+        ..Endpoint::default()
     }
 }
 
@@ -142,7 +142,7 @@
     fn new() -> Model {
         let (settings, classes, most, copies) = file(0);
         let names: Vec<String> = classes.iter().map(|(name, _)| name.clone()).collect();
-        let mut manager = Manager::new(SEC, settings, &names, 7);
+        let mut manager = Dispatcher::new(SEC, settings, &names, 7);
         manager.audit(true);
         let (seen, ids) = (BTreeMap::new(), BTreeMap::new());
         let ready = BTreeSet::new();
@@ -161,15 +161,17 @@
         model.ready = (1..=3).map(EngineId).collect();
         let all = (1..=3).map(|id| entry(id, Readiness::Ready)).collect();
         let mut orders = Vec::new();
-        model.manager.list(SEC, ListKind::Cached, all, &mut orders);
+        model
+            .manager
+            .list(SEC, EndpointListKind::Cached, all, &mut orders);
         model
     }
 
-    fn obey(&mut self, orders: Vec<Order>) -> Result<(), String> {
+    fn obey(&mut self, orders: Vec<Command>) -> Result<(), String> {
         let mut more = Vec::new();
         for order in orders {
             match order {
-                Order::Start(engine, job) => {
+                Command::Start(engine, job) => {
                     let tag = u64::from_str_radix(&job.key, 16).map_err(|e| e.to_string())?;
                     let seen = self.seen.get_mut(&tag).ok_or("a send for nobody")?;
                     let again = seen.first().is_none_or(|first| match seen.effect {
@@ -198,10 +200,15 @@
                     seen.sends += 1;
                     self.ids.insert(job.id, tag);
                 }
-                Order::Stop(_, id, attempt) => {
-                    more.push(Ended::bare(id, attempt, End::Withdrawn, Reach::Sent));
+                Command::Stop(_, id, attempt) => {
+                    more.push(AttemptResult::bare(
+                        id,
+                        attempt,
+                        Termination::Cancelled,
+                        TransmitProgress::Complete,
+                    ));
                 }
-                Order::Answer(origin, answer) => {
+                Command::Answer(origin, answer) => {
                     let seen = self
                         .seen
                         .get_mut(&origin.tag)
@@ -212,21 +219,21 @@
                         return Err(format!("{origin:?} got an answer too many"));
                     }
                     let unsure = seen.effect == Rule::Never && seen.first().is_some();
-                    if unsure && matches!(answer, Answer::Refused(_)) {
+                    if unsure && matches!(answer, Response::Rejected(_)) {
                         return Err("what must not run twice and may have run was refused".into());
                     }
                 }
-                Order::Bump(..)
-                | Order::Doubt(..)
-                | Order::Probe(_)
-                | Order::CloseIdle(_)
-                | Order::Log(_) => {}
+                Command::Bump(..)
+                | Command::Doubt(..)
+                | Command::Probe(_)
+                | Command::CloseIdle(_)
+                | Command::Log(_) => {}
             }
         }
         more.into_iter().try_for_each(|ended| self.end(ended))
     }
 
-    fn end(&mut self, ended: Ended) -> Result<(), String> {
+    fn end(&mut self, ended: AttemptResult) -> Result<(), String> {
         let Some(seen) = self
             .ids
             .get(&ended.id)
@@ -274,7 +281,7 @@
                         ..Seen::default()
                     },
                 );
-                let ask = Ask {
+                let ask = ClientRequest {
                     origin: Origin {
                         conn: u64::from(n % 4),
                         tag,
@@ -304,12 +311,16 @@
                 let Some(&(id, attempt)) = out.get(usize::from(*n) % out.len().max(1)) else {
                     return Ok(());
                 };
-                let unsent =
-                    matches!(end, End::Refused | End::Drained) || !(*sent || *end == End::Done);
-                let reach = if unsent { Reach::Unsent } else { Reach::Sent };
-                let ended = Ended {
+                let unsent = matches!(end, Termination::Refused | Termination::Drained)
+                    || !(*sent || *end == Termination::Done);
+                let reach = if unsent {
+                    TransmitProgress::Unsent
+                } else {
+                    TransmitProgress::Complete
+                };
+                let ended = AttemptResult {
                     rows: b"a\n".to_vec(),
-                    ..Ended::bare(id, attempt, *end, reach)
+                    ..AttemptResult::bare(id, attempt, *end, reach)
                 };
                 // The same end twice: the second one counts for nothing.
                 self.end(ended.clone())?;
@@ -340,7 +351,7 @@
                 };
                 self.manager.list(
                     self.now,
-                    ListKind::Changes,
+                    EndpointListKind::Changes,
                     vec![entry(id, readiness)],
                     &mut orders,
                 );
@@ -378,22 +389,22 @@
         self.audited.extend(self.manager.decisions());
         for (tag, seen) in &self.seen {
             let key = format!("{tag:016x}");
-            let of = |is: fn(&What) -> bool| {
+            let of = |is: fn(&DecisionKind) -> bool| {
                 self.audited
                     .iter()
                     .filter(|d| *d.request == *key && is(&d.what))
                     .count() as u32
             };
             let told = (
-                of(|w| matches!(w, What::Dispatch(..))),
-                of(|w| matches!(w, What::Refuse(_))),
-                of(|w| matches!(w, What::Fail)),
+                of(|w| matches!(w, DecisionKind::Dispatch(..))),
+                of(|w| matches!(w, DecisionKind::Refuse(_))),
+                of(|w| matches!(w, DecisionKind::Fail)),
             );
-            let was = |is: fn(&Answer) -> bool| u32::from(seen.how.as_ref().is_some_and(is));
+            let was = |is: fn(&Response) -> bool| u32::from(seen.how.as_ref().is_some_and(is));
             let is = (
                 seen.sends,
-                was(|a| matches!(a, Answer::Refused(_))),
-                was(|a| matches!(a, Answer::Failed(_))),
+                was(|a| matches!(a, Response::Rejected(_))),
+                was(|a| matches!(a, Response::Failed(_))),
             );
             if told != is {
                 return Err(format!("{key}: the audit has {told:?}, there were {is:?}"));
@@ -413,11 +424,11 @@
         let settings = settings::parse(text.to_string().as_bytes()).expect("settings");
         let mut model = Model::new();
         let names: Vec<String> = model.classes.iter().map(|(name, _)| name.clone()).collect();
-        model.manager = Manager::new(SEC, settings, &names, 7);
+        model.manager = Dispatcher::new(SEC, settings, &names, 7);
         let all = (1..=3).map(|id| entry(id, Readiness::Ready)).collect();
         model
             .manager
-            .list(SEC, ListKind::Cached, all, &mut Vec::new());
+            .list(SEC, EndpointListKind::Cached, all, &mut Vec::new());
         model.step(&Step::Wait(30_000)).expect("time passes");
         let asked = (0..200).map(|_| model.step(&Step::Ask(252)));
         asked.collect::<Result<Vec<()>, String>>().expect("asked");
@@ -448,15 +459,15 @@
         let counters = &model.manager.counters;
         // The figures by class are the answers given.
         for (class, tally) in &counters.classes {
-            let answers = |is: fn(&Answer) -> bool| {
+            let answers = |is: fn(&Response) -> bool| {
                 let mine = model.seen.values().filter(|s| *s.class == **class);
                 mine.filter(|s| s.how.as_ref().is_some_and(is)).count() as u64
             };
             let told = (tally.success, tally.overload, tally.error);
             let given = (
-                answers(|a| matches!(a, Answer::Served(_))),
-                answers(|a| matches!(a, Answer::Refused(_))),
-                answers(|a| matches!(a, Answer::Failed(_))),
+                answers(|a| matches!(a, Response::Completed(_))),
+                answers(|a| matches!(a, Response::Rejected(_))),
+                answers(|a| matches!(a, Response::Failed(_))),
             );
             if told != given {
                 return Err(format!("{class}: told {told:?}, given {given:?}"));
@@ -471,7 +482,7 @@
 }
 
 /// A core of one gateway whose loads carry keys, where priorities and costs count.
-fn keyed_manager(window: Micros) -> Manager {
+fn keyed_manager(window: Micros) -> Dispatcher {
     let mut text = crate::testkit::daemon::settings();
     (
         text["classes"][2]["semantics"],
@@ -479,14 +490,14 @@
     ) = ("token".into(), nanos(window).into());
     (text["extra"]["ranks_heeded"], text["extra"]["says_cost"]) = (true.into(), true.into());
     let settings = settings::parse(text.to_string().as_bytes()).expect("settings");
-    let mut manager = Manager::new(
+    let mut manager = Dispatcher::new(
         SEC,
         settings,
         &["lookup", "report", "load"].map(str::to_owned),
         7,
     );
     let all = (1..=3).map(|id| entry(id, Readiness::Ready)).collect();
-    manager.list(SEC, ListKind::Cached, all, &mut Vec::new());
+    manager.list(SEC, EndpointListKind::Cached, all, &mut Vec::new());
     manager
 }
 
@@ -495,30 +506,35 @@
 
 /// Takes a load and answers each of its attempts with a reset, for as long as there are any: the
 /// key and the end of the time of each.
-fn resets(once: Option<&str>, window: Micros, cost: Micros) -> (Tries, Option<Answer>) {
+fn resets(once: Option<&str>, window: Micros, cost: Micros) -> (Tries, Option<Response>) {
     let (mut manager, mut now, mut sent, mut answer) =
         (keyed_manager(window), SEC, Vec::new(), None);
-    let ask = Ask {
+    let ask = ClientRequest {
         origin: Origin { conn: 1, tag: 1 },
         key: "9b1f03aa5c7e2d41".into(),
         class: ClassId(2),
         give_up_at: 16 * SEC,
         cost: Some(cost),
         once: once.map(Into::into),
-        ..Ask::default()
+        ..ClientRequest::default()
     };
     let mut orders = Vec::new();
     manager.take(now, ask, &mut orders);
     for _ in 0..20 {
         for order in std::mem::take(&mut orders) {
             match order {
-                Order::Start(_, job) => {
+                Command::Start(_, job) => {
                     assert_eq!(job.single, once.is_none());
                     sent.push((job.nonce.clone(), job.until));
-                    let ended = Ended::bare(job.id, job.attempt, End::Reset, Reach::Sent);
+                    let ended = AttemptResult::bare(
+                        job.id,
+                        job.attempt,
+                        Termination::Reset,
+                        TransmitProgress::Complete,
+                    );
                     manager.ended(now, ended, &mut orders);
                 }
-                Order::Answer(_, given) => answer = Some(given),
+                Command::Answer(_, given) => answer = Some(given),
                 _ => {}
             }
         }
@@ -540,8 +556,8 @@
         vec![Some(Rc::from(key)); 3],
         "as many as the settings allow"
     );
-    assert!(matches!(answer, Some(Answer::Refused(_))), "{answer:?}");
-    let once = Some(Answer::Failed(Failure::Attempt(End::Reset)));
+    assert!(matches!(answer, Some(Response::Rejected(_))), "{answer:?}");
+    let once = Some(Response::Failed(Failure::Attempt(Termination::Reset)));
     assert_eq!(
         resets(None, 20 * SEC, 50 * MS),
         (vec![(None, 16 * SEC)], once)
@@ -559,10 +575,10 @@
         untils[1..].iter().all(|until| *until <= 2 * SEC - 50 * MS),
         "{untils:?}"
     );
-    assert!(matches!(answer, Some(Answer::Refused(_))), "{answer:?}");
+    assert!(matches!(answer, Some(Response::Rejected(_))), "{answer:?}");
     let (sent, answer) = resets(Some("key"), SEC, 5 * SEC);
     assert_eq!(sent.len(), 1, "{sent:?}");
-    assert!(matches!(answer, Some(Answer::Refused(_))), "{answer:?}");
+    assert!(matches!(answer, Some(Response::Rejected(_))), "{answer:?}");
 }
 
 /// Priorities go out where they are heeded, at once for what runs; costs reach the module.
@@ -570,17 +586,17 @@
 fn priorities_and_costs_count_where_the_settings_heed_them() {
     let mut manager = keyed_manager(20 * SEC);
     let mut orders = Vec::new();
-    let ask = |tag: u64| Ask {
+    let ask = |tag: u64| ClientRequest {
         origin: Origin { conn: 1, tag },
         key: format!("{tag:016x}").into(),
         give_up_at: 6 * SEC,
         cost: Some(50 * MS),
-        ..Ask::default()
+        ..ClientRequest::default()
     };
     manager.take(SEC, ask(1), &mut orders);
-    let started = |orders: &[Order]| {
+    let started = |orders: &[Command]| {
         orders.iter().find_map(|o| {
-            if let Order::Start(e, job) = o {
+            if let Command::Start(e, job) = o {
                 Some((*e, job.clone()))
             } else {
                 None
@@ -597,15 +613,20 @@
     );
     manager.terms(job.id, 0, 0.0, &mut orders);
     assert!(
-        matches!(orders[..], [Order::Bump(e, id, n, 0)] if (e, id, n) == (engine, job.id, job.attempt))
+        matches!(orders[..], [Command::Bump(e, id, n, 0)] if (e, id, n) == (engine, job.id, job.attempt))
     );
     let cost = Cost {
         work: Some(80 * MS),
         memory_mb: Some(9.0),
     };
-    let done = Ended {
+    let done = AttemptResult {
         cost,
-        ..Ended::bare(job.id, job.attempt, End::Done, Reach::Sent)
+        ..AttemptResult::bare(
+            job.id,
+            job.attempt,
+            Termination::Done,
+            TransmitProgress::Complete,
+        )
     };
     manager.ended(SEC + 50 * MS, done, &mut Vec::new());
     assert!(
@@ -623,9 +644,14 @@
     assert!(orders.is_empty() && job.urgency.is_none());
     plain.ended(
         SEC + 50 * MS,
-        Ended {
+        AttemptResult {
             cost,
-            ..Ended::bare(job.id, job.attempt, End::Done, Reach::Sent)
+            ..AttemptResult::bare(
+                job.id,
+                job.attempt,
+                Termination::Done,
+                TransmitProgress::Complete,
+            )
         },
         &mut orders,
     );
--- a/tests/unit/endpoint_list.rs
+++ b/tests/unit/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The list of engines: what is replaced leaves nothing behind.
 use super::*;
-use crate::net::engine::ToEngine;
+use crate::net::engine::EngineCommand;
 use crate::net::mailbox::bounded;
 use std::cell::RefCell;
 
@@ -20,13 +20,13 @@
     });
     // Each is in use at once: the harder case, as a row alone is nothing but memory.
     let make: MakeEngine = Box::new(move |listed| {
-        let row = Row::new(
+        let row = EndpointHandle::new(
             listed.entry.id,
             listed.addr,
             listed.entry.readiness,
             start.clone(),
         );
-        row.tell(ToEngine::Probe(0)).expect("room");
+        row.tell(EngineCommand::Probe(0)).expect("room");
         row
     });
     shared.spawn(run(shared.clone(), core, mailbox, make, Http::default()));
@@ -48,7 +48,7 @@
                     engines,
                 })
                 .await;
-            let Ok(Input::List(_, entries, ..)) = news.recv().await else {
+            let Ok(DispatcherEvent::List(_, entries, ..)) = news.recv().await else {
                 panic!("no news")
             };
             told.extend(
@@ -66,10 +66,10 @@
         .filter(|(_, orders)| !orders.is_closed())
         .map(|(id, _)| *id);
     assert_eq!(left.collect::<Vec<u64>>(), [40]);
-    let gone = |orders: &Receiver<ToEngine>| {
+    let gone = |orders: &Receiver<EngineCommand>| {
         matches!(
             (orders.try_recv(), orders.try_recv()),
-            (Ok(ToEngine::Probe(0)), Ok(ToEngine::Gone))
+            (Ok(EngineCommand::Probe(0)), Ok(EngineCommand::Gone))
         )
     };
     let went = actors.iter().filter(|(_, orders)| gone(orders)).count();
--- a/tests/unit/fleet_scan.rs
+++ b/tests/unit/fleet_scan.rs
@@ -2,7 +2,7 @@
 //! visits.
 use crate::policy::Gateway;
 use crate::policy::api::*;
-use crate::policy::state::Health;
+use crate::policy::state::CircuitState;
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -19,12 +19,12 @@
     s
 }
 
-fn entry(id: u64, readiness: Readiness, ready_at: Nanos) -> EngineEntry {
-    EngineEntry {
+fn entry(id: u64, readiness: Readiness, ready_at: Nanos) -> Endpoint {
+    Endpoint {
         id: EngineId(id),
         readiness,
         ready_at,
-        ..EngineEntry::default()
+        ..Endpoint::default()
     }
 }
 
@@ -48,7 +48,7 @@
         };
         let entries = ids.map(|id| entry(id, Readiness::Ready, 0)).collect();
         p.tell(Event::List {
-            kind: ListKind::Full,
+            kind: EndpointListKind::Full,
             entries,
         });
         p
@@ -81,11 +81,11 @@
         self.next += 1;
         let (id, give_up_at) = (RequestId(self.next), self.now + 20 * S);
         let work_hint = Some(S / 10);
-        self.tell(Event::Request(NewRequest {
+        self.tell(Event::Request(Request {
             id,
             give_up_at,
             work_hint,
-            ..NewRequest::default()
+            ..Request::default()
         }));
     }
 
@@ -127,13 +127,13 @@
                     .filter(|e| e.readiness != Readiness::Gone)
                     .collect();
                 return self.tell(Event::List {
-                    kind: ListKind::Full,
+                    kind: EndpointListKind::Full,
                     entries,
                 });
             }
         };
         self.tell(Event::List {
-            kind: ListKind::Changes,
+            kind: EndpointListKind::Changes,
             entries: vec![told],
         });
     }
@@ -145,7 +145,7 @@
         self.g.look(now);
         let (g, f) = (&self.g, &self.g.fleet);
         let ready = || g.engines.values().filter(|e| e.ready());
-        let usable = || ready().filter(|e| e.health == Health::Closed);
+        let usable = || ready().filter(|e| e.health == CircuitState::Closed);
         let mut stretches: Vec<f64> = ready().map(|e| e.stretch).collect();
         stretches.sort_by(f64::total_cmp);
         let median = stretches.get(stretches.len() / 2).copied().unwrap_or(1.0);
@@ -172,7 +172,7 @@
         );
         for e in g.engines.values() {
             assert!(
-                !matches!(e.health, Health::Open(until) if until <= now),
+                !matches!(e.health, CircuitState::Open(until) if until <= now),
                 "an ejection is over, {why}"
             );
             let ends = e.cold_sent.front().zip(e.cold_sent.back());
@@ -261,7 +261,7 @@
     (0..9).for_each(|_| p.ask());
     let entries = vec![entry(1, Readiness::Draining, 0)];
     p.tell(Event::List {
-        kind: ListKind::Changes,
+        kind: EndpointListKind::Changes,
         entries,
     });
     p.now += S;
@@ -286,7 +286,7 @@
                 .map(|id| entry(id, Readiness::Ready, p.now))
                 .collect();
             p.tell(Event::List {
-                kind: ListKind::Changes,
+                kind: EndpointListKind::Changes,
                 entries,
             });
             let (walks, visits) = (p.g.fleet.walks, p.g.fleet.visits);
--- a/tests/unit/in_flight.rs
+++ b/tests/unit/in_flight.rs
@@ -5,28 +5,28 @@
 
 const WINDOW: Micros = 20 * SEC;
 
-fn keyed(scope: Scope) -> Effect {
-    Effect::Keyed {
+fn keyed(scope: Scope) -> Idempotency {
+    Idempotency::WithKey {
         scope,
         window: nanos(WINDOW),
     }
 }
 
-fn engine(id: u64, zone: u16, cell: u16) -> EngineEntry {
-    EngineEntry {
+fn engine(id: u64, zone: u16, cell: u16) -> Endpoint {
+    Endpoint {
         id: EngineId(id),
         zone: ZoneId(zone),
         cell: CellId(cell),
-        ..EngineEntry::default()
+        ..Endpoint::default()
     }
 }
 
-fn open(effect: Effect, copies: usize) -> Open {
-    Open::new(Ask::default(), effect, 5, copies)
+fn open(effect: Idempotency, copies: usize) -> InFlightRequest {
+    InFlightRequest::new(ClientRequest::default(), effect, 5, copies)
 }
 
-fn out(to: EngineEntry, attempt: u16, sent_at: Micros) -> Out {
-    Out {
+fn out(to: Endpoint, attempt: u16, sent_at: Micros) -> InFlightAttempt {
+    InFlightAttempt {
         to,
         attempt: AttemptNo(attempt),
         sent_at,
@@ -45,8 +45,8 @@
         engine(4, 1, 2),
     );
     let goes = |effect, now| {
-        let open = Open {
-            ran: Some(Ran {
+        let open = InFlightRequest {
+            ran: Some(PossibleExecution {
                 on: here,
                 sent_at: SEC,
             }),
@@ -60,8 +60,8 @@
     assert_eq!(goes(keyed(Scope::Zone), within), [true, true, true, false]);
     assert_eq!(goes(keyed(Scope::Cell), within), [true, true, false, false]);
     assert_eq!(goes(keyed(Scope::All), past), [false; 4]);
-    assert_eq!(goes(Effect::Unsafe, within), [false; 4]);
-    assert_eq!(goes(Effect::Safe, past), [true; 4]);
+    assert_eq!(goes(Idempotency::NonIdempotent, within), [false; 4]);
+    assert_eq!(goes(Idempotency::Idempotent, past), [true; 4]);
 }
 
 /// Guards rule 2 and the limits on attempts out: a copy counts like any attempt, and goes to
@@ -69,13 +69,14 @@
 #[test]
 fn copies_go_to_another_engine_within_the_rules() {
     let (here, there, further) = (engine(1, 0, 0), engine(2, 0, 0), engine(3, 0, 0));
-    let with = |effect, copies| Open {
+    let with = |effect, copies| InFlightRequest {
         outs: vec![out(here, 0, SEC)],
         sends: 1,
         ..open(effect, copies)
     };
     assert!(
-        with(Effect::Safe, 2).may_send(SEC, &there) && !with(Effect::Safe, 2).may_send(SEC, &here)
+        with(Idempotency::Idempotent, 2).may_send(SEC, &there)
+            && !with(Idempotency::Idempotent, 2).may_send(SEC, &here)
     );
     assert!(with(keyed(Scope::All), 2).may_send(SEC, &there));
     assert!(
@@ -83,26 +84,26 @@
         "what is out may have run"
     );
     assert!(
-        !with(Effect::Unsafe, 2).may_send(SEC, &there)
-            && !with(Effect::Safe, 1).may_send(SEC, &there)
+        !with(Idempotency::NonIdempotent, 2).may_send(SEC, &there)
+            && !with(Idempotency::Idempotent, 1).may_send(SEC, &there)
     );
-    let mut two = with(Effect::Safe, 2);
+    let mut two = with(Idempotency::Idempotent, 2);
     two.outs.push(out(there, 1, SEC));
     assert!(!two.may_send(SEC, &further));
     // One that is being given up is still out.
-    two.outs[0].stopping = Some(End::Withdrawn);
+    two.outs[0].stopping = Some(Termination::Cancelled);
     assert!(!two.may_send(SEC, &further) && two.due_at(SEC));
     assert!(two.take_out(AttemptNo(0)).is_some() && two.take_out(AttemptNo(0)).is_none());
     assert!(two.may_send(SEC, &further) && !two.may_send(SEC, &there));
-    let spent = Open {
+    let spent = InFlightRequest {
         sends: 5,
-        ..open(Effect::Safe, 2)
+        ..open(Idempotency::Idempotent, 2)
     };
     assert!(
         !spent.may_send(SEC, &here)
-            && !Open {
+            && !InFlightRequest {
                 closed: true,
-                ..open(Effect::Safe, 2)
+                ..open(Idempotency::Idempotent, 2)
             }
             .may_send(SEC, &here)
     );
@@ -113,17 +114,17 @@
 fn a_refusal_is_honest() {
     let here = engine(1, 0, 0);
     for (effect, ran, is_out) in [
-        (Effect::Safe, true, true),
+        (Idempotency::Idempotent, true, true),
         (keyed(Scope::All), true, true),
         (keyed(Scope::Zone), false, false),
         (keyed(Scope::Cell), false, false),
-        (Effect::Unsafe, false, false),
+        (Idempotency::NonIdempotent, false, false),
     ] {
         let fresh = open(effect, 2);
         assert!(fresh.may_refuse());
         assert_eq!(
-            Open {
-                ran: Some(Ran {
+            InFlightRequest {
+                ran: Some(PossibleExecution {
                     on: here,
                     sent_at: SEC
                 }),
@@ -133,7 +134,7 @@
             ran
         );
         assert_eq!(
-            Open {
+            InFlightRequest {
                 outs: vec![out(here, 0, SEC)],
                 ..open(effect, 2)
             }
@@ -148,8 +149,8 @@
 #[test]
 fn a_repeat_is_over_before_its_keys_window_is() {
     let here = engine(1, 0, 0);
-    let ran = |effect| Open {
-        ran: Some(Ran {
+    let ran = |effect| InFlightRequest {
+        ran: Some(PossibleExecution {
             on: here,
             sent_at: SEC,
         }),
@@ -158,7 +159,11 @@
     };
     assert_eq!(ran(keyed(Scope::All)).known_until(), Some(SEC + WINDOW));
     assert_eq!(
-        [ran(Effect::Safe), ran(Effect::Unsafe)].map(|open| open.known_until()),
+        [
+            ran(Idempotency::Idempotent),
+            ran(Idempotency::NonIdempotent)
+        ]
+        .map(|open| open.known_until()),
         [None; 2]
     );
     assert_eq!(
--- a/tests/unit/jsonrpc.rs
+++ b/tests/unit/jsonrpc.rs
@@ -1,7 +1,7 @@
 //! The platform's protocol for clients without sockets: the same however the bytes are cut.
 use super::*;
 use crate::config::process::Names;
-use crate::dispatcher::termination::End;
+use crate::dispatcher::termination::Termination;
 use crate::testkit::clients::rpc_line;
 use quickcheck::{Gen, QuickCheck};
 
@@ -41,7 +41,12 @@
                 return false;
             }
         }
-        let [Said::Ask(one), Said::Ask(two), Said::Withdraw(1)] = &said[..] else {
+        let [
+            FrontendEvent::Ask(one),
+            FrontendEvent::Ask(two),
+            FrontendEvent::Withdraw(1),
+        ] = &said[..]
+        else {
             return false;
         };
         let first =
@@ -57,7 +62,7 @@
         front.answer(
             MS,
             1,
-            Answer::Served(b"a\n".to_vec()),
+            Response::Completed(b"a\n".to_vec()),
             &mut Vec::new(),
             &mut replies,
         );
@@ -65,7 +70,7 @@
         front.answer(
             MS,
             2,
-            Answer::Refused(Some(150 * MS)),
+            Response::Rejected(Some(150 * MS)),
             &mut Vec::new(),
             &mut replies,
         );
@@ -107,11 +112,15 @@
                 .expect("a code")
         })
         .collect();
-    let asks = said.iter().filter(|s| matches!(s, Said::Ask(_))).count();
+    let asks = said
+        .iter()
+        .filter(|s| matches!(s, FrontendEvent::Ask(_)))
+        .count();
     assert_eq!((asks, codes), (32, vec![REFUSED, INVALID_REQUEST]));
     // Guards the figures: what never gets to the core is counted under its class too.
-    let turned = |s: &&Said| matches!(s, Said::TurnedAway(ClassId(0), _));
-    let refused = |s: &&Said| matches!(s, Said::TurnedAway(_, Answer::Refused(_)));
+    let turned = |s: &&FrontendEvent| matches!(s, FrontendEvent::TurnedAway(ClassId(0), _));
+    let refused =
+        |s: &&FrontendEvent| matches!(s, FrontendEvent::TurnedAway(_, Response::Rejected(_)));
     assert_eq!(
         (
             said.iter().filter(turned).count(),
@@ -143,7 +152,7 @@
             .ok()
             .and_then(|v| v["error"]["code"].as_i64());
         let asked = said.iter().find_map(|s| {
-            if let Said::Ask(ask) = s {
+            if let FrontendEvent::Ask(ask) = s {
                 Some(ask.once.clone())
             } else {
                 None
@@ -180,23 +189,23 @@
 #[test]
 fn answers_that_failed_have_the_same_texts_as_before() {
     let texts = [
-        (End::Done, "Done"),
-        (End::Full, "Full"),
-        (End::Past, "Past"),
-        (End::Broke, "Broke"),
-        (End::Refused, "Refused"),
-        (End::ConnectTimeout, "ConnectTimeout"),
-        (End::Unreachable, "Unreachable"),
-        (End::Overflow, "Overflow"),
-        (End::Closed, "Closed"),
-        (End::Reset, "Reset"),
-        (End::Garbled, "Garbled"),
-        (End::Silent, "Silent"),
-        (End::Idle, "Idle"),
-        (End::Drained, "Drained"),
-        (End::Withdrawn, "Withdrawn"),
-        (End::Deadline, "Deadline"),
-        (End::Dropped, "Dropped"),
+        (Termination::Done, "Done"),
+        (Termination::Rejected, "Full"),
+        (Termination::AlreadyFinished, "Past"),
+        (Termination::EngineError, "Broke"),
+        (Termination::Refused, "Refused"),
+        (Termination::ConnectTimeout, "ConnectTimeout"),
+        (Termination::Unreachable, "Unreachable"),
+        (Termination::LocalLimit, "Overflow"),
+        (Termination::Closed, "Closed"),
+        (Termination::Reset, "Reset"),
+        (Termination::ProtocolViolation, "Garbled"),
+        (Termination::Unresponsive, "Silent"),
+        (Termination::Idle, "Idle"),
+        (Termination::Drained, "Drained"),
+        (Termination::Cancelled, "Withdrawn"),
+        (Termination::Deadline, "Deadline"),
+        (Termination::Dropped, "Dropped"),
     ];
     for (end, text) in texts {
         let (mut front, mut said, mut replies) = (front(), Vec::new(), Vec::new());
@@ -207,7 +216,7 @@
         front.answer(
             MS,
             1,
-            Answer::Failed(Failure::Attempt(end)),
+            Response::Failed(Failure::Attempt(end)),
             &mut Vec::new(),
             &mut replies,
         );
--- a/tests/unit/lease.rs
+++ b/tests/unit/lease.rs
@@ -5,22 +5,22 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config as ProptestConfig, RngSeed};
 
-const DUTY: Duty = Duty::Probe(7);
+const DUTY: Resource = Resource::Probe(7);
 const STEP: Micros = 5 * MS;
 const MEMBERS: usize = 5;
 
 #[derive(Clone, Debug)]
 enum Letter {
-    Ask(Holder, Token, u32),
+    Ask(Holder, FencingToken, u32),
     Vote(String, u32, Vote),
-    Release(Holder, Token),
-    Result(Token),
+    Release(Holder, FencingToken),
+    Result(FencingToken),
 }
 
 struct Process {
     voter: Voter,
     candidate: Candidate,
-    fence: Fence,
+    fence: FencingGuard,
     /// Its clock runs by so many thousandths faster or slower than time.
     rate: u64,
     paused: bool,
@@ -29,7 +29,7 @@
     /// It wants the duty.
     wants: bool,
     /// Accepted results, by their tokens.
-    accepted: Vec<Token>,
+    accepted: Vec<FencingToken>,
 }
 
 struct World {
@@ -42,21 +42,21 @@
     late: bool,
     random: Pcg32,
     /// Who came to own the duty, in order.
-    owned: Vec<(usize, Token)>,
+    owned: Vec<(usize, FencingToken)>,
     /// A result that an owner had ready when it was stopped: it goes out when it goes on.
-    ready: Vec<(usize, Token)>,
+    ready: Vec<(usize, FencingToken)>,
 }
 
 fn name(i: usize) -> String {
     format!("m{i}")
 }
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> LeaseTiming {
+    LeaseTiming {
         term_ms: 1_000,
         drift: 20,
         margin_ms: 20,
-        ..Terms::default()
+        ..LeaseTiming::default()
     }
 }
 
@@ -66,9 +66,9 @@
         let all = (0..MEMBERS).map(|i| Process {
             // As many voters as members; what no earlier life granted needs no silence, but it is
             // kept all the same.
-            voter: Voter::new(terms(), Highest::default(), 0),
+            voter: Voter::new(terms(), TokenHighWaterMarks::default(), 0),
             candidate: World::candidate(i, 1, seed),
-            fence: Fence::default(),
+            fence: FencingGuard::default(),
             rate: 990 + u64::from(random.next_u32() % 20),
             paused: false,
             dead: false,
@@ -252,7 +252,7 @@
             .into_iter()
             .partition(|(who, _)| *who == i);
         self.ready = rest;
-        let mine: Vec<(usize, Token)> = mine;
+        let mine: Vec<(usize, FencingToken)> = mine;
         for (from, token) in mine {
             (0..MEMBERS).for_each(|to| self.send(from, to, Letter::Result(token)));
         }
@@ -264,7 +264,7 @@
         let process = &mut self.all[i];
         process.voter = Voter::new(terms(), process.voter.highest().clone(), now);
         process.candidate = World::candidate(i, life, 5);
-        (process.fence, process.accepted) = (Fence::default(), Vec::new());
+        (process.fence, process.accepted) = (FencingGuard::default(), Vec::new());
         (process.life, process.dead, process.paused) = (life, false, false);
     }
 
@@ -431,7 +431,7 @@
             life: 1,
         },
     );
-    let mut voter = Voter::new(terms(), Highest::default(), 0);
+    let mut voter = Voter::new(terms(), TokenHighWaterMarks::default(), 0);
     assert_eq!(
         voter.request(999 * MS, DUTY, &a, 1),
         (Vote::Refused(0), false)
@@ -487,7 +487,7 @@
 /// anything under a lease that is over.
 #[test]
 fn whoever_waits_for_an_owner_is_answered_or_told_to_ask_itself() {
-    use shared_probe::{Prober, Sounding, Step};
+    use shared_probe::{ProbeResult, SharedProber, Step};
     let from = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     let terms = terms();
     let me = Holder {
@@ -496,7 +496,7 @@
     };
     let (mut candidate, mut fence) = (
         Candidate::new(me, vec!["v".into()], terms, 1),
-        Fence::default(),
+        FencingGuard::default(),
     );
     let (mut actions, mut steps) = (Vec::new(), Vec::new());
     candidate.want(DUTY, &fence, 0, &mut actions);
@@ -513,13 +513,13 @@
     );
     let end = terms.valid();
     assert_eq!(candidate.lease(DUTY, MS), Some((token, end)));
-    let mut prober = Prober::new(20 * MS);
-    let heard = Sounding {
+    let mut prober = SharedProber::new(20 * MS);
+    let heard = ProbeResult {
         well: true,
         took: 5,
-        ..Sounding::default()
+        ..ProbeResult::default()
     };
-    let mut ask = |prober: &mut Prober, candidate: &mut Candidate, now, number| {
+    let mut ask = |prober: &mut SharedProber, candidate: &mut Candidate, now, number| {
         let mut steps = Vec::new();
         prober.asked(
             (from, 7, number),
@@ -563,7 +563,7 @@
         [Step::NotMine(from, 7, 6)]
     );
     // It never answers.
-    let mut prober = Prober::new(20 * MS);
+    let mut prober = SharedProber::new(20 * MS);
     assert_eq!(
         ask(&mut prober, &mut candidate, 400 * MS, 7),
         [Step::ProbeForOthers(7, end)]
@@ -578,10 +578,10 @@
 /// are remembered, and what is forgotten lowers no token.
 #[test]
 fn what_is_forgotten_lowers_no_token() {
-    let (mut highest, mut model) = (Highest::default(), BTreeMap::new());
+    let (mut highest, mut model) = (TokenHighWaterMarks::default(), BTreeMap::new());
     let mut random = Pcg32::seed_from_u64(9);
     for _ in 0..20_000 {
-        let duty = Duty::Probe(u64::from(random.next_u32() % 3_000));
+        let duty = Resource::Probe(u64::from(random.next_u32() % 3_000));
         let token = highest.of(duty) + u64::from(random.next_u32() % 3);
         highest.raise(duty, token);
         assert!(highest.of(duty) >= token);
@@ -602,7 +602,7 @@
     };
     let now = 2_000 * MS;
     let granted = |voter: &mut Voter, n: u64| {
-        let duty = Duty::Probe(10_000 + n);
+        let duty = Resource::Probe(10_000 + n);
         voter
             .request(now, duty, &me, highest.of(duty) + 1_000_000 + n)
             .0
@@ -620,7 +620,7 @@
     let of = |without: &str| -> Vec<String> {
         let live = || names.iter().map(String::as_str).filter(|n| *n != without);
         (0..80)
-            .map(|e| first(Duty::Probe(e), live()).expect("one").to_owned())
+            .map(|e| first(Resource::Probe(e), live()).expect("one").to_owned())
             .collect()
     };
     let all = of("");
--- a/tests/unit/lifecycle.rs
+++ b/tests/unit/lifecycle.rs
@@ -30,8 +30,12 @@
     }
 }
 
-fn next(n: u8) -> Next {
-    [Next::None, Next::Coming, Next::Ready][usize::from(n)]
+fn next(n: u8) -> SuccessorState {
+    [
+        SuccessorState::None,
+        SuccessorState::Coming,
+        SuccessorState::Ready,
+    ][usize::from(n)]
 }
 
 /// Guards every pair of purposes that may overlap, as a drain within an upgrade: what the machine
@@ -73,7 +77,7 @@
                 }
             })
             .map(next);
-            let follows = met == Some(Next::Ready);
+            let follows = met == Some(SuccessorState::Ready);
             let older = last(|s| {
                 if let Step::Follows(n) = s {
                     Some(*n)
--- a/tests/unit/membership.rs
+++ b/tests/unit/membership.rs
@@ -1,7 +1,7 @@
 //! The membership machine among simulated managers on a simulated network: loss, one-way cuts,
 //! partitions, pauses, restarts, late and doubled datagrams, all from fixed seeds. Every datagram
 //! passes through the codec.
-use super::codec::{self, Unread};
+use super::codec::{self, DecodeError};
 use super::*;
 use crate::testkit::membership_simulation::{Emulator, addr, name, rumour};
 use proptest::prelude::*;
@@ -33,7 +33,7 @@
         let dead: Vec<_> = net
             .changes
             .iter()
-            .filter(|c| c.health == Health::Dead)
+            .filter(|c| c.health == MemberState::Dead)
             .collect();
         assert!(
             dead.is_empty(),
@@ -60,13 +60,13 @@
     let dead: Vec<_> = net
         .changes
         .iter()
-        .filter(|c| c.health == Health::Dead)
+        .filter(|c| c.health == MemberState::Dead)
         .collect();
     assert!(dead.is_empty(), "declared dead under loss: {dead:?}");
     let suspected = net
         .changes
         .iter()
-        .filter(|c| c.health == Health::Suspect)
+        .filter(|c| c.health == MemberState::Suspect)
         .count();
     assert!(suspected < 60 * 40, "{suspected} suspicions heard");
 }
@@ -115,8 +115,8 @@
     net.run(5 * SEC);
     net.partition(0..3, 3..6);
     net.run(30 * SEC);
-    assert_eq!(net.health(0, 4), Some(Health::Dead));
-    assert_eq!(net.health(4, 0), Some(Health::Dead));
+    assert_eq!(net.health(0, 4), Some(MemberState::Dead));
+    assert_eq!(net.health(4, 0), Some(MemberState::Dead));
     net.cut.clear();
     net.run(15 * SEC);
     assert!(net.agree(), "no agreement after the heal");
@@ -130,7 +130,7 @@
     net.run(5 * SEC);
     let old = codec::encode(&Message {
         from: rumour(3, 1),
-        kind: Kind::Ping(1),
+        kind: MessageBody::Ping(1),
         gossip: vec![],
     });
     net.restart(3, 1_000, 99);
@@ -174,47 +174,50 @@
 /// keeps up is no lag.
 #[test]
 fn a_straggler_is_judged_by_the_majority_of_all_members() {
-    let at = |settings, list| Versions {
+    let at = |settings, list| RunningVersions {
         settings,
         list,
-        ..Versions::default()
+        ..RunningVersions::default()
     };
     let (me, new, grace) = (at(1, 3), at(2, 3), 3 * SEC);
-    let judge = |me: &Versions, others: &[&Versions], now| {
+    let judge = |me: &RunningVersions, others: &[&RunningVersions], now| {
         let mut straggler = Straggler::default();
         straggler.judge(me, others, grace, 0);
         straggler.judge(me, others, grace, now)
     };
     let majority = [&new, &new, &new, &me];
-    assert_eq!(judge(&me, &majority, 0), Standing::Behind);
-    assert_eq!(judge(&me, &majority, grace), Standing::BringUp);
-    assert_eq!(judge(&me, &majority, 2 * grace), Standing::ShutOut);
+    assert_eq!(judge(&me, &majority, 0), VersionStatus::Behind);
+    assert_eq!(judge(&me, &majority, grace), VersionStatus::BringUp);
+    assert_eq!(judge(&me, &majority, 2 * grace), VersionStatus::ShutOut);
     assert_eq!(
         judge(&me, &[&new, &new, &me, &me, &me], 10 * grace),
-        Standing::InStep
+        VersionStatus::InStep
     );
     // Half is no majority.
-    assert_eq!(judge(&me, &[&new, &new, &me], 10 * grace), Standing::InStep);
+    assert_eq!(
+        judge(&me, &[&new, &new, &me], 10 * grace),
+        VersionStatus::InStep
+    );
     // The list: the majority at 9, this one at 3, until it takes 9; then the majority moves on to
     // 10 and it follows.
     let mut straggler = Straggler::default();
     let ahead = at(1, 9);
     assert_eq!(
         straggler.judge(&me, &[&ahead, &ahead, &ahead, &me], grace, 0),
-        Standing::Behind
+        VersionStatus::Behind
     );
     assert_eq!(
         straggler.judge(&me, &[&ahead, &ahead, &ahead, &me], grace, grace),
-        Standing::BringUp
+        VersionStatus::BringUp
     );
     let (caught, moved) = (at(1, 9), at(1, 10));
     assert_eq!(
         straggler.judge(&caught, &[&moved, &moved], grace, 2 * grace),
-        Standing::Behind
+        VersionStatus::Behind
     );
     assert_eq!(
         straggler.judge(&moved, &[&moved, &moved], grace, 3 * grace),
-        Standing::InStep
+        VersionStatus::InStep
     );
 }
 
@@ -224,19 +227,19 @@
 #[test]
 fn shares_pass_to_a_majority_that_has_stood_for_the_grace() {
     let grace = 3 * SEC;
-    let with = |what: &[Health]| -> Vec<Rumour> {
+    let with = |what: &[MemberState]| -> Vec<MemberUpdate> {
         what.iter()
             .enumerate()
-            .map(|(i, h)| Rumour {
+            .map(|(i, h)| MemberUpdate {
                 health: *h,
                 ..rumour(i + 1, 1)
             })
             .collect()
     };
     let me = rumour(0, 1);
-    use Health::*;
-    let mut sharers = Sharers::new(5);
-    let mut count = |others: &[Rumour], now| sharers.count(&me, others.iter(), grace, now);
+    use MemberState::*;
+    let mut sharers = ActiveGatewayCount::new(5);
+    let mut count = |others: &[MemberUpdate], now| sharers.count(&me, others.iter(), grace, now);
     let one_dead = with(&[Alive, Alive, Alive, Dead]);
     assert_eq!(count(&one_dead, 0), 5);
     assert_eq!(count(&one_dead, grace - 1), 5);
@@ -263,7 +266,7 @@
     // are known.
     let mut others = with(&[Alive, Alive, Alive, Left]);
     others[0].versions.stage = SHUT_OUT.into();
-    let mut sharers = Sharers::new(300);
+    let mut sharers = ActiveGatewayCount::new(300);
     assert_eq!(sharers.count(&me, others.iter(), grace, 0), 300);
     assert_eq!(sharers.count(&me, others.iter(), grace, grace), 298);
 }
@@ -326,7 +329,7 @@
     #[test]
     fn any_bytes_are_read_or_dropped(bytes in proptest::collection::vec(any::<u8>(), 0..1_400), cut in 0usize..400) {
         let _ = codec::decode(&bytes, 1_200);
-        let good = codec::encode(&Message { from: rumour(1, 3), kind: Kind::PingReq(4, addr(2)), gossip: vec![rumour(2, 5)] });
+        let good = codec::encode(&Message { from: rumour(1, 3), kind: MessageBody::PingReq(4, addr(2)), gossip: vec![rumour(2, 5)] });
         prop_assert!(codec::decode(&good, 1_200).is_ok());
         let short = &good[..cut.min(good.len() - 1)];
         prop_assert!(codec::decode(short, 1_200).is_err());
@@ -340,10 +343,16 @@
 /// spoilt ones.
 #[test]
 fn foreign_and_oversized_datagrams_are_named() {
-    assert_eq!(codec::decode(b"YLM0anything", 1_200), Err(Unread::Foreign));
-    assert_eq!(codec::decode(&[0; 2_000], 1_200), Err(Unread::Oversized));
+    assert_eq!(
+        codec::decode(b"YLM0anything", 1_200),
+        Err(DecodeError::Foreign)
+    );
+    assert_eq!(
+        codec::decode(&[0; 2_000], 1_200),
+        Err(DecodeError::Oversized)
+    );
     assert_eq!(
         codec::decode(b"YLM2\xff\xff\xff", 1_200),
-        Err(Unread::Spoilt)
+        Err(DecodeError::Spoilt)
     );
 }
--- a/tests/unit/mutation.rs
+++ b/tests/unit/mutation.rs
@@ -2,15 +2,15 @@
 //! the coordinator: a message dropped, doubled, cut short, held past its deadline, a byte flipped,
 //! each figure at its extremes. After each: one end or answer at most, and whatever else was open
 //! is not harmed by more than the wire's end.
-use crate::backend::connection_state::{Event, Link};
+use crate::backend::connection_state::{ConnectionState, Event};
 use crate::backend::platform::Platform;
 use crate::clock::{MS, Micros, SEC};
 use crate::config::process::Names;
-use crate::dispatcher::termination::{End, Reach, never_ran, outcome};
-use crate::dispatcher::{Answer, Job};
+use crate::dispatcher::termination::{Termination, TransmitProgress, never_ran, outcome};
+use crate::dispatcher::{AttemptRequest, Response};
 use crate::frontend::jsonrpc::JsonRpc;
-use crate::frontend::{Front, Said};
-use crate::net::discovery::coordinator::{Follower, Place};
+use crate::frontend::{Front, FrontendEvent};
+use crate::net::discovery::coordinator::{Follower, WatchPosition};
 use crate::policy::api::{AttemptNo, RequestId};
 use crate::testkit::clients::rpc_line;
 use std::collections::BTreeMap;
@@ -76,7 +76,7 @@
             ..Names::default()
         };
         let (mut now, mut events) = (SEC, Vec::new());
-        let mut link = Link::new(now, Platform::new(Rc::new(names)));
+        let mut link = ConnectionState::new(now, Platform::new(Rc::new(names)));
         link.probe(now);
         for id in 0..4u32 {
             let key: Rc<str> = format!("a{id}").into();
@@ -84,17 +84,17 @@
             let (id, until) = (RequestId(id), now + 9 * SEC);
             link.start(
                 now,
-                &Job {
+                &AttemptRequest {
                     id,
                     key,
                     statement,
                     until,
                     class: "lookup".into(),
-                    ..Job::default()
+                    ..AttemptRequest::default()
                 },
             );
         }
-        let write = |link: &mut Link<Platform>, now| {
+        let write = |link: &mut ConnectionState<Platform>, now| {
             while let Some(n) = link.to_write().map(<[u8]>::len) {
                 link.wrote(now, n);
             }
@@ -114,7 +114,7 @@
         link.due(now + 5 * SEC, &mut events);
         link.close(
             now + 5 * SEC,
-            link.over().unwrap_or(End::Reset),
+            link.over().unwrap_or(Termination::Reset),
             &mut events,
         );
         let mut ends: BTreeMap<RequestId, usize> = BTreeMap::new();
@@ -124,7 +124,7 @@
                 Event::Ended(ended) => {
                     assert_eq!(
                         (ended.attempt, ended.reach),
-                        (AttemptNo(0), Reach::Sent),
+                        (AttemptNo(0), TransmitProgress::Complete),
                         "{number}"
                     );
                     let cleared = never_ran(outcome(ended.end, ended.reach));
@@ -176,7 +176,7 @@
         let asked: Vec<u64> = said
             .iter()
             .filter_map(|s| {
-                if let Said::Ask(a) = s {
+                if let FrontendEvent::Ask(a) = s {
                     Some(a.origin.tag)
                 } else {
                     None
@@ -187,7 +187,7 @@
             front.answer(
                 now,
                 *tag,
-                Answer::Refused(Some(MS)),
+                Response::Rejected(Some(MS)),
                 &mut Vec::new(),
                 &mut replies,
             );
@@ -212,7 +212,7 @@
         );
         let withdrawn = said
             .iter()
-            .filter(|s| matches!(s, Said::Withdraw(_)))
+            .filter(|s| matches!(s, FrontendEvent::Withdraw(_)))
             .count();
         assert!(withdrawn <= 1 && front.open() == 0, "{number}");
     }
@@ -237,7 +237,7 @@
         frame(7, 2, 1),
     ];
     for (number, mutant) in mutants(&messages).into_iter().enumerate() {
-        let mut follower = Follower::new(Rc::new(Place::at(3)));
+        let mut follower = Follower::new(Rc::new(WatchPosition::at(3)));
         let mut told = vec![u64::from_be_bytes(follower.hello())];
         for (_, message) in mutant {
             match follower.feed(&message) {
--- a/tests/unit/net_admin.rs
+++ b/tests/unit/net_admin.rs
@@ -1,10 +1,10 @@
 //! What the second address says of readiness.
 use super::*;
-use crate::lifecycle::Next;
+use crate::lifecycle::SuccessorState;
 use futures_lite::future::block_on;
 
 fn ready(shared: &Shared) -> String {
-    String::from_utf8(block_on(carry_out(shared, Call::Ready))).expect("text")
+    String::from_utf8(block_on(carry_out(shared, AdminRequest::Ready))).expect("text")
 }
 
 fn answer(status: &str, stage: &str) -> String {
@@ -31,7 +31,7 @@
         answer("503 Service Unavailable", "draining")
     );
     life().undrain();
-    life().followed(Next::Ready);
+    life().followed(SuccessorState::Ready);
     assert_eq!(ready(&shared), answer("200 OK", "handingover"));
     life().stop(clock::now());
     assert_eq!(
--- a/tests/unit/net_client.rs
+++ b/tests/unit/net_client.rs
@@ -2,7 +2,7 @@
 //! close or the word is where the test wants it, then goes on. Both orders of each.
 use super::*;
 use crate::config::process::Names;
-use crate::dispatcher::Ask;
+use crate::dispatcher::ClientRequest;
 use crate::frontend::jsonrpc::JsonRpc;
 use crate::testkit::clients::{STATUS, rpc_line};
 use crate::testkit::{eventually, listener};
@@ -14,8 +14,8 @@
 /// An actor that runs only when it is told to, its client, and what it says to the core.
 struct Rig {
     shared: Rc<Shared>,
-    inputs: Receiver<Input>,
-    answers: Sender<(u64, Answer)>,
+    inputs: Receiver<DispatcherEvent>,
+    answers: Sender<(u64, Response)>,
     client: TcpStream,
     /// The daemon's side of the same connection, to see what waits there.
     here: TcpStream,
@@ -48,7 +48,7 @@
     let (useful, idle_since) = (Cell::new(true), Cell::new(None));
     let (leaving, passes) = (Cell::new(false), Cell::new(false));
     let (shed, stream) = (bounded(1).0, Rc::downgrade(&here));
-    let standing = Standing {
+    let standing = ConnectionStatus {
         useful,
         idle_since,
         leaving,
@@ -76,16 +76,16 @@
         .into_bytes()
 }
 
-fn ask_of(input: &Input) -> Option<&Ask> {
-    if let Input::Ask(ask) = input {
+fn ask_of(input: &DispatcherEvent) -> Option<&ClientRequest> {
+    if let DispatcherEvent::Ask(ask) = input {
         Some(ask)
     } else {
         None
     }
 }
 
-fn withdrawn(input: Input) -> Option<u64> {
-    if let Input::Withdraw(origin) = input {
+fn withdrawn(input: DispatcherEvent) -> Option<u64> {
+    if let DispatcherEvent::Withdraw(origin) = input {
         Some(origin.tag)
     } else {
         None
@@ -118,7 +118,7 @@
     }
 
     /// Lets it go on until it says that; what it says before is passed over, but told.
-    fn says<T>(&self, pick: impl Fn(Input) -> Option<T>) -> (T, usize) {
+    fn says<T>(&self, pick: impl Fn(DispatcherEvent) -> Option<T>) -> (T, usize) {
         let (mut got, mut asks) = (None, 0);
         self.until(|| {
             while let Ok(input) = self.inputs.try_recv() {
@@ -143,7 +143,7 @@
     }
 
     fn opened(&self) {
-        self.says(|input| matches!(input, Input::Opened(..)).then_some(()));
+        self.says(|input| matches!(input, DispatcherEvent::Opened(..)).then_some(()));
     }
 
     /// Asked and taken: open from here on.
@@ -213,7 +213,7 @@
     rig.opened();
     rig.asks(1);
     rig.answers
-        .try_send((1, Answer::Served(vec![b'x'; 1 << 15])))
+        .try_send((1, Response::Completed(vec![b'x'; 1 << 15])))
         .expect("room");
     rig.ends();
     // The client has not read a byte when its side is shut; what it sends then crosses that.
@@ -248,7 +248,7 @@
         if before {
             rig.says(|input| ask_of(&input).map(|ask| ask.origin.tag));
             rig.answers
-                .try_send((7, Answer::Refused(None)))
+                .try_send((7, Response::Rejected(None)))
                 .expect("room");
         } else {
             rig.until(|| rig.shared.closing_sockets.get() == 1);
@@ -363,7 +363,7 @@
         flooded(&rig);
         rig.write(&vec![b' '; 10 * more]);
         rig.client.shutdown(Shutdown::Write).expect("a socket");
-        rig.says(|input| matches!(input, Input::HungUp(1)).then_some(()));
+        rig.says(|input| matches!(input, DispatcherEvent::HungUp(1)).then_some(()));
         rig.parts();
     }
 }
@@ -376,7 +376,7 @@
     (1..=9).for_each(|id| rig.asks(id));
     for id in 1..=8 {
         rig.answers
-            .try_send((id, Answer::Served(vec![b'x'; 4 << 20])))
+            .try_send((id, Response::Completed(vec![b'x'; 4 << 20])))
             .expect("room");
     }
     rig.until(|| rig.shared.unwritten_bytes.get() > 8 << 20);
@@ -384,7 +384,7 @@
     let (tag, _) = rig.says(withdrawn);
     assert_eq!(tag, 9);
     rig.client.shutdown(Shutdown::Write).expect("a socket");
-    rig.says(|input| matches!(input, Input::HungUp(1)).then_some(()));
+    rig.says(|input| matches!(input, DispatcherEvent::HungUp(1)).then_some(()));
     rig.parts();
 }
 
--- a/tests/unit/net_engine.rs
+++ b/tests/unit/net_engine.rs
@@ -1,12 +1,12 @@
 //! Which connection of an engine carries an attempt, and for whom none begins.
-use super::{Handle, Row, Start, ToEngine, bounded, spawn};
+use super::{EndpointHandle, EngineCommand, Handle, Start, bounded, spawn};
 use crate::backend::platform::Platform;
 use crate::clock::SEC;
 use crate::config::process::Names;
-use crate::dispatcher::Job;
+use crate::dispatcher::AttemptRequest;
 use crate::frontend::jsonrpc::JsonRpc;
 use crate::net::Shared;
-use crate::net::dispatcher::Input;
+use crate::net::dispatcher::DispatcherEvent;
 use crate::policy::api::{AttemptNo, EngineId, Readiness, RequestId};
 use crate::testkit::{eventually, listener};
 use async_channel::Sender;
@@ -16,10 +16,10 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-fn job(single: bool) -> Job {
+fn job(single: bool) -> AttemptRequest {
     let (id, attempt, class, until) = (RequestId(1), AttemptNo(0), "lookup".into(), 9_000_000);
     let (key, statement, session) = ("k".into(), Rc::from(&b"select"[..]), None);
-    Job {
+    AttemptRequest {
         id,
         attempt,
         key,
@@ -28,7 +28,7 @@
         session,
         single,
         until,
-        ..Job::default()
+        ..AttemptRequest::default()
     }
 }
 
@@ -62,7 +62,7 @@
         connection(true, true),
         connection(false, true),
     ];
-    let pick = |job: Job| {
+    let pick = |job: AttemptRequest| {
         let room = conns
             .iter()
             .enumerate()
@@ -74,7 +74,7 @@
 }
 
 /// A client's connection with its actor, which is not let go on, and the client's end of it.
-fn client(shared: &Rc<Shared>, core: &Sender<Input>, conn: u64) -> TcpStream {
+fn client(shared: &Rc<Shared>, core: &Sender<DispatcherEvent>, conn: u64) -> TcpStream {
     let (line, addr) = listener();
     let client = TcpStream::connect(addr).expect("a connection");
     let (stream, _) = line.get_ref().accept().expect("a connection");
@@ -107,7 +107,7 @@
             Platform::new(names.clone())
         })
     });
-    let row = Row::new(EngineId(1), addr, Readiness::Ready, start);
+    let row = EndpointHandle::new(EngineId(1), addr, Readiness::Ready, start);
     let run = |holds: &mut dyn FnMut() -> bool| {
         assert!(
             async_io::block_on(shared.executor.run(eventually(holds))),
@@ -123,7 +123,7 @@
         client.write_all(b"{\"jsonrpc\":").expect("written");
     };
     let now = crate::clock::turn();
-    let job = Job {
+    let job = AttemptRequest {
         conn: 7,
         statement: Rc::from(&b"SELECT 1"[..]),
         until: now + 9 * SEC,
@@ -132,7 +132,7 @@
     if gone_before {
         leaves(&mut client);
     }
-    assert_eq!(row.tell(ToEngine::Start(job)), Ok(()));
+    assert_eq!(row.tell(EngineCommand::Start(job)), Ok(()));
     let mut text = Vec::new();
     let (mut told, mut kept) = (Vec::new(), Vec::new());
     let mut stream = None;
@@ -151,9 +151,11 @@
         }
         while let Ok(input) = inputs.try_recv() {
             match input {
-                Input::HungUp(conn) => told.push(format!("hung up {conn}")),
-                Input::Ended(ended) => told.push(format!("{:?} {:?}", ended.end, ended.reach)),
-                Input::Opened(_, answers) => kept.push(answers),
+                DispatcherEvent::HungUp(conn) => told.push(format!("hung up {conn}")),
+                DispatcherEvent::Ended(ended) => {
+                    told.push(format!("{:?} {:?}", ended.end, ended.reach))
+                }
+                DispatcherEvent::Opened(_, answers) => kept.push(answers),
                 _ => {}
             }
         }
@@ -173,7 +175,7 @@
     let (text, told) = dispatch(true);
     assert_eq!(text, "");
     let hung_up = told.iter().position(|t| t == "hung up 7");
-    let unsent = told.iter().position(|t| t == "Withdrawn Unsent");
+    let unsent = told.iter().position(|t| t == "Cancelled Unsent");
     assert!(hung_up < unsent && hung_up.is_some(), "{told:?}");
 }
 
