--- a/tests/unit/net_engine_endpoint.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -1,14 +1,14 @@
 //! An engine's actor is there while something is open or owed. What may cross its making and its
 //! end is forced here: the crossing word comes after every number of steps that the actors can have
 //! taken, so that each order of the two is met.
-use super::{Platform, Row, Start, ToEngine, bounded, spawn};
+use super::{EndpointHandle, EngineCommand, Platform, Start, bounded, spawn};
 use crate::clock::SEC;
 use crate::config::process::Names;
-use crate::dispatcher::Job;
-use crate::dispatcher::termination::{End, Reach};
+use crate::dispatcher::AttemptRequest;
+use crate::dispatcher::termination::{Termination, TransmitProgress};
 use crate::net::Shared;
 use crate::net::client::tests::resting;
-use crate::net::dispatcher::Input;
+use crate::net::dispatcher::DispatcherEvent;
 use crate::policy::api::{AttemptNo, EngineId, OutcomeKind, Readiness, RequestId};
 use crate::testkit::{eventually, listener};
 use async_channel::{Receiver, Sender};
@@ -23,8 +23,8 @@
 
 struct World {
     shared: Rc<Shared>,
-    core: Sender<Input>,
-    inputs: Receiver<Input>,
+    core: Sender<DispatcherEvent>,
+    inputs: Receiver<DispatcherEvent>,
     line: Async<TcpListener>,
     addr: SocketAddr,
     /// What the engine read, over all connections, and those.
@@ -34,7 +34,7 @@
     closes: bool,
     /// It closes all connections.
     hangs_up: bool,
-    ended: Vec<(RequestId, End, Reach)>,
+    ended: Vec<(RequestId, Termination, TransmitProgress)>,
     probed: Vec<OutcomeKind>,
     _client: (Rc<Async<TcpStream>>, TcpStream),
 }
@@ -61,7 +61,7 @@
 }
 
 impl World {
-    fn row(&self, id: u64) -> Rc<Row> {
+    fn row(&self, id: u64) -> Rc<EndpointHandle> {
         let (shared, core) = (self.shared.clone(), self.core.clone());
         let names = Rc::new(Names {
             streams: 4,
@@ -73,7 +73,7 @@
                 Platform::new(names.clone())
             })
         });
-        Row::new(EngineId(id), self.addr, Readiness::Ready, start)
+        EndpointHandle::new(EngineId(id), self.addr, Readiness::Ready, start)
     }
 
     /// So many steps of the actors.
@@ -104,8 +104,10 @@
         });
         while let Ok(input) = self.inputs.try_recv() {
             match input {
-                Input::Ended(ended) => self.ended.push((ended.id, ended.end, ended.reach)),
-                Input::Probed { kind, .. } => self.probed.push(kind),
+                DispatcherEvent::Ended(ended) => {
+                    self.ended.push((ended.id, ended.end, ended.reach))
+                }
+                DispatcherEvent::Probed { kind, .. } => self.probed.push(kind),
                 _ => {}
             }
         }
@@ -143,12 +145,12 @@
                 .filter(|e| e.0 == RequestId(*id))
                 .collect();
             let read = self.read.matches(&format!("do k{id} ")).count();
-            let most = usize::from(ends[0].2 != Reach::Unsent);
+            let most = usize::from(ends[0].2 != TransmitProgress::Unsent);
             assert!(ends.len() == 1 && read <= most, "{ends:?} {}", self.read);
         }
     }
 
-    fn end_of(&self, id: u32) -> (End, Reach) {
+    fn end_of(&self, id: u32) -> (Termination, TransmitProgress) {
         let end = self
             .ended
             .iter()
@@ -158,10 +160,10 @@
     }
 }
 
-fn start(id: u32) -> ToEngine {
+fn start(id: u32) -> EngineCommand {
     let (class, until) = ("lookup".into(), crate::clock::turn() + 60 * SEC);
     let (key, statement) = (format!("k{id}").as_str().into(), Rc::from(&b"SELECT 1"[..]));
-    ToEngine::Start(Job {
+    EngineCommand::Start(AttemptRequest {
         id: RequestId(id),
         attempt: AttemptNo(0),
         conn: CLIENT,
@@ -169,7 +171,7 @@
         class,
         statement,
         until,
-        ..Job::default()
+        ..AttemptRequest::default()
     })
 }
 
@@ -180,8 +182,8 @@
     let mut w = world();
     let row = w.row(1);
     for order in [
-        ToEngine::Stop(RequestId(1), AttemptNo(0)),
-        ToEngine::CloseIdle,
+        EngineCommand::Stop(RequestId(1), AttemptNo(0)),
+        EngineCommand::CloseIdle,
     ] {
         assert_eq!(
             row.tell(order),
@@ -220,24 +222,27 @@
         let later = row.tell(start(2));
         w.settles(if later.is_ok() { &[1, 2] } else { &[1] });
         if later.is_ok() {
-            assert_eq!(w.end_of(2), (End::Drained, Reach::Unsent));
+            assert_eq!(
+                w.end_of(2),
+                (Termination::Drained, TransmitProgress::Unsent)
+            );
         }
         let (end, reach) = w.end_of(1);
         assert_eq!(
-            end == End::Drained,
-            reach == Reach::Unsent,
+            end == Termination::Drained,
+            reach == TransmitProgress::Unsent,
             "{end:?} {reach:?}"
         );
         reaches.push(reach);
         // Without an actor the drain holds as well, until the engine is in service again.
-        assert_eq!(row.tell(start(3)), Err(End::Drained));
+        assert_eq!(row.tell(start(3)), Err(Termination::Drained));
         row.mark(Readiness::Ready);
         assert_eq!(row.tell(start(4)), Ok(()));
         w.settles(&[4]);
-        assert_ne!(w.end_of(4).1, Reach::Unsent);
+        assert_ne!(w.end_of(4).1, TransmitProgress::Unsent);
     }
     assert!(
-        reaches[0] == Reach::Unsent && reaches[STEPS] != Reach::Unsent,
+        reaches[0] == TransmitProgress::Unsent && reaches[STEPS] != TransmitProgress::Unsent,
         "both orders: {reaches:?}"
     );
 }
@@ -257,8 +262,11 @@
             w.steps(steps);
             match what {
                 0 => assert_eq!(row.tell(start(2)), Ok(())),
-                1 => assert_eq!(row.tell(ToEngine::Probe(u64::MAX)), Ok(())),
-                _ => assert_eq!(row.tell(ToEngine::Stop(RequestId(1), AttemptNo(0))), Ok(())),
+                1 => assert_eq!(row.tell(EngineCommand::Probe(u64::MAX)), Ok(())),
+                _ => assert_eq!(
+                    row.tell(EngineCommand::Stop(RequestId(1), AttemptNo(0))),
+                    Ok(())
+                ),
             }
             match what {
                 0 => w.settles(&[1, 2]),
@@ -315,11 +323,14 @@
     let most = w.shared.most_engine_sockets.replace(0);
     assert_eq!(row.tell(start(1)), Ok(()));
     w.settles(&[1]);
-    assert_eq!(w.end_of(1), (End::Overflow, Reach::Unsent));
+    assert_eq!(
+        w.end_of(1),
+        (Termination::LocalLimit, TransmitProgress::Unsent)
+    );
     w.shared.most_engine_sockets.set(most);
     assert_eq!(row.tell(start(2)), Ok(()));
     w.settles(&[2]);
-    assert_ne!(w.end_of(2).1, Reach::Unsent);
+    assert_ne!(w.end_of(2).1, TransmitProgress::Unsent);
 }
 
 /// Guards the bound on what waits for an engine, which is as it was: what does not fit is never
@@ -331,8 +342,8 @@
     let filled = (1..).take_while(|id| row.tell(start(*id)).is_ok()).count();
     assert_eq!(filled, super::MAILBOX);
     assert_eq!(
-        row.tell(ToEngine::Stop(RequestId(1), AttemptNo(0))),
-        Err(End::Overflow)
+        row.tell(EngineCommand::Stop(RequestId(1), AttemptNo(0))),
+        Err(Termination::LocalLimit)
     );
     row.cut();
     assert!(!row.is_active() && !row.is_closed());
--- a/tests/unit/net_lease.rs
+++ b/tests/unit/net_lease.rs
@@ -5,9 +5,9 @@
 /// A votes file as the program wrote it before the names in its code changed.
 const VOTES_FILE: &[u8] = include_bytes!("../fixtures/votes.bin");
 
-fn highest() -> Highest {
-    let mut highest = Highest::default();
-    (0..1_030).for_each(|n| highest.raise(Duty::Probe(n), 7 + n));
+fn highest() -> TokenHighWaterMarks {
+    let mut highest = TokenHighWaterMarks::default();
+    (0..1_030).for_each(|n| highest.raise(Resource::Probe(n), 7 + n));
     highest
 }
 
@@ -27,7 +27,7 @@
 #[test]
 fn rows_of_duties_have_the_same_keys_in_the_same_order() {
     let row = |owns, left_ms| {
-        let duty = Duty::Probe(0x2a).to_string();
+        let duty = Resource::Probe(0x2a).to_string();
         serde_json::to_string(&Row {
             duty,
             member: "n0".into(),
@@ -53,11 +53,11 @@
 fn a_voter_finds_what_it_kept_or_gives_no_votes() {
     let folder = Folder::new().expect("a folder");
     let path = folder.path("yokelift-duties-n0");
-    assert_eq!(kept(&path), Ok(Highest::default()));
-    let mut highest = Highest::default();
-    (0..2_000).for_each(|n| highest.raise(Duty::Probe(n), 7 + n));
+    assert_eq!(kept(&path), Ok(TokenHighWaterMarks::default()));
+    let mut highest = TokenHighWaterMarks::default();
+    (0..2_000).for_each(|n| highest.raise(Resource::Probe(n), 7 + n));
     for token in [3_000, 3_001] {
-        highest.raise(Duty::Probe(1), token);
+        highest.raise(Resource::Probe(1), token);
         keep(&path, &highest).expect("kept");
         assert_eq!(kept(&path).as_ref(), Ok(&highest));
     }
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -7,15 +7,19 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use yokelift::audit::store::{Store, entries, frame};
-use yokelift::audit::{Acting, Batch, Bounds, Entry, Place, Under, What};
-use yokelift::dispatcher::metrics::{Counters, Figures, Tally};
-use yokelift::dispatcher::termination::End;
+use yokelift::audit::{
+    ActiveConfiguration, Batch, Bounds, DecisionContext, DecisionKind, Entry, RecordPosition,
+};
+use yokelift::dispatcher::metrics::{ClassMetrics, Counters, MetricsSnapshot};
+use yokelift::dispatcher::termination::Termination;
 use yokelift::frontend::admin;
-use yokelift::hot_restart::message::{Handed, Reader, Word};
-use yokelift::lease::codec::{self as lease_wire, Letter};
-use yokelift::lease::shared_probe::Sounding;
-use yokelift::lease::{Duty, Holder, Vote};
-use yokelift::membership::{Health, Kind, Message, Rumour, Versions, codec as member_wire};
+use yokelift::hot_restart::message::{HotRestartMessage, MessageReader, TransferredConnection};
+use yokelift::lease::codec::{self as lease_wire, LeaseMessage};
+use yokelift::lease::shared_probe::ProbeResult;
+use yokelift::lease::{Holder, Resource, Vote};
+use yokelift::membership::{
+    MemberState, MemberUpdate, Message, MessageBody, RunningVersions, codec as member_wire,
+};
 use yokelift::net::fleet::membership::{Row, View};
 use yokelift::policy::api::TenantId;
 use yokelift::spool::handle::Keys;
@@ -70,8 +74,8 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn versions() -> Versions {
-    Versions {
+fn versions() -> RunningVersions {
+    RunningVersions {
         build: "0.1.0+local".into(),
         generation: 3,
         settings: 0x0123_4567_89ab_cdef,
@@ -80,8 +84,8 @@
     }
 }
 
-fn member(name: &str, port: u16, health: Health) -> Rumour {
-    Rumour {
+fn member(name: &str, port: u16, health: MemberState) -> MemberUpdate {
+    MemberUpdate {
         name: name.into(),
         addr: addr(port),
         incarnation: 1_700_000_000_000_001,
@@ -92,21 +96,21 @@
 
 fn membership_messages() -> Vec<(&'static str, Message)> {
     let gossip = vec![
-        member("n1", 7001, Health::Alive),
-        member("n2", 7002, Health::Suspect),
-        member("n3", 7003, Health::Dead),
-        member("n4", 7004, Health::Left),
+        member("n1", 7001, MemberState::Alive),
+        member("n2", 7002, MemberState::Suspect),
+        member("n3", 7003, MemberState::Dead),
+        member("n4", 7004, MemberState::Left),
     ];
     let kinds = [
-        ("ping", Kind::Ping(7)),
-        ("ack", Kind::Ack(300)),
-        ("ping-req", Kind::PingReq(9, addr(7002))),
-        ("leave", Kind::Leave),
-        ("sync", Kind::Sync("n2".into())),
-        ("page", Kind::Page("n4".into(), true)),
+        ("ping", MessageBody::Ping(7)),
+        ("ack", MessageBody::Ack(300)),
+        ("ping-req", MessageBody::PingReq(9, addr(7002))),
+        ("leave", MessageBody::Leave),
+        ("sync", MessageBody::Sync("n2".into())),
+        ("page", MessageBody::Page("n4".into(), true)),
     ];
     let message = |kind| Message {
-        from: member("n0", 7000, Health::Alive),
+        from: member("n0", 7000, MemberState::Alive),
         kind,
         gossip: gossip.clone(),
     };
@@ -135,39 +139,42 @@
     }
 }
 
-fn lease_messages() -> Vec<(&'static str, Letter)> {
+fn lease_messages() -> Vec<(&'static str, LeaseMessage)> {
     let holder = || Holder {
         name: "n0".into(),
         life: 1_700_000_000_000_001,
     };
-    let duty = Duty::Probe(0x2a);
-    let loaded = Sounding {
+    let duty = Resource::Probe(0x2a);
+    let loaded = ProbeResult {
         well: true,
         unreachable: false,
         took: 1_250,
         len: 2,
         load: [3.0, 0.5, 0.0, 0.0],
     };
-    let unreachable = Sounding {
+    let unreachable = ProbeResult {
         unreachable: true,
         took: 30_000,
-        ..Sounding::default()
+        ..ProbeResult::default()
     };
     vec![
-        ("ask", Letter::Ask(holder(), duty, 17, 4)),
+        ("ask", LeaseMessage::Ask(holder(), duty, 17, 4)),
         (
             "vote-granted",
-            Letter::Vote("n1".into(), duty, 4, Vote::Granted),
+            LeaseMessage::Vote("n1".into(), duty, 4, Vote::Granted),
         ),
         (
             "vote-refused",
-            Letter::Vote("n1".into(), duty, 4, Vote::Refused(18)),
+            LeaseMessage::Vote("n1".into(), duty, 4, Vote::Refused(18)),
         ),
-        ("release", Letter::Release(holder(), duty, 17)),
-        ("want", Letter::Want(0x2a, 900)),
-        ("told", Letter::Told(0x2a, 900, 17, loaded)),
-        ("told-unreachable", Letter::Told(0x2a, 901, 17, unreachable)),
-        ("not-mine", Letter::NotMine(0x2a, 901, 18)),
+        ("release", LeaseMessage::Release(holder(), duty, 17)),
+        ("want", LeaseMessage::Want(0x2a, 900)),
+        ("told", LeaseMessage::Told(0x2a, 900, 17, loaded)),
+        (
+            "told-unreachable",
+            LeaseMessage::Told(0x2a, 901, 17, unreachable),
+        ),
+        ("not-mine", LeaseMessage::NotMine(0x2a, 901, 18)),
     ]
 }
 
@@ -192,48 +199,48 @@
 
 #[test]
 fn resources_keep_their_names() {
-    assert_eq!(Duty::Probe(0x2a).to_string(), "probe:s-0000002a");
+    assert_eq!(Resource::Probe(0x2a).to_string(), "probe:s-0000002a");
 }
 
-fn restart_words() -> Vec<Word> {
-    let handed = Handed {
+fn restart_words() -> Vec<HotRestartMessage> {
+    let handed = TransferredConnection {
         open: vec![3, 9],
         input: b"{\n".to_vec(),
         unwritten: b"half\n".to_vec(),
     };
     vec![
-        Word::Hello("n0".into()),
-        Word::Take(vec![addr(5050), addr(8123)]),
-        Word::Drained,
-        Word::Ready,
-        Word::Leave(0.375),
-        Word::Client(7, handed),
-        Word::Client(8, Handed::default()),
-        Word::Answer(7, 9, b"leave 1\n".to_vec()),
-        Word::Withdraw(7, 3),
-        Word::Gone(8),
+        HotRestartMessage::Hello("n0".into()),
+        HotRestartMessage::Take(vec![addr(5050), addr(8123)]),
+        HotRestartMessage::Drained,
+        HotRestartMessage::Ready,
+        HotRestartMessage::Leave(0.375),
+        HotRestartMessage::Client(7, handed),
+        HotRestartMessage::Client(8, TransferredConnection::default()),
+        HotRestartMessage::Answer(7, 9, b"leave 1\n".to_vec()),
+        HotRestartMessage::Withdraw(7, 3),
+        HotRestartMessage::Gone(8),
     ]
 }
 
 #[test]
 fn hot_restart_lines_are_read_and_written_as_before() {
     let words = restart_words();
-    let written: Vec<u8> = words.iter().flat_map(Word::bytes).collect();
+    let written: Vec<u8> = words.iter().flat_map(HotRestartMessage::bytes).collect();
     assert_text(
         "hot_restart.txt",
         std::str::from_utf8(&written).expect("text"),
     );
-    let read = Reader::default().feed(fixture_text("hot_restart.txt").as_bytes());
+    let read = MessageReader::default().feed(fixture_text("hot_restart.txt").as_bytes());
     assert_eq!(read.expect("lines of this version"), words);
 }
 
-fn under() -> Under {
-    let acting = Acting {
+fn under() -> DecisionContext {
+    let acting = ActiveConfiguration {
         generation: 3,
         settings: 0x0123_4567_89ab_cdef,
         list: 41,
     };
-    Under {
+    DecisionContext {
         member: "n0".into(),
         life: 1_700_000_000_000_001,
         build: "0.1.0+local".into(),
@@ -244,17 +251,20 @@
 
 fn audit_entries() -> Vec<Entry> {
     let kinds = [
-        What::Act,
-        What::Dispatch(0, 0x2a),
-        What::Dispatch(1, 0x2b),
-        What::Refuse(250),
-        What::Fail,
-        What::Lost(12),
-        What::Own(17),
-        What::Disown(17),
+        DecisionKind::Act,
+        DecisionKind::Dispatch(0, 0x2a),
+        DecisionKind::Dispatch(1, 0x2b),
+        DecisionKind::Refuse(250),
+        DecisionKind::Fail,
+        DecisionKind::Lost(12),
+        DecisionKind::Own(17),
+        DecisionKind::Disown(17),
     ];
-    let record = |(at, what): (usize, What)| {
-        let of_request = matches!(what, What::Dispatch(..) | What::Refuse(_) | What::Fail);
+    let record = |(at, what): (usize, DecisionKind)| {
+        let of_request = matches!(
+            what,
+            DecisionKind::Dispatch(..) | DecisionKind::Refuse(_) | DecisionKind::Fail
+        );
         let (class, request) = if of_request {
             ("lookup", "c-7")
         } else {
@@ -298,7 +308,9 @@
             entries: records,
         })
         .expect("kept");
-    let page = store.read(Place::default(), 1_000).expect("a page");
+    let page = store
+        .read(RecordPosition::default(), 1_000)
+        .expect("a page");
     assert_text("audit_page.txt", &page.text());
     let names = std::fs::read_dir(folder.path(""))
         .expect("a folder")
@@ -327,24 +339,24 @@
     );
 }
 
-const ALL_ENDS: [End; 17] = [
-    End::Done,
-    End::Full,
-    End::Past,
-    End::Broke,
-    End::Refused,
-    End::ConnectTimeout,
-    End::Unreachable,
-    End::Overflow,
-    End::Closed,
-    End::Reset,
-    End::Garbled,
-    End::Silent,
-    End::Idle,
-    End::Drained,
-    End::Withdrawn,
-    End::Deadline,
-    End::Dropped,
+const ALL_ENDS: [Termination; 17] = [
+    Termination::Done,
+    Termination::Rejected,
+    Termination::AlreadyFinished,
+    Termination::EngineError,
+    Termination::Refused,
+    Termination::ConnectTimeout,
+    Termination::Unreachable,
+    Termination::LocalLimit,
+    Termination::Closed,
+    Termination::Reset,
+    Termination::ProtocolViolation,
+    Termination::Unresponsive,
+    Termination::Idle,
+    Termination::Drained,
+    Termination::Cancelled,
+    Termination::Deadline,
+    Termination::Dropped,
 ];
 
 #[test]
@@ -375,13 +387,13 @@
 
 #[test]
 fn metrics_are_as_before() {
-    let tally = |success| Tally {
+    let tally = |success| ClassMetrics {
         success,
         overload: 2,
         error: 1,
     };
     let classes = [("load", tally(30)), ("lookup", tally(60))];
-    let figures = Figures {
+    let figures = MetricsSnapshot {
         classes: classes
             .into_iter()
             .map(|(name, tally)| (Rc::from(name), tally))
@@ -404,14 +416,14 @@
         since_ms: 1_500,
     };
     let members = vec![
-        row(true, member("n0", 7000, Health::Alive)),
-        row(false, member("n1", 7001, Health::Suspect)),
-        row(false, member("n2", 7002, Health::Dead)),
-        row(false, member("n3", 7003, Health::Left)),
+        row(true, member("n0", 7000, MemberState::Alive)),
+        row(false, member("n1", 7001, MemberState::Suspect)),
+        row(false, member("n2", 7002, MemberState::Dead)),
+        row(false, member("n3", 7003, MemberState::Left)),
     ];
     let view = View {
         members,
-        standing: yokelift::membership::Standing::InStep,
+        standing: yokelift::membership::VersionStatus::InStep,
         dropped: 0,
     };
     assert_text("fleet.txt", &view.lines());
