--- a/src/backend/clickhouse.rs
+++ b/src/backend/clickhouse.rs
@@ -171,11 +171,11 @@
     }
 
     fn start(&mut self, now: Micros, job: &AttemptRequest) -> Vec<u8> {
-        let seconds = job.until.saturating_sub(now).max(MS) as f64 / SEC as f64;
+        let seconds = job.deadline.saturating_sub(now).max(MS) as f64 / SEC as f64;
         let session = job.session.as_deref();
         let id = session
             .and_then(|s| s.query_id.as_deref())
-            .unwrap_or(&job.key);
+            .unwrap_or(&job.client_request_id);
         self.asked = Some(Asked::Query(job.id, id.into()));
         let id = http::escape(id);
         let mut path =
--- a/src/backend/connection_state.rs
+++ b/src/backend/connection_state.rs
@@ -172,7 +172,7 @@
         }
         let on_it = PendingAttempt {
             attempt: job.attempt,
-            conn: job.conn,
+            conn: job.client_connection,
             reach: TransmitProgress::Unsent,
             sent_at: now,
             settles: None,
@@ -222,8 +222,8 @@
         Some(Event::Ended(AttemptResult {
             id,
             attempt,
-            end,
-            reach,
+            termination: end,
+            progress: reach,
             rows,
             load,
             cost,
--- a/src/backend/platform.rs
+++ b/src/backend/platform.rs
@@ -94,7 +94,7 @@
             let kind = if word == "FIT" {
                 OutcomeKind::Ok
             } else {
-                OutcomeKind::Full
+                OutcomeKind::Rejected
             };
             let number = key.strip_prefix('p').and_then(|n| n.parse().ok());
             said.extend(number.map(|number| BackendEvent::Probed(number, kind, self.load(fields))));
@@ -204,17 +204,17 @@
 
     fn start(&mut self, now: Micros, job: &AttemptRequest) -> Vec<u8> {
         let class = &job.class;
-        let limit = (job.until.saturating_sub(now) / MS).max(1);
-        let (key, length) = (&job.key, job.statement.len());
+        let limit = (job.deadline.saturating_sub(now) / MS).max(1);
+        let (key, length) = (&job.client_request_id, job.statement.len());
         let mut fields = format!("cls={class},limit={limit}");
         // Writing to a string can't fail.
-        if let Some(nonce) = &job.nonce {
+        if let Some(nonce) = &job.idempotency_key {
             let _ = write!(fields, ",nonce={nonce}");
         }
         if job.memory_mb > 0.0 {
             let _ = write!(fields, ",allot={}", job.memory_mb.ceil());
         }
-        if let Some(urgency) = job.urgency {
+        if let Some(urgency) = job.priority {
             let _ = write!(fields, ",urgency={urgency}");
         }
         let mut bytes = format!("do {key} {fields} {length}\r\n").into_bytes();
@@ -228,7 +228,7 @@
             load,
             cost,
         };
-        self.running.insert(job.key.clone(), running);
+        self.running.insert(job.client_request_id.clone(), running);
         bytes
     }
 
--- a/src/bin/yokelift-sim-adapter/frames.rs
+++ b/src/bin/yokelift-sim-adapter/frames.rs
@@ -93,12 +93,12 @@
         let kind = match u16::from_be_bytes([self.rest[0], self.rest[1]]) {
             1 => OutcomeKind::Ok,
             2 => OutcomeKind::Error,
-            3 => OutcomeKind::Full,
+            3 => OutcomeKind::Rejected,
             4 => OutcomeKind::Timeout,
             5 => OutcomeKind::ConnectFailed,
             6 => OutcomeKind::Reset,
             7 => OutcomeKind::Cancelled,
-            8 => OutcomeKind::Moot,
+            8 => OutcomeKind::NeverSent,
             other => return self.bad(field, &format!("unknown outcome {other}")),
         };
         self.rest.advance(2);
@@ -148,7 +148,7 @@
                 cell,
                 readiness,
                 weight,
-                ready_at,
+                started_at: ready_at,
             });
         }
         Ok(entries)
@@ -170,13 +170,13 @@
 pub fn put_action(out: &mut Vec<u8>, instance: u32, action: &Action) {
     let code = match action {
         Action::Log(_) => 1,
-        Action::Tell { .. } => 2,
+        Action::SendToPeer { .. } => 2,
         Action::Cancel { .. } => 4,
-        Action::Terms { .. } => 5,
+        Action::SetAttemptOptions { .. } => 5,
         Action::CloseIdle { .. } => 6,
-        Action::FetchList => 7,
+        Action::FetchEndpointList => 7,
         Action::Probe { .. } => 8,
-        Action::Refuse { .. } => 9,
+        Action::Reject { .. } => 9,
         Action::Fail { .. } => 10,
         Action::Watch(_) => 11,
         Action::Timer { .. } => 12,
@@ -186,7 +186,7 @@
     out.put_u32(instance);
     match action {
         Action::Log(text) => put_short(out, text.as_bytes()),
-        Action::Tell { peer, data } => {
+        Action::SendToPeer { peer, data } => {
             out.put_u16(peer.map_or(u16::MAX, |p| p as u16));
             put_short(out, data);
         }
@@ -194,7 +194,7 @@
             out.put_u32(id.0);
             out.put_u16(attempt.0);
         }
-        Action::Terms {
+        Action::SetAttemptOptions {
             id,
             priority,
             memory_mb,
@@ -204,8 +204,8 @@
             out.put_f32(*memory_mb as f32);
         }
         Action::CloseIdle { engine } | Action::Probe { engine } => put_engine(out, *engine),
-        Action::FetchList => {}
-        Action::Refuse { id, retry_after } => {
+        Action::FetchEndpointList => {}
+        Action::Reject { id, retry_after } => {
             out.put_u32(id.0);
             out.put_u64(*retry_after);
         }
--- a/src/bin/yokelift-sim-adapter/main.rs
+++ b/src/bin/yokelift-sim-adapter/main.rs
@@ -115,7 +115,7 @@
                         return Err(format!("byte {set_at}: TARGETS set_id: no list {number}"));
                     }
                 };
-                Event::List { kind, entries }
+                Event::EndpointList { kind, entries }
             }
             3 => request(r, classes)?,
             4 => {
@@ -134,7 +134,7 @@
                 let latency = r.u64("CHECKED wait_time_ns")?;
                 let kind = r.outcome("CHECKED code")?;
                 let engine = r.engine("CHECKED engine")?;
-                Event::Probed {
+                Event::ProbeCompleted {
                     engine,
                     kind,
                     latency,
@@ -144,7 +144,7 @@
             9 => {
                 let from = u32::from(r.u16("NEIGHBOUR_SAYS src")?);
                 let n = usize::from(r.u16("NEIGHBOUR_SAYS octets")?);
-                Event::Peer {
+                Event::PeerMessage {
                     from,
                     data: r.bytes(n, "NEIGHBOUR_SAYS octets")?.to_vec(),
                 }
@@ -172,7 +172,11 @@
                         ));
                     }
                 };
-                Event::Note { id, attempt, note }
+                Event::Progress {
+                    id,
+                    attempt,
+                    update: note,
+                }
             }
         };
         Ok(Some((i, event)))
@@ -203,12 +207,12 @@
         class,
         tenant,
         key,
-        give_up_at,
+        deadline: give_up_at,
         work_hint: Some(cost).filter(|c| *c > 0 && marks & 1 != 0),
         memory_hint: Some(memory).filter(|m| *m > 0.0),
-        group,
-        repeated: marks & 2 != 0,
-        single: false,
+        data_set: group,
+        is_retry: marks & 2 != 0,
+        must_not_repeat: false,
     }))
 }
 
@@ -230,7 +234,7 @@
         engine,
         kind,
         latency,
-        closed,
+        request_finished: closed,
         work,
         memory_mb,
         load,
--- a/src/class_registry/mod.rs
+++ b/src/class_registry/mod.rs
@@ -134,7 +134,14 @@
     fn follows(&self, was: &[usize], class: &Class) -> Option<usize> {
         let alike = |at: &&usize| {
             let (a, b) = (&self.slots[**at].class.spec, &class.spec);
-            let work = |s: &ClassSpec| (s.promise, s.threads, s.is_load, s.waits_for_loads);
+            let work = |s: &ClassSpec| {
+                (
+                    s.base_latency_objective,
+                    s.threads,
+                    s.is_load,
+                    s.waits_for_loads,
+                )
+            };
             work(a) == work(b)
         };
         let named = was
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -106,7 +106,7 @@
 pub fn keyed<'a>(classes: impl Iterator<Item = &'a ClassSpec>) -> BTreeSet<u16> {
     let keyed = (0..)
         .zip(classes)
-        .filter(|(_, class)| matches!(class.effect, Idempotency::WithKey { .. }));
+        .filter(|(_, class)| matches!(class.idempotency, Idempotency::WithKey { .. }));
     keyed.map(|(at, _)| at).collect()
 }
 
@@ -141,7 +141,7 @@
         ));
     }
     let windowless =
-        |class: &ClassSpec| matches!(class.effect, Idempotency::WithKey { window: 0, .. });
+        |class: &ClassSpec| matches!(class.idempotency, Idempotency::WithKey { window: 0, .. });
     if let Some((name, _)) = names
         .iter()
         .zip(&settings.classes)
@@ -151,7 +151,7 @@
             "settings: the window in which repeats of {name} are known is not a positive number"
         ));
     }
-    if settings.limits.send_cap == 0 {
+    if settings.limits.max_attempts == 0 {
         return Err("settings: the attempts (send_cap) are not a positive number".into());
     }
     Ok(())
--- a/src/dispatcher/attempts.rs
+++ b/src/dispatcher/attempts.rs
@@ -22,9 +22,9 @@
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        let attempt = AttemptNo(open.sends);
+        let attempt = AttemptNo(open.attempts_started);
         let may = to.filter(|to| open.may_send(now, to));
-        open.sends = open.sends.saturating_add(1);
+        open.attempts_started = open.attempts_started.saturating_add(1);
         let Some(Class { name, .. }) = self.generations.class(open.ask.class) else {
             return;
         };
@@ -38,14 +38,14 @@
             .map_or(until, |at| until.min(at.saturating_sub(WINDOW_MARGIN)));
         let Some(to) = may.filter(|_| until > now) else {
             self.counters.stopped += 1;
-            let (kind, load, closed) = (OutcomeKind::Moot, LoadReport::default(), open.closed);
+            let (kind, load, closed) = (OutcomeKind::NeverSent, LoadReport::default(), open.closed);
             let none = Outcome {
                 id,
                 attempt,
                 engine,
                 kind,
                 latency: 0,
-                closed,
+                request_finished: closed,
                 work: None,
                 memory_mb: None,
                 load,
@@ -55,7 +55,7 @@
         self.counters.attempts += 1;
         self.counters.copies += u64::from(!open.outs.is_empty());
         let late = open.outs.iter().filter(|out| out.stopping.is_none());
-        orders.extend(late.map(|out| Command::Doubt(out.to.id, id, out.attempt)));
+        orders.extend(late.map(|out| Command::MarkSlow(out.to.id, id, out.attempt)));
         open.outs.push(InFlightAttempt {
             to,
             attempt,
@@ -67,24 +67,28 @@
         let job = AttemptRequest {
             id,
             attempt,
-            conn: open.ask.origin.conn,
-            key: open.ask.key.clone(),
+            client_connection: open.ask.origin.conn,
+            client_request_id: open.ask.client_request_id.clone(),
             class: name.clone(),
             statement: open.ask.statement.clone(),
             session: open.ask.session.clone(),
-            single: open.effect == Idempotency::NonIdempotent,
-            nonce: open
+            single: open.idempotency == Idempotency::NonIdempotent,
+            idempotency_key: open
                 .ask
-                .once
+                .idempotency_key
                 .clone()
-                .filter(|_| matches!(open.effect, Idempotency::WithKey { .. })),
-            until,
+                .filter(|_| matches!(open.idempotency, Idempotency::WithKey { .. })),
+            deadline: until,
             memory_mb: open.memory_mb,
-            urgency: open.urgency,
+            priority: open.priority,
         };
         let of = open.ask.class;
-        self.note(of, &job.key, DecisionKind::Dispatch(attempt.0, engine.0));
-        orders.push(Command::Start(engine, job));
+        self.note(
+            of,
+            &job.client_request_id,
+            DecisionKind::Dispatch(attempt.0, engine.0),
+        );
+        orders.push(Command::StartAttempt(engine, job));
     }
 
     /// Memory and priority of the next attempts, and at once the priority of those that are out.
@@ -102,10 +106,10 @@
         };
         open.memory_mb = if heeds.grants { memory_mb } else { 0.0 };
         let urgency = Some(priority.min(MOST_URGENCY)).filter(|_| heeds.priorities);
-        if std::mem::replace(&mut open.urgency, urgency) != urgency {
+        if std::mem::replace(&mut open.priority, urgency) != urgency {
             let out = open.outs.iter().filter(|out| out.stopping.is_none());
             let bump = |out: &InFlightAttempt| {
-                urgency.map(|n| Command::Bump(out.to.id, id, out.attempt, n))
+                urgency.map(|n| Command::Reprioritize(out.to.id, id, out.attempt, n))
             };
             orders.extend(out.filter_map(bump));
         }
@@ -133,7 +137,7 @@
         if !open.due_at(until) {
             self.deadlines.remove(&(until, id));
         }
-        orders.push(Command::Stop(engine, id, attempt));
+        orders.push(Command::CancelAttempt(engine, id, attempt));
     }
 
     /// Gives up all that is out for a request.
--- a/src/dispatcher/in_flight.rs
+++ b/src/dispatcher/in_flight.rs
@@ -35,11 +35,11 @@
     pub ask: ClientRequest,
     /// What repeating this one may do: a request of a keyed class without a key must never run
     /// twice.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// Attempts so far.
-    pub sends: u16,
+    pub attempts_started: u16,
     /// Attempts that it may have.
-    pub most_sends: u16,
+    pub max_attempts: u16,
     /// Attempts that may be out together.
     pub copies: usize,
     /// What is out.
@@ -49,7 +49,7 @@
     /// Memory to grant with the next attempt.
     pub memory_mb: f64,
     /// Its priority, where one was set.
-    pub urgency: Option<u8>,
+    pub priority: Option<u8>,
     /// How its last attempt ended.
     pub last_end: Option<Termination>,
     /// The final answer was given, or the client left.
@@ -60,22 +60,22 @@
     /// A request that has just come.
     pub fn new(
         ask: ClientRequest,
-        effect: Idempotency,
-        most_sends: u16,
+        idempotency: Idempotency,
+        max_attempts: u16,
         copies: usize,
     ) -> InFlightRequest {
         let (outs, ran, memory_mb, urgency) = (Vec::new(), None, 0.0, None);
         let (sends, last_end, closed) = (0, None, false);
         InFlightRequest {
             ask,
-            effect,
-            sends,
-            most_sends,
+            idempotency,
+            attempts_started: sends,
+            max_attempts,
             copies,
             outs,
             ran,
             memory_mb,
-            urgency,
+            priority: urgency,
             last_end,
             closed,
         }
@@ -94,20 +94,25 @@
     /// never go to one engine, which would take the word about one of them for the other.
     pub fn may_send(&self, now: Micros, to: &Endpoint) -> bool {
         let place = self.outs.len() < self.copies && self.outs.iter().all(|out| out.to.id != to.id);
-        !self.closed && place && self.sends < self.most_sends && self.repeats(now, to)
+        !self.closed && place && self.attempts_started < self.max_attempts && self.repeats(now, to)
     }
 
     fn repeats(&self, now: Micros, to: &Endpoint) -> bool {
         let Some(PossibleExecution { on, sent_at }) = self.first() else {
             return true;
         };
-        may_repeat(self.effect, nanos(sent_at), Some((on, *to)), nanos(now))
+        may_repeat(
+            self.idempotency,
+            nanos(sent_at),
+            Some((on, *to)),
+            nanos(now),
+        )
     }
 
     /// Until when engines know a further attempt by its key as a repeat, if there was one that may
     /// have run.
     pub fn known_until(&self) -> Option<Micros> {
-        match (self.effect, self.first()) {
+        match (self.idempotency, self.first()) {
             (Idempotency::WithKey { window, .. }, Some(ran)) => {
                 Some(ran.sent_at.saturating_add(micros(window)))
             }
@@ -117,7 +122,7 @@
 
     /// Whether a refusal is honest.
     pub fn may_refuse(&self) -> bool {
-        may_refuse(self.effect, self.first().is_some())
+        may_refuse(self.idempotency, self.first().is_some())
     }
 
     /// The attempt of that number, if it is out.
--- a/src/dispatcher/message.rs
+++ b/src/dispatcher/message.rs
@@ -28,7 +28,7 @@
     /// Where the answer goes.
     pub origin: Origin,
     /// The client's name for the request, passed on unchanged.
-    pub key: Rc<str>,
+    pub client_request_id: Rc<str>,
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
@@ -36,7 +36,7 @@
     /// When the client stops waiting.
     pub give_up_at: Micros,
     /// The estimate of its work.
-    pub cost: Option<Micros>,
+    pub work_estimate: Option<Micros>,
     /// The estimate of its memory.
     pub memory_mb: Option<f64>,
     /// The client said that it tried before.
@@ -46,7 +46,7 @@
     /// What its session adds.
     pub session: Option<Rc<Session>>,
     /// The key that all tries of one request carry, where its client gave one.
-    pub once: Option<Rc<str>>,
+    pub idempotency_key: Option<Rc<str>>,
 }
 
 /// Why a request failed.
@@ -83,9 +83,9 @@
     /// The attempt.
     pub attempt: AttemptNo,
     /// The client's connection, which is looked at once more before the first byte goes out.
-    pub conn: u64,
+    pub client_connection: u64,
     /// The client's name for the request.
-    pub key: Rc<str>,
+    pub client_request_id: Rc<str>,
     /// The name of its class.
     pub class: Rc<str>,
     /// What to run.
@@ -95,11 +95,11 @@
     /// It must never run twice.
     pub single: bool,
     /// The key by which engines know a repeat of it.
-    pub nonce: Option<Rc<str>>,
+    pub idempotency_key: Option<Rc<str>>,
     /// Its priority, where one was set and is heeded: 0 to 3.
-    pub urgency: Option<u8>,
+    pub priority: Option<u8>,
     /// When nobody waits for it any more.
-    pub until: Micros,
+    pub deadline: Micros,
     /// Memory to grant in MB; 0 leaves it to the engine.
     pub memory_mb: f64,
 }
@@ -108,19 +108,19 @@
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Start an attempt.
-    Start(EngineId, AttemptRequest),
+    StartAttempt(EngineId, AttemptRequest),
     /// Give up an attempt; its end comes back.
-    Stop(EngineId, RequestId, AttemptNo),
+    CancelAttempt(EngineId, RequestId, AttemptNo),
     /// Another attempt goes beside this one, which takes longer than it should.
-    Doubt(EngineId, RequestId, AttemptNo),
+    MarkSlow(EngineId, RequestId, AttemptNo),
     /// A new priority for an attempt that is out.
-    Bump(EngineId, RequestId, AttemptNo, u8),
+    Reprioritize(EngineId, RequestId, AttemptNo, u8),
     /// Probe an engine.
     Probe(EngineId),
     /// Close idle connections to an engine.
     CloseIdle(EngineId),
     /// Give a final answer.
-    Answer(Origin, Response),
+    Respond(Origin, Response),
     /// A line of the module for the log.
     Log(String),
 }
@@ -133,9 +133,9 @@
     /// The attempt.
     pub attempt: AttemptNo,
     /// How.
-    pub end: Termination,
+    pub termination: Termination,
     /// How much of it went out.
-    pub reach: TransmitProgress,
+    pub progress: TransmitProgress,
     /// With [`End::Done`]: the rows.
     pub rows: Vec<u8>,
     /// The engine's load, where told.
@@ -149,15 +149,15 @@
     pub fn bare(
         id: RequestId,
         attempt: AttemptNo,
-        end: Termination,
-        reach: TransmitProgress,
+        termination: Termination,
+        progress: TransmitProgress,
     ) -> AttemptResult {
         let (rows, load, cost) = (Vec::new(), LoadReport::default(), Cost::default());
         AttemptResult {
             id,
             attempt,
-            end,
-            reach,
+            termination,
+            progress,
             rows,
             load,
             cost,
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -49,7 +49,7 @@
 pub struct Dispatcher {
     module: Gateway,
     generations: ClassRegistry,
-    send_cap: u16,
+    max_attempts: u16,
     engines: BTreeMap<EngineId, Endpoint>,
     heeds: EngineCapabilities,
     open: BTreeMap<RequestId, InFlightRequest>,
@@ -75,7 +75,7 @@
     pub fn new(now: Micros, settings: Settings, names: &[String], seed: u64) -> Dispatcher {
         let mut manager = Dispatcher {
             generations: ClassRegistry::new(named(&settings, names)),
-            send_cap: send_cap(&settings),
+            max_attempts: send_cap(&settings),
             engines: BTreeMap::new(),
             heeds: EngineCapabilities::of(&settings),
             open: BTreeMap::new(),
@@ -109,7 +109,7 @@
             .slots()
             .map(|(class, _)| class.spec.clone())
             .collect();
-        self.send_cap = send_cap(&settings);
+        self.max_attempts = send_cap(&settings);
         self.heeds = EngineCapabilities::of(&settings);
         self.module.retune(
             Settings {
@@ -258,7 +258,7 @@
         self.engines.extend(entries.iter().map(|e| (e.id, *e)));
         self.engines
             .retain(|_, entry| entry.readiness != Readiness::Gone);
-        self.tell(now, Event::List { kind, entries }, orders);
+        self.tell(now, Event::EndpointList { kind, entries }, orders);
     }
 
     /// The tenants' shares changed.
@@ -285,13 +285,13 @@
             .generations
             .class(ask.class)
             .filter(|_| !self.origins.contains_key(&ask.origin));
-        let Some(of_class) = class.map(|class| class.spec.effect) else {
+        let Some(of_class) = class.map(|class| class.spec.idempotency) else {
             return self.turn_down(&ask, Response::Failed(Failure::NotSent), orders);
         };
         // Guards rule 2: engines know a repeat by its key alone, so without one there is to be
         // none.
         let keyed = matches!(of_class, Idempotency::WithKey { .. });
-        let effect = if keyed && ask.once.is_none() {
+        let effect = if keyed && ask.idempotency_key.is_none() {
             Idempotency::NonIdempotent
         } else {
             of_class
@@ -304,14 +304,14 @@
         // Guards the rules on attempts and answers: engines and clients tell requests apart by
         // their names, and a second one under the name of the first would pass for its further
         // attempt, or take its answer.
-        if self.keys.contains(&ask.key) {
+        if self.keys.contains(&ask.client_request_id) {
             return self.turn_down(&ask, Response::Failed(Failure::InUse), orders);
         }
         // Guards the limit on memory: as the module sees none of it, it is refused here.
         if self.statements + ask.statement.len() > self.most_statements {
             return self.turn_down(&ask, Response::Rejected(Some(NO_ROOM_AFTER)), orders);
         }
-        self.keys.insert(ask.key.clone());
+        self.keys.insert(ask.client_request_id.clone());
         self.statements += ask.statement.len();
         self.next_id = self.next_id.wrapping_add(1);
         let id = RequestId(self.next_id);
@@ -321,26 +321,26 @@
             class: ask.class,
             tenant: ask.tenant,
             key: None,
-            give_up_at: nanos(ask.give_up_at),
-            work_hint: ask.cost.map(nanos),
+            deadline: nanos(ask.give_up_at),
+            work_hint: ask.work_estimate.map(nanos),
             memory_hint: ask.memory_mb,
-            group: statement::group(&ask.statement, schema)
+            data_set: statement::group(&ask.statement, schema)
                 .map_or(0, |group| group.wrapping_add(1)),
-            repeated: ask.repeated,
-            single: effect == Idempotency::NonIdempotent,
+            is_retry: ask.repeated,
+            must_not_repeat: effect == Idempotency::NonIdempotent,
         });
         self.generations.opened(ask.class);
         self.origins.insert(ask.origin, id);
         self.deadlines.insert((ask.give_up_at + GUARD, id));
-        let open = InFlightRequest::new(ask, effect, self.send_cap, copies);
+        let open = InFlightRequest::new(ask, effect, self.max_attempts, copies);
         self.open.insert(id, open);
         self.tell(now, event, orders);
     }
 
     fn turn_down(&mut self, ask: &ClientRequest, answer: Response, orders: &mut Vec<Command>) {
         self.count(ask.class, &answer);
-        self.note_answer(ask.class, &ask.key, &answer);
-        orders.push(Command::Answer(ask.origin, answer));
+        self.note_answer(ask.class, &ask.client_request_id, &answer);
+        orders.push(Command::Respond(ask.origin, answer));
     }
 
     /// The client stopped waiting for one request.
@@ -389,12 +389,12 @@
             self.deadlines.remove(&(out.until, id));
         }
         // An attempt that was given up did not fail: its time was up, or it was called off.
-        let end = match (ended.end, out.stopping) {
+        let end = match (ended.termination, out.stopping) {
             (Termination::Cancelled, Some(why)) => why,
             (end, _) => end,
         };
         *self.counters.ends.entry(end).or_default() += 1;
-        let kind = outcome(end, ended.reach);
+        let kind = outcome(end, ended.progress);
         if !never_ran(kind) {
             let ran = PossibleExecution {
                 on: out.to,
@@ -423,7 +423,7 @@
             engine: out.to.id,
             kind,
             latency: nanos(now.saturating_sub(out.sent_at)),
-            closed,
+            request_finished: closed,
             work: cost.work.map(nanos),
             memory_mb: cost.memory_mb,
             load: ended.load,
@@ -468,7 +468,7 @@
     ) {
         self.tell(
             now,
-            Event::Probed {
+            Event::ProbeCompleted {
                 engine,
                 kind,
                 latency: nanos(latency),
@@ -525,7 +525,7 @@
                 engine,
                 timeout,
             } => self.send(now, id, engine, timeout, orders),
-            Action::Terms {
+            Action::SetAttemptOptions {
                 id,
                 priority,
                 memory_mb,
@@ -540,7 +540,7 @@
                     self.stop(id, attempt, Termination::Cancelled, orders);
                 }
             }
-            Action::Refuse { id, retry_after } => self.refuse(id, micros(retry_after), orders),
+            Action::Reject { id, retry_after } => self.refuse(id, micros(retry_after), orders),
             Action::Fail { id } => {
                 let why = self.open.get(&id).and_then(|open| open.last_end);
                 let why = match why {
@@ -562,7 +562,7 @@
             Action::Log(line) => orders.push(Command::Log(line)),
             // Changes come by themselves, and gateways share nothing: there is nobody to ask or
             // tell.
-            Action::Tell { .. } | Action::FetchList | Action::Watch(_) => {}
+            Action::SendToPeer { .. } | Action::FetchEndpointList | Action::Watch(_) => {}
         }
     }
 }
@@ -588,16 +588,16 @@
 impl EngineCapabilities {
     fn of(settings: &Settings) -> EngineCapabilities {
         EngineCapabilities {
-            priorities: settings.priorities_heeded,
-            grants: settings.grants_heeded,
-            costs: settings.tells_cost,
-            copies: settings.limits.second_copies,
+            priorities: settings.priorities_supported,
+            grants: settings.memory_grants_supported,
+            costs: settings.reports_cost,
+            copies: settings.limits.hedging,
         }
     }
 }
 
 fn send_cap(settings: &Settings) -> u16 {
-    settings.limits.send_cap.clamp(1, u32::from(u16::MAX)) as u16
+    settings.limits.max_attempts.clamp(1, u32::from(u16::MAX)) as u16
 }
 
 #[cfg(test)]
--- a/src/dispatcher/responses.rs
+++ b/src/dispatcher/responses.rs
@@ -30,12 +30,12 @@
         };
         open.closed = true;
         let (origin, class, at) = (open.ask.origin, open.ask.class, open.ask.give_up_at + GUARD);
-        let key = open.ask.key.clone();
+        let key = open.ask.client_request_id.clone();
         self.count(class, &answer);
         self.note_answer(class, &key, &answer);
         self.origins.remove(&origin);
         self.deadlines.remove(&(at, id));
-        orders.push(Command::Answer(origin, answer));
+        orders.push(Command::Respond(origin, answer));
         self.stop_all(id, Termination::Cancelled, orders);
         self.forget(id);
     }
@@ -54,7 +54,7 @@
         };
         self.generations.closed(open.ask.class);
         self.statements -= open.ask.statement.len();
-        self.past_keys.push_back(open.ask.key);
+        self.past_keys.push_back(open.ask.client_request_id);
         if self.past_keys.len() > MOST_PAST_KEYS {
             self.past_keys.pop_front().map(|key| self.keys.remove(&key));
         }
--- a/src/dispatcher/termination.rs
+++ b/src/dispatcher/termination.rs
@@ -110,20 +110,20 @@
 pub fn outcome(end: Termination, reach: TransmitProgress) -> OutcomeKind {
     match (end, reach) {
         (Termination::Done, _) => OutcomeKind::Ok,
-        (Termination::Rejected, _) => OutcomeKind::Full,
+        (Termination::Rejected, _) => OutcomeKind::Rejected,
         // Also a repeat that the engine knew by its key: what ran under it is on the book of the
         // attempt that ran.
-        (Termination::AlreadyFinished, _) => OutcomeKind::Moot,
+        (Termination::AlreadyFinished, _) => OutcomeKind::NeverSent,
         (Termination::EngineError, _) => OutcomeKind::Error,
         // Reported by the kernel before anything could be written.
         (Termination::Refused | Termination::ConnectTimeout | Termination::Unreachable, _) => {
             OutcomeKind::ConnectFailed
         }
-        (Termination::Drained, TransmitProgress::Unsent) => OutcomeKind::Full,
+        (Termination::Drained, TransmitProgress::Unsent) => OutcomeKind::Rejected,
         (
             Termination::LocalLimit | Termination::Cancelled | Termination::Deadline,
             TransmitProgress::Unsent,
-        ) => OutcomeKind::Moot,
+        ) => OutcomeKind::NeverSent,
         (
             Termination::Closed
             | Termination::Reset
@@ -166,7 +166,7 @@
 pub fn never_ran(kind: OutcomeKind) -> bool {
     matches!(
         kind,
-        OutcomeKind::Full | OutcomeKind::ConnectFailed | OutcomeKind::Moot
+        OutcomeKind::Rejected | OutcomeKind::ConnectFailed | OutcomeKind::NeverSent
     )
 }
 
--- a/src/frontend/clickhouse.rs
+++ b/src/frontend/clickhouse.rs
@@ -506,16 +506,16 @@
                 conn: self.conn,
                 tag: self.tags,
             },
-            key: key.into(),
+            client_request_id: key.into(),
             class: ClassId(class.0),
             tenant,
             give_up_at: now + limit.unwrap_or(deadline).min(deadline).max(MS),
-            cost: None,
+            work_estimate: None,
             memory_mb,
             repeated: false,
             statement: statement.into(),
             session: Some(Rc::new(session)),
-            once: None,
+            idempotency_key: None,
         };
         let chunks = head.first[2] != "HTTP/1.0";
         Ok((
--- a/src/frontend/jsonrpc.rs
+++ b/src/frontend/jsonrpc.rs
@@ -282,11 +282,11 @@
                 conn: self.conn,
                 tag,
             },
-            key: params.id.into(),
+            client_request_id: params.id.into(),
             class,
             tenant: TenantId(tenant as u16),
             give_up_at: now + (params.wait * MS as f64) as Micros,
-            cost: params
+            work_estimate: params
                 .cost
                 .filter(|c| *c > 0.0)
                 .map(|c| (c * MS as f64) as Micros),
@@ -295,7 +295,7 @@
                 || params.retry.as_u64().is_some_and(|n| n > 0),
             statement: statement.into(),
             session: None,
-            once,
+            idempotency_key: once,
         })
     }
 }
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -229,7 +229,7 @@
             cell,
             readiness,
             weight,
-            ready_at,
+            started_at: ready_at,
         },
         addr,
     }
--- a/src/net/dispatcher.rs
+++ b/src/net/dispatcher.rs
@@ -298,7 +298,7 @@
                     let sounding = ProbeResult::new(kind, latency, &load);
                     let _ = duties.try_send(ProbeRequest::Answered(
                         engine.0,
-                        (kind != OutcomeKind::Moot).then_some(sounding),
+                        (kind != OutcomeKind::NeverSent).then_some(sounding),
                     ));
                 }
                 // What was asked for others tells the module something too.
@@ -346,14 +346,14 @@
 
     fn carry_out(&mut self, now: Micros, order: Command) {
         match order {
-            Command::Start(engine, job) => {
+            Command::StartAttempt(engine, job) => {
                 let (id, attempt) = (job.id, job.attempt);
                 if let Err(end) = self.to_engine(engine, EngineCommand::Start(job)) {
                     let ended = AttemptResult::bare(id, attempt, end, TransmitProgress::Unsent);
                     self.manager.ended(now, ended, &mut self.orders);
                 }
             }
-            Command::Stop(engine, id, attempt) => {
+            Command::CancelAttempt(engine, id, attempt) => {
                 if self
                     .to_engine(engine, EngineCommand::Stop(id, attempt))
                     .is_err()
@@ -364,10 +364,10 @@
                     log!("the mailbox of engine {} overflowed", engine.0);
                 }
             }
-            Command::Doubt(engine, id, attempt) => {
+            Command::MarkSlow(engine, id, attempt) => {
                 let _ = self.to_engine(engine, EngineCommand::Doubt(id, attempt));
             }
-            Command::Bump(engine, id, attempt, urgency) => {
+            Command::Reprioritize(engine, id, attempt, urgency) => {
                 let _ = self.to_engine(engine, EngineCommand::Bump(id, attempt, urgency));
             }
             Command::Probe(engine) => {
@@ -382,7 +382,7 @@
                 }
             }
             Command::CloseIdle(engine) => drop(self.to_engine(engine, EngineCommand::CloseIdle)),
-            Command::Answer(origin, answer) => {
+            Command::Respond(origin, answer) => {
                 let lost = self
                     .clients
                     .get(&origin.conn)
@@ -414,7 +414,7 @@
                     .iter()
                     .for_each(|duties| _ = duties.try_send(failed.clone()));
             } else {
-                let (kind, load) = (OutcomeKind::Moot, LoadReport::default());
+                let (kind, load) = (OutcomeKind::NeverSent, LoadReport::default());
                 self.manager
                     .probed(now, engine, kind, 0, load, &mut self.orders);
             }
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -187,7 +187,7 @@
             // Looked up again here: it may have waited for the connection, or the process been
             // stopped meanwhile.
             EngineCommand::Probe(until) if now >= until => {
-                let (kind, load) = (OutcomeKind::Moot, LoadReport::default());
+                let (kind, load) = (OutcomeKind::NeverSent, LoadReport::default());
                 self.events.push(Event::Probed {
                     kind,
                     latency: 0,
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -199,7 +199,7 @@
                     }
                 };
                 if c.orders.try_send(order).is_err() {
-                    let (engine, kind) = (peer.id, OutcomeKind::Moot);
+                    let (engine, kind) = (peer.id, OutcomeKind::NeverSent);
                     let input = DispatcherEvent::Probed {
                         engine,
                         kind,
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -135,13 +135,13 @@
         let old = self.settings.borrow().clone();
         let new = config.settings.clone();
         let settings = Settings {
-            me: old.me,
+            gateway_index: old.gateway_index,
             gateways: old.gateways,
             zone: old.zone,
             tick: old.tick,
             kinds: old.kinds,
             tenants: old.tenants,
-            ask_for_list: old.ask_for_list,
+            poll_endpoint_list: old.poll_endpoint_list,
             load_fields: old.load_fields,
             ..new
         };
--- a/src/policy/admission_queue.rs
+++ b/src/policy/admission_queue.rs
@@ -17,16 +17,16 @@
     fn rank(&self, now: Nanos, r: &PendingRequest) -> f64 {
         let c = self.class(r);
         let share = if r.over_share {
-            self.s.over_share_worth
+            self.settings.over_quota_weight
         } else {
             1.0
         };
-        let late = if self.in_aim(now, r) && !r.ask.repeated {
+        let late = if self.in_aim(now, r) && !r.ask.is_retry {
             1.0
         } else {
-            c.late_worth.max(0.01)
+            c.late_priority_weight.max(0.01)
         };
-        c.worth.max(1e-6) * share * late / self.work(r).max(1e-3)
+        c.priority_weight.max(1e-6) * share * late / self.work(r).max(1e-3)
     }
 
     pub(super) fn hold(&mut self, now: Nanos, id: RequestId) {
@@ -39,7 +39,7 @@
     /// Sends held queries that have room, best rank first. Where a fresh query of a class found no
     /// room, so will the next one; those in order or tried before say nothing of others.
     pub(super) fn pump(&mut self, now: Nanos, acts: &mut Vec<Action>) {
-        let mut no_room = vec![false; self.s.classes.len()];
+        let mut no_room = vec![false; self.settings.classes.len()];
         let (mut at, mut tries) = (0, 0);
         while at < self.held.len() && tries < PUMP_MOST && no_room.contains(&false) {
             let (_, id, class) = self.held[at];
@@ -52,7 +52,7 @@
                 self.held.remove(at);
                 continue;
             };
-            let plain = r.sends == 0 && !self.class(r).in_order;
+            let plain = r.attempts_started == 0 && !self.class(r).in_order;
             tries += usize::from(!(plain && *full));
             match if plain && *full {
                 None
@@ -79,7 +79,7 @@
         self.held
             .sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         let rate = self.fleet.cores * USUAL_BUSY / self.sharers;
-        let margin = 2 * SWEEP_EVERY.max(self.s.tick);
+        let margin = 2 * SWEEP_EVERY.max(self.settings.tick);
         let mut ahead = 0.0;
         for entry in std::mem::take(&mut self.held) {
             let id = entry.1;
@@ -92,7 +92,8 @@
             };
             let wait = if rate > 0.0 { ahead / rate } else { 0.0 };
             let late = rate > 0.0 && now + nanos(wait + self.alone(r)) > self.useful_end(r);
-            if late || now + margin >= r.ask.give_up_at || r.sends >= r.most_sends.max(1) {
+            if late || now + margin >= r.ask.deadline || r.attempts_started >= r.max_attempts.max(1)
+            {
                 self.give_up(id, nanos(wait.max(0.1)), acts);
             } else {
                 ahead += self.work(r);
--- a/src/policy/api/mod.rs
+++ b/src/policy/api/mod.rs
@@ -66,17 +66,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSpec {
     /// Worth of one request answered within its aim.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_priority_weight: f64,
     /// Fixed part of the aim.
-    pub promise: Nanos,
+    pub base_latency_objective: Nanos,
     /// The aim grows by this many times work over threads.
-    pub aim_stretch: f64,
+    pub objective_slowdown: f64,
     /// How long a client waits over all its tries.
     pub deadline: Nanos,
     /// Whether it may be repeated.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// Requests with the same key run one at a time, in the order taken.
     pub in_order: bool,
     /// Threads that a query runs on.
@@ -130,49 +130,49 @@
     /// How long sends may go on after news of a drain.
     pub drain_grace: Nanos,
     /// A cold engine starts at this share of its capacity or more.
-    pub cold_from: f64,
+    pub slow_start_from: f64,
     /// It is warm after this long at the latest.
-    pub warm_within: Nanos,
+    pub slow_start_duration: Nanos,
     /// More than this multiple of present capacity...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ...over this long pushes it over.
-    pub fall_window: Nanos,
+    pub overload_window: Nanos,
     /// A key rests this long after an attempt that may still run.
-    pub key_rest: Nanos,
+    pub key_cooldown: Nanos,
     /// Budget of further attempts, if one is stated.
-    pub extra: Option<RetryBudget>,
+    pub retry_budget: Option<RetryBudget>,
     /// Where the list is asked for: ask at least this often.
-    pub ask_within: Nanos,
+    pub poll_within: Nanos,
 }
 
 /// Budget of attempts beyond the first.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     /// Allowed in any case.
-    pub spare: f64,
+    pub allowance: f64,
     /// Allowed for each request taken.
     pub ratio: f64,
     /// The window over which both are counted.
-    pub span: Nanos,
+    pub window: Nanos,
 }
 
 /// What the deployment permits.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Attempts per request at most.
-    pub send_cap: u32,
+    pub max_attempts: u32,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
     /// Engines may be probed.
     pub may_probe: bool,
     /// Gateways may send each other messages.
-    pub may_tell: bool,
+    pub may_message_peers: bool,
     /// Refusals may name a time to come back.
     pub retry_after: bool,
     /// The longest such time that clients heed.
     pub max_retry_after: Nanos,
     /// Requests may have two attempts out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
 }
 
 /// A figure of a load report.
@@ -202,7 +202,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This gateway's number among its peers.
-    pub me: u32,
+    pub gateway_index: u32,
     /// Number of gateways.
     pub gateways: u32,
     /// The zone of this gateway.
@@ -216,29 +216,29 @@
     /// Tenants; may be empty.
     pub tenants: Vec<TenantSpec>,
     /// Worth of a request beyond its tenant's share, as a share of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// The list of engines must be asked for.
-    pub ask_for_list: bool,
+    pub poll_endpoint_list: bool,
     /// Figures of load reports, in order.
     pub load_fields: Vec<LoadField>,
     /// Attempts that cross zones cost something.
-    pub crossing_costs: bool,
+    pub cross_zone_costs: bool,
     /// What one probe a query costs, in parts of the whole worth.
     pub probe_price: f64,
     /// The memory asked for is heeded.
-    pub grants_heeded: bool,
+    pub memory_grants_supported: bool,
     /// Priorities are heeded.
-    pub priorities_heeded: bool,
+    pub priorities_supported: bool,
     /// Share of an engine's memory that one query gets at most.
-    pub most_grant: f64,
+    pub max_memory_share: f64,
     /// What happens when memory is short.
-    pub when_short: MemoryExhaustionPolicy,
+    pub memory_exhaustion: MemoryExhaustionPolicy,
     /// Time between notes of progress; 0 if there are none.
-    pub note_period: Nanos,
+    pub progress_period: Nanos,
     /// Answers tell work and memory.
-    pub tells_cost: bool,
+    pub reports_cost: bool,
     /// Figures of the rules.
-    pub rules: Invariants,
+    pub invariants: Invariants,
     /// What is permitted.
     pub limits: Limits,
 }
@@ -271,7 +271,7 @@
     /// Size or load, as the deployment defines it.
     pub weight: f64,
     /// When it last started; 0 for long ago.
-    pub ready_at: Nanos,
+    pub started_at: Nanos,
 }
 
 /// How complete a list is.
@@ -299,18 +299,18 @@
     /// Its key, for classes in order.
     pub key: Option<OrderKey>,
     /// When the client gives up this try.
-    pub give_up_at: Nanos,
+    pub deadline: Nanos,
     /// Estimated work of all its threads.
     pub work_hint: Option<Nanos>,
     /// Estimated memory in MB.
     pub memory_hint: Option<f64>,
     /// The data set that it reads; 0 if that is not known.
-    pub group: u64,
+    pub data_set: u64,
     /// The client said that it tried before.
-    pub repeated: bool,
+    pub is_retry: bool,
     /// It must not run twice, whatever its class allows: it has no key by which engines would know
     /// a repeat.
-    pub single: bool,
+    pub must_not_repeat: bool,
 }
 
 /// How an attempt ended.
@@ -321,7 +321,7 @@
     /// The engine answered with an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may run still.
     Timeout,
     /// No connection; never ran.
@@ -331,7 +331,7 @@
     /// Withdrawn; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NeverSent,
 }
 
 /// Figures of a load report, in the order of [`Settings::load_fields`]; only the first `len` count.
@@ -370,7 +370,7 @@
     /// Time since it was sent.
     pub latency: Nanos,
     /// The request is over, by this or before.
-    pub closed: bool,
+    pub request_finished: bool,
     /// Work it took, where told.
     pub work: Option<Nanos>,
     /// Memory it needed in MB, where told.
@@ -383,7 +383,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the list of engines.
-    List {
+    EndpointList {
         /// How complete it is.
         kind: EndpointListKind,
         /// Its entries.
@@ -401,20 +401,20 @@
         attempt: AttemptNo,
     },
     /// News of a running attempt.
-    Note {
+    Progress {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
         /// The news.
-        note: ProgressUpdate,
+        update: ProgressUpdate,
     },
     /// The client left.
     ClientGone(RequestId),
     /// A timer went off.
     Timer(u64),
     /// A probe came back.
-    Probed {
+    ProbeCompleted {
         /// The engine.
         engine: EngineId,
         /// How it went.
@@ -425,7 +425,7 @@
         load: LoadReport,
     },
     /// A message of another gateway.
-    Peer {
+    PeerMessage {
         /// Its number.
         from: u32,
         /// What it says.
@@ -446,7 +446,7 @@
         timeout: Nanos,
     },
     /// Memory and priority of the request's next attempts; the priority also of those out.
-    Terms {
+    SetAttemptOptions {
         /// The request.
         id: RequestId,
         /// 0 to 3; 1 is usual.
@@ -462,7 +462,7 @@
         attempt: AttemptNo,
     },
     /// Final answer: refused, trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// When to come back; 0 for no advice.
@@ -491,14 +491,14 @@
         engine: EngineId,
     },
     /// Send a message to one gateway, or to all.
-    Tell {
+    SendToPeer {
         /// Its number; none for all.
         peer: Option<u32>,
         /// At most 256 bytes.
         data: Vec<u8>,
     },
     /// Ask for the complete list once.
-    FetchList,
+    FetchEndpointList,
     /// Subscribe to changes of the list, or end it.
     Watch(bool),
     /// A line for the log.
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -7,7 +7,9 @@
 
 impl Gateway {
     pub(super) fn on_request(&mut self, now: Nanos, ask: Request, acts: &mut Vec<Action>) {
-        if usize::from(ask.class.0) >= self.s.classes.len() || self.requests.contains_key(&ask.id) {
+        if usize::from(ask.class.0) >= self.settings.classes.len()
+            || self.requests.contains_key(&ask.id)
+        {
             return;
         }
         self.taken.push_back(now);
@@ -21,15 +23,15 @@
             let filled = t.tokens + rate * secs(now.saturating_sub(t.filled_at));
             (t.tokens, t.filled_at) = (filled.min((rate * QUOTA_BURST).max(QUOTA_LEAST)), now);
             // A query that comes again was counted at its first try.
-            over_share = t.tokens < 1.0 && !ask.repeated;
-            t.tokens -= if over_share || ask.repeated { 0.0 } else { 1.0 };
+            over_share = t.tokens < 1.0 && !ask.is_retry;
+            t.tokens -= if over_share || ask.is_retry { 0.0 } else { 1.0 };
         }
-        let most_sends = self.s.limits.send_cap;
+        let most_sends = self.settings.limits.max_attempts;
         let r = PendingRequest {
             ask,
             arrived: now,
             over_share,
-            most_sends,
+            max_attempts: most_sends,
             ..PendingRequest::default()
         };
         if let (true, Some(key)) = (self.class(&r).in_order, ask.key) {
@@ -68,10 +70,10 @@
             return;
         };
         let (alone, threads, long) = (self.alone(r), self.threads(r), self.is_long(r));
-        let (weight, is_load, group) = (self.cold_weight(r), self.class(r).is_load, r.ask.group);
+        let (weight, is_load, group) = (self.cold_weight(r), self.class(r).is_load, r.ask.data_set);
         let small = self.work(r) < self.learned(r).work;
         let hopeless = r.over_share || now + nanos(alone) > self.aim_end(r);
-        self.extras.extend((r.sends > 0).then_some(now));
+        self.extras.extend((r.attempts_started > 0).then_some(now));
         let thin = self
             .engines
             .get(&engine)
@@ -98,8 +100,8 @@
         self.fleet.mix.add(running, alone);
         e.since += threads;
         e.sent_at = now;
-        if e.warmth(now, &self.s.rules) < 1.0 {
-            e.count_cold(now, &self.s.rules, weight);
+        if e.warmth(now, &self.settings.invariants) < 1.0 {
+            e.count_cold(now, &self.settings.invariants, weight);
         }
         self.fleet.note_send(engine);
         if is_load {
@@ -115,7 +117,7 @@
         let Some(r) = self.requests.get_mut(&id) else {
             return;
         };
-        let attempt = AttemptNo(r.sends as u16);
+        let attempt = AttemptNo(r.attempts_started as u16);
         let times = Attempt {
             sent: now,
             life_at: now,
@@ -130,9 +132,9 @@
             crowd,
             ..times
         });
-        r.sends += 1;
+        r.attempts_started += 1;
         r.tried.insert(engine);
-        if self.s.priorities_heeded {
+        if self.settings.priorities_supported {
             // Of long ones those under the usual size first: their aims are the nearest.
             let priority = if hopeless {
                 0
@@ -141,7 +143,7 @@
             } else {
                 3
             };
-            acts.push(Action::Terms {
+            acts.push(Action::SetAttemptOptions {
                 id,
                 priority,
                 memory_mb: 0.0,
@@ -174,11 +176,11 @@
             {
                 t.tokens += 1.0;
             }
-            let limit = self.s.limits.max_retry_after;
+            let limit = self.settings.limits.max_retry_after;
             // After what waits now, and spread, lest all come back at once.
             let spread = 0.5 + f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
             let wait = secs(come_back).max(self.fleet.backlog) * spread;
-            acts.push(Action::Refuse {
+            acts.push(Action::Reject {
                 id,
                 retry_after: nanos(wait).min(limit),
             });
@@ -205,10 +207,10 @@
         let Some(out) = r.take_out(o.attempt) else {
             return;
         };
-        r.done |= o.closed;
+        r.done |= o.request_finished;
         let never_ran = matches!(
             o.kind,
-            OutcomeKind::Full | OutcomeKind::ConnectFailed | OutcomeKind::Moot
+            OutcomeKind::Rejected | OutcomeKind::ConnectFailed | OutcomeKind::NeverSent
         );
         // The first that was sent, whichever ended first: its key is known from then on.
         let ran = (!never_ran).then_some((o.engine, out.sent));
@@ -217,7 +219,10 @@
             .into_iter()
             .chain(ran)
             .min_by_key(|(_, sent)| *sent);
-        let (ask, is_load) = (r.ask, self.s.classes[usize::from(r.ask.class.0)].is_load);
+        let (ask, is_load) = (
+            r.ask,
+            self.settings.classes[usize::from(r.ask.class.0)].is_load,
+        );
         self.carry(now, out.engine, out.running, -1.0);
         let Some(e) = self.engines.get_mut(&out.engine) else {
             return;
@@ -226,7 +231,7 @@
             e.since = (e.since - out.running.threads).max(0.0);
         }
         if is_load {
-            *e.held_groups.entry(ask.group).or_insert(1) -= 1;
+            *e.held_groups.entry(ask.data_set).or_insert(1) -= 1;
             e.held_groups.retain(|_, n| *n > 0);
         }
         // What paid off gives its cancel back: losses do not use up the stock, slow engines do.
@@ -245,7 +250,7 @@
                 OutcomeKind::Timeout | OutcomeKind::Reset | OutcomeKind::Cancelled
             )
         {
-            k.rest_until = now + self.s.rules.key_rest + self.s.tick;
+            k.rest_until = now + self.settings.invariants.key_cooldown + self.settings.tick;
         }
         self.again_or_end(now, id, acts);
         self.pump(now, acts);
@@ -264,8 +269,11 @@
         if !r.outs.is_empty() {
             return;
         }
-        let time_left = now + nanos(self.alone(r)) < r.ask.give_up_at;
-        if time_left && self.effect_allows(now, r, None) && r.sends < r.most_sends.max(1) {
+        let time_left = now + nanos(self.alone(r)) < r.ask.deadline;
+        if time_left
+            && self.effect_allows(now, r, None)
+            && r.attempts_started < r.max_attempts.max(1)
+        {
             self.hold(now, id);
         } else {
             self.give_up(id, SWEEP_EVERY, acts);
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -131,7 +131,7 @@
         let (k, long) = (self.threads(r), self.is_long(r));
         // Far slower than its peers: less, to clear it. Harms after underestimates.
         let jam = (JAM * self.fleet.median_stretch / e.stretch).min(1.0);
-        let able = jam * e.warmth(now, &self.s.rules);
+        let able = jam * e.warmth(now, &self.settings.invariants);
         if !self.thin(e, k) {
             let pressed = now < e.full_until || self.pressed(now, e.stretch);
             let limit = able * if pressed { e.bound } else { e.start * SURGE } / self.sharers;
@@ -152,7 +152,7 @@
         // good part of it be unused. At a moment it may be twice as much, and one with nothing out
         // may send one. A turn on a cold engine does not wait for own queries that are stuck on the
         // warm ones beside it.
-        let own = (!self.asks() && e.warmth(now, &self.s.rules) < 1.0)
+        let own = (!self.asks() && e.warmth(now, &self.settings.invariants) < 1.0)
             || ((self.fleet.running.queries < 1.0 || self.fleet.mean.fits(0.0, long, share))
                 && self
                     .fleet
@@ -161,7 +161,7 @@
         let whole = able * e.bound * if long { LONG_BORROW } else { SURGE };
         let load = self.load(now, e);
         let crowded = now < e.full_until || load >= e.start || (pressed && load > FLOOR * e.start);
-        let holders = whole / k * f64::from(self.s.gateways.max(1)) / self.sharers;
+        let holders = whole / k * f64::from(self.settings.gateways.max(1)) / self.sharers;
         own && load + k <= whole && (!crowded || self.has_slot(now, e, TURN, holders, 0.0))
     }
 
@@ -170,7 +170,7 @@
     /// wait for are believed: counts of queries, or disks beside cores. Harms where reports lag
     /// behind a surge.
     pub(super) fn spare(&self, pressed: bool) -> f64 {
-        let tells = |field| self.s.load_fields.contains(&field);
+        let tells = |field| self.settings.load_fields.contains(&field);
         let share = if pressed { 1.0 } else { SURGE };
         let full = match (tells(LoadField::Inflight), tells(LoadField::DisksBusy)) {
             (true, _) => START_THREADS_PER_CORE,
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -32,7 +32,11 @@
         if now.saturating_sub(self.updated_at) >= PERIOD {
             self.update_bounds(now);
         }
-        let span = self.s.rules.extra.map_or(0, |b| b.span);
+        let span = self
+            .settings
+            .invariants
+            .retry_budget
+            .map_or(0, |b| b.window);
         let from = now.saturating_sub(span + SWEEP_EVERY);
         self.taken
             .drain(..self.taken.partition_point(|t| *t < from));
@@ -69,7 +73,7 @@
         if now >= self.fleet.walk_due {
             self.engines
                 .values_mut()
-                .for_each(|e| e.settle(now, &self.s.rules));
+                .for_each(|e| e.settle(now, &self.settings.invariants));
             let tally = self.tally(now);
             self.fleet.take_tally(tally, self.engines.len());
         }
@@ -81,7 +85,10 @@
     /// The walk over the whole fleet. What it reads beside the time calls `Fleet::changed` when it
     /// changes.
     pub(crate) fn tally(&self, now: Nanos) -> FleetScan {
-        let (rules, cold_slot) = (&self.s.rules, self.s.rules.fall_window / COLD_SLOTS);
+        let (rules, cold_slot) = (
+            &self.settings.invariants,
+            self.settings.invariants.overload_window / COLD_SLOTS,
+        );
         let next = |slot: Nanos| (now / slot.max(1) + 1) * slot.max(1);
         let mut t = FleetScan {
             due: next(TURN),
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -49,8 +49,8 @@
     /// The engines that a gateway prefers, from some place among them.
     fn near(&self, place: usize) -> impl Iterator<Item = EngineId> {
         self.fleet.arc(
-            self.s.me as usize,
-            self.s.gateways.max(1) as usize,
+            self.settings.gateway_index as usize,
+            self.settings.gateways.max(1) as usize,
             NEAR,
             place,
         )
@@ -59,12 +59,13 @@
     /// The gate of every send: one out, time left, drain, placement, cold, attempts, effects, key
     /// turn.
     pub(super) fn gate(&self, now: Nanos, id: RequestId, r: &PendingRequest, e: &Engine) -> bool {
-        let open = !r.done && now + nanos(DOUBT * self.alone(r)) < r.ask.give_up_at;
-        let beside = self.s.limits.second_copies && r.outs.len() < 2;
+        let open = !r.done && now + nanos(DOUBT * self.alone(r)) < r.ask.deadline;
+        let beside = self.settings.limits.hedging && r.outs.len() < 2;
         let open = open
             && (r.outs.is_empty() || (beside && r.outs.iter().all(|o| o.engine != e.entry.id)));
         let engine = e.ready() && placed(self.class(r), &e.entry) && self.cold_allows(now, r, e);
-        let further = r.sends == 0 || (r.sends < r.most_sends && self.budget_allows(now));
+        let further = r.attempts_started == 0
+            || (r.attempts_started < r.max_attempts && self.budget_allows(now));
         open && engine
             && further
             && self.effect_allows(now, r, Some(e))
@@ -88,7 +89,7 @@
     /// Whether it would stand still there for a load: an own one, or one that others were seen to
     /// wait for.
     pub(super) fn stands(&self, now: Nanos, r: &PendingRequest, e: &Engine) -> bool {
-        let (c, group) = (self.class(r), &r.ask.group);
+        let (c, group) = (self.class(r), &r.ask.data_set);
         let seen = || e.stood_still.get(group).is_some_and(|until| *until > now);
         (c.is_load || c.waits_for_loads) && (e.held_groups.contains_key(group) || seen())
     }
@@ -97,7 +98,7 @@
     fn cost(&self, now: Nanos, r: &PendingRequest, e: &Engine) -> f64 {
         let k = self.threads(r);
         let slow = (e.stretch / self.fleet.median_stretch.max(0.1)).max(0.7);
-        let whole = e.bound * e.warmth(now, &self.s.rules);
+        let whole = e.bound * e.warmth(now, &self.settings.invariants);
         let thin = self.thin(e, k);
         let (load, limit) = if thin {
             (self.load(now, e), whole)
@@ -106,8 +107,14 @@
         };
         let on = |applies: bool, cost: f64| if applies { cost } else { 0.0 };
         let data = on(self.stands(now, r, e), GROUP_HELD);
-        let place = on(self.s.crossing_costs && e.entry.zone != self.s.zone, CROSS);
-        let (blind, cold) = (thin && !self.asks(), e.warmth(now, &self.s.rules) < 1.0);
+        let place = on(
+            self.settings.cross_zone_costs && e.entry.zone != self.settings.zone,
+            CROSS,
+        );
+        let (blind, cold) = (
+            thin && !self.asks(),
+            e.warmth(now, &self.settings.invariants) < 1.0,
+        );
         // A turn on a cold engine is rare, and lost if it is not used.
         let far =
             on(blind && !self.near(0).any(|id| id == e.entry.id), FAR) - on(blind && cold, TRIED);
@@ -119,8 +126,9 @@
         // little to tell.
         let silent = e.silent_at > e.life_at && now < e.silent_at + PERIOD;
         let quiet = silent && e.start >= self.sharers;
-        let known = few && r.ask.group > 0 && !quiet && self.s.tells_cost;
-        let home = on(known, HOME * strangeness(r.ask.group, e.entry.id)) + on(quiet, HOME + TRIED);
+        let known = few && r.ask.data_set > 0 && !quiet && self.settings.reports_cost;
+        let home =
+            on(known, HOME * strangeness(r.ask.data_set, e.entry.id)) + on(quiet, HOME + TRIED);
         (load + k) / limit.max(0.5) * slow + data + place + far + past + home
     }
 
@@ -139,7 +147,7 @@
             .values()
             .filter(mine)
             .any(|e| e.health == CircuitState::Closed);
-        let first_safe = class.effect == Idempotency::Idempotent && r.sends == 0;
+        let first_safe = class.idempotency == Idempotency::Idempotent && r.attempts_started == 0;
         let healthy = |e: &&Engine| match e.health {
             CircuitState::Closed => true,
             CircuitState::HalfOpen(None) => first_safe || !any_closed,
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -18,7 +18,8 @@
         match e.report {
             Some((at, threads)) if now.saturating_sub(at) < NEWS => threads + e.since,
             Some(_) | None
-                if self.fleet.recent.is_empty() || e.warmth(now, &self.s.rules) < 1.0 =>
+                if self.fleet.recent.is_empty()
+                    || e.warmth(now, &self.settings.invariants) < 1.0 =>
             {
                 e.since
             }
@@ -36,7 +37,13 @@
             return;
         };
         let mut threads: f64 = 0.0;
-        for (field, value) in self.s.load_fields.iter().zip(load.values).take(load.len) {
+        for (field, value) in self
+            .settings
+            .load_fields
+            .iter()
+            .zip(load.values)
+            .take(load.len)
+        {
             let value = f64::from(value);
             let says = match field {
                 LoadField::Inflight => value * (mix.threads / mix.queries.max(1e-9)).max(1.0),
@@ -66,7 +73,7 @@
         let Some(e) = self.engines.get_mut(&engine) else {
             return;
         };
-        let base = &mut f.probe_base[usize::from(e.entry.zone != self.s.zone)];
+        let base = &mut f.probe_base[usize::from(e.entry.zone != self.settings.zone)];
         *base = (*base * 1.001).min(took);
         let delay = took - *base;
         let slow = delay / f.probe_delay.max(0.25 * *base).max(1e-6);
@@ -76,8 +83,8 @@
         let full = match kind {
             OutcomeKind::Ok => (slow / JAM).powi(2),
             OutcomeKind::ConnectFailed => f64::INFINITY,
-            OutcomeKind::Error | OutcomeKind::Full | OutcomeKind::Timeout => SURGE,
-            OutcomeKind::Reset | OutcomeKind::Cancelled | OutcomeKind::Moot => SURGE,
+            OutcomeKind::Error | OutcomeKind::Rejected | OutcomeKind::Timeout => SURGE,
+            OutcomeKind::Reset | OutcomeKind::Cancelled | OutcomeKind::NeverSent => SURGE,
         };
         e.report = Some((now, told.max(e.start * full)));
     }
@@ -85,7 +92,7 @@
     /// Whether engines are asked for their load: not where all probes together cost more than they
     /// help.
     pub(super) fn asks(&self) -> bool {
-        self.s.limits.may_probe && self.s.probe_price <= PROBE_DEAR
+        self.settings.limits.may_probe && self.settings.probe_price <= PROBE_DEAR
     }
 
     /// Where own answers tell too little, a few engines at random are asked for their load.
@@ -107,7 +114,7 @@
             .iter()
             .filter_map(|id| self.engines.get(id))
             .filter(|e| e.report.is_some());
-        let counts = self.s.load_fields.contains(&LoadField::Inflight);
+        let counts = self.settings.load_fields.contains(&LoadField::Inflight);
         if counts && known.filter(open).any(|e| idle(&e)) {
             return;
         }
@@ -120,7 +127,7 @@
         let cold = |id: &&EngineId| {
             self.engines
                 .get(id)
-                .is_some_and(|e| e.warmth(now, &self.s.rules) < 1.0)
+                .is_some_and(|e| e.warmth(now, &self.settings.invariants) < 1.0)
         };
         let turns = some
             .iter()
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -58,11 +58,12 @@
     /// A gateway that knows nothing but its settings.
     pub fn new(now: Nanos, settings: Settings, seed: u64) -> Gateway {
         let mut g = Gateway::blank(now, settings, seed);
-        g.learned =
-            g.s.classes
-                .iter()
-                .map(|c| ClassEstimates::first(c, TAIL_FIRST))
-                .collect();
+        g.learned = g
+            .settings
+            .classes
+            .iter()
+            .map(|c| ClassEstimates::first(c, TAIL_FIRST))
+            .collect();
         g.tenants.iter_mut().for_each(|t| t.tokens = QUOTA_LEAST);
         g.cancels = CANCEL_SPARE;
         g
@@ -95,7 +96,7 @@
             let first = ClassEstimates::first(&s.classes[class], TAIL_FIRST);
             self.learned[class] = heir_of.map_or(first, |of| self.learned[usize::from(of.0)]);
         }
-        self.s = s;
+        self.settings = s;
         self.fleet.changed();
     }
 
@@ -107,7 +108,7 @@
                 after: SWEEP_EVERY,
                 token: SWEEP,
             });
-            if self.s.ask_for_list {
+            if self.settings.poll_endpoint_list {
                 acts.push(Action::Watch(true));
             }
         }
@@ -118,13 +119,17 @@
         }
         self.turn_at = now;
         match event {
-            Event::List { kind, entries } => self.on_list(now, kind, &entries, acts),
+            Event::EndpointList { kind, entries } => self.on_list(now, kind, &entries, acts),
             Event::Request(ask) => self.on_request(now, ask, acts),
             Event::Outcome(o) => self.on_outcome(now, &o, acts),
-            Event::Note { id, attempt, note } => self.on_note(now, id, attempt, note, acts),
+            Event::Progress {
+                id,
+                attempt,
+                update: note,
+            } => self.on_note(now, id, attempt, note, acts),
             Event::ClientGone(id) => self.on_gone(id, acts),
             Event::Timer(SWEEP) => self.on_sweep(now, acts),
-            Event::Probed {
+            Event::ProbeCompleted {
                 engine,
                 kind,
                 latency,
@@ -135,7 +140,7 @@
                 self.pump(now, acts);
             }
             // What gateways may tell one another is the fleet's membership's, not the module's.
-            Event::Timer(_) | Event::FirstByte { .. } | Event::Peer { .. } => {}
+            Event::Timer(_) | Event::FirstByte { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -32,14 +32,16 @@
         let silent = out.life_at.max(e.life_at) <= out.sent;
         let failed = match o.kind {
             OutcomeKind::Error | OutcomeKind::ConnectFailed | OutcomeKind::Reset => true,
-            OutcomeKind::Ok | OutcomeKind::Full => false,
+            OutcomeKind::Ok | OutcomeKind::Rejected => false,
             // Nothing since from its engine, on this attempt or another. Guards against ejecting
             // the busiest, where much of what waits in a full line runs out of time.
             OutcomeKind::Timeout if silent => true,
             // Its copy answered sooner. Where a gateway's share is small it hears too little to
             // tell.
-            OutcomeKind::Cancelled if silent && o.closed && e.start >= self.sharers => true,
-            OutcomeKind::Timeout | OutcomeKind::Cancelled | OutcomeKind::Moot => {
+            OutcomeKind::Cancelled if silent && o.request_finished && e.start >= self.sharers => {
+                true
+            }
+            OutcomeKind::Timeout | OutcomeKind::Cancelled | OutcomeKind::NeverSent => {
                 e.health = if trial {
                     CircuitState::HalfOpen(None)
                 } else {
@@ -73,7 +75,7 @@
         if ejects {
             e.eject(now, &mut self.fleet);
         } else if !failed {
-            e.full_until = if o.kind == OutcomeKind::Full {
+            e.full_until = if o.kind == OutcomeKind::Rejected {
                 now + PERIOD
             } else {
                 e.full_until
@@ -98,7 +100,7 @@
     /// What an answer teaches of its engine and its class.
     pub(super) fn learn(&mut self, ask: &Request, o: &Outcome, out: &Attempt) {
         let class = usize::from(ask.class.0);
-        let threads = self.s.classes[class].threads.max(1.0);
+        let threads = self.settings.classes[class].threads.max(1.0);
         // Where none is asked nothing tells a crowd from work: only answers as fast as the best
         // teach it.
         let calm = self.asks() || self.fleet.stretch <= CALM * self.fleet.best_stretch;
@@ -110,12 +112,12 @@
         let Some(e) = self.engines.get_mut(&o.engine) else {
             return;
         };
-        if self.s.classes[class].waits_for_loads {
-            e.stood_still.remove(&ask.group);
+        if self.settings.classes[class].waits_for_loads {
+            e.stood_still.remove(&ask.data_set);
         }
         e.window.finished += 1.0;
         e.window.samples += 1.0;
-        e.window.lateness += (took / aim(&self.s.classes[class], work)).min(CLIP);
+        e.window.lateness += (took / aim(&self.settings.classes[class], work)).min(CLIP);
         let stretch = took / (work / threads).max(1e-3);
         let old = e.stretch;
         for usual in [&mut self.fleet.stretch, &mut e.stretch] {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -10,11 +10,14 @@
     /// Bound of the sum: the margin, 1.5 times it with counts and turns beside each other, and the
     /// part that restarts forget.
     pub(super) fn cold_allows(&self, now: Nanos, r: &PendingRequest, e: &Engine) -> bool {
-        let (rules, warmth) = (&self.s.rules, e.warmth(now, &self.s.rules));
-        let rate = rules.fall_multiple * warmth * e.cores * USUAL_BUSY * COLD_MARGIN;
-        let budget = self.part * rate * secs(rules.fall_window);
-        let part = budget / f64::from(self.s.gateways.max(1));
-        let from = now.saturating_sub(rules.fall_window);
+        let (rules, warmth) = (
+            &self.settings.invariants,
+            e.warmth(now, &self.settings.invariants),
+        );
+        let rate = rules.overload_multiple * warmth * e.cores * USUAL_BUSY * COLD_MARGIN;
+        let budget = self.part * rate * secs(rules.overload_window);
+        let part = budget / f64::from(self.settings.gateways.max(1));
+        let from = now.saturating_sub(rules.overload_window);
         let weight = self.cold_weight(r);
         let sent: f64 = e
             .cold_sent
@@ -26,7 +29,7 @@
         // both.
         let holders = budget / (2.0 * (COLD_SLOTS + 1) as f64 * weight.max(1e-3));
         let (slot, across) = (
-            rules.fall_window / COLD_SLOTS,
+            rules.overload_window / COLD_SLOTS,
             if self.is_long(r) { 0.5 } else { 0.0 },
         );
         let in_turn =
@@ -38,7 +41,7 @@
     pub(super) fn cold_weight(&self, r: &PendingRequest) -> f64 {
         let l = self.learned(r);
         let guess = if l.samples < ENOUGH {
-            secs(self.class(r).promise) * self.threads(r)
+            secs(self.class(r).base_latency_objective) * self.threads(r)
         } else {
             0.0
         };
--- a/src/policy/stall_detection.rs
+++ b/src/policy/stall_detection.rs
@@ -18,8 +18,8 @@
 impl Gateway {
     /// Whether withdrawing its attempt could be followed by another.
     fn may_try_again(&self, now: Nanos, r: &PendingRequest) -> bool {
-        let again = self.s.limits.may_cancel && !r.done && self.effect_allows(now, r, None);
-        again && r.sends < r.most_sends && self.budget_allows(now)
+        let again = self.settings.limits.may_cancel && !r.done && self.effect_allows(now, r, None);
+        again && r.attempts_started < r.max_attempts && self.budget_allows(now)
     }
 
     /// Withdraws its attempt to try anew, if that can still be in time and the stock of cancels
@@ -32,7 +32,7 @@
         if self.cancels >= 1.0 && in_time && self.may_try_again(now, r) {
             // While much room is free the first runs on beside its copy. What is keyed is never
             // given up.
-            let beside = self.s.limits.second_copies && self.idle();
+            let beside = self.settings.limits.hedging && self.idle();
             if beside || self.effect(r) != Idempotency::Idempotent {
                 if let Some(engine) = self.choose(now, id).filter(|_| beside) {
                     self.cancels -= 1.0;
@@ -60,7 +60,7 @@
     }
 
     fn withdraw(&mut self, id: RequestId, attempt: AttemptNo, acts: &mut Vec<Action>) {
-        let may = self.s.limits.may_cancel;
+        let may = self.settings.limits.may_cancel;
         let Some(r) = self.requests.get_mut(&id).filter(|_| may) else {
             return;
         };
@@ -86,7 +86,10 @@
         };
         o.life_at = now;
         let (engine, sent, cancelling, alone) = (o.engine, o.sent, o.cancelling, o.alone);
-        let (group, due) = (self.requests[&id].ask.group, 2 * self.s.note_period);
+        let (group, due) = (
+            self.requests[&id].ask.data_set,
+            2 * self.settings.progress_period,
+        );
         // A query that stands still for a load on its data is not slow, nor is its engine: it goes
         // where the data is free, and others are kept off for a while. Harms where the load was
         // about to end.
@@ -113,11 +116,11 @@
         let expected = self.alone(r) * stretch;
         let may = !cancelling
             && self.cancels >= 1.0
-            && self.class(r).effect == Idempotency::Idempotent
+            && self.class(r).idempotency == Idempotency::Idempotent
             && !r.done;
         let in_time = now + nanos(expected) <= self.useful_end(r) && self.may_try_again(now, r);
         let bad = whole > BAD_PLAN * self.learned(r).tail * alone && whole - age > 2.0 * expected;
-        let hopeless = now + nanos(DOUBT * (whole - age)) > r.ask.give_up_at;
+        let hopeless = now + nanos(DOUBT * (whole - age)) > r.ask.deadline;
         if may && ((in_time && bad && r.replans < 2) || hopeless) {
             self.cancels -= 1.0;
             let again = in_time && bad && r.replans < 2;
@@ -148,7 +151,7 @@
                         .get(&o.engine)
                         .is_some_and(|e| e.life_at > o.sent)
                 {
-                    found.push((r.ask.id, o.attempt, r.ask.group, o.engine));
+                    found.push((r.ask.id, o.attempt, r.ask.data_set, o.engine));
                 }
             }
         }
@@ -184,14 +187,14 @@
     /// underestimated queries run in vain.
     pub(super) fn find_silent(&mut self, now: Nanos, acts: &mut Vec<Action>) {
         self.find_standing(now, acts);
-        let due = nanos(SILENT_NOTES * secs(self.s.note_period));
+        let due = nanos(SILENT_NOTES * secs(self.settings.progress_period));
         let noted = if due > 0 { due } else { Nanos::MAX / 2 };
         // What is sent anew runs twice: soon where much room is free, later where it takes that of
         // others.
         let least = if self.idle() { TAIL_LEAST } else { TAIL_FIRST };
         let lost = |(r, o): (&PendingRequest, &Attempt)| {
             // Where nothing can be cancelled the engine may well work on it for longer still.
-            let times = if self.s.limits.may_cancel {
+            let times = if self.settings.limits.may_cancel {
                 1.0
             } else {
                 SILENT_TIMES
--- a/src/policy/state/engine.rs
+++ b/src/policy/state/engine.rs
@@ -111,17 +111,20 @@
 
     /// When a started engine is warm at the latest.
     pub fn warm_at(&self, rules: &Invariants) -> Nanos {
-        self.entry.ready_at.saturating_add(rules.warm_within)
+        self.entry
+            .started_at
+            .saturating_add(rules.slow_start_duration)
     }
 
     /// Share of usual capacity that a started engine surely has: the start share, then a
     /// late-rising curve.
     pub fn warmth(&self, now: Nanos, rules: &Invariants) -> f64 {
-        if self.entry.ready_at == 0 || self.warm_at(rules) <= now {
+        if self.entry.started_at == 0 || self.warm_at(rules) <= now {
             return 1.0;
         }
-        let age = secs(now.saturating_sub(self.entry.ready_at)) / secs(rules.warm_within.max(1));
-        rules.cold_from + (1.0 - rules.cold_from) * age * age
+        let age = secs(now.saturating_sub(self.entry.started_at))
+            / secs(rules.slow_start_duration.max(1));
+        rules.slow_start_from + (1.0 - rules.slow_start_from) * age * age
     }
 
     /// Enters work of that weight, sent to it while it is cold, and forgets what was sent before
@@ -140,7 +143,7 @@
     }
 
     fn forget_cold(&mut self, now: Nanos, rules: &Invariants) {
-        let from = now.saturating_sub(rules.fall_window);
+        let from = now.saturating_sub(rules.overload_window);
         self.cold_sent
             .drain(..self.cold_sent.partition_point(|(t, _)| *t < from));
     }
--- a/src/policy/state/mod.rs
+++ b/src/policy/state/mod.rs
@@ -26,7 +26,7 @@
 
 /// The decisions of one gateway.
 pub struct Gateway {
-    pub(crate) s: Settings,
+    pub(crate) settings: Settings,
     pub(crate) rng: Pcg32,
     pub(crate) born: Nanos,
     pub(crate) started: bool,
@@ -79,7 +79,7 @@
             turn_at: now,
             woke_at: 0,
             swept_at: now,
-            s,
+            settings: s,
         }
     }
 
@@ -105,7 +105,7 @@
     /// So many gateways share the warm engines now, those that do not serve left out. Budgets of
     /// cold engines stay parts of all gateways.
     pub fn share_among(&mut self, gateways: u32) {
-        self.sharers = f64::from(gateways.clamp(1, self.s.gateways.max(1))) / self.part;
+        self.sharers = f64::from(gateways.clamp(1, self.settings.gateways.max(1))) / self.part;
     }
 
     /// Own queries there, so many times more; brings the time integrals of its window up to now.
@@ -129,9 +129,10 @@
         holders: f64,
         across: f64,
     ) -> bool {
-        let gateways = self.s.gateways.max(1);
+        let gateways = self.settings.gateways.max(1);
         let circle = |x: u64| (x.wrapping_mul(MIX) >> 11) as f64 / (1u64 << 53) as f64;
-        let place = f64::from(self.s.me % gateways) / f64::from(gateways) + circle(e.entry.id.0);
+        let place = f64::from(self.settings.gateway_index % gateways) / f64::from(gateways)
+            + circle(e.entry.id.0);
         let turn = now / slot.max(1);
         let used = e.sent_at > 0 && e.sent_at / slot.max(1) == turn;
         !used && (place + 1.0 + across - circle(turn)).fract() < holders / f64::from(gateways)
@@ -153,7 +154,7 @@
             f.visits += f.cold.len() as u64;
             let cold = f.cold.iter().filter_map(|id| self.engines.get(id));
             f.bound += cold
-                .map(|e| e.bound * e.warmth(now, &self.s.rules))
+                .map(|e| e.bound * e.warmth(now, &self.settings.invariants))
                 .sum::<f64>();
         }
         f.median_stretch = f.stretches.median().unwrap_or(1.0);
@@ -181,14 +182,14 @@
         }
         for entry in entries {
             let cores = self
-                .s
+                .settings
                 .kinds
                 .get(usize::from(entry.kind.0))
                 .map_or(1.0, |k| k.cores)
                 .max(1.0);
             let fresh = || Engine::new(now, *entry, cores, per_core * cores, stretch);
             let e = self.engines.entry(entry.id).or_insert_with(fresh);
-            if e.entry.ready_at != entry.ready_at {
+            if e.entry.started_at != entry.started_at {
                 // A restart under the same id: a cold engine without history, but attempts out
                 // still count.
                 let old = std::mem::replace(e, fresh());
@@ -250,13 +251,13 @@
 
     /// Rule 7: attempts beyond the first, over any window of the stated length.
     pub(crate) fn budget_allows(&self, now: Nanos) -> bool {
-        let Some(b) = self.s.rules.extra else {
+        let Some(b) = self.settings.invariants.retry_budget else {
             return true;
         };
-        let from = now.saturating_sub(b.span);
+        let from = now.saturating_sub(b.window);
         let extras = self.extras.iter().filter(|t| **t >= from).count() as f64;
         let taken = self.taken.iter().rev().take_while(|t| **t > from).count() as f64;
-        extras + 1.0 <= b.spare + b.ratio * taken
+        extras + 1.0 <= b.allowance + b.ratio * taken
     }
 
     /// Long classes: more than one thread, or loads.
@@ -265,15 +266,15 @@
     }
 
     pub(crate) fn class(&self, r: &PendingRequest) -> &ClassSpec {
-        &self.s.classes[usize::from(r.ask.class.0)]
+        &self.settings.classes[usize::from(r.ask.class.0)]
     }
 
     /// What repeating it may do.
     pub(crate) fn effect(&self, r: &PendingRequest) -> Idempotency {
-        if r.ask.single {
+        if r.ask.must_not_repeat {
             Idempotency::NonIdempotent
         } else {
-            self.class(r).effect
+            self.class(r).idempotency
         }
     }
 
@@ -297,14 +298,14 @@
     }
 
     pub(crate) fn aim_end(&self, r: &PendingRequest) -> Nanos {
-        (r.arrived + nanos(aim(self.class(r), self.work(r)))).min(r.ask.give_up_at)
+        (r.arrived + nanos(aim(self.class(r), self.work(r)))).min(r.ask.deadline)
     }
 
     /// The time after which an answer earns nothing: the deadline, or the aim where late answers
     /// are void.
     pub(crate) fn useful_end(&self, r: &PendingRequest) -> Nanos {
-        if self.class(r).late_worth > 0.0 {
-            r.ask.give_up_at
+        if self.class(r).late_priority_weight > 0.0 {
+            r.ask.deadline
         } else {
             self.aim_end(r)
         }
--- a/src/policy/state/request.rs
+++ b/src/policy/state/request.rs
@@ -22,8 +22,8 @@
     pub arrived: Nanos,
     pub over_share: bool,
     pub done: bool, // Answered; kept only while an attempt is out.
-    pub sends: u32,
-    pub most_sends: u32,    // As the settings had it when it came.
+    pub attempts_started: u32,
+    pub max_attempts: u32,  // As the settings had it when it came.
     pub outs: Vec<Attempt>, // Two where a second copy runs beside the first.
     // First engine that may have run it, and when it was sent there.
     pub ran_on: Option<(EngineId, Nanos)>,
@@ -71,7 +71,7 @@
     /// pessimistic.
     pub fn first(c: &ClassSpec, tail: f64) -> ClassEstimates {
         ClassEstimates {
-            work: secs(c.promise) * c.threads.max(1.0),
+            work: secs(c.base_latency_objective) * c.threads.max(1.0),
             samples: 0,
             bias: 1.0,
             tail,
@@ -87,7 +87,7 @@
 
 /// The aim in seconds of a query with that much work.
 pub fn aim(c: &ClassSpec, work: f64) -> f64 {
-    (secs(c.promise) + c.aim_stretch * work / c.threads.max(1.0)).max(1e-3)
+    (secs(c.base_latency_objective) + c.objective_slowdown * work / c.threads.max(1.0)).max(1e-3)
 }
 
 /// Rule 2: what was sent then and may have run goes again only to engines that discard its
--- a/src/testkit/coordinator.rs
+++ b/src/testkit/coordinator.rs
@@ -43,7 +43,7 @@
     out.extend([entry.zone.0 as u8, entry.kind.0 as u8]);
     out.extend(entry.cell.0.to_be_bytes());
     out.extend(((entry.weight * 1000.0) as u32).to_be_bytes());
-    out.extend((entry.ready_at / 1_000_000).to_be_bytes());
+    out.extend((entry.started_at / 1_000_000).to_be_bytes());
     out
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,12 +10,12 @@
 
 pub fn class(effect: Idempotency, threads: f64, promise: Nanos, deadline: Nanos) -> ClassSpec {
     ClassSpec {
-        worth: 1.0,
-        late_worth: 0.5,
-        promise,
-        aim_stretch: 2.0,
+        priority_weight: 1.0,
+        late_priority_weight: 0.5,
+        base_latency_objective: promise,
+        objective_slowdown: 2.0,
         deadline,
-        effect,
+        idempotency: effect,
         in_order: false,
         threads,
         is_load: false,
@@ -49,7 +49,7 @@
         6 * S,
     );
     Settings {
-        me: 0,
+        gateway_index: 0,
         gateways: 1,
         zone: ZoneId(0),
         tick: 5 * MS,
@@ -68,40 +68,40 @@
             quota_per_s: 1000.0,
             share: 1.0,
         }],
-        over_share_worth: 0.05,
-        ask_for_list: false,
+        over_quota_weight: 0.05,
+        poll_endpoint_list: false,
         load_fields: vec![],
-        crossing_costs: false,
+        cross_zone_costs: false,
         probe_price: 0.01,
-        grants_heeded: false,
-        priorities_heeded: false,
-        most_grant: 0.4,
-        when_short: MemoryExhaustionPolicy::Wait,
-        note_period: 500 * MS,
-        tells_cost: true,
-        rules: Invariants {
+        memory_grants_supported: false,
+        priorities_supported: false,
+        max_memory_share: 0.4,
+        memory_exhaustion: MemoryExhaustionPolicy::Wait,
+        progress_period: 500 * MS,
+        reports_cost: true,
+        invariants: Invariants {
             answer_slack: 20 * MS,
             drain_grace: 250 * MS,
-            cold_from: 0.3,
-            warm_within: 15 * S,
-            fall_multiple: 2.0,
-            fall_window: 2 * S,
-            key_rest: 500 * MS,
-            extra: Some(RetryBudget {
-                spare: 2.0,
+            slow_start_from: 0.3,
+            slow_start_duration: 15 * S,
+            overload_multiple: 2.0,
+            overload_window: 2 * S,
+            key_cooldown: 500 * MS,
+            retry_budget: Some(RetryBudget {
+                allowance: 2.0,
                 ratio: 0.1,
-                span: 5 * S,
+                window: 5 * S,
             }),
-            ask_within: 10 * S,
+            poll_within: 10 * S,
         },
         limits: Limits {
-            send_cap: 3,
+            max_attempts: 3,
             may_cancel: true,
             may_probe: true,
-            may_tell: false,
+            may_message_peers: false,
             retry_after: true,
             max_retry_after: S,
-            second_copies: false,
+            hedging: false,
         },
     }
 }
@@ -114,7 +114,7 @@
         cell: CellId((id % 2) as u16),
         readiness: Readiness::Ready,
         weight: 1.0,
-        ready_at,
+        started_at: ready_at,
     }
 }
 
@@ -122,7 +122,7 @@
     Request {
         id: RequestId(id),
         class: ClassId(class),
-        give_up_at: now + deadline,
+        deadline: now + deadline,
         work_hint: Some(work),
         ..Request::default()
     }
@@ -141,7 +141,7 @@
         engine,
         kind,
         latency,
-        closed: kind == OutcomeKind::Ok,
+        request_finished: kind == OutcomeKind::Ok,
         work: None,
         memory_mb: None,
         load: LoadReport::default(),
@@ -160,7 +160,7 @@
             g: Gateway::new(T0, settings, 7),
             now: T0,
         };
-        rig.tell(Event::List {
+        rig.tell(Event::EndpointList {
             kind: EndpointListKind::Full,
             entries,
         });
@@ -196,7 +196,7 @@
 
 pub fn finals(acts: &[Action]) -> Vec<(u32, bool)> {
     let pick = |a: &Action| match a {
-        Action::Refuse { id, .. } => Some((id.0, true)),
+        Action::Reject { id, .. } => Some((id.0, true)),
         Action::Fail { id } => Some((id.0, false)),
         _ => None,
     };
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -14,10 +14,17 @@
 
 fn one_of(me: u32, s: Settings, entries: Vec<Endpoint>) -> Rig {
     let mut rig = Rig {
-        g: Gateway::new(T0, Settings { me, ..s }, u64::from(me)),
+        g: Gateway::new(
+            T0,
+            Settings {
+                gateway_index: me,
+                ..s
+            },
+            u64::from(me),
+        ),
         now: T0,
     };
-    rig.tell(Event::List {
+    rig.tell(Event::EndpointList {
         kind: EndpointListKind::Full,
         entries,
     });
@@ -29,7 +36,7 @@
         len: 1,
         values: [queries, 0.0, 0.0, 0.0],
     };
-    Event::Probed {
+    Event::ProbeCompleted {
         engine: EngineId(engine),
         kind: OutcomeKind::Ok,
         latency: MS,
@@ -133,7 +140,7 @@
         Settings {
             probe_price: 0.08,
             gateways: 30,
-            note_period: 0,
+            progress_period: 0,
             ..settings()
         },
         engines,
@@ -167,7 +174,7 @@
         let settings = Settings {
             probe_price: 0.08,
             gateways: 100,
-            note_period: 0,
+            progress_period: 0,
             ..settings()
         };
         let mut rig = one_of(me, settings, engines.clone());
@@ -201,7 +208,7 @@
         let settings = Settings {
             probe_price: 0.08,
             gateways: 100,
-            note_period: 0,
+            progress_period: 0,
             ..settings()
         };
         let mut rig = one_of(me, settings, engines.clone());
@@ -231,7 +238,7 @@
     let settings = Settings {
         probe_price: 0.08,
         gateways: 30,
-        note_period: 0,
+        progress_period: 0,
         ..settings()
     };
     let mut rig = one_of(3, settings, (1..=2).map(|i| entry(i, 0, 0)).collect());
@@ -277,7 +284,7 @@
         let settings = Settings {
             probe_price: 0.08,
             gateways: 30,
-            note_period: 0,
+            progress_period: 0,
             ..settings()
         };
         let mut rig = one_of(me, settings, engines.clone());
@@ -302,13 +309,13 @@
     let settings = Settings {
         probe_price: 0.08,
         gateways: 100,
-        note_period: 0,
+        progress_period: 0,
         ..settings()
     };
     let settings = Settings {
-        rules: Invariants {
-            extra: None,
-            ..settings.rules
+        invariants: Invariants {
+            retry_budget: None,
+            ..settings.invariants
         },
         ..settings
     };
@@ -345,7 +352,7 @@
             .filter(|(_, r)| *r == Readiness::Ready)
             .map(|(id, _)| id)
             .collect();
-        let mut acts = rig.tell(Event::List {
+        let mut acts = rig.tell(Event::EndpointList {
             kind: EndpointListKind::Full,
             entries,
         });
@@ -408,7 +415,7 @@
             rig.pass(100 * MS);
             rig.tell(outcome(id, 0, sent[0].1, OutcomeKind::Ok, 360 * MS));
         }
-        rig.tell(Event::List {
+        rig.tell(Event::EndpointList {
             kind: EndpointListKind::Changes,
             entries: vec![entry(21, 0, 0)],
         });
@@ -476,10 +483,17 @@
     let mut rigs: Vec<Rig> = (0..GATEWAYS)
         .map(|me| {
             let mut rig = Rig {
-                g: Gateway::new(T0 + offset(me), Settings { me, ..s.clone() }, me.into()),
+                g: Gateway::new(
+                    T0 + offset(me),
+                    Settings {
+                        gateway_index: me,
+                        ..s.clone()
+                    },
+                    me.into(),
+                ),
                 now: T0 + offset(me),
             };
-            rig.tell(Event::List {
+            rig.tell(Event::EndpointList {
                 kind: EndpointListKind::Full,
                 entries: vec![entry(1, 0, T0 + offset(me))],
             });
@@ -564,7 +578,7 @@
     s.load_fields = vec![LoadField::Util];
     let mut rig = one_of(3, s, (1..=4).map(|i| entry(i, 0, 0)).collect());
     rig.pass(3 * S);
-    let probe = |engine, util, latency| Event::Probed {
+    let probe = |engine, util, latency| Event::ProbeCompleted {
         engine: EngineId(engine),
         kind: OutcomeKind::Ok,
         latency,
@@ -600,7 +614,7 @@
 #[test]
 fn attempts_without_life_give_their_room_back() {
     let mut s = settings();
-    (s.note_period, s.limits.may_cancel) = (0, false);
+    (s.progress_period, s.limits.may_cancel) = (0, false);
     let mut rig = Rig::new(s, (1..=3).map(|i| entry(i, 0, 0)).collect());
     let mut id = 0;
     let mut fill = |rig: &mut Rig| {
@@ -639,10 +653,10 @@
         for _ in 0..10 {
             withdrawn += cancels(&rig.pass(500 * MS));
             for id in (0..2).filter(|_| notes) {
-                rig.tell(Event::Note {
+                rig.tell(Event::Progress {
                     id: RequestId(id),
                     attempt: AttemptNo(0),
-                    note: ProgressUpdate::WaitsForMemory,
+                    update: ProgressUpdate::WaitsForMemory,
                 });
             }
         }
@@ -665,7 +679,7 @@
     ] {
         for may_tell in [false, true] {
             let mut s = many();
-            (s.gateways, s.me, s.limits.may_tell) = (gateways, me, may_tell);
+            (s.gateways, s.gateway_index, s.limits.may_message_peers) = (gateways, me, may_tell);
             let mut rig = Rig::new(s, vec![entry(1, 0, 0)]);
             let mut acts = Vec::new();
             for id in 0..8 {
@@ -698,7 +712,7 @@
     // as within.
     let mut s = settings();
     s.gateways = GATEWAYS;
-    s.priorities_heeded = true;
+    s.priorities_supported = true;
     s.limits.may_probe = false;
     s.tenants = vec![TenantSpec {
         quota_per_s: 41.0,
@@ -711,7 +725,7 @@
         let acts = rig.tell(Event::Request(ask(id, 0, rig.now, 6 * S, 200 * MS)));
         low += acts
             .iter()
-            .filter(|a| matches!(a, Action::Terms { priority: 0, .. }))
+            .filter(|a| matches!(a, Action::SetAttemptOptions { priority: 0, .. }))
             .count();
     }
     assert_eq!(low, 0);
@@ -747,7 +761,7 @@
     fn new(entries: &[Endpoint]) -> Fleet {
         let rig = |me| {
             let mut s = many();
-            (s.gateways, s.rules.extra) = (150, None);
+            (s.gateways, s.invariants.retry_budget) = (150, None);
             one_of(me, s, entries.to_vec())
         };
         let none = (Vec::new(), Vec::new(), std::collections::BTreeMap::new());
@@ -769,7 +783,7 @@
             match a {
                 Action::Probe { engine } if self.dead.contains(&engine.0) => {
                     let (kind, load) = (OutcomeKind::ConnectFailed, LoadReport::default());
-                    acts.extend(rig.tell(Event::Probed {
+                    acts.extend(rig.tell(Event::ProbeCompleted {
                         engine,
                         kind,
                         latency: MS,
@@ -798,7 +812,7 @@
                     }
                     *attempt += 1;
                 }
-                Action::Refuse { .. } => self.refused += 1,
+                Action::Reject { .. } => self.refused += 1,
                 _ => {}
             }
         }
@@ -872,7 +886,7 @@
     let now = fleet.rigs[0].now;
     let back: Vec<Endpoint> = (6..=10).map(|i| entry(i, 0, now)).collect();
     for me in 0..fleet.rigs.len() {
-        let acts = fleet.rigs[me].tell(Event::List {
+        let acts = fleet.rigs[me].tell(Event::EndpointList {
             kind: EndpointListKind::Changes,
             entries: back.clone(),
         });
@@ -913,7 +927,7 @@
     // One gateway with a quota of two a second and six in the bucket; twelve retries come before
     // fresh queries.
     let mut s = settings();
-    (s.priorities_heeded, s.limits.may_probe) = (true, false);
+    (s.priorities_supported, s.limits.may_probe) = (true, false);
     s.tenants = vec![TenantSpec {
         quota_per_s: 2.0,
         share: 1.0,
@@ -923,14 +937,14 @@
         rig.pass(3 * S);
         for id in 0..12 {
             let again = Request {
-                repeated,
+                is_retry: repeated,
                 ..ask(id, 0, rig.now, 6 * S, 200 * MS)
             };
             rig.tell(Event::Request(again));
         }
         let acts = rig.tell(Event::Request(ask(20, 0, rig.now, 6 * S, 200 * MS)));
         acts.iter()
-            .filter(|a| matches!(a, Action::Terms { priority: 0, .. }))
+            .filter(|a| matches!(a, Action::SetAttemptOptions { priority: 0, .. }))
             .count()
     };
     assert_eq!((low_after(true), low_after(false)), (0, 1));
@@ -963,7 +977,7 @@
     }
     assert!(sent >= 50, "look-ups were served: {sent}");
     rig.pass(20 * S);
-    rig.tell(Event::List {
+    rig.tell(Event::EndpointList {
         kind: EndpointListKind::Changes,
         entries: vec![entry(2, 0, 0)],
     });
@@ -980,7 +994,7 @@
     // Twelve queries are refused for want of an engine; their clients may come again, unmarked, and
     // count then.
     let mut s = settings();
-    (s.priorities_heeded, s.limits.may_probe) = (true, false);
+    (s.priorities_supported, s.limits.may_probe) = (true, false);
     s.tenants = vec![TenantSpec {
         quota_per_s: 0.01,
         share: 1.0,
@@ -993,7 +1007,7 @@
         refused += finals(&acts).len();
     }
     assert_eq!(refused, 12);
-    rig.tell(Event::List {
+    rig.tell(Event::EndpointList {
         kind: EndpointListKind::Full,
         entries: vec![entry(1, 0, 0)],
     });
@@ -1002,7 +1016,7 @@
     assert!(
         !acts
             .iter()
-            .any(|a| matches!(a, Action::Terms { priority: 0, .. })),
+            .any(|a| matches!(a, Action::SetAttemptOptions { priority: 0, .. })),
         "within its share: {acts:?}"
     );
 }
@@ -1010,7 +1024,7 @@
 /// Settings of hundreds of gateways that hear of engines in answers alone.
 fn unasked(fields: Vec<LoadField>) -> Settings {
     let mut s = many();
-    (s.load_fields, s.limits.may_probe, s.rules.extra) = (fields, false, None);
+    (s.load_fields, s.limits.may_probe, s.invariants.retry_budget) = (fields, false, None);
     s
 }
 
@@ -1061,10 +1075,10 @@
     for id in [1, 2].repeat(20) {
         rig.pass(100 * MS);
         let note = ProgressUpdate::Progress(0.1);
-        rig.tell(Event::Note {
+        rig.tell(Event::Progress {
             id: RequestId(id),
             attempt: AttemptNo(0),
-            note,
+            update: note,
         });
     }
     let engine = EngineId(1);
@@ -1123,7 +1137,7 @@
     // Sixteen times the mean traffic at one of 160 gateways whose part is six threads.
     let sent_with = |queries: f32| {
         let mut s = many();
-        (s.gateways, s.rules.extra) = (160, None);
+        (s.gateways, s.invariants.retry_budget) = (160, None);
         let mut rig = one_of(3, s, (1..=60).map(|i| entry(i, 0, 0)).collect());
         rig.pass(3 * S);
         (1..=60).for_each(|e| drop(rig.tell(report(e, queries))));
--- a/tests/hedging.rs
+++ b/tests/hedging.rs
@@ -8,12 +8,16 @@
 /// count.
 fn copying() -> Settings {
     let mut s = settings();
-    s.classes[3].effect = Idempotency::WithKey {
+    s.classes[3].idempotency = Idempotency::WithKey {
         scope: Scope::All,
         window: 20 * S,
     };
-    s.limits.second_copies = true;
-    (s.note_period, s.rules.extra, s.limits.may_probe) = (0, None, false);
+    s.limits.hedging = true;
+    (
+        s.progress_period,
+        s.invariants.retry_budget,
+        s.limits.may_probe,
+    ) = (0, None, false);
     s
 }
 
@@ -26,7 +30,7 @@
 fn silent(s: Settings, class: u16, single: bool) -> (Rig, EngineId, Vec<Action>) {
     let mut rig = Rig::new(s, engines());
     let ask = Request {
-        single,
+        must_not_repeat: single,
         ..ask(1, class, rig.now, 6 * S, 200 * MS)
     };
     let first = sends(&rig.tell(Event::Request(ask)));
@@ -88,7 +92,7 @@
 #[test]
 fn copies_go_only_where_they_are_allowed() {
     let mut alone = copying();
-    alone.limits.second_copies = false;
+    alone.limits.hedging = false;
     let (_, _, acts) = silent(alone.clone(), 0, false);
     assert!(
         sends(&acts).is_empty() && cancels(&acts) == 1,
@@ -119,12 +123,12 @@
 /// Where each of a few data sets goes, at a gateway of that number.
 fn homes(me: u32, groups: u64, entries: Vec<Endpoint>) -> Vec<EngineId> {
     let mut s = copying();
-    (s.gateways, s.me) = (3, me);
+    (s.gateways, s.gateway_index) = (3, me);
     let mut rig = Rig::new(s, entries);
     rig.pass(3 * S);
     let mut one = |id: u32, group| {
         let asked = Request {
-            group,
+            data_set: group,
             ..ask(id, 0, rig.now, 6 * S, 50 * MS)
         };
         let (_, engine) = sends(&rig.tell(Event::Request(asked)))[0];
@@ -167,7 +171,7 @@
     rig.pass(3 * S);
     let asked = |id, now| {
         Event::Request(Request {
-            group: 7,
+            data_set: 7,
             ..ask(id, 0, now, 6 * S, 50 * MS)
         })
     };
@@ -194,7 +198,7 @@
     rig.pass(3 * S);
     assert_eq!(sends(&rig.tell(asked(3, rig.now)))[0].1, home);
     let mut untold = copying();
-    untold.tells_cost = false;
+    untold.reports_cost = false;
     let mut rig = Rig::new(untold, engines());
     let at: Vec<EngineId> = (1..=4)
         .map(|id| sends(&rig.tell(asked(id, rig.now)))[0].1)
@@ -214,7 +218,7 @@
         let mut rig = Rig::new(copying(), engines());
         rig.pass(3 * S);
         let ask = |id| Request {
-            group,
+            data_set: group,
             ..ask(id, 0, rig.now, 6 * S, 50 * MS)
         };
         let all: Vec<Event> = (0..24).map(|id| Event::Request(ask(id))).collect();
@@ -243,12 +247,12 @@
 #[test]
 fn priorities_follow_size() {
     let mut s = copying();
-    s.priorities_heeded = true;
+    s.priorities_supported = true;
     let mut rig = Rig::new(s, engines());
     let mut rank = |id, class, work| {
         let acts = rig.tell(Event::Request(ask(id, class, rig.now, 15 * S, work)));
         acts.iter().find_map(|a| {
-            if let Action::Terms { priority, .. } = a {
+            if let Action::SetAttemptOptions { priority, .. } = a {
                 Some(*priority)
             } else {
                 None
@@ -268,7 +272,7 @@
 #[test]
 fn the_window_of_a_key_counts_from_the_first_that_was_sent() {
     let mut s = copying();
-    s.classes[3].effect = Idempotency::WithKey {
+    s.classes[3].idempotency = Idempotency::WithKey {
         scope: Scope::All,
         window: 3 * S,
     };
@@ -288,8 +292,8 @@
 #[test]
 fn a_copy_that_never_ran_leaves_the_first_to_decide() {
     for kind in [
-        OutcomeKind::Moot,
-        OutcomeKind::Full,
+        OutcomeKind::NeverSent,
+        OutcomeKind::Rejected,
         OutcomeKind::ConnectFailed,
     ] {
         let (mut rig, first, acts) = silent(copying(), 3, false);
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -51,7 +51,7 @@
     );
     assert!(
         acts.iter()
-            .all(|a| !matches!(a, Action::Refuse { retry_after, .. } if *retry_after == 0))
+            .all(|a| !matches!(a, Action::Reject { retry_after, .. } if *retry_after == 0))
     );
 }
 
@@ -113,7 +113,7 @@
         readiness: Readiness::Draining,
         ..entry(1, 0, 0)
     }];
-    rig.tell(Event::List {
+    rig.tell(Event::EndpointList {
         kind: EndpointListKind::Changes,
         entries,
     });
@@ -126,11 +126,11 @@
 #[test]
 fn an_engine_missing_from_a_complete_list_is_gone_and_a_failed_list_changes_nothing() {
     let mut rig = Rig::new(settings(), two());
-    rig.tell(Event::List {
+    rig.tell(Event::EndpointList {
         kind: EndpointListKind::Full,
         entries: vec![entry(2, 0, 0)],
     });
-    rig.tell(Event::List {
+    rig.tell(Event::EndpointList {
         kind: EndpointListKind::Failed,
         entries: vec![],
     });
@@ -191,7 +191,7 @@
     for id in 0..60u32 {
         rig.pass(20 * MS);
         for (req, engine) in sends(&rig.tell(Event::Request(Request {
-            group: id.into(),
+            data_set: id.into(),
             ..ask(id, 0, rig.now, 6 * S, 200 * MS)
         }))) {
             let kind = if engine == EngineId(1) {
@@ -208,7 +208,7 @@
         let mut n = 0;
         for id in from..from + 12 {
             n += sends(&rig.tell(Event::Request(Request {
-                group: id.into(),
+                data_set: id.into(),
                 ..ask(id, 0, rig.now, 6 * S, 200 * MS)
             })))
             .iter()
@@ -218,7 +218,7 @@
         n
     };
     assert!(to_bad(&mut rig, 1000) <= 1, "ejected, at most a trial");
-    rig.tell(Event::List {
+    rig.tell(Event::EndpointList {
         kind: EndpointListKind::Full,
         entries: vec![entry(1, 0, 0)],
     });
@@ -234,7 +234,7 @@
     let mut to = Vec::new();
     for id in 0..16 {
         let ask = Request {
-            group: id.into(),
+            data_set: id.into(),
             ..ask(id, 0, rig.now, 6 * S, 100 * MS)
         };
         to.extend(sends(&rig.tell(Event::Request(ask))));
@@ -265,10 +265,10 @@
         let mut rig = Rig::new(settings(), two());
         rig.tell(Event::Request(ask(1, class, rig.now, 15 * S, S)));
         rig.now += S;
-        let note = Event::Note {
+        let note = Event::Progress {
             id: RequestId(1),
             attempt: AttemptNo(0),
-            note: ProgressUpdate::Progress(0.05),
+            update: ProgressUpdate::Progress(0.05),
         };
         assert_eq!(cancels(&rig.tell(note)), expected, "class {class}");
     }
@@ -277,7 +277,7 @@
 #[test]
 fn slow_engines_as_a_whole_cause_no_storm_of_cancels() {
     let mut s = settings();
-    s.rules.extra = None;
+    s.invariants.retry_budget = None;
     let mut rig = Rig::new(s, (1..=4).map(|i| entry(i, 0, 0)).collect());
     let mut sent = Vec::new();
     for id in 0..16 {
@@ -292,10 +292,10 @@
     rig.now += 2 * S;
     let mut n = 0;
     for (id, _) in sent {
-        let note = Event::Note {
+        let note = Event::Progress {
             id: RequestId(id),
             attempt: AttemptNo(0),
-            note: ProgressUpdate::Progress(0.1),
+            update: ProgressUpdate::Progress(0.1),
         };
         n += cancels(&rig.tell(note));
     }
@@ -334,9 +334,9 @@
         memory_mb: 0.0,
     }];
     s.classes[0].only_kinds = Some(vec![]);
-    s.classes[1].promise = 1000 * S;
-    s.limits.send_cap = 0;
-    s.rules.warm_within = 0;
+    s.classes[1].base_latency_objective = 1000 * S;
+    s.limits.max_attempts = 0;
+    s.invariants.slow_start_duration = 0;
     let mut rig = Rig::new(s, vec![entry(1, 0, T0), entry(2, 9, 0)]);
     let mut over = 0;
     for id in 0..6 {
@@ -395,10 +395,10 @@
         rig.now += 20 * MS;
         for id in 0..16 {
             let note = ProgressUpdate::Progress(0.1);
-            rig.tell(Event::Note {
+            rig.tell(Event::Progress {
                 id: RequestId(id),
                 attempt: AttemptNo(0),
-                note,
+                update: note,
             });
         }
     }
@@ -463,7 +463,7 @@
         let mut to = Vec::new();
         for id in 32 * round..32 * (round + 1) {
             let ask = Request {
-                group: id.into(),
+                data_set: id.into(),
                 ..ask(id, 0, rig.now, 6 * S, 100 * MS)
             };
             to.extend(sends(&rig.tell(Event::Request(ask))));
@@ -480,7 +480,7 @@
     let mut count = [0; 5];
     for id in 1000..1100 {
         let ask = Request {
-            group: id.into(),
+            data_set: id.into(),
             ..ask(id, 0, rig.now, 6 * S, 100 * MS)
         };
         for (_, engine) in sends(&rig.tell(Event::Request(ask))) {
@@ -526,10 +526,10 @@
         let mut rig = Rig::new(settings(), two());
         rig.tell(Event::Request(ask(1, class, rig.now, 6 * S, 3 * S)));
         rig.now += 4 * S;
-        let note = Event::Note {
+        let note = Event::Progress {
             id: RequestId(1),
             attempt: AttemptNo(0),
-            note: ProgressUpdate::Progress(0.01),
+            update: ProgressUpdate::Progress(0.01),
         };
         let acts = rig.tell(note);
         assert_eq!(
@@ -554,7 +554,7 @@
             .for_each(|id| acts.extend(rig.tell(Event::Request(ask(id, 0, rig.now, 300 * MS, S)))));
         acts.extend(rig.pass(400 * MS));
         let named = |a: &Action| match a {
-            Action::Refuse { id, retry_after } if id.0 >= 1000 => Some(*retry_after),
+            Action::Reject { id, retry_after } if id.0 >= 1000 => Some(*retry_after),
             _ => None,
         };
         acts.iter().filter_map(named).collect::<Vec<Nanos>>()
@@ -584,7 +584,7 @@
         readiness: Readiness::Gone,
         ..entry(i, 0, 0)
     };
-    rig.tell(Event::List {
+    rig.tell(Event::EndpointList {
         kind: EndpointListKind::Changes,
         entries: vec![gone(1), gone(2)],
     });
@@ -614,7 +614,7 @@
             readiness,
             ..entry(1, 0, 0)
         }];
-        rig.tell(Event::List {
+        rig.tell(Event::EndpointList {
             kind: EndpointListKind::Changes,
             entries,
         });
@@ -631,7 +631,7 @@
     rig.pass(3 * S);
     let to = sends(&rig.tell(Event::Request(ask(1, 2, rig.now, 20 * S, S))))[0].1;
     let other = EngineId(3 - to.0);
-    rig.tell(Event::List {
+    rig.tell(Event::EndpointList {
         kind: EndpointListKind::Full,
         entries: vec![entry(other.0, 0, 0)],
     });
@@ -649,7 +649,7 @@
 #[test]
 fn a_lost_answer_is_tried_anew_once_its_class_would_have_answered() {
     let mut s = settings();
-    s.note_period = 0;
+    s.progress_period = 0;
     let mut rig = Rig::new(s, two());
     let first = sends(&rig.tell(Event::Request(ask(1, 0, rig.now, 6 * S, 200 * MS))))[0].1;
     assert_eq!(
@@ -693,17 +693,17 @@
     // where one in a few takes six.
     let cancelled_after = |times: u64| {
         let mut s = settings();
-        s.rules.extra = None;
+        s.invariants.retry_budget = None;
         let mut rig = Rig::new(s, two());
         for id in 0..40 {
             let engine = sends(&rig.tell(Event::Request(ask(id, 1, rig.now, 15 * S, S))))[0].1;
             let latency = 250 * MS * times;
             for _ in 0..latency / (50 * MS) {
                 rig.pass(40 * MS);
-                let note = Event::Note {
+                let note = Event::Progress {
                     id: RequestId(id),
                     attempt: AttemptNo(0),
-                    note: ProgressUpdate::Progress(0.9),
+                    update: ProgressUpdate::Progress(0.9),
                 };
                 rig.tell(note);
             }
@@ -720,10 +720,10 @@
         rig.tell(Event::Request(ask(99, 1, rig.now, 15 * S, S)));
         rig.pass(500 * MS);
         let note = ProgressUpdate::Progress(0.25);
-        cancels(&rig.tell(Event::Note {
+        cancels(&rig.tell(Event::Progress {
             id: RequestId(99),
             attempt: AttemptNo(0),
-            note,
+            update: note,
         }))
     };
     assert_eq!((cancelled_after(1), cancelled_after(6)), (1, 0));
@@ -735,15 +735,15 @@
     s.classes[0].waits_for_loads = true;
     let mut rig = Rig::new(s, two());
     let look_up = |id, now| Request {
-        group: 7,
+        data_set: 7,
         ..ask(id, 0, now, 6 * S, 200 * MS)
     };
     let held = sends(&rig.tell(Event::Request(look_up(1, rig.now))))[0].1;
     rig.pass(500 * MS);
-    let note = Event::Note {
+    let note = Event::Progress {
         id: RequestId(1),
         attempt: AttemptNo(0),
-        note: ProgressUpdate::WaitsForLoad,
+        update: ProgressUpdate::WaitsForLoad,
     };
     assert_eq!(cancels(&rig.tell(note)), 1);
     let again = sends(&rig.tell(outcome(1, 0, held, OutcomeKind::Cancelled, 500 * MS)));
@@ -765,11 +765,11 @@
     s.classes[0].waits_for_loads = true;
     let mut rig = Rig::new(s, two());
     let look_up = |id, group, now| Request {
-        group,
+        data_set: group,
         ..ask(id, 0, now, 6 * S, 200 * MS)
     };
     let load = Request {
-        group: 7,
+        data_set: 7,
         ..ask(1, 2, rig.now, 20 * S, 2 * S)
     };
     let held = sends(&rig.tell(Event::Request(load)))[0].1;
@@ -803,11 +803,11 @@
 #[test]
 fn a_query_that_takes_long_where_others_get_on_keeps_those_on_its_data_off() {
     let mut s = settings();
-    (s.classes[0].waits_for_loads, s.note_period) = (true, 0);
+    (s.classes[0].waits_for_loads, s.progress_period) = (true, 0);
     let mut rig = Rig::new(s, two());
     let ask_for = |rig: &mut Rig, id, group| {
         let ask = Request {
-            group,
+            data_set: group,
             ..ask(id, 0, rig.now, 6 * S, 200 * MS)
         };
         sends(&rig.tell(Event::Request(ask)))[0].1
@@ -871,7 +871,7 @@
 fn a_class_that_answers_fast_is_given_four_times_its_time_where_room_is_short() {
     for (others, early) in [(0, 1), (31, 0)] {
         let mut s = settings();
-        s.note_period = 0;
+        s.progress_period = 0;
         let mut rig = Rig::new(s, two());
         for id in 0..200 {
             let to = sends(&rig.tell(Event::Request(ask(id, 0, rig.now, 6 * S, 200 * MS))))[0].1;
@@ -895,12 +895,12 @@
 #[test]
 fn a_query_that_stands_still_goes_where_its_data_is_free() {
     let mut s = settings();
-    (s.classes[0].waits_for_loads, s.note_period) = (true, 0);
+    (s.classes[0].waits_for_loads, s.progress_period) = (true, 0);
     let mut rig = Rig::new(s, two());
     let stands = sends(&rig.tell(Event::Request(ask(1, 0, rig.now, 6 * S, 200 * MS))))[0].1;
     rig.pass(300 * MS);
     let other = |id| Request {
-        group: 8,
+        data_set: 8,
         ..ask(id, 0, T0, 6 * S, 200 * MS)
     };
     let to: Vec<_> = (2..10)
@@ -943,7 +943,7 @@
         let mut rig = Rig::new(
             settings(),
             vec![Endpoint {
-                ready_at: T0,
+                started_at: T0,
                 ..entry(1, 0, 0)
             }],
         );
@@ -965,7 +965,7 @@
     let mut rig = Rig::new(settings(), two());
     let first = sends(&rig.tell(Event::Request(ask(1, 0, rig.now, 6 * S, 200 * MS))))[0].1;
     let mut next = settings();
-    next.limits.send_cap = 1;
+    next.limits.max_attempts = 1;
     next.classes
         .push(class(Idempotency::NonIdempotent, 1.0, S, 6 * S));
     rig.g.retune(next, &[(ClassId(4), Some(ClassId(0)))]);
--- a/tests/recorded_run.rs
+++ b/tests/recorded_run.rs
@@ -49,7 +49,7 @@
         let entries = (1..=engines)
             .map(|id| recording.entry(id, Readiness::Ready, 0))
             .collect();
-        recording.handle(Event::List {
+        recording.handle(Event::EndpointList {
             kind: EndpointListKind::Full,
             entries,
         });
@@ -88,7 +88,7 @@
                 engine,
                 timeout,
             } => (1, vec![u64::from(id.0), engine.0, *timeout]),
-            Action::Terms {
+            Action::SetAttemptOptions {
                 id,
                 priority,
                 memory_mb,
@@ -97,15 +97,15 @@
                 vec![u64::from(id.0), u64::from(*priority), memory_mb.to_bits()],
             ),
             Action::Cancel { id, attempt } => (3, vec![u64::from(id.0), u64::from(attempt.0)]),
-            Action::Refuse { id, retry_after } => (4, vec![u64::from(id.0), *retry_after]),
+            Action::Reject { id, retry_after } => (4, vec![u64::from(id.0), *retry_after]),
             Action::Fail { id } => (5, vec![u64::from(id.0)]),
             Action::Timer { after, token } => (6, vec![*after, *token]),
             Action::Probe { engine } => (7, vec![engine.0]),
             Action::CloseIdle { engine } => (8, vec![engine.0]),
-            Action::Tell { peer, data } => {
+            Action::SendToPeer { peer, data } => {
                 (9, vec![peer.map_or(u64::MAX, u64::from), data.len() as u64])
             }
-            Action::FetchList => (10, vec![]),
+            Action::FetchEndpointList => (10, vec![]),
             Action::Watch(on) => (11, vec![u64::from(*on)]),
             Action::Log(line) => (12, vec![line.len() as u64]),
         };
@@ -157,9 +157,9 @@
             tenant: TenantId(self.draw(2) as u16),
             key: Some(OrderKey(u64::from(self.draw(6)))),
             work_hint: Some(work).filter(|_| !id.is_multiple_of(7)),
-            group: u64::from(self.draw(5)),
-            repeated: self.draw(9) == 0,
-            single: self.draw(40) == 0,
+            data_set: u64::from(self.draw(5)),
+            is_retry: self.draw(9) == 0,
+            must_not_repeat: self.draw(40) == 0,
             ..ask(id, class, self.now, deadline, work)
         };
         self.handle(Event::Request(request));
@@ -173,7 +173,7 @@
             sent,
         } = self.running.remove(at);
         let ok = kind == OutcomeKind::Ok;
-        let told = ok && self.settings.tells_cost;
+        let told = ok && self.settings.reports_cost;
         let work = told.then(|| Nanos::from(self.draw(900) + 1) * MS);
         let load = self.load();
         self.handle(Event::Outcome(Outcome {
@@ -182,7 +182,7 @@
             engine,
             kind,
             latency: self.now - sent,
-            closed: ok,
+            request_finished: ok,
             work,
             memory_mb: told.then_some(64.0),
             load,
@@ -199,11 +199,11 @@
         let bad = (engine + self.now / (4 * S)).is_multiple_of(5);
         let kinds = [
             OutcomeKind::Error,
-            OutcomeKind::Full,
+            OutcomeKind::Rejected,
             OutcomeKind::Timeout,
             OutcomeKind::ConnectFailed,
             OutcomeKind::Reset,
-            OutcomeKind::Moot,
+            OutcomeKind::NeverSent,
         ];
         let fails = self.draw(if bad { 2 } else { 25 }) == 0;
         let kind = if fails {
@@ -226,14 +226,18 @@
             2 => ProgressUpdate::Spill(100.0),
             _ => ProgressUpdate::Progress(f64::from(self.draw(100)) / 100.0),
         };
-        self.handle(Event::Note { id, attempt, note });
+        self.handle(Event::Progress {
+            id,
+            attempt,
+            update: note,
+        });
     }
 
     fn list(&mut self) {
         let id = self.draw(self.engines) + 1;
         let entry = match self.draw(6) {
             0 => {
-                return self.handle(Event::List {
+                return self.handle(Event::EndpointList {
                     kind: EndpointListKind::Failed,
                     entries: Vec::new(),
                 });
@@ -245,13 +249,13 @@
                 let entries = (1..=self.engines)
                     .map(|id| self.entry(id, Readiness::Ready, 0))
                     .collect();
-                return self.handle(Event::List {
+                return self.handle(Event::EndpointList {
                     kind: EndpointListKind::Full,
                     entries,
                 });
             }
         };
-        self.handle(Event::List {
+        self.handle(Event::EndpointList {
             kind: EndpointListKind::Changes,
             entries: vec![entry],
         });
@@ -265,7 +269,7 @@
             OutcomeKind::Ok
         };
         let (latency, load) = (Nanos::from(self.draw(40) + 1) * MS / 4, self.load());
-        self.handle(Event::Probed {
+        self.handle(Event::ProbeCompleted {
             engine,
             kind,
             latency,
@@ -323,7 +327,7 @@
                 self.handle(Event::FirstByte { id, attempt });
             }
             820..=822 => self.reconfigure(),
-            823 => self.handle(Event::Peer {
+            823 => self.handle(Event::PeerMessage {
                 from: 1,
                 data: vec![1, 2],
             }),
@@ -348,8 +352,8 @@
 
 fn hedged() -> Settings {
     let mut settings = settings();
-    settings.limits.second_copies = true;
-    settings.priorities_heeded = true;
+    settings.limits.hedging = true;
+    settings.priorities_supported = true;
     settings.load_fields = vec![LoadField::Inflight, LoadField::Util];
     settings
 }
@@ -358,9 +362,9 @@
     let mut settings = settings();
     settings.classes[0].waits_for_loads = true;
     settings.classes[1].waits_for_loads = true;
-    settings.ask_for_list = true;
-    settings.crossing_costs = true;
-    settings.tells_cost = false;
+    settings.poll_endpoint_list = true;
+    settings.cross_zone_costs = true;
+    settings.reports_cost = false;
     settings.tenants = vec![
         TenantSpec {
             quota_per_s: 5.0,
@@ -374,7 +378,7 @@
 fn large_fleet(may_probe: bool) -> Settings {
     let mut settings = settings();
     settings.gateways = 60;
-    settings.me = 17;
+    settings.gateway_index = 17;
     settings.limits.may_probe = may_probe;
     settings.load_fields = vec![
         LoadField::Util,
@@ -382,22 +386,22 @@
         LoadField::MemoryGranted,
         LoadField::Queue,
     ];
-    settings.rules.extra = None;
+    settings.invariants.retry_budget = None;
     settings
 }
 
 fn keyed_everywhere() -> Settings {
     let mut settings = settings();
-    settings.classes[0].effect = Idempotency::WithKey {
+    settings.classes[0].idempotency = Idempotency::WithKey {
         scope: Scope::All,
         window: 3 * S,
     };
-    settings.classes[3].effect = Idempotency::WithKey {
+    settings.classes[3].idempotency = Idempotency::WithKey {
         scope: Scope::Zone,
         window: 3 * S,
     };
     settings.limits.may_cancel = false;
-    settings.note_period = 0;
+    settings.progress_period = 0;
     settings.limits.retry_after = false;
     settings
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -46,7 +46,7 @@
 fn never_ran(kind: OutcomeKind) -> bool {
     matches!(
         kind,
-        OutcomeKind::Full | OutcomeKind::ConnectFailed | OutcomeKind::Moot
+        OutcomeKind::Rejected | OutcomeKind::ConnectFailed | OutcomeKind::NeverSent
     )
 }
 
@@ -58,9 +58,9 @@
     fn new(seed: u64) -> World {
         let mut s = settings();
         let mut rng = Pcg32::seed_from_u64(seed);
-        s.limits.may_tell = rng.next_u32() % 2 == 0;
+        s.limits.may_message_peers = rng.next_u32() % 2 == 0;
         s.gateways = [1, 2, 3, 40, 300][rng.next_u32() as usize % 5];
-        s.me = rng.next_u32() % s.gateways;
+        s.gateway_index = rng.next_u32() % s.gateways;
         let fields = [
             vec![],
             vec![LoadField::Inflight],
@@ -75,18 +75,18 @@
         // What an operator may forbid or leave out.
         let mut odd = |one_in: u32| rng.next_u32() % one_in == 0;
         (s.limits.may_cancel, s.limits.may_probe) = (!odd(3), !odd(3));
-        (s.limits.second_copies, s.tells_cost) = (odd(2), !odd(3));
+        (s.limits.hedging, s.reports_cost) = (odd(2), !odd(3));
         if odd(3) {
             s.tenants.clear();
         }
         if odd(3) {
-            s.note_period = 0;
+            s.progress_period = 0;
         }
         if odd(3) {
-            s.rules.extra = None;
+            s.invariants.retry_budget = None;
         }
         if odd(2) {
-            s.rules.fall_window = S;
+            s.invariants.overload_window = S;
         }
         let rig = Rig {
             g: yokelift::policy::Gateway::new(T0, s.clone(), seed),
@@ -124,7 +124,7 @@
         for e in &entries {
             self.listed.insert(e.id, *e);
         }
-        self.tell(Event::List { kind, entries });
+        self.tell(Event::EndpointList { kind, entries });
     }
 
     fn tell(&mut self, event: Event) {
@@ -142,19 +142,19 @@
         r.answers += 1;
         assert_eq!(r.answers, 1, "two final answers for {id:?}");
         let (from, woke) = self.stood;
-        let due = if (from..=woke).contains(&r.ask.give_up_at) {
+        let due = if (from..=woke).contains(&r.ask.deadline) {
             woke
         } else {
-            r.ask.give_up_at
+            r.ask.deadline
         };
         assert!(
-            now <= due + self.s.rules.answer_slack,
+            now <= due + self.s.invariants.answer_slack,
             "late answer for {id:?}"
         );
         r.over.get_or_insert(now);
         let unsure = r.tries.iter().any(may_have_run);
         let class = &self.s.classes[usize::from(r.ask.class.0)];
-        if refused && class.effect != Idempotency::Idempotent {
+        if refused && class.idempotency != Idempotency::Idempotent {
             assert!(!unsure, "{id:?} may have run and was refused");
         }
     }
@@ -162,7 +162,7 @@
     fn check(&mut self, action: &Action) {
         let now = self.rig.now;
         match action {
-            Action::Refuse { id, .. } => self.answer(*id, true),
+            Action::Reject { id, .. } => self.answer(*id, true),
             Action::Fail { id } => self.answer(*id, false),
             Action::Timer { after, .. } => drop(self.timers.insert(now + after)),
             Action::Probe { .. } => {
@@ -192,7 +192,7 @@
         let r = &self.seen[&id];
         let class = self.s.classes[usize::from(r.ask.class.0)].clone();
         assert!(
-            r.over.is_none() && now < r.ask.give_up_at,
+            r.over.is_none() && now < r.ask.deadline,
             "sent after the end"
         );
         let out = r.tries.iter().filter(|t| t.ended.is_none()).count();
@@ -202,12 +202,12 @@
             .any(|t| t.ended.is_none() && t.engine == engine);
         assert!(!there, "a second copy to the engine of the first");
         assert!(
-            out <= usize::from(self.s.limits.second_copies),
+            out <= usize::from(self.s.limits.hedging),
             "{} attempts out at once",
             out + 1
         );
         assert!(
-            r.tries.len() < self.s.limits.send_cap as usize,
+            r.tries.len() < self.s.limits.max_attempts as usize,
             "too many attempts"
         );
         assert!(
@@ -218,7 +218,7 @@
             "placement"
         );
         let first_run = r.tries.iter().find(|t| may_have_run(t));
-        match (class.effect, first_run) {
+        match (class.idempotency, first_run) {
             (Idempotency::NonIdempotent, run) => {
                 assert!(run.is_none(), "unsafe request sent again")
             }
@@ -242,37 +242,37 @@
                         OutcomeKind::Cancelled,
                     ];
                     assert!(
-                        !rests.contains(&kind) || now >= at + self.s.rules.key_rest,
+                        !rests.contains(&kind) || now >= at + self.s.invariants.key_cooldown,
                         "key not rested"
                     );
                 }
             }
         }
-        if let (false, Some(b)) = (r.tries.is_empty(), self.s.rules.extra) {
+        if let (false, Some(b)) = (r.tries.is_empty(), self.s.invariants.retry_budget) {
             self.extras.push((now, id));
             let extras = self
                 .extras
                 .iter()
-                .filter(|(t, _)| *t + b.span > now)
+                .filter(|(t, _)| *t + b.window > now)
                 .count() as f64;
-            let taken = self.taken.iter().filter(|t| **t + b.span > now).count() as f64;
+            let taken = self.taken.iter().filter(|t| **t + b.window > now).count() as f64;
             assert!(
-                extras <= b.spare + b.ratio * taken,
+                extras <= b.allowance + b.ratio * taken,
                 "{extras} further attempts for {taken} taken"
             );
         }
-        if e.ready_at > 0 && now < e.ready_at + self.s.rules.warm_within {
+        if e.started_at > 0 && now < e.started_at + self.s.invariants.slow_start_duration {
             self.cold
                 .push((now, engine, WORK[usize::from(r.ask.class.0)] as f64));
-            let since = e.ready_at.max(now - self.s.rules.fall_window);
+            let since = e.started_at.max(now - self.s.invariants.overload_window);
             let sent = self
                 .cold
                 .iter()
                 .filter(|(t, c, _)| *c == engine && *t >= since);
             let (count, sent) = sent.fold((0, 0.0), |(n, sum), (_, _, w)| (n + 1, sum + w));
             let cores = self.s.kinds[usize::from(e.kind.0)].cores;
-            let age = (now - e.ready_at) as f64 / self.s.rules.warm_within as f64;
-            let window = self.s.rules.fall_window as f64;
+            let age = (now - e.started_at) as f64 / self.s.invariants.slow_start_duration as f64;
+            let window = self.s.invariants.overload_window as f64;
             let budget = 2.0 * cores * 0.85 * (0.3 + 0.7 * age) * window;
             // One gateway keeps to its part; where that is under one query, it sends a whole one in
             // its turn, and never more than the engine could take. `fleet.rs` adds up all gateways.
@@ -304,7 +304,7 @@
             r.over = Some(now);
             r.answers += 1;
         }
-        if kind == OutcomeKind::Moot {
+        if kind == OutcomeKind::NeverSent {
             let sent = t.sent;
             self.extras.retain(|x| *x != (sent, id));
         }
@@ -316,7 +316,7 @@
             engine: t.engine,
             kind,
             latency: now - t.sent,
-            closed: r.over.is_some(),
+            request_finished: r.over.is_some(),
             work: Some(WORK[usize::from(r.ask.class.0)]).filter(|_| kind == OutcomeKind::Ok),
             memory_mb: Some(50.0).filter(|_| kind == OutcomeKind::Ok),
             load: LoadReport::default(),
@@ -345,7 +345,7 @@
                 let r = &self.seen[&id];
                 if r.tries[n].cancelled {
                     self.end((id, n), OutcomeKind::Cancelled);
-                } else if now >= r.ask.give_up_at {
+                } else if now >= r.ask.deadline {
                     self.end((id, n), OutcomeKind::Timeout);
                 }
             }
@@ -368,7 +368,7 @@
         for (id, n) in self.out() {
             let r = &self.seen[&id];
             let lost = r.tries[n].cancelled;
-            if lost || self.rig.now >= r.ask.give_up_at {
+            if lost || self.rig.now >= r.ask.deadline {
                 self.end(
                     (id, n),
                     if lost {
@@ -397,7 +397,7 @@
                 let patience = [80, 90, 100, 90, 100, 15][self.below(6) as usize];
                 let mut ask = ask(*next, class, now, DEADLINE[c] * patience / 100, WORK[c]);
                 ask.key = Some(OrderKey(1 + self.below(3))).filter(|_| class == 2);
-                ask.group = self.below(6);
+                ask.data_set = self.below(6);
                 if let Some(key) = ask.key {
                     self.order.entry(key).or_default().push(ask.id);
                 }
@@ -420,10 +420,10 @@
                     OutcomeKind::Ok,
                     OutcomeKind::Ok,
                     OutcomeKind::Error,
-                    OutcomeKind::Full,
+                    OutcomeKind::Rejected,
                     OutcomeKind::ConnectFailed,
                     OutcomeKind::Reset,
-                    OutcomeKind::Moot,
+                    OutcomeKind::NeverSent,
                 ];
                 let kind = kinds[self.below(8) as usize];
                 self.end(id, kind);
@@ -439,7 +439,11 @@
                     ProgressUpdate::Spill(80.0),
                 ];
                 let note = notes[self.below(4) as usize];
-                self.tell(Event::Note { id, attempt, note });
+                self.tell(Event::Progress {
+                    id,
+                    attempt,
+                    update: note,
+                });
             }
             16 => {
                 let open: Vec<RequestId> = self
@@ -458,7 +462,7 @@
                 let i = 1 + self.below(6);
                 let readiness = [Readiness::Ready, Readiness::Draining, Readiness::Gone]
                     [self.below(3) as usize];
-                let old = self.listed.get(&EngineId(i)).map_or(0, |e| e.ready_at);
+                let old = self.listed.get(&EngineId(i)).map_or(0, |e| e.started_at);
                 let ready_at = if self.below(2) == 0 { now } else { old };
                 let e = Endpoint {
                     readiness,
@@ -481,7 +485,7 @@
             }
             18 => {
                 let n = self.below(6);
-                let at = |w: &World, i| w.listed.get(&EngineId(i)).map_or(0, |e| e.ready_at);
+                let at = |w: &World, i| w.listed.get(&EngineId(i)).map_or(0, |e| e.started_at);
                 let entries = (1..=n)
                     .map(|i| entry(i, (i % 2) as u16, at(self, i)))
                     .collect();
@@ -489,7 +493,7 @@
             }
             _ => {
                 let from = 1 + self.below(3) as u32;
-                self.tell(Event::Peer {
+                self.tell(Event::PeerMessage {
                     from,
                     data: vec![1],
                 });
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -26,9 +26,9 @@
 
 fn fleet_settings(plan: &Plan, me: u32) -> Settings {
     let mut s = settings();
-    (s.me, s.gateways) = (me, plan.managers);
+    (s.gateway_index, s.gateways) = (me, plan.managers);
     s.classes.iter_mut().for_each(|c| c.only_kinds = None);
-    s.rules.extra = None;
+    s.invariants.retry_budget = None;
     s.limits.may_probe = plan.probes;
     s.load_fields = vec![LoadField::Util];
     s
@@ -36,9 +36,9 @@
 
 /// What the settings allow a cold engine in calls of mean work within the stated time.
 fn allowed(rules: &Invariants, cores: f64, age: Nanos) -> f64 {
-    let part = (age as f64 / rules.warm_within as f64).min(1.0);
-    let warmth = rules.cold_from + (1.0 - rules.cold_from) * part * part;
-    rules.fall_multiple * warmth * cores * 0.8 * rules.fall_window as f64 / WORK as f64
+    let part = (age as f64 / rules.slow_start_duration as f64).min(1.0);
+    let warmth = rules.slow_start_from + (1.0 - rules.slow_start_from) * part * part;
+    rules.overload_multiple * warmth * cores * 0.8 * rules.overload_window as f64 / WORK as f64
 }
 
 /// Plays it, and gives the most that the cold engine was sent in a window, over what is allowed
@@ -47,7 +47,7 @@
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut draw = move || f64::from(rng.next_u32()) / f64::from(u32::MAX);
     let warm = 10;
-    let rules = fleet_settings(plan, 0).rules;
+    let rules = fleet_settings(plan, 0).invariants;
     let listed = |cold: bool| {
         let cold = cold.then_some(Endpoint {
             id: COLD,
@@ -58,7 +58,7 @@
             .chain(cold)
             .collect::<Vec<_>>()
     };
-    let full = |cold| Event::List {
+    let full = |cold| Event::EndpointList {
         kind: EndpointListKind::Full,
         entries: listed(cold),
     };
@@ -152,7 +152,7 @@
                         let kind = OutcomeKind::Ok;
                         m.g.handle(
                             now,
-                            Event::Probed {
+                            Event::ProbeCompleted {
                                 engine,
                                 kind,
                                 latency: MS,
@@ -167,7 +167,10 @@
             }
             m.out.make_contiguous().sort_unstable();
         }
-        while sent.front().is_some_and(|at| *at + rules.fall_window < now) {
+        while sent
+            .front()
+            .is_some_and(|at| *at + rules.overload_window < now)
+        {
             sent.pop_front();
         }
         if now > T0 {
--- a/tests/unit/class_registry.rs
+++ b/tests/unit/class_registry.rs
@@ -11,12 +11,12 @@
         Idempotency::NonIdempotent
     };
     let spec = ClassSpec {
-        worth: 1.0,
-        late_worth: 0.1,
-        promise: 1 + u64::from(name % 3),
-        aim_stretch: 1.0,
+        priority_weight: 1.0,
+        late_priority_weight: 0.1,
+        base_latency_objective: 1 + u64::from(name % 3),
+        objective_slowdown: 1.0,
         deadline: 9,
-        effect,
+        idempotency: effect,
         in_order: false,
         threads: 1.0,
         is_load: false,
--- a/tests/unit/clickhouse.rs
+++ b/tests/unit/clickhouse.rs
@@ -96,7 +96,7 @@
         (ask.class, ask.tenant.0, ask.give_up_at),
         (ClassId(1), 1, SEC + 1_500 * MS)
     );
-    assert_eq!((ask.memory_mb, ask.cost), (Some(2.0), None));
+    assert_eq!((ask.memory_mb, ask.work_estimate), (Some(2.0), None));
     let session = ask.session.as_ref().expect("a session");
     assert_eq!(
         (session.database.as_deref(), session.query_id.as_deref()),
@@ -264,11 +264,11 @@
             let job = AttemptRequest {
                 id,
                 attempt,
-                key,
+                client_request_id: key,
                 class,
                 statement,
                 session,
-                until,
+                deadline: until,
                 memory_mb,
                 ..AttemptRequest::default()
             };
--- a/tests/unit/concurrency_limit.rs
+++ b/tests/unit/concurrency_limit.rs
@@ -8,12 +8,12 @@
 
 pub fn settings() -> Settings {
     let class = ClassSpec {
-        worth: 1.0,
-        late_worth: 0.5,
-        promise: S,
-        aim_stretch: 2.0,
+        priority_weight: 1.0,
+        late_priority_weight: 0.5,
+        base_latency_objective: S,
+        objective_slowdown: 2.0,
         deadline: 60 * S,
-        effect: Idempotency::Idempotent,
+        idempotency: Idempotency::Idempotent,
         in_order: false,
         threads: 1.0,
         is_load: false,
@@ -25,25 +25,25 @@
     let rules = Invariants {
         answer_slack: S / 50,
         drain_grace: S,
-        cold_from: 0.3,
-        warm_within: 15 * S,
-        fall_multiple: 2.0,
-        fall_window: 2 * S,
-        key_rest: 0,
-        extra: None,
-        ask_within: 0,
+        slow_start_from: 0.3,
+        slow_start_duration: 15 * S,
+        overload_multiple: 2.0,
+        overload_window: 2 * S,
+        key_cooldown: 0,
+        retry_budget: None,
+        poll_within: 0,
     };
     let limits = Limits {
-        send_cap: 3,
+        max_attempts: 3,
         may_cancel: true,
         may_probe: false,
-        may_tell: false,
+        may_message_peers: false,
         retry_after: true,
         max_retry_after: S,
-        second_copies: false,
+        hedging: false,
     };
     Settings {
-        me: 7,
+        gateway_index: 7,
         gateways: 300,
         zone: ZoneId(0),
         tick: S / 200,
@@ -53,18 +53,18 @@
             memory_mb: 0.0,
         }],
         tenants: vec![],
-        over_share_worth: 1.0,
-        ask_for_list: false,
+        over_quota_weight: 1.0,
+        poll_endpoint_list: false,
         load_fields: vec![],
-        crossing_costs: false,
+        cross_zone_costs: false,
         probe_price: 0.01,
-        grants_heeded: false,
-        priorities_heeded: false,
-        most_grant: 0.4,
-        when_short: MemoryExhaustionPolicy::Wait,
-        note_period: 0,
-        tells_cost: true,
-        rules,
+        memory_grants_supported: false,
+        priorities_supported: false,
+        max_memory_share: 0.4,
+        memory_exhaustion: MemoryExhaustionPolicy::Wait,
+        progress_period: 0,
+        reports_cost: true,
+        invariants: rules,
         limits,
     }
 }
@@ -95,7 +95,7 @@
                 self.next += 1;
                 let ask = Request {
                     id: RequestId(self.next),
-                    give_up_at: self.now + 60 * S,
+                    deadline: self.now + 60 * S,
                     ..Request::default()
                 };
                 self.tell(Event::Request(Request {
@@ -117,7 +117,7 @@
                     engine,
                     kind: OutcomeKind::Ok,
                     latency,
-                    closed: true,
+                    request_finished: true,
                     work: Some(S / 5),
                     memory_mb: None,
                     load: LoadReport::default(),
@@ -150,7 +150,7 @@
         readiness: Readiness::Ready,
         ..Endpoint::default()
     };
-    p.tell(Event::List {
+    p.tell(Event::EndpointList {
         kind: EndpointListKind::Full,
         entries: (1..=20).map(entry).collect(),
     });
@@ -193,7 +193,7 @@
 #[test]
 fn slow_answers_teach_no_work_where_no_engine_is_asked() {
     let s = Settings {
-        tells_cost: false,
+        reports_cost: false,
         probe_price: 0.08,
         gateways: 30,
         ..settings()
@@ -209,7 +209,7 @@
         readiness: Readiness::Ready,
         ..Endpoint::default()
     };
-    p.tell(Event::List {
+    p.tell(Event::EndpointList {
         kind: EndpointListKind::Full,
         entries: (1..=4).map(entry).collect(),
     });
@@ -219,7 +219,7 @@
         let id = RequestId(p.next);
         p.tell(Event::Request(Request {
             id,
-            give_up_at: p.now + 60 * S,
+            deadline: p.now + 60 * S,
             ..Request::default()
         }));
         let latency = if round < 100 { S / 5 } else { S };
@@ -236,7 +236,7 @@
                 engine,
                 kind,
                 latency,
-                closed,
+                request_finished: closed,
                 work,
                 memory_mb,
                 load,
@@ -259,7 +259,7 @@
     // of work take 0.8 s. What is learned must neither grow with the time nor shrink with the
     // slowness it is measured by.
     let s = Settings {
-        tells_cost: false,
+        reports_cost: false,
         load_fields: vec![LoadField::Inflight],
         ..settings()
     };
@@ -274,7 +274,7 @@
         readiness: Readiness::Ready,
         ..Endpoint::default()
     };
-    p.tell(Event::List {
+    p.tell(Event::EndpointList {
         kind: EndpointListKind::Full,
         entries: (1..=4).map(entry).collect(),
     });
@@ -286,7 +286,7 @@
         };
         for i in 1..=4 {
             let engine = EngineId(i);
-            p.tell(Event::Probed {
+            p.tell(Event::ProbeCompleted {
                 engine,
                 kind: OutcomeKind::Ok,
                 latency: S / 1000,
@@ -299,7 +299,7 @@
         p.g.engines.values_mut().for_each(|e| e.bound = 1e6);
         p.tell(Event::Request(Request {
             id,
-            give_up_at: p.now + 60 * S,
+            deadline: p.now + 60 * S,
             ..Request::default()
         }));
         for _ in 0..60 {
@@ -318,7 +318,7 @@
                 engine,
                 kind,
                 latency,
-                closed: true,
+                request_finished: true,
                 work: None,
                 memory_mb: None,
                 load,
@@ -351,7 +351,7 @@
         readiness,
         ..Endpoint::default()
     };
-    p.tell(Event::List {
+    p.tell(Event::EndpointList {
         kind: EndpointListKind::Full,
         entries: vec![entry(1, Readiness::Ready)],
     });
@@ -359,7 +359,7 @@
     assert_eq!(p.out.first().map(|(_, engine)| *engine), Some(EngineId(1)));
     for i in 1..100 {
         let entries = vec![entry(i + 1, Readiness::Ready), entry(i, Readiness::Gone)];
-        p.tell(Event::List {
+        p.tell(Event::EndpointList {
             kind: EndpointListKind::Changes,
             entries,
         });
@@ -380,7 +380,7 @@
         g: Gateway::new(
             100 * S,
             Settings {
-                me: 0,
+                gateway_index: 0,
                 gateways: 3,
                 ..settings()
             },
@@ -395,7 +395,7 @@
         readiness: Readiness::Ready,
         ..Endpoint::default()
     };
-    p.tell(Event::List {
+    p.tell(Event::EndpointList {
         kind: EndpointListKind::Full,
         entries: (1..=4).map(entry).collect(),
     });
@@ -407,7 +407,7 @@
             sent: p.now,
             ..Attempt::default()
         }];
-        r.sends = 1;
+        r.attempts_started = 1;
         let (id, attempt, engine) = (RequestId(id), AttemptNo(0), EngineId(1));
         let (kind, work, memory_mb, load) = (OutcomeKind::Reset, None, None, LoadReport::default());
         p.tell(Event::Outcome(Outcome {
@@ -416,7 +416,7 @@
             engine,
             kind,
             latency: S / 10,
-            closed: true,
+            request_finished: true,
             work,
             memory_mb,
             load,
@@ -425,7 +425,7 @@
     for id in 1..=12 {
         p.tell(Event::Request(Request {
             id: RequestId(id),
-            give_up_at: p.now + 60 * S,
+            deadline: p.now + 60 * S,
             ..Request::default()
         }));
     }
--- a/tests/unit/connection_state.rs
+++ b/tests/unit/connection_state.rs
@@ -75,7 +75,7 @@
             let word = answered
                 .filter(|(answered, _)| *answered == id)
                 .map(|(_, word)| &word[..4]);
-            let right = match (ended.end, word) {
+            let right = match (ended.termination, word) {
                 (Termination::Done, Some("DONE")) | (Termination::Rejected, Some("WAIT")) => true,
                 (Termination::EngineError, Some("BROK"))
                 | (Termination::AlreadyFinished, Some("PAST")) => true,
@@ -84,7 +84,7 @@
                 (Termination::Reset, None) => closing && known.stopped_at.is_none(),
                 _ => false,
             };
-            if !right || ended.reach != reach {
+            if !right || ended.progress != reach {
                 return Err(format!("{ended:?} of {known:?}"));
             }
         }
@@ -119,10 +119,10 @@
                 );
                 let job = AttemptRequest {
                     id,
-                    key,
+                    client_request_id: key,
                     class,
                     statement,
-                    until,
+                    deadline: until,
                     ..AttemptRequest::default()
                 };
                 self.link.start(self.now, &job);
@@ -237,10 +237,10 @@
         let job = AttemptRequest {
             id: RequestId(id),
             attempt,
-            key,
+            client_request_id: key,
             class,
             statement,
-            until,
+            deadline: until,
             ..AttemptRequest::default()
         };
         link.start(0, &job);
@@ -320,8 +320,9 @@
             None
         }
     });
-    let ended: Vec<(u32, Termination, &[u8])> =
-        ended.map(|e| (e.id.0, e.end, &e.rows[..])).collect();
+    let ended: Vec<(u32, Termination, &[u8])> = ended
+        .map(|e| (e.id.0, e.termination, &e.rows[..]))
+        .collect();
     assert_eq!(
         (probes, ended, link.over()),
         (
@@ -335,7 +336,7 @@
     link.read(2 * MS, b"k2 DONE sheets=2 0\r\n\r\n", &mut events);
     link.due(9_000 * MS, &mut events);
     assert!(
-        matches!(&events[..], [Event::Ended(e)] if e.end == Termination::Unresponsive)
+        matches!(&events[..], [Event::Ended(e)] if e.termination == Termination::Unresponsive)
             && link.over().is_none()
     );
 }
@@ -362,12 +363,12 @@
             &AttemptRequest {
                 id,
                 attempt,
-                key,
+                client_request_id: key,
                 class,
                 single: true,
                 statement,
                 session,
-                until,
+                deadline: until,
                 ..AttemptRequest::default()
             },
         );
@@ -383,7 +384,7 @@
         }
         link.close(9 * MS, Termination::Reset, &mut events);
         assert!(
-            matches!(&events[..], [Event::Ended(e)] if e.end == Termination::Reset && e.reach == reach),
+            matches!(&events[..], [Event::Ended(e)] if e.termination == Termination::Reset && e.progress == reach),
             "{events:?}"
         );
     }
@@ -402,13 +403,13 @@
     );
     let job = AttemptRequest {
         id: RequestId(1),
-        key: "k1".into(),
+        client_request_id: "k1".into(),
         class: "plan-load".into(),
         statement: Rc::from(&b"insert"[..]),
-        nonce: Some("5c0f6e1a".into()),
+        idempotency_key: Some("5c0f6e1a".into()),
         memory_mb: 95.2,
-        urgency: Some(2),
-        until: 9_000 * MS,
+        priority: Some(2),
+        deadline: 9_000 * MS,
         ..AttemptRequest::default()
     };
     link.start(0, &job);
@@ -466,7 +467,7 @@
             panic!("{events:?}")
         };
         assert!(
-            ended.end == Termination::Done && ended.cost == Cost::default(),
+            ended.termination == Termination::Done && ended.cost == Cost::default(),
             "{toil} {room}: {ended:?}"
         );
     }
--- a/tests/unit/dispatcher.rs
+++ b/tests/unit/dispatcher.rs
@@ -171,8 +171,9 @@
         let mut more = Vec::new();
         for order in orders {
             match order {
-                Command::Start(engine, job) => {
-                    let tag = u64::from_str_radix(&job.key, 16).map_err(|e| e.to_string())?;
+                Command::StartAttempt(engine, job) => {
+                    let tag = u64::from_str_radix(&job.client_request_id, 16)
+                        .map_err(|e| e.to_string())?;
                     let seen = self.seen.get_mut(&tag).ok_or("a send for nobody")?;
                     let again = seen.first().is_none_or(|first| match seen.effect {
                         Rule::Free => true,
@@ -181,8 +182,10 @@
                     });
                     let there = seen.outs.values().any(|(e, _)| *e == engine);
                     let keyed = matches!(seen.effect, Rule::Key(_));
-                    if job.nonce.is_some() != keyed || job.single != (seen.effect == Rule::Never) {
-                        return Err(format!("{tag} goes under {:?}", job.nonce));
+                    if job.idempotency_key.is_some() != keyed
+                        || job.single != (seen.effect == Rule::Never)
+                    {
+                        return Err(format!("{tag} goes under {:?}", job.idempotency_key));
                     }
                     if seen.outs.len() >= seen.copies
                         || there
@@ -200,7 +203,7 @@
                     seen.sends += 1;
                     self.ids.insert(job.id, tag);
                 }
-                Command::Stop(_, id, attempt) => {
+                Command::CancelAttempt(_, id, attempt) => {
                     more.push(AttemptResult::bare(
                         id,
                         attempt,
@@ -208,7 +211,7 @@
                         TransmitProgress::Complete,
                     ));
                 }
-                Command::Answer(origin, answer) => {
+                Command::Respond(origin, answer) => {
                     let seen = self
                         .seen
                         .get_mut(&origin.tag)
@@ -223,8 +226,8 @@
                         return Err("what must not run twice and may have run was refused".into());
                     }
                 }
-                Command::Bump(..)
-                | Command::Doubt(..)
+                Command::Reprioritize(..)
+                | Command::MarkSlow(..)
                 | Command::Probe(_)
                 | Command::CloseIdle(_)
                 | Command::Log(_) => {}
@@ -242,7 +245,7 @@
             return Ok(());
         };
         if let Some((_, at)) = seen.outs.remove(&ended.attempt)
-            && !never_ran(outcome(ended.end, ended.reach))
+            && !never_ran(outcome(ended.termination, ended.progress))
         {
             seen.ran = Some(seen.ran.unwrap_or(at).min(at));
         }
@@ -286,16 +289,16 @@
                         conn: u64::from(n % 4),
                         tag,
                     },
-                    key: format!("{tag:016x}").into(),
+                    client_request_id: format!("{tag:016x}").into(),
                     class: id,
                     tenant: TenantId(u16::from(n % 2)),
                     give_up_at: self.now + u64::from(*n) * 20 * MS,
-                    cost: Some(50 * MS),
+                    work_estimate: Some(50 * MS),
                     memory_mb: None,
                     repeated: false,
                     statement: Rc::from(&b"select 1"[..]),
                     session: None,
-                    once,
+                    idempotency_key: once,
                 };
                 self.manager.take(self.now, ask, &mut orders);
             }
@@ -511,11 +514,11 @@
         (keyed_manager(window), SEC, Vec::new(), None);
     let ask = ClientRequest {
         origin: Origin { conn: 1, tag: 1 },
-        key: "9b1f03aa5c7e2d41".into(),
+        client_request_id: "9b1f03aa5c7e2d41".into(),
         class: ClassId(2),
         give_up_at: 16 * SEC,
-        cost: Some(cost),
-        once: once.map(Into::into),
+        work_estimate: Some(cost),
+        idempotency_key: once.map(Into::into),
         ..ClientRequest::default()
     };
     let mut orders = Vec::new();
@@ -523,9 +526,9 @@
     for _ in 0..20 {
         for order in std::mem::take(&mut orders) {
             match order {
-                Command::Start(_, job) => {
+                Command::StartAttempt(_, job) => {
                     assert_eq!(job.single, once.is_none());
-                    sent.push((job.nonce.clone(), job.until));
+                    sent.push((job.idempotency_key.clone(), job.deadline));
                     let ended = AttemptResult::bare(
                         job.id,
                         job.attempt,
@@ -534,7 +537,7 @@
                     );
                     manager.ended(now, ended, &mut orders);
                 }
-                Command::Answer(_, given) => answer = Some(given),
+                Command::Respond(_, given) => answer = Some(given),
                 _ => {}
             }
         }
@@ -588,15 +591,15 @@
     let mut orders = Vec::new();
     let ask = |tag: u64| ClientRequest {
         origin: Origin { conn: 1, tag },
-        key: format!("{tag:016x}").into(),
+        client_request_id: format!("{tag:016x}").into(),
         give_up_at: 6 * SEC,
-        cost: Some(50 * MS),
+        work_estimate: Some(50 * MS),
         ..ClientRequest::default()
     };
     manager.take(SEC, ask(1), &mut orders);
     let started = |orders: &[Command]| {
         orders.iter().find_map(|o| {
-            if let Command::Start(e, job) = o {
+            if let Command::StartAttempt(e, job) = o {
                 Some((*e, job.clone()))
             } else {
                 None
@@ -604,7 +607,7 @@
         })
     };
     let (engine, job) = started(&orders).expect("sent");
-    assert_eq!(job.urgency, Some(3), "a short query comes first");
+    assert_eq!(job.priority, Some(3), "a short query comes first");
     let mut orders = Vec::new();
     manager.terms(job.id, 9, 0.0, &mut orders);
     assert!(
@@ -613,7 +616,7 @@
     );
     manager.terms(job.id, 0, 0.0, &mut orders);
     assert!(
-        matches!(orders[..], [Command::Bump(e, id, n, 0)] if (e, id, n) == (engine, job.id, job.attempt))
+        matches!(orders[..], [Command::Reprioritize(e, id, n, 0)] if (e, id, n) == (engine, job.id, job.attempt))
     );
     let cost = Cost {
         work: Some(80 * MS),
@@ -641,7 +644,7 @@
     let (_, job) = started(&orders).expect("sent");
     let mut orders = Vec::new();
     plain.terms(job.id, 0, 0.0, &mut orders);
-    assert!(orders.is_empty() && job.urgency.is_none());
+    assert!(orders.is_empty() && job.priority.is_none());
     plain.ended(
         SEC + 50 * MS,
         AttemptResult {
--- a/tests/unit/fleet_scan.rs
+++ b/tests/unit/fleet_scan.rs
@@ -11,7 +11,7 @@
 
 fn settings(gateways: u32, asks: bool) -> Settings {
     let mut s = Settings {
-        me: gateways / 3,
+        gateway_index: gateways / 3,
         gateways,
         ..crate::concurrency_limit_tests::settings()
     };
@@ -23,7 +23,7 @@
     Endpoint {
         id: EngineId(id),
         readiness,
-        ready_at,
+        started_at: ready_at,
         ..Endpoint::default()
     }
 }
@@ -47,7 +47,7 @@
             next: 0,
         };
         let entries = ids.map(|id| entry(id, Readiness::Ready, 0)).collect();
-        p.tell(Event::List {
+        p.tell(Event::EndpointList {
             kind: EndpointListKind::Full,
             entries,
         });
@@ -83,7 +83,7 @@
         let work_hint = Some(S / 10);
         self.tell(Event::Request(Request {
             id,
-            give_up_at,
+            deadline: give_up_at,
             work_hint,
             ..Request::default()
         }));
@@ -99,7 +99,7 @@
             engine,
             kind,
             latency,
-            closed,
+            request_finished: closed,
             work,
             memory_mb: None,
             load,
@@ -115,7 +115,7 @@
             .g
             .engines
             .get(&EngineId(id))
-            .map_or(0, |e| e.entry.ready_at);
+            .map_or(0, |e| e.entry.started_at);
         let told = match self.draw(5) {
             0 | 1 => entry(id, Readiness::Ready, self.now - self.now % 7),
             2 => entry(id, Readiness::Draining, known),
@@ -126,13 +126,13 @@
                     .into_iter()
                     .filter(|e| e.readiness != Readiness::Gone)
                     .collect();
-                return self.tell(Event::List {
+                return self.tell(Event::EndpointList {
                     kind: EndpointListKind::Full,
                     entries,
                 });
             }
         };
-        self.tell(Event::List {
+        self.tell(Event::EndpointList {
             kind: EndpointListKind::Changes,
             entries: vec![told],
         });
@@ -140,7 +140,7 @@
 
     /// Whether what is kept equals what a walk finds now, told by name.
     fn compare(&mut self, why: &str) {
-        let (now, rules) = (self.now, self.g.s.rules);
+        let (now, rules) = (self.now, self.g.settings.invariants);
         // What came since the sweep's own look counts at the next.
         self.g.look(now);
         let (g, f) = (&self.g, &self.g.fleet);
@@ -161,7 +161,7 @@
             "cores, {why}"
         );
         let counts = |asks: bool, warmth: f64| if asks || warmth >= 1.0 { warmth } else { 0.0 };
-        let asks = g.s.limits.may_probe;
+        let asks = g.settings.limits.may_probe;
         let bound: f64 = usable()
             .map(|e| e.bound * counts(asks, e.warmth(now, &rules)))
             .sum();
@@ -177,7 +177,7 @@
             );
             let ends = e.cold_sent.front().zip(e.cold_sent.back());
             assert!(
-                ends.is_none_or(|(a, b)| a.0 + rules.fall_window >= b.0),
+                ends.is_none_or(|(a, b)| a.0 + rules.overload_window >= b.0),
                 "one window is kept, {why}"
             );
         }
@@ -197,7 +197,10 @@
         let settings = |warm_within| {
             let mut s = settings(gateways, asks);
             // Turns on cold engines end at other instants than those on warm ones.
-            (s.rules.fall_window, s.rules.warm_within) = (6 * S / 5, warm_within);
+            (
+                s.invariants.overload_window,
+                s.invariants.slow_start_duration,
+            ) = (6 * S / 5, warm_within);
             s
         };
         let mut p = Play::new(settings(15 * S), seed, 1..=ids);
@@ -227,10 +230,10 @@
                 1 => p.g.split([0.25, 0.5, 1.0][step % 3]),
                 2 => p.g.share_among(gateways / 2 + 1),
                 3 => {
-                    let me = (p.g.s.me + 1) % gateways;
+                    let me = (p.g.settings.gateway_index + 1) % gateways;
                     p.g.retune(
                         Settings {
-                            me,
+                            gateway_index: me,
                             ..settings(15 * S + S / 3 * (step as Nanos % 2))
                         },
                         &[],
@@ -260,7 +263,7 @@
     let mut p = Play::new(settings(1, false), 1, 1..=3);
     (0..9).for_each(|_| p.ask());
     let entries = vec![entry(1, Readiness::Draining, 0)];
-    p.tell(Event::List {
+    p.tell(Event::EndpointList {
         kind: EndpointListKind::Changes,
         entries,
     });
@@ -285,7 +288,7 @@
             let entries = (1..=3)
                 .map(|id| entry(id, Readiness::Ready, p.now))
                 .collect();
-            p.tell(Event::List {
+            p.tell(Event::EndpointList {
                 kind: EndpointListKind::Changes,
                 entries,
             });
--- a/tests/unit/in_flight.rs
+++ b/tests/unit/in_flight.rs
@@ -50,7 +50,7 @@
                 on: here,
                 sent_at: SEC,
             }),
-            sends: 1,
+            attempts_started: 1,
             ..open(effect, 1)
         };
         [here, cell, zone, far].map(|to| open.may_send(now, &to))
@@ -71,7 +71,7 @@
     let (here, there, further) = (engine(1, 0, 0), engine(2, 0, 0), engine(3, 0, 0));
     let with = |effect, copies| InFlightRequest {
         outs: vec![out(here, 0, SEC)],
-        sends: 1,
+        attempts_started: 1,
         ..open(effect, copies)
     };
     assert!(
@@ -96,7 +96,7 @@
     assert!(two.take_out(AttemptNo(0)).is_some() && two.take_out(AttemptNo(0)).is_none());
     assert!(two.may_send(SEC, &further) && !two.may_send(SEC, &there));
     let spent = InFlightRequest {
-        sends: 5,
+        attempts_started: 5,
         ..open(Idempotency::Idempotent, 2)
     };
     assert!(
@@ -154,7 +154,7 @@
             on: here,
             sent_at: SEC,
         }),
-        sends: 1,
+        attempts_started: 1,
         ..open(effect, 1)
     };
     assert_eq!(ran(keyed(Scope::All)).known_until(), Some(SEC + WINDOW));
--- a/tests/unit/jsonrpc.rs
+++ b/tests/unit/jsonrpc.rs
@@ -153,7 +153,7 @@
             .and_then(|v| v["error"]["code"].as_i64());
         let asked = said.iter().find_map(|s| {
             if let FrontendEvent::Ask(ask) = s {
-                Some(ask.once.clone())
+                Some(ask.idempotency_key.clone())
             } else {
                 None
             }
--- a/tests/unit/mutation.rs
+++ b/tests/unit/mutation.rs
@@ -86,9 +86,9 @@
                 now,
                 &AttemptRequest {
                     id,
-                    key,
+                    client_request_id: key,
                     statement,
-                    until,
+                    deadline: until,
                     class: "lookup".into(),
                     ..AttemptRequest::default()
                 },
@@ -123,11 +123,11 @@
             match event {
                 Event::Ended(ended) => {
                     assert_eq!(
-                        (ended.attempt, ended.reach),
+                        (ended.attempt, ended.progress),
                         (AttemptNo(0), TransmitProgress::Complete),
                         "{number}"
                     );
-                    let cleared = never_ran(outcome(ended.end, ended.reach));
+                    let cleared = never_ran(outcome(ended.termination, ended.progress));
                     assert!(
                         !cleared || (told_full && ended.id != RequestId(3)),
                         "{number}: {ended:?}"
--- a/tests/unit/net_engine.rs
+++ b/tests/unit/net_engine.rs
@@ -22,12 +22,12 @@
     AttemptRequest {
         id,
         attempt,
-        key,
+        client_request_id: key,
         class,
         statement,
         session,
         single,
-        until,
+        deadline: until,
         ..AttemptRequest::default()
     }
 }
@@ -124,9 +124,9 @@
     };
     let now = crate::clock::turn();
     let job = AttemptRequest {
-        conn: 7,
+        client_connection: 7,
         statement: Rc::from(&b"SELECT 1"[..]),
-        until: now + 9 * SEC,
+        deadline: now + 9 * SEC,
         ..job(false)
     };
     if gone_before {
@@ -153,7 +153,7 @@
             match input {
                 DispatcherEvent::HungUp(conn) => told.push(format!("hung up {conn}")),
                 DispatcherEvent::Ended(ended) => {
-                    told.push(format!("{:?} {:?}", ended.end, ended.reach))
+                    told.push(format!("{:?} {:?}", ended.termination, ended.progress))
                 }
                 DispatcherEvent::Opened(_, answers) => kept.push(answers),
                 _ => {}
--- a/tests/unit/net_engine_endpoint.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -105,7 +105,8 @@
         while let Ok(input) = self.inputs.try_recv() {
             match input {
                 DispatcherEvent::Ended(ended) => {
-                    self.ended.push((ended.id, ended.end, ended.reach))
+                    self.ended
+                        .push((ended.id, ended.termination, ended.progress))
                 }
                 DispatcherEvent::Probed { kind, .. } => self.probed.push(kind),
                 _ => {}
@@ -166,11 +167,11 @@
     EngineCommand::Start(AttemptRequest {
         id: RequestId(id),
         attempt: AttemptNo(0),
-        conn: CLIENT,
-        key,
+        client_connection: CLIENT,
+        client_request_id: key,
         class,
         statement,
-        until,
+        deadline: until,
         ..AttemptRequest::default()
     })
 }
--- a/tests/unit/termination.rs
+++ b/tests/unit/termination.rs
@@ -73,7 +73,7 @@
     );
     assert_eq!(
         outcome(of(Errno::MFILE), TransmitProgress::Unsent),
-        OutcomeKind::Moot
+        OutcomeKind::NeverSent
     );
     assert_eq!(of(Errno::CONNREFUSED), Termination::Refused);
     assert_eq!(of(Errno::HOSTUNREACH), Termination::Unreachable);
