--- a/src/audit/mod.rs
+++ b/src/audit/mod.rs
@@ -105,7 +105,7 @@
     }
 }
 
-/// [`Under`] as the files have it: the codec knows no flattened fields.
+/// [`DecisionContext`] as the files have it: the codec knows no flattened fields.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryUnder {
     member: String,
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -11,7 +11,7 @@
 /// What a wire made of the bytes of an engine.
 #[derive(Debug)]
 pub enum BackendEvent {
-    /// An attempt ended; with [`End::Done`] come all its rows.
+    /// An attempt ended; with [`Termination::Done`] come all its rows.
     Ended(RequestId, Termination, Vec<u8>, LoadReport, Cost),
     /// The probe with that number came back.
     Probed(u64, OutcomeKind, LoadReport),
--- a/src/dispatcher/message.rs
+++ b/src/dispatcher/message.rs
@@ -136,7 +136,7 @@
     pub termination: Termination,
     /// How much of it went out.
     pub progress: TransmitProgress,
-    /// With [`End::Done`]: the rows.
+    /// With [`Termination::Done`]: the rows.
     pub rows: Vec<u8>,
     /// The engine's load, where told.
     pub load: LoadReport,
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! It owns the open requests, their attempts, the timers, and the ledger of the rules: one final
 //! answer each, at most the stated attempts, never two out, nothing to what drains, and outcomes
-//! that say exactly what is known. Fronts hand in [`Ask`]s, engines hand in [`Ended`]s; out come
-//! [`Order`]s.
+//! that say exactly what is known. Fronts hand in [`ClientRequest`]s, engines hand in [`AttemptResult`]s; out come
+//! [`Command`]s.
 mod attempts;
 mod in_flight;
 pub mod message;
@@ -98,7 +98,7 @@
 
     /// New settings, with the names of their classes: for all that comes from now on. What is open
     /// keeps its class and its number of attempts.
-    pub fn retune(&mut self, settings: Settings, names: &[String]) {
+    pub fn reconfigure(&mut self, settings: Settings, names: &[String]) {
         let fresh = self.generations.next(named(&settings, names));
         let fresh: Vec<_> = fresh
             .iter()
@@ -111,7 +111,7 @@
             .collect();
         self.max_attempts = send_cap(&settings);
         self.heeds = EngineCapabilities::of(&settings);
-        self.module.retune(
+        self.module.reconfigure(
             Settings {
                 classes,
                 ..settings
@@ -140,17 +140,17 @@
     }
 
     /// So many bytes of open statements are held at most.
-    pub fn hold_at_most(&mut self, bytes: usize) {
+    pub fn set_statement_limit(&mut self, bytes: usize) {
         self.most_statements = bytes;
     }
 
     /// Whether decisions are noted for the audit.
-    pub fn audit(&mut self, kept: bool) {
+    pub fn record_decisions(&mut self, kept: bool) {
         self.decisions = kept.then(Vec::new);
     }
 
     /// What was decided since the last call, in order.
-    pub fn decisions(&mut self) -> Vec<Decision> {
+    pub fn take_decisions(&mut self) -> Vec<Decision> {
         self.decisions
             .as_mut()
             .map(std::mem::take)
@@ -207,7 +207,7 @@
     }
 
     /// A front turned a request of that class away by itself.
-    pub fn turned_away(&mut self, class: ClassId, answer: &Response) {
+    pub fn record_frontend_rejection(&mut self, class: ClassId, answer: &Response) {
         if self.decisions.is_some() {
             self.note_answer(class, &Rc::from(""), answer);
         }
@@ -216,20 +216,20 @@
 
     /// What operators are told; all but the attempts written, which the connections to engines
     /// count.
-    pub fn figures(&self) -> MetricsSnapshot {
+    pub fn metrics(&self) -> MetricsSnapshot {
         MetricsSnapshot {
             classes: self.counters.classes.clone(),
             dispatches: 0,
             concurrent: self.counters.open(),
             targets: self.engines.len() as u64,
-            targets_disabled: self.module.avoided() as u64,
+            targets_disabled: self.module.unavailable_engines() as u64,
             reload_success: self.counters.reloads,
             reload_failure: self.counters.reload_failures,
         }
     }
 
     /// When the core wants its next turn by itself.
-    pub fn next_due(&self) -> Option<Micros> {
+    pub fn next_wakeup(&self) -> Option<Micros> {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
         let deadline = self.deadlines.first().map(|(at, _)| *at);
         timer.into_iter().chain(deadline).min()
@@ -244,7 +244,7 @@
     }
 
     /// News of the list of engines.
-    pub fn list(
+    pub fn update_endpoints(
         &mut self,
         now: Micros,
         kind: EndpointListKind,
@@ -262,22 +262,22 @@
     }
 
     /// The tenants' shares changed.
-    pub fn tenants(&mut self, tenants: &[TenantSpec]) {
+    pub fn set_tenants(&mut self, tenants: &[TenantSpec]) {
         self.module.set_tenants(tenants);
     }
 
     /// That part of what this manager may use of the engines is this process's.
-    pub fn split(&mut self, part: f64) {
-        self.module.split(part);
+    pub fn set_capacity_share(&mut self, part: f64) {
+        self.module.set_capacity_share(part);
     }
 
     /// So many managers share the warm engines, as the fleet's membership counts them.
-    pub fn share_among(&mut self, managers: u32) {
-        self.module.share_among(managers);
+    pub fn set_active_gateways(&mut self, managers: u32) {
+        self.module.set_active_gateways(managers);
     }
 
     /// A request came in.
-    pub fn take(&mut self, now: Micros, ask: ClientRequest, orders: &mut Vec<Command>) {
+    pub fn handle_request(&mut self, now: Micros, ask: ClientRequest, orders: &mut Vec<Command>) {
         self.counters.taken += 1;
         // Guards the rule of one answer: a second request under a mark that is still open would
         // take the first one's answer.
@@ -344,7 +344,7 @@
     }
 
     /// The client stopped waiting for one request.
-    pub fn withdraw(&mut self, now: Micros, origin: Origin, orders: &mut Vec<Command>) {
+    pub fn cancel_request(&mut self, now: Micros, origin: Origin, orders: &mut Vec<Command>) {
         if let Some(id) = self.origins.remove(&origin) {
             self.counters.gone += 1;
             self.leave(now, id, orders);
@@ -352,14 +352,14 @@
     }
 
     /// A client's connection ended, with all that was open on it.
-    pub fn hung_up(&mut self, now: Micros, conn: u64, orders: &mut Vec<Command>) {
+    pub fn client_disconnected(&mut self, now: Micros, conn: u64, orders: &mut Vec<Command>) {
         let all = Origin { conn, tag: 0 }..=Origin {
             conn,
             tag: u64::MAX,
         };
         let left: Vec<Origin> = self.origins.range(all).map(|(origin, _)| *origin).collect();
         left.into_iter()
-            .for_each(|origin| self.withdraw(now, origin, orders));
+            .for_each(|origin| self.cancel_request(now, origin, orders));
     }
 
     fn leave(&mut self, now: Micros, id: RequestId, orders: &mut Vec<Command>) {
@@ -374,7 +374,12 @@
     }
 
     /// An attempt ended.
-    pub fn ended(&mut self, now: Micros, ended: AttemptResult, orders: &mut Vec<Command>) {
+    pub fn attempt_finished(
+        &mut self,
+        now: Micros,
+        ended: AttemptResult,
+        orders: &mut Vec<Command>,
+    ) {
         let id = ended.id;
         let known = self.open.get_mut(&id);
         // Guards against an end that comes twice, as when a time-out crosses an answer: the first
@@ -443,7 +448,7 @@
 
     /// The program is about to be killed: gives up what is open, refused where that is honest,
     /// since another manager may still serve it.
-    pub fn end_all(&mut self, now: Micros, orders: &mut Vec<Command>) {
+    pub fn fail_all(&mut self, now: Micros, orders: &mut Vec<Command>) {
         let open: Vec<RequestId> = self
             .open
             .iter()
@@ -457,7 +462,7 @@
     }
 
     /// A probe came back.
-    pub fn probed(
+    pub fn probe_completed(
         &mut self,
         now: Micros,
         engine: EngineId,
@@ -479,7 +484,7 @@
     }
 
     /// Timers and deadlines that are due.
-    pub fn due(&mut self, now: Micros, orders: &mut Vec<Command>) {
+    pub fn run_due_timers(&mut self, now: Micros, orders: &mut Vec<Command>) {
         while let Some((at, id)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
             self.deadlines.remove(&(at, id));
             let Some(open) = self.open.get_mut(&id) else {
--- a/src/dispatcher/termination.rs
+++ b/src/dispatcher/termination.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::io;
 
-/// How it ended. What it means for an attempt also depends on [`Reach`].
+/// How it ended. What it means for an attempt also depends on [`TransmitProgress`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Termination {
     /// The engine answered, and the answer is whole.
--- a/src/hot_restart/message.rs
+++ b/src/hot_restart/message.rs
@@ -25,21 +25,21 @@
     /// The newer one's name, in this version of the protocol.
     Hello(String),
     /// The listeners that come with it.
-    Take(Vec<SocketAddr>),
+    Listeners(Vec<SocketAddr>),
     /// Clients were sent away.
-    Drained,
+    Draining,
     /// The newer one serves.
     Ready,
     /// What the newer one leaves to others.
-    Leave(f64),
+    ReservedShare(f64),
     /// A client's connection, by its number at the older one.
-    Client(u64, TransferredConnection),
+    Connection(u64, TransferredConnection),
     /// An answer of the older one to the request with that mark, worded.
-    Answer(u64, u64, Vec<u8>),
+    Response(u64, u64, Vec<u8>),
     /// The client withdrew that request of the older one.
-    Withdraw(u64, u64),
+    Cancel(u64, u64),
     /// The client has gone.
-    Gone(u64),
+    ClientGone(u64),
 }
 
 /// What passes with a client's connection.
@@ -58,11 +58,11 @@
     pub fn bytes(&self) -> Vec<u8> {
         let mut out = self.line().into_bytes();
         match self {
-            HotRestartMessage::Client(_, handed) => {
+            HotRestartMessage::Connection(_, handed) => {
                 out.extend_from_slice(&handed.input);
                 out.extend_from_slice(&handed.unwritten);
             }
-            HotRestartMessage::Answer(_, _, bytes) => out.extend_from_slice(bytes),
+            HotRestartMessage::Response(_, _, bytes) => out.extend_from_slice(bytes),
             _ => {}
         }
         out
@@ -72,14 +72,14 @@
     pub fn line(&self) -> String {
         match self {
             HotRestartMessage::Hello(name) => format!("{HELLO} {name}\n"),
-            HotRestartMessage::Take(addrs) => {
+            HotRestartMessage::Listeners(addrs) => {
                 let all: Vec<String> = addrs.iter().map(SocketAddr::to_string).collect();
                 format!("take {}\n", all.join(" "))
             }
-            HotRestartMessage::Drained => "drained\n".into(),
+            HotRestartMessage::Draining => "drained\n".into(),
             HotRestartMessage::Ready => "ready\n".into(),
-            HotRestartMessage::Leave(part) => format!("leave {part:.3}\n"),
-            HotRestartMessage::Client(
+            HotRestartMessage::ReservedShare(part) => format!("leave {part:.3}\n"),
+            HotRestartMessage::Connection(
                 n,
                 TransferredConnection {
                     open,
@@ -95,17 +95,19 @@
                 };
                 format!("client {n} {ids} {} {}\n", input.len(), unwritten.len())
             }
-            HotRestartMessage::Answer(n, id, bytes) => format!("answer {n} {id} {}\n", bytes.len()),
-            HotRestartMessage::Withdraw(n, id) => format!("withdraw {n} {id}\n"),
-            HotRestartMessage::Gone(n) => format!("gone {n}\n"),
+            HotRestartMessage::Response(n, id, bytes) => {
+                format!("answer {n} {id} {}\n", bytes.len())
+            }
+            HotRestartMessage::Cancel(n, id) => format!("withdraw {n} {id}\n"),
+            HotRestartMessage::ClientGone(n) => format!("gone {n}\n"),
         }
     }
 
     /// How many bytes follow its line, as it was read.
     fn follows(&self) -> usize {
         match self {
-            HotRestartMessage::Client(_, handed) => handed.input.len() + handed.unwritten.len(),
-            HotRestartMessage::Answer(_, _, bytes) => bytes.len(),
+            HotRestartMessage::Connection(_, handed) => handed.input.len() + handed.unwritten.len(),
+            HotRestartMessage::Response(_, _, bytes) => bytes.len(),
             _ => 0,
         }
     }
@@ -113,12 +115,12 @@
     /// Puts the bytes in that follow its line.
     fn fill(&mut self, bytes: &[u8]) {
         match self {
-            HotRestartMessage::Client(_, handed) => {
+            HotRestartMessage::Connection(_, handed) => {
                 let (input, unwritten) = bytes.split_at(handed.input.len());
                 handed.input.copy_from_slice(input);
                 handed.unwritten.copy_from_slice(unwritten);
             }
-            HotRestartMessage::Answer(_, _, into) => into.copy_from_slice(bytes),
+            HotRestartMessage::Response(_, _, into) => into.copy_from_slice(bytes),
             _ => {}
         }
     }
@@ -151,7 +153,7 @@
                     .into_iter()
                     .map(|id| id.parse().ok())
                     .collect::<Option<_>>()?;
-                Some(HotRestartMessage::Client(
+                Some(HotRestartMessage::Connection(
                     number(0)?,
                     TransferredConnection {
                         open,
@@ -160,23 +162,25 @@
                     },
                 ))
             }
-            "answer" if parts.len() == 3 => {
-                Some(HotRestartMessage::Answer(number(0)?, number(1)?, room(2)?))
-            }
+            "answer" if parts.len() == 3 => Some(HotRestartMessage::Response(
+                number(0)?,
+                number(1)?,
+                room(2)?,
+            )),
             "withdraw" if parts.len() == 2 => {
-                Some(HotRestartMessage::Withdraw(number(0)?, number(1)?))
+                Some(HotRestartMessage::Cancel(number(0)?, number(1)?))
             }
-            "gone" if parts.len() == 1 => Some(HotRestartMessage::Gone(number(0)?)),
+            "gone" if parts.len() == 1 => Some(HotRestartMessage::ClientGone(number(0)?)),
             "take" => rest
                 .split(' ')
                 .map(|addr| addr.parse().ok())
                 .collect::<Option<_>>()
-                .map(HotRestartMessage::Take),
-            "drained" if rest.is_empty() => Some(HotRestartMessage::Drained),
+                .map(HotRestartMessage::Listeners),
+            "drained" if rest.is_empty() => Some(HotRestartMessage::Draining),
             "ready" if rest.is_empty() => Some(HotRestartMessage::Ready),
             "leave" => {
                 let part = rest.parse().ok().filter(|part| (0.0..=1.0).contains(part));
-                part.map(HotRestartMessage::Leave)
+                part.map(HotRestartMessage::ReservedShare)
             }
             _ => None,
         }
@@ -235,11 +239,11 @@
         let addr = |port| SocketAddr::from(([127, 0, 0, 1], port));
         let all = [
             HotRestartMessage::Hello("n0".into()),
-            HotRestartMessage::Take(vec![addr(5050), addr(8123)]),
-            HotRestartMessage::Drained,
+            HotRestartMessage::Listeners(vec![addr(5050), addr(8123)]),
+            HotRestartMessage::Draining,
             HotRestartMessage::Ready,
-            HotRestartMessage::Leave(0.375),
-            HotRestartMessage::Client(
+            HotRestartMessage::ReservedShare(0.375),
+            HotRestartMessage::Connection(
                 7,
                 TransferredConnection {
                     open: vec![3, 9],
@@ -247,10 +251,10 @@
                     unwritten: b"half\n".to_vec(),
                 },
             ),
-            HotRestartMessage::Client(8, TransferredConnection::default()),
-            HotRestartMessage::Answer(7, 9, b"leave 1\n".to_vec()),
-            HotRestartMessage::Withdraw(7, 3),
-            HotRestartMessage::Gone(8),
+            HotRestartMessage::Connection(8, TransferredConnection::default()),
+            HotRestartMessage::Response(7, 9, b"leave 1\n".to_vec()),
+            HotRestartMessage::Cancel(7, 3),
+            HotRestartMessage::ClientGone(8),
         ];
         let wire: Vec<u8> = all.iter().flat_map(HotRestartMessage::bytes).collect();
         for step in 1..wire.len() {
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -46,7 +46,7 @@
     /// The manager.
     pub name: String,
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// The bounds of leases.
@@ -89,19 +89,22 @@
     }
 
     /// How long an owner may act, counted from when it asked.
-    pub fn valid(&self) -> Micros {
+    pub fn holder_validity(&self) -> Micros {
         (self.term_ms - self.term_ms * self.drift / 1_000 - self.margin_ms) * MS
     }
 
     /// How long a voter holds to a grant, counted from when it gave it.
-    pub fn granted(&self) -> Micros {
+    pub fn grant_duration(&self) -> Micros {
         self.term_ms * MS
     }
 }
 
 /// The member that is to own a duty: the first by rendezvous hashing, so that one that comes or
 /// goes moves only its own duties.
-pub fn first<'a>(duty: Resource, members: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+pub fn preferred_owner<'a>(
+    duty: Resource,
+    members: impl Iterator<Item = &'a str>,
+) -> Option<&'a str> {
     let seed = match duty {
         Resource::Probe(engine) => xxh3_64(&engine.to_be_bytes()),
     };
@@ -121,13 +124,13 @@
 
 impl TokenHighWaterMarks {
     /// The highest token of a duty.
-    pub fn of(&self, duty: Resource) -> FencingToken {
+    pub fn get(&self, duty: Resource) -> FencingToken {
         self.tokens.get(&duty).copied().unwrap_or(self.floor)
     }
 
     /// A token was seen or granted.
-    pub fn raise(&mut self, duty: Resource, token: FencingToken) {
-        if token <= self.of(duty) {
+    pub fn observe(&mut self, duty: Resource, token: FencingToken) {
+        if token <= self.get(duty) {
             return;
         }
         self.tokens.insert(duty, token);
@@ -183,7 +186,7 @@
     pub fn new(terms: LeaseTiming, kept: TokenHighWaterMarks, now: Micros) -> Voter {
         Voter {
             terms,
-            silent_until: now + terms.granted(),
+            silent_until: now + terms.grant_duration(),
             grants: BTreeMap::new(),
             highest: kept,
         }
@@ -203,11 +206,11 @@
         holder: &Holder,
         token: FencingToken,
     ) -> (Vote, bool) {
-        let highest = self.highest.of(duty);
+        let highest = self.highest.get(duty);
         // What is over is forgotten: its token stays among the highest.
         self.grants.retain(|_, g| now < g.until);
         let live = self.grants.get(&duty).filter(|g| now < g.until);
-        let until = now + self.terms.granted();
+        let until = now + self.terms.grant_duration();
         match live {
             // Guards the term: a renewal lengthens the grant of this very lease, never one that is
             // over.
@@ -227,7 +230,7 @@
                 until,
             },
         );
-        self.highest.raise(duty, token);
+        self.highest.observe(duty, token);
         (Vote::Granted, token > highest)
     }
 
@@ -254,25 +257,25 @@
 impl FencingGuard {
     /// Whether what comes under that token counts.
     pub fn accepts(&mut self, duty: Resource, token: FencingToken) -> bool {
-        let counts = token >= self.highest.of(duty);
+        let counts = token >= self.highest.get(duty);
         self.dropped += u64::from(!counts);
-        self.highest.raise(duty, token);
+        self.highest.observe(duty, token);
         counts
     }
 
     /// A token was seen in use.
-    pub fn saw(&mut self, duty: Resource, token: FencingToken) {
-        self.highest.raise(duty, token);
+    pub fn observe(&mut self, duty: Resource, token: FencingToken) {
+        self.highest.observe(duty, token);
     }
 
     /// All that was seen.
-    pub fn seen(&self) -> impl Iterator<Item = (Resource, FencingToken)> {
+    pub fn iter(&self) -> impl Iterator<Item = (Resource, FencingToken)> {
         self.highest.iter()
     }
 
     /// The highest token seen.
     pub fn highest(&self, duty: Resource) -> FencingToken {
-        self.highest.of(duty)
+        self.highest.get(duty)
     }
 }
 
@@ -343,7 +346,7 @@
 
     /// The token under which it owns a duty now. To be asked before every action for the duty, and
     /// again after every wait.
-    pub fn owns(&self, duty: Resource, now: Micros) -> Option<FencingToken> {
+    pub fn token_if_held(&self, duty: Resource, now: Micros) -> Option<FencingToken> {
         self.lease(duty, now).map(|(token, _)| token)
     }
 
@@ -357,7 +360,10 @@
     }
 
     /// All that it owns, with what is left of each term.
-    pub fn owned(&self, now: Micros) -> impl Iterator<Item = (Resource, FencingToken, Micros)> {
+    pub fn held_leases(
+        &self,
+        now: Micros,
+    ) -> impl Iterator<Item = (Resource, FencingToken, Micros)> {
         let held = self
             .leases
             .iter()
@@ -368,7 +374,7 @@
 
     /// The duty is this manager's to do, and somebody needs it: for two terms more it is asked for
     /// and renewed.
-    pub fn want(
+    pub fn request_lease(
         &mut self,
         duty: Resource,
         fence: &FencingGuard,
@@ -376,7 +382,7 @@
         out: &mut Vec<Action>,
     ) {
         let lease = self.leases.entry(duty).or_default();
-        lease.wanted_until = now + 2 * self.terms.granted();
+        lease.wanted_until = now + 2 * self.terms.grant_duration();
         if lease.held.is_none_or(|(_, until)| now >= until)
             && lease.round.is_none()
             && now >= lease.not_before
@@ -395,7 +401,7 @@
             granted: BTreeSet::new(),
         });
         // Candidates that ask in step would split the votes again and again.
-        let term = self.terms.granted();
+        let term = self.terms.grant_duration();
         lease.not_before = now + term / 8 + u64::from(self.random.next_u32()) % (term / 8).max(1);
         out.extend(
             self.voters
@@ -415,7 +421,7 @@
         out: &mut Vec<Action>,
     ) {
         if let Vote::Refused(highest) = vote {
-            fence.saw(duty, *highest);
+            fence.observe(duty, *highest);
         }
         let Some(lease) = self.leases.get_mut(&duty) else {
             return;
@@ -430,13 +436,13 @@
         if 2 * round.granted.len() <= self.voters.len() {
             return;
         }
-        let (token, until) = (round.token, round.asked + self.terms.valid());
+        let (token, until) = (round.token, round.asked + self.terms.holder_validity());
         lease.round = None;
         if now >= until {
             return;
         }
         let was = lease.held.replace((token, until));
-        fence.saw(duty, token);
+        fence.observe(duty, token);
         if was.is_none_or(|(held, _)| held != token) {
             out.push(Action::Owned(duty, token));
         }
@@ -445,7 +451,7 @@
     /// Time passes: leases end, are renewed while they are needed and this manager is the one to
     /// own them, or are given up.
     pub fn tick(&mut self, mine: impl Fn(Resource) -> bool, now: Micros, out: &mut Vec<Action>) {
-        let renew_before = self.terms.valid() - self.terms.granted() / 3;
+        let renew_before = self.terms.holder_validity() - self.terms.grant_duration() / 3;
         let (mut renew, mut give_up) = (Vec::new(), Vec::new());
         for (duty, lease) in &mut self.leases {
             if let Some((token, _)) = lease.held.filter(|(_, until)| now >= *until) {
@@ -455,7 +461,7 @@
             if lease
                 .round
                 .as_ref()
-                .is_some_and(|r| now >= r.asked + self.terms.granted() / 4)
+                .is_some_and(|r| now >= r.asked + self.terms.grant_duration() / 4)
             {
                 // Too few votes came: those that did not may have been lost, or come too late to
                 // count for much.
@@ -470,7 +476,7 @@
             };
             let passes = lease
                 .passes_since
-                .is_some_and(|since| now >= since + self.terms.granted());
+                .is_some_and(|since| now >= since + self.terms.grant_duration());
             match lease.held {
                 Some((token, _)) if now >= lease.wanted_until || passes => {
                     give_up.push((*duty, token))
@@ -519,13 +525,13 @@
     }
 
     /// When [`tick`](Self::tick) has something to do next.
-    pub fn wakes(&self) -> Option<Micros> {
-        let renew_before = self.terms.valid() - self.terms.granted() / 3;
+    pub fn next_wakeup(&self) -> Option<Micros> {
+        let renew_before = self.terms.holder_validity() - self.terms.grant_duration() / 3;
         let next = |lease: &Lease| {
             let round = lease
                 .round
                 .as_ref()
-                .map(|r| r.asked + self.terms.granted() / 4);
+                .map(|r| r.asked + self.terms.grant_duration() / 4);
             let held = lease.held.map(|(_, until)| match &lease.round {
                 Some(_) => until,
                 None => (until - renew_before).max(lease.not_before).min(until),
--- a/src/lease/shared_probe.rs
+++ b/src/lease/shared_probe.rs
@@ -128,10 +128,10 @@
     ) {
         let duty = Resource::Probe(engine);
         let Some(first) = first else {
-            candidate.want(duty, fence, now, actions);
+            candidate.request_lease(duty, fence, now, actions);
             let fresh = self
                 .fresh(engine, now)
-                .filter(|_| candidate.owns(duty, now).is_some());
+                .filter(|_| candidate.token_if_held(duty, now).is_some());
             steps.push(match fresh {
                 Some(sounding) => Step::Give(engine, sounding),
                 None => Step::Probe(engine),
@@ -176,7 +176,7 @@
     ) {
         let duty = Resource::Probe(engine);
         if mine {
-            candidate.want(duty, fence, now, actions);
+            candidate.request_lease(duty, fence, now, actions);
         }
         let Some((token, until)) = candidate.lease(duty, now) else {
             return steps.push(Step::NotMine(from, engine, number));
@@ -206,7 +206,7 @@
     ) {
         self.heard
             .extend(sounding.map(|sounding| (engine, (sounding, now))));
-        let token = candidate.owns(Resource::Probe(engine), now);
+        let token = candidate.token_if_held(Resource::Probe(engine), now);
         for (whom, number) in self
             .waiting
             .remove(&engine)
@@ -286,7 +286,7 @@
     }
 
     /// When [`tick`](Self::tick) has something to do next.
-    pub fn wakes(&self) -> Option<Micros> {
+    pub fn next_wakeup(&self) -> Option<Micros> {
         let asked = self.asked.values().map(|a| a.at + self.ask_wait);
         asked
             .chain(self.waiting.values().map(|(since, _)| since + STUCK))
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! A workload manager in front of shared query engines, and the decisions it goes by.
 //!
-//! [`policy::Gateway`] is a state machine without I/O: feed it [`interface::Event`]s with the time
-//! they came in and carry out the [`interface::Action`]s it appends. Everything it knows comes from
-//! [`interface::Settings`] and those events.
+//! [`policy::Gateway`] is a state machine without I/O: feed it [`policy::api::Event`]s with the time
+//! they came in and carry out the [`policy::api::Action`]s it appends. Everything it knows comes from
+//! [`policy::api::Settings`] and those events.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -101,7 +101,7 @@
 
 impl Lifecycle {
     /// The list of engines is known, or has to do.
-    pub fn listed(&mut self) {
+    pub fn endpoint_list_received(&mut self) {
         self.listed = true;
     }
 
@@ -119,23 +119,23 @@
     }
 
     /// Asked to end. Again: the first time counts.
-    pub fn stop(&mut self, now: Micros) {
+    pub fn begin_shutdown(&mut self, now: Micros) {
         self.stopping_at = self.stopping_at.or(Some(now));
     }
 
     /// All is answered after the request to end: from now on no connection is kept and no request
     /// is taken.
-    pub fn close(&mut self) {
+    pub fn begin_closing(&mut self) {
         self.closing = true;
     }
 
     /// Whether that is so.
-    pub fn closing(&self) -> bool {
+    pub fn is_closing(&self) -> bool {
         self.closing
     }
 
     /// Older processes of this name have that part of the manager; none once they are gone.
-    pub fn follows(&mut self, part: f64) {
+    pub fn set_predecessor_share(&mut self, part: f64) {
         self.older = if part.is_finite() {
             part.clamp(0.0, 1.0)
         } else {
@@ -144,12 +144,12 @@
     }
 
     /// A process that follows this one came, is ready, or went.
-    pub fn followed(&mut self, next: SuccessorState) {
+    pub fn set_successor(&mut self, next: SuccessorState) {
         self.next = next;
     }
 
     /// Asked to end, it has that part of its work left.
-    pub fn fades(&mut self, left: f64) {
+    pub fn set_remaining_work(&mut self, left: f64) {
         self.left = if left.is_finite() {
             left.clamp(LEAST_LEFT.min(self.left), self.left)
         } else {
@@ -169,40 +169,40 @@
     }
 
     /// Whether it says that it takes clients.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         matches!(self.stage(), Stage::Ready | Stage::HandingOver) && !self.shut_out
     }
 
     /// The fleet's majority acts on newer settings or a newer list than this manager: it is shut
     /// out until it catches up, or back in.
-    pub fn shut_out(&mut self, out: bool) {
+    pub fn set_excluded(&mut self, out: bool) {
         self.shut_out = out;
     }
 
     /// Whether it is shut out.
-    pub fn is_shut_out(&self) -> bool {
+    pub fn is_excluded(&self) -> bool {
         self.shut_out
     }
 
     /// Whether it can serve, also if operators send its clients away.
-    pub fn serves(&self) -> bool {
+    pub fn can_serve(&self) -> bool {
         self.listed && self.stopping_at.is_none()
     }
 
     /// Whether operators sent its clients away.
-    pub fn drained(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.drained_at.is_some()
     }
 
     /// Whether it was asked to end.
-    pub fn stopping(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.stopping_at.is_some()
     }
 
     /// Whether a client is better told with its answer that the connection ends, where its protocol
     /// has a word for it.
-    pub fn sends_away(&self) -> bool {
-        self.stopping() || self.drained()
+    pub fn announces_close(&self) -> bool {
+        self.is_stopping() || self.is_draining()
     }
 
     /// Until when it accepts connections: forever unless it was asked to end. With a successor at
@@ -217,13 +217,13 @@
     }
 
     /// Whether kept connections of clients are to be let go, now or soon.
-    pub fn lets_go(&self) -> bool {
-        self.drained() || self.handed_over()
+    pub fn closes_idle_connections(&self) -> bool {
+        self.is_draining() || self.successor_took_over()
     }
 
     /// When a kept connection of a client is to be let go, at the next moment that it is quiet, if
     /// ever.
-    pub fn lets_go_at(&self, conn: u64) -> Option<Micros> {
+    pub fn idle_close_at(&self, conn: u64) -> Option<Micros> {
         let spread = |most: Micros| conn.wrapping_mul(MIX) % most;
         let drained = self.drained_at.map(|at| at + LEARNS + spread(SPREAD));
         let stopped = self
@@ -234,7 +234,7 @@
     }
 
     /// Whether requests on kept connections are given up at once, so that none is held on and on.
-    pub fn closes(&self, now: Micros) -> bool {
+    pub fn rejects_new_requests(&self, now: Micros) -> bool {
         let drained = self.drained_at.map(|at| at + CLOSES);
         let over = self
             .stopping_at
@@ -245,8 +245,8 @@
 
     /// How long a connection that is to be let go has to have been quiet: a client that just
     /// connected, or just got an answer, is likely to ask. Longer it is not held back.
-    pub fn rest(&self, conn: u64, now: Micros, useful: bool) -> Micros {
-        match self.lets_go_at(conn).filter(|_| !self.closing) {
+    pub fn required_quiet_time(&self, conn: u64, now: Micros, useful: bool) -> Micros {
+        match self.idle_close_at(conn).filter(|_| !self.closing) {
             Some(at) if now < at + PATIENCE => {
                 if useful {
                     REST
@@ -260,14 +260,14 @@
 
     /// Whether the process that follows this one takes the clients: then it ends once it holds
     /// none.
-    pub fn handed_over(&self) -> bool {
+    pub fn successor_took_over(&self) -> bool {
         self.stopping_at.is_some() && self.next == SuccessorState::Ready
     }
 
     /// When what is still open is given up, so that its client hears of it before the kill, which
     /// comes no sooner than the longest deadline, within the bounds of the platform, and 0.7 s
     /// more.
-    pub fn gives_up_at(&self, longest: Micros) -> Option<Micros> {
+    pub fn forced_end_at(&self, longest: Micros) -> Option<Micros> {
         let most = if self.next == SuccessorState::Ready {
             LONGEST_OVER
         } else {
@@ -278,7 +278,7 @@
     }
 
     /// What part of the limits and shares of this manager is this process's.
-    pub fn part(&self) -> f64 {
+    pub fn capacity_share(&self) -> f64 {
         let mine = if self.next == SuccessorState::Ready {
             0.5 * self.left
         } else {
@@ -288,9 +288,9 @@
     }
 
     /// What part a process that follows this one has to leave to those before it.
-    pub fn leaves(&self) -> f64 {
+    pub fn share_reserved_for_predecessors(&self) -> f64 {
         let mine = if self.next == SuccessorState::Ready {
-            self.part()
+            self.capacity_share()
         } else {
             (1.0 - self.older) * 0.5
         };
--- a/src/main.rs
+++ b/src/main.rs
@@ -88,8 +88,8 @@
                 .collect(),
         ),
         loads: RefCell::new(config.settings.classes.iter().map(|c| c.is_load).collect()),
-        databases: Box::new(move || databases.databases.get()),
-        stopping: Box::new(move || stopping.life.borrow().sends_away()),
+        databases: Box::new(move || databases.engines_know_databases.get()),
+        stopping: Box::new(move || stopping.lifecycle.borrow().announces_close()),
         // A walk through all numbers from a place that is new with each start.
         new_key: Box::new(move || {
             next.set(next.get().wrapping_add(0x9E37_79B9_7F4A_7C15));
@@ -110,7 +110,7 @@
     let shared = Shared::new(config.limits.sockets, config.limits.memory_mb);
     let life = clock::turn();
     let settings = net::fleet::membership::settings_hash(&config.text);
-    shared.acting.set(ActiveConfiguration {
+    shared.active_configuration.set(ActiveConfiguration {
         generation: 1,
         settings,
         list: 0,
@@ -123,7 +123,7 @@
             let (member, build, acting) = (
                 config.name.clone(),
                 net::fleet::membership::build(),
-                shared.acting.get(),
+                shared.active_configuration.get(),
             );
             net::audit::start(
                 &shared,
@@ -198,7 +198,7 @@
     let tenants = Tenants::new(&names, config.settings.tenants.clone());
     let settings = config.settings.clone();
     let mut manager = Dispatcher::new(clock::turn(), config.settings, &names.classes, config.seed);
-    manager.hold_at_most(shared.most_unread_bytes.get());
+    manager.set_statement_limit(shared.max_unread_bytes.get());
     let (core, mailbox) = bounded(dispatcher::MAILBOX);
     let (coordinator, moves) = bounded(1);
     if let Some((socket, at, fleet)) = fleet {
@@ -235,7 +235,7 @@
             let _ = feed.send(update).await;
         }
         let ready = flags.clone();
-        let heard = move || ready.life.borrow_mut().listed();
+        let heard = move || ready.lifecycle.borrow_mut().endpoint_list_received();
         flags.spawn(coordinator::run(
             flags.clone(),
             (last, seed),
@@ -250,7 +250,7 @@
             })
             .await;
         Timer::after(READY_ANYWAY).await;
-        flags.life.borrow_mut().listed();
+        flags.lifecycle.borrow_mut().endpoint_list_received();
     });
     let live: process::LiveNames = Rc::new(RefCell::new(names.clone()));
     let mut reload = Reload {
@@ -265,14 +265,14 @@
         core: core.clone(),
     };
     if let Some(console) = console {
-        shared.console.set(true);
+        shared.admin_enabled.set(true);
         shared.spawn(net::admin::listen(shared.clone(), console));
     }
     let starts = bounded::<()>(1);
     if let Some(taken) = taken {
         // The process before this one accepts what comes until this one serves.
-        let mut life = shared.life.borrow_mut();
-        life.follows(taken.leave);
+        let mut life = shared.lifecycle.borrow_mut();
+        life.set_predecessor_share(taken.leave);
         if taken.drained {
             life.drain(clock::turn());
         }
@@ -296,7 +296,7 @@
             let front = JsonRpc::new(
                 conn,
                 names.clone(),
-                Rc::new(move || flags.life.borrow().ready()),
+                Rc::new(move || flags.lifecycle.borrow().is_ready()),
             );
             let front = JsonRpc::resume(clock::turn(), &adopted.handed, front);
             match Async::new(stream) {
@@ -321,7 +321,7 @@
     }
     let starts = starts.1;
     let flags = shared.clone();
-    let ready: Rc<dyn Fn() -> bool> = Rc::new(move || flags.life.borrow().ready());
+    let ready: Rc<dyn Fn() -> bool> = Rc::new(move || flags.lifecycle.borrow().is_ready());
     let front = move |conn| JsonRpc::new(conn, live.clone(), ready.clone());
     let (all, module, start) = (shared.clone(), core.clone(), starts.clone());
     shared.spawn(async move {
@@ -364,7 +364,7 @@
     shared.spawn(async move {
         while let Some(Ok(signal)) = signals.next().await {
             let input = match signal {
-                Signal::Usr1 => DispatcherEvent::Report,
+                Signal::Usr1 => DispatcherEvent::PrintCounters,
                 Signal::Hup => match reload.again().await {
                     Ok(()) => {
                         log!("read the configuration again");
@@ -377,8 +377,8 @@
                 },
                 _ => {
                     log!("asked to end: answering what is open");
-                    flags.life.borrow_mut().stop(clock::turn());
-                    DispatcherEvent::Stop
+                    flags.lifecycle.borrow_mut().begin_shutdown(clock::turn());
+                    DispatcherEvent::Shutdown
                 }
             };
             let _ = core.send(input).await;
--- a/src/membership/codec.rs
+++ b/src/membership/codec.rs
@@ -59,6 +59,6 @@
 }
 
 /// The bytes one piece of news takes within a message.
-pub fn rumour_size(rumour: &MemberUpdate) -> usize {
+pub fn update_size(rumour: &MemberUpdate) -> usize {
     postcard::to_allocvec(rumour).map_or(usize::MAX / 2, |v| v.len())
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -7,8 +7,8 @@
 //! hears itself suspected refutes with a higher incarnation. What changed rides on pings and acks,
 //! each change a bounded number of times, within a bounded datagram.
 //!
-//! Every member also carries its [`Versions`]: the build, the settings generation and the list
-//! version it acts on. From these, [`straggling`] tells a manager whether the fleet's majority has
+//! Every member also carries its [`RunningVersions`]: the build, the settings generation and the list
+//! version it acts on. From these, [`Straggler`] tells a manager whether the fleet's majority has
 //! moved on without it.
 pub mod codec;
 
@@ -62,7 +62,8 @@
     /// Higher in each life, and within a life at each refutation or change of versions.
     pub incarnation: u64,
     /// What it is taken to be.
-    pub health: MemberState,
+    #[serde(rename = "health")]
+    pub state: MemberState,
     /// What it acts on.
     pub versions: RunningVersions,
 }
@@ -90,7 +91,7 @@
     /// The sender's own news: every datagram is a sign of life.
     pub from: MemberUpdate,
     /// What it asks.
-    pub kind: MessageBody,
+    pub body: MessageBody,
     /// News of others.
     pub gossip: Vec<MemberUpdate>,
 }
@@ -164,7 +165,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// Its latest news.
-    pub rumour: MemberUpdate,
+    pub update: MemberUpdate,
     /// Since when it is as it is; of one suspected, the last time that an ack of it came after all.
     pub since: Micros,
     /// Suspected for the whole time, it is pinged a last time.
@@ -251,7 +252,7 @@
     }
 
     /// When [`tick`](Self::tick) has something to do next.
-    pub fn wakes(&self) -> Micros {
+    pub fn next_wakeup(&self) -> Micros {
         let probes = self.probes.values().map(|p| {
             p.sent
                 + if p.indirect_sent {
@@ -263,13 +264,13 @@
         let suspects = self
             .members
             .values()
-            .filter(|m| m.rumour.health == MemberState::Suspect && !m.last_call);
+            .filter(|m| m.update.state == MemberState::Suspect && !m.last_call);
         let suspects = suspects.map(|m| m.since + self.suspicion());
         probes.chain(suspects).fold(self.next_probe, Micros::min)
     }
 
     /// What this manager acts on has changed: a new incarnation carries it.
-    pub fn versions(&mut self, versions: RunningVersions) {
+    pub fn set_versions(&mut self, versions: RunningVersions) {
         if versions != self.me.versions {
             self.me.versions = versions;
             self.me.incarnation += 1;
@@ -282,7 +283,7 @@
     pub fn leave(&mut self, out: &mut Vec<Action>) {
         let targets: Vec<SocketAddr> = self
             .alive()
-            .map(|m| m.rumour.addr)
+            .map(|m| m.update.addr)
             .take(self.timing.indirect.max(1))
             .collect();
         for to in targets {
@@ -294,7 +295,7 @@
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.time_out_probes(now, out);
         let suspicion = self.suspicion();
-        let unrefuted = |m: &Member| m.rumour.health == MemberState::Suspect && !m.last_call;
+        let unrefuted = |m: &Member| m.update.state == MemberState::Suspect && !m.last_call;
         let over: Vec<String> = (self.members.iter())
             .filter(|(_, m)| unrefuted(m) && now >= m.since + suspicion)
             .map(|(name, _)| name.clone())
@@ -322,10 +323,10 @@
             return;
         }
         let sender = message.from.name.clone();
-        let leaving = message.kind == MessageBody::Leave;
+        let leaving = message.body == MessageBody::Leave;
         let mut news = message.from;
         news.addr = from;
-        news.health = if leaving {
+        news.state = if leaving {
             MemberState::Left
         } else {
             MemberState::Alive
@@ -335,7 +336,7 @@
         let known = self
             .members
             .get(&sender)
-            .map(|m| (m.rumour.incarnation, m.rumour.health));
+            .map(|m| (m.update.incarnation, m.update.state));
         let stale = known.is_some_and(|(i, h)| {
             incarnation < i || !heard && matches!(h, MemberState::Dead | MemberState::Left)
         });
@@ -355,10 +356,10 @@
             }
             if known.is_some_and(|(i, h)| incarnation == i && h == MemberState::Dead) {
                 // It is told, so that it can refute if it lives.
-                let dead = self.members[&sender].rumour.clone();
+                let dead = self.members[&sender].update.clone();
                 let tell = Message {
                     from: self.me.clone(),
-                    kind: MessageBody::Ack(0),
+                    body: MessageBody::Ack(0),
                     gossip: vec![dead],
                 };
                 out.push(Action::Send(from, Box::new(tell)));
@@ -366,11 +367,11 @@
             return;
         }
         // What stands on a page was passed on before: it is not news.
-        let news = !matches!(message.kind, MessageBody::Page(..));
+        let news = !matches!(message.body, MessageBody::Page(..));
         for rumour in message.gossip {
             self.take_in(rumour, news, now, out);
         }
-        match message.kind {
+        match message.body {
             MessageBody::Ping(seq) => {
                 self.send(from, MessageBody::Ack(seq), out);
             }
@@ -382,7 +383,7 @@
                 // everywhere.
                 if let Some(member) = self.members.get_mut(&probe.target) {
                     member.doubted = false;
-                    if member.rumour.health == MemberState::Suspect {
+                    if member.update.state == MemberState::Suspect {
                         (member.since, member.last_call) = (now, false);
                     }
                 }
@@ -395,7 +396,7 @@
                 let name = self
                     .members
                     .iter()
-                    .find(|(_, m)| m.rumour.addr == target)
+                    .find(|(_, m)| m.update.addr == target)
                     .map(|(n, _)| n.clone());
                 let Some(name) = name else { return };
                 let for_whom = Some((from, their));
@@ -430,7 +431,7 @@
         let mut gossip: Vec<MemberUpdate> = Vec::new();
         let head = Message {
             from: self.me.clone(),
-            kind: kind.clone(),
+            body: kind.clone(),
             gossip: Vec::new(),
         };
         // The longest name may stand in the head as the last one of the page.
@@ -444,7 +445,7 @@
             std::ops::Bound::Unbounded,
         );
         for (name, member) in self.members.range::<String, _>(behind) {
-            let size = codec::rumour_size(&member.rumour);
+            let size = codec::update_size(&member.update);
             if size > room {
                 // One that would never fit is passed over.
                 let last = gossip.last().map_or(name, |last| &last.name).clone();
@@ -452,11 +453,11 @@
                 break;
             }
             room -= size;
-            gossip.push(member.rumour.clone());
+            gossip.push(member.update.clone());
         }
         Message {
             from: self.me.clone(),
-            kind,
+            body: kind,
             gossip,
         }
     }
@@ -475,7 +476,7 @@
         out: &mut Vec<Action>,
     ) -> bool {
         if rumour.name == self.me.name {
-            if rumour.health != MemberState::Alive && rumour.incarnation >= self.me.incarnation {
+            if rumour.state != MemberState::Alive && rumour.incarnation >= self.me.incarnation {
                 // Suspected or declared dead while alive: refute with a higher incarnation.
                 self.me.incarnation = rumour.incarnation + 1;
                 let name = self.me.name.clone();
@@ -485,26 +486,26 @@
         }
         let newer = match self.members.get(&rumour.name) {
             None => true,
-            Some(known) => overrides(&rumour, &known.rumour),
+            Some(known) => supersedes(&rumour, &known.update),
         };
         if !newer {
             return false;
         }
         let name = rumour.name.clone();
-        let health = rumour.health;
+        let health = rumour.state;
         self.grew |= !self.members.contains_key(&name);
         let was = self.members.insert(
             name.clone(),
             Member {
-                rumour,
+                update: rumour,
                 since: now,
                 last_call: false,
                 doubted: false,
             },
         );
         self.seeds
-            .retain(|s| Some(*s) != self.members.get(&name).map(|m| m.rumour.addr));
-        if was.as_ref().is_none_or(|w| w.rumour.health != health) {
+            .retain(|s| Some(*s) != self.members.get(&name).map(|m| m.update.addr));
+        if was.as_ref().is_none_or(|w| w.update.state != health) {
             out.push(Action::Changed(name.clone(), health));
         }
         if health != MemberState::Alive {
@@ -521,10 +522,10 @@
         let Some(member) = self.members.get_mut(name) else {
             return;
         };
-        if member.rumour.health == health {
+        if member.update.state == health {
             return;
         }
-        member.rumour.health = health;
+        member.update.state = health;
         (member.since, member.last_call) = (now, false);
         out.push(Action::Changed(name.to_owned(), health));
         self.spread(name);
@@ -551,7 +552,7 @@
             true
         });
         for (seq, target) in indirect {
-            if let Some(addr) = self.members.get(&target).map(|m| m.rumour.addr) {
+            if let Some(addr) = self.members.get(&target).map(|m| m.update.addr) {
                 self.send(addr, MessageBody::Ping(seq), out);
             }
             self.ask_others(seq, &target, out);
@@ -560,7 +561,7 @@
             let Some(member) = self.members.get_mut(&target) else {
                 continue;
             };
-            match (member.rumour.health, member.doubted) {
+            match (member.update.state, member.doubted) {
                 // Guards the fleet's news: with a fifth of all datagrams lost one round in thirteen
                 // fails, and of 300 members twenty were suspected a period, more than news can
                 // carry refutations of.
@@ -578,7 +579,7 @@
             if self
                 .members
                 .get(&target)
-                .is_some_and(|m| m.rumour.health == MemberState::Suspect && m.last_call)
+                .is_some_and(|m| m.update.state == MemberState::Suspect && m.last_call)
             {
                 self.set_health(&target, MemberState::Dead, now, out);
             }
@@ -593,7 +594,7 @@
             return;
         };
         member.last_call = true;
-        let addr = member.rumour.addr;
+        let addr = member.update.addr;
         self.seq = self.seq.wrapping_add(1);
         let seq = self.seq;
         let probe = Probe {
@@ -610,13 +611,13 @@
 
     /// The direct ping went unanswered: `k` others are asked to ping.
     fn ask_others(&mut self, seq: u32, target: &str, out: &mut Vec<Action>) {
-        let Some(addr) = self.members.get(target).map(|m| m.rumour.addr) else {
+        let Some(addr) = self.members.get(target).map(|m| m.update.addr) else {
             return;
         };
         let mut others: Vec<SocketAddr> = self
             .alive()
-            .filter(|m| m.rumour.name != target)
-            .map(|m| m.rumour.addr)
+            .filter(|m| m.update.name != target)
+            .map(|m| m.update.addr)
             .collect();
         for i in 0..others.len().min(self.timing.indirect) {
             let j = i + self.random.next_u32() as usize % (others.len() - i);
@@ -641,8 +642,8 @@
         let dead: Vec<SocketAddr> = self
             .members
             .values()
-            .filter(|m| m.rumour.health == MemberState::Dead)
-            .map(|m| m.rumour.addr)
+            .filter(|m| m.update.state == MemberState::Dead)
+            .map(|m| m.update.addr)
             .collect();
         if !dead.is_empty() {
             let to = dead[self.random.next_u32() as usize % dead.len()];
@@ -653,7 +654,7 @@
             let Some(name) = self.round.pop() else {
                 let mut round: Vec<String> = (self.members.iter())
                     .filter(|(_, m)| {
-                        matches!(m.rumour.health, MemberState::Alive | MemberState::Suspect)
+                        matches!(m.update.state, MemberState::Alive | MemberState::Suspect)
                     })
                     .map(|(n, _)| n.clone())
                     .collect();
@@ -668,11 +669,11 @@
             };
             if let Some(member) = self.members.get(&name)
                 && matches!(
-                    member.rumour.health,
+                    member.update.state,
                     MemberState::Alive | MemberState::Suspect
                 )
             {
-                break (name, member.rumour.addr);
+                break (name, member.update.addr);
             }
         };
         self.seq = self.seq.wrapping_add(1);
@@ -694,7 +695,7 @@
         if self.synced.1 && !self.periods.is_multiple_of(SYNC_SELDOM) {
             return;
         }
-        let alive: Vec<SocketAddr> = self.alive().map(|m| m.rumour.addr).collect();
+        let alive: Vec<SocketAddr> = self.alive().map(|m| m.update.addr).collect();
         if !alive.is_empty() {
             let whom = alive[self.random.next_u32() as usize % alive.len()];
             let after = self.synced.0.clone();
@@ -705,7 +706,7 @@
     fn alive(&self) -> impl Iterator<Item = &Member> {
         self.members
             .values()
-            .filter(|m| m.rumour.health == MemberState::Alive)
+            .filter(|m| m.update.state == MemberState::Alive)
     }
 
     /// log2 of the members, at least 1: how the suspicion's time and the passing on grow with the
@@ -730,8 +731,8 @@
         let told = self
             .members
             .values()
-            .find(|m| m.rumour.addr == to && m.rumour.health != MemberState::Alive);
-        let told = told.map(|m| m.rumour.clone());
+            .find(|m| m.update.addr == to && m.update.state != MemberState::Alive);
+        let told = told.map(|m| m.update.clone());
         let message = self.message(kind, told);
         out.push(Action::Send(to, Box::new(message)));
     }
@@ -740,7 +741,7 @@
     fn message(&mut self, kind: MessageBody, first: Option<MemberUpdate>) -> Message {
         let mut message = Message {
             from: self.me.clone(),
-            kind,
+            body: kind,
             gossip: first.into_iter().collect(),
         };
         let mut room = self.timing.datagram.saturating_sub(codec::size(&message));
@@ -749,10 +750,10 @@
             let rumour = if name == self.me.name {
                 Some(&self.me)
             } else {
-                self.members.get(&name).map(|m| &m.rumour)
+                self.members.get(&name).map(|m| &m.update)
             };
             let Some(rumour) = rumour else { continue };
-            let size = codec::rumour_size(rumour);
+            let size = codec::update_size(rumour);
             if size <= room && left > 0 {
                 room -= size;
                 message.gossip.push(rumour.clone());
@@ -772,9 +773,9 @@
 /// Whether `new` is news over `old`, by the precedence of SWIM: a higher incarnation wins; at the
 /// same one, suspicion over life, and death or leaving over both. A new life, with a higher
 /// incarnation, comes back from death.
-pub fn overrides(new: &MemberUpdate, old: &MemberUpdate) -> bool {
+pub fn supersedes(new: &MemberUpdate, old: &MemberUpdate) -> bool {
     use MemberState::*;
-    match (new.health, old.health) {
+    match (new.state, old.state) {
         (Alive, _) => new.incarnation > old.incarnation,
         (Suspect, Alive) => new.incarnation >= old.incarnation,
         (Suspect, _) => new.incarnation > old.incarnation,
@@ -901,11 +902,11 @@
     ) -> u32 {
         let (mut known, mut sure, mut out) = (0, 0, 0);
         for rumour in others.chain([me]) {
-            let gone = matches!(rumour.health, MemberState::Dead | MemberState::Left);
+            let gone = matches!(rumour.state, MemberState::Dead | MemberState::Left);
             let shut = rumour.versions.stage == SHUT_OUT;
             known += 1;
             out += u32::from(gone || shut);
-            sure += u32::from(rumour.health == MemberState::Alive && !shut);
+            sure += u32::from(rumour.state == MemberState::Alive && !shut);
         }
         let majority = 2 * sure > known;
         let counted = if majority {
@@ -927,7 +928,7 @@
 /// The bytes a second that one manager's membership traffic may take at the most while nothing
 /// fails: a ping that it sends a period, the acks of the pings it is sent, which are as many on the
 /// mean, and a page or its question; each one datagram.
-pub fn budget(timing: &Timing) -> u64 {
+pub fn bandwidth_budget(timing: &Timing) -> u64 {
     3 * timing.datagram as u64 * SEC / timing.period()
 }
 
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,6 +1,6 @@
 //! The second address: its listener and the actor of each caller. Answers from the lifecycle and
 //! from what the core has put down; it never waits for the module.
-use super::{CountGuard, Shared, until};
+use super::{CountGuard, Shared, sleep_until};
 use crate::audit::RecordPosition;
 use crate::clock::{self, MS, Micros, SEC};
 use crate::frontend::admin::{self, AdminRequest, RequestError};
@@ -70,7 +70,7 @@
         None
     };
     let late = async {
-        until(Some(late_at)).await;
+        sleep_until(Some(late_at)).await;
         Some(Err(RequestError::Late))
     };
     let Some(call) = or(shed, or(read(&mut stream), late)).await else {
@@ -87,10 +87,10 @@
             let rest_at = clock::turn() + LAST_WORDS;
             let mut rest = [0; 1024];
             let drain = async { while stream.read(&mut rest).await.is_ok_and(|n| n > 0) {} };
-            or(drain, until(Some(rest_at))).await;
+            or(drain, sleep_until(Some(rest_at))).await;
         }
     };
-    or(write, until(Some(last_at))).await;
+    or(write, sleep_until(Some(last_at))).await;
 }
 
 /// Reads a call; nothing if the caller went away.
@@ -119,22 +119,24 @@
     let now = clock::turn();
     match call {
         AdminRequest::Ready => {
-            let life = shared.life.borrow();
-            let status = if life.ready() { 200 } else { 503 };
+            let life = shared.lifecycle.borrow();
+            let status = if life.is_ready() { 200 } else { 503 };
             admin::answer(
                 status,
                 None,
                 &format!("{:?}\n", life.stage()).to_lowercase(),
             )
         }
-        AdminRequest::Metrics => admin::answer(200, None, &admin::figures(&shared.figures())),
+        AdminRequest::Metrics => {
+            admin::answer(200, None, &admin::figures(&shared.current_metrics()))
+        }
         AdminRequest::Drain => {
-            shared.life.borrow_mut().drain(now);
+            shared.lifecycle.borrow_mut().drain(now);
             log!("told to send clients away");
             admin::answer(200, None, "draining\n")
         }
         AdminRequest::Undrain => {
-            let may = shared.life.borrow_mut().undrain();
+            let may = shared.lifecycle.borrow_mut().undrain();
             log!(
                 "the drain is {}",
                 if may {
@@ -150,7 +152,7 @@
             }
         }
         AdminRequest::Audit(since, most) => audit(shared, since, most).await,
-        AdminRequest::Duties => match shared.owned.borrow().as_ref() {
+        AdminRequest::Duties => match shared.lease_view.borrow().as_ref() {
             Some(view) => admin::answer(200, None, view),
             None => admin::answer(
                 404,
@@ -158,7 +160,7 @@
                 "no duties are shared out: no fleet file with [duties]\n",
             ),
         },
-        AdminRequest::Fleet => match shared.fleet.borrow().as_ref() {
+        AdminRequest::Fleet => match shared.fleet_view.borrow().as_ref() {
             Some(view) => admin::answer(200, None, &view.lines()),
             None => admin::answer(
                 404,
--- a/src/net/audit.rs
+++ b/src/net/audit.rs
@@ -69,7 +69,7 @@
     thread
         .spawn(run)
         .map_err(|e| format!("fleet: the audit's thread: {e}"))?;
-    *shared.audit.borrow_mut() = Some(jobs.clone());
+    *shared.audit_jobs.borrow_mut() = Some(jobs.clone());
     Ok(AuditWriter {
         trail: AuditBuffer::new(under),
         jobs,
@@ -171,7 +171,7 @@
     since: RecordPosition,
     most: usize,
 ) -> Option<Result<Page, String>> {
-    let jobs = shared.audit.borrow().clone()?;
+    let jobs = shared.audit_jobs.borrow().clone()?;
     let (answer, page) = bounded(1);
     if jobs.try_send(Job::Read(since, most, answer)).is_err() {
         return Some(Err("the files are behind".into()));
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -7,7 +7,7 @@
 use crate::frontend::{DisconnectReason, Front, FrontendEvent};
 use crate::hot_restart::message::HotRestartMessage;
 use crate::net::dispatcher::DispatcherEvent;
-use crate::net::{ByteQuota, CountGuard, Shared, until};
+use crate::net::{ByteQuota, CountGuard, Shared, sleep_until};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use futures_lite::AsyncWriteExt;
@@ -92,7 +92,9 @@
             let input = match said {
                 // Guards against a connection that is never quiet and would be held through a
                 // drain.
-                FrontendEvent::Ask(ask) if self.shared.life.borrow().closes(now) => {
+                FrontendEvent::Ask(ask)
+                    if self.shared.lifecycle.borrow().rejects_new_requests(now) =>
+                {
                     let answer = Response::Rejected(Some(ELSEWHERE_AFTER));
                     self.front.answer(
                         now,
@@ -102,19 +104,19 @@
                         &mut self.unwritten,
                     );
                     all.extend(self.said.drain(..));
-                    DispatcherEvent::TurnedAway(ask.class, Response::Rejected(None))
+                    DispatcherEvent::RejectedByFrontend(ask.class, Response::Rejected(None))
                 }
-                FrontendEvent::Ask(ask) => DispatcherEvent::Ask(ask),
+                FrontendEvent::Ask(ask) => DispatcherEvent::Request(ask),
                 FrontendEvent::TurnedAway(class, answer) => {
-                    DispatcherEvent::TurnedAway(class, answer)
+                    DispatcherEvent::RejectedByFrontend(class, answer)
                 }
-                FrontendEvent::Withdraw(tag) => DispatcherEvent::Withdraw(Origin {
+                FrontendEvent::Withdraw(tag) => DispatcherEvent::CancelRequest(Origin {
                     conn: self.conn,
                     tag,
                 }),
                 FrontendEvent::WithdrawElsewhere(tag) => {
                     if let Some((number, older)) = &self.older {
-                        let _ = older.try_send(HotRestartMessage::Withdraw(*number, tag));
+                        let _ = older.try_send(HotRestartMessage::Cancel(*number, tag));
                     }
                     continue;
                 }
@@ -183,12 +185,16 @@
             }
             // The program does not end while this one has something to write.
             busy = if writing {
-                busy.or_else(|| Some(CountGuard::new(&self.shared.unwritten)))
+                busy.or_else(|| {
+                    Some(CountGuard::new(
+                        &self.shared.connections_with_unwritten_output,
+                    ))
+                })
             } else {
                 None
             };
             if standing.passes.get() && self.front.useful() && self.waiting.is_empty() {
-                let newer = self.shared.newer.borrow().clone();
+                let newer = self.shared.successor.borrow().clone();
                 if let Some((newer, handed)) = newer.zip(self.front.hand_over()) {
                     return self.pass(newer, handed, mailbox).await;
                 }
@@ -196,8 +202,8 @@
             let waits = self.unwritten.len() - self.written;
             self.held.set(waits);
             let full = waits > MOST_UNWRITTEN
-                || self.shared.unwritten_bytes.get() > self.shared.most_unwritten_bytes.get();
-            let (now, ending) = (clock::now(), self.shared.life.borrow().closing());
+                || self.shared.unwritten_bytes.get() > self.shared.max_unwritten_bytes.get();
+            let (now, ending) = (clock::now(), self.shared.lifecycle.borrow().is_closing());
             let paused = strikes.pause(now).filter(|_| !ending);
             let slowly = full || paused.is_some();
             if !slowly && !self.waiting.is_empty() {
@@ -245,8 +251,14 @@
             let quiet =
                 (ending || (self.front.began().is_none() && self.front.held() == 0)) && !unread;
             let rests = quiet && (ending || standing.leaving.get());
-            let rests_until =
-                rests.then(|| active_at + self.shared.life.borrow().rest(self.conn, now, useful));
+            let rests_until = rests.then(|| {
+                active_at
+                    + self
+                        .shared
+                        .lifecycle
+                        .borrow()
+                        .required_quiet_time(self.conn, now, useful)
+            });
             let due = due
                 .into_iter()
                 .chain(rests_until.filter(|at| idle && *at > now))
@@ -273,7 +285,7 @@
                 }
             };
             let timer = async {
-                until(due).await;
+                sleep_until(due).await;
                 WakeReason::Due
             };
             let turn = or(answer, or(shed, or(write, or(read, timer)))).await;
@@ -282,7 +294,11 @@
             match turn {
                 WakeReason::Answer(Some((tag, answer))) => {
                     active_at = if writing { active_at } else { now };
-                    busy = busy.or_else(|| Some(CountGuard::new(&self.shared.unwritten)));
+                    busy = busy.or_else(|| {
+                        Some(CountGuard::new(
+                            &self.shared.connections_with_unwritten_output,
+                        ))
+                    });
                     strikes.add(now, u64::from(matches!(answer, Response::Rejected(_))));
                     self.front
                         .answer(now, tag, answer, &mut self.said, &mut self.unwritten);
@@ -327,7 +343,7 @@
                         return self.farewell(end).await;
                     }
                     let crowded =
-                        self.shared.unread_bytes.get() > self.shared.most_unread_bytes.get();
+                        self.shared.unread_bytes.get() > self.shared.max_unread_bytes.get();
                     if crowded && self.front.held() + self.waiting.len() > SMALL {
                         self.waiting = Vec::new();
                         self.front
--- a/src/net/client/connection_registry.rs
+++ b/src/net/client/connection_registry.rs
@@ -66,17 +66,17 @@
 /// moment. `letting_go` is whether any was to go at the last look, and is again now: while none is
 /// and none was, nobody is told anything, and idle clients cost no turn.
 pub fn let_go(shared: &Shared, now: Micros, letting_go: &mut bool) {
-    let life = shared.life.borrow();
-    if life.handed_over() {
+    let life = shared.lifecycle.borrow();
+    if life.successor_took_over() {
         shared.accepting.0.close();
     }
-    let before = std::mem::replace(letting_go, life.lets_go());
+    let before = std::mem::replace(letting_go, life.closes_idle_connections());
     if !*letting_go && !before {
         return;
     }
     for (conn, standing) in shared.clients.borrow().iter() {
-        let leaving = life.lets_go_at(*conn).is_some_and(|at| at <= now);
-        let passes = life.handed_over();
+        let leaving = life.idle_close_at(*conn).is_some_and(|at| at <= now);
+        let passes = life.successor_took_over();
         if standing.leaving.replace(leaving) != leaving || standing.passes.replace(passes) != passes
         {
             let _ = standing.shed.try_send(());
--- a/src/net/client/graceful_close.rs
+++ b/src/net/client/graceful_close.rs
@@ -7,7 +7,7 @@
 use crate::hot_restart::message::{HotRestartMessage, TransferredConnection};
 use crate::net::dispatcher::DispatcherEvent;
 use crate::net::hot_restart::TransferredItem;
-use crate::net::{CountGuard, until};
+use crate::net::{CountGuard, sleep_until};
 use async_channel::{Receiver, Sender};
 use futures_lite::AsyncWriteExt;
 use futures_lite::future::{or, yield_now};
@@ -47,7 +47,7 @@
             return Termination::Reset;
         };
         let (back, words) = async_channel::unbounded();
-        let held = CountGuard::new(&shared.unwritten);
+        let held = CountGuard::new(&shared.connections_with_unwritten_output);
         let client = TransferredItem::Client(conn, stream.into(), handed, back, held);
         drop(socket);
         if newer.send(client).await.is_err() {
@@ -59,7 +59,7 @@
             let word = async { Err(words.recv().await) };
             match or(answer, word).await {
                 Ok(Ok((tag, answer))) => {
-                    let held = CountGuard::new(&shared.unwritten);
+                    let held = CountGuard::new(&shared.connections_with_unwritten_output);
                     front.answer(clock::turn(), tag, answer, &mut said, &mut bytes);
                     let line = std::mem::take(&mut bytes);
                     if !line.is_empty()
@@ -71,10 +71,10 @@
                         return Termination::Dropped;
                     }
                 }
-                Err(Ok(HotRestartMessage::Withdraw(_, tag))) => {
+                Err(Ok(HotRestartMessage::Cancel(_, tag))) => {
                     front.withdrawn(tag);
                     let _ = core
-                        .send(DispatcherEvent::Withdraw(Origin { conn, tag }))
+                        .send(DispatcherEvent::CancelRequest(Origin { conn, tag }))
                         .await;
                 }
                 Ok(Err(_)) | Err(_) => return Termination::Closed,
@@ -88,7 +88,7 @@
     /// last answer or error: a close with unread input resets the connection, and the client loses
     /// both.
     pub(super) async fn farewell(self, end: Termination) -> Termination {
-        let busy = CountGuard::new(&self.shared.unwritten);
+        let busy = CountGuard::new(&self.shared.connections_with_unwritten_output);
         let now = clock::turn();
         let mut writer = &*self.stream;
         let rest = async {
@@ -98,7 +98,7 @@
                 .is_ok()
         };
         let late = async {
-            until(Some(now + LAST_WORDS)).await;
+            sleep_until(Some(now + LAST_WORDS)).await;
             false
         };
         if !or(rest, late).await || self.stream.get_ref().shutdown(Shutdown::Write).is_err() {
@@ -113,7 +113,7 @@
         } = self;
         // One that only waits for its client's end has given its place among the clients back.
         let Some(_place) =
-            CountGuard::up_to(&shared.closing_sockets, shared.most_closing_sockets.get())
+            CountGuard::up_to(&shared.closing_sockets, shared.max_closing_sockets.get())
         else {
             let _ = io::Read::read(&mut stream.get_ref(), &mut shared.buffer.borrow_mut());
             return end;
@@ -129,7 +129,7 @@
                 yield_now().await;
             }
         };
-        or(drain, until(Some(clock::turn() + DRAIN))).await;
+        or(drain, sleep_until(Some(clock::turn() + DRAIN))).await;
         end
     }
 }
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -78,7 +78,7 @@
         // Guards the limit on sockets: connections that wait in the listener's line come without a
         // pause.
         yield_now().await;
-        while shared.client_sockets.get() >= shared.most_client_sockets.get() && !closed.is_closed()
+        while shared.client_sockets.get() >= shared.max_client_sockets.get() && !closed.is_closed()
         {
             if !shed(&shared) {
                 Timer::after(Duration::from_millis(10)).await;
@@ -89,8 +89,8 @@
     drop(incoming);
     // What waits in the line is connected, as its clients see it: each gets a farewell or its
     // answer, not a reset. A successor has the same line.
-    let alone = !shared.life.borrow().handed_over();
-    while alone && shared.client_sockets.get() < shared.most_client_sockets.get() {
+    let alone = !shared.lifecycle.borrow().successor_took_over();
+    while alone && shared.client_sockets.get() < shared.max_client_sockets.get() {
         let Ok((stream, _)) = listener.get_ref().accept() else {
             break;
         };
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -93,7 +93,9 @@
         stream: at,
     });
     shared.clients.borrow_mut().insert(conn, standing.clone());
-    let _ = core.send(DispatcherEvent::Opened(conn, answers)).await;
+    let _ = core
+        .send(DispatcherEvent::ClientConnected(conn, answers))
+        .await;
     let (held, unread) = (
         ByteQuota::new(&shared.unwritten_bytes),
         ByteQuota::new(&shared.unread_bytes),
@@ -123,7 +125,7 @@
     let passed_by = peer.older.clone();
     let end = peer.serve(&standing, &mailbox, &shedding).await;
     if let Some((number, older)) = passed_by {
-        let _ = older.try_send(HotRestartMessage::Gone(number));
+        let _ = older.try_send(HotRestartMessage::ClientGone(number));
     }
     shared.clients.borrow_mut().remove(&conn);
     if !matches!(
@@ -132,7 +134,7 @@
     ) {
         log!("a client's connection ended: {end:?}");
     }
-    let _ = core.send(DispatcherEvent::HungUp(conn)).await;
+    let _ = core.send(DispatcherEvent::ClientDisconnected(conn)).await;
 }
 
 #[cfg(test)]
--- a/src/net/discovery/coordinator.rs
+++ b/src/net/discovery/coordinator.rs
@@ -5,7 +5,7 @@
 use crate::dispatcher::termination::Termination;
 use crate::log;
 use crate::net::discovery::endpoint_list::{Update, parse_record};
-use crate::net::{Shared, until};
+use crate::net::{Shared, sleep_until};
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future::or;
@@ -211,7 +211,7 @@
             .map_err(|e| Termination::of_connect(&e))
     };
     let late = async {
-        until(Some(clock::turn() + CONNECT)).await;
+        sleep_until(Some(clock::turn() + CONNECT)).await;
         Err(Termination::ConnectTimeout)
     };
     let mut stream = match or(connect, late).await {
@@ -227,7 +227,7 @@
         let silent_at = clock::turn() + silence;
         let read = async { Some(stream.read(&mut buffer).await) };
         let silent = async {
-            until(Some(silent_at)).await;
+            sleep_until(Some(silent_at)).await;
             None
         };
         let n = match or(read, silent).await {
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -157,7 +157,7 @@
         known.retain(|_, k| k.listed.entry.readiness != Readiness::Gone);
         let serving = |k: &&Known| k.listed.entry.readiness == Readiness::Ready;
         let serving = known.values().filter(serving).map(|k| k.listed.entry.id);
-        shared.databases.set(
+        shared.engines_know_databases.set(
             serving.clone().count() > 0 && serving.clone().all(|id| http.engines.contains(&id)),
         );
         let kind = match (update.whole, first) {
@@ -168,7 +168,12 @@
         first = false;
         let entries = update.engines.iter().map(|l| l.entry).collect();
         let _ = core
-            .send(DispatcherEvent::List(kind, entries, made, update.index))
+            .send(DispatcherEvent::EndpointList(
+                kind,
+                entries,
+                made,
+                update.index,
+            ))
             .await;
     }
 }
--- a/src/net/dispatcher.rs
+++ b/src/net/dispatcher.rs
@@ -3,7 +3,7 @@
 use super::audit::AuditWriter;
 use super::engine::{EndpointHandle, EngineCommand};
 use super::fleet::lease::ProbeRequest;
-use super::{Shared, client, until};
+use super::{Shared, client, sleep_until};
 use crate::audit::ActiveConfiguration;
 use crate::class_registry::Class;
 use crate::clock::{self, MS, Micros};
@@ -47,7 +47,7 @@
 impl Watch {
     /// When it is to look again.
     fn due(&self, shared: &Shared) -> Option<Micros> {
-        shared.console.get().then_some(self.looked_at + LOOK)
+        shared.admin_enabled.get().then_some(self.looked_at + LOOK)
     }
 
     /// Looks if it is time to; gives a part that is new.
@@ -55,29 +55,29 @@
         self.due(shared).filter(|due| *due <= now)?;
         self.looked_at = now;
         client::let_go(shared, now, &mut self.letting_go);
-        let (part, was) = (shared.life.borrow().part(), self.part);
+        let (part, was) = (shared.lifecycle.borrow().capacity_share(), self.part);
         let new = (part - was).abs() > 0.01 || (part != was && (part == 1.0 || part == 0.0));
         self.part = if new { part } else { was };
-        new.then(|| shared.split()).map(|()| part)
+        new.then(|| shared.apply_capacity_share()).map(|()| part)
     }
 }
 
 /// What the module's actor is told.
 pub enum DispatcherEvent {
     /// A client connected; its answers go there.
-    Opened(u64, Sender<(u64, Response)>),
+    ClientConnected(u64, Sender<(u64, Response)>),
     /// A request.
-    Ask(ClientRequest),
+    Request(ClientRequest),
     /// The client stopped waiting for it.
-    Withdraw(Origin),
+    CancelRequest(Origin),
     /// A front turned a request of that class away by itself.
-    TurnedAway(ClassId, Response),
+    RejectedByFrontend(ClassId, Response),
     /// A client's connection ended.
-    HungUp(u64),
+    ClientDisconnected(u64),
     /// An attempt ended.
-    Ended(AttemptResult),
+    AttemptFinished(AttemptResult),
     /// A probe came back.
-    Probed {
+    ProbeCompleted {
         /// The engine.
         engine: EngineId,
         /// How.
@@ -88,7 +88,7 @@
         load: LoadReport,
     },
     /// News of the list, the rows of new engines, and the number of its event.
-    List(
+    EndpointList(
         EndpointListKind,
         Vec<Endpoint>,
         Vec<(EngineId, Rc<EndpointHandle>)>,
@@ -96,7 +96,7 @@
     ),
     /// New settings with the names of their classes and a hash of them; told back are all classes
     /// by their ids, and whether each is in force.
-    Retune(Box<Settings>, Vec<String>, u64, Sender<Vec<(Class, bool)>>),
+    Reconfigure(Box<Settings>, Vec<String>, u64, Sender<Vec<(Class, bool)>>),
     /// The tenants' shares, as a new configuration or the directory has them.
     Tenants(Vec<TenantSpec>),
     /// The directory was read.
@@ -106,17 +106,17 @@
     /// The configuration was read again, and could be used or not.
     Reloaded(bool),
     /// Print the counters.
-    Report,
+    PrintCounters,
     /// So many managers share the warm engines.
-    Sharers(u32),
+    ActiveGateways(u32),
     /// Ask an engine for its load: for the module, or, until then, for other managers.
     Probe(u64, Option<Micros>),
     /// Another manager asked an engine that the module wants to hear of.
-    Sounded(u64, ProbeResult),
+    SharedProbeResult(u64, ProbeResult),
     /// A duty came to this manager under a token, or went.
-    Owns(Resource, FencingToken, bool),
+    LeaseChanged(Resource, FencingToken, bool),
     /// End once all is answered.
-    Stop,
+    Shutdown,
 }
 
 struct Core {
@@ -141,7 +141,11 @@
     mailbox: Receiver<DispatcherEvent>,
     audit: Option<AuditWriter>,
 ) -> Dispatcher {
-    let (clients, engines, acting) = (HashMap::new(), HashMap::new(), shared.acting.get());
+    let (clients, engines, acting) = (
+        HashMap::new(),
+        HashMap::new(),
+        shared.active_configuration.get(),
+    );
     let (orders, duties) = (Vec::new(), None);
     let mut core = Core {
         manager,
@@ -153,7 +157,7 @@
         audit,
         duties,
     };
-    core.manager.audit(core.audit.is_some());
+    core.manager.record_decisions(core.audit.is_some());
     let (mut figures_at, mut parts_until) = (0, None);
     let mut watch = Watch {
         looked_at: 0,
@@ -161,16 +165,16 @@
         part: 1.0,
     };
     loop {
-        let stop_at = shared.life.borrow().accepts_until();
+        let stop_at = shared.lifecycle.borrow().accepts_until();
         let stop_due = stop_at.map(|at| at.max(clock::now() + 5 * MS));
-        let life = || shared.life.borrow();
+        let life = || shared.lifecycle.borrow();
         let last_at = life()
-            .gives_up_at(core.manager.longest_deadline())
+            .forced_end_at(core.manager.longest_deadline())
             .filter(|_| !core.ended);
         let kept_at = core.audit.as_ref().and_then(AuditWriter::due);
         let due = core
             .manager
-            .next_due()
+            .next_wakeup()
             .into_iter()
             .chain(stop_due)
             .chain(last_at)
@@ -180,34 +184,34 @@
             .chain(parts_until.map(|_| clock::now() + PARTING_LOOK))
             .min();
         let message = or(async { mailbox.recv().await.ok() }, async {
-            until(due).await;
+            sleep_until(due).await;
             None
         });
         let first = message.await;
         let now = clock::turn();
         if core.duties.is_none() {
-            core.duties = shared.duties.borrow().clone();
+            core.duties = shared.lease_requests.borrow().clone();
         }
         let more = std::iter::from_fn(|| mailbox.try_recv().ok()).take(TURN_MOST);
         for input in first.into_iter().chain(more) {
             core.input(now, input);
         }
-        core.manager.due(now, &mut core.orders);
+        core.manager.run_due_timers(now, &mut core.orders);
         if last_at.is_some_and(|at| at <= now) {
             core.ended = true;
-            core.manager.end_all(now, &mut core.orders);
+            core.manager.fail_all(now, &mut core.orders);
         }
-        if shared.console.get() && now >= figures_at + FIGURES_EVERY {
+        if shared.admin_enabled.get() && now >= figures_at + FIGURES_EVERY {
             figures_at = now;
-            *shared.figures.borrow_mut() = core.manager.figures();
+            *shared.metrics.borrow_mut() = core.manager.metrics();
         }
         if let Some(part) = watch.look(&shared, now) {
-            core.manager.split(part);
+            core.manager.set_capacity_share(part);
         }
         core.dispatch(now);
-        shared.acting.set(core.acting);
+        shared.active_configuration.set(core.acting);
         if let Some(audit) = &mut core.audit {
-            audit.turn(now, &core.manager.decisions());
+            audit.turn(now, &core.manager.take_decisions());
         }
         // Every turn comes by here: only one that may be the last looks at all the clients.
         if stop_at.is_none() && parts_until.is_none() {
@@ -215,14 +219,15 @@
         }
         // Guards against an end that takes the last answer along: it may still be in its client's
         // mailbox, or not written yet.
-        let handed_on = shared.unwritten.get() == 0 && core.clients.values().all(Sender::is_empty);
+        let handed_on = shared.connections_with_unwritten_output.get() == 0
+            && core.clients.values().all(Sender::is_empty);
         let quiet = core.manager.counters.open() == 0 && mailbox.is_empty() && handed_on;
         // Behind a successor clients go on to use the connections that they keep.
-        let kept = life().handed_over() && shared.client_sockets.get() > 0 && !core.ended;
+        let kept = life().successor_took_over() && shared.client_sockets.get() > 0 && !core.ended;
         if quiet && !kept && parts_until.is_none() && stop_at.is_some_and(|at| at <= now) {
             // All is answered. What the listeners' lines and the sockets still hold gets its answer
             // or a farewell.
-            shared.life.borrow_mut().close();
+            shared.lifecycle.borrow_mut().begin_closing();
             shared.accepting.0.close();
             client::send_away(&shared);
             parts_until = Some(now + if core.ended { LAST_PARTING } else { PARTING });
@@ -248,14 +253,14 @@
     fn acts_on(&mut self, now: Micros, acting: ActiveConfiguration) {
         self.acting = acting;
         if let Some(audit) = &mut self.audit {
-            audit.turn(now, &self.manager.decisions());
+            audit.turn(now, &self.manager.take_decisions());
             audit.acts_on(now, acting);
         }
     }
 
     fn input(&mut self, now: Micros, input: DispatcherEvent) {
         match &input {
-            DispatcherEvent::List(.., version) => {
+            DispatcherEvent::EndpointList(.., version) => {
                 self.acts_on(
                     now,
                     ActiveConfiguration {
@@ -264,7 +269,7 @@
                     },
                 );
             }
-            DispatcherEvent::Retune(_, _, hash, _) => {
+            DispatcherEvent::Reconfigure(_, _, hash, _) => {
                 let generation = self.acting.generation + 1;
                 self.acts_on(
                     now,
@@ -279,16 +284,20 @@
         }
         let (manager, orders) = (&mut self.manager, &mut self.orders);
         match input {
-            DispatcherEvent::Opened(conn, answers) => drop(self.clients.insert(conn, answers)),
-            DispatcherEvent::Ask(ask) => manager.take(now, ask, orders),
-            DispatcherEvent::Withdraw(origin) => manager.withdraw(now, origin, orders),
-            DispatcherEvent::TurnedAway(class, answer) => manager.turned_away(class, &answer),
-            DispatcherEvent::HungUp(conn) => {
+            DispatcherEvent::ClientConnected(conn, answers) => {
+                drop(self.clients.insert(conn, answers))
+            }
+            DispatcherEvent::Request(ask) => manager.handle_request(now, ask, orders),
+            DispatcherEvent::CancelRequest(origin) => manager.cancel_request(now, origin, orders),
+            DispatcherEvent::RejectedByFrontend(class, answer) => {
+                manager.record_frontend_rejection(class, &answer)
+            }
+            DispatcherEvent::ClientDisconnected(conn) => {
                 self.clients.remove(&conn);
-                manager.hung_up(now, conn, orders);
+                manager.client_disconnected(now, conn, orders);
             }
-            DispatcherEvent::Ended(ended) => manager.ended(now, ended, orders),
-            DispatcherEvent::Probed {
+            DispatcherEvent::AttemptFinished(ended) => manager.attempt_finished(now, ended, orders),
+            DispatcherEvent::ProbeCompleted {
                 engine,
                 kind,
                 latency,
@@ -302,36 +311,36 @@
                     ));
                 }
                 // What was asked for others tells the module something too.
-                manager.probed(now, engine, kind, latency, load, orders);
+                manager.probe_completed(now, engine, kind, latency, load, orders);
             }
-            DispatcherEvent::List(kind, entries, rows, _) => {
+            DispatcherEvent::EndpointList(kind, entries, rows, _) => {
                 self.engines.retain(|_, row| !row.is_closed());
                 self.engines.extend(rows);
-                manager.list(now, kind, entries, orders);
+                manager.update_endpoints(now, kind, entries, orders);
             }
-            DispatcherEvent::Retune(settings, names, _, done) => {
-                manager.retune(*settings, &names);
+            DispatcherEvent::Reconfigure(settings, names, _, done) => {
+                manager.reconfigure(*settings, &names);
                 let _ = done.try_send(manager.classes());
             }
-            DispatcherEvent::Tenants(tenants) => manager.tenants(&tenants),
+            DispatcherEvent::Tenants(tenants) => manager.set_tenants(&tenants),
             DispatcherEvent::Probe(engine, until) => self.probe(now, EngineId(engine), until),
-            DispatcherEvent::Sounded(engine, sounding) => {
+            DispatcherEvent::SharedProbeResult(engine, sounding) => {
                 let (kind, load) = sounding.outcome();
-                manager.probed(now, EngineId(engine), kind, sounding.took, load, orders);
+                manager.probe_completed(now, EngineId(engine), kind, sounding.took, load, orders);
             }
-            DispatcherEvent::Owns(duty, token, owned) => {
+            DispatcherEvent::LeaseChanged(duty, token, owned) => {
                 if let Some(audit) = &mut self.audit {
-                    audit.turn(now, &self.manager.decisions());
+                    audit.turn(now, &self.manager.take_decisions());
                     audit.owns(now, &duty.to_string(), token, owned);
                 }
             }
-            DispatcherEvent::Sharers(managers) => manager.share_among(managers),
+            DispatcherEvent::ActiveGateways(managers) => manager.set_active_gateways(managers),
             DispatcherEvent::DirectoryRead => manager.counters.directory_readings += 1,
             DispatcherEvent::Reloaded(true) => manager.counters.reloads += 1,
             DispatcherEvent::Reloaded(false) => manager.counters.reload_failures += 1,
             DispatcherEvent::DirectoryFailed => manager.counters.directory_failures += 1,
-            DispatcherEvent::Report => eprintln!("yokelift: {}", manager.counters),
-            DispatcherEvent::Stop => {}
+            DispatcherEvent::PrintCounters => eprintln!("yokelift: {}", manager.counters),
+            DispatcherEvent::Shutdown => {}
         }
         self.dispatch(now);
     }
@@ -350,7 +359,7 @@
                 let (id, attempt) = (job.id, job.attempt);
                 if let Err(end) = self.to_engine(engine, EngineCommand::Start(job)) {
                     let ended = AttemptResult::bare(id, attempt, end, TransmitProgress::Unsent);
-                    self.manager.ended(now, ended, &mut self.orders);
+                    self.manager.attempt_finished(now, ended, &mut self.orders);
                 }
             }
             Command::CancelAttempt(engine, id, attempt) => {
@@ -416,7 +425,7 @@
             } else {
                 let (kind, load) = (OutcomeKind::NeverSent, LoadReport::default());
                 self.manager
-                    .probed(now, engine, kind, 0, load, &mut self.orders);
+                    .probe_completed(now, engine, kind, 0, load, &mut self.orders);
             }
         }
     }
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -6,7 +6,7 @@
 use crate::dispatcher::termination::Termination;
 use crate::net::dispatcher::DispatcherEvent;
 use crate::net::mailbox::Sender as Post;
-use crate::net::{CountGuard, Shared, until};
+use crate::net::{CountGuard, Shared, sleep_until};
 use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
@@ -46,7 +46,7 @@
 impl<W: Protocol> Connection<W> {
     /// Runs to its end, of which its engine's actor is told.
     pub(super) async fn run(mut self, shared: &Shared, actor: &Post<EngineCommand>) {
-        let socket = CountGuard::up_to(&shared.engine_sockets, shared.most_engine_sockets.get());
+        let socket = CountGuard::up_to(&shared.engine_sockets, shared.max_engine_sockets.get());
         let end = match socket {
             Some(_) => self.serve(shared).await,
             None => Termination::LocalLimit,
@@ -103,7 +103,7 @@
             };
             let read = async { Turn::Read(reader.read(&mut buffer).await) };
             let timer = async {
-                until(due).await;
+                sleep_until(due).await;
                 Turn::Due
             };
             let turn = or(order, or(write, or(read, timer))).await;
@@ -145,9 +145,12 @@
         while let Some((id, attempt, conn)) = self
             .link
             .starts()
-            .filter(|(.., conn)| shared.client_gone(*conn))
+            .filter(|(.., conn)| shared.client_disconnected(*conn))
         {
-            let _ = self.core.send(DispatcherEvent::HungUp(conn)).await;
+            let _ = self
+                .core
+                .send(DispatcherEvent::ClientDisconnected(conn))
+                .await;
             self.link.stop(clock::now(), id, attempt, &mut self.events);
         }
     }
@@ -162,7 +165,7 @@
             let order = async { Turn::Order(self.mailbox.recv().await.ok()) };
             let connected = async { Turn::Connected(connecting.as_mut().await) };
             let timer = async {
-                until(Some(give_up_at)).await;
+                sleep_until(Some(give_up_at)).await;
                 Turn::Due
             };
             let turn = or(order, or(connected, timer)).await;
@@ -211,13 +214,13 @@
             let input = match event {
                 Event::Ended(ended) => {
                     self.attempts.borrow_mut().remove(&ended.id);
-                    DispatcherEvent::Ended(ended)
+                    DispatcherEvent::AttemptFinished(ended)
                 }
                 Event::Probed {
                     kind,
                     latency,
                     load,
-                } => DispatcherEvent::Probed {
+                } => DispatcherEvent::ProbeCompleted {
                     engine: self.peer.id,
                     kind,
                     latency,
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -1,5 +1,5 @@
 //! The actor of one engine and its pool of connections, each with a task of its own. It lives only
-//! while something is open or owed there: see [`Row`].
+//! while something is open or owed there: see [`EndpointHandle`].
 mod connection;
 mod endpoint;
 
@@ -7,7 +7,7 @@
 
 use super::dispatcher::DispatcherEvent;
 use super::mailbox::{Sender as Post, bounded};
-use super::{CountGuard, Shared, until};
+use super::{CountGuard, Shared, sleep_until};
 use crate::backend::Protocol;
 use crate::backend::connection_state::ConnectionState;
 use crate::clock::{self, Micros, SEC};
@@ -145,7 +145,7 @@
         // Guards memory and descriptors on long days, where engines are replaced by new ones
         // without end; and what waits for an engine that vanished without a word.
         let order = or(async { mailbox.recv().await.ok() }, async {
-            until(gone_at).await;
+            sleep_until(gone_at).await;
             None
         });
         let Some(order) = order.await else { break };
@@ -159,7 +159,7 @@
                 refuse(&core, &job, Termination::LocalLimit).await;
             }
             EngineCommand::Start(job) => {
-                let spare = shared.engine_sockets.get() < shared.most_engine_sockets.get() * 3 / 4;
+                let spare = shared.engine_sockets.get() < shared.max_engine_sockets.get() * 3 / 4;
                 let room = |c: &&Handle| c.takes(&job, spare);
                 let lost = match conns.iter().filter(room).min_by_key(|c| c.rank(&job)) {
                     Some(c) => hand_over(c, job),
@@ -200,7 +200,7 @@
                 };
                 if c.orders.try_send(order).is_err() {
                     let (engine, kind) = (peer.id, OutcomeKind::NeverSent);
-                    let input = DispatcherEvent::Probed {
+                    let input = DispatcherEvent::ProbeCompleted {
                         engine,
                         kind,
                         latency: 0,
@@ -241,7 +241,7 @@
 
 async fn refuse(core: &Sender<DispatcherEvent>, job: &AttemptRequest, end: Termination) {
     let ended = AttemptResult::bare(job.id, job.attempt, end, TransmitProgress::Unsent);
-    let _ = core.send(DispatcherEvent::Ended(ended)).await;
+    let _ = core.send(DispatcherEvent::AttemptFinished(ended)).await;
 }
 
 /// Hands an attempt to a connection; gives it back if the connection's mailbox is full.
--- a/src/net/fleet/lease.rs
+++ b/src/net/fleet/lease.rs
@@ -7,7 +7,7 @@
 use crate::lease::shared_probe::{ProbeResult, SharedProber, Step};
 use crate::lease::{
     Action, Candidate, FencingGuard, FencingToken, Holder, Resource, TokenHighWaterMarks, Voter,
-    first,
+    preferred_owner,
 };
 use crate::log;
 use crate::membership::{MemberState, Membership};
@@ -151,7 +151,7 @@
             }
         });
         let (sender, words) = bounded(MAILBOX);
-        *shared.duties.borrow_mut() = Some(sender);
+        *shared.lease_requests.borrow_mut() = Some(sender);
         let candidate = Candidate::new(me, duties.voters.clone(), duties.terms, now);
         let (fence, prober) = (
             FencingGuard::default(),
@@ -180,11 +180,11 @@
         // Whose a duty is may change with the fleet at any time.
         let held = self
             .candidate
-            .wakes()
+            .next_wakeup()
             .map(|at| at.min(self.looked_at + LOOK));
         let unsaid = (!self.unsaid.is_empty()).then(|| clock::now() + UNSAID);
         held.into_iter()
-            .chain(self.prober.wakes())
+            .chain(self.prober.next_wakeup())
             .chain(unsaid)
             .min()
     }
@@ -193,18 +193,18 @@
     /// among them.
     fn first<'a>(&'a self, fleet: &'a Membership, duty: Resource) -> &'a str {
         let serves = |stage: &str| stage == "ready";
-        let others = fleet.members().values().map(|m| &m.rumour);
-        let live = others.filter(|r| matches!(r.health, MemberState::Alive | MemberState::Suspect));
+        let others = fleet.members().values().map(|m| &m.update);
+        let live = others.filter(|r| matches!(r.state, MemberState::Alive | MemberState::Suspect));
         let all = live
             .chain([fleet.me()])
             .filter(|r| serves(&r.versions.stage))
             .map(|r| &*r.name);
-        first(duty, all).unwrap_or("")
+        preferred_owner(duty, all).unwrap_or("")
     }
 
     /// The address of a member that is not this one.
     fn addr(fleet: &Membership, name: &str) -> Option<SocketAddr> {
-        fleet.members().get(name).map(|m| m.rumour.addr)
+        fleet.members().get(name).map(|m| m.update.addr)
     }
 
     /// A turn: a word of the core, if one came.
@@ -281,7 +281,7 @@
                 );
             }
             LeaseMessage::NotMine(engine, number, token) => {
-                self.fence.saw(Resource::Probe(engine), token);
+                self.fence.observe(Resource::Probe(engine), token);
                 self.prober.not_mine(engine, number, now, &mut steps);
             }
         }
@@ -314,11 +314,15 @@
         self.prober.tick(now, &mut steps);
         if self
             .candidate
-            .wakes()
+            .next_wakeup()
             .is_some_and(|at| now >= at.min(self.looked_at + LOOK))
         {
             self.looked_at = now;
-            let held: Vec<Resource> = self.candidate.owned(now).map(|(duty, ..)| duty).collect();
+            let held: Vec<Resource> = self
+                .candidate
+                .held_leases(now)
+                .map(|(duty, ..)| duty)
+                .collect();
             let mine: BTreeMap<Resource, bool> = held
                 .into_iter()
                 .map(|duty| (duty, self.first(fleet, duty) == fleet.me().name))
@@ -372,12 +376,12 @@
                 Action::Owned(duty, token) => {
                     log!("duties: {duty} is owned here under {token}");
                     self.unsaid
-                        .push_back(DispatcherEvent::Owns(duty, token, true));
+                        .push_back(DispatcherEvent::LeaseChanged(duty, token, true));
                 }
                 Action::Over(duty, token) => {
                     log!("duties: {duty} is not owned here any more, under {token}");
                     self.unsaid
-                        .push_back(DispatcherEvent::Owns(duty, token, false));
+                        .push_back(DispatcherEvent::LeaseChanged(duty, token, false));
                 }
             }
         }
@@ -389,7 +393,7 @@
                     .push_back(DispatcherEvent::Probe(engine, Some(until))),
                 Step::Give(engine, sounding) => self
                     .unsaid
-                    .push_back(DispatcherEvent::Sounded(engine, sounding)),
+                    .push_back(DispatcherEvent::SharedProbeResult(engine, sounding)),
                 Step::Want(name, engine, number) => {
                     let letter = codec::encode(&LeaseMessage::Want(engine, number));
                     out.extend(LeaseService::addr(fleet, &name).map(|to| (to, letter)));
@@ -426,7 +430,7 @@
     /// JSON lines for `GET /duties`: what is owned here first, then what else was seen.
     pub fn view(&self, fleet: &Membership, now: Micros) -> String {
         let mut rows: BTreeMap<(bool, Resource), Row> = BTreeMap::new();
-        for (duty, token, left) in self.candidate.owned(now) {
+        for (duty, token, left) in self.candidate.held_leases(now) {
             let (member, left_ms) = (fleet.me().name.clone(), Some(left / MS));
             rows.insert(
                 (false, duty),
@@ -439,7 +443,7 @@
                 },
             );
         }
-        for (duty, token) in self.fence.seen() {
+        for (duty, token) in self.fence.iter() {
             if !rows.contains_key(&(false, duty)) {
                 let member = self.first(fleet, duty).to_owned();
                 let row = Row {
--- a/src/net/fleet/membership.rs
+++ b/src/net/fleet/membership.rs
@@ -16,7 +16,7 @@
 use crate::net::discovery::coordinator::CoordinatorMigration;
 use crate::net::dispatcher::DispatcherEvent;
 use crate::net::fleet::lease::{self, LeaseService};
-use crate::net::{Shared, until};
+use crate::net::{Shared, sleep_until};
 use async_channel::Sender;
 use async_io::Async;
 use futures_lite::future::or;
@@ -96,9 +96,9 @@
         generation,
         settings,
         list,
-    } = shared.acting.get();
-    let life = shared.life.borrow();
-    let stage = if life.is_shut_out() {
+    } = shared.active_configuration.get();
+    let life = shared.lifecycle.borrow();
+    let stage = if life.is_excluded() {
         SHUT_OUT.to_owned()
     } else {
         format!("{:?}", life.stage()).to_lowercase()
@@ -150,8 +150,8 @@
     at: SocketAddr,
     seat: MembershipService,
 ) {
-    while socket.is_none() && shared.life.borrow().stage() != Stage::Stopping {
-        until(Some(clock::turn() + SEAT_EVERY)).await;
+    while socket.is_none() && shared.lifecycle.borrow().stage() != Stage::Stopping {
+        sleep_until(Some(clock::turn() + SEAT_EVERY)).await;
         socket = bind(at).ok();
     }
     if let Some(socket) = socket {
@@ -182,7 +182,7 @@
         name,
         addr,
         incarnation: life,
-        health: MemberState::Alive,
+        state: MemberState::Alive,
         versions: versions(&shared),
     };
     let (grace, most) = (timing.grace_ms * MS, timing.datagram);
@@ -196,7 +196,7 @@
         let (me, late) = (
             Holder {
                 name: machine.me().name.clone(),
-                life,
+                incarnation: life,
             },
             socket.clone(),
         );
@@ -211,7 +211,7 @@
         let wakes = desk
             .as_ref()
             .and_then(LeaseService::wakes)
-            .map_or(machine.wakes(), |at| at.min(machine.wakes()));
+            .map_or(machine.next_wakeup(), |at| at.min(machine.next_wakeup()));
         let datagram = async {
             Some(Received::Datagram(
                 socket.recv_from(&mut buffer).await.ok()?,
@@ -224,14 +224,14 @@
             }
         };
         let late = async {
-            until(Some(wakes)).await;
+            sleep_until(Some(wakes)).await;
             None
         };
         let came = or(datagram, or(word, late)).await;
         let now = clock::turn();
         let mut letters = Vec::new();
         let mut out = Vec::new();
-        machine.versions(versions(&shared));
+        machine.set_versions(versions(&shared));
         if let Some(Received::Datagram((n, _))) = &came {
             shared.traffic.received(&buffer[..*n]);
         }
@@ -262,7 +262,7 @@
         if let Some(desk) = &mut desk {
             desk.tick(&machine, now, &mut letters);
             // Duties pass at once from one that takes no clients.
-            if !shared.life.borrow().ready() {
+            if !shared.lifecycle.borrow().is_ready() {
                 desk.release(&machine, &mut letters);
             }
         }
@@ -284,31 +284,35 @@
             }
         }
         let others: Vec<&RunningVersions> = (machine.members().values())
-            .filter(|m| m.rumour.health != MemberState::Left)
-            .map(|m| &m.rumour.versions)
+            .filter(|m| m.update.state != MemberState::Left)
+            .map(|m| &m.update.versions)
             .collect();
         let standing = straggler.judge(&machine.me().versions, &others, grace, now);
         stand(&shared, standing, &mut brought_up, &coordinator);
-        let rumours = machine.members().values().map(|m| &m.rumour);
+        let rumours = machine.members().values().map(|m| &m.update);
         let counted = sharers.count(machine.me(), rumours, grace, now);
         // Without room in the module's mailbox it is told at a later turn: nobody waits for it
         // here.
-        if counted != told && module.try_send(DispatcherEvent::Sharers(counted)).is_ok() {
+        if counted != told
+            && module
+                .try_send(DispatcherEvent::ActiveGateways(counted))
+                .is_ok()
+        {
             told = counted;
             log!("fleet: {counted} of {managers} managers share the engines");
         }
         if changed || now >= shown_at + VIEW_EVERY {
             shown_at = now;
-            *shared.fleet.borrow_mut() = Some(Rc::new(view(&machine, standing, now)));
+            *shared.fleet_view.borrow_mut() = Some(Rc::new(view(&machine, standing, now)));
             if let Some(desk) = desk
                 .as_ref()
-                .filter(|_| shared.console.get() && now >= owned_at + OWNED_EVERY)
+                .filter(|_| shared.admin_enabled.get() && now >= owned_at + OWNED_EVERY)
             {
                 owned_at = now;
-                *shared.owned.borrow_mut() = Some(desk.view(&machine, now).into());
+                *shared.lease_view.borrow_mut() = Some(desk.view(&machine, now).into());
             }
         }
-        if shared.life.borrow().stage() == Stage::Stopping {
+        if shared.lifecycle.borrow().stage() == Stage::Stopping {
             let mut out = Vec::new();
             machine.leave(&mut out);
             for action in out {
@@ -352,8 +356,8 @@
     coordinator: &Sender<CoordinatorMigration>,
 ) {
     let out = standing == VersionStatus::ShutOut;
-    if shared.life.borrow().is_shut_out() != out {
-        shared.life.borrow_mut().shut_out(out);
+    if shared.lifecycle.borrow().is_excluded() != out {
+        shared.lifecycle.borrow_mut().set_excluded(out);
         log!(
             "fleet: {}",
             if out {
@@ -393,7 +397,7 @@
     };
     let others = machine.members().values().map(|m| Row {
         me: false,
-        rumour: m.rumour.clone(),
+        rumour: m.update.clone(),
         since_ms: now.saturating_sub(m.since) / MS,
     });
     View {
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -7,7 +7,7 @@
 use crate::lifecycle::SuccessorState;
 use crate::log;
 use crate::net::client::AdoptedConnection;
-use crate::net::{CountGuard, Shared, until};
+use crate::net::{CountGuard, Shared, sleep_until};
 use async_channel::{Sender, bounded};
 use async_io::{Async, Timer};
 use futures_lite::AsyncWriteExt;
@@ -110,7 +110,7 @@
     };
     let late_at = clock::turn() + PATIENCE;
     let late = async {
-        until(Some(late_at)).await;
+        sleep_until(Some(late_at)).await;
         Err("it does not answer".to_owned())
     };
     or(asked, late).await.unwrap_or_else(|why| {
@@ -157,9 +157,9 @@
             .map_err(|_| "it speaks another protocol")?
         {
             match word {
-                HotRestartMessage::Take(listed) => addrs = listed,
-                HotRestartMessage::Drained => drained = true,
-                HotRestartMessage::Leave(leave)
+                HotRestartMessage::Listeners(listed) => addrs = listed,
+                HotRestartMessage::Draining => drained = true,
+                HotRestartMessage::ReservedShare(leave)
                     if addrs.len() == descriptors.len() && !addrs.is_empty() =>
                 {
                     // What the descriptor says counts, not what was told of it.
@@ -175,7 +175,9 @@
                         reader,
                     });
                 }
-                HotRestartMessage::Leave(_) => return Err("it passed no descriptors".into()),
+                HotRestartMessage::ReservedShare(_) => {
+                    return Err("it passed no descriptors".into());
+                }
                 _ => return Err("it speaks out of turn".into()),
             }
         }
@@ -218,7 +220,7 @@
             None
         };
         match or(read, or(order, look)).await {
-            None if shared.life.borrow().serves() => {
+            None if shared.lifecycle.borrow().can_serve() => {
                 if let Some(serves) = serves.take() {
                     serves();
                     let _ = peer.write_all(&HotRestartMessage::Ready.bytes()).await;
@@ -226,7 +228,7 @@
             }
             None => {}
             Some(Err(word)) => {
-                if let HotRestartMessage::Gone(number) = word {
+                if let HotRestartMessage::ClientGone(number) = word {
                     clients.remove(&number);
                 }
                 // If it can't be told any more it is gone, and the next read says so.
@@ -251,7 +253,7 @@
         }
     }
     log!("the process before this one has gone");
-    shared.life.borrow_mut().follows(0.0);
+    shared.lifecycle.borrow_mut().set_predecessor_share(0.0);
     // What it had open there and did not answer is lost with it; its client hears so at once.
     for Client { answers, open } in clients.into_values() {
         for mark in open {
@@ -259,7 +261,7 @@
         }
     }
     if let Some(serves) = serves.take() {
-        while !shared.life.borrow().serves() {
+        while !shared.lifecycle.borrow().can_serve() {
             Timer::after(LOOK).await;
         }
         serves();
@@ -275,8 +277,10 @@
     words: &Sender<HotRestartMessage>,
 ) {
     match word {
-        HotRestartMessage::Leave(part) => shared.life.borrow_mut().follows(part),
-        HotRestartMessage::Client(number, handed) => {
+        HotRestartMessage::ReservedShare(part) => {
+            shared.lifecycle.borrow_mut().set_predecessor_share(part)
+        }
+        HotRestartMessage::Connection(number, handed) => {
             let Some(socket) = descriptors.pop_front() else {
                 return;
             };
@@ -294,7 +298,7 @@
                 },
             );
         }
-        HotRestartMessage::Answer(number, mark, bytes) => {
+        HotRestartMessage::Response(number, mark, bytes) => {
             if let Some(client) = clients.get_mut(&number) {
                 client.open.remove(&mark);
                 let _ = client
@@ -359,7 +363,9 @@
                         followers_end(&shared, &older, peer, mine, &all).await;
                         let was = all.borrow_mut().remove(&mine);
                         settle(&shared, &all);
-                        if was == Some(SuccessorState::Ready) && !shared.life.borrow().stopping() {
+                        if was == Some(SuccessorState::Ready)
+                            && !shared.lifecycle.borrow().is_stopping()
+                        {
                             let _ = lost.try_send(());
                         }
                     });
@@ -381,9 +387,9 @@
     } else {
         all.values().next().copied().unwrap_or_default()
     };
-    shared.life.borrow_mut().followed(next);
+    shared.lifecycle.borrow_mut().set_successor(next);
     if !ready {
-        *shared.newer.borrow_mut() = None;
+        *shared.successor.borrow_mut() = None;
     }
 }
 
@@ -408,7 +414,7 @@
         }
     };
     let late = async {
-        until(Some(late_at)).await;
+        sleep_until(Some(late_at)).await;
         None
     };
     let hello = or(hello, late).await;
@@ -419,7 +425,7 @@
     }
     followers.borrow_mut().insert(mine, SuccessorState::Coming);
     settle(shared, followers);
-    let mut leaves = shared.life.borrow().leaves();
+    let mut leaves = shared.lifecycle.borrow().share_reserved_for_predecessors();
     if pass(shared, older, &peer, leaves).await.is_err() {
         return;
     }
@@ -445,13 +451,13 @@
                             log!("the process that follows serves");
                             followers.borrow_mut().insert(mine, SuccessorState::Ready);
                             settle(shared, followers);
-                            *shared.newer.borrow_mut() = Some(newer.clone());
+                            *shared.successor.borrow_mut() = Some(newer.clone());
                         }
-                        HotRestartMessage::Withdraw(number, _) => {
+                        HotRestartMessage::Cancel(number, _) => {
                             clients.get(&number).map(|client| client.try_send(word));
                         }
                         // With its mailbox closed what it has open here is given up.
-                        HotRestartMessage::Gone(number) => drop(clients.remove(&number)),
+                        HotRestartMessage::ClientGone(number) => drop(clients.remove(&number)),
                         _ => {}
                     }
                 }
@@ -459,7 +465,7 @@
             Some(Ok(_)) => return log!("the process that followed has gone"),
             Some(Err(TransferredItem::Client(number, socket, handed, back, held))) => {
                 clients.insert(number, back);
-                let word = HotRestartMessage::Client(number, handed);
+                let word = HotRestartMessage::Connection(number, handed);
                 if send(&peer, &word.bytes(), &[socket.as_fd()]).await.is_err() {
                     return;
                 }
@@ -467,7 +473,7 @@
             }
             Some(Err(TransferredItem::Answer(number, mark, bytes, held))) => {
                 if (&peer)
-                    .write_all(&HotRestartMessage::Answer(number, mark, bytes).bytes())
+                    .write_all(&HotRestartMessage::Response(number, mark, bytes).bytes())
                     .await
                     .is_err()
                 {
@@ -478,11 +484,11 @@
             None => {}
         }
         fade(shared, &mut start);
-        let now = shared.life.borrow().leaves();
+        let now = shared.lifecycle.borrow().share_reserved_for_predecessors();
         if (now - leaves).abs() > 0.01 {
             leaves = now;
             if (&peer)
-                .write_all(&HotRestartMessage::Leave(now).bytes())
+                .write_all(&HotRestartMessage::ReservedShare(now).bytes())
                 .await
                 .is_err()
             {
@@ -494,19 +500,19 @@
 
 /// As its clients and their requests go, so does this process's part.
 fn fade(shared: &Shared, start: &mut Option<(f64, f64)>) {
-    if !shared.life.borrow().handed_over() {
+    if !shared.lifecycle.borrow().successor_took_over() {
         return;
     }
     let now = (
         shared.client_sockets.get() as f64,
-        shared.figures.borrow().concurrent as f64,
+        shared.metrics.borrow().concurrent as f64,
     );
     let (clients, open) = *start.get_or_insert(now);
     let part = |now: f64, start: f64| if start > 0.0 { now / start } else { 0.0 };
     shared
-        .life
+        .lifecycle
         .borrow_mut()
-        .fades(part(now.0, clients).max(part(now.1, open)));
+        .set_remaining_work(part(now.0, clients).max(part(now.1, open)));
 }
 
 async fn pass(
@@ -516,11 +522,11 @@
     leaves: f64,
 ) -> io::Result<()> {
     let addrs = older.listeners.iter().map(|(addr, _)| *addr).collect();
-    let mut text = HotRestartMessage::Take(addrs).bytes();
-    if shared.life.borrow().drained() {
-        text.extend(HotRestartMessage::Drained.bytes());
+    let mut text = HotRestartMessage::Listeners(addrs).bytes();
+    if shared.lifecycle.borrow().is_draining() {
+        text.extend(HotRestartMessage::Draining.bytes());
     }
-    text.extend(HotRestartMessage::Leave(leaves).bytes());
+    text.extend(HotRestartMessage::ReservedShare(leaves).bytes());
     let descriptors: Vec<_> = older.listeners.iter().map(|(_, fd)| fd.as_fd()).collect();
     send(peer, &text, &descriptors).await
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -36,44 +36,44 @@
     /// Closed once the listeners are to accept no more.
     pub accepting: (Sender<()>, Receiver<()>),
     /// To the process that follows this one and serves.
-    pub newer: RefCell<Option<Sender<hot_restart::TransferredItem>>>,
+    pub successor: RefCell<Option<Sender<hot_restart::TransferredItem>>>,
     /// Runs the actors.
     pub executor: Rc<LocalExecutor<'static>>,
     /// Where the process stands.
-    pub life: RefCell<Lifecycle>,
+    pub lifecycle: RefCell<Lifecycle>,
     /// Operators have an address of their own: figures are put down for them.
-    pub console: Cell<bool>,
+    pub admin_enabled: Cell<bool>,
     /// What the core put down last.
-    pub figures: RefCell<MetricsSnapshot>,
+    pub metrics: RefCell<MetricsSnapshot>,
     /// Attempts written whole to engines.
     pub dispatches: Cell<u64>,
     /// Connections to engines, and how many there may be.
     pub engine_sockets: Rc<Cell<usize>>,
     /// How many there may be.
-    pub most_engine_sockets: Cell<usize>,
+    pub max_engine_sockets: Cell<usize>,
     /// Engines that have an actor now: those with something open or owed.
     pub engine_actors: Rc<Cell<usize>>,
     /// Connections of clients.
     pub client_sockets: Rc<Cell<usize>>,
     /// How many there may be.
-    pub most_client_sockets: Cell<usize>,
+    pub max_client_sockets: Cell<usize>,
     /// Connections that were ended here and wait for their client's end, and how many there may be.
     pub closing_sockets: Rc<Cell<usize>>,
     /// That many.
-    pub most_closing_sockets: Cell<usize>,
+    pub max_closing_sockets: Cell<usize>,
     /// Listeners that accept clients.
     pub listening: Rc<Cell<usize>>,
     /// Client connections that still have answers to write.
-    pub unwritten: Rc<Cell<usize>>,
+    pub connections_with_unwritten_output: Rc<Cell<usize>>,
     /// Bytes that clients have not taken yet, over all connections, and how many stop the reading
     /// of requests.
     pub unwritten_bytes: Cell<usize>,
     /// That many.
-    pub most_unwritten_bytes: Cell<usize>,
+    pub max_unwritten_bytes: Cell<usize>,
     /// Bytes of messages that are not whole yet, over all connections, and how many are too many.
     pub unread_bytes: Cell<usize>,
     /// That many.
-    pub most_unread_bytes: Cell<usize>,
+    pub max_unread_bytes: Cell<usize>,
     /// The connections of clients, for when there are too many.
     pub clients: RefCell<BTreeMap<u64, Rc<client::ConnectionStatus>>>,
     /// What was just read from a socket: used at once, before any other actor's turn.
@@ -81,17 +81,17 @@
     /// The next number of a client connection.
     pub next_conn: Cell<u64>,
     /// Whether all engines in service know databases: those that speak the ClickHouse interface do.
-    pub databases: Cell<bool>,
+    pub engines_know_databases: Cell<bool>,
     /// What the module acts on, as the core put it down last.
-    pub acting: Cell<ActiveConfiguration>,
+    pub active_configuration: Cell<ActiveConfiguration>,
     /// To the fleet's actor, where duties are shared out.
-    pub duties: RefCell<Option<Sender<fleet::lease::ProbeRequest>>>,
+    pub lease_requests: RefCell<Option<Sender<fleet::lease::ProbeRequest>>>,
     /// What it put down of them last, for the second address.
-    pub owned: RefCell<Option<Rc<str>>>,
+    pub lease_view: RefCell<Option<Rc<str>>>,
     /// To the thread that has the audit's files, where there is one.
-    pub audit: RefCell<Option<Sender<audit::Job>>>,
+    pub audit_jobs: RefCell<Option<Sender<audit::Job>>>,
     /// What the fleet's membership put down last, for the second address.
-    pub fleet: RefCell<Option<Rc<fleet::membership::View>>>,
+    pub fleet_view: RefCell<Option<Rc<fleet::membership::View>>>,
     /// What the fleet's actor sends and receives.
     pub traffic: Rc<fleet::traffic::Traffic>,
     /// Set where this is one of many managers in one process.
@@ -106,82 +106,85 @@
         let shared = Rc::new(Shared {
             limits: Cell::new((sockets, memory_mb)),
             accepting: async_channel::bounded(1),
-            newer: RefCell::default(),
+            successor: RefCell::default(),
             executor: Rc::new(LocalExecutor::new()),
-            life: RefCell::default(),
-            console: Cell::new(false),
-            figures: RefCell::default(),
+            lifecycle: RefCell::default(),
+            admin_enabled: Cell::new(false),
+            metrics: RefCell::default(),
             dispatches: Cell::new(0),
             engine_sockets: Rc::default(),
-            most_engine_sockets: Cell::new(0),
+            max_engine_sockets: Cell::new(0),
             engine_actors: Rc::default(),
             client_sockets: Rc::default(),
-            most_client_sockets: Cell::new(0),
+            max_client_sockets: Cell::new(0),
             closing_sockets: Rc::default(),
-            most_closing_sockets: Cell::new(0),
+            max_closing_sockets: Cell::new(0),
             listening: Rc::default(),
-            unwritten: Rc::default(),
+            connections_with_unwritten_output: Rc::default(),
             unwritten_bytes: Cell::new(0),
-            most_unwritten_bytes: Cell::new(0),
+            max_unwritten_bytes: Cell::new(0),
             unread_bytes: Cell::new(0),
-            most_unread_bytes: Cell::new(0),
+            max_unread_bytes: Cell::new(0),
             clients: RefCell::default(),
             buffer: RefCell::new(vec![0; BUFFER]),
             next_conn: Cell::new(1),
-            databases: Cell::new(false),
-            acting: Cell::default(),
-            duties: RefCell::default(),
-            owned: RefCell::default(),
-            audit: RefCell::default(),
-            fleet: RefCell::default(),
+            engines_know_databases: Cell::new(false),
+            active_configuration: Cell::default(),
+            lease_requests: RefCell::default(),
+            lease_view: RefCell::default(),
+            audit_jobs: RefCell::default(),
+            fleet_view: RefCell::default(),
             traffic: Rc::default(),
             hollow: OnceCell::new(),
         });
-        shared.limit(sockets, memory_mb);
+        shared.set_limits(sockets, memory_mb);
         shared
     }
 
     /// Sets the limits: those of the start, or new ones. What the system allows counts where it is
     /// less.
-    pub fn limit(&self, sockets: usize, memory_mb: u64) {
+    pub fn set_limits(&self, sockets: usize, memory_mb: u64) {
         let system = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let sockets = sockets.min(system.map_or(usize::MAX, |most| {
             usize::try_from(most).unwrap_or(usize::MAX)
         }));
         self.limits.set((sockets, memory_mb));
-        self.split();
+        self.apply_capacity_share();
     }
 
     /// Takes this process's part of the limits, which is all of them while it is alone. The quarter
     /// of descriptors that is neither for clients nor for engines holds the second address, the
     /// coordinator, the other process and, up to a half of it, connections that were ended here and
     /// wait for their client's end.
-    pub fn split(&self) {
-        let (part, (sockets, memory_mb)) = (self.life.borrow().part().max(0.1), self.limits.get());
+    pub fn apply_capacity_share(&self) {
+        let (part, (sockets, memory_mb)) = (
+            self.lifecycle.borrow().capacity_share().max(0.1),
+            self.limits.get(),
+        );
         let (sockets, memory_mb) = (
             (sockets as f64 * part) as usize,
             (memory_mb as f64 * part) as u64,
         );
-        self.most_engine_sockets.set((sockets / 4).max(4));
-        self.most_client_sockets.set((sockets / 2).max(4));
-        self.most_closing_sockets.set((sockets / 8).max(2));
+        self.max_engine_sockets.set((sockets / 4).max(4));
+        self.max_client_sockets.set((sockets / 2).max(4));
+        self.max_closing_sockets.set((sockets / 8).max(2));
         let part = ((memory_mb.clamp(8, 1 << 20) / 8) as usize) << 20;
-        self.most_unwritten_bytes.set(part);
-        self.most_unread_bytes.set(part);
+        self.max_unwritten_bytes.set(part);
+        self.max_unread_bytes.set(part);
     }
 
     /// Whether the client of that connection has gone, read up to there or not: to be looked up at
     /// the instant in which something begins for it.
-    pub fn client_gone(&self, conn: u64) -> bool {
+    pub fn client_disconnected(&self, conn: u64) -> bool {
         let standing = self.clients.borrow().get(&conn).cloned();
         standing.is_none_or(|standing| standing.gone())
     }
 
     /// What operators are told now.
-    pub fn figures(&self) -> MetricsSnapshot {
+    pub fn current_metrics(&self) -> MetricsSnapshot {
         MetricsSnapshot {
             dispatches: self.dispatches.get(),
-            ..self.figures.borrow().clone()
+            ..self.metrics.borrow().clone()
         }
     }
 
@@ -192,7 +195,7 @@
 }
 
 /// Waits until then; forever without a time.
-pub async fn until(at: Option<Micros>) {
+pub async fn sleep_until(at: Option<Micros>) {
     match at {
         Some(at) => drop(Timer::at(clock::instant(at)).await),
         None => std::future::pending().await,
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -88,7 +88,7 @@
         }
         // From here on all of it is taken.
         self.shared
-            .limit(config.limits.sockets, config.limits.memory_mb);
+            .set_limits(config.limits.sockets, config.limits.memory_mb);
         let classes = self.retune(&config).await;
         let names = Rc::new(Names {
             classes: classes
@@ -151,7 +151,7 @@
         let hash = settings_hash(&config.text);
         let _ = self
             .core
-            .send(DispatcherEvent::Retune(
+            .send(DispatcherEvent::Reconfigure(
                 Box::new(settings),
                 names,
                 hash,
--- a/src/net/tenant_directory.rs
+++ b/src/net/tenant_directory.rs
@@ -1,7 +1,7 @@
 //! The actor of the directory: reads it at the start and then slowly again; a failure keeps the
 //! last good list.
 use super::dispatcher::DispatcherEvent;
-use super::until;
+use super::sleep_until;
 use crate::clock::{self, SEC};
 use crate::config::clickhouse::{DirectoryConfig, Users};
 use crate::frontend::clickhouse::ClickHouseShared;
@@ -46,7 +46,7 @@
         }
     };
     let late = async {
-        until(Some(clock::turn() + LIMIT)).await;
+        sleep_until(Some(clock::turn() + LIMIT)).await;
         Err(ReadError::Connection)
     };
     or(reading, late).await
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -88,7 +88,7 @@
 
     /// New settings for what comes from now on. Fresh classes start from what those they follow
     /// have taught.
-    pub fn retune(&mut self, s: Settings, fresh: &[(ClassId, Option<ClassId>)]) {
+    pub fn reconfigure(&mut self, s: Settings, fresh: &[(ClassId, Option<ClassId>)]) {
         self.learned.resize_with(s.classes.len(), || {
             ClassEstimates::first(&s.classes[0], TAIL_FIRST)
         });
--- a/src/policy/state/mod.rs
+++ b/src/policy/state/mod.rs
@@ -84,7 +84,7 @@
     }
 
     /// Listed engines that get no ordinary work now: they drain, or were found to fail.
-    pub fn avoided(&self) -> usize {
+    pub fn unavailable_engines(&self) -> usize {
         let listed = self
             .engines
             .values()
@@ -95,7 +95,7 @@
     }
 
     /// Another process is this gateway too, and this one has that part of what the gateway may use.
-    pub fn split(&mut self, part: f64) {
+    pub fn set_capacity_share(&mut self, part: f64) {
         let part = part.clamp(0.05, 1.0);
         self.sharers *= self.part / part;
         self.part = part;
@@ -104,7 +104,7 @@
 
     /// So many gateways share the warm engines now, those that do not serve left out. Budgets of
     /// cold engines stay parts of all gateways.
-    pub fn share_among(&mut self, gateways: u32) {
+    pub fn set_active_gateways(&mut self, gateways: u32) {
         self.sharers = f64::from(gateways.clamp(1, self.settings.gateways.max(1))) / self.part;
     }
 
--- a/src/testkit/membership_simulation.rs
+++ b/src/testkit/membership_simulation.rs
@@ -3,8 +3,8 @@
 //! one seed: the same run each time. Every datagram passes through the codec.
 use crate::clock::{MS, Micros, SEC};
 use crate::membership::{
-    Action, MemberState, MemberUpdate, Membership, RunningVersions, Timing, budget, codec,
-    detection_bound,
+    Action, MemberState, MemberUpdate, Membership, RunningVersions, Timing, bandwidth_budget,
+    codec, detection_bound,
 };
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
@@ -92,7 +92,7 @@
         name: name(i),
         addr: addr(i),
         incarnation,
-        health: MemberState::Alive,
+        state: MemberState::Alive,
         versions,
     }
 }
@@ -187,7 +187,7 @@
                 }
             }
         }
-        let at = self.nodes[from].wakes();
+        let at = self.nodes[from].next_wakeup();
         assert!(
             at > self.now,
             "manager {from} would wake again at once, and spin"
@@ -273,7 +273,7 @@
         self.nodes[who]
             .members()
             .get(&name(of))
-            .map(|m| m.rumour.health)
+            .map(|m| m.update.state)
     }
 
     /// Whether every running manager takes every other running one for alive.
@@ -369,13 +369,13 @@
     let (changed, from) = (members / 2, fleet.now);
     let mut versions = fleet.nodes[changed].me().versions.clone();
     versions.generation += 1;
-    fleet.nodes[changed].versions(versions);
+    fleet.nodes[changed].set_versions(versions);
     let mut knew: Vec<Micros> = Vec::new();
     while knew.len() < members - 1 && fleet.now < from + PATIENCE {
         fleet.run(10 * MS);
         let knows = |i: &usize| {
             let seen = fleet.nodes[*i].members().get(&name(changed));
-            *i != changed && seen.is_some_and(|m| m.rumour.versions.generation == 2)
+            *i != changed && seen.is_some_and(|m| m.update.versions.generation == 2)
         };
         let count = (0..members).filter(knows).count();
         knew.resize(count, fleet.now - from);
@@ -433,7 +433,7 @@
         .map(|c| c.of.as_str())
         .collect::<BTreeSet<&str>>()
         .len();
-    let (budget, bound_s) = (budget(timing), secs(bound));
+    let (budget, bound_s) = (bandwidth_budget(timing), secs(bound));
     Ok(Figures {
         members,
         joined_s,
--- a/src/testkit/probe_simulation.rs
+++ b/src/testkit/probe_simulation.rs
@@ -5,7 +5,7 @@
 use crate::lease::shared_probe::{ProbeResult, SharedProber, Step};
 use crate::lease::{
     Action, Candidate, FencingGuard, Holder, LeaseTiming, Resource, TokenHighWaterMarks, Voter,
-    first,
+    preferred_owner,
 };
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
@@ -124,7 +124,7 @@
             .map(name)
             .collect();
         for engine in 0..self.plan.engines {
-            let first = first(Resource::Probe(engine), names.iter().map(String::as_str));
+            let first = preferred_owner(Resource::Probe(engine), names.iter().map(String::as_str));
             self.first.insert(
                 engine,
                 first.and_then(|name| name[1..].parse().ok()).unwrap_or(0),
@@ -197,9 +197,9 @@
         }
         let wakes = self.all[i]
             .candidate
-            .wakes()
+            .next_wakeup()
             .into_iter()
-            .chain(self.all[i].prober.wakes())
+            .chain(self.all[i].prober.next_wakeup())
             .min();
         if let Some(at) = wakes {
             self.put(at.saturating_sub(self.now).max(MS), Event::Tick(i));
@@ -307,7 +307,7 @@
                     prober.told((engine, number), token, sounding, fence, &mut steps);
                 }
                 LeaseMessage::NotMine(engine, number, token) => {
-                    fence.saw(Resource::Probe(engine), token);
+                    fence.observe(Resource::Probe(engine), token);
                     prober.not_mine(engine, number, now, &mut steps);
                 }
             },
@@ -333,7 +333,7 @@
         candidate: Candidate::new(
             Holder {
                 name: name(i),
-                life: 1,
+                incarnation: 1,
             },
             voters.clone(),
             plan.terms,
--- a/src/testkit/scale/hollow.rs
+++ b/src/testkit/scale/hollow.rs
@@ -221,13 +221,13 @@
             else {
                 continue;
             };
-            let out = life.shared.life.borrow().is_shut_out();
+            let out = life.shared.lifecycle.borrow().is_excluded();
             manager.before.shut_outs += u64::from(out && !manager.out);
             manager.out = out;
             if *goal == Goal::Idle {
                 continue;
             }
-            let view = life.shared.fleet.borrow().clone();
+            let view = life.shared.fleet_view.borrow().clone();
             let Some(view) = view else { continue };
             if manager
                 .seen
@@ -251,13 +251,13 @@
         let at = manager.socket.local_addr().expect("the socket's address");
         let (who, plan) = (manager.who, &self.plan);
         let shared = Shared::new(64, 64);
-        shared.acting.set(ActiveConfiguration {
+        shared.active_configuration.set(ActiveConfiguration {
             generation: 1,
             settings,
             list: 0,
         });
-        shared.life.borrow_mut().listed();
-        shared.console.set(plan.console);
+        shared.lifecycle.borrow_mut().endpoint_list_received();
+        shared.admin_enabled.set(plan.console);
         let _ = shared.hollow.set(Hollow {
             folder: self.folder.clone(),
             reloads: Cell::new(0),
@@ -321,22 +321,24 @@
     fn go(&mut self) {
         self.again = true;
         match &self.life {
-            Some(life) if !life.pulse.stopped.get() => {
-                life.shared.life.borrow_mut().stop(clock::turn())
-            }
+            Some(life) if !life.pulse.stopped.get() => life
+                .shared
+                .lifecycle
+                .borrow_mut()
+                .begin_shutdown(clock::turn()),
             _ => self.end_life(),
         }
     }
 
     fn retune(&self, hash: u64) {
         if let Some(life) = &self.life {
-            let acting = life.shared.acting.get();
+            let acting = life.shared.active_configuration.get();
             let next = ActiveConfiguration {
                 generation: acting.generation + 1,
                 settings: hash,
                 ..acting
             };
-            life.shared.acting.set(next);
+            life.shared.active_configuration.set(next);
         }
     }
 
@@ -368,11 +370,11 @@
         let Some(life) = &self.life else {
             return reading;
         };
-        let view = life.shared.fleet.borrow().clone();
+        let view = life.shared.fleet_view.borrow().clone();
         let lives = |view: &Rc<View>| {
             view.members
                 .iter()
-                .filter(|row| !row.me && row.rumour.health == MemberState::Alive)
+                .filter(|row| !row.me && row.rumour.state == MemberState::Alive)
                 .count()
         };
         let (alive, dropped) = view
--- a/src/testkit/scale/hollow_node.rs
+++ b/src/testkit/scale/hollow_node.rs
@@ -7,7 +7,7 @@
 use crate::lease::shared_probe::ProbeResult;
 use crate::net::dispatcher::DispatcherEvent;
 use crate::net::fleet::lease::ProbeRequest;
-use crate::net::{Shared, until};
+use crate::net::{Shared, sleep_until};
 use async_channel::Receiver;
 use futures_lite::future::or;
 use rand_core::Rng;
@@ -103,11 +103,11 @@
     let mut next = every.map(|every| clock::turn() + pick(every));
     loop {
         let input = or(async { mailbox.recv().await.ok() }, async {
-            until(next).await;
+            sleep_until(next).await;
             None
         });
         let input = input.await;
-        let duties = shared.duties.borrow().clone();
+        let duties = shared.lease_requests.borrow().clone();
         let say = |word| duties.as_ref().map(|duties| duties.try_send(word));
         match input {
             Some(DispatcherEvent::Probe(engine, _)) => {
@@ -122,8 +122,8 @@
                 };
                 let _ = say(ProbeRequest::Answered(engine, Some(sounding)));
             }
-            Some(DispatcherEvent::Sounded(..)) => asked.told.set(asked.told.get() + 1),
-            Some(DispatcherEvent::Owns(Resource::Probe(engine), token, owns)) => {
+            Some(DispatcherEvent::SharedProbeResult(..)) => asked.told.set(asked.told.get() + 1),
+            Some(DispatcherEvent::LeaseChanged(Resource::Probe(engine), token, owns)) => {
                 board.owns(who, engine, token, owns)
             }
             Some(_) => {}
--- a/src/testkit/scale/observations.rs
+++ b/src/testkit/scale/observations.rs
@@ -30,21 +30,21 @@
         match self {
             Goal::Idle => false,
             Goal::Alive(others) => {
-                rows.filter(|row| !row.me && row.rumour.health == MemberState::Alive)
+                rows.filter(|row| !row.me && row.rumour.state == MemberState::Alive)
                     .count()
                     >= *others
             }
             Goal::Dead(name) => {
-                rows.any(|r| r.rumour.name == *name && r.rumour.health == MemberState::Dead)
+                rows.any(|r| r.rumour.name == *name && r.rumour.state == MemberState::Dead)
             }
             Goal::Settings(hash) => rows.all(|row| {
-                matches!(row.rumour.health, MemberState::Dead | MemberState::Left)
+                matches!(row.rumour.state, MemberState::Dead | MemberState::Left)
                     || row.rumour.versions.settings == *hash
             }),
             Goal::Reborn(name, since) => rows.any(|r| {
                 r.rumour.name == *name
                     && r.rumour.incarnation >= *since
-                    && r.rumour.health == MemberState::Alive
+                    && r.rumour.state == MemberState::Alive
             }),
         }
     }
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -12,7 +12,7 @@
 use yokelift::dispatcher::Dispatcher;
 use yokelift::net::discovery::endpoint_list::{self, Http, Update, listed};
 use yokelift::net::dispatcher::DispatcherEvent;
-use yokelift::net::{Shared, until};
+use yokelift::net::{Shared, sleep_until};
 use yokelift::policy::api::Readiness;
 
 static HELD: AtomicIsize = AtomicIsize::new(0);
@@ -69,13 +69,13 @@
     let executor = shared.executor.clone();
     let rows = async_io::block_on(executor.run(async {
         updates.send(update).await.expect("the list's actor");
-        let Ok(DispatcherEvent::List(kind, entries, rows, _)) = news.recv().await else {
+        let Ok(DispatcherEvent::EndpointList(kind, entries, rows, _)) = news.recv().await else {
             panic!("no news")
         };
-        manager.list(1, kind, entries, &mut orders);
+        manager.update_endpoints(1, kind, entries, &mut orders);
         orders.clear();
         // A turn for whatever was started with the rows.
-        until(Some(yokelift::clock::now() + 1)).await;
+        sleep_until(Some(yokelift::clock::now() + 1)).await;
         rows
     }));
     assert_eq!(
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -64,7 +64,7 @@
     let mut ended = Vec::new();
     let look = |ended: &mut Vec<(RequestId, Termination, TransmitProgress)>| {
         while let Ok(input) = inputs.try_recv() {
-            if let DispatcherEvent::Ended(e) = input {
+            if let DispatcherEvent::AttemptFinished(e) = input {
                 ended.push((e.id, e.termination, e.progress));
             }
         }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -435,7 +435,7 @@
         let mut s = settings();
         s.gateways = 4;
         let mut rig = Rig::new(s, vec![entry(1, 0, 0)]);
-        counted.iter().for_each(|n| rig.g.share_among(*n));
+        counted.iter().for_each(|n| rig.g.set_active_gateways(*n));
         rig.pass(S);
         let ask = |id, now| Event::Request(ask(id, 0, now, 6 * S, 200 * MS));
         (0..40)
@@ -925,8 +925,8 @@
 fn a_part_of_a_gateway_keeps_to_its_part_of_the_bound() {
     let sent = |part: f64| {
         let mut rig = Rig::new(settings(), vec![entry(1, 0, 0)]);
-        rig.g.split(0.25);
-        rig.g.split(part);
+        rig.g.set_capacity_share(0.25);
+        rig.g.set_capacity_share(part);
         let asks = (0..30).map(|id| Event::Request(ask(id, 0, rig.now, 6 * S, 200 * MS)));
         asks.collect::<Vec<_>>()
             .into_iter()
@@ -947,7 +947,7 @@
                 ..entry(1, 0, 0)
             }],
         );
-        rig.g.split(part);
+        rig.g.set_capacity_share(part);
         let asks = (0..60).map(|id| Event::Request(ask(id, 0, rig.now, 6 * S, 400 * MS)));
         asks.collect::<Vec<_>>()
             .into_iter()
@@ -968,7 +968,7 @@
     next.limits.max_attempts = 1;
     next.classes
         .push(class(Idempotency::NonIdempotent, 1.0, S, 6 * S));
-    rig.g.retune(next, &[(ClassId(4), Some(ClassId(0)))]);
+    rig.g.reconfigure(next, &[(ClassId(4), Some(ClassId(0)))]);
     let again = sends(&rig.tell(outcome(1, 0, first, OutcomeKind::ConnectFailed, 5 * MS)));
     assert_eq!(again.len(), 1, "the open one goes on");
     let second = sends(&rig.tell(Event::Request(ask(2, 4, rig.now, 6 * S, 200 * MS))))[0].1;
--- a/tests/recorded_run.rs
+++ b/tests/recorded_run.rs
@@ -282,11 +282,11 @@
         match self.draw(4) {
             0 => self
                 .gateway
-                .split([0.25, 0.5, 1.0][self.attempts.len() % 3]),
+                .set_capacity_share([0.25, 0.5, 1.0][self.attempts.len() % 3]),
             1 => {
                 let gateways = self.settings.gateways;
                 let serving = self.draw(gateways) + 1;
-                self.gateway.share_among(serving);
+                self.gateway.set_active_gateways(serving);
             }
             2 => {
                 let quota_per_s = f64::from(self.draw(60) + 1);
@@ -304,7 +304,7 @@
                 let new = ClassId(self.settings.classes.len() as u16 - 1);
                 let heir_of = Some(ClassId(of)).filter(|_| of.is_multiple_of(2));
                 self.gateway
-                    .retune(self.settings.clone(), &[(new, heir_of)]);
+                    .reconfigure(self.settings.clone(), &[(new, heir_of)]);
             }
             _ => {}
         }
--- a/tests/unit/dispatcher.rs
+++ b/tests/unit/dispatcher.rs
@@ -143,7 +143,7 @@
         let (settings, classes, most, copies) = file(0);
         let names: Vec<String> = classes.iter().map(|(name, _)| name.clone()).collect();
         let mut manager = Dispatcher::new(SEC, settings, &names, 7);
-        manager.audit(true);
+        manager.record_decisions(true);
         let (seen, ids) = (BTreeMap::new(), BTreeMap::new());
         let ready = BTreeSet::new();
         let audited = Vec::new();
@@ -163,7 +163,7 @@
         let mut orders = Vec::new();
         model
             .manager
-            .list(SEC, EndpointListKind::Cached, all, &mut orders);
+            .update_endpoints(SEC, EndpointListKind::Cached, all, &mut orders);
         model
     }
 
@@ -250,7 +250,7 @@
             seen.ran = Some(seen.ran.unwrap_or(at).min(at));
         }
         let mut orders = Vec::new();
-        self.manager.ended(self.now, ended, &mut orders);
+        self.manager.attempt_finished(self.now, ended, &mut orders);
         self.obey(orders)
     }
 
@@ -300,7 +300,7 @@
                     session: None,
                     idempotency_key: once,
                 };
-                self.manager.take(self.now, ask, &mut orders);
+                self.manager.handle_request(self.now, ask, &mut orders);
             }
             Step::End(n, end, sent) => {
                 let outs = |(id, tag): (&RequestId, &u64)| {
@@ -338,7 +338,7 @@
                     });
                 }
                 self.manager
-                    .hung_up(self.now, u64::from(n % 4), &mut orders);
+                    .client_disconnected(self.now, u64::from(n % 4), &mut orders);
             }
             Step::List(n) => {
                 let (id, up) = (u64::from(n % 3) + 1, n % 2 == 0);
@@ -352,7 +352,7 @@
                 } else {
                     self.ready.remove(&EngineId(id))
                 };
-                self.manager.list(
+                self.manager.update_endpoints(
                     self.now,
                     EndpointListKind::Changes,
                     vec![entry(id, readiness)],
@@ -362,7 +362,7 @@
             Step::Retune(n) => {
                 let (settings, classes, most, copies) = file(*n);
                 let names: Vec<String> = classes.iter().map(|(name, _)| name.clone()).collect();
-                self.manager.retune(settings, &names);
+                self.manager.reconfigure(settings, &names);
                 (self.classes, self.most, self.copies) = (classes, most, copies);
             }
             Step::Rogue(n) => {
@@ -374,22 +374,22 @@
             }
             Step::Wait(ms) => {
                 let until = self.now + u64::from(*ms) * MS;
-                while let Some(at) = self.manager.next_due().filter(|at| *at <= until) {
+                while let Some(at) = self.manager.next_wakeup().filter(|at| *at <= until) {
                     self.now = self.now.max(at);
                     let mut orders = Vec::new();
-                    self.manager.due(self.now, &mut orders);
+                    self.manager.run_due_timers(self.now, &mut orders);
                     self.obey(orders)?;
                 }
                 self.now = until;
             }
         }
-        self.audited.extend(self.manager.decisions());
+        self.audited.extend(self.manager.take_decisions());
         self.obey(orders)
     }
 
     /// The audit has each dispatch, refusal and failure once, under the request's name.
     fn audited(&mut self) -> Result<(), String> {
-        self.audited.extend(self.manager.decisions());
+        self.audited.extend(self.manager.take_decisions());
         for (tag, seen) in &self.seen {
             let key = format!("{tag:016x}");
             let of = |is: fn(&DecisionKind) -> bool| {
@@ -431,7 +431,7 @@
         let all = (1..=3).map(|id| entry(id, Readiness::Ready)).collect();
         model
             .manager
-            .list(SEC, EndpointListKind::Cached, all, &mut Vec::new());
+            .update_endpoints(SEC, EndpointListKind::Cached, all, &mut Vec::new());
         model.step(&Step::Wait(30_000)).expect("time passes");
         let asked = (0..200).map(|_| model.step(&Step::Ask(252)));
         asked.collect::<Result<Vec<()>, String>>().expect("asked");
@@ -500,7 +500,7 @@
         7,
     );
     let all = (1..=3).map(|id| entry(id, Readiness::Ready)).collect();
-    manager.list(SEC, EndpointListKind::Cached, all, &mut Vec::new());
+    manager.update_endpoints(SEC, EndpointListKind::Cached, all, &mut Vec::new());
     manager
 }
 
@@ -522,7 +522,7 @@
         ..ClientRequest::default()
     };
     let mut orders = Vec::new();
-    manager.take(now, ask, &mut orders);
+    manager.handle_request(now, ask, &mut orders);
     for _ in 0..20 {
         for order in std::mem::take(&mut orders) {
             match order {
@@ -535,14 +535,14 @@
                         Termination::Reset,
                         TransmitProgress::Complete,
                     );
-                    manager.ended(now, ended, &mut orders);
+                    manager.attempt_finished(now, ended, &mut orders);
                 }
                 Command::Respond(_, given) => answer = Some(given),
                 _ => {}
             }
         }
         now += 100 * MS;
-        manager.due(now, &mut orders);
+        manager.run_due_timers(now, &mut orders);
     }
     (sent, answer)
 }
@@ -596,7 +596,7 @@
         work_estimate: Some(50 * MS),
         ..ClientRequest::default()
     };
-    manager.take(SEC, ask(1), &mut orders);
+    manager.handle_request(SEC, ask(1), &mut orders);
     let started = |orders: &[Command]| {
         orders.iter().find_map(|o| {
             if let Command::StartAttempt(e, job) = o {
@@ -631,7 +631,7 @@
             TransmitProgress::Complete,
         )
     };
-    manager.ended(SEC + 50 * MS, done, &mut Vec::new());
+    manager.attempt_finished(SEC + 50 * MS, done, &mut Vec::new());
     assert!(
         (manager.module.learned[0].work - 0.08).abs() < 1e-9,
         "{}",
@@ -640,12 +640,12 @@
     // Neither counts where the settings say nothing of it.
     let mut plain = Model::new().manager;
     let mut orders = Vec::new();
-    plain.take(SEC, ask(1), &mut orders);
+    plain.handle_request(SEC, ask(1), &mut orders);
     let (_, job) = started(&orders).expect("sent");
     let mut orders = Vec::new();
     plain.terms(job.id, 0, 0.0, &mut orders);
     assert!(orders.is_empty() && job.priority.is_none());
-    plain.ended(
+    plain.attempt_finished(
         SEC + 50 * MS,
         AttemptResult {
             cost,
--- a/tests/unit/fleet_scan.rs
+++ b/tests/unit/fleet_scan.rs
@@ -227,11 +227,11 @@
             // Quiet spells of ten seconds show what the time alone changes.
             match p.draw(if step % 1000 < 500 { 4000 } else { 60 }) {
                 0 => p.list(ids),
-                1 => p.g.split([0.25, 0.5, 1.0][step % 3]),
-                2 => p.g.share_among(gateways / 2 + 1),
+                1 => p.g.set_capacity_share([0.25, 0.5, 1.0][step % 3]),
+                2 => p.g.set_active_gateways(gateways / 2 + 1),
                 3 => {
                     let me = (p.g.settings.gateway_index + 1) % gateways;
-                    p.g.retune(
+                    p.g.reconfigure(
                         Settings {
                             gateway_index: me,
                             ..settings(15 * S + S / 3 * (step as Nanos % 2))
--- a/tests/unit/lease.rs
+++ b/tests/unit/lease.rs
@@ -94,7 +94,7 @@
     fn candidate(i: usize, life: u64, seed: u64) -> Candidate {
         let me = Holder {
             name: name(i),
-            life,
+            incarnation: life,
         };
         Candidate::new(
             me,
@@ -202,21 +202,25 @@
                 ..
             } = &mut self.all[i];
             if *wants {
-                candidate.want(DUTY, fence, now, &mut out);
+                candidate.request_lease(DUTY, fence, now, &mut out);
             }
             candidate.tick(|_| *wants, now, &mut out);
-            if let Some(wakes) = candidate.wakes().filter(|at| *at <= now) {
+            if let Some(wakes) = candidate.next_wakeup().filter(|at| *at <= now) {
                 return Err(format!("{i} would wake again at once: {wakes} at {now}"));
             }
             self.carry_out(i, out);
             // The owner hands out a result under its token, which it looks up just before.
-            if let Some(token) = self.all[i].candidate.owns(DUTY, now) {
+            if let Some(token) = self.all[i].candidate.token_if_held(DUTY, now) {
                 (0..MEMBERS).for_each(|to| self.send(i, to, Letter::Result(token)));
             }
         }
         let owners: Vec<usize> = (0..self.all.len())
             .filter(|i| {
-                !self.all[*i].dead && self.all[*i].candidate.owns(DUTY, self.clock(*i)).is_some()
+                !self.all[*i].dead
+                    && self.all[*i]
+                        .candidate
+                        .token_if_held(DUTY, self.clock(*i))
+                        .is_some()
             })
             .collect();
         if owners.len() > 1 {
@@ -239,7 +243,7 @@
     }
 
     fn pause(&mut self, i: usize) {
-        let token = self.all[i].candidate.owns(DUTY, self.clock(i));
+        let token = self.all[i].candidate.token_if_held(DUTY, self.clock(i));
         self.ready.extend(token.map(|token| (i, token)));
         self.all[i].paused = true;
     }
@@ -278,7 +282,11 @@
 
     fn owner(&self) -> Option<usize> {
         (0..self.all.len()).find(|i| {
-            !self.all[*i].dead && self.all[*i].candidate.owns(DUTY, self.clock(*i)).is_some()
+            !self.all[*i].dead
+                && self.all[*i]
+                    .candidate
+                    .token_if_held(DUTY, self.clock(*i))
+                    .is_some()
         })
     }
 }
@@ -424,11 +432,11 @@
     let (a, b) = (
         Holder {
             name: "a".into(),
-            life: 1,
+            incarnation: 1,
         },
         Holder {
             name: "b".into(),
-            life: 1,
+            incarnation: 1,
         },
     );
     let mut voter = Voter::new(terms(), TokenHighWaterMarks::default(), 0);
@@ -492,14 +500,14 @@
     let terms = terms();
     let me = Holder {
         name: "a".into(),
-        life: 1,
+        incarnation: 1,
     };
     let (mut candidate, mut fence) = (
         Candidate::new(me, vec!["v".into()], terms, 1),
         FencingGuard::default(),
     );
     let (mut actions, mut steps) = (Vec::new(), Vec::new());
-    candidate.want(DUTY, &fence, 0, &mut actions);
+    candidate.request_lease(DUTY, &fence, 0, &mut actions);
     let Some(Action::Ask(_, _, token, number)) = actions.first().cloned() else {
         panic!("it asks")
     };
@@ -511,7 +519,7 @@
         MS,
         &mut actions,
     );
-    let end = terms.valid();
+    let end = terms.holder_validity();
     assert_eq!(candidate.lease(DUTY, MS), Some((token, end)));
     let mut prober = SharedProber::new(20 * MS);
     let heard = ProbeResult {
@@ -568,10 +576,12 @@
         ask(&mut prober, &mut candidate, 400 * MS, 7),
         [Step::ProbeForOthers(7, end)]
     );
-    let wakes = prober.wakes().expect("it looks after those that wait");
+    let wakes = prober
+        .next_wakeup()
+        .expect("it looks after those that wait");
     prober.tick(wakes, &mut steps);
     assert_eq!(steps, [Step::NotMine(from, 7, 7)]);
-    assert_eq!(prober.wakes(), None);
+    assert_eq!(prober.next_wakeup(), None);
 }
 
 /// Guards memory and the disk against duties without end, as of engines that come and go: so many
@@ -582,9 +592,9 @@
     let mut random = Pcg32::seed_from_u64(9);
     for _ in 0..20_000 {
         let duty = Resource::Probe(u64::from(random.next_u32() % 3_000));
-        let token = highest.of(duty) + u64::from(random.next_u32() % 3);
-        highest.raise(duty, token);
-        assert!(highest.of(duty) >= token);
+        let token = highest.get(duty) + u64::from(random.next_u32() % 3);
+        highest.observe(duty, token);
+        assert!(highest.get(duty) >= token);
         let most = model.entry(duty).or_insert(0);
         *most = token.max(*most);
         assert!(highest.tokens.len() <= KNOWN);
@@ -593,18 +603,18 @@
     assert!(
         model
             .iter()
-            .all(|(duty, token)| highest.of(*duty) >= *token)
+            .all(|(duty, token)| highest.get(*duty) >= *token)
     );
     let mut voter = Voter::new(terms(), highest.clone(), 0);
     let me = Holder {
         name: "a".into(),
-        life: 1,
+        incarnation: 1,
     };
     let now = 2_000 * MS;
     let granted = |voter: &mut Voter, n: u64| {
         let duty = Resource::Probe(10_000 + n);
         voter
-            .request(now, duty, &me, highest.of(duty) + 1_000_000 + n)
+            .request(now, duty, &me, highest.get(duty) + 1_000_000 + n)
             .0
             == Vote::Granted
     };
@@ -620,7 +630,11 @@
     let of = |without: &str| -> Vec<String> {
         let live = || names.iter().map(String::as_str).filter(|n| *n != without);
         (0..80)
-            .map(|e| first(Resource::Probe(e), live()).expect("one").to_owned())
+            .map(|e| {
+                preferred_owner(Resource::Probe(e), live())
+                    .expect("one")
+                    .to_owned()
+            })
             .collect()
     };
     let all = of("");
--- a/tests/unit/lifecycle.rs
+++ b/tests/unit/lifecycle.rs
@@ -46,13 +46,13 @@
         let (mut life, mut now, mut past) = (Lifecycle::default(), 1_000_000, Vec::new());
         for step in steps {
             match step {
-                Step::Listed => life.listed(),
+                Step::Listed => life.endpoint_list_received(),
                 Step::Drain => life.drain(now),
                 Step::Undrain => drop(life.undrain()),
-                Step::Stop => life.stop(now),
-                Step::Followed(n) => life.followed(next(n)),
-                Step::Follows(n) => life.follows(f64::from(n) / 4.0),
-                Step::Fades(n) => life.fades(f64::from(n) / 4.0),
+                Step::Stop => life.begin_shutdown(now),
+                Step::Followed(n) => life.set_successor(next(n)),
+                Step::Follows(n) => life.set_predecessor_share(f64::from(n) / 4.0),
+                Step::Fades(n) => life.set_remaining_work(f64::from(n) / 4.0),
                 Step::Wait(ms) => now += u64::from(ms) * MS,
             }
             past.push((now, step));
@@ -98,22 +98,23 @@
             let part = if follows { 0.5 * left * rest } else { rest };
             let stopped = stop.map(|at| past[at].0);
             let holds = [
-                life.ready() == (listed && drained.is_none() && stop.is_none()),
-                life.stopping() == stop.is_some(),
+                life.is_ready() == (listed && drained.is_none() && stop.is_none()),
+                life.is_stopping() == stop.is_some(),
                 life.accepts_until().is_some() == stop.is_some(),
-                life.closes(now)
+                life.rejects_new_requests(now)
                     == (drained.is_some_and(|at| at + CLOSES <= now)
                         || (follows && stopped.is_some_and(|at| at + CLOSES_OVER <= now))),
-                (life.part() - part).abs() < 1e-9,
+                (life.capacity_share() - part).abs() < 1e-9,
                 // Whoever follows has no more than what this one and those before it leave.
-                life.leaves() <= 1.0 + 1e-9
-                    && (!follows || life.leaves() + 1e-9 >= 1.0 - rest + part),
+                life.share_reserved_for_predecessors() <= 1.0 + 1e-9
+                    && (!follows
+                        || life.share_reserved_for_predecessors() + 1e-9 >= 1.0 - rest + part),
                 life.accepts_until()
                     .is_none_or(|at| (at == stopped.unwrap_or(0)) == follows),
-                life.gives_up_at(9 * SEC) > life.accepts_until() || stop.is_none(),
+                life.forced_end_at(9 * SEC) > life.accepts_until() || stop.is_none(),
                 // Let go only by a drain, or behind a successor, never before the front can know,
                 // all in time.
-                (0..50).all(|conn| match life.lets_go_at(conn) {
+                (0..50).all(|conn| match life.idle_close_at(conn) {
                     None => drained.is_none() && !(follows && stopped.is_some()),
                     Some(at) => {
                         let by_drain =
@@ -144,10 +145,10 @@
     life.drain(0);
     let mut by_step = [0; 6];
     for conn in 0..600 {
-        let at = life.lets_go_at(conn).unwrap();
+        let at = life.idle_close_at(conn).unwrap();
         by_step[((at - LEARNS) / (SPREAD / 6)) as usize] += 1;
     }
     assert!(by_step.iter().all(|n| (60..140).contains(n)), "{by_step:?}");
     assert!(life.undrain());
-    assert_eq!(life.lets_go_at(1), None);
+    assert_eq!(life.idle_close_at(1), None);
 }
--- a/tests/unit/membership.rs
+++ b/tests/unit/membership.rs
@@ -41,7 +41,7 @@
         );
         let used = net.bytes.iter().sum::<u64>() / 125 / net.nodes.len() as u64;
         assert!(
-            used <= budget(&Timing::default()),
+            used <= bandwidth_budget(&Timing::default()),
             "seed {seed}: {used} bytes a second a member, over the budget"
         );
     }
@@ -130,7 +130,7 @@
     net.run(5 * SEC);
     let old = codec::encode(&Message {
         from: rumour(3, 1),
-        kind: MessageBody::Ping(1),
+        body: MessageBody::Ping(1),
         gossip: vec![],
     });
     net.restart(3, 1_000, 99);
@@ -147,7 +147,7 @@
     );
     assert_eq!(net.nodes[1].dropped, before + 1);
     assert!(out.is_empty(), "an old life is answered");
-    assert_eq!(net.nodes[1].members()[&name(3)].rumour.incarnation, 1_000);
+    assert_eq!(net.nodes[1].members()[&name(3)].update.incarnation, 1_000);
 }
 
 /// Guards the versions: a new generation of one manager reaches all others with its new
@@ -158,11 +158,11 @@
     net.run(5 * SEC);
     let mut versions = net.nodes[4].me().versions.clone();
     versions.generation = 2;
-    net.nodes[4].versions(versions);
+    net.nodes[4].set_versions(versions);
     net.run(3 * SEC);
     for i in (0..6).filter(|i| *i != 4) {
         assert_eq!(
-            net.nodes[i].members()[&name(4)].rumour.versions.generation,
+            net.nodes[i].members()[&name(4)].update.versions.generation,
             2,
             "member {i}"
         );
@@ -231,7 +231,7 @@
         what.iter()
             .enumerate()
             .map(|(i, h)| MemberUpdate {
-                health: *h,
+                state: *h,
                 ..rumour(i + 1, 1)
             })
             .collect()
@@ -329,7 +329,7 @@
     #[test]
     fn any_bytes_are_read_or_dropped(bytes in proptest::collection::vec(any::<u8>(), 0..1_400), cut in 0usize..400) {
         let _ = codec::decode(&bytes, 1_200);
-        let good = codec::encode(&Message { from: rumour(1, 3), kind: MessageBody::PingReq(4, addr(2)), gossip: vec![rumour(2, 5)] });
+        let good = codec::encode(&Message { from: rumour(1, 3), body: MessageBody::PingReq(4, addr(2)), gossip: vec![rumour(2, 5)] });
         prop_assert!(codec::decode(&good, 1_200).is_ok());
         let short = &good[..cut.min(good.len() - 1)];
         prop_assert!(codec::decode(short, 1_200).is_err());
--- a/tests/unit/net_admin.rs
+++ b/tests/unit/net_admin.rs
@@ -18,12 +18,12 @@
 #[test]
 fn each_stage_is_told_with_the_same_status_and_word_as_before() {
     let shared = Shared::new(64, 64);
-    let life = || shared.life.borrow_mut();
+    let life = || shared.lifecycle.borrow_mut();
     assert_eq!(
         ready(&shared),
         answer("503 Service Unavailable", "starting")
     );
-    life().listed();
+    life().endpoint_list_received();
     assert_eq!(ready(&shared), answer("200 OK", "ready"));
     life().drain(clock::now());
     assert_eq!(
@@ -31,9 +31,9 @@
         answer("503 Service Unavailable", "draining")
     );
     life().undrain();
-    life().followed(SuccessorState::Ready);
+    life().set_successor(SuccessorState::Ready);
     assert_eq!(ready(&shared), answer("200 OK", "handingover"));
-    life().stop(clock::now());
+    life().begin_shutdown(clock::now());
     assert_eq!(
         ready(&shared),
         answer("503 Service Unavailable", "stopping")
--- a/tests/unit/net_client.rs
+++ b/tests/unit/net_client.rs
@@ -34,7 +34,7 @@
         JsonRpc::new(
             conn,
             names.clone(),
-            Rc::new(move || life.life.borrow().ready()),
+            Rc::new(move || life.lifecycle.borrow().is_ready()),
         )
     }
 }
@@ -77,7 +77,7 @@
 }
 
 fn ask_of(input: &DispatcherEvent) -> Option<&ClientRequest> {
-    if let DispatcherEvent::Ask(ask) = input {
+    if let DispatcherEvent::Request(ask) = input {
         Some(ask)
     } else {
         None
@@ -85,7 +85,7 @@
 }
 
 fn withdrawn(input: DispatcherEvent) -> Option<u64> {
-    if let DispatcherEvent::Withdraw(origin) = input {
+    if let DispatcherEvent::CancelRequest(origin) = input {
         Some(origin.tag)
     } else {
         None
@@ -143,7 +143,7 @@
     }
 
     fn opened(&self) {
-        self.says(|input| matches!(input, DispatcherEvent::Opened(..)).then_some(()));
+        self.says(|input| matches!(input, DispatcherEvent::ClientConnected(..)).then_some(()));
     }
 
     /// Asked and taken: open from here on.
@@ -154,8 +154,11 @@
 
     /// The last phase of the process.
     fn ends(&self) {
-        self.shared.life.borrow_mut().stop(clock::turn());
-        self.shared.life.borrow_mut().close();
+        self.shared
+            .lifecycle
+            .borrow_mut()
+            .begin_shutdown(clock::turn());
+        self.shared.lifecycle.borrow_mut().begin_closing();
         send_away(&self.shared);
     }
 
@@ -287,8 +290,8 @@
         .map(|_| TcpStream::connect(addr).expect("a connection"))
         .collect();
     (&clients[0]).write_all(&line(7)).expect("written");
-    shared.life.borrow_mut().stop(clock::turn());
-    shared.life.borrow_mut().close();
+    shared.lifecycle.borrow_mut().begin_shutdown(clock::turn());
+    shared.lifecycle.borrow_mut().begin_closing();
     shared.accepting.0.close();
     run(&|| shared.listening.get() == 0 && shared.closing_sockets.get() == 3);
     for (at, mut client) in clients.iter().enumerate() {
@@ -363,7 +366,7 @@
         flooded(&rig);
         rig.write(&vec![b' '; 10 * more]);
         rig.client.shutdown(Shutdown::Write).expect("a socket");
-        rig.says(|input| matches!(input, DispatcherEvent::HungUp(1)).then_some(()));
+        rig.says(|input| matches!(input, DispatcherEvent::ClientDisconnected(1)).then_some(()));
         rig.parts();
     }
 }
@@ -384,7 +387,7 @@
     let (tag, _) = rig.says(withdrawn);
     assert_eq!(tag, 9);
     rig.client.shutdown(Shutdown::Write).expect("a socket");
-    rig.says(|input| matches!(input, DispatcherEvent::HungUp(1)).then_some(()));
+    rig.says(|input| matches!(input, DispatcherEvent::ClientDisconnected(1)).then_some(()));
     rig.parts();
 }
 
@@ -395,14 +398,14 @@
     rig.opened();
     rig.write(&line(1));
     rig.has_come(10);
-    assert!(!rig.shared.client_gone(1));
+    assert!(!rig.shared.client_disconnected(1));
     rig.client.shutdown(Shutdown::Write).expect("a socket");
     let mut seen = 0;
-    while !rig.shared.client_gone(1) && seen < 100_000 {
+    while !rig.shared.client_disconnected(1) && seen < 100_000 {
         seen += 1;
         std::thread::yield_now();
     }
-    assert!(rig.shared.client_gone(1));
+    assert!(rig.shared.client_disconnected(1));
     rig.parts();
 }
 
@@ -411,7 +414,7 @@
 #[test]
 fn ended_connections_hold_no_clients_places() {
     let shared = Shared::new(64, 64);
-    shared.most_closing_sockets.set(2);
+    shared.max_closing_sockets.set(2);
     let (line_of, addr) = listener();
     let (core, _inputs) = bounded(1_000);
     shared.spawn(listen(shared.clone(), core, line_of, front(&shared)));
--- a/tests/unit/net_engine.rs
+++ b/tests/unit/net_engine.rs
@@ -151,11 +151,11 @@
         }
         while let Ok(input) = inputs.try_recv() {
             match input {
-                DispatcherEvent::HungUp(conn) => told.push(format!("hung up {conn}")),
-                DispatcherEvent::Ended(ended) => {
+                DispatcherEvent::ClientDisconnected(conn) => told.push(format!("hung up {conn}")),
+                DispatcherEvent::AttemptFinished(ended) => {
                     told.push(format!("{:?} {:?}", ended.termination, ended.progress))
                 }
-                DispatcherEvent::Opened(_, answers) => kept.push(answers),
+                DispatcherEvent::ClientConnected(_, answers) => kept.push(answers),
                 _ => {}
             }
         }
--- a/tests/unit/net_engine_endpoint.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -104,11 +104,11 @@
         });
         while let Ok(input) = self.inputs.try_recv() {
             match input {
-                DispatcherEvent::Ended(ended) => {
+                DispatcherEvent::AttemptFinished(ended) => {
                     self.ended
                         .push((ended.id, ended.termination, ended.progress))
                 }
-                DispatcherEvent::Probed { kind, .. } => self.probed.push(kind),
+                DispatcherEvent::ProbeCompleted { kind, .. } => self.probed.push(kind),
                 _ => {}
             }
         }
@@ -321,14 +321,14 @@
 fn no_descriptor_is_left_at_the_first_use() {
     let mut w = world();
     let row = w.row(1);
-    let most = w.shared.most_engine_sockets.replace(0);
+    let most = w.shared.max_engine_sockets.replace(0);
     assert_eq!(row.tell(start(1)), Ok(()));
     w.settles(&[1]);
     assert_eq!(
         w.end_of(1),
         (Termination::LocalLimit, TransmitProgress::Unsent)
     );
-    w.shared.most_engine_sockets.set(most);
+    w.shared.max_engine_sockets.set(most);
     assert_eq!(row.tell(start(2)), Ok(()));
     w.settles(&[2]);
     assert_ne!(w.end_of(2).1, TransmitProgress::Unsent);
--- a/tests/unit/net_lease.rs
+++ b/tests/unit/net_lease.rs
@@ -7,7 +7,7 @@
 
 fn highest() -> TokenHighWaterMarks {
     let mut highest = TokenHighWaterMarks::default();
-    (0..1_030).for_each(|n| highest.raise(Resource::Probe(n), 7 + n));
+    (0..1_030).for_each(|n| highest.observe(Resource::Probe(n), 7 + n));
     highest
 }
 
@@ -55,9 +55,9 @@
     let path = folder.path("yokelift-duties-n0");
     assert_eq!(kept(&path), Ok(TokenHighWaterMarks::default()));
     let mut highest = TokenHighWaterMarks::default();
-    (0..2_000).for_each(|n| highest.raise(Resource::Probe(n), 7 + n));
+    (0..2_000).for_each(|n| highest.observe(Resource::Probe(n), 7 + n));
     for token in [3_000, 3_001] {
-        highest.raise(Resource::Probe(1), token);
+        highest.observe(Resource::Probe(1), token);
         keep(&path, &highest).expect("kept");
         assert_eq!(kept(&path).as_ref(), Ok(&highest));
     }
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -89,7 +89,7 @@
         name: name.into(),
         addr: addr(port),
         incarnation: 1_700_000_000_000_001,
-        health,
+        state: health,
         versions: versions(),
     }
 }
@@ -111,7 +111,7 @@
     ];
     let message = |kind| Message {
         from: member("n0", 7000, MemberState::Alive),
-        kind,
+        body: kind,
         gossip: gossip.clone(),
     };
     kinds
@@ -142,7 +142,7 @@
 fn lease_messages() -> Vec<(&'static str, LeaseMessage)> {
     let holder = || Holder {
         name: "n0".into(),
-        life: 1_700_000_000_000_001,
+        incarnation: 1_700_000_000_000_001,
     };
     let duty = Resource::Probe(0x2a);
     let loaded = ProbeResult {
@@ -210,15 +210,15 @@
     };
     vec![
         HotRestartMessage::Hello("n0".into()),
-        HotRestartMessage::Take(vec![addr(5050), addr(8123)]),
-        HotRestartMessage::Drained,
+        HotRestartMessage::Listeners(vec![addr(5050), addr(8123)]),
+        HotRestartMessage::Draining,
         HotRestartMessage::Ready,
-        HotRestartMessage::Leave(0.375),
-        HotRestartMessage::Client(7, handed),
-        HotRestartMessage::Client(8, TransferredConnection::default()),
-        HotRestartMessage::Answer(7, 9, b"leave 1\n".to_vec()),
-        HotRestartMessage::Withdraw(7, 3),
-        HotRestartMessage::Gone(8),
+        HotRestartMessage::ReservedShare(0.375),
+        HotRestartMessage::Connection(7, handed),
+        HotRestartMessage::Connection(8, TransferredConnection::default()),
+        HotRestartMessage::Response(7, 9, b"leave 1\n".to_vec()),
+        HotRestartMessage::Cancel(7, 3),
+        HotRestartMessage::ClientGone(8),
     ]
 }
 
