--- a/src/testkit/scenario/mod.rs
+++ b/src/testkit/scenario/mod.rs
@@ -238,7 +238,10 @@
                 self.directory().user(name, key, tenant.trim_matches('-'))
             }
             ["occupy"] => {
-                self.occupied = Some(TcpListener::bind(self.http).map_err(|e| e.to_string())?)
+                // Taken by the system's choice: a port that was free before may be another test's now.
+                let taken = TcpListener::bind((self.http.ip(), 0)).map_err(|e| e.to_string())?;
+                self.http = taken.local_addr().map_err(|e| e.to_string())?;
+                self.occupied = Some(taken);
             }
             ["start"] => {
                 let ready = |name: &String| self.listed(name, Readiness::Ready);
