--- a/src/frontend/jsonrpc.rs
+++ b/src/frontend/jsonrpc.rs
@@ -105,7 +105,7 @@
 
     /// Goes on with one that another process passed on.
     pub fn resume(now: Micros, handed: &TransferredConnection, mut fresh: JsonRpc) -> JsonRpc {
-        fresh.elsewhere = handed.open.iter().copied().collect();
+        fresh.elsewhere = handed.open_requests.iter().copied().collect();
         fresh.input = handed.input.clone();
         fresh.began = (!fresh.input.is_empty()).then_some(now);
         fresh.useful = true;
@@ -450,7 +450,7 @@
         // Twice over there is nobody to ask: what an older process has open is waited for here.
         let may = !self.closing && self.elsewhere.is_empty();
         may.then(|| TransferredConnection {
-            open,
+            open_requests: open,
             input: self.input.clone(),
             unwritten: Vec::new(),
         })
--- a/src/hot_restart/message.rs
+++ b/src/hot_restart/message.rs
@@ -1,285 +1,352 @@
-//! What two processes of one manager tell each other over their socket: one line each. Pure.
+//! The line protocol between two processes of one manager during a hot restart. No I/O.
 //!
-//! The newer one begins with `yokelift-handover 1 NAME`. The older one answers `take ADDRESS ...`
-//! with the listening descriptors, in that order, beside the line's first byte, and `drained` if
-//! operators sent its clients away. Then the newer one says `ready` once it serves, and the older
-//! one `leave PART` whenever the part of the manager that the newer one has to leave to others
-//! changes. The end of the connection is the end of the other process.
+//! The successor begins with `yokelift-handover 1 NAME`. The predecessor responds with
+//! `take ADDRESS ...`, with the descriptors of the listeners in that order as ancillary data of the
+//! line's first byte, with `drained` if operators are draining it, and with the first `leave SHARE`.
+//! The successor sends `ready` once it serves. The predecessor sends `leave SHARE` whenever the
+//! fraction of the capacity changes that the successor has to leave to its predecessors. The end of
+//! the connection means that the other process has ended.
 //!
-//! Asked to end, the older one passes its clients' connections, each as `client N IDS INPUT
-//! UNWRITTEN` with its descriptor beside it: the ids that it has open there, and how many bytes
-//! follow that it has read of a message and that it has yet to write. What it still answers follows
-//! as `answer N ID LENGTH` and the bytes; what the client withdraws, or that it has gone, comes
-//! back as `withdraw N ID` and `gone N`.
+//! Once asked to stop, the predecessor transfers its client connections. Each is sent as
+//! `client CONN TAGS INPUT UNWRITTEN` with its descriptor: the tags of the requests that are open at
+//! the predecessor, the number of bytes that were read of an incomplete message, and the number of
+//! response bytes still to be written; the bytes follow the line. Responses of the predecessor follow
+//! as `answer CONN TAG LENGTH` and the bytes. The successor reports a cancelled request as
+//! `withdraw CONN TAG` and a client that disconnected as `gone CONN`.
 use std::net::SocketAddr;
+use std::str::FromStr;
+use thiserror::Error;
 
-/// A longer line is no line of this protocol.
-pub const MOST_LINE: usize = 2_048;
-/// Nor are more bytes behind one.
-const MOST_BYTES: usize = 4 << 20;
+/// Bytes that may arrive without a line break before the reader fails.
+pub const MAX_LINE_BYTES: usize = 2_048;
+/// Upper bound on each length that a line announces for the bytes behind it.
+const MAX_BODY_BYTES: u64 = 4 << 20;
+/// The first line without the name: the protocol and its version.
 const HELLO: &str = "yokelift-handover 1";
+/// Stands for an empty list of tags.
+const NO_TAGS: &str = "-";
 
-/// A line.
+/// A message of either process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HotRestartMessage {
-    /// The newer one's name, in this version of the protocol.
-    Hello(String),
-    /// The listeners that come with it.
-    Listeners(Vec<SocketAddr>),
-    /// Clients were sent away.
+    /// The successor introduces itself.
+    Hello {
+        /// The manager's name, which has to be the predecessor's.
+        name: String,
+    },
+    /// The predecessor passes its listeners; their descriptors come as ancillary data.
+    Listeners {
+        /// Where they listen, in the order of the descriptors.
+        addresses: Vec<SocketAddr>,
+    },
+    /// Operators are draining the predecessor.
     Draining,
-    /// The newer one serves.
+    /// The successor serves.
     Ready,
-    /// What the newer one leaves to others.
-    ReservedShare(f64),
-    /// A client's connection, by its number at the older one.
-    Connection(u64, TransferredConnection),
-    /// An answer of the older one to the request with that mark, worded.
-    Response(u64, u64, Vec<u8>),
-    /// The client withdrew that request of the older one.
-    Cancel(u64, u64),
-    /// The client has gone.
-    ClientGone(u64),
+    /// What the successor has to leave to its predecessors.
+    ReservedShare {
+        /// The fraction of the manager's limits and quotas, from 0 to 1.
+        share: f64,
+    },
+    /// The predecessor passes a client connection; its descriptor comes as ancillary data.
+    Connection {
+        /// The connection's number at the predecessor.
+        conn: u64,
+        /// What the successor needs to continue it.
+        state: TransferredConnection,
+    },
+    /// The predecessor answers a request that was open when its connection was passed.
+    Response {
+        /// The connection's number at the predecessor.
+        conn: u64,
+        /// The request's tag on that connection.
+        tag: u64,
+        /// The encoded response.
+        bytes: Vec<u8>,
+    },
+    /// The client cancelled a request that is open at the predecessor.
+    Cancel {
+        /// The connection's number at the predecessor.
+        conn: u64,
+        /// The request's tag on that connection.
+        tag: u64,
+    },
+    /// The client disconnected.
+    ClientGone {
+        /// The connection's number at the predecessor.
+        conn: u64,
+    },
 }
 
-/// What passes with a client's connection.
+/// The state of a client connection that is passed with its descriptor.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TransferredConnection {
-    /// The marks of requests that are open elsewhere.
-    pub open: Vec<u64>,
-    /// What was read of a message that is not whole.
+    /// The tags of requests that are still open at the predecessor.
+    pub open_requests: Vec<u64>,
+    /// What was read of an incomplete message.
     pub input: Vec<u8>,
-    /// What is yet to be written, first of all.
+    /// Response bytes still to be written, before anything else.
     pub unwritten: Vec<u8>,
 }
 
 impl HotRestartMessage {
-    /// As bytes: its line, and what follows it.
-    pub fn bytes(&self) -> Vec<u8> {
-        let mut out = self.line().into_bytes();
+    /// The message as it is sent: its line and the bytes behind it.
+    pub fn encode(&self) -> Vec<u8> {
+        let mut encoded = self.header_line().into_bytes();
         match self {
-            HotRestartMessage::Connection(_, handed) => {
-                out.extend_from_slice(&handed.input);
-                out.extend_from_slice(&handed.unwritten);
+            HotRestartMessage::Connection { state, .. } => {
+                encoded.extend_from_slice(&state.input);
+                encoded.extend_from_slice(&state.unwritten);
             }
-            HotRestartMessage::Response(_, _, bytes) => out.extend_from_slice(bytes),
+            HotRestartMessage::Response { bytes, .. } => encoded.extend_from_slice(bytes),
             _ => {}
         }
-        out
+        encoded
     }
 
-    /// As a line.
-    pub fn line(&self) -> String {
+    /// The line with its line break.
+    fn header_line(&self) -> String {
         match self {
-            HotRestartMessage::Hello(name) => format!("{HELLO} {name}\n"),
-            HotRestartMessage::Listeners(addrs) => {
-                let all: Vec<String> = addrs.iter().map(SocketAddr::to_string).collect();
-                format!("take {}\n", all.join(" "))
+            HotRestartMessage::Hello { name } => format!("{HELLO} {name}\n"),
+            HotRestartMessage::Listeners { addresses } => {
+                format!("take {}\n", joined(addresses, " "))
             }
-            HotRestartMessage::Draining => "drained\n".into(),
-            HotRestartMessage::Ready => "ready\n".into(),
-            HotRestartMessage::ReservedShare(part) => format!("leave {part:.3}\n"),
-            HotRestartMessage::Connection(
-                n,
-                TransferredConnection {
-                    open,
-                    input,
-                    unwritten,
-                },
-            ) => {
-                let ids: Vec<String> = open.iter().map(u64::to_string).collect();
-                let ids = if ids.is_empty() {
-                    "-".to_owned()
+            HotRestartMessage::Draining => "drained\n".to_owned(),
+            HotRestartMessage::Ready => "ready\n".to_owned(),
+            HotRestartMessage::ReservedShare { share } => format!("leave {share:.3}\n"),
+            HotRestartMessage::Connection { conn, state } => {
+                let tags = if state.open_requests.is_empty() {
+                    NO_TAGS.to_owned()
                 } else {
-                    ids.join(",")
+                    joined(&state.open_requests, ",")
                 };
-                format!("client {n} {ids} {} {}\n", input.len(), unwritten.len())
+                let input_length = state.input.len();
+                let unwritten_length = state.unwritten.len();
+                format!("client {conn} {tags} {input_length} {unwritten_length}\n")
             }
-            HotRestartMessage::Response(n, id, bytes) => {
-                format!("answer {n} {id} {}\n", bytes.len())
+            HotRestartMessage::Response { conn, tag, bytes } => {
+                format!("answer {conn} {tag} {}\n", bytes.len())
             }
-            HotRestartMessage::Cancel(n, id) => format!("withdraw {n} {id}\n"),
-            HotRestartMessage::ClientGone(n) => format!("gone {n}\n"),
+            HotRestartMessage::Cancel { conn, tag } => format!("withdraw {conn} {tag}\n"),
+            HotRestartMessage::ClientGone { conn } => format!("gone {conn}\n"),
         }
     }
+}
+
+fn joined<T: ToString>(items: &[T], separator: &str) -> String {
+    let texts: Vec<String> = items.iter().map(T::to_string).collect();
+    texts.join(separator)
+}
+
+/// Why received bytes are no message of this protocol version. The connection can't be used any
+/// further, because the start of the next message is unknown.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum MessageError {
+    /// There is no line break within the bound.
+    #[error("a line of more than {MAX_LINE_BYTES} bytes")]
+    LineTooLong,
+    /// The line is no text.
+    #[error("a line that is not UTF-8")]
+    NotUtf8,
+    /// No message of this version has this line.
+    #[error("unknown message {line:?}")]
+    UnknownMessage {
+        /// The line without its line break.
+        line: String,
+    },
+}
+
+/// A message's line, parsed; the bytes behind it are still to come.
+#[derive(Clone, Debug, PartialEq)]
+enum Header {
+    /// No bytes follow.
+    Complete(HotRestartMessage),
+    /// A [`HotRestartMessage::Connection`].
+    Connection {
+        conn: u64,
+        open_requests: Vec<u64>,
+        input_length: usize,
+        unwritten_length: usize,
+    },
+    /// A [`HotRestartMessage::Response`].
+    Response { conn: u64, tag: u64, length: usize },
+}
 
-    /// How many bytes follow its line, as it was read.
-    fn follows(&self) -> usize {
+impl Header {
+    /// How many bytes follow the line.
+    fn body_length(&self) -> usize {
         match self {
-            HotRestartMessage::Connection(_, handed) => handed.input.len() + handed.unwritten.len(),
-            HotRestartMessage::Response(_, _, bytes) => bytes.len(),
-            _ => 0,
+            Header::Complete(_) => 0,
+            Header::Connection {
+                input_length,
+                unwritten_length,
+                ..
+            } => input_length + unwritten_length,
+            Header::Response { length, .. } => *length,
         }
     }
 
-    /// Puts the bytes in that follow its line.
-    fn fill(&mut self, bytes: &[u8]) {
+    /// The whole message; `body` has exactly [`Header::body_length`] bytes.
+    fn with_body(self, body: &[u8]) -> HotRestartMessage {
         match self {
-            HotRestartMessage::Connection(_, handed) => {
-                let (input, unwritten) = bytes.split_at(handed.input.len());
-                handed.input.copy_from_slice(input);
-                handed.unwritten.copy_from_slice(unwritten);
+            Header::Complete(message) => message,
+            Header::Connection {
+                conn,
+                open_requests,
+                input_length,
+                ..
+            } => {
+                let (input, unwritten) = body.split_at(input_length);
+                HotRestartMessage::Connection {
+                    conn,
+                    state: TransferredConnection {
+                        open_requests,
+                        input: input.to_vec(),
+                        unwritten: unwritten.to_vec(),
+                    },
+                }
             }
-            HotRestartMessage::Response(_, _, into) => into.copy_from_slice(bytes),
-            _ => {}
+            Header::Response { conn, tag, .. } => HotRestartMessage::Response {
+                conn,
+                tag,
+                bytes: body.to_vec(),
+            },
         }
     }
 
-    /// From a line without its end, with zeros for bytes that follow; nothing if it is none of this
-    /// version's.
-    pub fn read(line: &str) -> Option<HotRestartMessage> {
-        if let Some(name) = line.strip_prefix(HELLO) {
-            return name
-                .strip_prefix(' ')
-                .filter(|n| !n.is_empty())
-                .map(|name| HotRestartMessage::Hello(name.to_owned()));
+    /// Parses a line without its line break; `None` if it is not of this version.
+    fn parse(line: &str) -> Option<Header> {
+        if let Some(hello) = line.strip_prefix(HELLO) {
+            return parse_hello(hello);
         }
-        let (first, rest) = line.split_once(' ').unwrap_or((line, ""));
-        let parts: Vec<&str> = rest.split(' ').collect();
-        let number = |at: usize| parts.get(at).and_then(|n| n.parse::<u64>().ok());
-        let room = |at: usize| {
-            number(at)
-                .filter(|n| *n <= MOST_BYTES as u64)
-                .map(|n| vec![0; n as usize])
-        };
-        match first {
-            "client" if parts.len() == 4 => {
-                let ids = if parts[1] == "-" {
-                    Vec::new()
-                } else {
-                    parts[1].split(',').collect()
-                };
-                let open = ids
-                    .into_iter()
-                    .map(|id| id.parse().ok())
-                    .collect::<Option<_>>()?;
-                Some(HotRestartMessage::Connection(
-                    number(0)?,
-                    TransferredConnection {
-                        open,
-                        input: room(2)?,
-                        unwritten: room(3)?,
-                    },
-                ))
-            }
-            "answer" if parts.len() == 3 => Some(HotRestartMessage::Response(
-                number(0)?,
-                number(1)?,
-                room(2)?,
-            )),
-            "withdraw" if parts.len() == 2 => {
-                Some(HotRestartMessage::Cancel(number(0)?, number(1)?))
-            }
-            "gone" if parts.len() == 1 => Some(HotRestartMessage::ClientGone(number(0)?)),
-            "take" => rest
-                .split(' ')
-                .map(|addr| addr.parse().ok())
-                .collect::<Option<_>>()
-                .map(HotRestartMessage::Listeners),
-            "drained" if rest.is_empty() => Some(HotRestartMessage::Draining),
-            "ready" if rest.is_empty() => Some(HotRestartMessage::Ready),
-            "leave" => {
-                let part = rest.parse().ok().filter(|part| (0.0..=1.0).contains(part));
-                part.map(HotRestartMessage::ReservedShare)
-            }
+        let (keyword, arguments) = line.split_once(' ').unwrap_or((line, ""));
+        let fields: Vec<&str> = arguments.split(' ').collect();
+        match (keyword, fields.as_slice()) {
+            ("take", addresses) => parse_listeners(addresses),
+            ("drained", [""]) => Some(Header::Complete(HotRestartMessage::Draining)),
+            ("ready", [""]) => Some(Header::Complete(HotRestartMessage::Ready)),
+            ("leave", [share]) => parse_reserved_share(share),
+            ("client", [conn, tags, input_length, unwritten_length]) => Some(Header::Connection {
+                conn: conn.parse().ok()?,
+                open_requests: parse_tags(tags)?,
+                input_length: parse_length(input_length)?,
+                unwritten_length: parse_length(unwritten_length)?,
+            }),
+            ("answer", [conn, tag, length]) => Some(Header::Response {
+                conn: conn.parse().ok()?,
+                tag: tag.parse().ok()?,
+                length: parse_length(length)?,
+            }),
+            ("withdraw", [conn, tag]) => Some(Header::Complete(HotRestartMessage::Cancel {
+                conn: conn.parse().ok()?,
+                tag: tag.parse().ok()?,
+            })),
+            ("gone", [conn]) => Some(Header::Complete(HotRestartMessage::ClientGone {
+                conn: conn.parse().ok()?,
+            })),
             _ => None,
         }
     }
 }
 
-/// What came is no word of this version.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UnknownMessage;
+impl FromStr for Header {
+    type Err = MessageError;
+
+    fn from_str(line: &str) -> Result<Header, MessageError> {
+        Header::parse(line).ok_or_else(|| MessageError::UnknownMessage {
+            line: line.to_owned(),
+        })
+    }
+}
+
+/// Parses what follows the version in the first line.
+fn parse_hello(rest: &str) -> Option<Header> {
+    let name = rest.strip_prefix(' ').filter(|name| !name.is_empty())?;
+    Some(Header::Complete(HotRestartMessage::Hello {
+        name: name.to_owned(),
+    }))
+}
 
-/// Cuts what comes into words.
+fn parse_listeners(addresses: &[&str]) -> Option<Header> {
+    let addresses = addresses
+        .iter()
+        .map(|address| address.parse().ok())
+        .collect::<Option<Vec<SocketAddr>>>()?;
+    Some(Header::Complete(HotRestartMessage::Listeners { addresses }))
+}
+
+fn parse_reserved_share(share: &str) -> Option<Header> {
+    let share = share.parse().ok()?;
+    (0.0..=1.0)
+        .contains(&share)
+        .then_some(Header::Complete(HotRestartMessage::ReservedShare { share }))
+}
+
+fn parse_tags(tags: &str) -> Option<Vec<u64>> {
+    if tags == NO_TAGS {
+        return Some(Vec::new());
+    }
+    tags.split(',').map(|tag| tag.parse().ok()).collect()
+}
+
+fn parse_length(length: &str) -> Option<usize> {
+    let length: u64 = length.parse().ok()?;
+    (length <= MAX_BODY_BYTES).then_some(length as usize)
+}
+
+/// Assembles messages from bytes as they arrive.
 #[derive(Default)]
 pub struct MessageReader {
-    input: Vec<u8>,
-    /// A word whose bytes are still to come.
-    begun: Option<HotRestartMessage>,
+    /// Received and not yet part of a message.
+    unparsed: Vec<u8>,
+    /// The message whose line was read and whose bytes are still to come.
+    header: Option<Header>,
 }
 
 impl MessageReader {
-    /// The words that are whole by now; an error for anything else.
-    pub fn feed(&mut self, input: &[u8]) -> Result<Vec<HotRestartMessage>, UnknownMessage> {
-        self.input.extend_from_slice(input);
-        let mut words = Vec::new();
+    /// Adds received bytes, and returns the messages that are complete by now.
+    ///
+    /// # Errors
+    ///
+    /// Fails on bytes that are no message of this protocol version. The reader must not be used
+    /// after that.
+    pub fn feed(&mut self, received: &[u8]) -> Result<Vec<HotRestartMessage>, MessageError> {
+        self.unparsed.extend_from_slice(received);
+        let mut messages = Vec::new();
         loop {
-            if let Some(word) = &mut self.begun {
-                let follows = word.follows();
-                if self.input.len() < follows {
-                    return Ok(words);
+            if let Some(header) = self.header.take() {
+                let body_length = header.body_length();
+                if self.unparsed.len() < body_length {
+                    self.header = Some(header);
+                    return Ok(messages);
                 }
-                word.fill(&self.input[..follows]);
-                self.input.drain(..follows);
-                words.extend(self.begun.take());
+                messages.push(header.with_body(&self.unparsed[..body_length]));
+                self.unparsed.drain(..body_length);
+            }
+            match self.take_line()? {
+                Some(line) => self.header = Some(line.parse()?),
+                None => return Ok(messages),
             }
-            let Some(end) = self.input.iter().position(|c| *c == b'\n') else {
-                return if self.input.len() > MOST_LINE {
-                    Err(UnknownMessage)
-                } else {
-                    Ok(words)
-                };
-            };
-            let text = std::str::from_utf8(&self.input[..end]).map_err(|_| UnknownMessage)?;
-            self.begun = Some(HotRestartMessage::read(text).ok_or(UnknownMessage)?);
-            self.input.drain(..=end);
         }
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards two versions against each other: each word is read as it was meant, however the bytes
-    /// are cut, and what is of another version, or noise, is none.
-    #[test]
-    fn words_come_through_and_noise_does_not() {
-        let addr = |port| SocketAddr::from(([127, 0, 0, 1], port));
-        let all = [
-            HotRestartMessage::Hello("n0".into()),
-            HotRestartMessage::Listeners(vec![addr(5050), addr(8123)]),
-            HotRestartMessage::Draining,
-            HotRestartMessage::Ready,
-            HotRestartMessage::ReservedShare(0.375),
-            HotRestartMessage::Connection(
-                7,
-                TransferredConnection {
-                    open: vec![3, 9],
-                    input: b"{\n".to_vec(),
-                    unwritten: b"half\n".to_vec(),
-                },
-            ),
-            HotRestartMessage::Connection(8, TransferredConnection::default()),
-            HotRestartMessage::Response(7, 9, b"leave 1\n".to_vec()),
-            HotRestartMessage::Cancel(7, 3),
-            HotRestartMessage::ClientGone(8),
-        ];
-        let wire: Vec<u8> = all.iter().flat_map(HotRestartMessage::bytes).collect();
-        for step in 1..wire.len() {
-            let mut reader = MessageReader::default();
-            let words = wire
-                .chunks(step)
-                .flat_map(|piece| reader.feed(piece).expect("words"));
-            assert_eq!(words.collect::<Vec<_>>(), all);
-        }
-        for noise in [
-            "yokelift-handover 2 n0",
-            "yokelift-handover 1",
-            "take",
-            "take x",
-            "leave 7",
-            "leave NaN",
-            "\u{1}",
-        ] {
-            assert_eq!(HotRestartMessage::read(noise), None, "{noise}");
-        }
-        assert!(
-            MessageReader::default()
-                .feed(&[b'a'; MOST_LINE + 1])
-                .is_err()
-        );
-        assert!(MessageReader::default().feed(b"\xff\xfe\n").is_err());
+    /// Removes the next line, without its line break; `None` if it is still incomplete.
+    fn take_line(&mut self) -> Result<Option<String>, MessageError> {
+        let Some(end) = self.unparsed.iter().position(|byte| *byte == b'\n') else {
+            return if self.unparsed.len() > MAX_LINE_BYTES {
+                Err(MessageError::LineTooLong)
+            } else {
+                Ok(None)
+            };
+        };
+        let line = std::str::from_utf8(&self.unparsed[..end])
+            .map_err(|_| MessageError::NotUtf8)?
+            .to_owned();
+        self.unparsed.drain(..=end);
+        Ok(Some(line))
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/hot_restart_message.rs"]
+mod tests;
--- a/src/hot_restart/mod.rs
+++ b/src/hot_restart/mod.rs
@@ -1,2 +1,3 @@
-//! What two processes of one manager tell each other while the newer one takes over.
+//! What two processes of one manager exchange while the newer one takes over. No I/O: the actors are
+//! in [`crate::net::hot_restart`].
 pub mod message;
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -1,303 +1,343 @@
-//! Where the process stands in its life. Pure: told of what happens, with the time; asked by the
-//! sockets what to do.
+//! The state machine of the process: starting, ready, draining, hot restart, stopping.
 //!
-//! It is the one source of what `status` and `GET /ready` say, of whether the listeners accept, and
-//! of when a kept connection of a client is let go.
+//! It performs no I/O. The actors report events to it with the time at which they happened, and ask
+//! it what to do. It is the only source of the stage that `status` and `GET /ready` report, of
+//! whether the listeners accept connections, and of when an idle client connection is closed.
 
 use crate::clock::{MS, Micros};
-
-/// Clients still come this long after the first no: the front asks ten times a second, and then
-/// takes 0.2 s.
-const LEARNS: Micros = 500 * MS;
-/// Kept connections are let go over this time after that, lest all their clients connect elsewhere
-/// at once.
-const SPREAD: Micros = 1_200 * MS;
-/// The same behind a successor, which takes the clients in the same moment: the front learns
-/// nothing.
-const SPREAD_OVER: Micros = 600 * MS;
-/// From here on a process gives up what comes on a connection that is never quiet: it must be let
-/// go.
-const CLOSES: Micros = 2_200 * MS;
-/// The same behind a successor.
-const CLOSES_OVER: Micros = 800 * MS;
-/// How long after it was asked to end the program goes on taking requests: connections that clients
-/// are making then still bring some.
-const LINGER: Micros = 900 * MS;
-/// So long a connection that is to be let go has to have been quiet: one that was just answered,
-/// one that never asked; and so long this is waited for.
-const REST: Micros = 40 * MS;
-const FIRST_REST: Micros = 300 * MS;
-const PATIENCE: Micros = 800 * MS;
-/// What is open is given up this long after the request to end and the longest deadline, which
-/// counts as at most so much; more where a successor lives.
-const LAST_CALL: Micros = 450 * MS;
-const LONGEST: Micros = 3_000 * MS;
-const LONGEST_OVER: Micros = 5_000 * MS;
-/// A process that ends keeps at least this part of its work's room while anything is open. Guards
-/// what it still holds: with next to no room it would wait until it is given up.
-const LEAST_LEFT: f64 = 0.4;
-/// Spreads numbers of connections evenly.
-const MIX: u64 = 0x9E37_79B9_7F4A_7C15;
-
-/// Where the process stands.
+use std::fmt;
+
+/// Time from the start of a drain until clients stop connecting: the platform's front polls
+/// readiness ten times a second and then takes about 0.2 s to act on it. No idle connection is
+/// closed earlier, because its client would reconnect here.
+const CLIENT_DISCOVERY_DELAY: Micros = 500 * MS;
+/// Period over which a drain closes idle connections, so that their clients do not all reconnect
+/// elsewhere at the same moment.
+const DRAIN_CLOSE_SPREAD: Micros = 1_200 * MS;
+/// Period over which idle connections are closed once a successor serves. It starts with the request
+/// to stop: the successor accepts new connections at the same address, so there is nothing for the
+/// front to discover.
+const HOT_RESTART_CLOSE_SPREAD: Micros = 600 * MS;
+/// Time from the start of a drain after which requests on the remaining connections are rejected. A
+/// connection that is never idle could not be closed otherwise.
+const DRAIN_REJECT_DELAY: Micros = 2_200 * MS;
+/// Time from the request to stop after which requests are rejected, where a successor serves.
+const HOT_RESTART_REJECT_DELAY: Micros = 800 * MS;
+/// Time for which the listeners still accept connections after the request to stop: connections that
+/// clients are just opening may still carry requests.
+const ACCEPT_LINGER: Micros = 900 * MS;
+/// Time for which a connection has to be idle after its last response before it is closed. A client
+/// that just received a response is likely to send its next request.
+const QUIET_AFTER_RESPONSE: Micros = 40 * MS;
+/// Time for which a connection has to be idle before it is closed if it never carried a request.
+const QUIET_BEFORE_FIRST_REQUEST: Micros = 300 * MS;
+/// Time after its close is due for which a connection may wait to become idle for long enough; after
+/// that it is closed at its first idle moment.
+const MAX_QUIET_WAIT: Micros = 800 * MS;
+/// Time between the longest request deadline and the forced end, so that each client still receives
+/// its error before the process is killed.
+const FORCED_END_SLACK: Micros = 450 * MS;
+/// Upper bound on the request deadline that a stop waits for.
+const MAX_DEADLINE_WAIT: Micros = 3_000 * MS;
+/// Upper bound on the request deadline that a stop waits for where a successor serves new requests
+/// meanwhile.
+const HOT_RESTART_MAX_DEADLINE_WAIT: Micros = 5_000 * MS;
+/// Least fraction of its remaining work that counts towards the capacity share of a stopping process.
+/// With next to no capacity the requests that it still queues would wait until the forced end.
+const MIN_REMAINING_WORK: f64 = 0.4;
+/// Multiplier of Fibonacci hashing (2^64 divided by the golden ratio): maps consecutive connection
+/// numbers to evenly spread values.
+const FIBONACCI_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+
+/// The stage of the process, as operators see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// The list of engines is not known yet.
+    /// No endpoint list has been received yet.
     Starting,
     /// Serving.
     Ready,
-    /// Told to send clients away.
+    /// Operators asked the process to send its clients away.
     Draining,
-    /// A successor lives: two processes are one manager.
-    HandingOver,
-    /// Asked to end.
+    /// A successor serves beside this process: two processes act as one manager.
+    HotRestart,
+    /// The process was asked to stop.
     Stopping,
 }
 
-/// A process that follows this one.
+impl Stage {
+    /// The stage's name on the admin endpoint and in the fleet's member updates.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Stage::Starting => "starting",
+            Stage::Ready => "ready",
+            Stage::Draining => "draining",
+            Stage::HotRestart => "handingover",
+            Stage::Stopping => "stopping",
+        }
+    }
+}
+
+impl fmt::Display for Stage {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(self.as_str())
+    }
+}
+
+/// The state of the process that succeeds this one in a hot restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SuccessorState {
-    /// There is none.
+    /// There is no successor.
     #[default]
     None,
-    /// It has the clients' listener and gets ready.
-    Coming,
+    /// It holds the listeners and prepares to serve.
+    Starting,
     /// It serves.
     Ready,
 }
 
-/// The machine.
+/// The state machine of the process. See the [module](self).
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
-    listed: bool,
+    /// An endpoint list was received, or the process serves with the list of its configuration.
+    endpoint_list_known: bool,
+    /// When the drain in force began.
     drained_at: Option<Micros>,
+    /// When the process was asked to stop.
     stopping_at: Option<Micros>,
-    /// All is answered: what is left is to let clients go.
+    /// All requests are answered after the request to stop: the remaining connections are closed.
     closing: bool,
-    /// The part of the manager that older processes still have.
-    older: f64,
-    next: SuccessorState,
-    /// What is left of the work that was open when it was asked to end, as a part of it.
-    left: f64,
-    /// Behind the fleet's majority for too long: it says it is not ready.
-    shut_out: bool,
+    /// The fraction of the manager's capacity that its older processes hold.
+    predecessor_share: f64,
+    successor: SuccessorState,
+    /// The fraction that remains of the work that was open when the process was asked to stop.
+    remaining_work: f64,
+    /// This member is behind the fleet's majority for too long and reports that it is not ready.
+    excluded: bool,
 }
 
 impl Default for Lifecycle {
     fn default() -> Lifecycle {
-        let (drained_at, stopping_at) = (None, None);
         Lifecycle {
-            listed: false,
-            drained_at,
-            stopping_at,
+            endpoint_list_known: false,
+            drained_at: None,
+            stopping_at: None,
             closing: false,
-            older: 0.0,
-            next: SuccessorState::None,
-            left: 1.0,
-            shut_out: false,
+            predecessor_share: 0.0,
+            successor: SuccessorState::None,
+            remaining_work: 1.0,
+            excluded: false,
         }
     }
 }
 
 impl Lifecycle {
-    /// The list of engines is known, or has to do.
+    /// The endpoint list is known, or the time to wait for it is over.
     pub fn endpoint_list_received(&mut self) {
-        self.listed = true;
+        self.endpoint_list_known = true;
     }
 
-    /// Send clients away. Again while it drains: the first call counts.
+    /// Starts to send clients away. A drain that is in force keeps its start.
     pub fn drain(&mut self, now: Micros) {
         self.drained_at = self.drained_at.or(Some(now));
     }
 
-    /// End of the drain. A process that ends goes on ending: then it is refused.
+    /// Ends the drain; `false` if the process is stopping, where nothing changes.
     pub fn undrain(&mut self) -> bool {
-        if self.stopping_at.is_none() {
-            self.drained_at = None;
+        if self.is_stopping() {
+            return false;
         }
-        self.stopping_at.is_none()
+        self.drained_at = None;
+        true
     }
 
-    /// Asked to end. Again: the first time counts.
+    /// The process was asked to stop. Only the first request counts.
     pub fn begin_shutdown(&mut self, now: Micros) {
         self.stopping_at = self.stopping_at.or(Some(now));
     }
 
-    /// All is answered after the request to end: from now on no connection is kept and no request
-    /// is taken.
+    /// All requests are answered after the request to stop: from now on no connection is kept open
+    /// and no request is accepted.
     pub fn begin_closing(&mut self) {
         self.closing = true;
     }
 
-    /// Whether that is so.
+    /// Whether [`Lifecycle::begin_closing`] was called.
     pub fn is_closing(&self) -> bool {
         self.closing
     }
 
-    /// Older processes of this name have that part of the manager; none once they are gone.
-    pub fn set_predecessor_share(&mut self, part: f64) {
-        self.older = if part.is_finite() {
-            part.clamp(0.0, 1.0)
+    /// Sets the fraction of the manager's capacity that older processes hold: 0 once they have
+    /// ended, and for a value that is not finite.
+    pub fn set_predecessor_share(&mut self, share: f64) {
+        self.predecessor_share = if share.is_finite() {
+            share.clamp(0.0, 1.0)
         } else {
             0.0
         };
     }
 
-    /// A process that follows this one came, is ready, or went.
-    pub fn set_successor(&mut self, next: SuccessorState) {
-        self.next = next;
+    /// A successor connected, became ready, or ended.
+    pub fn set_successor(&mut self, successor: SuccessorState) {
+        self.successor = successor;
     }
 
-    /// Asked to end, it has that part of its work left.
-    pub fn set_remaining_work(&mut self, left: f64) {
-        self.left = if left.is_finite() {
-            left.clamp(LEAST_LEFT.min(self.left), self.left)
-        } else {
-            self.left
-        };
+    /// Sets the fraction of its work that a stopping process still has to finish. It never
+    /// increases, and counts as at least 0.4; a value that is not finite is ignored.
+    pub fn set_remaining_work(&mut self, fraction: f64) {
+        if fraction.is_finite() {
+            let least = MIN_REMAINING_WORK.min(self.remaining_work);
+            self.remaining_work = fraction.clamp(least, self.remaining_work);
+        }
     }
 
-    /// Where it stands.
+    /// The stage that operators see.
     pub fn stage(&self) -> Stage {
-        match (self.stopping_at, self.drained_at, self.listed, self.next) {
-            (Some(_), ..) => Stage::Stopping,
-            (_, Some(_), ..) => Stage::Draining,
-            (_, _, false, _) => Stage::Starting,
-            (_, _, true, SuccessorState::Ready) => Stage::HandingOver,
-            (_, _, true, SuccessorState::None | SuccessorState::Coming) => Stage::Ready,
+        if self.is_stopping() {
+            Stage::Stopping
+        } else if self.is_draining() {
+            Stage::Draining
+        } else if !self.endpoint_list_known {
+            Stage::Starting
+        } else if self.successor == SuccessorState::Ready {
+            Stage::HotRestart
+        } else {
+            Stage::Ready
         }
     }
 
-    /// Whether it says that it takes clients.
+    /// Whether the process reports that it accepts clients.
     pub fn is_ready(&self) -> bool {
-        matches!(self.stage(), Stage::Ready | Stage::HandingOver) && !self.shut_out
+        matches!(self.stage(), Stage::Ready | Stage::HotRestart) && !self.excluded
     }
 
-    /// The fleet's majority acts on newer settings or a newer list than this manager: it is shut
-    /// out until it catches up, or back in.
-    pub fn set_excluded(&mut self, out: bool) {
-        self.shut_out = out;
+    /// Excludes this manager while the fleet's majority acts on newer settings or a newer endpoint
+    /// list, or includes it again.
+    pub fn set_excluded(&mut self, excluded: bool) {
+        self.excluded = excluded;
     }
 
-    /// Whether it is shut out.
+    /// Whether this manager is excluded because it is behind the fleet's majority.
     pub fn is_excluded(&self) -> bool {
-        self.shut_out
+        self.excluded
     }
 
-    /// Whether it can serve, also if operators send its clients away.
+    /// Whether the process is able to serve requests, which it does also while it drains.
     pub fn can_serve(&self) -> bool {
-        self.listed && self.stopping_at.is_none()
+        self.endpoint_list_known && !self.is_stopping()
     }
 
-    /// Whether operators sent its clients away.
+    /// Whether a drain is in force.
     pub fn is_draining(&self) -> bool {
         self.drained_at.is_some()
     }
 
-    /// Whether it was asked to end.
+    /// Whether the process was asked to stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping_at.is_some()
     }
 
-    /// Whether a client is better told with its answer that the connection ends, where its protocol
-    /// has a word for it.
+    /// Whether responses should announce that the connection will be closed, where the protocol can
+    /// express that.
     pub fn announces_close(&self) -> bool {
         self.is_stopping() || self.is_draining()
     }
 
-    /// Until when it accepts connections: forever unless it was asked to end. With a successor at
-    /// the same line nothing that waits there is lost.
+    /// Until when the listeners accept connections: without end unless the process was asked to
+    /// stop. A successor accepts from the same listen queue, so that none of its connections is
+    /// lost if this process stops accepting at once.
     pub fn accepts_until(&self) -> Option<Micros> {
-        let linger = if self.next == SuccessorState::Ready {
-            0
-        } else {
-            LINGER
+        let linger = match self.successor {
+            SuccessorState::Ready => 0,
+            SuccessorState::None | SuccessorState::Starting => ACCEPT_LINGER,
         };
-        self.stopping_at.map(|at| at + linger)
+        self.stopping_at.map(|stopping_at| stopping_at + linger)
     }
 
-    /// Whether kept connections of clients are to be let go, now or soon.
+    /// Whether idle client connections are to be closed, now or soon.
     pub fn closes_idle_connections(&self) -> bool {
         self.is_draining() || self.successor_took_over()
     }
 
-    /// When a kept connection of a client is to be let go, at the next moment that it is quiet, if
-    /// ever.
+    /// When connection number `conn` is to be closed, at its next idle moment; `None` if it is kept
+    /// open.
     pub fn idle_close_at(&self, conn: u64) -> Option<Micros> {
-        let spread = |most: Micros| conn.wrapping_mul(MIX) % most;
-        let drained = self.drained_at.map(|at| at + LEARNS + spread(SPREAD));
-        let stopped = self
-            .stopping_at
-            .filter(|_| self.next == SuccessorState::Ready)
-            .map(|at| at + spread(SPREAD_OVER));
-        drained.into_iter().chain(stopped).min()
+        let offset_within = |spread: Micros| conn.wrapping_mul(FIBONACCI_MULTIPLIER) % spread;
+        let by_drain = self
+            .drained_at
+            .map(|at| at + CLIENT_DISCOVERY_DELAY + offset_within(DRAIN_CLOSE_SPREAD));
+        let by_hot_restart = self
+            .took_over_at()
+            .map(|at| at + offset_within(HOT_RESTART_CLOSE_SPREAD));
+        by_drain.into_iter().chain(by_hot_restart).min()
     }
 
-    /// Whether requests on kept connections are given up at once, so that none is held on and on.
+    /// Whether new requests on open connections are rejected at once, so that no client keeps its
+    /// connection open without end.
     pub fn rejects_new_requests(&self, now: Micros) -> bool {
-        let drained = self.drained_at.map(|at| at + CLOSES);
-        let over = self
-            .stopping_at
-            .filter(|_| self.next == SuccessorState::Ready)
-            .map(|at| at + CLOSES_OVER);
-        self.closing || drained.into_iter().chain(over).any(|at| at <= now)
+        let by_drain = self.drained_at.map(|at| at + DRAIN_REJECT_DELAY);
+        let by_hot_restart = self.took_over_at().map(|at| at + HOT_RESTART_REJECT_DELAY);
+        let is_due = |at: Option<Micros>| at.is_some_and(|at| at <= now);
+        self.closing || is_due(by_drain) || is_due(by_hot_restart)
     }
 
-    /// How long a connection that is to be let go has to have been quiet: a client that just
-    /// connected, or just got an answer, is likely to ask. Longer it is not held back.
-    pub fn required_quiet_time(&self, conn: u64, now: Micros, useful: bool) -> Micros {
-        match self.idle_close_at(conn).filter(|_| !self.closing) {
-            Some(at) if now < at + PATIENCE => {
-                if useful {
-                    REST
-                } else {
-                    FIRST_REST
-                }
-            }
+    /// How long connection number `conn` has to be idle before it is closed. A client that just
+    /// connected, or just received a response, is likely to send a request. `answered` is whether
+    /// the connection ever carried one. 0 once the connection has waited long enough.
+    pub fn required_quiet_time(&self, conn: u64, now: Micros, answered: bool) -> Micros {
+        if self.closing {
+            return 0;
+        }
+        match self.idle_close_at(conn) {
+            Some(close_at) if now < close_at + MAX_QUIET_WAIT && answered => QUIET_AFTER_RESPONSE,
+            Some(close_at) if now < close_at + MAX_QUIET_WAIT => QUIET_BEFORE_FIRST_REQUEST,
             _ => 0,
         }
     }
 
-    /// Whether the process that follows this one takes the clients: then it ends once it holds
-    /// none.
+    /// Whether this process is stopping and its successor serves: then the successor takes the
+    /// clients over, and this process ends once it has none left.
     pub fn successor_took_over(&self) -> bool {
-        self.stopping_at.is_some() && self.next == SuccessorState::Ready
+        self.took_over_at().is_some()
     }
 
-    /// When what is still open is given up, so that its client hears of it before the kill, which
-    /// comes no sooner than the longest deadline, within the bounds of the platform, and 0.7 s
-    /// more.
-    pub fn forced_end_at(&self, longest: Micros) -> Option<Micros> {
-        let most = if self.next == SuccessorState::Ready {
-            LONGEST_OVER
-        } else {
-            LONGEST
+    /// When the process was asked to stop, if its successor serves.
+    fn took_over_at(&self) -> Option<Micros> {
+        self.stopping_at
+            .filter(|_| self.successor == SuccessorState::Ready)
+    }
+
+    /// When the requests that are still open fail, so that their clients receive an error before the
+    /// process is killed. The platform kills a process no earlier than the longest deadline, within
+    /// the platform's bounds, and 0.7 s after the request to stop.
+    pub fn forced_end_at(&self, longest_deadline: Micros) -> Option<Micros> {
+        let max_wait = match self.successor {
+            SuccessorState::Ready => HOT_RESTART_MAX_DEADLINE_WAIT,
+            SuccessorState::None | SuccessorState::Starting => MAX_DEADLINE_WAIT,
         };
         self.stopping_at
-            .map(|at| at + longest.min(most) + LAST_CALL)
+            .map(|stopping_at| stopping_at + longest_deadline.min(max_wait) + FORCED_END_SLACK)
     }
 
-    /// What part of the limits and shares of this manager is this process's.
+    /// The fraction of the manager's limits and quotas that belongs to this process.
     pub fn capacity_share(&self) -> f64 {
-        let mine = if self.next == SuccessorState::Ready {
-            0.5 * self.left
-        } else {
-            1.0
+        let own_fraction = match self.successor {
+            SuccessorState::Ready => 0.5 * self.remaining_work,
+            SuccessorState::None | SuccessorState::Starting => 1.0,
         };
-        (1.0 - self.older) * mine
+        (1.0 - self.predecessor_share) * own_fraction
     }
 
-    /// What part a process that follows this one has to leave to those before it.
+    /// The fraction of the manager's limits and quotas that a successor has to leave to this process
+    /// and those before it.
     pub fn share_reserved_for_predecessors(&self) -> f64 {
-        let mine = if self.next == SuccessorState::Ready {
-            self.capacity_share()
-        } else {
-            (1.0 - self.older) * 0.5
+        let own_share = match self.successor {
+            SuccessorState::Ready => self.capacity_share(),
+            SuccessorState::None | SuccessorState::Starting => (1.0 - self.predecessor_share) * 0.5,
         };
-        (self.older + mine).min(1.0)
+        (self.predecessor_share + own_share).min(1.0)
     }
 }
 
 #[cfg(test)]
 #[path = "../../tests/unit/lifecycle.rs"]
-mod model;
+mod tests;
--- a/src/main.rs
+++ b/src/main.rs
@@ -142,10 +142,10 @@
     // follow it.
     let place = config
         .console
-        .and_then(|_| hot_restart::place(&config.name));
+        .and_then(|_| hot_restart::socket_path(&config.name));
     let mut taken = place
         .as_deref()
-        .and_then(|place| block_on(hot_restart::ask(place, &config.name)));
+        .and_then(|place| block_on(hot_restart::request_transfer(place, &config.name)));
     let fleet = files.fleet.clone().map(|fleet| {
         let at = fleet.bind(config.listen);
         match net::fleet::membership::bind(at) {
@@ -272,8 +272,8 @@
     if let Some(taken) = taken {
         // The process before this one accepts what comes until this one serves.
         let mut life = shared.lifecycle.borrow_mut();
-        life.set_predecessor_share(taken.leave);
-        if taken.drained {
+        life.set_predecessor_share(taken.reserved_share);
+        if taken.draining {
             life.drain(clock::turn());
         }
         let (starts, place, name) = (starts.0.clone(), place.clone(), config.name.clone());
@@ -282,15 +282,16 @@
             starts.close();
             if let Some(place) = place {
                 let older = hot_restart::Predecessor {
-                    place,
+                    socket_path: place,
                     name,
                     listeners: passed,
                 };
-                all.clone().spawn(hot_restart::listen(all, older));
+                all.clone()
+                    .spawn(hot_restart::accept_successors(all, older));
             }
         };
         let (all, module, names) = (shared.clone(), core.clone(), live.clone());
-        let adopt: hot_restart::Adopt = Box::new(move |stream, adopted| {
+        let adopt: hot_restart::AdoptConnection = Box::new(move |stream, adopted| {
             let (conn, flags) = (all.next_conn.get(), all.clone());
             all.next_conn.set(conn + 1);
             let front = JsonRpc::new(
@@ -307,16 +308,21 @@
                 Err(_) => bounded(1).0,
             }
         });
-        shared.spawn(hot_restart::follow(shared.clone(), taken, adopt, serves));
+        shared.spawn(hot_restart::follow_predecessor(
+            shared.clone(),
+            taken,
+            adopt,
+            serves,
+        ));
     } else {
         starts.0.close();
         if let Some(place) = place {
             let older = hot_restart::Predecessor {
-                place,
+                socket_path: place,
                 name: config.name.clone(),
                 listeners: passed,
             };
-            shared.spawn(hot_restart::listen(shared.clone(), older));
+            shared.spawn(hot_restart::accept_successors(shared.clone(), older));
         }
     }
     let starts = starts.1;
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -121,11 +121,7 @@
         AdminRequest::Ready => {
             let life = shared.lifecycle.borrow();
             let status = if life.is_ready() { 200 } else { 503 };
-            admin::answer(
-                status,
-                None,
-                &format!("{:?}\n", life.stage()).to_lowercase(),
-            )
+            admin::answer(status, None, &format!("{}\n", life.stage()))
         }
         AdminRequest::Metrics => {
             admin::answer(200, None, &admin::figures(&shared.current_metrics()))
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -116,7 +116,7 @@
                 }),
                 FrontendEvent::WithdrawElsewhere(tag) => {
                     if let Some((number, older)) = &self.older {
-                        let _ = older.try_send(HotRestartMessage::Cancel(*number, tag));
+                        let _ = older.try_send(HotRestartMessage::Cancel { conn: *number, tag });
                     }
                     continue;
                 }
--- a/src/net/client/graceful_close.rs
+++ b/src/net/client/graceful_close.rs
@@ -48,7 +48,13 @@
         };
         let (back, words) = async_channel::unbounded();
         let held = CountGuard::new(&shared.connections_with_unwritten_output);
-        let client = TransferredItem::Client(conn, stream.into(), handed, back, held);
+        let client = TransferredItem::Connection {
+            conn,
+            socket: stream.into(),
+            state: handed,
+            messages: back,
+            guard: held,
+        };
         drop(socket);
         if newer.send(client).await.is_err() {
             return Termination::Dropped;
@@ -64,14 +70,19 @@
                     let line = std::mem::take(&mut bytes);
                     if !line.is_empty()
                         && newer
-                            .send(TransferredItem::Answer(conn, tag, line, held))
+                            .send(TransferredItem::Response {
+                                conn,
+                                tag,
+                                bytes: line,
+                                guard: held,
+                            })
                             .await
                             .is_err()
                     {
                         return Termination::Dropped;
                     }
                 }
-                Err(Ok(HotRestartMessage::Cancel(_, tag))) => {
+                Err(Ok(HotRestartMessage::Cancel { tag, .. })) => {
                     front.withdrawn(tag);
                     let _ = core
                         .send(DispatcherEvent::CancelRequest(Origin { conn, tag }))
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -125,7 +125,7 @@
     let passed_by = peer.older.clone();
     let end = peer.serve(&standing, &mailbox, &shedding).await;
     if let Some((number, older)) = passed_by {
-        let _ = older.try_send(HotRestartMessage::ClientGone(number));
+        let _ = older.try_send(HotRestartMessage::ClientGone { conn: number });
     }
     shared.clients.borrow_mut().remove(&conn);
     if !matches!(
--- a/src/net/fleet/lease.rs
+++ b/src/net/fleet/lease.rs
@@ -109,7 +109,7 @@
     ) -> Result<LeaseService, String> {
         let name = format!(
             "yokelift-duties-{}",
-            crate::net::hot_restart::plain(&me.name)
+            crate::net::hot_restart::file_name_component(&me.name)
         );
         let path: PathBuf = match shared.hollow.get() {
             Some(hollow) => hollow.folder.join(name),
--- a/src/net/fleet/membership.rs
+++ b/src/net/fleet/membership.rs
@@ -101,7 +101,7 @@
     let stage = if life.is_excluded() {
         SHUT_OUT.to_owned()
     } else {
-        format!("{:?}", life.stage()).to_lowercase()
+        life.stage().to_string()
     };
     RunningVersions {
         build: build(),
--- /dev/null
+++ b/src/net/hot_restart/successor.rs
@@ -0,0 +1,135 @@
+//! The start of a new process: asks the running one, if there is any, for its listeners.
+use super::RESPONSE_TIMEOUT;
+use super::descriptors::receive;
+use crate::clock;
+use crate::hot_restart::message::{HotRestartMessage, MessageError, MessageReader};
+use crate::log;
+use crate::net::sleep_until;
+use async_io::Async;
+use futures_lite::AsyncWriteExt;
+use futures_lite::future::or;
+use std::collections::{BTreeMap, VecDeque};
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::os::fd::OwnedFd;
+use std::os::unix::net::UnixStream;
+use std::path::Path;
+use thiserror::Error;
+
+/// What the predecessor transferred, and the connection to it.
+pub struct TransferredState {
+    /// The predecessor's listeners, by the addresses at which they listen.
+    pub listeners: BTreeMap<SocketAddr, TcpListener>,
+    /// Whether operators are draining the predecessor.
+    pub draining: bool,
+    /// The fraction of the capacity that is reserved for the predecessor and those before it.
+    pub reserved_share: f64,
+    pub(super) peer: Async<UnixStream>,
+    pub(super) reader: MessageReader,
+}
+
+/// Why the running process transferred nothing.
+#[derive(Debug, Error)]
+enum TransferError {
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    #[error("it does not answer")]
+    Timeout,
+    #[error("it closed the connection")]
+    Closed,
+    #[error("it speaks another protocol")]
+    UnknownProtocol(#[from] MessageError),
+    #[error("it passed no descriptors")]
+    NoDescriptors,
+    #[error("it speaks out of turn")]
+    UnexpectedMessage,
+}
+
+/// Asks the process that listens at `socket_path` for its listeners. `None` if there is none, or if
+/// it fails to transfer them: the start continues without them in any case.
+pub async fn request_transfer(socket_path: &Path, name: &str) -> Option<TransferredState> {
+    let deadline = clock::turn() + RESPONSE_TIMEOUT;
+    let timeout = async {
+        sleep_until(Some(deadline)).await;
+        Err(TransferError::Timeout)
+    };
+    match or(try_transfer(socket_path, name), timeout).await {
+        Ok(transferred) => transferred,
+        Err(error) => {
+            log!("the process before this one is left aside: {error}");
+            None
+        }
+    }
+}
+
+/// Connects, introduces this process, and reads the transfer; `None` if no process listens there.
+async fn try_transfer(
+    socket_path: &Path,
+    name: &str,
+) -> Result<Option<TransferredState>, TransferError> {
+    let mut peer = match Async::<UnixStream>::connect(socket_path).await {
+        Ok(peer) => peer,
+        Err(error) if is_absent(&error) => return Ok(None),
+        Err(error) => return Err(error.into()),
+    };
+    let hello = HotRestartMessage::Hello {
+        name: name.to_owned(),
+    };
+    peer.write_all(&hello.encode()).await?;
+    Ok(Some(read_transfer(peer).await?))
+}
+
+/// Whether there is no socket, or one that a dead process left behind.
+fn is_absent(error: &io::Error) -> bool {
+    matches!(
+        error.kind(),
+        io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused
+    )
+}
+
+/// Reads up to the first [`HotRestartMessage::ReservedShare`], which ends the transfer.
+async fn read_transfer(peer: Async<UnixStream>) -> Result<TransferredState, TransferError> {
+    let mut reader = MessageReader::default();
+    let mut descriptors = VecDeque::new();
+    let mut addresses = Vec::new();
+    let mut draining = false;
+    let mut buffer = [0; 1024];
+    loop {
+        let length = receive(&peer, &mut buffer, &mut descriptors).await?;
+        if length == 0 {
+            return Err(TransferError::Closed);
+        }
+        for message in reader.feed(&buffer[..length])? {
+            match message {
+                HotRestartMessage::Listeners { addresses: listed } => addresses = listed,
+                HotRestartMessage::Draining => draining = true,
+                HotRestartMessage::ReservedShare { share } => {
+                    if addresses.is_empty() || addresses.len() != descriptors.len() {
+                        return Err(TransferError::NoDescriptors);
+                    }
+                    return Ok(TransferredState {
+                        listeners: listeners_by_address(descriptors),
+                        draining,
+                        reserved_share: share,
+                        peer,
+                        reader,
+                    });
+                }
+                _ => return Err(TransferError::UnexpectedMessage),
+            }
+        }
+    }
+}
+
+/// The address of each listener is read from its descriptor: the message's may be wrong.
+fn listeners_by_address(descriptors: VecDeque<OwnedFd>) -> BTreeMap<SocketAddr, TcpListener> {
+    descriptors
+        .into_iter()
+        .map(TcpListener::from)
+        .filter_map(|listener| Some((listener.local_addr().ok()?, listener)))
+        .collect()
+}
+
+#[cfg(test)]
+#[path = "../../../tests/unit/net_hot_restart.rs"]
+mod tests;
--- a/tests/unit/lifecycle.rs
+++ b/tests/unit/lifecycle.rs
@@ -1,131 +1,207 @@
-//! The lifecycle against a model under random steps, and the promises that the sockets rest on.
-use super::*;
-use crate::clock::SEC;
+//! The lifecycle against a model under random steps, and the guarantees that the sockets rest on.
+use super::{
+    CLIENT_DISCOVERY_DELAY, DRAIN_CLOSE_SPREAD, DRAIN_REJECT_DELAY, HOT_RESTART_REJECT_DELAY,
+    Lifecycle, MIN_REMAINING_WORK, Stage, SuccessorState,
+};
+use crate::clock::{MS, Micros, SEC};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
+/// An event of the process, or a period without any.
 #[derive(Clone, Debug)]
 enum Step {
-    Listed,
+    EndpointListReceived,
     Drain,
     Undrain,
-    Stop,
-    Follows(u8),
-    Followed(u8),
-    Fades(u8),
-    Wait(u16),
+    BeginShutdown,
+    /// The predecessors hold this many quarters of the capacity.
+    PredecessorShare(u8),
+    /// The successor's state, by its index in [`SUCCESSOR_STATES`].
+    Successor(u8),
+    /// This many quarters of the work remain.
+    RemainingWork(u8),
+    WaitMillis(u16),
 }
 
+const SUCCESSOR_STATES: [SuccessorState; 3] = [
+    SuccessorState::None,
+    SuccessorState::Starting,
+    SuccessorState::Ready,
+];
+
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
         match u8::arbitrary(g) % 11 {
-            0 => Step::Listed,
+            0 => Step::EndpointListReceived,
             1 => Step::Drain,
             2 => Step::Undrain,
-            3 if bool::arbitrary(g) => Step::Stop,
-            4 => Step::Followed(u8::arbitrary(g) % 3),
-            5 => Step::Follows(u8::arbitrary(g) % 5),
-            6 => Step::Fades(u8::arbitrary(g) % 5),
-            _ => Step::Wait(u16::arbitrary(g) % 3_000),
+            3 if bool::arbitrary(g) => Step::BeginShutdown,
+            4 => Step::Successor(u8::arbitrary(g) % 3),
+            5 => Step::PredecessorShare(u8::arbitrary(g) % 5),
+            6 => Step::RemainingWork(u8::arbitrary(g) % 5),
+            _ => Step::WaitMillis(u16::arbitrary(g) % 3_000),
+        }
+    }
+}
+
+fn successor_state(index: u8) -> SuccessorState {
+    SUCCESSOR_STATES[usize::from(index)]
+}
+
+fn quarters(count: u8) -> f64 {
+    f64::from(count) / 4.0
+}
+
+/// Every step so far with its time; what the lifecycle should report is derived from the whole list.
+#[derive(Default)]
+struct History {
+    steps: Vec<(Micros, Step)>,
+}
+
+impl History {
+    /// The argument of the last step that `pick` selects.
+    fn last<T>(&self, pick: impl Fn(&Step) -> Option<T>) -> Option<T> {
+        self.steps.iter().rev().find_map(|(_, step)| pick(step))
+    }
+
+    fn stop_index(&self) -> Option<usize> {
+        self.steps
+            .iter()
+            .position(|(_, step)| matches!(step, Step::BeginShutdown))
+    }
+
+    fn stopped_at(&self) -> Option<Micros> {
+        self.stop_index().map(|index| self.steps[index].0)
+    }
+
+    fn endpoint_list_known(&self) -> bool {
+        self.steps
+            .iter()
+            .any(|(_, step)| matches!(step, Step::EndpointListReceived))
+    }
+
+    /// The first drain since the last undrain that counted: one after the stop does not.
+    fn drained_at(&self) -> Option<Micros> {
+        let until_stop = &self.steps[..self.stop_index().unwrap_or(self.steps.len())];
+        let since_undrain = until_stop
+            .iter()
+            .rposition(|(_, step)| matches!(step, Step::Undrain))
+            .map_or(0, |index| index + 1);
+        self.steps[since_undrain..]
+            .iter()
+            .find(|(_, step)| matches!(step, Step::Drain))
+            .map(|(at, _)| *at)
+    }
+
+    fn successor_is_ready(&self) -> bool {
+        let state = self.last(|step| match step {
+            Step::Successor(index) => Some(successor_state(*index)),
+            _ => None,
+        });
+        state == Some(SuccessorState::Ready)
+    }
+
+    fn predecessor_share(&self) -> f64 {
+        let share = self.last(|step| match step {
+            Step::PredecessorShare(count) => Some(quarters(*count)),
+            _ => None,
+        });
+        share.unwrap_or(0.0)
+    }
+
+    fn remaining_work(&self) -> f64 {
+        let counts = self.steps.iter().filter_map(|(_, step)| match step {
+            Step::RemainingWork(count) => Some(*count),
+            _ => None,
+        });
+        quarters(counts.min().unwrap_or(4)).max(MIN_REMAINING_WORK)
+    }
+
+    fn capacity_share(&self) -> f64 {
+        let available = 1.0 - self.predecessor_share();
+        if self.successor_is_ready() {
+            0.5 * self.remaining_work() * available
+        } else {
+            available
         }
     }
 }
 
-fn next(n: u8) -> SuccessorState {
-    [
-        SuccessorState::None,
-        SuccessorState::Coming,
-        SuccessorState::Ready,
-    ][usize::from(n)]
+fn apply(lifecycle: &mut Lifecycle, step: &Step, now: Micros) {
+    match step {
+        Step::EndpointListReceived => lifecycle.endpoint_list_received(),
+        Step::Drain => lifecycle.drain(now),
+        Step::Undrain => drop(lifecycle.undrain()),
+        Step::BeginShutdown => lifecycle.begin_shutdown(now),
+        Step::Successor(index) => lifecycle.set_successor(successor_state(*index)),
+        Step::PredecessorShare(count) => lifecycle.set_predecessor_share(quarters(*count)),
+        Step::RemainingWork(count) => lifecycle.set_remaining_work(quarters(*count)),
+        Step::WaitMillis(_) => {}
+    }
 }
 
-/// Guards every pair of purposes that may overlap, as a drain within an upgrade: what the machine
-/// says is what the list of all that happened so far says.
+/// A connection is closed only by a drain or behind a successor, never before the front can know,
+/// and in time.
+fn closes_idle_connection_in_time(lifecycle: &Lifecycle, history: &History, conn: u64) -> bool {
+    let drained_at = history.drained_at();
+    let took_over_at = history
+        .stopped_at()
+        .filter(|_| history.successor_is_ready());
+    match lifecycle.idle_close_at(conn) {
+        None => drained_at.is_none() && took_over_at.is_none(),
+        Some(close_at) => {
+            let by_drain = drained_at.is_some_and(|at| {
+                (at + CLIENT_DISCOVERY_DELAY..at + DRAIN_REJECT_DELAY).contains(&close_at)
+            });
+            let by_hot_restart = took_over_at.is_some_and(|at| (at..at + SEC).contains(&close_at));
+            by_drain || by_hot_restart
+        }
+    }
+}
+
+fn agrees_with_history(lifecycle: &Lifecycle, history: &History, now: Micros) -> bool {
+    let drained_at = history.drained_at();
+    let stopped_at = history.stopped_at();
+    let successor_is_ready = history.successor_is_ready();
+    let capacity_share = history.capacity_share();
+    let should_be_ready =
+        history.endpoint_list_known() && drained_at.is_none() && stopped_at.is_none();
+    let should_reject = drained_at.is_some_and(|at| at + DRAIN_REJECT_DELAY <= now)
+        || (successor_is_ready
+            && stopped_at.is_some_and(|at| at + HOT_RESTART_REJECT_DELAY <= now));
+    let reserved = lifecycle.share_reserved_for_predecessors();
+    // A successor holds no more than what this process and those before it leave.
+    let reserves_enough = reserved + 1e-9 >= history.predecessor_share() + capacity_share;
+    let checks = [
+        lifecycle.is_ready() == should_be_ready,
+        lifecycle.is_stopping() == stopped_at.is_some(),
+        lifecycle.accepts_until().is_some() == stopped_at.is_some(),
+        lifecycle.rejects_new_requests(now) == should_reject,
+        (lifecycle.capacity_share() - capacity_share).abs() < 1e-9,
+        reserved <= 1.0 + 1e-9 && (!successor_is_ready || reserves_enough),
+        lifecycle
+            .accepts_until()
+            .is_none_or(|at| (at == stopped_at.unwrap_or(0)) == successor_is_ready),
+        lifecycle.forced_end_at(9 * SEC) > lifecycle.accepts_until() || stopped_at.is_none(),
+        (0..50).all(|conn| closes_idle_connection_in_time(lifecycle, history, conn)),
+    ];
+    !checks.contains(&false)
+}
+
+/// Guards every pair of events that may overlap, such as a drain within a hot restart: the state
+/// machine reports what follows from the list of all events so far.
 #[test]
-fn what_it_says_follows_from_all_that_happened() {
-    fn play(steps: Vec<Step>) -> bool {
-        let (mut life, mut now, mut past) = (Lifecycle::default(), 1_000_000, Vec::new());
+fn the_lifecycle_reports_what_follows_from_its_whole_history() {
+    fn agrees_after_each_step(steps: Vec<Step>) -> bool {
+        let mut lifecycle = Lifecycle::default();
+        let mut history = History::default();
+        let mut now = 1_000_000;
         for step in steps {
-            match step {
-                Step::Listed => life.endpoint_list_received(),
-                Step::Drain => life.drain(now),
-                Step::Undrain => drop(life.undrain()),
-                Step::Stop => life.begin_shutdown(now),
-                Step::Followed(n) => life.set_successor(next(n)),
-                Step::Follows(n) => life.set_predecessor_share(f64::from(n) / 4.0),
-                Step::Fades(n) => life.set_remaining_work(f64::from(n) / 4.0),
-                Step::Wait(ms) => now += u64::from(ms) * MS,
+            apply(&mut lifecycle, &step, now);
+            if let Step::WaitMillis(millis) = step {
+                now += u64::from(millis) * MS;
             }
-            past.push((now, step));
-            let stop = past.iter().position(|(_, s)| matches!(s, Step::Stop));
-            let upto = |stop: Option<usize>| &past[..stop.unwrap_or(past.len())];
-            let listed = past.iter().any(|(_, s)| matches!(s, Step::Listed));
-            // The first drain since the last end of one that counted.
-            let undrained = upto(stop)
-                .iter()
-                .rposition(|(_, s)| matches!(s, Step::Undrain))
-                .map_or(0, |at| at + 1);
-            let drained = past[undrained..]
-                .iter()
-                .find(|(_, s)| matches!(s, Step::Drain))
-                .map(|(at, _)| *at);
-            let last = |is: fn(&Step) -> Option<u8>| past.iter().rev().find_map(|(_, s)| is(s));
-            let met = last(|s| {
-                if let Step::Followed(n) = s {
-                    Some(*n)
-                } else {
-                    None
-                }
-            })
-            .map(next);
-            let follows = met == Some(SuccessorState::Ready);
-            let older = last(|s| {
-                if let Step::Follows(n) = s {
-                    Some(*n)
-                } else {
-                    None
-                }
-            })
-            .unwrap_or(0);
-            let fades = past.iter().filter_map(|(_, s)| {
-                if let Step::Fades(n) = s {
-                    Some(*n)
-                } else {
-                    None
-                }
-            });
-            let left = (f64::from(fades.min().unwrap_or(4)) / 4.0).max(LEAST_LEFT);
-            let rest = 1.0 - f64::from(older) / 4.0;
-            let part = if follows { 0.5 * left * rest } else { rest };
-            let stopped = stop.map(|at| past[at].0);
-            let holds = [
-                life.is_ready() == (listed && drained.is_none() && stop.is_none()),
-                life.is_stopping() == stop.is_some(),
-                life.accepts_until().is_some() == stop.is_some(),
-                life.rejects_new_requests(now)
-                    == (drained.is_some_and(|at| at + CLOSES <= now)
-                        || (follows && stopped.is_some_and(|at| at + CLOSES_OVER <= now))),
-                (life.capacity_share() - part).abs() < 1e-9,
-                // Whoever follows has no more than what this one and those before it leave.
-                life.share_reserved_for_predecessors() <= 1.0 + 1e-9
-                    && (!follows
-                        || life.share_reserved_for_predecessors() + 1e-9 >= 1.0 - rest + part),
-                life.accepts_until()
-                    .is_none_or(|at| (at == stopped.unwrap_or(0)) == follows),
-                life.forced_end_at(9 * SEC) > life.accepts_until() || stop.is_none(),
-                // Let go only by a drain, or behind a successor, never before the front can know,
-                // all in time.
-                (0..50).all(|conn| match life.idle_close_at(conn) {
-                    None => drained.is_none() && !(follows && stopped.is_some()),
-                    Some(at) => {
-                        let by_drain =
-                            drained.is_some_and(|d| (d + LEARNS..d + CLOSES).contains(&at));
-                        let by_stop =
-                            stopped.is_some_and(|s| follows && (s..s + SEC).contains(&at));
-                        by_drain || by_stop
-                    }
-                }),
-            ];
-            if holds.contains(&false) {
+            history.steps.push((now, step));
+            if !agrees_with_history(&lifecycle, &history, now) {
                 return false;
             }
         }
@@ -134,21 +210,43 @@
     let mut check = QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, 7))
         .tests(3_000);
-    check.quickcheck(play as fn(Vec<Step>) -> bool);
+    check.quickcheck(agrees_after_each_step as fn(Vec<Step>) -> bool);
 }
 
-/// Guards the front's clients: those that connect in the same moment elsewhere are few, and none is
-/// held past the time by which all have to be gone.
+/// Guards the front's clients: only few reconnect elsewhere at the same moment, and none is kept
+/// past the time by which all have to be gone.
 #[test]
-fn kept_connections_are_let_go_evenly() {
-    let mut life = Lifecycle::default();
-    life.drain(0);
-    let mut by_step = [0; 6];
+fn a_drain_closes_idle_connections_evenly() {
+    let mut lifecycle = Lifecycle::default();
+    lifecycle.drain(0);
+
+    let mut closed_by_interval = [0; 6];
     for conn in 0..600 {
-        let at = life.idle_close_at(conn).unwrap();
-        by_step[((at - LEARNS) / (SPREAD / 6)) as usize] += 1;
+        let close_at = lifecycle.idle_close_at(conn).unwrap();
+        let interval = (close_at - CLIENT_DISCOVERY_DELAY) / (DRAIN_CLOSE_SPREAD / 6);
+        closed_by_interval[interval as usize] += 1;
+    }
+
+    assert!(
+        closed_by_interval.iter().all(|n| (60..140).contains(n)),
+        "{closed_by_interval:?}"
+    );
+    assert!(lifecycle.undrain());
+    assert_eq!(lifecycle.idle_close_at(1), None);
+}
+
+/// Guards the words that operators and the fleet's other members read.
+#[test]
+fn each_stage_has_a_fixed_name() {
+    let names = [
+        (Stage::Starting, "starting"),
+        (Stage::Ready, "ready"),
+        (Stage::Draining, "draining"),
+        (Stage::HotRestart, "handingover"),
+        (Stage::Stopping, "stopping"),
+    ];
+    for (stage, name) in names {
+        assert_eq!(stage.as_str(), name);
+        assert_eq!(stage.to_string(), name);
     }
-    assert!(by_step.iter().all(|n| (60..140).contains(n)), "{by_step:?}");
-    assert!(life.undrain());
-    assert_eq!(life.idle_close_at(1), None);
 }
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -202,36 +202,48 @@
     assert_eq!(Resource::Probe(0x2a).to_string(), "probe:s-0000002a");
 }
 
-fn restart_words() -> Vec<HotRestartMessage> {
-    let handed = TransferredConnection {
-        open: vec![3, 9],
+fn hot_restart_messages() -> Vec<HotRestartMessage> {
+    let state = TransferredConnection {
+        open_requests: vec![3, 9],
         input: b"{\n".to_vec(),
         unwritten: b"half\n".to_vec(),
     };
     vec![
-        HotRestartMessage::Hello("n0".into()),
-        HotRestartMessage::Listeners(vec![addr(5050), addr(8123)]),
+        HotRestartMessage::Hello { name: "n0".into() },
+        HotRestartMessage::Listeners {
+            addresses: vec![addr(5050), addr(8123)],
+        },
         HotRestartMessage::Draining,
         HotRestartMessage::Ready,
-        HotRestartMessage::ReservedShare(0.375),
-        HotRestartMessage::Connection(7, handed),
-        HotRestartMessage::Connection(8, TransferredConnection::default()),
-        HotRestartMessage::Response(7, 9, b"leave 1\n".to_vec()),
-        HotRestartMessage::Cancel(7, 3),
-        HotRestartMessage::ClientGone(8),
+        HotRestartMessage::ReservedShare { share: 0.375 },
+        HotRestartMessage::Connection { conn: 7, state },
+        HotRestartMessage::Connection {
+            conn: 8,
+            state: TransferredConnection::default(),
+        },
+        HotRestartMessage::Response {
+            conn: 7,
+            tag: 9,
+            bytes: b"leave 1\n".to_vec(),
+        },
+        HotRestartMessage::Cancel { conn: 7, tag: 3 },
+        HotRestartMessage::ClientGone { conn: 8 },
     ]
 }
 
 #[test]
 fn hot_restart_lines_are_read_and_written_as_before() {
-    let words = restart_words();
-    let written: Vec<u8> = words.iter().flat_map(HotRestartMessage::bytes).collect();
+    let messages = hot_restart_messages();
+    let written: Vec<u8> = messages
+        .iter()
+        .flat_map(HotRestartMessage::encode)
+        .collect();
     assert_text(
         "hot_restart.txt",
         std::str::from_utf8(&written).expect("text"),
     );
     let read = MessageReader::default().feed(fixture_text("hot_restart.txt").as_bytes());
-    assert_eq!(read.expect("lines of this version"), words);
+    assert_eq!(read.expect("lines of this version"), messages);
 }
 
 fn under() -> DecisionContext {
