--- a/src/bin/yokelift-testkit/main.rs
+++ b/src/bin/yokelift-testkit/main.rs
@@ -135,7 +135,7 @@
     let one = |e: String| vec![e];
     match subcommand {
         Subcommands::Check { file } => {
-            let deploy = clickhouse::read(&file).map_err(one)?;
+            let deploy = clickhouse::read(&file).map_err(|e| one(e.to_string()))?;
             let (engines, users) = (deploy.engines.len(), deploy.users.len());
             let file = file.display();
             print(&format!(
--- a/src/config/clickhouse.rs
+++ b/src/config/clickhouse.rs
@@ -1,14 +1,16 @@
-//! A deploy file of ours, as `deploy/clickhouse.toml`: the second front, its engines, and who may
-//! use it.
+//! The operator's file of the ClickHouse frontend, such as `deploy/clickhouse.toml`: its address, its
+//! engines, its users, and the rules that assign statements to classes.
 use crate::config::process::Names;
+use crate::config::{FileError, first_duplicate, load};
 use crate::policy::api::{ClassId, EngineId, TenantId};
 use crate::statement;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::Path;
+use thiserror::Error;
 
-/// The file.
+/// The file's content.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClickHouseConfig {
@@ -17,18 +19,19 @@
     /// Engines that speak it.
     #[serde(default, rename = "engine")]
     pub engines: Vec<EngineConfig>,
-    /// Who the manager is to these engines.
-    #[serde(default)]
-    pub login: CredentialsConfig,
+    /// With which this manager authenticates at these engines.
+    #[serde(default, rename = "login")]
+    pub credentials: CredentialsConfig,
     /// Users and their tenants.
     #[serde(default, rename = "user")]
     pub users: Vec<UserConfig>,
-    /// Which statements belong to which class; the first rule that fits counts.
+    /// Which statements belong to which class; the first rule that matches decides.
     #[serde(default, rename = "class")]
-    pub classes: Vec<ClassRuleConfig>,
+    pub class_rules: Vec<ClassRuleConfig>,
     /// The class of all other statements.
-    pub usual_class: String,
-    /// A directory of tenants.
+    #[serde(rename = "usual_class")]
+    pub default_class: String,
+    /// A directory with the tenants and further users.
     pub directory: Option<DirectoryConfig>,
 }
 
@@ -48,11 +51,11 @@
     pub kind: String,
 }
 
-/// User and key for engines.
+/// User and key at the engines.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CredentialsConfig {
-    /// The user.
+    /// The user name.
     pub user: String,
     /// The key.
     #[serde(default)]
@@ -68,23 +71,23 @@
     /// The key; empty if there is none.
     #[serde(default)]
     pub key: String,
-    /// The tenant, as named in the settings; without one the user is known and let in nowhere.
+    /// The tenant, as named in the settings; without one the user is known, but not authorized.
     pub tenant: Option<String>,
 }
 
-/// A rule for a class: all that is given must fit.
+/// A rule for a class. A statement has to match each condition that is not empty.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassRuleConfig {
     /// The class, as named in the settings.
     pub name: String,
     /// The statement begins with one of these words.
-    #[serde(default)]
-    pub begins: Vec<String>,
-    /// The statement holds one of these words, outside strings and comments.
-    #[serde(default)]
-    pub holds: Vec<String>,
-    /// It comes from one of these users.
+    #[serde(default, rename = "begins")]
+    pub first_words: Vec<String>,
+    /// The statement contains one of these words, outside strings and comments.
+    #[serde(default, rename = "holds")]
+    pub words: Vec<String>,
+    /// The statement comes from one of these users.
     #[serde(default)]
     pub users: Vec<String>,
 }
@@ -126,10 +129,10 @@
     /// The attribute with the tenant's share, as a number of any scale.
     #[serde(default = "DirectoryConfig::share_attribute")]
     pub share_attribute: String,
-    /// Entries asked for at once.
+    /// Entries of one page of a search result.
     #[serde(default = "DirectoryConfig::page")]
     pub page: u32,
-    /// Seconds between two readings.
+    /// Seconds between two reads.
     #[serde(default = "DirectoryConfig::refresh_s")]
     pub refresh_s: u64,
 }
@@ -161,147 +164,278 @@
     }
 }
 
-/// Reads a deploy file from its text.
-pub fn parse(text: &str) -> Result<ClickHouseConfig, String> {
-    let deploy: ClickHouseConfig = toml::from_str(text).map_err(|e| {
-        let line = e
-            .span()
-            .map_or(0, |span| text[..span.start].lines().count().max(1));
-        format!("line {line}: {}", e.message().replace('\n', " "))
-    })?;
-    let mut seen = BTreeSet::new();
-    for engine in &deploy.engines {
-        if !seen.insert(engine_id(&engine.id)?) {
-            return Err(format!("engine {} is there twice", engine.id));
+/// Why a file of the ClickHouse frontend can't be used.
+#[derive(Debug, Error)]
+pub enum ClickHouseConfigError {
+    /// The text is no TOML, a key is unknown or missing, or a value has another type.
+    #[error("line {line}: {}", source.message().replace('\n', " "))]
+    Toml {
+        /// The line, counted from 1; 0 where the parser names none.
+        line: usize,
+        /// What is wrong there.
+        source: toml::de::Error,
+    },
+    /// An engine's id has another form.
+    #[error("engine {id:?}: an id is s- and 8 hex digits")]
+    InvalidEngineId {
+        /// The id.
+        id: String,
+    },
+    /// Two engines have the same id.
+    #[error("engine {id} is there twice")]
+    DuplicateEngine {
+        /// The id.
+        id: String,
+    },
+    /// Two users have the same name.
+    #[error("user {name} is there twice")]
+    DuplicateUser {
+        /// The name.
+        name: String,
+    },
+    /// There are neither users nor a directory.
+    #[error("neither users nor a directory: nobody could connect")]
+    NoUsers,
+    /// The credentials would break the headers of a request.
+    #[error("login: control characters are not allowed")]
+    ControlCharacterInCredentials,
+    /// The directory's page size is 0.
+    #[error("directory: page must be above 0")]
+    DirectoryPageZero,
+    /// The interval between reads of the directory is 0.
+    #[error("directory: refresh_s must be above 0")]
+    DirectoryRefreshZero,
+    /// The settings have no class of this name.
+    #[error("the settings name no class {name:?}")]
+    UnknownClass {
+        /// The name.
+        name: String,
+    },
+    /// The settings have no tenant of this name.
+    #[error("the settings name no tenant {name:?}")]
+    UnknownTenant {
+        /// The name.
+        name: String,
+    },
+}
+
+/// Parses and validates the file's text.
+pub fn parse(text: &str) -> Result<ClickHouseConfig, ClickHouseConfigError> {
+    let config: ClickHouseConfig =
+        toml::from_str(text).map_err(|source| ClickHouseConfigError::Toml {
+            line: line_of(&source, text),
+            source,
+        })?;
+    config.validate()?;
+    Ok(config)
+}
+
+/// The line of an error, counted from 1; 0 where the parser names none.
+fn line_of(error: &toml::de::Error, text: &str) -> usize {
+    error
+        .span()
+        .map_or(0, |span| text[..span.start].lines().count().max(1))
+}
+
+impl ClickHouseConfig {
+    fn validate(&self) -> Result<(), ClickHouseConfigError> {
+        self.validate_engines()?;
+        if let Some(name) = first_duplicate(self.users.iter().map(|user| &user.name)) {
+            return Err(ClickHouseConfigError::DuplicateUser { name: name.clone() });
+        }
+        if self.users.is_empty() && self.directory.is_none() {
+            return Err(ClickHouseConfigError::NoUsers);
+        }
+        let has_control_character = |text: &str| text.chars().any(char::is_control);
+        if has_control_character(&self.credentials.user)
+            || has_control_character(&self.credentials.key)
+        {
+            return Err(ClickHouseConfigError::ControlCharacterInCredentials);
+        }
+        match &self.directory {
+            Some(directory) if directory.page == 0 => Err(ClickHouseConfigError::DirectoryPageZero),
+            Some(directory) if directory.refresh_s == 0 => {
+                Err(ClickHouseConfigError::DirectoryRefreshZero)
+            }
+            _ => Ok(()),
         }
     }
-    let mut seen = BTreeSet::new();
-    if let Some(twice) = deploy.users.iter().find(|u| !seen.insert(&u.name)) {
-        return Err(format!("user {} is there twice", twice.name));
-    }
-    if deploy.users.is_empty() && deploy.directory.is_none() {
-        return Err("neither users nor a directory: nobody could connect".into());
-    }
-    let breaks = |s: &String| s.chars().any(char::is_control);
-    if breaks(&deploy.login.user) || breaks(&deploy.login.key) {
-        return Err("login: control characters are not allowed".into());
-    }
-    match &deploy.directory {
-        Some(d) if d.page == 0 => Err("directory: page must be above 0".into()),
-        Some(d) if d.refresh_s == 0 => Err("directory: refresh_s must be above 0".into()),
-        _ => Ok(deploy),
+
+    fn validate_engines(&self) -> Result<(), ClickHouseConfigError> {
+        let mut seen = BTreeSet::new();
+        for engine in &self.engines {
+            if !seen.insert(engine_id(&engine.id)?) {
+                return Err(ClickHouseConfigError::DuplicateEngine {
+                    id: engine.id.clone(),
+                });
+            }
+        }
+        Ok(())
     }
 }
 
-/// Reads a deploy file.
-pub fn read(path: &Path) -> Result<ClickHouseConfig, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    parse(&text).map_err(|e| format!("{}: {e}", path.display()))
+/// Reads, parses and validates a file.
+pub fn read(path: &Path) -> Result<ClickHouseConfig, FileError<ClickHouseConfigError>> {
+    load(
+        path,
+        |path| std::fs::read_to_string(path),
+        |text| parse(text),
+    )
 }
 
-/// The number of an engine's id.
-pub fn engine_id(id: &str) -> Result<EngineId, String> {
-    let number = id
-        .strip_prefix("s-")
-        .filter(|hex| hex.len() == 8)
-        .and_then(|hex| u32::from_str_radix(hex, 16).ok());
-    number
-        .map(|n| EngineId(u64::from(n)))
-        .ok_or_else(|| format!("engine {id:?}: an id is s- and 8 hex digits"))
+/// The number of an engine's id, such as `s-00c41f7a`.
+pub fn engine_id(id: &str) -> Result<EngineId, ClickHouseConfigError> {
+    id.strip_prefix("s-")
+        .filter(|digits| digits.len() == 8)
+        .and_then(|digits| u32::from_str_radix(digits, 16).ok())
+        .map(|number| EngineId(u64::from(number)))
+        .ok_or_else(|| ClickHouseConfigError::InvalidEngineId { id: id.to_owned() })
 }
 
-fn place(list: &[String], name: &str, what: &str) -> Result<u16, String> {
-    let at = list
-        .iter()
-        .position(|n| n == name)
-        .ok_or_else(|| format!("the settings name no {what} {name:?}"))?;
-    Ok(at as u16)
+/// A rule whose class was found in the settings.
+struct ClassRule {
+    conditions: ClassRuleConfig,
+    class: ClassId,
 }
 
-/// Which statements belong to which class.
+impl ClassRule {
+    fn matches(&self, user: &str, words: &[&[u8]]) -> bool {
+        let conditions = &self.conditions;
+        let is_any_of = |word: &[u8], list: &[String]| {
+            list.iter()
+                .any(|item| word.eq_ignore_ascii_case(item.as_bytes()))
+        };
+        let first_word_matches = conditions.first_words.is_empty()
+            || words
+                .first()
+                .is_some_and(|word| is_any_of(word, &conditions.first_words));
+        let any_word_matches = conditions.words.is_empty()
+            || words.iter().any(|word| is_any_of(word, &conditions.words));
+        let user_matches =
+            conditions.users.is_empty() || conditions.users.iter().any(|name| name == user);
+        first_word_matches && any_word_matches && user_matches
+    }
+}
+
+/// Assigns statements to classes.
 pub struct ClassRules {
-    rules: Vec<(ClassRuleConfig, ClassId)>,
-    usual: ClassId,
+    rules: Vec<ClassRule>,
+    default_class: ClassId,
 }
 
 impl ClassRules {
-    /// The rules of a file, with the names of the settings.
-    pub fn new(deploy: &ClickHouseConfig, names: &Names) -> Result<ClassRules, String> {
-        let class = |name: &str| {
+    /// The rules of a file.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a class is not among `names`.
+    pub fn new(
+        config: &ClickHouseConfig,
+        names: &Names,
+    ) -> Result<ClassRules, ClickHouseConfigError> {
+        let class_id = |name: &str| {
             names
                 .class(name)
-                .ok_or_else(|| format!("the settings name no class {name:?}"))
+                .ok_or_else(|| ClickHouseConfigError::UnknownClass {
+                    name: name.to_owned(),
+                })
+        };
+        let rule = |conditions: &ClassRuleConfig| {
+            Ok(ClassRule {
+                conditions: conditions.clone(),
+                class: class_id(&conditions.name)?,
+            })
         };
-        let rules = deploy
-            .classes
-            .iter()
-            .map(|line| Ok((line.clone(), class(&line.name)?)));
-        let rules = rules.collect::<Result<_, String>>()?;
         Ok(ClassRules {
-            rules,
-            usual: class(&deploy.usual_class)?,
+            rules: config
+                .class_rules
+                .iter()
+                .map(rule)
+                .collect::<Result<_, _>>()?,
+            default_class: class_id(&config.default_class)?,
         })
     }
 
-    /// The class of a statement.
-    pub fn class(&self, user: &str, text: &[u8]) -> ClassId {
-        let words = statement::words(text);
-        let is = |word: &[u8], list: &[String]| {
-            list.iter().any(|w| word.eq_ignore_ascii_case(w.as_bytes()))
-        };
-        let fits = |line: &ClassRuleConfig| {
-            (line.begins.is_empty() || words.first().is_some_and(|w| is(w, &line.begins)))
-                && (line.holds.is_empty() || words.iter().any(|w| is(w, &line.holds)))
-                && (line.users.is_empty() || line.users.iter().any(|u| u == user))
-        };
+    /// The class of a user's statement.
+    pub fn class(&self, user: &str, statement: &[u8]) -> ClassId {
+        let words = statement::words(statement);
         self.rules
             .iter()
-            .find(|(line, _)| fits(line))
-            .map_or(self.usual, |(_, class)| *class)
+            .find(|rule| rule.matches(user, &words))
+            .map_or(self.default_class, |rule| rule.class)
     }
 }
 
-/// Who may use the front, and as whose tenant.
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct User {
+    key: String,
+    tenant: Option<TenantId>,
+}
+
+/// The users of the frontend and their tenants.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Users {
-    users: BTreeMap<String, (String, Option<TenantId>)>,
+    by_name: BTreeMap<String, User>,
 }
 
 impl Users {
     /// The users of a file.
-    pub fn new(deploy: &ClickHouseConfig, names: &Names) -> Result<Users, String> {
+    ///
+    /// # Errors
+    ///
+    /// Fails if a tenant is not among `names`.
+    pub fn new(config: &ClickHouseConfig, names: &Names) -> Result<Users, ClickHouseConfigError> {
         let mut users = Users::default();
-        for line in &deploy.users {
-            let tenant = line
+        for user in &config.users {
+            let tenant = user
                 .tenant
                 .as_deref()
-                .map(|t| place(&names.tenants, t, "tenant"))
+                .map(|tenant| tenant_id(names, tenant))
                 .transpose()?;
-            users.add(&line.name, &line.key, tenant.map(TenantId));
+            users.add(&user.name, &user.key, tenant);
         }
         Ok(users)
     }
 
-    /// Adds a user.
+    /// Adds a user; one of the same name is replaced.
     pub fn add(&mut self, name: &str, key: &str, tenant: Option<TenantId>) {
-        self.users.insert(name.to_owned(), (key.to_owned(), tenant));
+        let user = User {
+            key: key.to_owned(),
+            tenant,
+        };
+        self.by_name.insert(name.to_owned(), user);
     }
 
-    /// Adds all others; they take the place of those of the same name.
+    /// Adds all of `others`; users of the same name are replaced.
     pub fn extend(&mut self, others: &Users) {
-        self.users.extend(others.users.clone());
+        self.by_name.extend(others.by_name.clone());
     }
 
-    /// The tenant of a user with that key: `None` for one who is unknown, `Some(None)` for one
-    /// without a tenant.
+    /// The tenant of the user with this name and key: `None` for an unknown user or a wrong key,
+    /// `Some(None)` for a user without a tenant.
     pub fn find(&self, name: &str, key: &str) -> Option<Option<TenantId>> {
-        let (right, tenant) = self.users.get(name)?;
-        // Every byte is looked at, so that the time taken does not tell how much of a key was
-        // right.
-        let differ = right
-            .bytes()
-            .zip(key.bytes())
-            .fold(0, |all, (a, b)| all | (a ^ b));
-        (differ == 0 && right.len() == key.len()).then_some(*tenant)
+        let user = self.by_name.get(name)?;
+        keys_equal(&user.key, key).then_some(user.tenant)
     }
 }
+
+/// Compares all bytes of the shorter key in any case, so that the time taken does not reveal how many
+/// leading bytes of a guess are right.
+fn keys_equal(expected: &str, given: &str) -> bool {
+    let difference = expected
+        .bytes()
+        .zip(given.bytes())
+        .fold(0, |difference, (a, b)| difference | (a ^ b));
+    difference == 0 && expected.len() == given.len()
+}
+
+fn tenant_id(names: &Names, name: &str) -> Result<TenantId, ClickHouseConfigError> {
+    names
+        .tenants
+        .iter()
+        .position(|tenant| tenant == name)
+        .map(|index| TenantId(index as u16))
+        .ok_or_else(|| ClickHouseConfigError::UnknownTenant {
+            name: name.to_owned(),
+        })
+}
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,7 +1,32 @@
-//! Start settings as JSON, turned into the library's own.
-
-use crate::policy::api::*;
+//! The settings JSON of the platform, converted into the policy module's [`Settings`].
+//!
+//! The `*Json` structs have the platform's keys, all of them optional.
+use crate::policy::api::{
+    ClassSpec, Idempotency, Invariants, KindId, KindSpec, Limits, LoadField,
+    MemoryExhaustionPolicy, RetryBudget, Scope, Settings, TenantSpec, ZoneId,
+};
 use serde::Deserialize;
+use thiserror::Error;
+
+/// Why settings are invalid.
+#[derive(Debug, Error)]
+pub enum SettingsError {
+    /// The text is no JSON object, or a key has a value of another type.
+    #[error("{0}")]
+    Json(#[from] serde_json::Error),
+    /// A class has unknown semantics.
+    #[error("classes[].semantics: unknown word {semantics:?}")]
+    UnknownSemantics {
+        /// The value.
+        semantics: String,
+    },
+}
+
+/// Parses the settings of a start event or a configuration.
+pub fn parse(text: &[u8]) -> Result<Settings, SettingsError> {
+    let settings: SettingsJson = serde_json::from_slice(text)?;
+    settings.try_into()
+}
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
@@ -103,23 +128,107 @@
     second_copies: bool,
 }
 
-fn effect(c: &ClassJson) -> Result<Idempotency, String> {
-    let scope = match c.dedup_scope.as_str() {
-        "zone" => Scope::Zone,
-        "cell" => Scope::Cell,
-        _ => Scope::All,
-    };
-    match c.semantics.as_str() {
+impl TryFrom<SettingsJson> for Settings {
+    type Error = SettingsError;
+
+    fn try_from(json: SettingsJson) -> Result<Settings, SettingsError> {
+        let classes = json
+            .classes
+            .iter()
+            .enumerate()
+            .map(|(index, class)| class_spec(class, &json.extra, index))
+            .collect::<Result<_, _>>()?;
+        Ok(Settings {
+            gateway_index: json.me,
+            gateways: json.peers_total,
+            zone: ZoneId(json.az),
+            tick: json.quantum_ns,
+            classes,
+            kinds: kind_specs(json.kinds.len(), &json.extra),
+            tenants: json.orgs.into_iter().map(TenantSpec::from).collect(),
+            over_quota_weight: json.over_share_worth,
+            poll_endpoint_list: json.discovery == "ask",
+            load_fields: load_fields(&json.load_info.fields),
+            cross_zone_costs: json.prices.cross_zone > 0.0,
+            probe_price: json.prices.probe,
+            memory_grants_supported: json.extra.takes_grants,
+            priorities_supported: json.extra.ranks_heeded,
+            max_memory_share: json.extra.most_grant,
+            memory_exhaustion: memory_exhaustion_policy(&json.extra.out_of_memory),
+            progress_period: json.extra.note_period_ns,
+            reports_cost: json.extra.says_cost,
+            invariants: json.invariants.into(),
+            limits: json.limits.into(),
+        })
+    }
+}
+
+/// Joins a class with its items in the lists of `extra`.
+fn class_spec(
+    class: &ClassJson,
+    extra: &ExtraJson,
+    index: usize,
+) -> Result<ClassSpec, SettingsError> {
+    let zone_ids = |zones: &Vec<u16>| zones.iter().copied().map(ZoneId).collect();
+    let kind_ids = |kinds: &Vec<u16>| kinds.iter().copied().map(KindId).collect();
+    Ok(ClassSpec {
+        priority_weight: class.worth,
+        late_priority_weight: class.late_worth,
+        base_latency_objective: class.promise_ns,
+        objective_slowdown: class.aim_stretch,
+        deadline: class.deadline_ns,
+        idempotency: idempotency(class)?,
+        in_order: class.serial_by_key,
+        threads: item_or(&extra.class_threads, index, 1.0),
+        is_load: item_or(&extra.loads, index, false),
+        waits_for_loads: item_or(&extra.blocked_by_loads, index, false),
+        streams: class.stream,
+        only_zones: class.stays_in.as_ref().map(zone_ids),
+        only_kinds: class.runs_on.as_ref().map(kind_ids),
+    })
+}
+
+fn item_or<T: Copy>(list: &[T], index: usize, default: T) -> T {
+    list.get(index).copied().unwrap_or(default)
+}
+
+fn idempotency(class: &ClassJson) -> Result<Idempotency, SettingsError> {
+    match class.semantics.as_str() {
         "pure" => Ok(Idempotency::Idempotent),
         "token" => Ok(Idempotency::WithKey {
-            scope,
-            window: c.window_ns,
+            scope: deduplication_scope(&class.dedup_scope),
+            window: class.window_ns,
         }),
         "side_effect" => Ok(Idempotency::NonIdempotent),
-        other => Err(format!("classes[].semantics: unknown word {other:?}")),
+        other => Err(SettingsError::UnknownSemantics {
+            semantics: other.to_owned(),
+        }),
+    }
+}
+
+fn deduplication_scope(name: &str) -> Scope {
+    match name {
+        "zone" => Scope::Zone,
+        "cell" => Scope::Cell,
+        _ => Scope::All,
     }
 }
 
+/// The kinds of machine: as many as are listed, or as many as `extra` has cores for.
+fn kind_specs(listed: usize, extra: &ExtraJson) -> Vec<KindSpec> {
+    let count = listed.max(extra.cores_by_kind.len());
+    (0..count)
+        .map(|index| KindSpec {
+            cores: item_or(&extra.cores_by_kind, index, 1.0),
+            memory_mb: item_or(&extra.ram_of_kind_mb, index, 0.0),
+        })
+        .collect()
+}
+
+fn load_fields(names: &[String]) -> Vec<LoadField> {
+    names.iter().map(|name| load_field(name)).collect()
+}
+
 fn load_field(name: &str) -> LoadField {
     match name {
         "outstanding" => LoadField::Inflight,
@@ -134,93 +243,54 @@
     }
 }
 
-/// Reads the settings text of a start event.
-pub fn parse(text: &[u8]) -> Result<Settings, String> {
-    let w: SettingsJson = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-    let flag = |list: &[bool], i: usize| list.get(i).copied().unwrap_or(false);
-    let mut classes = Vec::with_capacity(w.classes.len());
-    for (i, c) in w.classes.iter().enumerate() {
-        classes.push(ClassSpec {
-            priority_weight: c.worth,
-            late_priority_weight: c.late_worth,
-            base_latency_objective: c.promise_ns,
-            objective_slowdown: c.aim_stretch,
-            deadline: c.deadline_ns,
-            idempotency: effect(c)?,
-            in_order: c.serial_by_key,
-            threads: w.extra.class_threads.get(i).copied().unwrap_or(1.0),
-            is_load: flag(&w.extra.loads, i),
-            waits_for_loads: flag(&w.extra.blocked_by_loads, i),
-            streams: c.stream,
-            only_zones: c
-                .stays_in
-                .as_ref()
-                .map(|v| v.iter().copied().map(ZoneId).collect()),
-            only_kinds: c
-                .runs_on
-                .as_ref()
-                .map(|v| v.iter().copied().map(KindId).collect()),
+fn memory_exhaustion_policy(name: &str) -> MemoryExhaustionPolicy {
+    match name {
+        "shrink" => MemoryExhaustionPolicy::Shrink,
+        "page" => MemoryExhaustionPolicy::Page,
+        _ => MemoryExhaustionPolicy::Wait,
+    }
+}
+
+impl From<TenantJson> for TenantSpec {
+    fn from(json: TenantJson) -> TenantSpec {
+        TenantSpec {
+            quota_per_s: json.quota_rps,
+            share: json.share,
+        }
+    }
+}
+
+impl From<InvariantsJson> for Invariants {
+    fn from(json: InvariantsJson) -> Invariants {
+        let retry_budget = json.ratio_span_ns.map(|window| RetryBudget {
+            allowance: json.spare_attempts.unwrap_or(0.0),
+            ratio: json.extra_ratio.unwrap_or(0.0),
+            window,
         });
+        Invariants {
+            answer_slack: json.answer_slack_ns,
+            drain_grace: json.drain_grace_ns,
+            slow_start_from: json.cold_from,
+            slow_start_duration: json.warm_within_ns,
+            overload_multiple: json.fall_multiple,
+            overload_window: json.fall_ns,
+            key_cooldown: json.key_rest_ns,
+            retry_budget,
+            poll_within: json.ask_within_ns,
+        }
+    }
+}
+
+impl From<LimitsJson> for Limits {
+    fn from(json: LimitsJson) -> Limits {
+        Limits {
+            max_attempts: json.send_cap,
+            may_cancel: json.may_cancel,
+            may_probe: json.probing,
+            may_message_peers: json.peers,
+            retry_after: json.retry_after,
+            max_retry_after: json.max_retry_after_ns,
+            hedging: json.second_copies,
+        }
     }
-    let kind_count = w.kinds.len().max(w.extra.cores_by_kind.len());
-    let kind = |i: usize| KindSpec {
-        cores: w.extra.cores_by_kind.get(i).copied().unwrap_or(1.0),
-        memory_mb: w.extra.ram_of_kind_mb.get(i).copied().unwrap_or(0.0),
-    };
-    let extra = w.invariants.ratio_span_ns.map(|span| RetryBudget {
-        allowance: w.invariants.spare_attempts.unwrap_or(0.0),
-        ratio: w.invariants.extra_ratio.unwrap_or(0.0),
-        window: span,
-    });
-    Ok(Settings {
-        gateway_index: w.me,
-        gateways: w.peers_total,
-        zone: ZoneId(w.az),
-        tick: w.quantum_ns,
-        classes,
-        kinds: (0..kind_count).map(kind).collect(),
-        tenants: w
-            .orgs
-            .iter()
-            .map(|o| TenantSpec {
-                quota_per_s: o.quota_rps,
-                share: o.share,
-            })
-            .collect(),
-        over_quota_weight: w.over_share_worth,
-        poll_endpoint_list: w.discovery == "ask",
-        load_fields: w.load_info.fields.iter().map(|f| load_field(f)).collect(),
-        cross_zone_costs: w.prices.cross_zone > 0.0,
-        probe_price: w.prices.probe,
-        memory_grants_supported: w.extra.takes_grants,
-        priorities_supported: w.extra.ranks_heeded,
-        max_memory_share: w.extra.most_grant,
-        memory_exhaustion: match w.extra.out_of_memory.as_str() {
-            "shrink" => MemoryExhaustionPolicy::Shrink,
-            "page" => MemoryExhaustionPolicy::Page,
-            _ => MemoryExhaustionPolicy::Wait,
-        },
-        progress_period: w.extra.note_period_ns,
-        reports_cost: w.extra.says_cost,
-        invariants: Invariants {
-            answer_slack: w.invariants.answer_slack_ns,
-            drain_grace: w.invariants.drain_grace_ns,
-            slow_start_from: w.invariants.cold_from,
-            slow_start_duration: w.invariants.warm_within_ns,
-            overload_multiple: w.invariants.fall_multiple,
-            overload_window: w.invariants.fall_ns,
-            key_cooldown: w.invariants.key_rest_ns,
-            retry_budget: extra,
-            poll_within: w.invariants.ask_within_ns,
-        },
-        limits: Limits {
-            max_attempts: w.limits.send_cap,
-            may_cancel: w.limits.may_cancel,
-            may_probe: w.limits.probing,
-            may_message_peers: w.limits.peers,
-            retry_after: w.limits.retry_after,
-            max_retry_after: w.limits.max_retry_after_ns,
-            hedging: w.limits.second_copies,
-        },
-    })
 }
--- a/src/frontend/jsonrpc.rs
+++ b/src/frontend/jsonrpc.rs
@@ -263,7 +263,7 @@
             Value::String(key) if well_formed(key) => Some(key.as_str().into()),
             // One that no engine could be given unchanged. Where the class has no keys it means
             // nothing.
-            _ if names.keyed.contains(&class.0) => {
+            _ if names.keyed_classes.contains(&class.0) => {
                 return Err((INVALID_PARAMS, "params.once is no key"));
             }
             _ => None,
--- a/src/main.rs
+++ b/src/main.rs
@@ -39,7 +39,7 @@
     let mut http = Http::default();
     let mut ids = std::collections::BTreeSet::new();
     for line in &deploy.engines {
-        let id = clickhouse::engine_id(&line.id)?;
+        let id = clickhouse::engine_id(&line.id).map_err(|e| e.to_string())?;
         ids.insert(id);
         if let Some(addr) = line.addr {
             let place = |list: &[String], name: &str| {
@@ -62,8 +62,8 @@
     }
     http.engines = Rc::new(ids);
     http.login = Rc::new(Credentials {
-        user: deploy.login.user.clone(),
-        key: deploy.login.key.clone(),
+        user: deploy.credentials.user.clone(),
+        key: deploy.credentials.key.clone(),
     });
     Ok(http)
 }
@@ -77,8 +77,8 @@
 ) -> Result<ClickHouseShared, String> {
     let (databases, stopping, next) = (shared.clone(), shared.clone(), Cell::new(config.seed));
     Ok(ClickHouseShared {
-        rules: RefCell::new(ClassRules::new(deploy, names)?),
-        users: RefCell::new(Users::new(deploy, names)?),
+        rules: RefCell::new(ClassRules::new(deploy, names).map_err(|e| e.to_string())?),
+        users: RefCell::new(Users::new(deploy, names).map_err(|e| e.to_string())?),
         deadlines: RefCell::new(
             config
                 .settings
@@ -109,7 +109,7 @@
 fn serve(config: Config, deploy: Option<ClickHouseConfig>, files: Files) -> Result<(), String> {
     let shared = Shared::new(config.limits.sockets, config.limits.memory_mb);
     let life = clock::turn();
-    let settings = net::fleet::membership::settings_hash(&config.text);
+    let settings = net::fleet::membership::settings_hash(&config.json);
     shared.active_configuration.set(ActiveConfiguration {
         generation: 1,
         settings,
@@ -141,7 +141,7 @@
     // With an address for operators there may be a process that this one follows, or one that will
     // follow it.
     let place = config
-        .console
+        .admin_address
         .and_then(|_| hot_restart::socket_path(&config.name));
     let mut taken = place
         .as_deref()
@@ -159,7 +159,7 @@
         let passed = taken
             .as_mut()
             .and_then(|taken| taken.listeners.remove(&addr));
-        let listener = match (passed, config.console) {
+        let listener = match (passed, config.admin_address) {
             (Some(listener), _) => Async::new(listener),
             (None, Some(_)) => client::bind_shared(addr),
             (None, None) => client::bind(addr),
@@ -175,7 +175,7 @@
     let passed = passed
         .collect::<std::io::Result<Vec<_>>>()
         .map_err(|e| format!("the listeners: {e}"))?;
-    let console = config.console.map(|at| {
+    let console = config.admin_address.map(|at| {
         let bound = client::bind(at);
         bound.map_err(|e| format!("{}: can't listen on the console {at}: {e}", config.name))
     });
@@ -193,7 +193,7 @@
         .map(|d| service(d, &config, &names, &shared))
         .transpose()?
         .map(Rc::new);
-    let (last, known) = endpoint_list::parse_known(&config.known, &names)?;
+    let (last, known) = endpoint_list::parse_known(&config.known_events, &names)?;
 
     let tenants = Tenants::new(&names, config.settings.tenants.clone());
     let settings = config.settings.clone();
@@ -254,15 +254,15 @@
     });
     let live: process::LiveNames = Rc::new(RefCell::new(names.clone()));
     let mut reload = Reload {
-        path: files.config,
+        config_path: files.config,
         names: live.clone(),
         settings: RefCell::new(settings),
-        text: RefCell::new(config.text),
+        json: RefCell::new(config.json),
         listen,
-        second: None,
+        clickhouse: None,
         shared: shared.clone(),
         coordinator,
-        core: core.clone(),
+        dispatcher: core.clone(),
     };
     if let Some(console) = console {
         shared.admin_enabled.set(true);
@@ -337,11 +337,11 @@
     if let (Some(service), Some(listener), Some(deploy)) = (second, second_listener, deploy) {
         let file = Rc::new(RefCell::new(service.users.borrow().clone()));
         let directory = deploy.directory.is_some();
-        reload.second = files.deploy.map(|path| ClickHouseFrontend {
+        reload.clickhouse = files.deploy.map(|path| ClickHouseFrontend {
             path,
             service: service.clone(),
-            file: file.clone(),
-            directory,
+            file_users: file.clone(),
+            has_directory: directory,
         });
         let reader = deploy.directory.map(|line| {
             let (service, core) = (service.clone(), core.clone());
@@ -371,7 +371,7 @@
         while let Some(Ok(signal)) = signals.next().await {
             let input = match signal {
                 Signal::Usr1 => DispatcherEvent::PrintCounters,
-                Signal::Hup => match reload.again().await {
+                Signal::Hup => match reload.reload().await {
                     Ok(()) => {
                         log!("read the configuration again");
                         DispatcherEvent::Reloaded(true)
@@ -401,7 +401,11 @@
         std::env::var_os("PROXY_CONFIG").ok_or("PROXY_CONFIG names no configuration file")?;
     let mut files = std::env::args_os().skip(1);
     let second = files.next().map(PathBuf::from);
-    let deploy = second.as_deref().map(clickhouse::read).transpose()?;
+    let deploy = second
+        .as_deref()
+        .map(clickhouse::read)
+        .transpose()
+        .map_err(|e| e.to_string())?;
     if files.next().is_some() {
         return Err("use: yokelift [DEPLOY-FILE]".into());
     }
@@ -418,10 +422,10 @@
         deploy: second,
         fleet: fleet.transpose()?,
     };
-    let mut config = process::read(&files.config)?;
+    let mut config = process::read(&files.config).map_err(|e| e.to_string())?;
     if let Some(at) = std::env::var_os("PROXY_CONSOLE").filter(|at| !at.is_empty()) {
         let at = at.to_str().and_then(|at| at.parse().ok());
-        config.console = Some(at.ok_or("PROXY_CONSOLE is no address")?);
+        config.admin_address = Some(at.ok_or("PROXY_CONSOLE is no address")?);
     }
     serve(config, deploy, files)
 }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -1,15 +1,17 @@
-//! A new configuration while the program runs, on SIGHUP: all of it is read and checked, then
-//! applied as one new generation; requests and engines stay. A file that can't be used leaves
-//! everything as it was.
+//! Reload of the configuration while the process runs, on SIGHUP: all files are read and validated
+//! first, then applied as one new generation. Open requests and engines are not affected. If a file
+//! can't be used, nothing changes.
 use super::Shared;
 use super::discovery::coordinator::CoordinatorMigration;
-use super::discovery::endpoint_list::parse_known;
+use super::discovery::endpoint_list::{Update, parse_known};
 use super::dispatcher::DispatcherEvent;
 use super::fleet::membership::settings_hash;
 use crate::class_registry::Class;
 use crate::clock::micros;
-use crate::config::clickhouse::{self, ClassRules, Users};
-use crate::config::process::{self, Config, LiveNames, Names};
+use crate::config::FileError;
+use crate::config::clickhouse::{self, ClassRules, ClickHouseConfig, ClickHouseConfigError, Users};
+use crate::config::completeness::missing_key;
+use crate::config::process::{self, Config, LiveNames, Names, ProcessConfigError, keyed_classes};
 use crate::frontend::clickhouse::ClickHouseShared;
 use crate::log;
 use crate::policy::api::Settings;
@@ -19,156 +21,238 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
+use thiserror::Error;
 
-/// The second front, as far as its file can change it.
+/// Why a new configuration can't be used.
+#[derive(Debug, Error)]
+pub enum ReloadError {
+    /// The configuration file can't be read or is invalid.
+    #[error("{0}")]
+    Config(#[from] FileError<ProcessConfigError>),
+    /// The configuration file lacks a key that the configuration in force has.
+    #[error("{}: not whole: there is no {key}", path.display())]
+    Incomplete {
+        /// The file.
+        path: PathBuf,
+        /// The key's path.
+        key: String,
+    },
+    /// The coordinator's events in the configuration are invalid.
+    #[error("{0}")]
+    KnownEvents(String),
+    /// The file of the ClickHouse frontend can't be read or is invalid.
+    #[error("{0}")]
+    ClickHouseFile(#[from] FileError<ClickHouseConfigError>),
+    /// The file of the ClickHouse frontend has names that the settings lack.
+    #[error("{0}")]
+    ClickHouseNames(#[from] ClickHouseConfigError),
+}
+
+/// The part of the ClickHouse frontend that its file configures.
 pub struct ClickHouseFrontend {
-    /// The deploy file.
+    /// The file.
     pub path: PathBuf,
-    /// Whose users and rules these are.
+    /// What its connections share: rules, users, deadlines.
     pub service: Rc<ClickHouseShared>,
-    /// The users of the file, where a directory adds others; those come with its next reading.
-    pub file: Rc<RefCell<Users>>,
-    /// Whether a directory has the tenants' shares and further users.
-    pub directory: bool,
+    /// The file's users, without those of the directory.
+    pub file_users: Rc<RefCell<Users>>,
+    /// Whether a directory provides the tenants' shares and further users. They are merged with the
+    /// file's at its next read.
+    pub has_directory: bool,
 }
 
-/// Reads the files again and hands out what is new.
+/// Reloads the configuration and distributes what is new.
 pub struct Reload {
     /// The configuration file.
-    pub path: PathBuf,
-    /// The names in force; only a restart changes others than those of classes.
+    pub config_path: PathBuf,
+    /// The names in force. Only the classes' can change without a restart.
     pub names: LiveNames,
     /// The settings in force.
     pub settings: RefCell<Settings>,
-    /// The file in force.
-    pub text: RefCell<serde_json::Value>,
+    /// The configuration in force, as JSON.
+    pub json: RefCell<serde_json::Value>,
     /// Where clients connect, which only a restart changes.
     pub listen: SocketAddr,
-    /// The second front, if there is one.
-    pub second: Option<ClickHouseFrontend>,
+    /// The ClickHouse frontend, if there is one.
+    pub clickhouse: Option<ClickHouseFrontend>,
     /// What all actors share.
     pub shared: Rc<Shared>,
-    /// The coordinator's actor.
+    /// The actor of the coordinator's connection.
     pub coordinator: Sender<CoordinatorMigration>,
-    /// The module.
-    pub core: Sender<DispatcherEvent>,
+    /// The dispatcher's actor.
+    pub dispatcher: Sender<DispatcherEvent>,
+}
+
+/// A configuration that was read and validated, and is not applied yet.
+struct NewConfiguration<'a> {
+    config: Config,
+    known_events: Vec<Update>,
+    /// The names in force with the new classes.
+    names: Names,
+    clickhouse: Option<NewClickHouse<'a>>,
+}
+
+struct NewClickHouse<'a> {
+    frontend: &'a ClickHouseFrontend,
+    config: ClickHouseConfig,
+    users: Users,
 }
 
+/// A class by its id after the reload, and whether it is in force: removed classes keep their ids.
+type ReloadedClass = (Class, bool);
+
 impl Reload {
-    /// Reads both files; only if both can be used is anything changed.
-    pub async fn again(&self) -> Result<(), String> {
-        let config = process::read(&self.path)?;
-        if let Some(key) = process::lacks(&config.text, &self.text.borrow()) {
-            return Err(format!(
-                "{}: not whole: there is no {key}",
-                self.path.display()
-            ));
-        }
-        let names = self.names.borrow().clone();
-        let (_, known) = parse_known(&config.known, &names)?;
-        let classes = config.names.classes.clone();
-        let keyed = config.names.keyed.clone();
-        let next = Names {
-            classes,
-            keyed,
-            dropped: BTreeSet::new(),
-            ..(*names).clone()
-        };
-        let second = self.second.as_ref().map(|second| {
-            let deploy = clickhouse::read(&second.path)?;
-            ClassRules::new(&deploy, &next)?;
-            let users = Users::new(&deploy, &next)?;
-            Ok::<_, String>((second, deploy, users))
-        });
-        let second = second.transpose()?;
-        if config.listen != self.listen || config.names != next {
+    /// Reads and validates all files, then applies them.
+    ///
+    /// # Errors
+    ///
+    /// Fails, and changes nothing, if a file can't be used.
+    pub async fn reload(&self) -> Result<(), ReloadError> {
+        let new = self.read()?;
+        if new.config.listen != self.listen || new.config.names != new.names {
             log!(
                 "another address, or other names than those of classes, need a restart: the old ones stand"
             );
         }
-        // From here on all of it is taken.
-        self.shared
-            .set_limits(config.limits.sockets, config.limits.memory_mb);
-        let classes = self.retune(&config).await;
-        let names = Rc::new(Names {
-            classes: classes
-                .iter()
-                .map(|(class, _)| class.name.to_string())
-                .collect(),
-            keyed: process::keyed(classes.iter().map(|(class, _)| &class.spec)),
-            dropped: (0..)
-                .zip(&classes)
-                .filter(|(_, (_, in_force))| !in_force)
-                .map(|(at, _)| at)
-                .collect(),
-            ..next
-        });
+        self.apply(new).await
+    }
+
+    fn read(&self) -> Result<NewConfiguration<'_>, ReloadError> {
+        let config = process::read(&self.config_path)?;
+        if let Some(key) = missing_key(&config.json, &self.json.borrow()) {
+            return Err(ReloadError::Incomplete {
+                path: self.config_path.clone(),
+                key,
+            });
+        }
+        let names_in_force = self.names.borrow().clone();
+        let (_, known_events) = parse_known(&config.known_events, &names_in_force)
+            .map_err(|error| ReloadError::KnownEvents(error.to_string()))?;
+        let names = Names {
+            classes: config.names.classes.clone(),
+            keyed_classes: config.names.keyed_classes.clone(),
+            removed_classes: BTreeSet::new(),
+            ..(*names_in_force).clone()
+        };
+        let clickhouse = self.read_clickhouse(&names)?;
+        Ok(NewConfiguration {
+            config,
+            known_events,
+            names,
+            clickhouse,
+        })
+    }
+
+    fn read_clickhouse(&self, names: &Names) -> Result<Option<NewClickHouse<'_>>, ReloadError> {
+        let Some(frontend) = &self.clickhouse else {
+            return Ok(None);
+        };
+        let config = clickhouse::read(&frontend.path)?;
+        ClassRules::new(&config, names)?;
+        let users = Users::new(&config, names)?;
+        Ok(Some(NewClickHouse {
+            frontend,
+            config,
+            users,
+        }))
+    }
+
+    async fn apply(&self, new: NewConfiguration<'_>) -> Result<(), ReloadError> {
+        let config = new.config;
+        let limits = config.limits;
+        self.shared.set_limits(limits.sockets, limits.memory_mb);
+        let classes = self.apply_settings(&config).await;
+        let names = Rc::new(with_classes(new.names, &classes));
         *self.names.borrow_mut() = names.clone();
-        if let Some((second, deploy, users)) = second {
-            let service = &second.service;
-            *service.deadlines.borrow_mut() = classes
-                .iter()
-                .map(|(c, _)| micros(c.spec.deadline))
-                .collect();
-            *service.loads.borrow_mut() = classes.iter().map(|(c, _)| c.spec.is_load).collect();
-            *service.rules.borrow_mut() = ClassRules::new(&deploy, &names)?;
-            *second.file.borrow_mut() = users.clone();
-            if !second.directory {
-                *service.users.borrow_mut() = users;
-            }
+        if let Some(clickhouse) = new.clickhouse {
+            clickhouse.apply(&classes, &names)?;
         }
-        self.shares(&config).await;
-        *self.text.borrow_mut() = config.text;
-        let _ = self
-            .coordinator
-            .send(CoordinatorMigration {
-                addr: Some(config.coordinator),
-                known,
-            })
-            .await;
+        self.apply_tenants(&config).await;
+        *self.json.borrow_mut() = config.json;
+        let migration = CoordinatorMigration {
+            addr: Some(config.coordinator),
+            known: new.known_events,
+        };
+        let _ = self.coordinator.send(migration).await;
         Ok(())
     }
 
-    /// Gives the module its new settings. Who it is, and what the places in lists mean, stands
-    /// until a restart.
-    async fn retune(&self, config: &Config) -> Vec<(Class, bool)> {
-        let old = self.settings.borrow().clone();
-        let new = config.settings.clone();
+    /// Gives the dispatcher its new settings, and returns all classes by their ids. The manager's
+    /// identity and the lists that other settings index stay until a restart.
+    async fn apply_settings(&self, config: &Config) -> Vec<ReloadedClass> {
+        let in_force = self.settings.borrow().clone();
         let settings = Settings {
-            gateway_index: old.gateway_index,
-            gateways: old.gateways,
-            zone: old.zone,
-            tick: old.tick,
-            kinds: old.kinds,
-            tenants: old.tenants,
-            poll_endpoint_list: old.poll_endpoint_list,
-            load_fields: old.load_fields,
-            ..new
+            gateway_index: in_force.gateway_index,
+            gateways: in_force.gateways,
+            zone: in_force.zone,
+            tick: in_force.tick,
+            kinds: in_force.kinds,
+            tenants: in_force.tenants,
+            poll_endpoint_list: in_force.poll_endpoint_list,
+            load_fields: in_force.load_fields,
+            ..config.settings.clone()
         };
         *self.settings.borrow_mut() = settings.clone();
-        let (done, told) = bounded(1);
-        let names = config.names.classes.clone();
-        let hash = settings_hash(&config.text);
-        let _ = self
-            .core
-            .send(DispatcherEvent::Reconfigure(
-                Box::new(settings),
-                names,
-                hash,
-                done,
-            ))
-            .await;
-        told.recv().await.unwrap_or_default()
+        let (applied, classes) = bounded(1);
+        let reconfigure = DispatcherEvent::Reconfigure(
+            Box::new(settings),
+            config.names.classes.clone(),
+            settings_hash(&config.json),
+            applied,
+        );
+        let _ = self.dispatcher.send(reconfigure).await;
+        classes.recv().await.unwrap_or_default()
+    }
+
+    /// Gives the dispatcher the tenants' new shares, unless a directory provides them or the tenants
+    /// are others.
+    async fn apply_tenants(&self, config: &Config) {
+        let has_directory = self
+            .clickhouse
+            .as_ref()
+            .is_some_and(|frontend| frontend.has_directory);
+        let same_tenants = config.names.tenants == self.names.borrow().tenants;
+        if !has_directory && same_tenants {
+            let tenants = DispatcherEvent::Tenants(config.settings.tenants.clone());
+            let _ = self.dispatcher.send(tenants).await;
+        }
     }
+}
 
-    async fn shares(&self, config: &Config) {
-        let theirs = self.second.as_ref().is_some_and(|second| second.directory);
-        let same = config.names.tenants == self.names.borrow().tenants;
-        if !theirs && same {
-            let _ = self
-                .core
-                .send(DispatcherEvent::Tenants(config.settings.tenants.clone()))
-                .await;
+impl NewClickHouse<'_> {
+    fn apply(self, classes: &[ReloadedClass], names: &Names) -> Result<(), ClickHouseConfigError> {
+        let service = &self.frontend.service;
+        *service.deadlines.borrow_mut() = classes
+            .iter()
+            .map(|(class, _)| micros(class.spec.deadline))
+            .collect();
+        *service.loads.borrow_mut() = classes
+            .iter()
+            .map(|(class, _)| class.spec.is_load)
+            .collect();
+        *service.rules.borrow_mut() = ClassRules::new(&self.config, names)?;
+        *self.frontend.file_users.borrow_mut() = self.users.clone();
+        if !self.frontend.has_directory {
+            *service.users.borrow_mut() = self.users;
         }
+        Ok(())
+    }
+}
+
+/// The names with the classes as the dispatcher numbers them.
+fn with_classes(names: Names, classes: &[ReloadedClass]) -> Names {
+    let removed_classes = (0..)
+        .zip(classes)
+        .filter(|(_, (_, in_force))| !in_force)
+        .map(|(id, _)| id)
+        .collect();
+    Names {
+        classes: classes
+            .iter()
+            .map(|(class, _)| class.name.to_string())
+            .collect(),
+        keyed_classes: keyed_classes(classes.iter().map(|(class, _)| &class.spec)),
+        removed_classes,
+        ..names
     }
 }
--- a/tests/unit/jsonrpc.rs
+++ b/tests/unit/jsonrpc.rs
@@ -137,7 +137,7 @@
     let ask = |class: &str, once: Value| {
         let mut front = front();
         let keyed = Names {
-            keyed: [1].into(),
+            keyed_classes: [1].into(),
             ..(**front.names.borrow()).clone()
         };
         *front.names.borrow_mut() = Rc::new(keyed);
