--- a/src/lib.rs
+++ b/src/lib.rs
@@ -27,6 +27,7 @@
 pub mod net;
 pub mod policy;
 pub mod spool;
+pub mod startup;
 pub mod statement;
 pub mod tenant_directory;
 pub mod testkit;
--- a/src/net/hot_restart/predecessor_session.rs
+++ b/src/net/hot_restart/predecessor_session.rs
@@ -304,9 +304,11 @@
     }
 
     async fn report_share(&mut self) -> io::Result<()> {
-        let lifecycle = self.shared.lifecycle.borrow();
-        let share = lifecycle.share_reserved_for_predecessors();
-        drop(lifecycle);
+        let share = self
+            .shared
+            .lifecycle
+            .borrow()
+            .share_reserved_for_predecessors();
         if (share - self.reported_share).abs() > MIN_REPORTED_SHARE_CHANGE {
             self.reported_share = share;
             self.write(HotRestartMessage::ReservedShare { share })
--- /dev/null
+++ b/src/startup/clickhouse.rs
@@ -0,0 +1,159 @@
+//! Start of the ClickHouse frontend: its engines, what its connections share, and its listener.
+use super::files::ClickHouseFile;
+use super::{StartContext, StartError};
+use crate::backend::clickhouse::Credentials;
+use crate::clock;
+use crate::config::clickhouse::{self, ClassRules, ClickHouseConfig, DirectoryConfig, Users};
+use crate::config::process::{Config, Names};
+use crate::frontend::clickhouse::{ClickHouse, ClickHouseShared};
+use crate::net::discovery::endpoint_list::{self, Http};
+use crate::net::reload::ClickHouseFrontend;
+use crate::net::{Shared, client, tenant_directory};
+use crate::policy::api::Readiness;
+use crate::tenant_directory::Tenants;
+use async_io::Async;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeSet;
+use std::net::TcpListener;
+use std::path::PathBuf;
+use std::rc::Rc;
+
+/// Step of the sequence of request names, coprime with 2^64: every number occurs once before any
+/// occurs again.
+const REQUEST_NAME_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
+
+/// What is derived from the frontend's file before any actor starts.
+pub(super) struct ClickHouseStart {
+    path: PathBuf,
+    engines: Http,
+    service: Rc<ClickHouseShared>,
+    directory: Option<DirectoryConfig>,
+    tenants: Tenants,
+}
+
+impl ClickHouseStart {
+    /// Resolves the file's names with those of the settings.
+    pub(super) fn prepare(
+        file: &ClickHouseFile,
+        config: &Config,
+        shared: &Rc<Shared>,
+    ) -> Result<ClickHouseStart, StartError> {
+        Ok(ClickHouseStart {
+            path: file.path.clone(),
+            engines: engines(&file.config, &config.names)?,
+            service: Rc::new(shared_state(&file.config, config, shared)?),
+            directory: file.config.directory.clone(),
+            tenants: Tenants::new(&config.names, config.settings.tenants.clone()),
+        })
+    }
+
+    /// The engines that speak the ClickHouse interface.
+    pub(super) fn engines(&self) -> Http {
+        self.engines.clone()
+    }
+
+    /// Starts the listener, and the directory's reader before it if there is a directory.
+    pub(super) fn start(
+        self,
+        context: &StartContext,
+        listener: Async<TcpListener>,
+    ) -> ClickHouseFrontend {
+        let service = self.service;
+        let file_users = Rc::new(RefCell::new(service.users.borrow().clone()));
+        let frontend = ClickHouseFrontend {
+            path: self.path,
+            service: service.clone(),
+            file_users: file_users.clone(),
+            has_directory: self.directory.is_some(),
+        };
+        let reader = self.directory.map(|directory| tenant_directory::Reader {
+            line: directory,
+            file: file_users,
+            tenants: self.tenants,
+            service: service.clone(),
+            core: context.dispatcher.clone(),
+        });
+        let connection = move |conn| ClickHouse::new(conn, service.clone());
+        let shared = context.shared.clone();
+        let dispatcher = context.dispatcher.clone();
+        let serving = context.serving.clone();
+        context.shared.spawn(async move {
+            // Clients that connect before the first read wait in the listen queue. Their users would
+            // be unknown otherwise.
+            if let Some(mut reader) = reader {
+                let pause_s = reader.once().await;
+                shared.spawn(reader.run(pause_s));
+            }
+            serving.wait_until_open().await;
+            client::listen(shared, dispatcher, listener, connection).await;
+        });
+        frontend
+    }
+}
+
+/// The engines of the file. Those with an address are not in the coordinator's list, and always in
+/// service.
+fn engines(file: &ClickHouseConfig, names: &Names) -> Result<Http, StartError> {
+    let mut ids = BTreeSet::new();
+    let mut fixed = Vec::new();
+    for engine in &file.engines {
+        let id = clickhouse::engine_id(&engine.id)?;
+        ids.insert(id);
+        if let Some(address) = engine.addr {
+            let zone = index_or_first(&names.zones, &engine.zone);
+            let kind = index_or_first(&names.kinds, &engine.kind);
+            let place = (zone, kind, 0);
+            let id = id.0 as u32;
+            let ready = Readiness::Ready;
+            fixed.push(endpoint_list::listed(id, address, ready, place, 1.0, 0));
+        }
+    }
+    Ok(Http {
+        engines: Rc::new(ids),
+        login: Rc::new(Credentials {
+            user: file.credentials.user.clone(),
+            key: file.credentials.key.clone(),
+        }),
+        fixed,
+    })
+}
+
+/// The index of a name, 0 if the settings lack it.
+fn index_or_first(names: &[String], name: &str) -> u16 {
+    let index = names.iter().position(|candidate| candidate == name);
+    index.unwrap_or(0) as u16
+}
+
+/// What all connections of the frontend share.
+fn shared_state(
+    file: &ClickHouseConfig,
+    config: &Config,
+    shared: &Rc<Shared>,
+) -> Result<ClickHouseShared, StartError> {
+    let classes = &config.settings.classes;
+    let deadlines = classes
+        .iter()
+        .map(|class| clock::micros(class.deadline))
+        .collect();
+    let loads = classes.iter().map(|class| class.is_load).collect();
+    let for_databases = shared.clone();
+    let for_stopping = shared.clone();
+    Ok(ClickHouseShared {
+        rules: RefCell::new(ClassRules::new(file, &config.names)?),
+        users: RefCell::new(Users::new(file, &config.names)?),
+        deadlines: RefCell::new(deadlines),
+        loads: RefCell::new(loads),
+        databases: Box::new(move || for_databases.engines_know_databases.get()),
+        stopping: Box::new(move || for_stopping.lifecycle.borrow().announces_close()),
+        new_key: Box::new(request_names(config.seed)),
+    })
+}
+
+/// Generates names that do not repeat, from a start that differs with each process.
+fn request_names(seed: u64) -> impl Fn() -> String {
+    let last = Cell::new(seed);
+    move || {
+        last.set(last.get().wrapping_add(REQUEST_NAME_STEP));
+        format!("{:016x}", last.get())
+    }
+}
--- /dev/null
+++ b/src/startup/hot_restart.rs
@@ -0,0 +1,77 @@
+//! Start of the hot restart: follows the predecessor if there is one, then accepts successors.
+use super::sockets::HotRestartSockets;
+use super::{StartContext, readiness};
+use crate::clock;
+use crate::config::process::Config;
+use crate::frontend::jsonrpc::JsonRpc;
+use crate::net::client;
+use crate::net::hot_restart::{
+    AdoptConnection, Predecessor, TransferredState, accept_successors, follow_predecessor,
+};
+use async_channel::bounded;
+use async_io::Async;
+use std::rc::Rc;
+
+/// With a predecessor this process serves, and accepts successors, once it can serve; until then the
+/// predecessor accepts all clients. Without one it does so at once.
+pub(super) fn start(context: &StartContext, config: &Config, sockets: HotRestartSockets) {
+    let listeners = sockets.listeners;
+    let predecessor = sockets.socket_path.map(|socket_path| Predecessor {
+        socket_path,
+        name: config.name.clone(),
+        listeners,
+    });
+    let shared = context.shared.clone();
+    let serving = context.serving.clone();
+    let start_serving = move || {
+        serving.open();
+        if let Some(predecessor) = predecessor {
+            shared.spawn(accept_successors(shared.clone(), predecessor));
+        }
+    };
+    let Some(transferred) = sockets.transferred else {
+        start_serving();
+        return;
+    };
+    adopt_lifecycle(context, &transferred);
+    context.shared.spawn(follow_predecessor(
+        context.shared.clone(),
+        transferred,
+        adopt_connection(context),
+        start_serving,
+    ));
+}
+
+/// Takes over the predecessor's drain, and leaves it its share.
+fn adopt_lifecycle(context: &StartContext, transferred: &TransferredState) {
+    let mut lifecycle = context.shared.lifecycle.borrow_mut();
+    lifecycle.set_predecessor_share(transferred.reserved_share);
+    if transferred.draining {
+        lifecycle.drain(clock::turn());
+    }
+}
+
+fn adopt_connection(context: &StartContext) -> AdoptConnection {
+    let shared = context.shared.clone();
+    let dispatcher = context.dispatcher.clone();
+    let names = context.names.clone();
+    let ready = readiness(&shared);
+    Box::new(move |stream, adopted| {
+        let conn = shared.next_conn.get();
+        shared.next_conn.set(conn + 1);
+        let frontend = JsonRpc::new(conn, names.clone(), Rc::clone(&ready));
+        let frontend = JsonRpc::resume(clock::turn(), &adopted.handed, frontend);
+        match Async::new(stream) {
+            Ok(stream) => client::start(
+                &shared,
+                dispatcher.clone(),
+                stream,
+                conn,
+                frontend,
+                Some(adopted),
+            ),
+            // Responses are sent to a channel without a receiver, as if the client had disconnected.
+            Err(_) => bounded(1).0,
+        }
+    })
+}
--- /dev/null
+++ b/src/startup/mod.rs
@@ -0,0 +1,212 @@
+//! Start of the daemon: reads its files, opens its sockets, and starts the actors. [`run`] returns
+//! once the process was asked to stop and every request is answered.
+mod clickhouse;
+mod discovery;
+mod error;
+mod files;
+mod hot_restart;
+mod signals;
+mod sockets;
+
+pub use error::StartError;
+pub use files::Options;
+
+use crate::audit::{ActiveConfiguration, DecisionContext};
+use crate::clock::{self, Micros};
+use crate::config::process::{Config, LiveNames};
+use crate::dispatcher::Dispatcher;
+use crate::dispatcher::metrics::Counters;
+use crate::frontend::jsonrpc::JsonRpc;
+use crate::net::audit::AuditWriter;
+use crate::net::discovery::coordinator::CoordinatorMigration;
+use crate::net::dispatcher::DispatcherEvent;
+use crate::net::fleet::membership::{self, MembershipService};
+use crate::net::reload::Reload;
+use crate::net::{self, Shared, client, dispatcher};
+use async_channel::{Receiver, Sender, bounded};
+use async_io::{Async, block_on};
+use clickhouse::ClickHouseStart;
+use discovery::KnownEvents;
+use files::ConfigurationFiles;
+use sockets::{FleetSocket, Sockets};
+use std::cell::RefCell;
+use std::net::TcpListener;
+use std::rc::Rc;
+
+/// What the start passes to each of its steps.
+struct StartContext {
+    shared: Rc<Shared>,
+    /// Unix time of the process's start, which identifies it among those of the same name.
+    incarnation: Micros,
+    names: LiveNames,
+    dispatcher: Sender<DispatcherEvent>,
+    coordinator: Sender<CoordinatorMigration>,
+    serving: ServingGate,
+}
+
+/// Holds the frontends' listeners back until this process serves.
+#[derive(Clone)]
+struct ServingGate {
+    open: Sender<()>,
+    opened: Receiver<()>,
+}
+
+impl ServingGate {
+    fn closed() -> ServingGate {
+        let (open, opened) = bounded(1);
+        ServingGate { open, opened }
+    }
+
+    fn open(&self) {
+        self.open.close();
+    }
+
+    async fn wait_until_open(&self) {
+        let _ = self.opened.recv().await;
+    }
+}
+
+/// Runs the daemon until it has stopped, and returns what it counted.
+///
+/// # Errors
+///
+/// Fails if a file can't be used or a socket can't be opened. Nothing was served then.
+pub fn run(options: &Options) -> Result<Counters, StartError> {
+    let files = ConfigurationFiles::read(options)?;
+    let config = &files.config;
+    let shared = Shared::new(config.limits.sockets, config.limits.memory_mb);
+    let incarnation = clock::turn();
+    publish_configuration(&shared, config);
+    let audit = start_audit(&shared, &files, incarnation)?;
+    let sockets = Sockets::open(&files)?;
+    let signals = signals::subscribe()?;
+    let clickhouse = files
+        .clickhouse
+        .as_ref()
+        .map(|file| ClickHouseStart::prepare(file, config, &shared))
+        .transpose()?;
+    let known_events = KnownEvents::parse(config)?;
+
+    let dispatcher = new_dispatcher(&shared, config);
+    let (events, mailbox) = bounded(dispatcher::MAILBOX);
+    let (migrations, migration_mailbox) = bounded(1);
+    let context = StartContext {
+        shared: shared.clone(),
+        incarnation,
+        names: Rc::new(RefCell::new(Rc::new(config.names.clone()))),
+        dispatcher: events,
+        coordinator: migrations,
+        serving: ServingGate::closed(),
+    };
+    if let Some(socket) = sockets.fleet {
+        start_membership(&context, config, socket);
+    }
+    let engines = clickhouse.as_ref().map(ClickHouseStart::engines);
+    let engines = engines.unwrap_or_default();
+    discovery::start(&context, config, known_events, engines, migration_mailbox);
+    if let Some(listener) = sockets.admin {
+        start_admin(&shared, listener);
+    }
+    hot_restart::start(&context, config, sockets.hot_restart);
+    start_platform_frontend(&context, sockets.clients);
+    let clickhouse = clickhouse
+        .zip(sockets.clickhouse)
+        .map(|(frontend, listener)| frontend.start(&context, listener));
+    let reload = Reload {
+        config_path: files.config_path,
+        names: context.names.clone(),
+        listen: files.config.listen,
+        settings: RefCell::new(files.config.settings),
+        json: RefCell::new(files.config.json),
+        clickhouse,
+        shared: shared.clone(),
+        coordinator: context.coordinator.clone(),
+        dispatcher: context.dispatcher.clone(),
+    };
+    signals::start(&context, signals, reload);
+    let executor = shared.executor.clone();
+    let run = dispatcher::run(shared, dispatcher, mailbox, audit);
+    Ok(block_on(executor.run(run)).counters)
+}
+
+/// Records the first generation of the configuration.
+fn publish_configuration(shared: &Shared, config: &Config) {
+    shared.active_configuration.set(ActiveConfiguration {
+        generation: 1,
+        settings: membership::settings_hash(&config.json),
+        list: 0,
+    });
+}
+
+/// Starts the audit if the fleet file asks for it.
+fn start_audit(
+    shared: &Rc<Shared>,
+    files: &ConfigurationFiles,
+    incarnation: Micros,
+) -> Result<Option<AuditWriter>, StartError> {
+    let Some(bounds) = files.fleet.as_ref().and_then(|fleet| fleet.audit) else {
+        return Ok(None);
+    };
+    let context = DecisionContext {
+        member: files.config.name.clone(),
+        life: incarnation,
+        build: membership::build(),
+        acting: shared.active_configuration.get(),
+        since: incarnation,
+    };
+    net::audit::start(shared, context, bounds)
+        .map(Some)
+        .map_err(|error| StartError::Audit(error.to_string()))
+}
+
+fn new_dispatcher(shared: &Shared, config: &Config) -> Dispatcher {
+    let mut dispatcher = Dispatcher::new(
+        clock::turn(),
+        config.settings.clone(),
+        &config.names.classes,
+        config.seed,
+    );
+    dispatcher.set_statement_limit(shared.max_unread_bytes.get());
+    dispatcher
+}
+
+fn start_membership(context: &StartContext, config: &Config, socket: FleetSocket) {
+    let service = MembershipService {
+        name: config.name.clone(),
+        life: context.incarnation,
+        fleet: socket.config,
+        managers: config.settings.gateways,
+        module: context.dispatcher.clone(),
+        coordinator: context.coordinator.clone(),
+    };
+    context.shared.spawn(membership::take_seat(
+        context.shared.clone(),
+        socket.socket,
+        socket.address,
+        service,
+    ));
+}
+
+fn start_admin(shared: &Rc<Shared>, listener: Async<TcpListener>) {
+    shared.admin_enabled.set(true);
+    shared.spawn(net::admin::listen(shared.clone(), listener));
+}
+
+/// Whether the process is ready, for the frontends of its connections.
+fn readiness(shared: &Rc<Shared>) -> Rc<dyn Fn() -> bool> {
+    let shared = shared.clone();
+    Rc::new(move || shared.lifecycle.borrow().is_ready())
+}
+
+fn start_platform_frontend(context: &StartContext, listener: Async<TcpListener>) {
+    let names = context.names.clone();
+    let ready = readiness(&context.shared);
+    let frontend = move |conn| JsonRpc::new(conn, names.clone(), ready.clone());
+    let shared = context.shared.clone();
+    let dispatcher = context.dispatcher.clone();
+    let serving = context.serving.clone();
+    context.shared.spawn(async move {
+        serving.wait_until_open().await;
+        client::listen(shared, dispatcher, listener, frontend).await;
+    });
+}
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,39 +1,45 @@
-//! Daily operation of the daemon as it is shipped, between stand-ins on loopback.
+//! Operation of the daemon as it is shipped, between stand-ins on loopback: drain, reload, hot
+//! restart, admin endpoint.
+use serde_json::json;
+use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
+use std::process::{Command, Output};
+use yokelift::testkit::daemon::{self, Folder};
 use yokelift::testkit::scenario;
 
+/// Plays a scenario, and fails with each of its steps that did not turn out as written.
 fn play(text: &str) {
     let daemon = Path::new(env!("CARGO_BIN_EXE_yokelift"));
-    if let Err(wrong) = scenario::play(daemon, text, &mut |_| {}) {
-        panic!("{}", wrong.join("\n"));
+    if let Err(failures) = scenario::play(daemon, text, &mut |_| {}) {
+        panic!("{}", failures.join("\n"));
     }
 }
 
-/// Guards readiness, the figures, and clients that are sent away: none is held, none loses a
+/// Guards readiness, the metrics, and the clients of a draining process: none is kept, none loses a
 /// request.
 #[test]
-fn a_drain_lets_clients_go_and_loses_nothing() {
+fn a_drain_closes_idle_connections_and_loses_no_request() {
     play(include_str!("../scenarios/drain.txt"));
 }
 
-/// Guards open requests against new rules, and new ones against old rules; and that a bad file
-/// changes nothing.
+/// Guards open requests against new settings and new requests against old ones, and that an invalid
+/// file changes nothing.
 #[test]
-fn a_new_configuration_is_taken_whole_or_not_at_all() {
+fn a_reload_applies_all_of_a_configuration_or_none_of_it() {
     play(include_str!("../scenarios/retune.txt"));
 }
 
-/// Guards each request through a change of versions: one answer, a load run once, no connection
-/// lost.
+/// Guards each request through a change of versions: one response, a load executed once, no
+/// connection lost.
 #[test]
-fn a_new_version_takes_over_and_nobody_notices() {
+fn a_hot_restart_keeps_every_connection_and_request() {
     play(include_str!("../scenarios/upgrade.txt"));
 }
 
-/// Guards the process that runs against a successor that dies before or after its yes: it serves
-/// on, and another can follow.
+/// Guards the running process against a successor that dies before or after it serves: the
+/// predecessor serves on, and another successor can follow.
 #[test]
-fn a_new_version_that_dies_leaves_the_old_one_serving() {
+fn a_predecessor_serves_on_when_its_successor_dies() {
     play(
         "engine one platform\nconsole\nstart\nkeep client\nfollow\nkill newer\n\
         ask a on client lookup billing-desk 9000 SELECT 1\nexpect a served\n\
@@ -43,10 +49,10 @@
     );
 }
 
-/// Guards clients whose connection passed on before its old process was killed: what it had open
-/// fails at once, the load is not run again, and the connection goes on.
+/// Guards clients whose connections were transferred before the predecessor was killed: its open
+/// requests fail at once, the load is not executed again, and the connections stay open.
 #[test]
-fn an_old_version_killed_halfway_fails_only_what_it_had_open() {
+fn a_killed_predecessor_fails_only_its_open_requests() {
     play(
         "engine one platform\nconsole\nstart\nkeep client\n\
         ask hello on client lookup billing-desk 9000 SELECT 1\nexpect hello served\non one hang\n\
@@ -57,9 +63,9 @@
     );
 }
 
-/// Guards a drain that operators began: it outlives the process that was told.
+/// Guards a drain that operators began: it outlives the process that received the command.
 #[test]
-fn a_drain_passes_to_the_new_version() {
+fn a_successor_inherits_the_drain() {
     play(
         "engine one platform\nconsole\nstart\ncall POST /drain 200\nlaunch\ncall GET /ready 503\n\
         call POST /undrain 200\ncall GET /ready 200\nretire\nretired\n\
@@ -67,56 +73,53 @@
     );
 }
 
-/// Guards operators against a crowd at their own door: callers that finish no call cost nobody an
-/// answer.
+/// Guards operators against many callers that never complete a request.
 #[test]
-fn callers_that_finish_no_call_keep_nobody_out() {
+fn incomplete_admin_calls_do_not_block_others() {
     play(
         "engine one platform\nconsole\nstart\nmute crowd console 60\ncall GET /ready 200\n\
         call GET /metrics 200\nshut crowd\nterm\nended",
     );
 }
 
-/// Guards operators against a daemon that runs without the address that they were promised: it does
-/// not start, and says why in one line.
-#[test]
-fn a_console_that_can_not_be_had_ends_the_start() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let known = serde_json::json!({"index": 0, "updates": []});
-    let addr = |l: &std::net::TcpListener| l.local_addr().expect("an address");
-    let config = yokelift::testkit::daemon::config(
-        yokelift::testkit::daemon::free_addr(),
-        addr(&taken),
-        &known,
-        64,
-    );
-    let folder = yokelift::testkit::daemon::Folder::new().expect("a folder");
-    let path = folder
+/// Starts the daemon with a valid configuration and this admin address, and waits for its end.
+fn run_with_admin_address(admin_address: &str) -> Output {
+    let folder = Folder::new().expect("a folder");
+    let known_events = json!({"index": 0, "updates": []});
+    let config = daemon::config(daemon::free_addr(), daemon::free_addr(), &known_events, 64);
+    let config_path = folder
         .put("config.json", &config.to_string())
         .expect("a file");
-    for console in [addr(&taken).to_string(), "nowhere".to_owned()] {
-        let mut daemon = std::process::Command::new(env!("CARGO_BIN_EXE_yokelift"));
-        daemon
-            .env("PROXY_CONFIG", &path)
-            .env("PROXY_CONSOLE", &console)
-            .env("TMPDIR", folder.path(""));
-        let ended = daemon.output().expect("its end");
-        let said = String::from_utf8_lossy(&ended.stderr).into_owned();
-        assert!(
-            !ended.status.success() && said.lines().count() == 1,
-            "{said}"
-        );
+    Command::new(env!("CARGO_BIN_EXE_yokelift"))
+        .env("PROXY_CONFIG", &config_path)
+        .env("PROXY_CONSOLE", admin_address)
+        .env("TMPDIR", folder.path(""))
+        .output()
+        .expect("the daemon's end")
+}
+
+/// Guards operators against a daemon without the admin endpoint that they configured: it does not
+/// start, and names the cause in one line.
+#[test]
+fn an_unusable_admin_address_fails_the_start() {
+    let occupying = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let occupied: SocketAddr = occupying.local_addr().expect("an address");
+    for admin_address in [occupied.to_string(), "nowhere".to_owned()] {
+        let output = run_with_admin_address(&admin_address);
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success(), "{stderr}");
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
         assert!(
-            said.contains("console") || said.contains("PROXY_CONSOLE"),
-            "{said}"
+            stderr.contains("console") || stderr.contains("PROXY_CONSOLE"),
+            "{stderr}"
         );
     }
 }
 
-/// Guards settings that change while something else does: twice in quick succession, in a drain,
-/// and between two processes. What the last file says holds, and nothing else is disturbed.
+/// Guards reloads at any time: twice in quick succession, during a drain, and between two processes.
+/// The last file is in force, and nothing else is disturbed.
 #[test]
-fn new_settings_come_at_any_moment() {
+fn a_reload_is_applied_during_a_drain_and_a_hot_restart() {
     play(
         "engine one platform\nconsole\nstart\ncall POST /drain 200\n\
         retune lookup:pure extra:pure attempts:2\nfigure reload_success 1\ncall GET /ready 503\n\
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,16 +1,20 @@
-//! The daemon as it is shipped, between stand-ins on loopback: one script a rule.
+//! The daemon as it is shipped, between stand-ins on loopback: one scenario a rule.
 use std::path::Path;
+use std::process::Command;
+use yokelift::testkit::daemon::{self, Folder};
 use yokelift::testkit::scenario;
 
+/// Plays a scenario, and fails with each of its steps that did not turn out as written.
 fn play(text: &str) {
     let daemon = Path::new(env!("CARGO_BIN_EXE_yokelift"));
-    if let Err(wrong) = scenario::play(daemon, text, &mut |_| {}) {
-        panic!("{}", wrong.join("\n"));
+    if let Err(failures) = scenario::play(daemon, text, &mut |_| {}) {
+        panic!("{}", failures.join("\n"));
     }
 }
 
-/// The same scenario on each kind of engine, asked by each front.
-fn on_both(text: &str) {
+/// Plays a scenario for each protocol of engines with each frontend: KIND, LOOKUP and LOAD stand for
+/// the protocol and the frontend's requests.
+fn play_with_each_protocol(text: &str) {
     for engine in ["platform", "clickhouse"] {
         for (lookup, load) in [
             (
@@ -32,31 +36,30 @@
 }
 
 #[test]
-fn mixed_traffic_has_one_accounting() {
+fn mixed_traffic_is_counted_once() {
     play(include_str!("../scenarios/mixed.txt"));
 }
 
 #[test]
-fn what_engines_can_do_to_a_query() {
+fn each_engine_fault_has_a_defined_outcome() {
     play(include_str!("../scenarios/faults.txt"));
 }
 
 #[test]
-fn what_the_days_of_service_bring() {
+fn events_of_daily_operation_are_survived() {
     play(include_str!("../scenarios/service.txt"));
 }
 
-/// Guards the verdict of all that is rehearsed: a port that was free may be taken before the daemon
-/// has it. A deployment whose loads carry keys: scenarios/keyed.txt.
+/// A deployment whose loads carry idempotency keys.
 #[test]
-fn keyed_loads_priorities_and_copies() {
+fn keyed_loads_priorities_and_hedging() {
     play(include_str!("../scenarios/keyed.txt"));
 }
 
-/// Guards an engine of a small model: what it turns away never ran, so its refusal is honest and
-/// its key still unknown.
+/// Guards small engines: a rejected load never ran, so it may be refused, and its idempotency key is
+/// still unused.
 #[test]
-fn an_engine_that_is_full_turns_a_keyed_load_away_unseen() {
+fn a_full_engine_rejects_a_keyed_load_without_storing_its_key() {
     play(
         "set /classes/2/semantics \"token\"
         set /classes/2/window_ns 1000000
@@ -77,55 +80,57 @@
     );
 }
 
+/// Guards the verdicts of all scenarios: a port that was free may be occupied before the daemon binds
+/// it.
 #[test]
-fn a_port_that_is_taken_meanwhile_is_no_fault_of_the_daemon() {
+fn the_test_kit_recovers_from_an_occupied_port() {
     play(
         "user anna secret billing-desk\nengine one platform\noccupy\nstart\nask a http anna secret 9 SELECT 1\n\
         expect a served\nterm\nended\ncounter served 1\ncounter open 0",
     );
 }
 
-/// Guards rule 2: an error, a reset or half an answer may come after the load began.
+/// Guards rule 2: an error, a reset or an incomplete response may come after the load began.
 #[test]
-fn a_load_that_may_have_run_fails_and_is_not_sent_again() {
+fn a_load_that_may_have_run_fails_without_a_retry() {
     for fault in ["break", "reset", "late", "garble"] {
         let text = "engine one KIND\nengine two KIND\nstart\non one FAULT\non two FAULT\n\
             ask a LOAD\nexpect a failed\nruns a 1\nterm\nended\ncounter taken 1\ncounter failed 1\ncounter open 0";
-        on_both(&text.replace("FAULT", fault));
+        play_with_each_protocol(&text.replace("FAULT", fault));
     }
 }
 
-/// The same ends do not keep what is safe from a further attempt.
+/// The same faults do not prevent the retry of an idempotent request.
 #[test]
-fn a_lookup_is_sent_again_after_a_fault() {
+fn a_lookup_is_retried_after_a_fault() {
     for fault in ["break", "reset", "late", "garble", "full"] {
         let text = "engine one KIND\nstart\non one FAULT\nask a LOOKUP\nexpect a served\nruns a 2\n\
             term\nended\ncounter taken 1\ncounter served 1\ncounter attempts 2\ncounter open 0";
-        on_both(&text.replace("FAULT", fault));
+        play_with_each_protocol(&text.replace("FAULT", fault));
     }
 }
 
-/// Turned away means that it never ran: a load goes out again, and in the end it may be refused.
+/// A rejected attempt never ran: even a load is retried, and may be rejected in the end.
 #[test]
-fn a_load_that_was_turned_away_may_go_out_again() {
-    on_both(
+fn a_rejected_load_is_retried() {
+    play_with_each_protocol(
         "engine one KIND\nstart\non one full\nask a LOAD\nexpect a served\nruns a 2\n\
         on one full\non one full\non one full\nask b LOAD\nexpect b refused\nruns b 3\n\
         term\nended\ncounter taken 2\ncounter served 1\ncounter refused 1\ncounter open 0",
     );
 }
 
-/// A client that hangs up or runs out of time takes its attempt with it.
+/// The attempt of a client that disconnects is cancelled.
 #[test]
-fn a_client_that_leaves_takes_its_attempt_along() {
-    on_both(
+fn a_disconnect_cancels_the_clients_attempt() {
+    play_with_each_protocol(
         "engine one KIND\nstart\non one hang\nask a LOOKUP\nseen a\ndrop a\nover a\nruns a 1\n\
         ask b LOOKUP\nexpect b served\nterm\nended\ncounter taken 2\ncounter gone 1\ncounter served 1\ncounter open 0",
     );
 }
 
 #[test]
-fn a_deadline_ends_a_query_and_its_attempt() {
+fn a_deadline_fails_the_request_and_cancels_its_attempt() {
     for engine in ["platform", "clickhouse"] {
         for ask in [
             "rpc load billing-desk 1000 INSERT INTO a_1.b SELECT 1",
@@ -141,8 +146,8 @@
 
 /// Guards rule 3, also across a break of the coordinator's connection.
 #[test]
-fn nothing_new_goes_to_an_engine_that_drains() {
-    on_both(
+fn a_draining_engine_receives_no_new_attempts() {
+    play_with_each_protocol(
         "engine one KIND\nengine two KIND\nstart\nask a LOOKUP\nexpect a served\n\
         cut\ndrain one\nuntil lists 2\nask b LOOKUP\nexpect b served\nask c LOAD\nexpect c served\n\
         ask d LOOKUP\nexpect d served\nready one\ndrain two\nuntil lists 4\nask e LOOKUP\nexpect e served\n\
@@ -150,12 +155,12 @@
     );
 }
 
-/// Guards against an end by SIGHUP, and against numbers that start anew with the coordinator's
-/// address: what was open goes on, the next events come from the new one, and a file that can't be
-/// used changes nothing.
+/// Guards against termination by SIGHUP, and against event numbers that restart with the
+/// coordinator's address: open requests continue, the next events come from the new coordinator, and
+/// an invalid file changes nothing.
 #[test]
-fn a_new_configuration_moves_the_coordinator_and_keeps_requests() {
-    on_both(
+fn a_reload_migrates_the_coordinator_and_keeps_requests() {
+    play_with_each_protocol(
         "engine one KIND\nengine two KIND\nstart\non one rows 400 3\non two rows 400 3\ndrain two\nuntil lists 2\n\
         ask a LOAD\nseen a\nmove\nuntil reloads 1\nspoil\nuntil reload-failures 1\nexpect a served\n\
         ready two\ndrain one\nuntil lists 4\nask b LOAD\nexpect b served\nruns b 1\n\
@@ -163,11 +168,11 @@
     );
 }
 
-/// Guards against clients that connect by the hundred and say nothing, or half of something: the
-/// usual ones get in at once, since the idlest are shed, and the others are let go in seconds, with
-/// a word where there is one.
+/// Guards against hundreds of clients that connect and send nothing, or an incomplete message: other
+/// clients are accepted at once, because the longest idle connections are closed, and incomplete
+/// messages time out within seconds, with an error where the protocol has one.
 #[test]
-fn clients_that_say_nothing_keep_nobody_out() {
+fn silent_clients_do_not_block_others() {
     play(
         "sockets 32\nengine one platform\nuser anna secret billing-desk\nstart\nstay some rpc 8\nstay more http 7\n\
         wait 200\nmute crowd rpc 150\nmute web http 150\n\
@@ -178,10 +183,10 @@
     );
 }
 
-/// Guards the rules on attempts and answers: a name that is in use, or was a moment ago, is no
-/// second request.
+/// Guards the rules on attempts and responses: a request id that is in use, or was recently, does not
+/// start a second request.
 #[test]
-fn the_name_of_another_request_is_turned_away() {
+fn a_request_id_in_use_is_rejected() {
     let again = "rpc {\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"lookup\",\"params\":{\"id\":\"0000000000000001\",\
         \"wait\":5000,\"tenant\":\"billing-desk\",\"arg\":\"c2VsZWN0IDI=\"}}\\n";
     play(&format!(
@@ -191,21 +196,21 @@
     ));
 }
 
-/// Guards against waiting for an engine that vanished without a word: what the list says to be gone
-/// ends soon.
+/// Guards against waiting for an engine that vanished: once the endpoint list lacks it, its attempts
+/// fail soon.
 #[test]
-fn what_is_out_on_an_engine_that_is_gone_ends() {
-    on_both(
+fn an_attempt_on_a_removed_engine_fails() {
+    play_with_each_protocol(
         "engine one KIND\nengine two KIND\nstart\ndrain two\nuntil lists 2\non one hang\nask a LOAD\nseen a\n\
         gone one\nexpect a failed\nruns a 1\nready two\nuntil lists 4\nask b LOAD\nexpect b served\n\
         term\nended\ncounter failed 1\ncounter served 1\ncounter open 0",
     );
 }
 
-/// Guards against requests that the kill finds unanswered: before it all are given up, as far as is
-/// honest.
+/// Guards against requests that are unanswered when the process is killed: before that all of them
+/// fail, or are rejected if they never ran.
 #[test]
-fn a_planned_end_gives_up_what_would_outlast_it() {
+fn a_shutdown_fails_requests_that_would_outlast_it() {
     for engine in ["platform", "clickhouse"] {
         play(&format!(
             "user anna secret billing-desk\nengine one {engine}\nstart\non one hang\non one hang\non one hang\non one hang\nask a rpc load billing-desk 20000 INSERT INTO a_1.b SELECT 1\n\
@@ -215,36 +220,36 @@
     }
 }
 
-/// Guards a load against the answers to others: what is spoilt ends all that is on its connection.
+/// Guards a load against responses to others: a malformed one ends all attempts on its connection.
 #[test]
-fn a_spoilt_answer_to_another_does_not_end_a_load() {
-    on_both(
+fn a_malformed_response_to_a_lookup_does_not_end_a_load() {
+    play_with_each_protocol(
         "engine one KIND\nstart\non one rows 600 3\nask a LOAD\nseen a\non one garble\nask b LOOKUP\nexpect b served\n\
         runs b 2\nexpect a served\nruns a 1\nterm\nended\ncounter served 2\ncounter open 0",
     );
 }
 
-/// A refused connection proves that nothing ran, so even a load goes elsewhere.
+/// A refused connection proves that nothing ran: even a load is retried elsewhere.
 #[test]
-fn an_engine_that_is_down_costs_no_answer() {
-    on_both(
+fn a_refused_connection_is_retried_on_another_engine() {
+    play_with_each_protocol(
         "engine one KIND\nengine two KIND\nstart\ndown one\nask a LOAD\nexpect a served\nask b LOAD\nexpect b served\n\
         ask c LOOKUP\nexpect c served\nask d LOOKUP\nexpect d served\nterm\nended\ncounter served 4\ncounter open 0",
     );
 }
 
-/// SIGTERM: what is open is answered, and what still comes as well.
+/// After SIGTERM open requests are answered, and so are those that still arrive.
 #[test]
-fn a_planned_end_answers_what_is_open() {
-    on_both(
+fn a_shutdown_answers_open_requests() {
+    play_with_each_protocol(
         "engine one KIND\nstart\non one rows 2000 5\nask a LOAD\nseen a\nterm\nask b LOOKUP\nexpect b served\n\
         expect a served 5\nended\ncounter taken 2\ncounter served 2\ncounter open 0",
     );
 }
 
-/// Guards against strangers: 401 for one who is not known, 403 for one without a tenant.
+/// Guards against unknown users (401) and users without a tenant (403).
 #[test]
-fn users_are_told_apart() {
+fn unknown_and_unauthorized_users_are_rejected() {
     play(
         "engine one platform\nuser anna secret billing-desk\nuser carl secret -\nstart\n\
         ask a http anna wrong 5 SELECT 1\nexpect a rejected 401\nask b http bert secret 5 SELECT 1\n\
@@ -254,9 +259,9 @@
     );
 }
 
-/// Users and shares come from the directory, page by page, and new ones with a refresh.
+/// Users and shares are read from the directory page by page, and again at each refresh.
 #[test]
-fn the_directory_says_who_belongs_to_which_tenant() {
+fn users_and_tenants_come_from_the_directory() {
     play(
         "engine one clickhouse\ntenant billing-desk 3\ntenant channel-desk 1\ntenant night-desk 1\n\
         person anna secret billing-desk\nperson bert secret channel-desk\nperson carl secret night-desk\n\
@@ -267,9 +272,9 @@
     );
 }
 
-/// A directory that fails leaves the last good list in force, and is counted.
+/// When the directory fails, the last snapshot stays in force and the failure is counted.
 #[test]
-fn a_directory_that_fails_keeps_the_last_list() {
+fn a_failing_directory_keeps_the_last_snapshot() {
     play(
         "engine one platform\ntenant billing-desk 1\nperson anna secret billing-desk\nstart\n\
         ask a http anna secret 5 SELECT 1\nexpect a served\nbusy\nperson bert secret billing-desk\n\
@@ -279,18 +284,18 @@
     );
 }
 
-/// A client that hangs up within its answer ends nothing but its connection.
+/// A client that disconnects during its response ends only its connection.
 #[test]
-fn a_client_may_hang_up_within_its_answer() {
-    on_both(
+fn a_disconnect_during_a_response_ends_only_its_connection() {
+    play_with_each_protocol(
         "engine one KIND\nstart\non one rows 100 200\nask a LOOKUP\nleave a\nexpect a cut\nruns a 1\n\
         ask b LOOKUP\nexpect b served\nterm\nended\ncounter taken 2\ncounter served 2\ncounter open 0",
     );
 }
 
-/// Malformed input ends that request or connection, never the program.
+/// Malformed input ends its request or connection, never the process.
 #[test]
-fn malformed_input_ends_no_more_than_itself() {
+fn malformed_input_is_rejected_and_others_are_served() {
     let lines = [
         ("{]", "-32700"),
         ("[]", "-32600"),
@@ -363,9 +368,9 @@
     );
 }
 
-/// A database is taken where every engine in service knows databases, and nowhere else.
+/// A database is accepted only while every engine in service supports databases.
 #[test]
-fn a_database_is_taken_where_all_engines_know_it() {
+fn a_database_is_accepted_only_if_all_engines_support_it() {
     let ask = |name: &str| {
         let query = format!("SELECT+1+%2F*+{name}+*%2F");
         format!(
@@ -380,59 +385,55 @@
     ));
 }
 
-/// A configuration that can't be used ends the program with one clear line.
+/// The program failed, and wrote one line that contains `hint`.
+fn assert_fails_with_one_line(program: &mut Command, hint: &str) {
+    let output = program.output().expect("the program's end");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(!output.status.success(), "{stderr}");
+    assert_eq!(stderr.lines().count(), 1, "{stderr}");
+    assert!(stderr.contains(hint), "{stderr}");
+}
+
+/// An invalid configuration ends the start with one line that names the file.
 #[test]
-fn a_bad_configuration_is_one_line_and_a_failure() {
-    use std::process::Command;
-    use yokelift::testkit::daemon::{Folder, config, free_addr};
+fn an_invalid_configuration_fails_with_one_line() {
     let folder = Folder::new().expect("a folder");
-    let known = serde_json::json!({"index": 1, "updates": []});
-    let good = config(free_addr(), free_addr(), &known, 64);
+    let known_events = serde_json::json!({"index": 1, "updates": []});
+    let valid = daemon::config(daemon::free_addr(), daemon::free_addr(), &known_events, 64);
     let without = |key: &str| {
-        let mut text = good.clone();
-        text.as_object_mut().expect("an object").remove(key);
-        text.to_string()
+        let mut config = valid.clone();
+        config.as_object_mut().expect("an object").remove(key);
+        config.to_string()
     };
-    let files = [
+    let texts = [
         "{".to_owned(),
         without("listen"),
         without("settings"),
         without("known"),
     ];
-    for (at, text) in files.iter().enumerate() {
-        let path = folder.put(&format!("{at}.json"), text).expect("a file");
-        let output = Command::new(env!("CARGO_BIN_EXE_yokelift"))
-            .env("PROXY_CONFIG", path)
-            .output()
-            .expect("runs");
-        let line = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(
-            !output.status.success() && line.lines().count() == 1 && line.contains(".json"),
-            "{line}"
-        );
+    for (index, text) in texts.iter().enumerate() {
+        let path = folder.put(&format!("{index}.json"), text).expect("a file");
+        let mut yokelift = Command::new(env!("CARGO_BIN_EXE_yokelift"));
+        assert_fails_with_one_line(yokelift.env("PROXY_CONFIG", path), ".json");
     }
-    let toml = "listen = \"127.0.0.1:0\"\nusual_class = \"lookup\"\n";
-    for (at, (text, hint)) in [
-        (format!("{toml}surprise = 1\n"), "surprise"),
-        (toml.to_owned(), "nobody could connect"),
+}
+
+/// An invalid file of the ClickHouse frontend fails its check with one line that names the cause.
+#[test]
+fn an_invalid_clickhouse_file_fails_with_one_line() {
+    let folder = Folder::new().expect("a folder");
+    let without_users = "listen = \"127.0.0.1:0\"\nusual_class = \"lookup\"\n";
+    let cases = [
+        (format!("{without_users}surprise = 1\n"), "surprise"),
+        (without_users.to_owned(), "nobody could connect"),
         (
-            format!("{toml}[[user]]\nname = \"a\"\n[[engine]]\nid = \"x\"\n"),
+            format!("{without_users}[[user]]\nname = \"a\"\n[[engine]]\nid = \"x\"\n"),
             "8 hex digits",
         ),
-    ]
-    .iter()
-    .enumerate()
-    {
-        let path = folder.put(&format!("{at}.toml"), text).expect("a file");
-        let output = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"))
-            .arg("check")
-            .arg(path)
-            .output()
-            .expect("runs");
-        let line = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(
-            !output.status.success() && line.lines().count() == 1 && line.contains(hint),
-            "{line}"
-        );
+    ];
+    for (index, (text, hint)) in cases.iter().enumerate() {
+        let path = folder.put(&format!("{index}.toml"), text).expect("a file");
+        let mut testkit = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
+        assert_fails_with_one_line(testkit.arg("check").arg(path), hint);
     }
 }
