--- a/src/bin/yokelift-testkit/main.rs
+++ b/src/bin/yokelift-testkit/main.rs
@@ -1,5 +1,5 @@
-//! Rehearses short scenarios against the daemon, checks deploy files, gathers the audit of a fleet,
-//! and measures emulated ones.
+//! The test kit: plays scenarios against the daemon, checks files of the ClickHouse frontend, gathers
+//! the audit of a fleet, and measures simulated fleets and the daemon's scale.
 #![forbid(unsafe_code)]
 
 mod scale;
@@ -7,9 +7,11 @@
 
 use async_io::block_on;
 use clap::{Parser, Subcommand};
+use serde::Serialize;
+use std::fmt::Display;
 use std::io::Write;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::LazyLock;
 use yokelift::audit::RecordPosition;
@@ -21,7 +23,7 @@
 use yokelift::testkit::membership_simulation::Figures;
 use yokelift::testkit::{audit, membership_simulation, plot, probe_simulation, scenario};
 
-/// The build, as the fleet is told it.
+/// The build id, as in the fleet's member updates.
 static BUILD: LazyLock<String> = LazyLock::new(net::fleet::membership::build);
 
 /// The test kit of yokelift: scenarios against the daemon, audits of a fleet, simulations and scale runs.
@@ -67,23 +69,7 @@
         alias = "soundings",
         after_help = "Example:\n  yokelift-testkit simulate-probes --managers 100,300 --engines 80"
     )]
-    SimulateProbes {
-        /// The sizes of the fleets.
-        #[arg(long, value_delimiter = ',', default_values_t = [100usize, 300])]
-        managers: Vec<usize>,
-        /// Engines.
-        #[arg(long, default_value_t = 80)]
-        engines: u64,
-        /// How often a second each manager wants to hear of some engine.
-        #[arg(long, default_value_t = 20.0)]
-        wants: f64,
-        /// The same seed gives the same figures.
-        #[arg(long, default_value_t = 1)]
-        seed: u64,
-        /// The figures as one JSON list.
-        #[arg(long)]
-        json: bool,
-    },
+    SimulateProbes(SimulateProbesArgs),
     /// Measures fleets of managers emulated in this process: detection, spread and traffic by their
     /// size.
     #[command(
@@ -91,161 +77,208 @@
         after_help = "Example:\n  yokelift-testkit simulate-membership --members 10,100,300 \
             --svg docs/fleet-scale.svg"
     )]
-    SimulateMembership {
-        /// The sizes of the fleets.
-        #[arg(long, value_delimiter = ',', default_values_t = [10usize, 100, 300])]
-        members: Vec<usize>,
-        /// Managers that stop, one after the other.
-        #[arg(long, default_value_t = 5)]
-        stops: usize,
-        /// The same seed gives the same figures.
-        #[arg(long, default_value_t = 1)]
-        seed: u64,
-        /// The timings: those of this fleet file.
-        #[arg(long)]
-        fleet: Option<PathBuf>,
-        /// Also draws the figures into this file.
-        #[arg(long)]
-        svg: Option<PathBuf>,
-        /// The figures as one JSON list.
-        #[arg(long)]
-        json: bool,
-    },
+    SimulateMembership(SimulateMembershipArgs),
     /// Measures fleets of hollow managers: the daemon's own actors of the fleet on real sockets on
     /// loopback.
     #[command(
         after_help = "Example:\n  yokelift-testkit scale-fleet --sizes 58x114,460x910 --limit 600 --json"
     )]
-    ScaleFleet(scale_fleet::ScaleFleet),
+    ScaleFleet(scale_fleet::ScaleFleetArgs),
     /// Measures what one real daemon needs by the number of engines, idle clients and statements
     /// around it.
     ///
     /// Starts the daemon between stand-ins, one size after the other. Ends all that it started,
     /// also on an error.
     #[command(after_help = "Example:\n  yokelift-testkit scale --point 910:2600:0 --json")]
-    Scale(scale::Words),
+    Scale(scale::ScaleArgs),
 }
 
-/// A reader that goes away, as `head` does, ends the output and is no fault.
+/// The arguments of `simulate-probes`.
+#[derive(clap::Args)]
+struct SimulateProbesArgs {
+    /// The sizes of the fleets.
+    #[arg(long, value_delimiter = ',', default_values_t = [100usize, 300])]
+    managers: Vec<usize>,
+    /// Engines.
+    #[arg(long, default_value_t = 80)]
+    engines: u64,
+    /// How often a second each manager wants to hear of some engine.
+    #[arg(long, default_value_t = 20.0)]
+    wants: f64,
+    /// The same seed gives the same figures.
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// The figures as one JSON list.
+    #[arg(long)]
+    json: bool,
+}
+
+/// The arguments of `simulate-membership`.
+#[derive(clap::Args)]
+struct SimulateMembershipArgs {
+    /// The sizes of the fleets.
+    #[arg(long, value_delimiter = ',', default_values_t = [10usize, 100, 300])]
+    members: Vec<usize>,
+    /// Managers that stop, one after the other.
+    #[arg(long, default_value_t = 5)]
+    stops: usize,
+    /// The same seed gives the same figures.
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// The timings: those of this fleet file.
+    #[arg(long)]
+    fleet: Option<PathBuf>,
+    /// Also draws the figures into this file.
+    #[arg(long)]
+    svg: Option<PathBuf>,
+    /// The figures as one JSON list.
+    #[arg(long)]
+    json: bool,
+}
+
+/// Writes to standard output. A reader that closes it early, such as `head`, is no fault.
 fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-fn run(subcommand: Subcommands) -> Result<(), Vec<String>> {
-    let one = |e: String| vec![e];
+/// The lines that a subcommand failed with.
+type Failures = Vec<String>;
+
+/// An error as the only line.
+fn failure(error: impl ToString) -> Failures {
+    vec![error.to_string()]
+}
+
+/// An error with the file that it is about.
+fn file_failure(path: &Path, error: impl Display) -> Failures {
+    failure(format!("{}: {error}", path.display()))
+}
+
+fn print_json(value: &impl Serialize) -> Result<(), Failures> {
+    let text = serde_json::to_string(value).map_err(failure)?;
+    print(&(text + "\n"));
+    Ok(())
+}
+
+fn run(subcommand: Subcommands) -> Result<(), Failures> {
     match subcommand {
-        Subcommands::Check { file } => {
-            let deploy = clickhouse::read(&file).map_err(|e| one(e.to_string()))?;
-            let (engines, users) = (deploy.engines.len(), deploy.users.len());
-            let file = file.display();
-            print(&format!(
-                "{file}: listens on {}, {engines} engines, {users} users\n",
-                deploy.listen
-            ));
-            Ok(())
-        }
-        Subcommands::RunScenario { scenario: file } => {
-            let text = std::fs::read_to_string(&file)
-                .map_err(|e| one(format!("{}: {e}", file.display())))?;
-            let me = std::env::current_exe().map_err(|e| one(e.to_string()))?;
-            // The daemon is shipped beside the kit.
-            let daemon: PathBuf = me.with_file_name("yokelift");
-            scenario::play(&daemon, &text, &mut |line| print(&format!("{line}\n")))
-        }
+        Subcommands::Check { file } => check(&file),
+        Subcommands::RunScenario { scenario } => run_scenario(&scenario),
         Subcommands::Audit {
             managers,
             since,
             json,
-        } => {
-            let report = report(&block_on(audit::gather(&managers, since)));
-            if json {
-                print(&(serde_json::to_string(&report).map_err(|e| one(e.to_string()))? + "\n"));
-            } else {
-                print(&report.text());
-            }
-            if report.missing.is_empty() {
-                Ok(())
-            } else {
-                Err(report.missing)
-            }
-        }
-        Subcommands::SimulateProbes {
-            managers,
-            engines,
-            wants,
-            seed,
-            json,
-        } => {
-            if managers.iter().any(|n| !(6..=1_000).contains(n))
-                || engines == 0
-                || !(0.01..=1e4).contains(&wants)
-            {
-                return Err(one(
-                    "--managers from 6 to 1000, --engines above 0, --wants from 0.01 to 10000"
-                        .into(),
-                ));
-            }
-            let figures = probe_simulation::compare(&managers, engines, wants, seed);
-            if json {
-                print(&(serde_json::to_string(&figures).map_err(|e| one(e.to_string()))? + "\n"));
-            } else {
-                print(&format!("{}\n", probe_simulation::table(&figures)));
-            }
+        } => gather_audit(&managers, since, json),
+        Subcommands::SimulateProbes(args) => simulate_probes(&args),
+        Subcommands::SimulateMembership(args) => simulate_membership(args),
+        Subcommands::Scale(args) => {
+            print(&scale::run(args).map_err(failure)?);
             Ok(())
         }
-        Subcommands::Scale(words) => {
-            print(&scale::run(words).map_err(one)?);
-            Ok(())
-        }
-        Subcommands::SimulateMembership {
-            members,
-            stops,
-            seed,
-            fleet,
-            svg,
-            json,
-        } => {
-            if members.iter().any(|n| !(3..=1_000).contains(n)) {
-                return Err(one("--members: from 3 to 1000".into()));
-            }
-            let timing = fleet.map_or(Ok(Timing::default()), |path| {
-                let text = std::fs::read_to_string(&path)
-                    .map_err(|e| format!("{}: {e}", path.display()))?;
-                Ok(FleetConfig::parse(&text)?.timing)
-            });
-            let timing = timing.map_err(one)?;
-            let figures = members
-                .iter()
-                .map(|n| membership_simulation::measure(*n, &timing, stops, seed));
-            let figures = figures
-                .collect::<Result<Vec<Figures>, String>>()
-                .map_err(one)?;
-            if let Some(path) = svg {
-                let text = plot::fleet(&figures).map_err(one)?;
-                std::fs::write(&path, text).map_err(|e| one(format!("{}: {e}", path.display())))?;
-            }
-            if json {
-                print(&(serde_json::to_string(&figures).map_err(|e| one(e.to_string()))? + "\n"));
-            } else {
-                print(&format!("{}\n", membership_simulation::table(&figures)));
-            }
-            Ok(())
-        }
-        Subcommands::ScaleFleet(scale) => {
-            let (text, wrong) = scale.run().map_err(one)?;
-            print(&text);
-            if wrong.is_empty() { Ok(()) } else { Err(wrong) }
+        Subcommands::ScaleFleet(args) => {
+            let output = args.run().map_err(failure)?;
+            print(&output.text);
+            fail_if_any(output.failures)
         }
     }
 }
 
+fn fail_if_any(failures: Failures) -> Result<(), Failures> {
+    if failures.is_empty() {
+        Ok(())
+    } else {
+        Err(failures)
+    }
+}
+
+fn check(path: &Path) -> Result<(), Failures> {
+    let config = clickhouse::read(path).map_err(failure)?;
+    let (engines, users) = (config.engines.len(), config.users.len());
+    let (path, listen) = (path.display(), config.listen);
+    print(&format!(
+        "{path}: listens on {listen}, {engines} engines, {users} users\n"
+    ));
+    Ok(())
+}
+
+fn run_scenario(path: &Path) -> Result<(), Failures> {
+    let text = std::fs::read_to_string(path).map_err(|error| file_failure(path, error))?;
+    // The daemon is installed beside the test kit.
+    let testkit = std::env::current_exe().map_err(failure)?;
+    let daemon = testkit.with_file_name("yokelift");
+    scenario::play(&daemon, &text, &mut |line| print(&format!("{line}\n")))
+}
+
+fn gather_audit(
+    managers: &[SocketAddr],
+    since: RecordPosition,
+    json: bool,
+) -> Result<(), Failures> {
+    let report = report(&block_on(audit::gather(managers, since)));
+    if json {
+        print_json(&report)?;
+    } else {
+        print(&report.text());
+    }
+    fail_if_any(report.missing)
+}
+
+fn simulate_probes(args: &SimulateProbesArgs) -> Result<(), Failures> {
+    let in_range = args.managers.iter().all(|n| (6..=1_000).contains(n))
+        && args.engines > 0
+        && (0.01..=1e4).contains(&args.wants);
+    if !in_range {
+        return Err(failure(
+            "--managers from 6 to 1000, --engines above 0, --wants from 0.01 to 10000",
+        ));
+    }
+    let figures = probe_simulation::compare(&args.managers, args.engines, args.wants, args.seed);
+    if args.json {
+        print_json(&figures)
+    } else {
+        print(&format!("{}\n", probe_simulation::table(&figures)));
+        Ok(())
+    }
+}
+
+fn simulate_membership(args: SimulateMembershipArgs) -> Result<(), Failures> {
+    if !args.members.iter().all(|n| (3..=1_000).contains(n)) {
+        return Err(failure("--members: from 3 to 1000"));
+    }
+    let timing = match &args.fleet {
+        Some(path) => read_timing(path)?,
+        None => Timing::default(),
+    };
+    let figures = args
+        .members
+        .iter()
+        .map(|n| membership_simulation::measure(*n, &timing, args.stops, args.seed))
+        .collect::<Result<Vec<Figures>, _>>()
+        .map_err(failure)?;
+    if let Some(path) = &args.svg {
+        let text = plot::fleet(&figures).map_err(failure)?;
+        std::fs::write(path, text).map_err(|error| file_failure(path, error))?;
+    }
+    if args.json {
+        print_json(&figures)
+    } else {
+        print(&format!("{}\n", membership_simulation::table(&figures)));
+        Ok(())
+    }
+}
+
+fn read_timing(path: &Path) -> Result<Timing, Failures> {
+    let text = std::fs::read_to_string(path).map_err(|error| file_failure(path, error))?;
+    Ok(FleetConfig::parse(&text).map_err(failure)?.timing)
+}
+
 fn main() -> ExitCode {
     match run(Args::parse().subcommand) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(wrong) => {
-            wrong
-                .iter()
-                .for_each(|line| eprintln!("yokelift-testkit: {line}"));
+        Err(failures) => {
+            for line in failures {
+                eprintln!("yokelift-testkit: {line}");
+            }
             ExitCode::FAILURE
         }
     }
--- a/src/bin/yokelift-testkit/scale.rs
+++ b/src/bin/yokelift-testkit/scale.rs
@@ -1,18 +1,26 @@
-//! The subcommand `scale`: its words, and what ends it before its time.
+//! The subcommand `scale`: its arguments, and what ends it early.
 use async_io::Timer;
 use async_signal::{Signal, Signals};
 use clap::Args;
 use futures_lite::StreamExt;
 use futures_lite::future::or;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use yokelift::testkit::scale::capacity_check::Room;
+use yokelift::testkit::scale::capacity_check::Resources;
 use yokelift::testkit::scale::report::Report;
 use yokelift::testkit::scale::{self, Options, Point, Progress, daemons};
 
-/// What `scale` is told.
+/// Seconds that a window or a time to settle may take.
+const SECONDS: RangeInclusive<f64> = 0.5..=600.0;
+/// How often each point may be measured.
+const PLAYS: RangeInclusive<usize> = 1..=100;
+/// Upper bound on the time to settle before a window without statements.
+const MAX_IDLE_SETTLE_S: f64 = 3.0;
+
+/// The arguments of `scale`.
 #[derive(Args)]
-pub struct Words {
+pub(crate) struct ScaleArgs {
     /// Points instead of the usual ones: ENGINES:CLIENTS:STATEMENTS, the last a second.
     #[arg(long = "point", value_name = "E:C:S")]
     points: Vec<Point>,
@@ -46,80 +54,132 @@
     markdown: bool,
 }
 
-/// Comes to an end with a signal or at the limit, and says which.
-async fn ended(limit_at: Instant, signals: &mut Signals) -> String {
-    let late = async {
+/// What `--quick` changes in the defaults.
+struct Defaults {
+    window_s: f64,
+    settle_s: f64,
+}
+
+const FULL: Defaults = Defaults {
+    window_s: 5.0,
+    settle_s: 14.0,
+};
+const QUICK: Defaults = Defaults {
+    window_s: 2.0,
+    settle_s: 3.0,
+};
+
+impl ScaleArgs {
+    fn options(&self) -> Result<Options, String> {
+        let defaults = if self.quick { QUICK } else { FULL };
+        let window_s = self.seconds.unwrap_or(defaults.window_s);
+        let settle_s = self.settle.unwrap_or(defaults.settle_s);
+        let in_range = SECONDS.contains(&window_s)
+            && SECONDS.contains(&settle_s)
+            && PLAYS.contains(&self.plays)
+            && self.managers > 0;
+        if !in_range {
+            return Err(
+                "--seconds and --settle from 0.5 to 600, --plays from 1 to 100, --managers above 0"
+                    .into(),
+            );
+        }
+        let daemon = match &self.daemon {
+            Some(daemon) => daemon.clone(),
+            None => std::env::current_exe()
+                .map_err(|error| error.to_string())?
+                .with_file_name("yokelift"),
+        };
+        Ok(Options {
+            daemon,
+            managers: self.managers,
+            settle: Duration::from_secs_f64(window_s.min(MAX_IDLE_SETTLE_S)),
+            settle_busy: Duration::from_secs_f64(settle_s),
+            window: Duration::from_secs_f64(window_s),
+        })
+    }
+
+    fn points(&self) -> Vec<Point> {
+        if self.points.is_empty() {
+            scale::grid(self.quick)
+        } else {
+            self.points.clone()
+        }
+    }
+}
+
+/// Completes with a signal or at the limit, and says which.
+async fn stop_reason(limit_at: Instant, signals: &mut Signals) -> String {
+    let limit = async {
         Timer::at(limit_at).await;
         "the time limit was reached".to_owned()
     };
-    let told = async {
+    let signal = async {
         match signals.next().await {
             Some(Ok(signal)) => format!("ended by {signal:?}"),
             _ => "signals can't be waited for".to_owned(),
         }
     };
-    or(told, late).await
+    or(signal, limit).await
+}
+
+/// Writes lines of progress to standard error.
+struct ProgressReport {
+    started: Instant,
+    /// Points of all plays together.
+    count: usize,
 }
 
-/// Measures, and gives the text to print.
-pub fn run(words: Words) -> Result<String, String> {
-    let seconds = words.seconds.unwrap_or(if words.quick { 2.0 } else { 5.0 });
-    let settle = words.settle.unwrap_or(if words.quick { 3.0 } else { 14.0 });
-    if ![seconds, settle].iter().all(|s| (0.5..=600.0).contains(s))
-        || !(1..=100).contains(&words.plays)
-        || words.managers == 0
-    {
-        return Err(
-            "--seconds and --settle from 0.5 to 600, --plays from 1 to 100, --managers above 0"
-                .into(),
+impl ProgressReport {
+    fn print(&self, number: usize, point: &Point, progress: &Progress) {
+        let seconds = self.started.elapsed().as_secs();
+        let count = self.count;
+        let Point {
+            engines,
+            clients,
+            rate,
+        } = point;
+        let Progress { pid, doing } = progress;
+        eprintln!(
+            "{seconds} s, {number} of {count}: {engines} engines, {clients} clients, {rate} statements/s, \
+            daemon {pid}: {doing}"
         );
     }
-    let me = std::env::current_exe().map_err(|e| e.to_string())?;
-    let options = Options {
-        daemon: words
-            .daemon
-            .unwrap_or_else(|| me.with_file_name("yokelift")),
-        managers: words.managers,
-        settle: Duration::from_secs_f64(seconds.min(3.0)),
-        settle_busy: Duration::from_secs_f64(settle),
-        window: Duration::from_secs_f64(seconds),
-    };
-    let points = if words.points.is_empty() {
-        scale::grid(words.quick)
-    } else {
-        words.points
+}
+
+/// Measures all points, and returns the text to print.
+pub(crate) fn run(args: ScaleArgs) -> Result<String, String> {
+    let options = args.options()?;
+    let points = args.points();
+    Resources::available()
+        .check(&points, &options)
+        .map_err(|error| error.to_string())?;
+    let limit_at = Instant::now() + Duration::from_secs(args.limit);
+    let signals = Signals::new([Signal::Term, Signal::Int]);
+    let mut signals = signals.map_err(|error| error.to_string())?;
+    let report = ProgressReport {
+        started: Instant::now(),
+        count: points.len() * args.plays,
     };
-    Room::here().check(&points, &options)?;
-    let sockets = daemons::sockets(&points);
-    let limit_at = Instant::now() + Duration::from_secs(words.limit);
-    let mut signals = Signals::new([Signal::Term, Signal::Int]).map_err(|e| e.to_string())?;
-    let (mut plays, begun, count) = (Vec::new(), Instant::now(), points.len() * words.plays);
-    for play in 0..words.plays {
+    let daemon_descriptors = daemons::daemon_descriptors(&points);
+    let mut plays = Vec::new();
+    for play in 0..args.plays {
         let mut measured = Vec::new();
-        for (at, point) in points.iter().enumerate() {
-            let number = play * points.len() + at + 1;
-            let mut word = |progress: &Progress| {
-                let Point {
-                    engines,
-                    clients,
-                    rate,
-                } = point;
-                let (after, Progress { pid, doing }) = (begun.elapsed().as_secs(), progress);
-                eprintln!(
-                    "{after} s, {number} of {count}: {engines} engines, {clients} clients, {rate} statements/s, \
-                    daemon {pid}: {doing}"
-                );
-            };
-            let until = ended(limit_at, &mut signals);
+        for (index, point) in points.iter().enumerate() {
+            let number = play * points.len() + index + 1;
             measured.push(daemons::measure(
-                point, &options, sockets, until, &mut word,
+                point,
+                &options,
+                daemon_descriptors,
+                stop_reason(limit_at, &mut signals),
+                &mut |progress| report.print(number, point, progress),
             )?);
         }
         plays.push(measured);
     }
     let report = Report::new(plays);
-    if words.json {
-        report.json()
+    if args.json {
+        report.json().map_err(|error| error.to_string())
     } else {
         Ok(report.markdown())
     }
--- a/src/bin/yokelift-testkit/scale_fleet.rs
+++ b/src/bin/yokelift-testkit/scale_fleet.rs
@@ -1,36 +1,53 @@
-//! `scale-fleet`: runs fleets of hollow managers and prints what they needed.
+//! The subcommand `scale-fleet`: runs fleets of hollow nodes and prints their figures.
 use async_io::block_on;
 use async_signal::{Signal, Signals};
 use clap::Args;
 use futures_lite::StreamExt;
+use std::fmt;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::str::FromStr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
+use thiserror::Error;
 use yokelift::config::fleet::FleetConfig;
 use yokelift::testkit::scale::figures::{self, Figures};
 use yokelift::testkit::scale::{events, fleet::Plan};
 
-/// How many managers and engines.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug)]
-pub struct Size(usize, u64);
+pub(crate) struct Size {
+    managers: usize,
+    engines: u64,
+}
+
+/// The text is no size.
+#[derive(Debug, Error)]
+#[error("MANAGERSxENGINES, as 58x114")]
+pub(crate) struct InvalidSize;
 
 impl FromStr for Size {
-    type Err = String;
+    type Err = InvalidSize;
 
-    fn from_str(text: &str) -> Result<Size, String> {
-        let size = text
-            .split_once('x')
-            .and_then(|(m, e)| Some(Size(m.parse().ok()?, e.parse().ok()?)));
-        size.ok_or_else(|| "MANAGERSxENGINES, as 58x114".into())
+    fn from_str(text: &str) -> Result<Size, InvalidSize> {
+        let (managers, engines) = text.split_once('x').ok_or(InvalidSize)?;
+        Ok(Size {
+            managers: managers.parse().map_err(|_| InvalidSize)?,
+            engines: engines.parse().map_err(|_| InvalidSize)?,
+        })
     }
 }
 
-/// What is run.
+impl fmt::Display for Size {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}x{}", self.managers, self.engines)
+    }
+}
+
+/// The arguments of `scale-fleet`.
 #[derive(Args)]
-pub struct ScaleFleet {
+pub(crate) struct ScaleFleetArgs {
     /// The sizes, as MANAGERSxENGINES; the plan's eighths are 58x114, 115x228, 230x455 and 460x910.
     #[arg(long, value_delimiter = ',', default_value = "58x114")]
     sizes: Vec<Size>,
@@ -76,29 +93,35 @@
     json: bool,
 }
 
-/// Sets the flag when the process is asked to end.
-fn listen_for_the_end(ending: Arc<AtomicBool>) -> Result<(), String> {
+/// The text to print, and what failed.
+pub(crate) struct Output {
+    pub(crate) text: String,
+    pub(crate) failures: Vec<String>,
+}
+
+/// A flag that is set when the process is asked to stop.
+fn stop_flag() -> Result<Arc<AtomicBool>, String> {
     let mut signals = Signals::new([Signal::Term, Signal::Int])
-        .map_err(|e| format!("can't wait for signals: {e}"))?;
+        .map_err(|error| format!("can't wait for signals: {error}"))?;
+    let stop_requested = Arc::new(AtomicBool::new(false));
+    let flag = stop_requested.clone();
     let wait = move || {
         while block_on(signals.next()).is_some() {
-            ending.store(true, Ordering::Relaxed);
+            flag.store(true, Ordering::Relaxed);
         }
     };
     std::thread::Builder::new()
         .name("signals".into())
         .spawn(wait)
-        .map_err(|e| e.to_string())?;
-    Ok(())
+        .map_err(|error| error.to_string())?;
+    Ok(stop_requested)
 }
 
-impl ScaleFleet {
-    fn plan(&self, Size(managers, engines): Size, limit: Duration) -> Result<Plan, String> {
-        let mut plan = Plan::new(managers, engines);
+impl ScaleFleetArgs {
+    fn plan(&self, size: Size, limit: Duration) -> Result<Plan, String> {
+        let mut plan = Plan::new(size.managers, size.engines);
         if let Some(path) = &self.fleet {
-            let text =
-                std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-            let file = FleetConfig::parse(&text)?;
+            let file = read_fleet(path)?;
             plan.timing = file.timing;
             plan.terms = file.duties.map_or(plan.terms, |duties| duties.terms);
         }
@@ -119,39 +142,54 @@
         })
     }
 
-    /// Runs all sizes; told are the output and what was wrong.
-    pub fn run(&self) -> Result<(String, Vec<String>), String> {
-        let limit = Duration::from_secs(self.limit);
-        // All are refused before the first one runs.
-        self.sizes.iter().try_for_each(|size| {
-            let told = |e| format!("{}x{}: {e}", size.0, size.1);
+    /// Refuses all sizes if any of them can't be run.
+    fn check_sizes(&self, limit: Duration) -> Result<(), String> {
+        for size in &self.sizes {
             self.plan(*size, limit)
-                .and_then(|plan| plan.check())
-                .map_err(told)
-        })?;
-        let ending = Arc::new(AtomicBool::new(false));
-        listen_for_the_end(ending.clone())?;
-        let (begun, mut all, mut wrong): (_, Vec<Figures>, _) =
-            (Instant::now(), Vec::new(), Vec::new());
+                .and_then(|plan| plan.check().map_err(|error| error.to_string()))
+                .map_err(|error| format!("{size}: {error}"))?;
+        }
+        Ok(())
+    }
+
+    /// Runs all sizes, up to the first that fails.
+    pub(crate) fn run(&self) -> Result<Output, String> {
+        let limit = Duration::from_secs(self.limit);
+        self.check_sizes(limit)?;
+        let stop_requested = stop_flag()?;
+        let started = Instant::now();
+        let mut runs: Vec<Figures> = Vec::new();
+        let mut failures = Vec::new();
         for size in &self.sizes {
-            let left = limit.saturating_sub(begun.elapsed());
-            let told = |e: String| format!("{}x{}: {e}", size.0, size.1);
-            match events::run(self.plan(*size, left)?, ending.clone()) {
+            let remaining = limit.saturating_sub(started.elapsed());
+            let plan = self.plan(*size, remaining)?;
+            match events::run(plan, stop_requested.clone()) {
                 Ok(figures) => {
-                    wrong.extend(figures.failed.iter().cloned().map(told));
-                    all.push(figures);
+                    let failed = figures.failed.iter();
+                    failures.extend(failed.map(|failure| format!("{size}: {failure}")));
+                    runs.push(figures);
                 }
-                // What was measured before is still told.
-                Err(e) => {
-                    wrong.push(told(e));
+                // The figures of the sizes before it are still printed.
+                Err(error) => {
+                    failures.push(format!("{size}: {error}"));
                     break;
                 }
             }
         }
-        let text = match self.json {
-            true => serde_json::to_string(&all).map_err(|e| e.to_string())?,
-            false => figures::table(&all),
+        let text = if self.json {
+            serde_json::to_string(&runs).map_err(|error| error.to_string())?
+        } else {
+            figures::table(&runs)
         };
-        Ok((text + "\n", wrong))
+        Ok(Output {
+            text: text + "\n",
+            failures,
+        })
     }
 }
+
+fn read_fleet(path: &Path) -> Result<FleetConfig, String> {
+    let text =
+        std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
+    FleetConfig::parse(&text).map_err(|error| error.to_string())
+}
--- /dev/null
+++ b/src/config/clickhouse/class_rules.rs
@@ -0,0 +1,79 @@
+//! The assignment of statements to classes.
+use super::{ClassRuleConfig, ClickHouseConfig, ClickHouseConfigError};
+use crate::config::process::Names;
+use crate::policy::api::ClassId;
+use crate::statement;
+
+/// A rule whose class was found in the settings.
+struct ClassRule {
+    conditions: ClassRuleConfig,
+    class: ClassId,
+}
+
+impl ClassRule {
+    fn matches(&self, user: &str, words: &[&[u8]]) -> bool {
+        let conditions = &self.conditions;
+        let is_any_of = |word: &[u8], list: &[String]| {
+            list.iter()
+                .any(|item| word.eq_ignore_ascii_case(item.as_bytes()))
+        };
+        let first_word_matches = conditions.first_words.is_empty()
+            || words
+                .first()
+                .is_some_and(|word| is_any_of(word, &conditions.first_words));
+        let any_word_matches = conditions.words.is_empty()
+            || words.iter().any(|word| is_any_of(word, &conditions.words));
+        let user_matches =
+            conditions.users.is_empty() || conditions.users.iter().any(|name| name == user);
+        first_word_matches && any_word_matches && user_matches
+    }
+}
+
+/// Assigns statements to classes.
+pub struct ClassRules {
+    rules: Vec<ClassRule>,
+    default_class: ClassId,
+}
+
+impl ClassRules {
+    /// The rules of a file.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a class is not among `names`.
+    pub fn new(
+        config: &ClickHouseConfig,
+        names: &Names,
+    ) -> Result<ClassRules, ClickHouseConfigError> {
+        let class_id = |name: &str| {
+            names
+                .class(name)
+                .ok_or_else(|| ClickHouseConfigError::UnknownClass {
+                    name: name.to_owned(),
+                })
+        };
+        let rule = |conditions: &ClassRuleConfig| {
+            Ok(ClassRule {
+                conditions: conditions.clone(),
+                class: class_id(&conditions.name)?,
+            })
+        };
+        Ok(ClassRules {
+            rules: config
+                .class_rules
+                .iter()
+                .map(rule)
+                .collect::<Result<_, _>>()?,
+            default_class: class_id(&config.default_class)?,
+        })
+    }
+
+    /// The class of a user's statement.
+    pub fn class(&self, user: &str, statement: &[u8]) -> ClassId {
+        let words = statement::words(statement);
+        self.rules
+            .iter()
+            .find(|rule| rule.matches(user, &words))
+            .map_or(self.default_class, |rule| rule.class)
+    }
+}
--- a/src/config/clickhouse.rs
+++ b/src/config/clickhouse/mod.rs
@@ -1,11 +1,15 @@
 //! The operator's file of the ClickHouse frontend, such as `deploy/clickhouse.toml`: its address, its
 //! engines, its users, and the rules that assign statements to classes.
-use crate::config::process::Names;
+mod class_rules;
+mod users;
+
+pub use class_rules::ClassRules;
+pub use users::Users;
+
 use crate::config::{FileError, first_duplicate, load};
-use crate::policy::api::{ClassId, EngineId, TenantId};
-use crate::statement;
+use crate::policy::api::EngineId;
 use serde::Deserialize;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::Path;
 use thiserror::Error;
@@ -291,151 +295,3 @@
         .map(|number| EngineId(u64::from(number)))
         .ok_or_else(|| ClickHouseConfigError::InvalidEngineId { id: id.to_owned() })
 }
-
-/// A rule whose class was found in the settings.
-struct ClassRule {
-    conditions: ClassRuleConfig,
-    class: ClassId,
-}
-
-impl ClassRule {
-    fn matches(&self, user: &str, words: &[&[u8]]) -> bool {
-        let conditions = &self.conditions;
-        let is_any_of = |word: &[u8], list: &[String]| {
-            list.iter()
-                .any(|item| word.eq_ignore_ascii_case(item.as_bytes()))
-        };
-        let first_word_matches = conditions.first_words.is_empty()
-            || words
-                .first()
-                .is_some_and(|word| is_any_of(word, &conditions.first_words));
-        let any_word_matches = conditions.words.is_empty()
-            || words.iter().any(|word| is_any_of(word, &conditions.words));
-        let user_matches =
-            conditions.users.is_empty() || conditions.users.iter().any(|name| name == user);
-        first_word_matches && any_word_matches && user_matches
-    }
-}
-
-/// Assigns statements to classes.
-pub struct ClassRules {
-    rules: Vec<ClassRule>,
-    default_class: ClassId,
-}
-
-impl ClassRules {
-    /// The rules of a file.
-    ///
-    /// # Errors
-    ///
-    /// Fails if a class is not among `names`.
-    pub fn new(
-        config: &ClickHouseConfig,
-        names: &Names,
-    ) -> Result<ClassRules, ClickHouseConfigError> {
-        let class_id = |name: &str| {
-            names
-                .class(name)
-                .ok_or_else(|| ClickHouseConfigError::UnknownClass {
-                    name: name.to_owned(),
-                })
-        };
-        let rule = |conditions: &ClassRuleConfig| {
-            Ok(ClassRule {
-                conditions: conditions.clone(),
-                class: class_id(&conditions.name)?,
-            })
-        };
-        Ok(ClassRules {
-            rules: config
-                .class_rules
-                .iter()
-                .map(rule)
-                .collect::<Result<_, _>>()?,
-            default_class: class_id(&config.default_class)?,
-        })
-    }
-
-    /// The class of a user's statement.
-    pub fn class(&self, user: &str, statement: &[u8]) -> ClassId {
-        let words = statement::words(statement);
-        self.rules
-            .iter()
-            .find(|rule| rule.matches(user, &words))
-            .map_or(self.default_class, |rule| rule.class)
-    }
-}
-
-#[derive(Clone, Debug, PartialEq, Eq)]
-struct User {
-    key: String,
-    tenant: Option<TenantId>,
-}
-
-/// The users of the frontend and their tenants.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Users {
-    by_name: BTreeMap<String, User>,
-}
-
-impl Users {
-    /// The users of a file.
-    ///
-    /// # Errors
-    ///
-    /// Fails if a tenant is not among `names`.
-    pub fn new(config: &ClickHouseConfig, names: &Names) -> Result<Users, ClickHouseConfigError> {
-        let mut users = Users::default();
-        for user in &config.users {
-            let tenant = user
-                .tenant
-                .as_deref()
-                .map(|tenant| tenant_id(names, tenant))
-                .transpose()?;
-            users.add(&user.name, &user.key, tenant);
-        }
-        Ok(users)
-    }
-
-    /// Adds a user; one of the same name is replaced.
-    pub fn add(&mut self, name: &str, key: &str, tenant: Option<TenantId>) {
-        let user = User {
-            key: key.to_owned(),
-            tenant,
-        };
-        self.by_name.insert(name.to_owned(), user);
-    }
-
-    /// Adds all of `others`; users of the same name are replaced.
-    pub fn extend(&mut self, others: &Users) {
-        self.by_name.extend(others.by_name.clone());
-    }
-
-    /// The tenant of the user with this name and key: `None` for an unknown user or a wrong key,
-    /// `Some(None)` for a user without a tenant.
-    pub fn find(&self, name: &str, key: &str) -> Option<Option<TenantId>> {
-        let user = self.by_name.get(name)?;
-        keys_equal(&user.key, key).then_some(user.tenant)
-    }
-}
-
-/// Compares all bytes of the shorter key in any case, so that the time taken does not reveal how many
-/// leading bytes of a guess are right.
-fn keys_equal(expected: &str, given: &str) -> bool {
-    let difference = expected
-        .bytes()
-        .zip(given.bytes())
-        .fold(0, |difference, (a, b)| difference | (a ^ b));
-    difference == 0 && expected.len() == given.len()
-}
-
-fn tenant_id(names: &Names, name: &str) -> Result<TenantId, ClickHouseConfigError> {
-    names
-        .tenants
-        .iter()
-        .position(|tenant| tenant == name)
-        .map(|index| TenantId(index as u16))
-        .ok_or_else(|| ClickHouseConfigError::UnknownTenant {
-            name: name.to_owned(),
-        })
-}
--- a/src/testkit/scale/daemons.rs
+++ b/src/testkit/scale/daemons.rs
@@ -1,6 +1,6 @@
-//! One point: a real daemon between stand-ins, and what it used.
-use super::load::BUSY;
-use super::testbed::Site;
+//! Measures one point: a real daemon between stand-ins, and the resources that it used.
+use super::load::BUSY_CLIENTS;
+use super::testbed::Testbed;
 use super::{Options, Point, Progress};
 use crate::net::discovery::endpoint_list::{ListedEndpoint, listed};
 use crate::policy::api::Readiness;
@@ -17,23 +17,23 @@
 use std::future::Future;
 use std::rc::Rc;
 
-/// Statements a second that all managers together may have of the tenants: enough for the whole
-/// load.
+/// Statements a second that all managers together admit: enough for the largest load.
 const QUOTA_PER_S: f64 = 350_000.0;
+/// Time for the stand-ins' tasks to close their sockets, in milliseconds.
+const CLOSE_TIME_MS: u64 = 30;
+/// Lines of the daemon's log that an error quotes.
+const QUOTED_LOG_LINES: usize = 3;
 
-/// The stand-ins have so long to end, in milliseconds.
-const PARTING_MS: u64 = 30;
-
-/// What was measured at a point. What is said to be of the window was counted in it alone.
+/// What was measured at a point. Figures over the window were counted within it alone.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Measured {
     /// Engines in the list.
     pub engines: u64,
     /// Idle clients.
     pub clients: u64,
-    /// Statements a second that were wanted.
+    /// Statements a second, as planned.
     pub rate: f64,
-    /// Managers that the settings tell of.
+    /// Managers in the settings.
     pub managers: u64,
     /// The window, in seconds.
     pub seconds: f64,
@@ -47,8 +47,8 @@
     pub anon_kib: u64,
     /// Resident memory of all stand-ins then, in KiB.
     pub stand_ins_rss_kib: u64,
-    /// Descriptors of this process then, but for engines' listeners and both ends of what the
-    /// daemon is connected to.
+    /// Descriptors of this process then, without the engines' listeners and the ends of the daemon's
+    /// connections.
     pub stand_ins_descriptors: u64,
     /// Processor time over the window, in microseconds a second.
     pub cpu_us_per_s: f64,
@@ -58,97 +58,100 @@
     pub switches_per_s: f64,
     /// Open descriptors at the end of the window.
     pub descriptors: u64,
-    /// Those that it had before any client came, without connections to engines.
+    /// Those that it had before any client connected, without connections to engines.
     pub fixed_descriptors: u64,
-    /// Connections that clients have open then, busy ones with them.
+    /// Connections that clients have open then, including the busy ones.
     pub client_connections: u64,
     /// Connections that engines have open then.
     pub engine_connections: u64,
-    /// Statements asked a second over the window.
+    /// Statements sent a second over the window.
     pub asked_per_s: f64,
-    /// Statements served in the window.
+    /// Statements completed in the window.
     pub served: u64,
-    /// Statements refused in the window.
+    /// Statements rejected in the window.
     pub refused: u64,
     /// Statements that failed in the window.
     pub failed: u64,
-    /// Calls for the status by idle clients, a second over the window.
+    /// Status calls of idle clients, a second over the window.
     pub calls_per_s: f64,
-    /// Questions for their load that engines saw, a second over the window.
+    /// Load probes that engines received, a second over the window.
     pub probes_per_s: f64,
-    /// Connections that engines saw being made, from the start to the end of the window.
+    /// Connections that engines accepted, from the start to the end of the window.
     pub connects: u64,
-    /// Engines that saw one.
+    /// Engines that accepted one.
     pub engines_reached: u64,
-    /// Engines that were sent a statement by the end of the window.
+    /// Engines that received a statement by the end of the window.
     pub engines_used: u64,
-    /// Processor time for a whole list that says nothing new, in microseconds.
+    /// Processor time for a full endpoint list without changes, in microseconds.
     pub list_cpu_us: f64,
-    /// From the word that half of the engines drain to the last statement that one of them was
-    /// sent, in microseconds, the worst of some; nothing without statements. The stand-in
-    /// coordinator passes words on every 5 ms.
+    /// From the event that half of the engines drain to the last statement that one of them
+    /// received, in microseconds, the worst of several; `None` without statements. The stand-in
+    /// coordinator sends its events every 5 ms.
     pub change_us: Option<u64>,
-    /// Statements that engines saw from the start to the end of the run.
+    /// Statements that engines received from the start to the end of the run.
     pub begun: u64,
-    /// Statements that the daemon says it sent to them.
+    /// Statements that the daemon reports to have sent.
     pub dispatches: u64,
-    /// Engines that it says it has in its list.
+    /// Engines that the daemon reports to have in its list.
     pub targets: u64,
 }
 
-/// What the book calls an engine, by its place in the list.
-pub(super) fn engine_name(place: u64) -> String {
-    format!("e{place}")
+/// The name of an engine in the execution log, by its index in the list.
+pub(super) fn engine_name(index: u64) -> String {
+    format!("e{index}")
 }
 
-/// The settings of one manager of that many.
+/// The settings of one of this many managers.
 fn settings(managers: u64) -> Value {
     let mut settings = daemon::settings();
     settings["peers_total"] = json!(managers);
-    for org in settings["orgs"].as_array_mut().into_iter().flatten() {
-        org["quota_rps"] = json!(QUOTA_PER_S * org["share"].as_f64().unwrap_or(0.0));
+    for tenant in settings["orgs"].as_array_mut().into_iter().flatten() {
+        let share = tenant["share"].as_f64().unwrap_or(0.0);
+        tenant["quota_rps"] = json!(QUOTA_PER_S * share);
     }
     settings
 }
 
-/// The descriptors that the daemon is told it may have: with half for clients and a quarter for
-/// engines, those of the greatest point fit. The same for all points, lest it shows in what they
-/// need.
-pub fn sockets(points: &[Point]) -> u64 {
-    let each = points
-        .iter()
-        .map(|p| (2 * (p.clients + BUSY) + 64).max(6 * p.engines + 64));
-    each.max().unwrap_or(0).max(256)
+/// The limit on descriptors in the daemon's configuration: the largest point fits where half of them
+/// are for clients and a quarter for engines. It is the same for all points, so that it does not
+/// influence their comparison.
+pub fn daemon_descriptors(points: &[Point]) -> u64 {
+    let needed = |point: &Point| {
+        let for_clients = 2 * (point.clients + BUSY_CLIENTS) + 64;
+        let for_engines = 6 * point.engines + 64;
+        for_clients.max(for_engines)
+    };
+    points.iter().map(needed).max().unwrap_or(0).max(256)
 }
 
-/// Measures one point. Ends the daemon before it returns, also where something fails or `until`
-/// comes first, which tells why.
+/// Measures one point. The daemon has ended when it returns, also after a failure, or after `until`
+/// completed, which gives the error's text.
 pub fn measure(
     point: &Point,
     options: &Options,
-    sockets: u64,
+    daemon_descriptors: u64,
     until: impl Future<Output = String>,
     progress: &mut dyn FnMut(&Progress),
 ) -> Result<Measured, String> {
     let executor: Executor = Rc::new(LocalExecutor::new());
     let ended = async { Err(until.await) };
-    let measured =
-        block_on(executor.run(or(ended, one(&executor, point, options, sockets, progress))));
-    // What was ended lets go of its sockets in a turn of its own.
-    block_on(executor.run(pause(PARTING_MS)));
+    let measured = run_daemon(&executor, point, options, daemon_descriptors, progress);
+    let measured = block_on(executor.run(or(ended, measured)));
+    // Ended tasks close their sockets when they are dropped by the executor.
+    block_on(executor.run(pause(CLOSE_TIME_MS)));
     measured
 }
 
-async fn one(
+async fn run_daemon(
     executor: &Executor,
     point: &Point,
     options: &Options,
-    sockets: u64,
+    daemon_descriptors: u64,
     progress: &mut dyn FnMut(&Progress),
 ) -> Result<Measured, String> {
-    let book = ExecutionLog::default();
-    let engine = |i| Engine::start(executor, &engine_name(i), false, book.clone());
-    let engines: Vec<Engine> = (0..point.engines).map(engine).collect();
+    let log = ExecutionLog::default();
+    let start_engine = |index| Engine::start(executor, &engine_name(index), false, log.clone());
+    let engines: Vec<Engine> = (0..point.engines).map(start_engine).collect();
     let coordinator = Coordinator::start(executor);
     let place = |i: usize| {
         (
@@ -161,41 +164,44 @@
         |(i, e): (usize, &Engine)| listed(i as u32 + 1, e.addr, Readiness::Ready, place(i), 1.0, 0);
     let list: Vec<ListedEndpoint> = engines.iter().enumerate().map(entry).collect();
     let known = known(&list, &ZONES, &KINDS);
-    let settings = settings(options.managers);
     let daemon = Daemon::start(
         &options.daemon,
         coordinator.addr,
         &known,
         None,
-        sockets as usize,
+        daemon_descriptors as usize,
         true,
-        settings,
+        settings(options.managers),
     )
     .await?;
-    let site = Site {
+    let testbed = Testbed {
         executor,
         point,
         options,
-        book,
+        log,
         engines,
         coordinator,
         list,
         daemon: &daemon,
-        tally: Rc::default(),
-        doing: Cell::new("the start"),
+        counters: Rc::default(),
+        step: Cell::new("the start"),
     };
-    let measured = or(site.watch(progress), site.run()).await;
-    measured.map_err(|why| {
-        let log = daemon.log();
-        let last: Vec<&str> = log.lines().rev().take(3).collect();
-        let last: Vec<&str> = last.into_iter().rev().collect();
-        format!(
-            "{} engines, {} clients, {} statements a second, {}: {why}; the daemon's last words: {:?}",
-            point.engines,
-            point.clients,
-            point.rate,
-            site.doing.get(),
-            last
-        )
-    })
+    let measured = or(testbed.watch(progress), testbed.run()).await;
+    measured.map_err(|error| describe_failure(&error, point, testbed.step.get(), &daemon))
+}
+
+/// The error with its point, its step, and the end of the daemon's log.
+fn describe_failure(error: &str, point: &Point, step: &str, daemon: &Daemon) -> String {
+    let log = daemon.log();
+    let lines: Vec<&str> = log.lines().collect();
+    let last_lines = &lines[lines.len().saturating_sub(QUOTED_LOG_LINES)..];
+    let Point {
+        engines,
+        clients,
+        rate,
+    } = point;
+    format!(
+        "{engines} engines, {clients} clients, {rate} statements a second, {step}: {error}; \
+        the daemon's last words: {last_lines:?}"
+    )
 }
--- a/src/testkit/scale/events.rs
+++ b/src/testkit/scale/events.rs
@@ -1,45 +1,63 @@
-//! What is done to a fleet of hollow managers, one event after the other, and how long they need.
-use super::figures::{Accounts, Cut, Death, Figures, Load, MOST_LATE_MS, Rolling, Took};
-use super::fleet::{Plan, Rig};
-use super::hollow::Reading;
-use super::needs;
-use super::observations::{Goal, Owner, Spread};
+//! The events of a run with a fleet of hollow nodes, one after the other, and how long each takes to
+//! be observed by all nodes.
+use super::figures::{
+    DatagramBalance, Death, EventDuration, Figures, Load, LoadSample, MAX_WAKE_DELAY_MS, Partition,
+    RollingRestart,
+};
+use super::fleet::{HollowFleet, Plan, RunError};
+use super::hollow_node::NodeReading;
+use super::observations::{Condition, ConditionProgress, LeaseHolder};
+use super::proc;
 use crate::clock::Micros;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 use std::time::{Duration, Instant};
 
-/// Hash of the settings that all get anew.
+/// The hash of the settings that all nodes change to.
 const NEW_SETTINGS: u64 = 2;
-/// A life begins at least this much later than the one before it, in microseconds.
-const NEXT_LIFE: Micros = 1_000;
+/// An incarnation begins at least this much later than the one before it.
+const INCARNATION_GAP: Micros = 1_000;
 
 /// Runs all events of a plan.
-pub fn run(plan: Plan, ending: Arc<AtomicBool>) -> Result<Figures, String> {
-    let resident = needs::resident_kb();
-    let mut run = Run::new(Rig::new(plan, ending)?);
+pub fn run(plan: Plan, stop_requested: Arc<AtomicBool>) -> Result<Figures, RunError> {
+    let resident_kib = proc::own_resident_kib();
+    let mut run = Run::new(HollowFleet::new(plan, stop_requested)?);
     run.join()?;
-    run.quiet(resident)?;
+    run.quiet(resident_kib)?;
     run.death()?;
     run.settings()?;
-    run.cut()?;
-    run.rolling()?;
-    run.close()
+    run.partition()?;
+    run.rolling_restart()?;
+    run.finish()
 }
 
 /// A run and its figures so far.
 pub struct Run {
     /// The fleet.
-    pub rig: Rig,
+    pub fleet: HollowFleet,
     /// The figures.
     pub figures: Figures,
 }
 
+/// The start of an interval over which load is measured.
+struct LoadStart {
+    readings: Vec<NodeReading>,
+    at: Instant,
+    processor_time: Duration,
+}
+
+/// How long a restart took, and the largest wake-up delay meanwhile, both in milliseconds.
+struct RestartDuration {
+    /// `None` if it was not observed by all within the patience.
+    all_ms: Option<u64>,
+    max_wake_delay_ms: f64,
+}
+
 impl Run {
-    /// Nothing has happened yet.
-    pub fn new(rig: Rig) -> Run {
-        let plan = &rig.plan;
+    /// A run before its first event.
+    pub fn new(fleet: HollowFleet) -> Run {
+        let plan = &fleet.plan;
         let figures = Figures {
             managers: plan.managers,
             engines: plan.engines,
@@ -51,249 +69,282 @@
             console: plan.console,
             ..Figures::default()
         };
-        Run { rig, figures }
+        Run { fleet, figures }
     }
 
-    /// The latest wake since this was asked last, in milliseconds.
-    fn late(&mut self) -> f64 {
-        let late = self.rig.board.take_late() as f64 / 1e3;
-        self.figures.latest_wake_ms = self.figures.latest_wake_ms.max(late);
-        self.figures.overloaded |= late >= MOST_LATE_MS;
-        late
+    /// The largest wake-up delay since the last call, in milliseconds, which the figures take in.
+    fn take_max_wake_delay_ms(&mut self) -> f64 {
+        let delay_ms = self.fleet.observations.take_max_wake_delay_us() as f64 / 1e3;
+        self.figures.latest_wake_ms = self.figures.latest_wake_ms.max(delay_ms);
+        self.figures.overloaded |= delay_ms >= MAX_WAKE_DELAY_MS;
+        delay_ms
     }
 
-    fn took(&mut self, what: &str, since_ms: u64, spread: Spread) -> Took {
-        let whole = spread.hold == spread.asked;
-        if !whole {
+    /// The duration of an event that began at `since_ms`; recorded as failed unless all observed it.
+    fn event_duration(
+        &mut self,
+        event: &str,
+        since_ms: u64,
+        progress: ConditionProgress,
+    ) -> EventDuration {
+        let ConditionProgress { met, asked, .. } = progress;
+        if !progress.is_complete() {
             self.figures
                 .failed
-                .push(format!("{what}: {} of {}", spread.hold, spread.asked));
+                .push(format!("{event}: {met} of {asked}"));
         }
-        Took {
-            all_ms: whole.then(|| spread.last_ms.saturating_sub(since_ms)),
-            half_ms: spread.median_ms.saturating_sub(since_ms),
-            had: spread.hold,
-            asked: spread.asked,
-            latest_wake_ms: self.late(),
+        EventDuration {
+            all_ms: progress
+                .is_complete()
+                .then(|| progress.last_ms.saturating_sub(since_ms)),
+            half_ms: progress.median_ms.saturating_sub(since_ms),
+            had: met,
+            asked,
+            latest_wake_ms: self.take_max_wake_delay_ms(),
         }
     }
 
-    fn others(&self) -> usize {
-        self.rig.plan.managers - 1 + self.rig.plan.greet.len()
+    /// How many others each node knows when the fleet is complete.
+    fn other_members(&self) -> usize {
+        self.fleet.plan.managers - 1 + self.fleet.plan.greet.len()
     }
 
-    /// Counts traffic over a time.
-    fn count(&mut self, what: &str, time: Duration) -> Result<(Load, Vec<Reading>), String> {
-        self.late();
-        let (before, since, processor) = (self.rig.read()?, Instant::now(), needs::processor());
-        self.rig.pass(what, time)?;
-        let load = self.load_since(&before, since, processor)?;
-        Ok((load, self.rig.read()?))
+    fn all_nodes(&self) -> Vec<usize> {
+        self.fleet.all_except(&[])
     }
 
-    fn load_since(
-        &mut self,
-        before: &[Reading],
-        since: Instant,
-        processor: Duration,
-    ) -> Result<Load, String> {
-        let (time, used) = (
-            since.elapsed(),
-            needs::processor().saturating_sub(processor),
-        );
-        let after = self.rig.read()?;
-        let late = self.late();
-        Ok(Load::between(
-            &self.rig.plan,
-            (before, &after),
-            time,
-            used,
-            late,
+    fn settle(&mut self) -> Result<(), RunError> {
+        self.fleet.pass_time("settles", self.fleet.plan.settle)
+    }
+
+    fn start_load(&mut self) -> Result<LoadStart, RunError> {
+        Ok(LoadStart {
+            readings: self.fleet.read()?,
+            at: Instant::now(),
+            processor_time: proc::own_processor_time(),
+        })
+    }
+
+    /// The load since `start`.
+    fn load_since(&mut self, start: &LoadStart) -> Result<Load, RunError> {
+        let duration = start.at.elapsed();
+        let processor_time = proc::own_processor_time().saturating_sub(start.processor_time);
+        let readings = self.fleet.read()?;
+        let max_wake_delay_ms = self.take_max_wake_delay_ms();
+        Ok(Load::of(
+            &self.fleet.plan,
+            &LoadSample {
+                earlier: &start.readings,
+                later: &readings,
+                duration,
+                processor_time,
+                max_wake_delay_ms,
+            },
         ))
     }
 
-    /// All start at once, until each knows each.
-    pub fn join(&mut self) -> Result<(), String> {
-        let all = self.rig.all_but(&[]);
-        self.rig.look(Goal::Alive(self.others()));
-        let since = self.rig.board.now_ms();
-        self.rig.begin();
-        let spread = self.rig.reach("all start at once", &all)?;
-        self.figures.join = self.took("join", since, spread);
-        self.rig.look(Goal::Idle);
+    /// The load over the next `duration`.
+    fn measure_load(&mut self, step: &str, duration: Duration) -> Result<Load, RunError> {
+        self.take_max_wake_delay_ms();
+        let start = self.start_load()?;
+        self.fleet.pass_time(step, duration)?;
+        self.load_since(&start)
+    }
+
+    /// All nodes start at once, until each knows all others.
+    pub fn join(&mut self) -> Result<(), RunError> {
+        let all = self.all_nodes();
+        let complete = Condition::OthersAlive(self.other_members());
+        self.fleet.watch(complete);
+        let since_ms = self.fleet.observations.now_ms();
+        self.fleet.start_nodes();
+        let progress = self.fleet.wait_for_condition("all start at once", &all)?;
+        self.figures.join = self.event_duration("join", since_ms, progress);
+        self.fleet.watch(Condition::None);
         Ok(())
     }
 
-    /// Quiet traffic, after what the start stirred up has settled.
-    pub fn quiet(&mut self, resident_before: u64) -> Result<(), String> {
-        self.rig.pass("settles", self.rig.plan.settle)?;
-        let (load, _) = self.count("quiet traffic", self.rig.plan.quiet)?;
-        self.figures.quiet = load;
-        self.figures.owned = self.rig.board.owners().len();
-        let memory = needs::resident_kb().saturating_sub(resident_before);
-        self.figures.memory_kb = memory / self.rig.plan.managers as u64;
+    /// Quiet traffic, once the start's traffic has settled.
+    pub fn quiet(&mut self, resident_before_kib: u64) -> Result<(), RunError> {
+        self.settle()?;
+        self.figures.quiet = self.measure_load("quiet traffic", self.fleet.plan.quiet)?;
+        self.figures.owned = self.fleet.observations.lease_holders().len();
+        let memory_kib = proc::own_resident_kib().saturating_sub(resident_before_kib);
+        self.figures.memory_kb = memory_kib / self.fleet.plan.managers as u64;
         Ok(())
     }
 
-    /// The manager to stop: no voter, and of those with the most duties the one that the seed
-    /// picks.
-    fn victim(&self, owners: &BTreeMap<u64, Owner>) -> usize {
-        let mut duties: BTreeMap<usize, usize> = BTreeMap::new();
-        owners
-            .values()
-            .for_each(|owner| *duties.entry(owner.who).or_default() += 1);
-        let mut others = self.rig.all_but(&self.rig.plan.voting());
-        let most = others
-            .iter()
-            .map(|who| duties.get(who).copied().unwrap_or(0))
-            .max()
-            .unwrap_or(0);
-        others.retain(|who| duties.get(who).copied().unwrap_or(0) == most);
-        // All vote in the smallest fleets.
-        let picked = self.rig.plan.seed as usize % others.len().max(1);
-        others
-            .get(picked)
-            .copied()
-            .unwrap_or(self.rig.plan.managers - 1)
+    /// The node to stop: no voter, and of those with the most leases the one that the seed picks.
+    fn pick_victim(&self, holders: &BTreeMap<u64, LeaseHolder>) -> usize {
+        let plan = &self.fleet.plan;
+        let mut lease_counts: BTreeMap<usize, usize> = BTreeMap::new();
+        for holder in holders.values() {
+            *lease_counts.entry(holder.node).or_default() += 1;
+        }
+        let leases_of = |node: &usize| lease_counts.get(node).copied().unwrap_or(0);
+        let mut candidates = self.fleet.all_except(&plan.voter_nodes());
+        let most = candidates.iter().map(leases_of).max().unwrap_or(0);
+        candidates.retain(|node| leases_of(node) == most);
+        let picked = plan.seed as usize % candidates.len().max(1);
+        // In the smallest fleets all nodes are voters.
+        let fallback = plan.managers - 1;
+        candidates.get(picked).copied().unwrap_or(fallback)
     }
 
-    /// One manager stops: until all others have declared it dead, and each of its duties has
-    /// another owner. Then it is started anew.
-    pub fn death(&mut self) -> Result<(), String> {
-        let owners = self.rig.board.owners();
-        let victim = self.victim(&owners);
-        let mine: Vec<(u64, Owner)> = owners
+    /// One node is suspended, until all others consider it dead and each of its leases has another
+    /// holder. Then it is restarted.
+    pub fn death(&mut self) -> Result<(), RunError> {
+        let holders = self.fleet.observations.lease_holders();
+        let victim = self.pick_victim(&holders);
+        let lost_leases: BTreeMap<u64, LeaseHolder> = holders
             .into_iter()
-            .filter(|(_, owner)| owner.who == victim)
+            .filter(|(_, holder)| holder.node == victim)
             .collect();
-        let (name, others) = (self.rig.plan.name(victim), self.rig.all_but(&[victim]));
-        self.late();
-        self.rig.look(Goal::Dead(name.clone()));
-        let since = self.rig.board.now_ms();
-        self.rig.stop(victim);
-        let spread = self.rig.reach("one is stopped", &others)?;
-        let dead = self.took("death", since, spread);
-        self.rig.look(Goal::Idle);
-        let follows = |rig: &Rig| -> Option<u64> {
-            let now = rig.board.owners();
-            let next = mine.iter().map(|(engine, owner)| {
-                now.get(engine)
-                    .filter(|n| n.token > owner.token && n.who != victim)
-                    .map(|n| n.since_ms)
-            });
-            next.collect::<Option<Vec<u64>>>()
-                .map(|all| all.into_iter().max().unwrap_or(since))
-        };
-        let passed = self
-            .rig
-            .wait("its duties pass", |rig| follows(rig).is_some())?;
-        let owners_ms = follows(&self.rig).map(|at| at.saturating_sub(since));
-        if !passed {
-            self.figures
-                .failed
-                .push("owners: not every duty has another one".into());
+        let name = self.fleet.plan.name(victim);
+        let others = self.fleet.all_except(&[victim]);
+
+        self.take_max_wake_delay_ms();
+        self.fleet.watch(Condition::Dead(name.clone()));
+        let since_ms = self.fleet.observations.now_ms();
+        self.fleet.suspend(victim);
+        let progress = self.fleet.wait_for_condition("one is stopped", &others)?;
+        let dead = self.event_duration("death", since_ms, progress);
+        self.fleet.watch(Condition::None);
+
+        let all_reacquired = self.fleet.wait_until("its duties pass", |fleet| {
+            reacquired_at(fleet, &lost_leases, since_ms).is_some()
+        })?;
+        let reacquired_at_ms = reacquired_at(&self.fleet, &lost_leases, since_ms);
+        if !all_reacquired {
+            let failure = "owners: not every duty has another one";
+            self.figures.failed.push(failure.into());
         }
-        self.late();
+        self.take_max_wake_delay_ms();
         self.figures.death = Death {
             manager: name,
             dead,
-            duties: mine.len(),
-            owners_ms,
+            duties: lost_leases.len(),
+            owners_ms: reacquired_at_ms.map(|at_ms| at_ms.saturating_sub(since_ms)),
         };
         self.restart(victim, "it is started anew")?;
         Ok(())
     }
 
-    /// Starts a manager anew, until all others take the new life for alive and it takes all for
-    /// alive: how long that took, and the latest wake of a thread meanwhile, both in milliseconds.
-    fn restart(&mut self, who: usize, what: &str) -> Result<(Option<u64>, f64), String> {
-        let life = self.rig.read()?.get(who).map_or(0, |reading| reading.life);
-        let others = self.rig.all_but(&[who]);
-        self.rig
-            .look(Goal::Reborn(self.rig.plan.name(who), life + NEXT_LIFE));
-        let since = self.rig.board.now_ms();
-        self.rig.restart(who);
-        let spread = self.rig.reach(what, &others)?;
-        let known = self.took(what, since, spread);
-        self.rig.look(Goal::Alive(self.others()));
-        let spread = self.rig.reach("it knows all", &[who])?;
-        let knows = self.took("knows all after its start", since, spread);
-        self.rig.look(Goal::Idle);
-        let both = known
-            .all_ms
-            .zip(knows.all_ms)
-            .map(|(known, knows)| known.max(knows));
-        Ok((both, known.latest_wake_ms.max(knows.latest_wake_ms)))
+    /// Restarts a node, until all others consider its new incarnation alive and it considers all
+    /// others alive.
+    fn restart(&mut self, node: usize, step: &str) -> Result<RestartDuration, RunError> {
+        let readings = self.fleet.read()?;
+        let incarnation = readings.get(node).map_or(0, |reading| reading.incarnation);
+        let name = self.fleet.plan.name(node);
+        let others = self.fleet.all_except(&[node]);
+        let restarted = Condition::Restarted(name, incarnation + INCARNATION_GAP);
+        self.fleet.watch(restarted);
+        let since_ms = self.fleet.observations.now_ms();
+        self.fleet.restart(node);
+        let progress = self.fleet.wait_for_condition(step, &others)?;
+        let known = self.event_duration(step, since_ms, progress);
+
+        let complete = Condition::OthersAlive(self.other_members());
+        self.fleet.watch(complete);
+        let progress = self.fleet.wait_for_condition("it knows all", &[node])?;
+        let knows = self.event_duration("knows all after its start", since_ms, progress);
+        self.fleet.watch(Condition::None);
+        Ok(RestartDuration {
+            all_ms: known.all_ms.zip(knows.all_ms).map(|(a, b)| a.max(b)),
+            max_wake_delay_ms: known.latest_wake_ms.max(knows.latest_wake_ms),
+        })
     }
 
-    /// New settings at all, until all know.
-    pub fn settings(&mut self) -> Result<(), String> {
-        self.rig.pass("settles", self.rig.plan.settle)?;
-        self.late();
-        let all = self.rig.all_but(&[]);
-        self.rig.look(Goal::Settings(NEW_SETTINGS));
-        let since = self.rig.board.now_ms();
-        self.rig.retune(NEW_SETTINGS);
-        let spread = self.rig.reach("new settings", &all)?;
-        self.figures.settings = self.took("settings", since, spread);
-        self.rig.look(Goal::Idle);
+    /// All nodes change their settings, until all know of each other's.
+    pub fn settings(&mut self) -> Result<(), RunError> {
+        self.settle()?;
+        self.take_max_wake_delay_ms();
+        let all = self.all_nodes();
+        self.fleet.watch(Condition::Settings(NEW_SETTINGS));
+        let since_ms = self.fleet.observations.now_ms();
+        self.fleet.change_settings(NEW_SETTINGS);
+        let progress = self.fleet.wait_for_condition("new settings", &all)?;
+        self.figures.settings = self.event_duration("settings", since_ms, progress);
+        self.fleet.watch(Condition::None);
         Ok(())
     }
 
-    /// A third is cut off and healed, if the plan says so.
-    pub fn cut(&mut self) -> Result<(), String> {
-        let time = self.rig.plan.cut;
-        if time.is_zero() {
+    /// A third of the nodes is partitioned and healed, if the plan has a partition.
+    pub fn partition(&mut self) -> Result<(), RunError> {
+        let duration = self.fleet.plan.cut;
+        if duration.is_zero() {
             return Ok(());
         }
-        self.rig.pass("settles", self.rig.plan.settle)?;
-        self.rig.cut_off(true);
-        let (during, readings) = self.count("a third is cut off", time)?;
-        let alive = readings.iter().map(|reading| reading.alive);
-        let alive = (alive.clone().min().unwrap_or(0), alive.max().unwrap_or(0));
-        let (before, counted, processor) = (self.rig.read()?, Instant::now(), needs::processor());
-        let all = self.rig.all_but(&[]);
-        self.rig.look(Goal::Alive(self.others()));
-        let since = self.rig.board.now_ms();
-        self.rig.cut_off(false);
-        let spread = self.rig.reach("it heals", &all)?;
-        let healed = self.took("heal", since, spread);
-        self.rig.look(Goal::Idle);
-        self.rig.pass("settles", self.rig.plan.settle)?;
-        let after = self.load_since(&before, counted, processor)?;
-        self.figures.cut = Some(Cut {
-            seconds: time.as_secs_f64(),
+        self.settle()?;
+        self.fleet.set_partitioned(true);
+        let during = self.measure_load("a third is cut off", duration)?;
+        let readings = self.fleet.read()?;
+        let alive = || readings.iter().map(|reading| reading.alive);
+        let alive_range = (alive().min().unwrap_or(0), alive().max().unwrap_or(0));
+
+        let load_start = self.start_load()?;
+        let all = self.all_nodes();
+        let complete = Condition::OthersAlive(self.other_members());
+        self.fleet.watch(complete);
+        let since_ms = self.fleet.observations.now_ms();
+        self.fleet.set_partitioned(false);
+        let progress = self.fleet.wait_for_condition("it heals", &all)?;
+        let healed = self.event_duration("heal", since_ms, progress);
+        self.fleet.watch(Condition::None);
+        self.settle()?;
+        let after = self.load_since(&load_start)?;
+        self.figures.cut = Some(Partition {
+            seconds: duration.as_secs_f64(),
             during,
-            alive,
+            alive: alive_range,
             healed,
             after,
         });
         Ok(())
     }
 
-    /// Managers restarted one after the other, as many as the plan says.
-    pub fn rolling(&mut self) -> Result<(), String> {
-        let (count, managers) = (self.rig.plan.rolling, self.rig.plan.managers);
+    /// Nodes are restarted one after the other, as many as the plan has.
+    pub fn rolling_restart(&mut self) -> Result<(), RunError> {
+        let count = self.fleet.plan.rolling;
         if count == 0 {
             return Ok(());
         }
-        self.late();
-        let (mut rolling, first) = (Rolling::default(), self.rig.plan.seed as usize);
-        for k in 0..count {
-            let (took, late) =
-                self.restart((first + k) % managers, "restarts one after the other")?;
-            rolling.each_ms.push(took);
-            rolling.latest_wake_ms = rolling.latest_wake_ms.max(late);
+        self.take_max_wake_delay_ms();
+        let first = self.fleet.plan.seed as usize;
+        let mut rolling = RollingRestart::default();
+        for offset in 0..count {
+            let node = (first + offset) % self.fleet.plan.managers;
+            let restart = self.restart(node, "restarts one after the other")?;
+            rolling.each_ms.push(restart.all_ms);
+            rolling.latest_wake_ms = rolling.latest_wake_ms.max(restart.max_wake_delay_ms);
         }
         self.figures.rolling = Some(rolling);
         Ok(())
     }
 
-    /// Ends the run: the accounts.
-    pub fn close(mut self) -> Result<Figures, String> {
-        let all = self.rig.hush()?;
-        self.figures.accounts = Accounts::of(&all, self.rig.lost());
-        self.late();
+    /// Ends the run, and balances its datagrams.
+    pub fn finish(mut self) -> Result<Figures, RunError> {
+        let readings = self.fleet.suspend_all_and_read()?;
+        let dropped = self.fleet.dropped_datagrams();
+        self.figures.accounts = DatagramBalance::of(&readings, dropped);
+        self.take_max_wake_delay_ms();
         Ok(self.figures)
     }
 }
+
+/// When the last of these leases was acquired by another node, in milliseconds of the run, if all of
+/// them were; `since_ms` if there are none.
+fn reacquired_at(
+    fleet: &HollowFleet,
+    lost_leases: &BTreeMap<u64, LeaseHolder>,
+    since_ms: u64,
+) -> Option<u64> {
+    let holders = fleet.observations.lease_holders();
+    let acquired_at_ms = lost_leases.iter().map(|(engine, lost)| {
+        let holder = holders.get(engine)?;
+        let is_other = holder.token > lost.token && holder.node != lost.node;
+        is_other.then_some(holder.since_ms)
+    });
+    let all = acquired_at_ms.collect::<Option<Vec<u64>>>()?;
+    Some(all.into_iter().max().unwrap_or(since_ms))
+}
--- a/src/testkit/scale/fit.rs
+++ b/src/testkit/scale/fit.rs
@@ -1,8 +1,11 @@
 //! Straight lines through measured points, by least squares.
 use serde::Serialize;
 
-/// A line whose worst point is further off than this part of its value does not hold.
-pub const MOST_RESIDUAL: f64 = 0.1;
+/// Largest residual, as a fraction of the point's value, with which a line counts as valid.
+pub const MAX_RESIDUAL: f64 = 0.1;
+
+/// A measured point.
+pub type Sample = (f64, f64);
 
 /// A line through points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
@@ -11,62 +14,76 @@
     pub intercept: f64,
     /// What each unit adds.
     pub slope: f64,
-    /// The worst distance of a point from the line, as a part of the point's value.
+    /// The largest residual, as a fraction of its point's value.
     pub worst: f64,
-    /// Whether that is within bounds.
+    /// Whether that is within [`MAX_RESIDUAL`].
     pub holds: bool,
 }
 
-/// The line, from two points at different places on.
-pub fn line(points: &[(f64, f64)]) -> Option<Line> {
-    let n = points.len() as f64;
-    let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / n;
-    let (x, y) = (mean(|p| p.0), mean(|p| p.1));
-    let width: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
-    if points.len() < 2 || width <= 0.0 {
+impl Line {
+    /// The residual of a point as a fraction of its value: infinite beside a value of zero that the
+    /// line misses.
+    fn relative_residual(&self, (x, y): Sample) -> f64 {
+        match (y - self.intercept - self.slope * x).abs() {
+            0.0 => 0.0,
+            residual => residual / y.abs(),
+        }
+    }
+}
+
+/// The line of least squares; `None` unless there are points at two places.
+pub fn line(points: &[Sample]) -> Option<Line> {
+    let count = points.len() as f64;
+    let mean = |coordinate: fn(&Sample) -> f64| points.iter().map(coordinate).sum::<f64>() / count;
+    let mean_x = mean(|point| point.0);
+    let mean_y = mean(|point| point.1);
+    let variance: f64 = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum();
+    if points.len() < 2 || variance <= 0.0 {
         return None;
     }
-    let slope = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum::<f64>() / width;
-    let intercept = y - slope * x;
-    // Beside a value of zero any distance is far.
-    let off = |p: &(f64, f64)| match (p.1 - intercept - slope * p.0).abs() {
-        0.0 => 0.0,
-        distance => distance / p.1.abs(),
-    };
-    let worst = points.iter().map(off).fold(0.0, f64::max);
-    Some(Line {
-        intercept,
+    let covariance: f64 = points
+        .iter()
+        .map(|point| (point.0 - mean_x) * (point.1 - mean_y))
+        .sum();
+    let slope = covariance / variance;
+    let mut line = Line {
+        intercept: mean_y - slope * mean_x,
         slope,
-        worst,
-        holds: worst <= MOST_RESIDUAL,
-    })
+        worst: 0.0,
+        holds: false,
+    };
+    let residuals = points.iter().map(|point| line.relative_residual(*point));
+    line.worst = residuals.fold(0.0, f64::max);
+    line.holds = line.worst <= MAX_RESIDUAL;
+    Some(line)
 }
 
-/// A line through the points of all plays, and the slopes of the single plays.
+/// A line through the points of all plays, and the range of the single plays' slopes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
     /// Through all points.
     pub line: Line,
-    /// The least slope of a play.
+    /// The smallest slope of a play.
     pub least: f64,
-    /// The greatest one.
+    /// The largest slope of a play.
     pub most: f64,
 }
 
 /// Fits the points of each play, and of all together.
-pub fn fit(plays: &[Vec<(f64, f64)>]) -> Option<Fit> {
+pub fn fit(plays: &[Vec<Sample>]) -> Option<Fit> {
     let line_of_all = line(&plays.concat())?;
     let slopes: Vec<f64> = plays
         .iter()
         .filter_map(|play| line(play))
-        .map(|l| l.slope)
+        .map(|line| line.slope)
         .collect();
-    let least = slopes.iter().copied().fold(f64::INFINITY, f64::min);
-    let most = slopes.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    (!slopes.is_empty()).then_some(Fit {
+    if slopes.is_empty() {
+        return None;
+    }
+    Some(Fit {
         line: line_of_all,
-        least,
-        most,
+        least: slopes.iter().copied().fold(f64::INFINITY, f64::min),
+        most: slopes.iter().copied().fold(f64::NEG_INFINITY, f64::max),
     })
 }
 
--- a/src/testkit/scale/fleet.rs
+++ b/src/testkit/scale/fleet.rs
@@ -1,444 +1,382 @@
-//! A fleet of hollow managers: their threads, the orders to them, and the waits for what they see.
-//! Whatever ends a thread before its time, a signal and the end of the time allowed are errors of
-//! the run.
-use super::hollow::{Batch, Order, Reading};
-use super::hollow_node::home;
-use super::needs::{self, Needs};
-use super::observations::{Goal, Observations, Spread};
-use crate::config::fleet::{FleetConfig, LeaseConfig};
-use crate::lease::LeaseTiming;
-use crate::membership::Timing;
+//! A fleet of hollow nodes: their threads, the commands to them, and the waits for what they observe.
+//! A thread that ends early, a signal and the end of the time limit are errors of the run.
+use super::hollow_batch::{Batch, BatchCommand};
+use super::hollow_node::{NodeReading, node_address};
+use super::observations::{Condition, ConditionProgress, Observations};
+use super::proc;
 use crate::testkit::daemon::Folder;
 use async_channel::{Sender, unbounded};
 use std::any::Any;
+use std::io;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::{self, RecvTimeoutError};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
-
-/// The driver looks this often.
-const LOOK: Duration = Duration::from_millis(20);
-/// Hollow managers that others greet first.
-const SEEDS: usize = 3;
-
-/// What is run.
-#[derive(Clone, Debug)]
-pub struct Plan {
-    /// Hollow managers.
-    pub managers: usize,
-    /// Engines, whose loads they want.
-    pub engines: u64,
-    /// How many of the managers are voters; none: no duties are shared out.
-    pub voters: usize,
-    /// How often a second the module of each manager wants some engine's load.
-    pub wants: f64,
-    /// The same seed picks the same engines and the same manager to stop.
-    pub seed: u64,
-    /// Threads.
-    pub threads: usize,
-    /// The membership's timings.
-    pub timing: Timing,
-    /// The bounds of leases.
-    pub terms: LeaseTiming,
-    /// Managers put down what is owned for a second address, as daemons that have one do.
-    pub console: bool,
-    /// Others that each greets at the start, beside the first few: real daemons.
-    pub greet: Vec<SocketAddr>,
-    /// Between the start and quiet traffic, and after each disturbance.
-    pub settle: Duration,
-    /// How long quiet traffic is counted.
-    pub quiet: Duration,
-    /// How long a third is cut off; zero: not at all.
-    pub cut: Duration,
-    /// Managers that are restarted one after the other.
-    pub rolling: usize,
-    /// How long one event is waited for.
-    pub patience: Duration,
-    /// The run ends with an error after this.
-    pub limit: Duration,
-    /// Progress goes to standard error, a line a second.
-    pub progress: bool,
-}
-
-impl Plan {
-    /// The usual one for so many managers and engines.
-    pub fn new(managers: usize, engines: u64) -> Plan {
-        let cores = std::thread::available_parallelism().map_or(1, usize::from);
-        Plan {
-            managers,
-            engines,
-            voters: 5,
-            wants: 1.0,
-            seed: 1,
-            threads: cores.min(managers.div_ceil(16)).max(1),
-            timing: Timing::default(),
-            terms: LeaseTiming::default(),
-            console: false,
-            greet: Vec::new(),
-            settle: Duration::from_secs(10),
-            quiet: Duration::from_secs(20),
-            cut: Duration::ZERO,
-            rolling: 0,
-            patience: Duration::from_secs(120),
-            limit: Duration::from_secs(300),
-            progress: false,
-        }
-    }
-
-    /// The name of a manager.
-    pub fn name(&self, who: usize) -> String {
-        format!("m{who:04}")
-    }
-
-    /// The managers that vote, spread over the fleet.
-    pub fn voting(&self) -> Vec<usize> {
-        (0..self.voters)
-            .map(|k| k * self.managers / self.voters)
-            .collect()
-    }
-
-    /// Whether a manager is in the third that is cut off.
-    pub fn in_region(&self, who: usize) -> bool {
-        who < self.managers / 3
-    }
-
-    /// The fleet file of each manager.
-    pub fn file(&self, seeds: &[SocketAddr]) -> FleetConfig {
-        let voters: Vec<String> = self
-            .voting()
-            .into_iter()
-            .map(|who| self.name(who))
-            .collect();
-        FleetConfig {
-            bind: None,
-            advertise: None,
-            port: 0,
-            seeds: seeds.to_vec(),
-            timing: self.timing.clone(),
-            audit: None,
-            duties: (!voters.is_empty()).then_some(LeaseConfig {
-                voters,
-                terms: self.terms,
-            }),
-        }
-    }
-
-    /// Whether it can be run at all, and on this machine.
-    pub fn check(&self) -> Result<(), String> {
-        if !(3..=5_000).contains(&self.managers) || self.threads == 0 {
-            return Err("a run takes 3 to 5000 managers and a thread at least".into());
-        }
-        if self.voters.is_multiple_of(2) && self.voters > 0 || self.voters > self.managers.min(15) {
-            return Err("voters have to be an odd number, 15 and all managers at most".into());
-        }
-        if !(0.0..=1e3).contains(&self.wants) || self.rolling > self.managers {
-            return Err("wants from 0 to 1000 a second, and no more restarts than managers".into());
-        }
-        self.timing.check()?;
-        self.terms.check()?;
-        Needs::of(self).check(needs::descriptors(), needs::available_mb())
-    }
+use thiserror::Error;
+
+pub use super::plan::{Plan, PlanError};
+
+/// Interval at which the driver checks what it waits for.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval between two lines of progress.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Nodes that all others contact first.
+const SEED_NODES: usize = 3;
+
+/// Why a run fails.
+#[derive(Debug, Error)]
+pub enum RunError {
+    /// The plan can't be run.
+    #[error(transparent)]
+    Plan(#[from] PlanError),
+    /// A node's socket can't be bound.
+    #[error("can't take the managers' sockets: {0}")]
+    Bind(#[source] io::Error),
+    /// The folder of the voters' votes can't be created.
+    #[error("can't make a folder for the votes: {0}")]
+    Folder(#[source] io::Error),
+    /// A thread can't be started.
+    #[error("a thread: {0}")]
+    Spawn(#[source] io::Error),
+    /// A thread of nodes ended before the run did.
+    #[error("a thread of managers ended before the run did: {reason}")]
+    ThreadEnded {
+        /// The panic's message.
+        reason: String,
+    },
+    /// The process was asked to stop.
+    #[error("ended by a signal")]
+    Signal,
+    /// The run did not finish within its limit.
+    #[error("not done within the limit of {} s", limit.as_secs())]
+    TimeLimit {
+        /// The limit.
+        limit: Duration,
+    },
 }
 
-struct Thread {
-    orders: Sender<Order>,
+/// A thread with its batch of nodes.
+struct BatchThread {
+    commands: Sender<BatchCommand>,
     handle: JoinHandle<()>,
-    whom: Vec<usize>,
+    nodes: Vec<usize>,
 }
 
 /// A fleet that runs.
-pub struct Rig {
+pub struct HollowFleet {
     /// The plan.
     pub plan: Arc<Plan>,
-    /// What the managers saw.
-    pub board: Arc<Observations>,
-    /// Where the managers take datagrams, by their numbers.
-    pub homes: Vec<SocketAddr>,
-    /// Where somebody asks for the run's end.
-    pub ending: Arc<AtomicBool>,
-    threads: Vec<Thread>,
-    /// A thread that ended before its time makes every later step an error.
-    broken: Option<String>,
-    cut: Arc<AtomicBool>,
-    goals: u64,
-    ends_at: Instant,
-    told_at: Instant,
-    _folder: Folder,
+    /// What the nodes observed.
+    pub observations: Arc<Observations>,
+    /// The nodes' addresses, by their numbers.
+    pub addresses: Vec<SocketAddr>,
+    /// Set by a signal to end the run.
+    stop_requested: Arc<AtomicBool>,
+    threads: Vec<BatchThread>,
+    /// Why a thread ended early, which makes every later step fail.
+    ended_thread: Option<String>,
+    partitioned: Arc<AtomicBool>,
+    /// The number of the present condition.
+    condition: u64,
+    deadline: Instant,
+    report_at: Instant,
+    /// The voters' votes; deleted when the fleet is dropped.
+    votes: Folder,
 }
 
-fn why(panic: &(dyn Any + Send)) -> String {
-    let text = panic.downcast_ref::<String>().cloned();
-    text.or_else(|| panic.downcast_ref::<&str>().map(|s| (*s).to_owned()))
-        .unwrap_or_default()
-}
-
-impl Rig {
-    /// Takes the sockets and starts the threads; the managers begin with [`begin`](Self::begin).
-    pub fn new(plan: Plan, ending: Arc<AtomicBool>) -> Result<Rig, String> {
+impl HollowFleet {
+    /// Binds the nodes' sockets and starts the threads. The nodes start with
+    /// [`start_nodes`](Self::start_nodes).
+    pub fn new(plan: Plan, stop_requested: Arc<AtomicBool>) -> Result<HollowFleet, RunError> {
         plan.check()?;
-        let plan = Arc::new(plan);
-        let bind = |who| {
-            let socket = UdpSocket::bind(home(who))?;
-            socket.set_nonblocking(true)?;
-            Ok((socket.local_addr()?, (who, socket)))
-        };
-        let bound: std::io::Result<Vec<_>> = (0..plan.managers).map(bind).collect();
-        let bound = bound.map_err(|e| format!("can't take the managers' sockets: {e}"))?;
-        let (homes, sockets): (Vec<SocketAddr>, Vec<(usize, UdpSocket)>) =
-            bound.into_iter().unzip();
-        let folder =
-            Folder::new().map_err(|e| format!("can't make a folder for the votes: {e}"))?;
-        let board = Arc::new(Observations::new(plan.managers, plan.threads));
-        let cut = Arc::new(AtomicBool::new(false));
-        let seeds: Vec<SocketAddr> = homes
+        let sockets = bind_sockets(plan.managers).map_err(RunError::Bind)?;
+        let addresses = sockets
             .iter()
-            .take(SEEDS)
-            .chain(&plan.greet)
-            .copied()
-            .collect();
-        let mut parts: Vec<Vec<(usize, UdpSocket)>> =
-            (0..plan.threads).map(|_| Vec::new()).collect();
-        sockets
-            .into_iter()
-            .for_each(|(who, socket)| parts[who % plan.threads].push((who, socket)));
+            .map(UdpSocket::local_addr)
+            .collect::<io::Result<Vec<_>>>()
+            .map_err(RunError::Bind)?;
         let now = Instant::now();
-        let mut rig = Rig {
-            ends_at: now + plan.limit,
-            told_at: now,
-            goals: 0,
+        let mut fleet = HollowFleet {
+            observations: Arc::new(Observations::new(plan.managers, plan.threads)),
+            addresses,
+            stop_requested,
             threads: Vec::new(),
-            broken: None,
-            plan: plan.clone(),
-            board: board.clone(),
-            cut: cut.clone(),
-            _folder: folder,
-            homes,
-            ending,
+            ended_thread: None,
+            partitioned: Arc::new(AtomicBool::new(false)),
+            condition: 0,
+            deadline: now + plan.limit,
+            report_at: now,
+            votes: Folder::new().map_err(RunError::Folder)?,
+            plan: Arc::new(plan),
         };
-        for (number, sockets) in parts.into_iter().enumerate() {
-            let (sender, orders) = unbounded();
-            let whom = sockets.iter().map(|(who, _)| *who).collect();
-            let (plan, seeds, folder) = (plan.clone(), seeds.clone(), rig._folder.path(""));
-            let (cut, board) = (cut.clone(), board.clone());
+        fleet.start_threads(sockets)?;
+        Ok(fleet)
+    }
+
+    /// Distributes the nodes over the threads in turns, and starts these.
+    fn start_threads(&mut self, sockets: Vec<UdpSocket>) -> Result<(), RunError> {
+        let mut batches: Vec<Vec<(usize, UdpSocket)>> = Vec::new();
+        batches.resize_with(self.plan.threads, Vec::new);
+        for (node, socket) in sockets.into_iter().enumerate() {
+            batches[node % self.plan.threads].push((node, socket));
+        }
+        let seed_nodes = self.addresses.iter().take(SEED_NODES);
+        let seeds: Vec<SocketAddr> = seed_nodes.chain(&self.plan.greet).copied().collect();
+        for (thread, sockets) in batches.into_iter().enumerate() {
+            let (commands, mailbox) = unbounded();
+            let nodes = sockets.iter().map(|(node, _)| *node).collect();
             let batch = Batch {
-                number,
-                plan,
+                thread,
+                plan: self.plan.clone(),
                 sockets,
-                seeds,
-                folder,
-                cut,
-                board,
-                orders,
+                seeds: seeds.clone(),
+                folder: self.votes.path(""),
+                partitioned: self.partitioned.clone(),
+                observations: self.observations.clone(),
+                commands: mailbox,
             };
-            let thread = std::thread::Builder::new().name(format!("hollow-{number}"));
-            let handle = thread
+            let handle = std::thread::Builder::new()
+                .name(format!("hollow-{thread}"))
                 .spawn(move || batch.run())
-                .map_err(|e| format!("a thread: {e}"))?;
-            rig.threads.push(Thread {
-                orders: sender,
+                .map_err(RunError::Spawn)?;
+            self.threads.push(BatchThread {
+                commands,
                 handle,
-                whom,
+                nodes,
             });
         }
-        Ok(rig)
+        Ok(())
     }
 
-    /// Errs once the run can't give good figures any more.
-    pub fn check(&mut self) -> Result<(), String> {
-        if let Some(at) = self
+    /// Fails once the run can't give valid figures any more.
+    pub fn check(&mut self) -> Result<(), RunError> {
+        let ended = self
             .threads
             .iter()
-            .position(|thread| thread.handle.is_finished())
-        {
-            let ended = self.threads.swap_remove(at).handle.join();
-            let why = ended
-                .err()
-                .map_or_else(|| "without a panic".to_owned(), |panic| why(&*panic));
-            self.broken = Some(format!(
-                "a thread of managers ended before the run did: {why}"
-            ));
+            .position(|thread| thread.handle.is_finished());
+        if let Some(index) = ended {
+            let result = self.threads.swap_remove(index).handle.join();
+            self.ended_thread = Some(match result {
+                Ok(()) => "without a panic".to_owned(),
+                Err(panic) => panic_message(&*panic),
+            });
         }
-        if let Some(broken) = &self.broken {
-            return Err(broken.clone());
+        if let Some(reason) = self.ended_thread.clone() {
+            return Err(RunError::ThreadEnded { reason });
         }
-        if self.ending.load(Ordering::Relaxed) {
-            return Err("ended by a signal".into());
+        if self.stop_requested.load(Ordering::Relaxed) {
+            return Err(RunError::Signal);
         }
-        if Instant::now() >= self.ends_at {
-            return Err(format!(
-                "not done within the limit of {} s",
-                self.plan.limit.as_secs()
-            ));
+        if Instant::now() >= self.deadline {
+            return Err(RunError::TimeLimit {
+                limit: self.plan.limit,
+            });
         }
         Ok(())
     }
 
-    /// Says how far it is, a line a second.
-    fn tell(&mut self, what: &str, spread: Option<Spread>) {
-        if self.plan.progress && Instant::now() >= self.told_at {
-            self.told_at = Instant::now() + Duration::from_secs(1);
-            let at = self.board.now_ms() as f64 / 1e3;
-            let late = self.board.late() as f64 / 1e3;
-            let so_far =
-                spread.map_or_else(String::new, |s| format!(", {} of {}", s.hold, s.asked));
-            eprintln!("scale-fleet: {at:.0} s: {what}{so_far}, latest wake {late:.1} ms late");
+    /// Writes a line of progress, at most one a second.
+    fn report_progress(&mut self, step: &str, progress: Option<ConditionProgress>) {
+        if !self.plan.progress || Instant::now() < self.report_at {
+            return;
         }
+        self.report_at = Instant::now() + REPORT_INTERVAL;
+        let seconds = self.observations.now_ms() as f64 / 1e3;
+        let delay_ms = self.observations.max_wake_delay_us() as f64 / 1e3;
+        let so_far = progress.map_or_else(String::new, |progress| {
+            format!(", {} of {}", progress.met, progress.asked)
+        });
+        eprintln!("scale-fleet: {seconds:.0} s: {step}{so_far}, latest wake {delay_ms:.1} ms late");
     }
 
     /// Lets time pass.
-    pub fn pass(&mut self, what: &str, time: Duration) -> Result<(), String> {
-        let end = Instant::now() + time;
+    pub fn pass_time(&mut self, step: &str, duration: Duration) -> Result<(), RunError> {
+        let end = Instant::now() + duration;
         while Instant::now() < end {
             self.check()?;
-            self.tell(what, None);
-            std::thread::sleep(LOOK.min(end.saturating_duration_since(Instant::now())));
+            self.report_progress(step, None);
+            let remaining = end.saturating_duration_since(Instant::now());
+            std::thread::sleep(POLL_INTERVAL.min(remaining));
         }
         Ok(())
     }
 
-    /// Waits until something is so, or the patience is over: whether it came to be so.
-    pub fn wait(
+    /// Waits until `is_met`; `false` if the plan's patience ended first.
+    pub fn wait_until(
         &mut self,
-        what: &str,
-        mut holds: impl FnMut(&Rig) -> bool,
-    ) -> Result<bool, String> {
+        step: &str,
+        mut is_met: impl FnMut(&HollowFleet) -> bool,
+    ) -> Result<bool, RunError> {
         let end = Instant::now() + self.plan.patience;
-        while !holds(self) {
+        while !is_met(self) {
             if Instant::now() >= end {
                 return Ok(false);
             }
             self.check()?;
-            self.tell(what, None);
-            std::thread::sleep(LOOK);
+            self.report_progress(step, None);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(true)
     }
 
-    /// Has all look for a goal from now on.
-    pub fn look(&mut self, goal: Goal) {
-        self.goals += 1;
-        self.order_all(|| Order::Look(goal.clone(), self.goals));
+    /// All nodes look for this condition from now on.
+    pub fn watch(&mut self, condition: Condition) {
+        self.condition += 1;
+        self.command_all(|| BatchCommand::Watch {
+            condition: condition.clone(),
+            number: self.condition,
+        });
     }
 
-    /// How far the present goal holds.
-    pub fn spread(&self, whom: &[usize]) -> Spread {
-        self.board.spread(self.goals, whom)
+    /// How far the present condition is met.
+    pub fn progress(&self, nodes: &[usize]) -> ConditionProgress {
+        self.observations.progress(self.condition, nodes)
     }
 
-    /// Waits until the present goal holds at all of these at once, or the patience is over.
-    pub fn reach(&mut self, what: &str, whom: &[usize]) -> Result<Spread, String> {
+    /// Waits until the present condition is met at all these nodes at the same time, or the plan's
+    /// patience has ended.
+    pub fn wait_for_condition(
+        &mut self,
+        step: &str,
+        nodes: &[usize],
+    ) -> Result<ConditionProgress, RunError> {
         let end = Instant::now() + self.plan.patience;
         loop {
-            let spread = self.spread(whom);
-            if spread.hold == spread.asked || Instant::now() >= end {
-                return Ok(spread);
+            let progress = self.progress(nodes);
+            if progress.is_complete() || Instant::now() >= end {
+                return Ok(progress);
             }
             self.check()?;
-            self.tell(what, Some(spread));
-            std::thread::sleep(LOOK);
+            self.report_progress(step, Some(progress));
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// The managers by their numbers, but for these.
-    pub fn all_but(&self, without: &[usize]) -> Vec<usize> {
+    /// The nodes' numbers without these.
+    pub fn all_except(&self, excluded: &[usize]) -> Vec<usize> {
         (0..self.plan.managers)
-            .filter(|who| !without.contains(who))
+            .filter(|node| !excluded.contains(node))
             .collect()
     }
 
-    fn order_all(&self, order: impl Fn() -> Order) {
-        // One whose thread has ended is found by `check`.
-        self.threads
-            .iter()
-            .for_each(|thread| _ = thread.orders.try_send(order()));
+    /// A thread that has ended is found by [`check`](Self::check).
+    fn command_all(&self, command: impl Fn() -> BatchCommand) {
+        for thread in &self.threads {
+            let _ = thread.commands.try_send(command());
+        }
     }
 
-    fn order(&self, who: usize, order: Order) {
+    fn command(&self, node: usize, command: BatchCommand) {
         let thread = self
             .threads
             .iter()
-            .find(|thread| thread.whom.contains(&who));
-        let _ = thread.map(|thread| thread.orders.try_send(order));
+            .find(|thread| thread.nodes.contains(&node));
+        if let Some(thread) = thread {
+            let _ = thread.commands.try_send(command);
+        }
     }
 
-    /// All managers start.
-    pub fn begin(&self) {
-        self.order_all(|| Order::Begin);
+    /// Starts all nodes.
+    pub fn start_nodes(&self) {
+        self.command_all(|| BatchCommand::Start);
     }
 
-    /// Stops a manager: its socket is not read and it sends nothing.
-    pub fn stop(&self, who: usize) {
-        self.order(who, Order::Stop(who));
+    /// Suspends a node: its socket is not read and it sends nothing.
+    pub fn suspend(&self, node: usize) {
+        self.command(node, BatchCommand::Suspend(node));
     }
 
-    /// Starts a manager anew.
-    pub fn restart(&self, who: usize) {
-        self.order(who, Order::Restart(who));
+    /// Restarts a node.
+    pub fn restart(&self, node: usize) {
+        self.command(node, BatchCommand::Restart(node));
     }
 
-    /// All act on settings of that hash.
-    pub fn retune(&self, hash: u64) {
-        self.order_all(|| Order::Retune(hash));
+    /// All nodes act on settings with this hash.
+    pub fn change_settings(&self, hash: u64) {
+        self.command_all(|| BatchCommand::ChangeSettings(hash));
     }
 
-    /// Cuts a third off from the others, or lets them hear each other again.
-    pub fn cut_off(&self, cut: bool) {
-        self.cut.store(cut, Ordering::Relaxed);
+    /// Partitions a third of the nodes from the others, or heals the partition.
+    pub fn set_partitioned(&self, partitioned: bool) {
+        self.partitioned.store(partitioned, Ordering::Relaxed);
     }
 
-    /// Makes a thread panic: for the test that a run with it is an error.
-    pub fn break_thread(&self, thread: usize) {
-        let _ = self.threads[thread].orders.try_send(Order::Break);
+    /// Makes a thread panic: to test that a run in which a thread panics fails.
+    pub fn panic_thread(&self, thread: usize) {
+        let commands = &self.threads[thread].commands;
+        let _ = commands.try_send(BatchCommand::Panic);
     }
 
-    /// Gathers what threads tell; errs if one does not.
-    fn gather<T>(
+    /// Commands all threads, and collects their replies.
+    fn collect_replies<T>(
         &mut self,
-        order: impl Fn(std::sync::mpsc::Sender<T>) -> Order,
-    ) -> Result<Vec<T>, String> {
-        let (tell, told) = std::sync::mpsc::channel();
-        self.order_all(|| order(tell.clone()));
-        drop(tell);
-        let mut all = Vec::new();
-        while all.len() < self.threads.len() {
+        command: impl Fn(mpsc::Sender<T>) -> BatchCommand,
+    ) -> Result<Vec<T>, RunError> {
+        let (sender, receiver) = mpsc::channel();
+        self.command_all(|| command(sender.clone()));
+        drop(sender);
+        let mut replies = Vec::new();
+        while replies.len() < self.threads.len() {
             self.check()?;
-            match told.recv_timeout(LOOK) {
-                Ok(one) => all.push(one),
-                Err(std::sync::mpsc::RecvTimeoutError::Timeout) => {}
-                Err(std::sync::mpsc::RecvTimeoutError::Disconnected) => std::thread::sleep(LOOK),
+            match receiver.recv_timeout(POLL_INTERVAL) {
+                Ok(reply) => replies.push(reply),
+                Err(RecvTimeoutError::Timeout) => {}
+                Err(RecvTimeoutError::Disconnected) => std::thread::sleep(POLL_INTERVAL),
             }
         }
-        Ok(all)
+        Ok(replies)
     }
 
-    /// The figures of all managers, by their numbers.
-    pub fn read(&mut self) -> Result<Vec<Reading>, String> {
-        let mut all: Vec<Reading> = self.gather(Order::Read)?.into_iter().flatten().collect();
-        all.sort_unstable_by_key(|reading| reading.who);
-        Ok(all)
+    /// The figures of all nodes, by their numbers.
+    pub fn read(&mut self) -> Result<Vec<NodeReading>, RunError> {
+        let batches = self.collect_replies(BatchCommand::Read)?;
+        let mut readings: Vec<NodeReading> = batches.into_iter().flatten().collect();
+        readings.sort_unstable_by_key(|reading| reading.node);
+        Ok(readings)
     }
 
-    /// Stops all managers, and then reads the figures for the last time, with what their sockets
-    /// still hold.
-    pub fn hush(&mut self) -> Result<Vec<Reading>, String> {
-        self.gather(Order::Hush)?;
+    /// Suspends all nodes, and reads their figures for the last time, with what their sockets still
+    /// hold.
+    pub fn suspend_all_and_read(&mut self) -> Result<Vec<NodeReading>, RunError> {
+        self.collect_replies(BatchCommand::SuspendAll)?;
         self.read()
     }
 
-    /// Datagrams that the managers' sockets lost for want of room.
-    pub fn lost(&self) -> u64 {
-        needs::lost(&self.homes)
+    /// Datagrams that the nodes' sockets dropped because their buffers were full.
+    pub fn dropped_datagrams(&self) -> u64 {
+        proc::dropped_datagrams(&self.addresses)
     }
 }
 
-impl Drop for Rig {
+impl Drop for HollowFleet {
     fn drop(&mut self) {
-        self.threads
-            .iter()
-            .for_each(|thread| _ = thread.orders.close());
+        for thread in &self.threads {
+            thread.commands.close();
+        }
         for thread in self.threads.drain(..) {
             let _ = thread.handle.join();
         }
     }
 }
+
+fn bind_sockets(nodes: usize) -> io::Result<Vec<UdpSocket>> {
+    let bind = |node| {
+        let socket = UdpSocket::bind(node_address(node))?;
+        socket.set_nonblocking(true)?;
+        Ok(socket)
+    };
+    (0..nodes).map(bind).collect()
+}
+
+/// The message of a panic, if it has one.
+fn panic_message(panic: &(dyn Any + Send)) -> String {
+    if let Some(message) = panic.downcast_ref::<String>() {
+        message.clone()
+    } else if let Some(message) = panic.downcast_ref::<&str>() {
+        (*message).to_owned()
+    } else {
+        String::new()
+    }
+}
--- a/src/testkit/scale/load.rs
+++ b/src/testkit/scale/load.rs
@@ -1,5 +1,5 @@
-//! The clients of a point: idle ones that say a little now and then, and a few busy ones that send
-//! statements at a steady rate.
+//! The clients of a point: idle ones that ask for the status now and then, and a few busy ones that
+//! send statements at a steady rate.
 use crate::testkit::clients::{ClientOutcome, STATUS, read_line, rpc_got};
 use crate::testkit::{Executor, pause};
 use async_executor::Task;
@@ -13,193 +13,248 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An idle client asks for the status this often: the daemon lets go who says nothing for 10 s.
-pub const CALL_EVERY: Duration = Duration::from_secs(8);
+/// Interval at which an idle client asks for the status: the daemon closes connections that are
+/// silent for 10 s.
+pub const STATUS_INTERVAL: Duration = Duration::from_secs(8);
 /// Connections that carry the statements.
-pub const BUSY: u64 = 8;
-/// The work that a statement is said to cost, in thread milliseconds: what 910 engines of ten cores
-/// have for each of 280,000 statements a second, at half their time.
-const COST_MS: f64 = 15.0;
-/// Data sets that the statements read, so that each engine is near to some.
-const SETS: u64 = 997;
-/// Clients that connect in one go, and the pause to the next ones, in milliseconds.
-const AT_ONCE: u64 = 25;
-const BETWEEN_MS: u64 = 10;
+pub const BUSY_CLIENTS: u64 = 8;
+/// Estimated work of a statement, in thread milliseconds: what 910 engines of ten cores have for each
+/// of 280,000 statements a second, at half their time.
+const STATEMENT_COST_MS: f64 = 15.0;
+/// Time that a statement may take, in milliseconds.
+const STATEMENT_DEADLINE_MS: u64 = 6_000;
+/// Data sets that the statements read, so that each engine has affinity to some.
+const DATA_SETS: u64 = 997;
+/// Percentage of statements of the first tenant: its share.
+const FIRST_TENANT_PERCENT: u64 = 62;
+/// Clients that connect at once.
+const CONNECT_BATCH: u64 = 25;
+/// Pause before the next clients connect, in milliseconds.
+const CONNECT_PAUSE_MS: u64 = 10;
 
 /// What all clients of a point count.
 #[derive(Debug, Default)]
-pub struct Tally {
-    /// Idle clients that were answered at least once.
+pub struct ClientCounters {
+    /// Idle clients that received at least one response.
     pub answered: Cell<u64>,
-    /// Calls for the status that were answered.
+    /// Status calls that were answered.
     pub calls: Cell<u64>,
     /// Statements sent.
     pub asked: Cell<u64>,
-    /// Statements served.
+    /// Statements completed.
     pub served: Cell<u64>,
-    /// Statements refused.
+    /// Statements rejected.
     pub refused: Cell<u64>,
     /// Statements that failed in any other way.
     pub failed: Cell<u64>,
-    /// Statements are to be sent no more.
+    /// Set to stop sending statements.
     pub stop: Cell<bool>,
-    /// What went wrong with a client first.
+    /// The first fault of any client.
     pub fault: RefCell<Option<String>>,
 }
 
-fn add(count: &Cell<u64>) {
+fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
 
-impl Tally {
-    fn wrong(&self, what: &str) {
+impl ClientCounters {
+    fn record_fault(&self, fault: &str) {
         self.fault
             .borrow_mut()
-            .get_or_insert_with(|| what.to_owned());
+            .get_or_insert_with(|| fault.to_owned());
     }
 
-    /// Statements that have had their answer.
+    /// Statements that have their response.
     pub fn ended(&self) -> u64 {
         self.served.get() + self.refused.get() + self.failed.get()
     }
 }
 
-/// Starts that many idle clients, a few at a time. They end with their tasks.
-pub async fn idle(
+/// Starts this many idle clients, a few at a time. Each ends with its task.
+pub async fn start_idle_clients(
     executor: &Executor,
     addr: SocketAddr,
     count: u64,
-    tally: &Rc<Tally>,
+    counters: &Rc<ClientCounters>,
 ) -> Vec<Task<()>> {
-    let mut all = Vec::with_capacity(count as usize);
-    for i in 0..count {
-        if i % AT_ONCE == AT_ONCE - 1 {
-            pause(BETWEEN_MS).await;
+    let mut clients = Vec::with_capacity(count as usize);
+    for index in 0..count {
+        if index % CONNECT_BATCH == CONNECT_BATCH - 1 {
+            pause(CONNECT_PAUSE_MS).await;
         }
-        // Spread over the whole time between two calls, so that any window sees the same rate.
-        let gap = CALL_EVERY.mul_f64((i + 1) as f64 / count as f64);
-        let tally = tally.clone();
-        all.push(executor.spawn(async move {
-            if let Err(why) = one_idle(addr, gap, &tally).await {
-                tally.wrong(why);
+        // The second calls are spread over a whole interval, so that any window has the same rate.
+        let first_interval = STATUS_INTERVAL.mul_f64((index + 1) as f64 / count as f64);
+        let counters = counters.clone();
+        clients.push(executor.spawn(async move {
+            if let Err(fault) = run_idle_client(addr, first_interval, &counters).await {
+                counters.record_fault(fault);
             }
         }));
     }
-    all
+    clients
 }
 
-async fn one_idle(addr: SocketAddr, gap: Duration, tally: &Tally) -> Result<(), &'static str> {
+async fn run_idle_client(
+    addr: SocketAddr,
+    first_interval: Duration,
+    counters: &ClientCounters,
+) -> Result<(), &'static str> {
     let stream = Async::<TcpStream>::connect(addr)
         .await
         .map_err(|_| "an idle client could not connect")?;
-    let (mut input, mut gap) = (Vec::new(), Some(gap));
+    let mut input = Vec::new();
+    call_status(&stream, &mut input, counters).await?;
+    increment(&counters.answered);
+    wait_while_open(&stream, first_interval).await?;
     loop {
-        (&stream)
-            .write_all(STATUS)
-            .await
-            .map_err(|_| "an idle client's connection broke")?;
-        let line = read_line(&stream, &mut input)
-            .await
-            .ok_or("an idle client got no answer")?;
-        if !String::from_utf8_lossy(&line).contains("\"green\":true") {
-            return Err("an idle client was told that the daemon is not ready");
-        }
-        add(&tally.calls);
-        if gap.is_some() {
-            add(&tally.answered);
-        }
-        let rest = Timer::after(gap.take().unwrap_or(CALL_EVERY));
-        let mut byte = [0; 1];
-        let rested = async {
-            rest.await;
-            true
-        };
-        let closed = async {
-            let _ = (&stream).read(&mut byte).await;
-            false
-        };
-        if !or(rested, closed).await {
-            return Err("an idle client's connection was closed");
-        }
+        call_status(&stream, &mut input, counters).await?;
+        wait_while_open(&stream, STATUS_INTERVAL).await?;
     }
 }
 
-/// A statement of the platform's protocol, as a line. Each has a name of its own.
-fn line(number: u64) -> Vec<u8> {
-    let key = format!("{number:016x}");
-    let statement = format!(
-        "SELECT count() FROM ops_{}.calls WHERE id = {number} /* {key} */",
-        number % SETS
-    );
-    // Tenants in the proportion of their shares.
-    let tenant = if number % 100 < 62 {
+async fn call_status(
+    mut stream: &Async<TcpStream>,
+    input: &mut Vec<u8>,
+    counters: &ClientCounters,
+) -> Result<(), &'static str> {
+    stream
+        .write_all(STATUS)
+        .await
+        .map_err(|_| "an idle client's connection broke")?;
+    let line = read_line(stream, input)
+        .await
+        .ok_or("an idle client got no answer")?;
+    if !String::from_utf8_lossy(&line).contains("\"green\":true") {
+        return Err("an idle client was told that the daemon is not ready");
+    }
+    increment(&counters.calls);
+    Ok(())
+}
+
+/// Waits, and fails if the daemon closes the connection meanwhile.
+async fn wait_while_open(
+    mut stream: &Async<TcpStream>,
+    duration: Duration,
+) -> Result<(), &'static str> {
+    let waited = async {
+        Timer::after(duration).await;
+        Ok(())
+    };
+    let closed = async {
+        let _ = stream.read(&mut [0; 1]).await;
+        Err("an idle client's connection was closed")
+    };
+    or(waited, closed).await
+}
+
+/// Statement number `number` as a line of the platform's protocol, with an id of its own.
+fn statement_line(number: u64) -> Vec<u8> {
+    let id = format!("{number:016x}");
+    let data_set = number % DATA_SETS;
+    let statement =
+        format!("SELECT count() FROM ops_{data_set}.calls WHERE id = {number} /* {id} */");
+    let tenant = if number % 100 < FIRST_TENANT_PERCENT {
         "billing-desk"
     } else {
         "channel-desk"
     };
-    let arg = BASE64_STANDARD.encode(statement);
-    let params =
-        json!({"id": key, "wait": 6_000, "tenant": tenant, "cost": COST_MS, "kb": 8, "arg": arg});
-    let mut line = json!({"jsonrpc": "2.0", "id": number, "method": "lookup", "params": params})
-        .to_string()
-        .into_bytes();
+    let params = json!({
+        "id": id, "wait": STATEMENT_DEADLINE_MS, "tenant": tenant, "cost": STATEMENT_COST_MS,
+        "kb": 8, "arg": BASE64_STANDARD.encode(statement),
+    });
+    let request = json!({"jsonrpc": "2.0", "id": number, "method": "lookup", "params": params});
+    let mut line = request.to_string().into_bytes();
     line.push(b'\n');
     line
 }
 
-/// Starts the busy clients, which send that many statements a second together until they are told
-/// to stop.
-pub fn busy(executor: &Executor, addr: SocketAddr, rate: f64, tally: &Rc<Tally>) -> Vec<Task<()>> {
-    let start = Instant::now();
-    let one = |i: u64| {
-        let tally = tally.clone();
+/// One of the busy clients.
+#[derive(Clone, Copy)]
+struct BusyClient {
+    addr: SocketAddr,
+    started: Instant,
+    /// Statements a second of all busy clients together.
+    rate: f64,
+    /// Its number, from 0.
+    index: u64,
+}
+
+/// Starts the busy clients, which together send this many statements a second until they are to
+/// stop.
+pub fn start_busy_clients(
+    executor: &Executor,
+    addr: SocketAddr,
+    rate: f64,
+    counters: &Rc<ClientCounters>,
+) -> Vec<Task<()>> {
+    let started = Instant::now();
+    let count = if rate > 0.0 { BUSY_CLIENTS } else { 0 };
+    let start_client = |index| {
+        let counters = counters.clone();
+        let client = BusyClient {
+            addr,
+            started,
+            rate,
+            index,
+        };
         executor.spawn(async move {
-            if let Err(why) = one_busy(addr, (start, rate, i), &tally).await {
-                tally.wrong(why);
+            if let Err(fault) = client.run(&counters).await {
+                counters.record_fault(fault);
             }
         })
     };
-    (0..if rate > 0.0 { BUSY } else { 0 }).map(one).collect()
+    (0..count).map(start_client).collect()
 }
 
-async fn one_busy(
-    addr: SocketAddr,
-    (start, rate, i): (Instant, f64, u64),
-    tally: &Tally,
-) -> Result<(), &'static str> {
-    let stream = Async::<TcpStream>::connect(addr)
-        .await
-        .map_err(|_| "a busy client could not connect")?;
-    let _ = stream.get_ref().set_nodelay(true);
-    let send = async {
-        let mut number = i + 1;
-        while !tally.stop.get() {
-            Timer::at(start + Duration::from_secs_f64(number as f64 / rate)).await;
-            if tally.stop.get() {
+impl BusyClient {
+    async fn run(self, counters: &ClientCounters) -> Result<(), &'static str> {
+        let stream = Async::<TcpStream>::connect(self.addr)
+            .await
+            .map_err(|_| "a busy client could not connect")?;
+        let _ = stream.get_ref().set_nodelay(true);
+        let send = self.send_statements(&stream, counters);
+        let receive = receive_responses(&stream, counters);
+        or(send, receive).await
+    }
+
+    /// Sends every [`BUSY_CLIENTS`]th statement at its time. Never returns without a fault, because
+    /// open statements are still answered after the last one is sent.
+    async fn send_statements(
+        self,
+        mut stream: &Async<TcpStream>,
+        counters: &ClientCounters,
+    ) -> Result<(), &'static str> {
+        let mut number = self.index + 1;
+        while !counters.stop.get() {
+            let due = self.started + Duration::from_secs_f64(number as f64 / self.rate);
+            Timer::at(due).await;
+            if counters.stop.get() {
                 break;
             }
-            add(&tally.asked);
-            (&stream)
-                .write_all(&line(number))
+            increment(&counters.asked);
+            stream
+                .write_all(&statement_line(number))
                 .await
                 .map_err(|_| "a busy client's connection broke")?;
-            number += BUSY;
+            number += BUSY_CLIENTS;
         }
-        // What is open is still answered.
         std::future::pending().await
-    };
-    let read = async {
-        let mut input = Vec::new();
-        loop {
-            let line = read_line(&stream, &mut input)
-                .await
-                .ok_or("a busy client's connection was closed")?;
-            add(match rpc_got(&line) {
-                ClientOutcome::Served(_) => &tally.served,
-                ClientOutcome::Refused(_) => &tally.refused,
-                _ => &tally.failed,
-            });
-        }
-    };
-    or(send, read).await
+    }
+}
+
+async fn receive_responses(
+    stream: &Async<TcpStream>,
+    counters: &ClientCounters,
+) -> Result<(), &'static str> {
+    let mut input = Vec::new();
+    loop {
+        let line = read_line(stream, &mut input)
+            .await
+            .ok_or("a busy client's connection was closed")?;
+        increment(match rpc_got(&line) {
+            ClientOutcome::Served(_) => &counters.served,
+            ClientOutcome::Refused(_) => &counters.refused,
+            _ => &counters.failed,
+        });
+    }
 }
--- a/src/testkit/scale/mod.rs
+++ b/src/testkit/scale/mod.rs
@@ -1,25 +1,35 @@
-//! The scale rig, all on real sockets on loopback: what one real daemon needs by the size of what
-//! stands around it (`daemons`), and fleets of many hollow managers in one process (`fleet`).
+//! Scale measurements on real sockets on loopback: what one real daemon needs, by the size of its
+//! surroundings ([`daemons`]), and fleets of many hollow nodes in one process ([`fleet`]).
 pub mod capacity_check;
 pub mod daemons;
 pub mod events;
 pub mod figures;
 pub mod fit;
 pub mod fleet;
-pub mod hollow;
+pub mod hollow_batch;
+pub mod hollow_module;
 pub mod hollow_node;
 pub mod load;
-pub mod needs;
 pub mod observations;
+mod plan;
 pub mod proc;
 pub mod report;
 mod testbed;
 
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 use std::str::FromStr;
 use std::time::Duration;
+use thiserror::Error;
 
-/// What is measured at once.
+/// Engines that a point may have.
+const ENGINES: RangeInclusive<u64> = 1..=10_000;
+/// Idle clients that a point may have.
+const CLIENTS: RangeInclusive<u64> = 0..=100_000;
+/// Statements a second that a point may have.
+const RATES: RangeInclusive<f64> = 0.0..=100_000.0;
+
+/// The surroundings of a daemon that are measured at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
     /// Engines in the list.
@@ -30,8 +40,16 @@
     pub rate: f64,
 }
 
+/// The text is no point.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+#[error("{text:?} is not ENGINES:CLIENTS:STATEMENTS, or out of range")]
+pub struct InvalidPoint {
+    /// The text.
+    text: String,
+}
+
 impl Point {
-    /// A point of that size.
+    /// A point with these engines, idle clients, and statements a second.
     pub const fn new(engines: u64, clients: u64, rate: f64) -> Point {
         Point {
             engines,
@@ -39,70 +57,97 @@
             rate,
         }
     }
+
+    fn parse(text: &str) -> Option<Point> {
+        let fields: Vec<&str> = text.split(':').collect();
+        let [engines, clients, rate] = fields[..] else {
+            return None;
+        };
+        let point = Point::new(
+            engines.parse().ok()?,
+            clients.parse().ok()?,
+            rate.parse().ok()?,
+        );
+        let in_range = ENGINES.contains(&point.engines)
+            && CLIENTS.contains(&point.clients)
+            && RATES.contains(&point.rate);
+        in_range.then_some(point)
+    }
 }
 
 impl FromStr for Point {
-    type Err = String;
+    type Err = InvalidPoint;
 
-    fn from_str(text: &str) -> Result<Point, String> {
-        let point = || {
-            let mut words = text.split(':');
-            let (engines, clients, rate) = (words.next()?, words.next()?, words.next()?);
-            let point = Point::new(
-                engines.parse().ok()?,
-                clients.parse().ok()?,
-                rate.parse().ok()?,
-            );
-            let sound = (1..=10_000).contains(&point.engines)
-                && point.clients <= 100_000
-                && (0.0..=100_000.0).contains(&point.rate);
-            (words.next().is_none() && sound).then_some(point)
-        };
-        point()
-            .ok_or_else(|| format!("{text:?} is not ENGINES:CLIENTS:STATEMENTS, or out of range"))
+    fn from_str(text: &str) -> Result<Point, InvalidPoint> {
+        Point::parse(text).ok_or_else(|| InvalidPoint {
+            text: text.to_owned(),
+        })
     }
 }
 
-/// The usual points: engines alone, clients alone, all engines with all clients, and statements
-/// before few and before all engines. The quick ones are fewer and smaller.
+/// The sizes that the default points are made of.
+struct GridSizes {
+    engines: &'static [u64],
+    clients: &'static [u64],
+    rates: &'static [f64],
+}
+
+const FULL_GRID: GridSizes = GridSizes {
+    engines: &[10, 114, 228, 455, 910],
+    clients: &[650, 1300, 2600],
+    rates: &[150.0, 300.0, 609.0],
+};
+const QUICK_GRID: GridSizes = GridSizes {
+    engines: &[10, 114, 228],
+    clients: &[150, 300],
+    rates: &[50.0, 100.0],
+};
+
+/// The default points: engines alone, clients alone, all engines with all clients, and statements
+/// with the fewest and with all engines. The quick ones are fewer and smaller.
 pub fn grid(quick: bool) -> Vec<Point> {
-    let (engines, clients, rates): (&[u64], &[u64], &[f64]) = if quick {
-        (&[10, 114, 228], &[150, 300], &[50.0, 100.0])
-    } else {
-        (
-            &[10, 114, 228, 455, 910],
-            &[650, 1300, 2600],
-            &[150.0, 300.0, 609.0],
-        )
-    };
-    let (few, all) = (engines[0], engines[engines.len() - 1]);
-    let mut points: Vec<Point> = engines.iter().map(|e| Point::new(*e, 0, 0.0)).collect();
-    points.extend(clients.iter().map(|c| Point::new(few, *c, 0.0)));
-    points.push(Point::new(all, clients[clients.len() - 1], 0.0));
-    for at in [few, all] {
-        points.extend(rates.iter().map(|rate| Point::new(at, 0, *rate)));
+    let GridSizes {
+        engines,
+        clients,
+        rates,
+    } = if quick { QUICK_GRID } else { FULL_GRID };
+    let fewest_engines = engines[0];
+    let all_engines = engines[engines.len() - 1];
+    let all_clients = clients[clients.len() - 1];
+    let mut points: Vec<Point> = engines
+        .iter()
+        .map(|engines| Point::new(*engines, 0, 0.0))
+        .collect();
+    points.extend(
+        clients
+            .iter()
+            .map(|clients| Point::new(fewest_engines, *clients, 0.0)),
+    );
+    points.push(Point::new(all_engines, all_clients, 0.0));
+    for engines in [fewest_engines, all_engines] {
+        points.extend(rates.iter().map(|rate| Point::new(engines, 0, *rate)));
     }
     points
 }
 
-/// How it is measured.
+/// How points are measured.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The daemon.
+    /// The daemon's program.
     pub daemon: PathBuf,
-    /// Managers that the settings tell of: each has its part of the engines.
+    /// Managers in the settings: each has its share of the engines.
     pub managers: u64,
-    /// For so long the daemon is left alone before.
+    /// Time before the window of a point without statements.
     pub settle: Duration,
-    /// The same with statements: until as many connections to engines fall idle and close as are
-    /// made.
+    /// Time before the window of a point with statements: until as many connections to engines are
+    /// closed as idle as are opened.
     pub settle_busy: Duration,
-    /// The window in which it is measured.
+    /// The window in which the daemon is measured.
     pub window: Duration,
 }
 
 impl Options {
-    /// How long the daemon is left alone before it is measured.
+    /// Time between the start of a point's load and its window.
     pub fn settle(&self, point: &Point) -> Duration {
         if point.rate > 0.0 {
             self.settle_busy
@@ -112,11 +157,11 @@
     }
 }
 
-/// Where a run stands.
+/// How far a measurement is.
 #[derive(Clone, Debug)]
 pub struct Progress {
     /// The daemon's process.
     pub pid: u32,
-    /// What is done now.
+    /// The present step.
     pub doing: &'static str,
 }
--- a/src/testkit/scale/observations.rs
+++ b/src/testkit/scale/observations.rs
@@ -1,5 +1,5 @@
-//! What the hollow managers of all threads saw, and when: written by their threads, read by the one
-//! that drives the run.
+//! What the hollow nodes of all threads observed, and when: written by their threads, read by the
+//! thread that drives the run.
 use crate::lease::FencingToken;
 use crate::membership::MemberState;
 use crate::net::fleet::membership::View;
@@ -8,40 +8,41 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// What each hollow manager is to see.
+/// A condition on the view that a node has of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Goal {
-    /// Nothing is waited for, and nothing is looked at.
-    Idle,
-    /// So many others are alive.
-    Alive(usize),
-    /// That one is dead.
+pub enum Condition {
+    /// No condition: the nodes' views are not examined.
+    None,
+    /// At least this many others are alive.
+    OthersAlive(usize),
+    /// The member of this name is dead.
     Dead(String),
-    /// All that live act on settings of that hash.
+    /// All members that are neither dead nor left act on settings with this hash.
     Settings(u64),
-    /// That one is alive in a life that began at this time or later, in microseconds.
-    Reborn(String, u64),
+    /// The member of this name is alive in an incarnation that began at this time, in microseconds,
+    /// or later.
+    Restarted(String, u64),
 }
 
-impl Goal {
-    /// Whether it is so in one manager's view.
-    pub fn holds(&self, view: &View) -> bool {
+impl Condition {
+    /// Whether the condition is met in one node's view.
+    pub fn is_met(&self, view: &View) -> bool {
         let mut rows = view.members.iter();
         match self {
-            Goal::Idle => false,
-            Goal::Alive(others) => {
+            Condition::None => false,
+            Condition::OthersAlive(count) => {
                 rows.filter(|row| !row.me && row.rumour.state == MemberState::Alive)
                     .count()
-                    >= *others
+                    >= *count
             }
-            Goal::Dead(name) => {
+            Condition::Dead(name) => {
                 rows.any(|r| r.rumour.name == *name && r.rumour.state == MemberState::Dead)
             }
-            Goal::Settings(hash) => rows.all(|row| {
+            Condition::Settings(hash) => rows.all(|row| {
                 matches!(row.rumour.state, MemberState::Dead | MemberState::Left)
                     || row.rumour.versions.settings == *hash
             }),
-            Goal::Reborn(name, since) => rows.any(|r| {
+            Condition::Restarted(name, since) => rows.any(|r| {
                 r.rumour.name == *name
                     && r.rumour.incarnation >= *since
                     && r.rumour.state == MemberState::Alive
@@ -50,148 +51,170 @@
     }
 }
 
-/// Who owns a duty.
+/// The node that holds a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Owner {
-    /// The number of the hollow manager.
-    pub who: usize,
-    /// The token it owns the duty under.
+pub struct LeaseHolder {
+    /// The node's number.
+    pub node: usize,
+    /// The fencing token of the lease.
     pub token: FencingToken,
-    /// Since when, in milliseconds of the board.
+    /// When the node acquired it, in milliseconds of the run.
     pub since_ms: u64,
 }
 
-/// How what is waited for came to hold.
+/// At how many nodes a condition is met, and since when.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Spread {
-    /// How many of those that are asked see it now.
-    pub hold: usize,
-    /// How many are asked.
+pub struct ConditionProgress {
+    /// Nodes at which it is met now.
+    pub met: usize,
+    /// Nodes that were asked.
     pub asked: usize,
-    /// When half of them saw it, and the last one, in milliseconds of the board; of those that see
-    /// it now.
+    /// When half of those at which it is met had met it, in milliseconds of the run.
     pub median_ms: u64,
-    /// That.
+    /// When the last of them met it, in milliseconds of the run.
     pub last_ms: u64,
 }
 
-/// The number of a goal is kept beside the time since it holds, so that what was seen of an earlier
-/// goal doesn't count.
+impl ConditionProgress {
+    /// Whether the condition is met at all nodes that were asked.
+    pub fn is_complete(&self) -> bool {
+        self.met == self.asked
+    }
+}
+
+/// Low bits of a [`MetSince`] that hold the time.
 const TIME_BITS: u32 = 40;
 
-/// The board.
+/// Since when a node meets a condition, in one atomic word: the condition's number in the high bits,
+/// so that what was observed of an earlier condition does not count, and the time plus one in the
+/// low bits. 0 if it is not met.
+#[derive(Clone, Copy)]
+struct MetSince(u64);
+
+impl MetSince {
+    const NOT_MET: MetSince = MetSince(0);
+
+    fn new(condition: u64, at_ms: u64) -> MetSince {
+        MetSince(condition << TIME_BITS | (at_ms + 1))
+    }
+
+    /// The time in milliseconds, if it is this condition that is met.
+    fn time_ms(self, condition: u64) -> Option<u64> {
+        let is_met = self.0 != 0 && self.0 >> TIME_BITS == condition;
+        is_met.then(|| (self.0 & ((1 << TIME_BITS) - 1)) - 1)
+    }
+}
+
+/// What all nodes observed.
 pub struct Observations {
-    begun: Instant,
-    /// By manager: the goal's number and the time since it holds, plus one; 0 where it does not.
-    since: Vec<AtomicU64>,
-    owners: Mutex<BTreeMap<u64, Owner>>,
-    /// By thread: its latest wake since the last reading, in microseconds.
-    late: Vec<AtomicU64>,
+    started: Instant,
+    /// A [`MetSince`] for each node.
+    met_since: Vec<AtomicU64>,
+    /// By the engine's number.
+    holders: Mutex<BTreeMap<u64, LeaseHolder>>,
+    /// For each thread: its largest wake-up delay since the last reset, in microseconds.
+    wake_delays_us: Vec<AtomicU64>,
 }
 
 impl Observations {
-    /// For so many managers on so many threads.
-    pub fn new(managers: usize, threads: usize) -> Observations {
-        let zeros = |n| (0..n).map(|_| AtomicU64::new(0)).collect();
+    /// Of this many nodes on this many threads. The time of the run starts now.
+    pub fn new(nodes: usize, threads: usize) -> Observations {
+        let zeros = |count| (0..count).map(|_| AtomicU64::new(0)).collect();
         Observations {
-            begun: Instant::now(),
-            since: zeros(managers),
-            owners: Mutex::default(),
-            late: zeros(threads),
+            started: Instant::now(),
+            met_since: zeros(nodes),
+            holders: Mutex::default(),
+            wake_delays_us: zeros(threads),
         }
     }
 
-    /// Milliseconds since the board was made.
+    /// Milliseconds since the start of the run.
     pub fn now_ms(&self) -> u64 {
-        self.begun.elapsed().as_millis() as u64
+        self.started.elapsed().as_millis() as u64
     }
 
-    /// A manager sees the goal of that number, or does not.
-    pub fn saw(&self, who: usize, goal: u64, holds: bool) {
-        let since = self.since[who].load(Ordering::Relaxed);
-        let held = since >> TIME_BITS == goal && since != 0;
-        if held != holds {
-            let since = if holds {
-                goal << TIME_BITS | (self.now_ms() + 1)
+    /// Records whether a node meets the condition with this number. The time of the first record in a
+    /// row counts.
+    pub fn record_condition(&self, node: usize, condition: u64, is_met: bool) {
+        let recorded = MetSince(self.met_since[node].load(Ordering::Relaxed));
+        let was_met = recorded.time_ms(condition).is_some();
+        if was_met != is_met {
+            let next = if is_met {
+                MetSince::new(condition, self.now_ms())
             } else {
-                0
+                MetSince::NOT_MET
             };
-            self.since[who].store(since, Ordering::Relaxed);
+            self.met_since[node].store(next.0, Ordering::Relaxed);
         }
     }
 
-    /// How far the goal of that number holds at these managers.
-    pub fn spread(&self, goal: u64, whom: &[usize]) -> Spread {
-        let times = whom
+    /// How far the condition with this number is met at these nodes.
+    pub fn progress(&self, condition: u64, nodes: &[usize]) -> ConditionProgress {
+        let mut times_ms: Vec<u64> = nodes
             .iter()
-            .map(|who| self.since[*who].load(Ordering::Relaxed));
-        let times = times.filter(|since| *since != 0 && since >> TIME_BITS == goal);
-        let mut times: Vec<u64> = times
-            .map(|since| (since & ((1 << TIME_BITS) - 1)) - 1)
+            .map(|node| MetSince(self.met_since[*node].load(Ordering::Relaxed)))
+            .filter_map(|since| since.time_ms(condition))
             .collect();
-        times.sort_unstable();
-        Spread {
-            hold: times.len(),
-            asked: whom.len(),
-            median_ms: times.get(times.len() / 2).copied().unwrap_or(0),
-            last_ms: times.last().copied().unwrap_or(0),
+        times_ms.sort_unstable();
+        ConditionProgress {
+            met: times_ms.len(),
+            asked: nodes.len(),
+            median_ms: times_ms.get(times_ms.len() / 2).copied().unwrap_or(0),
+            last_ms: times_ms.last().copied().unwrap_or(0),
         }
     }
 
-    /// A duty came to a manager under a token, or went from it.
-    pub fn owns(&self, who: usize, engine: u64, token: FencingToken, owns: bool) {
+    /// Records that a node acquired an engine's lease with this token, or lost it.
+    pub fn record_lease(&self, node: usize, engine: u64, token: FencingToken, is_held: bool) {
         let since_ms = self.now_ms();
-        let Ok(mut owners) = self.owners.lock() else {
+        let Ok(mut holders) = self.holders.lock() else {
             return;
         };
-        if owns {
-            let owner = owners.entry(engine).or_insert(Owner {
-                who,
+        if is_held {
+            let acquired = LeaseHolder {
+                node,
                 token,
                 since_ms,
-            });
-            if token > owner.token {
-                *owner = Owner {
-                    who,
-                    token,
-                    since_ms,
-                };
+            };
+            let holder = holders.entry(engine).or_insert(acquired);
+            if token > holder.token {
+                *holder = acquired;
             }
-        } else if owners
+        } else if holders
             .get(&engine)
-            .is_some_and(|o| o.who == who && o.token == token)
+            .is_some_and(|holder| holder.node == node && holder.token == token)
         {
-            owners.remove(&engine);
+            holders.remove(&engine);
         }
     }
 
-    /// Who owns what, by the number of the engine.
-    pub fn owners(&self) -> BTreeMap<u64, Owner> {
-        self.owners
+    /// The holders of all leases, by the engines' numbers.
+    pub fn lease_holders(&self) -> BTreeMap<u64, LeaseHolder> {
+        self.holders
             .lock()
-            .map(|owners| owners.clone())
+            .map(|holders| holders.clone())
             .unwrap_or_default()
     }
 
-    /// A thread woke so many microseconds later than it wanted to.
-    pub fn woke_late(&self, thread: usize, micros: u64) {
-        self.late[thread].fetch_max(micros, Ordering::Relaxed);
+    /// Records that a thread woke this much later than it was due.
+    pub fn record_wake_delay(&self, thread: usize, delay_us: u64) {
+        self.wake_delays_us[thread].fetch_max(delay_us, Ordering::Relaxed);
     }
 
-    /// The latest wake of any thread since the last reading, in microseconds.
-    pub fn take_late(&self) -> u64 {
-        self.late
+    /// The largest wake-up delay of all threads since the last call, in microseconds; resets it.
+    pub fn take_max_wake_delay_us(&self) -> u64 {
+        self.wake_delays_us
             .iter()
-            .map(|late| late.swap(0, Ordering::Relaxed))
+            .map(|delay| delay.swap(0, Ordering::Relaxed))
             .max()
             .unwrap_or(0)
     }
 
-    /// The same, and it goes on.
-    pub fn late(&self) -> u64 {
-        self.late
+    /// The largest wake-up delay of all threads so far, in microseconds.
+    pub fn max_wake_delay_us(&self) -> u64 {
+        self.wake_delays_us
             .iter()
-            .map(|late| late.load(Ordering::Relaxed))
+            .map(|delay| delay.load(Ordering::Relaxed))
             .max()
             .unwrap_or(0)
     }
--- a/src/testkit/scale/proc.rs
+++ b/src/testkit/scale/proc.rs
@@ -1,12 +1,18 @@
-//! What the system tells of a process under `/proc`: memory, processor time, context switches,
-//! descriptors.
+//! What the system reports of processes under `/proc`: memory, processor time, context switches,
+//! descriptors, and datagrams dropped by sockets.
 use serde::Serialize;
+use std::collections::BTreeSet;
 use std::fs;
 use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
 
-/// Clock ticks a second in `/proc/PID/stat`: the same on all machines that Linux runs on today.
+/// Clock ticks a second in `/proc/PID/stat`: the same on all architectures that Linux supports today.
 pub const TICKS_PER_S: u64 = 100;
 
+/// Fields of `/proc/PID/stat` behind the process's name: user and system time, in clock ticks.
+const STAT_TIME_FIELDS: [usize; 2] = [11, 12];
+
 /// What a process has used since its start, and what it holds now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Usage {
@@ -16,80 +22,140 @@
     pub anon_kib: u64,
     /// Processor time in user and system mode, in clock ticks.
     pub cpu_ticks: u64,
-    /// Processor time of the threads there are, in nanoseconds.
+    /// Processor time of the threads that exist now, in nanoseconds.
     pub cpu_ns: u64,
-    /// Voluntary context switches of the threads there are.
+    /// Voluntary context switches of the threads that exist now.
     pub switches: u64,
     /// Open descriptors.
     pub descriptors: u64,
 }
 
-/// A figure of a file that has one a line, as `name: 12 kB`.
+/// The number of a line such as `name: 12 kB`.
 pub fn field(text: &str, name: &str) -> Option<u64> {
-    let line = text
+    let value = text
         .lines()
-        .find_map(|l| l.strip_prefix(name)?.strip_prefix(':'))?;
-    line.split_whitespace().next()?.parse().ok()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))?;
+    value.split_whitespace().next()?.parse().ok()
 }
 
-/// The state letter and the processor time in ticks that `/proc/PID/stat` tells. The name in it may
-/// hold anything.
+/// The state letter and the processor time in clock ticks of a `/proc/PID/stat`. The process's name
+/// within it may contain any characters.
 pub fn stat(text: &str) -> Option<(char, u64)> {
-    let rest: Vec<&str> = text.rsplit_once(')')?.1.split_whitespace().collect();
-    let time = |at: usize| rest.get(at)?.parse::<u64>().ok();
-    Some((rest.first()?.chars().next()?, time(11)? + time(12)?))
+    let behind_name: Vec<&str> = text.rsplit_once(')')?.1.split_whitespace().collect();
+    let state = behind_name.first()?.chars().next()?;
+    let [user, system] = STAT_TIME_FIELDS;
+    let ticks = |field: usize| behind_name.get(field)?.parse::<u64>().ok();
+    Some((state, ticks(user)? + ticks(system)?))
+}
+
+/// Whether a process in this state has ended: as a zombie or dead.
+fn has_ended(state: char) -> bool {
+    matches!(state, 'Z' | 'X')
 }
 
 fn missing(what: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, format!("no {what} under /proc"))
 }
 
-/// Reads what a process uses. One that has ended and was not waited for yet is an error, too.
+/// Reads what a process uses. It is an error if the process has ended, even if it was not waited for
+/// yet.
 pub fn usage(pid: u32) -> io::Result<Usage> {
-    let file = |name: &str| fs::read_to_string(format!("/proc/{pid}/{name}"));
-    let (state, cpu_ticks) = stat(&file("stat")?).ok_or_else(|| missing("stat"))?;
-    if matches!(state, 'Z' | 'X') {
+    let read = |name: &str| fs::read_to_string(format!("/proc/{pid}/{name}"));
+    let (state, cpu_ticks) = stat(&read("stat")?).ok_or_else(|| missing("stat"))?;
+    if has_ended(state) {
         return Err(io::Error::new(
             io::ErrorKind::NotFound,
             "the process has ended",
         ));
     }
-    let status = file("status")?;
-    let memory = |name| field(&status, name).ok_or_else(|| missing(name));
+    let status = read("status")?;
+    let memory_kib = |name| field(&status, name).ok_or_else(|| missing(name));
     let mut usage = Usage {
-        rss_kib: memory("VmRSS")?,
-        anon_kib: memory("RssAnon")?,
+        rss_kib: memory_kib("VmRSS")?,
+        anon_kib: memory_kib("RssAnon")?,
         cpu_ticks,
         ..Usage::default()
     };
     for thread in fs::read_dir(format!("/proc/{pid}/task"))? {
         let path = thread?.path();
-        // A thread may end between the two.
-        let Ok(times) = fs::read_to_string(path.join("schedstat")) else {
+        // A thread may end between the two reads.
+        let Ok(schedstat) = fs::read_to_string(path.join("schedstat")) else {
             continue;
         };
         let Ok(status) = fs::read_to_string(path.join("status")) else {
             continue;
         };
-        usage.cpu_ns += times
-            .split(' ')
-            .next()
-            .and_then(|t| t.parse::<u64>().ok())
-            .unwrap_or(0);
+        usage.cpu_ns += processor_ns(&schedstat).unwrap_or(0);
         usage.switches += field(&status, "voluntary_ctxt_switches").unwrap_or(0);
     }
     usage.descriptors = fs::read_dir(format!("/proc/{pid}/fd"))?.count() as u64;
     Ok(usage)
 }
 
+/// The processor time of a thread's `schedstat`, in nanoseconds.
+fn processor_ns(schedstat: &str) -> Option<u64> {
+    schedstat.split_whitespace().next()?.parse().ok()
+}
+
 /// Whether a process runs: one that has ended and was not waited for yet does not.
 pub fn runs(pid: u32) -> bool {
     let text = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    stat(&text).is_some_and(|(state, _)| !matches!(state, 'Z' | 'X'))
+    stat(&text).is_some_and(|(state, _)| !has_ended(state))
 }
 
-/// Memory that can be had without swapping, in MiB.
-pub fn available_mib() -> u64 {
+/// Memory that is available without swapping, in MiB.
+pub fn available_memory_mib() -> u64 {
     let text = fs::read_to_string("/proc/meminfo").unwrap_or_default();
     field(&text, "MemAvailable").unwrap_or(0) / 1024
 }
+
+/// Descriptors that this process may have.
+pub fn descriptor_limit() -> u64 {
+    rustix::process::getrlimit(rustix::process::Resource::Nofile)
+        .current
+        .unwrap_or(u64::MAX)
+}
+
+/// Resident memory of this process, in KiB.
+pub fn own_resident_kib() -> u64 {
+    let text = fs::read_to_string("/proc/self/status").unwrap_or_default();
+    field(&text, "VmRSS").unwrap_or(0)
+}
+
+/// Processor time of all threads that this process has now.
+pub fn own_processor_time() -> Duration {
+    let threads = fs::read_dir("/proc/self/task");
+    let times_ns = threads
+        .into_iter()
+        .flatten()
+        .flatten()
+        .filter_map(|thread| {
+            let schedstat = fs::read_to_string(thread.path().join("schedstat")).ok()?;
+            processor_ns(&schedstat)
+        });
+    Duration::from_nanos(times_ns.sum())
+}
+
+/// Datagrams that the sockets at these IPv4 addresses dropped because their buffers were full.
+pub fn dropped_datagrams(addresses: &[SocketAddr]) -> u64 {
+    let text = fs::read_to_string("/proc/net/udp").unwrap_or_default();
+    let addresses: BTreeSet<String> = addresses.iter().filter_map(udp_table_address).collect();
+    let drops = text.lines().skip(1).filter_map(|line| {
+        let mut columns = line.split_whitespace();
+        let local_address = columns.nth(1)?;
+        if !addresses.contains(local_address) {
+            return None;
+        }
+        columns.last()?.parse::<u64>().ok()
+    });
+    drops.sum()
+}
+
+/// An address in the form of `/proc/net/udp`.
+fn udp_table_address(address: &SocketAddr) -> Option<String> {
+    let SocketAddr::V4(address) = address else {
+        return None;
+    };
+    let ip = u32::from_ne_bytes(address.ip().octets());
+    Some(format!("{ip:08X}:{:04X}", address.port()))
+}
--- a/tests/scale_fleet.rs
+++ b/tests/scale_fleet.rs
@@ -1,76 +1,104 @@
-//! Hollow managers on real sockets: they find each other, each datagram is accounted for, they and
-//! a real daemon take each other for members, and a thread of them that ends is an error of the
-//! run. Counts and bounds only.
+//! Hollow nodes on real sockets: they find each other, each datagram is accounted for, they and a
+//! real daemon are members to each other, and a thread that ends early fails the run. Counts and
+//! bounds only, no speeds.
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::sync::Arc;
-use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 use yokelift::config::fleet::FleetConfig;
 use yokelift::lease::LeaseTiming;
 use yokelift::membership::Timing;
 use yokelift::testkit::daemon::{self, Folder, KINDS, ZONES, free_addr};
 use yokelift::testkit::fleet::eventually;
+use yokelift::testkit::scale::capacity_check::FleetRequirements;
 use yokelift::testkit::scale::events::Run;
-use yokelift::testkit::scale::fleet::{Plan, Rig};
-use yokelift::testkit::scale::hollow_node::{home, resident};
-use yokelift::testkit::scale::needs::Needs;
-use yokelift::testkit::scale::observations::Goal;
+use yokelift::testkit::scale::figures::{DatagramBalance, Figures};
+use yokelift::testkit::scale::fleet::{HollowFleet, Plan};
+use yokelift::testkit::scale::hollow_node::{node_address, node_at};
+use yokelift::testkit::scale::observations::Condition;
 use yokelift::testkit::{clients, coordinator};
 
 const ENGINES: u64 = 12;
+const NODES: usize = 8;
 const PERIOD_MS: u64 = 100;
 
-/// Eight managers with quick timings, twelve engines and three voters.
+/// Eight nodes with short intervals, twelve engines and three voters.
 fn plan() -> Plan {
-    let timing = Timing {
-        period_ms: PERIOD_MS,
-        probe_ms: 40,
-        ..Timing::default()
-    };
-    let terms = LeaseTiming {
-        term_ms: 600,
-        margin_ms: 50,
-        ..LeaseTiming::default()
-    };
-    let (settle, quiet) = (Duration::from_millis(300), Duration::from_millis(500));
     Plan {
         voters: 3,
         threads: 2,
         wants: 10.0,
-        timing,
-        terms,
-        settle,
-        quiet,
-        ..Plan::new(8, ENGINES)
+        timing: Timing {
+            period_ms: PERIOD_MS,
+            probe_ms: 40,
+            ..Timing::default()
+        },
+        terms: LeaseTiming {
+            term_ms: 600,
+            margin_ms: 50,
+            ..LeaseTiming::default()
+        },
+        settle: Duration::from_millis(300),
+        quiet: Duration::from_millis(500),
+        ..Plan::new(NODES, ENGINES)
     }
 }
 
-/// Guards the figures' ground: each event is seen by all that are asked, duties pass to others, and
-/// no datagram is unaccounted for.
-#[test]
-fn a_small_run_reaches_all_and_its_accounts_add_up() {
-    let rig = Rig::new(
-        Plan {
-            cut: Duration::from_secs(1),
-            rolling: 2,
-            ..plan()
-        },
-        Arc::default(),
-    );
-    let mut run = Run::new(rig.expect("a rig"));
+fn new_fleet(plan: Plan) -> HollowFleet {
+    HollowFleet::new(plan, Arc::default()).expect("a fleet")
+}
+
+/// Plays every event, each after the leases have their first holders.
+fn run_all_events(plan: Plan) -> Figures {
+    let mut run = Run::new(new_fleet(plan));
     run.join().expect("all start");
-    let owned = |rig: &Rig| rig.board.owners().len() as u64 == ENGINES;
-    assert_eq!(run.rig.wait("each duty has an owner", owned), Ok(true));
+    let all_held = |fleet: &HollowFleet| fleet.observations.lease_holders().len() as u64 == ENGINES;
+    let held = run.fleet.wait_until("each duty has an owner", all_held);
+    assert!(held.expect("no thread ended"));
     run.quiet(0).expect("quiet");
     run.death().expect("a death");
     run.settings().expect("settings");
-    run.cut().expect("a cut");
-    run.rolling().expect("restarts");
-    let figures = run.close().expect("the accounts");
+    run.partition().expect("a partition");
+    run.rolling_restart().expect("restarts");
+    run.finish().expect("the figures")
+}
+
+/// Every datagram that was sent is found, in bytes too where no socket dropped any.
+fn assert_datagrams_are_accounted_for(balance: &DatagramBalance) {
+    let counts = &balance.counts;
+    assert_eq!(balance.missing, 0, "{balance:?}");
+    let found = counts.received().plus(counts.cut).plus(balance.unread);
+    assert_eq!(
+        found.datagrams + balance.lost,
+        counts.sent().datagrams,
+        "{balance:?}"
+    );
+    assert!(balance.lost > 0 || found == counts.sent(), "{balance:?}");
+    assert!(
+        counts.cut.datagrams > 0 && balance.unread.datagrams > 0,
+        "{balance:?}"
+    );
+    assert!(counts.duties_received.datagrams > 0 && counts.membership_received.datagrams > 0);
+    assert_eq!(
+        (counts.refused.datagrams, balance.dropped),
+        (0, 0),
+        "{balance:?}"
+    );
+}
+
+/// Guards the basis of the figures: each event is observed by all nodes, leases pass to other holders,
+/// and every datagram is accounted for.
+#[test]
+fn every_event_is_observed_by_all_nodes_and_every_datagram_is_accounted_for() {
+    let figures = run_all_events(Plan {
+        cut: Duration::from_secs(1),
+        rolling: 2,
+        ..plan()
+    });
+
     assert_eq!(figures.failed, Vec::<String>::new(), "{figures:?}");
     assert_eq!(
         (
@@ -78,151 +106,150 @@
             figures.death.dead.had,
             figures.settings.had
         ),
-        (8, 7, 8)
+        (NODES, NODES - 1, NODES)
     );
     assert!(
         figures.death.owners_ms.is_some() && figures.death.duties > 0,
         "{:?}",
         figures.death
     );
-    assert_eq!(
-        figures
-            .rolling
-            .map(|rolling| rolling.each_ms.iter().flatten().count()),
-        Some(2)
-    );
-    let (accounts, counts) = (&figures.accounts, &figures.accounts.counts);
-    assert_eq!(accounts.missing, 0, "{accounts:?}");
-    // Counted again here, in bytes too, where no socket lost any.
-    let found = counts.received().plus(counts.cut).plus(accounts.unread);
-    assert_eq!(
-        found.datagrams + accounts.lost,
-        counts.sent().datagrams,
-        "{accounts:?}"
-    );
-    assert!(accounts.lost > 0 || found == counts.sent(), "{accounts:?}");
-    assert!(
-        counts.cut.datagrams > 0 && accounts.unread.datagrams > 0,
-        "{accounts:?}"
-    );
-    assert!(counts.duties_received.datagrams > 0 && counts.membership_received.datagrams > 0);
-    assert_eq!(
-        (counts.refused.datagrams, accounts.dropped),
-        (0, 0),
-        "{accounts:?}"
-    );
+    let rolling = figures.rolling.expect("a rolling restart");
+    assert_eq!(rolling.each_ms.iter().flatten().count(), 2);
+    assert_datagrams_are_accounted_for(&figures.accounts);
 }
 
-/// A daemon of that fleet, killed with it.
-struct Real(Child);
+/// A daemon that is killed when it is dropped.
+struct RunningDaemon(Child);
 
-impl Drop for Real {
+impl Drop for RunningDaemon {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn daemon(folder: &Folder, at: SocketAddr, console: SocketAddr, seed: SocketAddr) -> Real {
-    let known = coordinator::known(&[], &ZONES, &KINDS);
-    let config = daemon::config(free_addr(), free_addr(), &known, 256);
+/// Starts a daemon as a member of the fleet at `address`, which contacts `seed` first.
+fn start_daemon(
+    folder: &Folder,
+    address: SocketAddr,
+    admin_address: SocketAddr,
+    seed: SocketAddr,
+) -> RunningDaemon {
+    let known_events = coordinator::known(&[], &ZONES, &KINDS);
+    let config = daemon::config(free_addr(), free_addr(), &known_events, 256);
     let fleet = format!(
-        "bind = \"{at}\"\nseeds = [\"{seed}\"]\n[timing]\nperiod_ms = {PERIOD_MS}\nprobe_ms = 40\n"
+        "bind = \"{address}\"\nseeds = [\"{seed}\"]\n[timing]\nperiod_ms = {PERIOD_MS}\nprobe_ms = 40\n"
     );
     let put = |name, text: &str| folder.put(name, text).expect("a file");
     let child = Command::new(env!("CARGO_BIN_EXE_yokelift"))
         .env("PROXY_CONFIG", put("config.json", &config.to_string()))
         .env("PROXY_NAME", "real")
-        .env("PROXY_CONSOLE", console.to_string())
+        .env("PROXY_CONSOLE", admin_address.to_string())
         .env("PROXY_FLEET", put("fleet.toml", &fleet))
         .env("TMPDIR", folder.path(""))
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn();
-    Real(child.expect("the daemon"))
+    RunningDaemon(child.expect("the daemon"))
+}
+
+/// How many members a daemon's admin endpoint shows as alive.
+fn alive_members(admin_address: SocketAddr) -> Option<usize> {
+    let (status, body) = async_io::block_on(clients::call(admin_address, "GET", "/fleet"))?;
+    let rows = body
+        .lines()
+        .filter_map(|line| serde_json::from_str::<Value>(line).ok());
+    let alive = rows.filter(|row| row["health"] == json!("Alive")).count();
+    (status == 200).then_some(alive)
 }
 
-/// Guards what the figures stand for: hollow managers speak as the daemon does.
+/// Guards what the figures stand for: hollow nodes speak the daemon's protocol.
 #[test]
-fn hollow_managers_and_a_real_daemon_are_members_to_each_other() {
-    // On a network of its own, so that no other test is handed the port.
-    let free = UdpSocket::bind("127.65.0.1:0")
+fn hollow_nodes_and_a_real_daemon_are_members_to_each_other() {
+    // On a network of its own, so that no other test gets the port.
+    let daemon_address = UdpSocket::bind("127.65.0.1:0")
         .and_then(|socket| socket.local_addr())
         .expect("a port");
-    let mut rig = Rig::new(
-        Plan {
-            greet: vec![free],
-            ..plan()
-        },
-        Arc::default(),
-    )
-    .expect("a rig");
-    let (folder, console) = (Folder::new().expect("a folder"), free_addr());
-    let _real = daemon(&folder, free, console, rig.homes[0]);
-    rig.look(Goal::Alive(8));
-    rig.begin();
-    let spread = rig
-        .reach("all and the daemon", &rig.all_but(&[]))
+    let mut fleet = new_fleet(Plan {
+        greet: vec![daemon_address],
+        ..plan()
+    });
+    let folder = Folder::new().expect("a folder");
+    let admin_address = free_addr();
+    let _daemon = start_daemon(&folder, daemon_address, admin_address, fleet.addresses[0]);
+
+    fleet.watch(Condition::OthersAlive(NODES));
+    fleet.start_nodes();
+    let progress = fleet
+        .wait_for_condition("all and the daemon", &fleet.all_except(&[]))
         .expect("no thread ended");
-    assert_eq!((spread.hold, spread.asked), (8, 8));
-    let alive = || {
-        let (status, body) = async_io::block_on(clients::call(console, "GET", "/fleet"))?;
-        let rows = body
-            .lines()
-            .filter_map(|line| serde_json::from_str::<Value>(line).ok());
-        (status == 200).then(|| rows.filter(|row| row["health"] == json!("Alive")).count())
-    };
+
+    assert_eq!((progress.met, progress.asked), (NODES, NODES));
     assert!(
-        eventually(|| alive() == Some(9)),
+        eventually(|| alive_members(admin_address) == Some(NODES + 1)),
         "the daemon sees {:?} alive",
-        alive()
+        alive_members(admin_address)
     );
 }
 
-/// Guards against good figures of a run that lost a part of its managers.
+/// Guards against plausible figures of a run that lost a part of its nodes.
 #[test]
-fn a_thread_that_panics_is_an_error_of_the_run() {
-    let mut run = Run::new(Rig::new(plan(), Arc::default()).expect("a rig"));
+fn a_thread_that_panics_fails_the_run() {
+    let mut run = Run::new(new_fleet(plan()));
     run.join().expect("all start");
-    run.rig.break_thread(1);
+
+    run.fleet.panic_thread(1);
+
     let error = run
-        .rig
-        .pass("nothing", Duration::from_secs(60))
-        .expect_err("a thread ended");
+        .fleet
+        .pass_time("nothing", Duration::from_secs(60))
+        .expect_err("a thread ended")
+        .to_string();
     assert!(error.contains("told to panic"), "{error}");
-    assert!(run.settings().is_err() && run.close().is_err());
+    assert!(run.settings().is_err() && run.finish().is_err());
+}
+
+/// A small run on the command line.
+fn scale_fleet_command() -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
+    command
+        .args(["scale-fleet", "--sizes", "4x4", "--voters", "3"])
+        .stdin(Stdio::null());
+    command
 }
 
-/// Guards the end of a run: by its limit, and by a signal, with an error and a status that says so.
 #[test]
-fn a_run_ends_by_its_limit_and_by_a_signal() {
-    let kit = || {
-        let mut kit = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
-        kit.args(["scale-fleet", "--sizes", "4x4", "--voters", "3"])
-            .stdin(Stdio::null());
-        kit
-    };
-    let ended = kit().args(["--limit", "1"]).output().expect("the kit");
-    let error = String::from_utf8_lossy(&ended.stderr);
+fn the_time_limit_fails_a_run() {
+    let output = scale_fleet_command()
+        .args(["--limit", "1"])
+        .output()
+        .expect("the test kit");
+    let stderr = String::from_utf8_lossy(&output.stderr);
     assert!(
-        !ended.status.success() && error.contains("within the limit"),
-        "{error}"
+        !output.status.success() && stderr.contains("within the limit"),
+        "{stderr}"
     );
-    let mut child = kit()
+}
+
+#[test]
+fn a_signal_fails_a_run() {
+    let mut child = scale_fleet_command()
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the kit");
-    let mut lines = BufReader::new(child.stderr.take().expect("its errors")).lines();
-    // A first line of progress: it runs.
+        .expect("the test kit");
+    let mut lines = BufReader::new(child.stderr.take().expect("its stderr")).lines();
+    // The first line of progress shows that it runs.
     assert!(
         lines
             .next()
             .is_some_and(|line| line.is_ok_and(|line| line.starts_with("scale-fleet:")))
     );
+
     let pid = rustix::process::Pid::from_raw(child.id() as i32).expect("a pid");
     rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("signalled");
+
     let rest: Vec<String> = lines.map_while(Result::ok).collect();
     assert!(!child.wait().expect("its end").success());
     assert!(
@@ -231,65 +258,68 @@
     );
 }
 
-/// Guards the machine: a run that it can't bear is refused before it begins, with what is needed
-/// and what there is.
+/// Guards the machine: a run that it has no capacity for is refused before it starts, and the error
+/// names what is required and what is available.
 #[test]
-fn a_run_that_the_machine_cannot_bear_is_refused_up_front() {
-    let needs = Needs::of(&Plan::new(460, 910));
-    assert_eq!(needs.check(needs.descriptors, needs.memory_mb), Ok(()));
-    let few = needs
-        .check(needs.descriptors - 1, needs.memory_mb)
-        .expect_err("too few descriptors");
-    assert!(
-        few.contains(&needs.descriptors.to_string()) && few.contains("RLIMIT_NOFILE"),
-        "{few}"
-    );
-    let small = needs
-        .check(needs.descriptors, needs.memory_mb - 1)
-        .expect_err("too little memory");
-    assert!(
-        small.contains(&needs.memory_mb.to_string()) && small.contains("MemAvailable"),
-        "{small}"
+fn a_run_without_capacity_is_refused_before_it_starts() {
+    let required = FleetRequirements::of(&Plan::new(460, 910));
+    assert_eq!(
+        required.check(required.descriptors, required.memory_mib),
+        Ok(())
     );
-    let huge = Needs {
-        memory_mb: 12 * 1024 + 1,
-        ..needs
-    };
-    assert!(huge.check(u64::MAX, u64::MAX).is_err());
-    let flag = Arc::new(AtomicBool::new(false));
+
+    let error = required
+        .check(required.descriptors - 1, required.memory_mib)
+        .expect_err("too few descriptors")
+        .to_string();
     assert!(
-        Rig::new(
-            Plan {
-                voters: 4,
-                ..plan()
-            },
-            flag.clone()
-        )
-        .is_err()
+        error.contains(&required.descriptors.to_string()) && error.contains("RLIMIT_NOFILE"),
+        "{error}"
     );
+    let error = required
+        .check(required.descriptors, required.memory_mib - 1)
+        .expect_err("too little memory")
+        .to_string();
     assert!(
-        Rig::new(
-            Plan {
-                managers: 2,
-                ..plan()
-            },
-            flag
-        )
-        .is_err()
+        error.contains(&required.memory_mib.to_string()) && error.contains("MemAvailable"),
+        "{error}"
     );
+    let beyond_the_bound = FleetRequirements {
+        memory_mib: 12 * 1024 + 1,
+        ..required
+    };
+    assert!(beyond_the_bound.check(u64::MAX, u64::MAX).is_err());
+}
+
+#[test]
+fn an_even_number_of_voters_and_too_few_nodes_are_refused() {
+    let is_refused = |plan| HollowFleet::new(plan, Arc::default()).is_err();
+    assert!(is_refused(Plan {
+        voters: 4,
+        ..plan()
+    }));
+    assert!(is_refused(Plan {
+        managers: 2,
+        ..plan()
+    }));
 }
 
-/// Guards the cut: whom a datagram goes to is told by its address alone. And the timings are those
-/// of the fleet file.
+/// Guards the partition: it decides by a datagram's address alone to which node it is sent.
 #[test]
-fn addresses_tell_who_lives_there_and_timings_are_the_files() {
-    for who in [0, 1, 249, 250, 459, 4_999] {
-        assert_eq!(resident(home(who)), Some(who));
+fn a_nodes_address_identifies_it() {
+    for node in [0, 1, 249, 250, 459, 4_999] {
+        assert_eq!(node_at(node_address(node)), Some(node));
     }
-    assert_eq!(resident(SocketAddr::from(([127, 0, 0, 1], 7_946))), None);
-    assert_eq!(resident(SocketAddr::from(([127, 64, 0, 0], 7_946))), None);
-    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/fleet.toml");
-    let file = FleetConfig::parse(&std::fs::read_to_string(file).expect("the file"))
-        .expect("a fleet file");
-    assert_eq!(file.timing, Plan::new(460, 910).timing);
+    let other_addresses = [[127, 0, 0, 1], [127, 64, 0, 0]];
+    for ip in other_addresses {
+        assert_eq!(node_at(SocketAddr::from((ip, 7_946))), None);
+    }
+}
+
+#[test]
+fn the_default_timing_is_that_of_the_shipped_fleet_file() {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/fleet.toml");
+    let text = std::fs::read_to_string(path).expect("the file");
+    let shipped = FleetConfig::parse(&text).expect("a fleet file");
+    assert_eq!(shipped.timing, Plan::new(460, 910).timing);
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -293,79 +293,81 @@
     );
 }
 
+/// Malformed lines of the platform's protocol, and the codes of their errors.
+const MALFORMED_RPC_LINES: [(&str, &str); 7] = [
+    ("{]", "-32700"),
+    ("[]", "-32600"),
+    (
+        r#"{"jsonrpc":"2.0","id":1,"method":"lookup","params":[1]}"#,
+        "-32602",
+    ),
+    (
+        r#"{"jsonrpc":"2.0","id":1,"method":"nothing","params":{}}"#,
+        "-32601",
+    ),
+    (r#"{"jsonrpc":"1.0","id":1,"method":"status"}"#, "-32600"),
+    (
+        r#"{"jsonrpc":"2.0","id":-1,"method":"lookup","params":{}}"#,
+        "-32600",
+    ),
+    (
+        r#"{"jsonrpc":"2.0","id":1,"method":"lookup","params":{"id":"xyz","wait":5,"tenant":"billing-desk","arg":""}}"#,
+        "-32602",
+    ),
+];
+
+/// Malformed requests of the ClickHouse interface, and the statuses of their errors.
+const MALFORMED_HTTP_REQUESTS: [(&str, &str); 11] = [
+    ("BREW / HTTP/1.1\\r\\n\\r\\n", "405"),
+    ("GET /none HTTP/1.1\\r\\n\\r\\n", "404"),
+    ("hello\\r\\n\\r\\n", "400"),
+    ("GET /?query=%zz HTTP/1.1\\r\\n\\r\\n", "400"),
+    (
+        "POST / HTTP/1.1\\r\\nContent-Length: 1\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n",
+        "400",
+    ),
+    (
+        "POST / HTTP/1.1\\r\\nContent-Length: 999999999\\r\\n\\r\\nabc",
+        "413",
+    ),
+    (
+        "POST / HTTP/1.1\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\nzz\\r\\n",
+        "400",
+    ),
+    (
+        "POST / HTTP/1.1\\r\\nAuthorization: Basic !!\\r\\nContent-Length: 1\\r\\n\\r\\nx",
+        "401",
+    ),
+    (
+        "GET /?user=anna&password=secret&query=INSERT+INTO+x HTTP/1.1\\r\\n\\r\\n",
+        "405",
+    ),
+    (
+        "GET /?user=anna&password=secret&query=SELECT&default_format=Parquet HTTP/1.1\\r\\n\\r\\n",
+        "400",
+    ),
+    (
+        "GET /?user=anna&password=secret&query=SELECT&database=other HTTP/1.1\\r\\n\\r\\n",
+        "400",
+    ),
+];
+
 /// Malformed input ends its request or connection, never the process.
 #[test]
 fn malformed_input_is_rejected_and_others_are_served() {
-    let lines = [
-        ("{]", "-32700"),
-        ("[]", "-32600"),
-        (
-            r#"{"jsonrpc":"2.0","id":1,"method":"lookup","params":[1]}"#,
-            "-32602",
-        ),
-        (
-            r#"{"jsonrpc":"2.0","id":1,"method":"nothing","params":{}}"#,
-            "-32601",
-        ),
-        (r#"{"jsonrpc":"1.0","id":1,"method":"status"}"#, "-32600"),
-        (
-            r#"{"jsonrpc":"2.0","id":-1,"method":"lookup","params":{}}"#,
-            "-32600",
-        ),
-        (
-            r#"{"jsonrpc":"2.0","id":1,"method":"lookup","params":{"id":"xyz","wait":5,"tenant":"billing-desk","arg":""}}"#,
-            "-32602",
-        ),
-    ];
-    let requests = [
-        ("BREW / HTTP/1.1\\r\\n\\r\\n", "405"),
-        ("GET /none HTTP/1.1\\r\\n\\r\\n", "404"),
-        ("hello\\r\\n\\r\\n", "400"),
-        ("GET /?query=%zz HTTP/1.1\\r\\n\\r\\n", "400"),
-        (
-            "POST / HTTP/1.1\\r\\nContent-Length: 1\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n",
-            "400",
-        ),
-        (
-            "POST / HTTP/1.1\\r\\nContent-Length: 999999999\\r\\n\\r\\nabc",
-            "413",
-        ),
-        (
-            "POST / HTTP/1.1\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\nzz\\r\\n",
-            "400",
-        ),
-        (
-            "POST / HTTP/1.1\\r\\nAuthorization: Basic !!\\r\\nContent-Length: 1\\r\\n\\r\\nx",
-            "401",
-        ),
-        (
-            "GET /?user=anna&password=secret&query=INSERT+INTO+x HTTP/1.1\\r\\n\\r\\n",
-            "405",
-        ),
-        (
-            "GET /?user=anna&password=secret&query=SELECT&default_format=Parquet HTTP/1.1\\r\\n\\r\\n",
-            "400",
-        ),
-        (
-            "GET /?user=anna&password=secret&query=SELECT&database=other HTTP/1.1\\r\\n\\r\\n",
-            "400",
-        ),
-    ];
     let mut text = "engine one platform\nuser anna secret billing-desk\nstart\n".to_owned();
-    for (at, (line, code)) in lines.iter().enumerate() {
-        text += &format!("raw l{at} rpc {line}\\n\nexpect l{at} rejected {code}\n");
+    for (index, (line, code)) in MALFORMED_RPC_LINES.iter().enumerate() {
+        text += &format!("raw l{index} rpc {line}\\n\nexpect l{index} rejected {code}\n");
     }
-    for (at, (request, code)) in requests.iter().enumerate() {
-        text += &format!("raw h{at} http {request}\nexpect h{at} rejected {code}\n");
+    for (index, (request, status)) in MALFORMED_HTTP_REQUESTS.iter().enumerate() {
+        text += &format!("raw h{index} http {request}\nexpect h{index} rejected {status}\n");
     }
-    text += &format!(
-        "raw long rpc {}\nexpect long rejected -32600\n",
-        "x".repeat(300_000)
-    );
-    text += "ask a rpc lookup billing-desk 5000 SELECT 1\nexpect a served\nask b http anna secret 5 SELECT 1\n";
-    play(
-        &(text + "expect b served\nterm\nended\ncounter taken 2\ncounter served 2\ncounter open 0"),
-    );
+    let long_line = "x".repeat(300_000);
+    text += &format!("raw long rpc {long_line}\nexpect long rejected -32600\n");
+    text += "ask a rpc lookup billing-desk 5000 SELECT 1\nexpect a served\n\
+        ask b http anna secret 5 SELECT 1\nexpect b served\n\
+        term\nended\ncounter taken 2\ncounter served 2\ncounter open 0";
+    play(&text);
 }
 
 /// A database is accepted only while every engine in service supports databases.
--- a/tests/unit/fit.rs
+++ b/tests/unit/fit.rs
@@ -1,59 +1,71 @@
-use super::*;
+//! Lines of least squares through measured points.
+use super::{Sample, fit, line};
 
-fn near(a: f64, b: f64) -> bool {
+fn is_near(a: f64, b: f64) -> bool {
     (a - b).abs() < 1e-9
 }
 
-/// Guards the figures to plan with: exact points give their line back, wherever they lie.
+/// Guards the figures for capacity planning: points on a line give that line, at any distances.
 #[test]
-fn points_on_a_line_give_it_back() {
-    let at = |x: f64| (x, 2_400.0 + 3.5 * x);
-    let found = line(&[at(910.0), at(10.0), at(114.0), at(455.0)]).expect("a line");
+fn points_on_a_line_give_that_line() {
+    let on_line = |x: f64| (x, 2_400.0 + 3.5 * x);
+    let found = line(&[
+        on_line(910.0),
+        on_line(10.0),
+        on_line(114.0),
+        on_line(455.0),
+    ])
+    .expect("a line");
     assert!(
-        near(found.intercept, 2_400.0) && near(found.slope, 3.5),
+        is_near(found.intercept, 2_400.0) && is_near(found.slope, 3.5),
         "{found:?}"
     );
     assert!(found.worst < 1e-9 && found.holds);
 }
 
-/// Guards against a slope shown as good where the points curve: worked by hand, y = 1, 2, 5 at 0,
-/// 1, 2 has slope 2 and intercept 2/3, and is off by 1/3, 2/3 and 1/3, the worst as parts of values
-/// being 1/3.
+/// Guards against a slope that is shown as valid where the points form a curve. Computed by hand:
+/// y = 1, 2, 5 at 0, 1, 2 has slope 2 and intercept 2/3; the residuals are 1/3, 2/3 and 1/3, the
+/// largest as a fraction of its value being 1/3.
 #[test]
-fn what_is_no_line_does_not_hold() {
+fn points_on_a_curve_give_an_invalid_line() {
     let found = line(&[(0.0, 1.0), (1.0, 2.0), (2.0, 5.0)]).expect("a line");
     assert!(
-        near(found.slope, 2.0) && near(found.intercept, 2.0 / 3.0) && near(found.worst, 1.0 / 3.0)
+        is_near(found.slope, 2.0)
+            && is_near(found.intercept, 2.0 / 3.0)
+            && is_near(found.worst, 1.0 / 3.0)
     );
     assert!(!found.holds);
-    // At the bound, and a little over it: 10 where the line through (0, 10), (1, y), (2, 10) says
-    // less.
+}
+
+/// Just within the bound, and just beyond it.
+#[test]
+fn the_largest_residual_decides_whether_a_line_is_valid() {
     let bent = |y: f64| line(&[(0.0, 10.0), (1.0, y), (2.0, 10.0)]).expect("a line");
     assert!(bent(11.5).holds && !bent(12.0).holds);
-    // Nothing is near a value of zero but zero.
-    assert!(
-        !line(&[(0.0, 0.0), (1.0, 1.0), (2.0, 1.0)])
-            .expect("a line")
-            .holds
-    );
 }
 
-/// Guards against lines through nothing.
 #[test]
-fn too_few_places_give_no_line() {
+fn a_line_that_misses_a_value_of_zero_is_invalid() {
+    let found = line(&[(0.0, 0.0), (1.0, 1.0), (2.0, 1.0)]).expect("a line");
+    assert!(!found.holds);
+}
+
+/// Guards against lines through too few points.
+#[test]
+fn too_few_points_give_no_line() {
     assert_eq!(line(&[]), None);
     assert_eq!(line(&[(3.0, 1.0)]), None);
     assert_eq!(line(&[(3.0, 1.0), (3.0, 2.0)]), None);
     assert_eq!(fit(&[]), None);
 }
 
-/// Guards the spread: it is that of the plays' own slopes.
+/// Guards the range: it is that of the plays' own slopes.
 #[test]
-fn plays_show_their_spread() {
-    let play = |slope: f64| vec![(0.0, 100.0), (10.0, 100.0 + 10.0 * slope)];
+fn a_fit_shows_the_range_of_the_plays_slopes() {
+    let play = |slope: f64| -> Vec<Sample> { vec![(0.0, 100.0), (10.0, 100.0 + 10.0 * slope)] };
     let found = fit(&[play(1.0), play(3.0), play(2.0)]).expect("a fit");
     assert!(
-        near(found.line.slope, 2.0) && near(found.least, 1.0) && near(found.most, 3.0),
+        is_near(found.line.slope, 2.0) && is_near(found.least, 1.0) && is_near(found.most, 3.0),
         "{found:?}"
     );
 }
