--- a/src/bin/yokelift-testkit/scale.rs
+++ b/src/bin/yokelift-testkit/scale.rs
@@ -37,13 +37,13 @@
     /// --quick].
     #[arg(long)]
     settle: Option<f64>,
-    /// Managers that the settings tell of.
+    /// Managers in the settings.
     #[arg(long, default_value_t = 460)]
     managers: u64,
     /// The daemon [default: the one beside this program].
     #[arg(long)]
     daemon: Option<PathBuf>,
-    /// All is ended after so many seconds, done or not.
+    /// Seconds after which everything is ended, finished or not.
     #[arg(long, default_value_t = 600)]
     limit: u64,
     /// Every figure as JSON.
@@ -108,7 +108,7 @@
     }
 }
 
-/// Completes with a signal or at the limit, and says which.
+/// Completes with a signal or at the limit, and returns which.
 async fn stop_reason(limit_at: Instant, signals: &mut Signals) -> String {
     let limit = async {
         Timer::at(limit_at).await;
--- a/src/config/clickhouse/mod.rs
+++ b/src/config/clickhouse/mod.rs
@@ -39,13 +39,13 @@
     pub directory: Option<DirectoryConfig>,
 }
 
-/// An engine: one of the coordinator's list, or with an address one that is always in service.
+/// An engine: one in the coordinator's list, or with an address one that is always in service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineConfig {
-    /// Its id, as `s-00c41f7a`.
+    /// Its id, such as `s-00c41f7a`.
     pub id: String,
-    /// Where it listens, if it is not of the coordinator's list.
+    /// Where it listens, if it is not in the coordinator's list.
     pub addr: Option<SocketAddr>,
     /// Its zone, as named in the settings.
     #[serde(default)]
--- a/src/net/hot_restart/predecessor_session.rs
+++ b/src/net/hot_restart/predecessor_session.rs
@@ -202,7 +202,7 @@
     to_successor: Sender<TransferredItem>,
     outgoing: Receiver<TransferredItem>,
     /// Where the successor's messages about passed connections are sent, by their numbers here. A
-    /// closed mailbox tells the connection's actor to give up its open requests.
+    /// closed mailbox makes the connection's actor abandon its open requests.
     clients: BTreeMap<u64, Sender<HotRestartMessage>>,
     /// Set once the successor took over.
     work_at_takeover: Option<OpenWork>,
--- a/src/net/hot_restart/successor_session.rs
+++ b/src/net/hot_restart/successor_session.rs
@@ -33,7 +33,7 @@
     open_requests: BTreeSet<u64>,
 }
 
-/// Runs until the predecessor has ended. `start_serving` is called once the lifecycle says that this
+/// Runs until the predecessor has ended. `start_serving` is called once the lifecycle reports that this
 /// process can serve, also if that is after the predecessor's end.
 pub async fn follow_predecessor(
     shared: Rc<Shared>,
--- a/src/testkit/scale/hollow_batch.rs
+++ b/src/testkit/scale/hollow_batch.rs
@@ -26,9 +26,9 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Events that wait for a hollow module.
 const MAILBOX: usize = 256;
-/// Descriptors that a node's actors are told they may have.
+/// Limit on descriptors that is configured for a node's actors.
 const NODE_DESCRIPTORS: usize = 64;
-/// Memory that a node's actors are told they may use, in MB.
+/// Limit on memory that is configured for a node's actors, in MB.
 const NODE_MEMORY_MB: u64 = 64;
 /// The hash of the settings that the nodes start with.
 const INITIAL_SETTINGS: u64 = 1;
--- a/src/testkit/scale/observations.rs
+++ b/src/testkit/scale/observations.rs
@@ -85,7 +85,7 @@
 /// Low bits of a [`MetSince`] that hold the time.
 const TIME_BITS: u32 = 40;
 
-/// Since when a node meets a condition, in one atomic word: the condition's number in the high bits,
+/// Since when a node meets a condition, in one atomic integer: the condition's number in the high bits,
 /// so that what was observed of an earlier condition does not count, and the time plus one in the
 /// low bits. 0 if it is not met.
 #[derive(Clone, Copy)]
--- a/tests/unit/lifecycle.rs
+++ b/tests/unit/lifecycle.rs
@@ -235,7 +235,7 @@
     assert_eq!(lifecycle.idle_close_at(1), None);
 }
 
-/// Guards the words that operators and the fleet's other members read.
+/// Guards the names that operators and the fleet's other members read.
 #[test]
 fn each_stage_has_a_fixed_name() {
     let names = [
--- a/tests/unit/net_hot_restart.rs
+++ b/tests/unit/net_hot_restart.rs
@@ -16,7 +16,7 @@
     Hangs,
 }
 
-/// Accepts one connection, checks its first line, and behaves as told.
+/// Accepts one connection, checks its first line, and behaves as given.
 fn spawn_peer(socket_path: &Path, behavior: BrokenPeer) -> JoinHandle<()> {
     let listener = UnixListener::bind(socket_path).expect("a socket");
     std::thread::spawn(move || {
