--- a/src/main.rs
+++ b/src/main.rs
@@ -368,11 +368,11 @@
                 Signal::Hup => match reload.again().await {
                     Ok(()) => {
                         log!("read the configuration again");
-                        DispatcherEvent::Reloaded(true)
+                        DispatcherEvent::ReloadSucceeded
                     }
                     Err(e) => {
                         log!("the configuration can't be used, the old one stands: {e}");
-                        DispatcherEvent::Reloaded(false)
+                        DispatcherEvent::ReloadFailed
                     }
                 },
                 _ => {
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -104,12 +104,16 @@
                         &mut self.unwritten,
                     );
                     all.extend(self.said.drain(..));
-                    DispatcherEvent::RejectedByFrontend(ask.class, Response::Rejected(None))
+                    DispatcherEvent::RejectedByFrontend {
+                        class: ask.class,
+                        response: Response::Rejected(None),
+                    }
                 }
                 FrontendEvent::Ask(ask) => DispatcherEvent::Request(ask),
-                FrontendEvent::TurnedAway(class, answer) => {
-                    DispatcherEvent::RejectedByFrontend(class, answer)
-                }
+                FrontendEvent::TurnedAway(class, answer) => DispatcherEvent::RejectedByFrontend {
+                    class,
+                    response: answer,
+                },
                 FrontendEvent::Withdraw(tag) => DispatcherEvent::CancelRequest(Origin {
                     conn: self.conn,
                     tag,
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -94,7 +94,10 @@
     });
     shared.clients.borrow_mut().insert(conn, standing.clone());
     let _ = core
-        .send(DispatcherEvent::ClientConnected(conn, answers))
+        .send(DispatcherEvent::ClientConnected {
+            conn,
+            responses: answers,
+        })
         .await;
     let (held, unread) = (
         ByteQuota::new(&shared.unwritten_bytes),
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -168,12 +168,12 @@
         first = false;
         let entries = update.engines.iter().map(|l| l.entry).collect();
         let _ = core
-            .send(DispatcherEvent::EndpointList(
+            .send(DispatcherEvent::EndpointList {
                 kind,
                 entries,
-                made,
-                update.index,
-            ))
+                new_endpoints: made,
+                version: update.index,
+            })
             .await;
     }
 }
--- /dev/null
+++ b/src/net/dispatcher/event.rs
@@ -0,0 +1,111 @@
+//! The messages that other actors send to the dispatcher's actor.
+use crate::class_registry::Class;
+use crate::clock::Micros;
+use crate::dispatcher::{AttemptResult, ClientRequest, Origin, Response};
+use crate::lease::shared_probe::ProbeResult;
+use crate::lease::{FencingToken, Resource};
+use crate::net::engine::EndpointHandle;
+use crate::policy::api::{
+    ClassId, Endpoint, EndpointListKind, EngineId, LoadReport, OutcomeKind, Settings, TenantSpec,
+};
+use async_channel::Sender;
+use std::rc::Rc;
+
+/// An event that the dispatcher's actor handles, from whichever actor observed it.
+pub enum DispatcherEvent {
+    /// A client connected.
+    ClientConnected {
+        /// The number of its connection.
+        conn: u64,
+        /// Where its responses are sent, each with the tag of its request.
+        responses: Sender<(u64, Response)>,
+    },
+    /// A client sent a request.
+    Request(ClientRequest),
+    /// A client cancelled one of its requests.
+    CancelRequest(Origin),
+    /// A frontend rejected a request by itself; it only has to be counted and audited.
+    RejectedByFrontend {
+        /// The class of the request.
+        class: ClassId,
+        /// What the client received.
+        response: Response,
+    },
+    /// The client connection of this number closed.
+    ClientDisconnected(u64),
+    /// An attempt ended.
+    AttemptFinished(AttemptResult),
+    /// A load probe of an engine ended.
+    ProbeCompleted {
+        /// The engine.
+        engine: EngineId,
+        /// Whether and how it failed.
+        kind: OutcomeKind,
+        /// From the request to the reply.
+        latency: Micros,
+        /// The load that the engine reported.
+        load: LoadReport,
+    },
+    /// The endpoint list changed.
+    EndpointList {
+        /// Whether `entries` is the full list, a cached one, or only the changes.
+        kind: EndpointListKind,
+        /// The endpoints.
+        entries: Vec<Endpoint>,
+        /// Handles of the endpoints that appear for the first time.
+        new_endpoints: Vec<(EngineId, Rc<EndpointHandle>)>,
+        /// The index of the watch event that brought the change.
+        version: u64,
+    },
+    /// New settings take effect for requests that arrive from now on.
+    Reconfigure {
+        /// The settings.
+        settings: Box<Settings>,
+        /// The names of `settings.classes`, in the same order.
+        class_names: Vec<String>,
+        /// A hash of the configuration's text, for the audit.
+        settings_hash: u64,
+        /// Receives all classes by their ids, each with whether it is in force.
+        applied: Sender<Vec<(Class, bool)>>,
+    },
+    /// The tenants and their quotas, from a new configuration or from the directory.
+    Tenants(Vec<TenantSpec>),
+    /// The tenant directory was read successfully.
+    DirectoryRead,
+    /// Reading the tenant directory failed.
+    DirectoryFailed,
+    /// The configuration was reloaded and is in force.
+    ReloadSucceeded,
+    /// The configuration could not be reloaded; the previous one stays in force.
+    ReloadFailed,
+    /// Print the counters on standard error.
+    PrintCounters,
+    /// The number of gateways that share the warm engines changed.
+    ActiveGateways(u32),
+    /// Send a load probe to an engine.
+    Probe {
+        /// The engine.
+        engine: u64,
+        /// When a probe on behalf of other gateways is of no use any more; `None` for a probe
+        /// that the decision module asked for.
+        deadline: Option<Micros>,
+    },
+    /// The lease holder of a probe published a result that the decision module had asked for.
+    SharedProbeResult {
+        /// The engine that was probed.
+        engine: u64,
+        /// What the probe found.
+        result: ProbeResult,
+    },
+    /// This gateway acquired a lease or lost one.
+    LeaseChanged {
+        /// What the lease is on.
+        resource: Resource,
+        /// Its fencing token.
+        token: FencingToken,
+        /// Whether it is held now.
+        held: bool,
+    },
+    /// A shutdown began: exit once every request has its response.
+    Shutdown,
+}
--- a/src/net/dispatcher.rs
+++ b/src/net/dispatcher/mod.rs
@@ -1,20 +1,20 @@
 //! The actor of the module: takes in what all others report, and hands out what the core orders. It
 //! never waits for any of them.
+mod event;
+
+pub use event::DispatcherEvent;
+
 use super::audit::AuditWriter;
 use super::engine::{EndpointHandle, EngineCommand};
 use super::fleet::lease::ProbeRequest;
 use super::{Shared, client, sleep_until};
 use crate::audit::ActiveConfiguration;
-use crate::class_registry::Class;
 use crate::clock::{self, MS, Micros};
 use crate::dispatcher::termination::{Termination, TransmitProgress};
-use crate::dispatcher::{AttemptResult, ClientRequest, Command, Dispatcher, Origin, Response};
+use crate::dispatcher::{AttemptResult, Command, Dispatcher, Response};
 use crate::lease::shared_probe::ProbeResult;
-use crate::lease::{FencingToken, Resource};
 use crate::log;
-use crate::policy::api::{
-    ClassId, Endpoint, EndpointListKind, EngineId, LoadReport, OutcomeKind, Settings, TenantSpec,
-};
+use crate::policy::api::{EngineId, LoadReport, OutcomeKind};
 use async_channel::{Receiver, Sender};
 use futures_lite::future::or;
 use std::collections::HashMap;
@@ -62,63 +62,6 @@
     }
 }
 
-/// What the module's actor is told.
-pub enum DispatcherEvent {
-    /// A client connected; its answers go there.
-    ClientConnected(u64, Sender<(u64, Response)>),
-    /// A request.
-    Request(ClientRequest),
-    /// The client stopped waiting for it.
-    CancelRequest(Origin),
-    /// A front turned a request of that class away by itself.
-    RejectedByFrontend(ClassId, Response),
-    /// A client's connection ended.
-    ClientDisconnected(u64),
-    /// An attempt ended.
-    AttemptFinished(AttemptResult),
-    /// A probe came back.
-    ProbeCompleted {
-        /// The engine.
-        engine: EngineId,
-        /// How.
-        kind: OutcomeKind,
-        /// How long it took.
-        latency: Micros,
-        /// Its load.
-        load: LoadReport,
-    },
-    /// News of the list, the rows of new engines, and the number of its event.
-    EndpointList(
-        EndpointListKind,
-        Vec<Endpoint>,
-        Vec<(EngineId, Rc<EndpointHandle>)>,
-        u64,
-    ),
-    /// New settings with the names of their classes and a hash of them; told back are all classes
-    /// by their ids, and whether each is in force.
-    Reconfigure(Box<Settings>, Vec<String>, u64, Sender<Vec<(Class, bool)>>),
-    /// The tenants' shares, as a new configuration or the directory has them.
-    Tenants(Vec<TenantSpec>),
-    /// The directory was read.
-    DirectoryRead,
-    /// The directory could not be read.
-    DirectoryFailed,
-    /// The configuration was read again, and could be used or not.
-    Reloaded(bool),
-    /// Print the counters.
-    PrintCounters,
-    /// So many managers share the warm engines.
-    ActiveGateways(u32),
-    /// Ask an engine for its load: for the module, or, until then, for other managers.
-    Probe(u64, Option<Micros>),
-    /// Another manager asked an engine that the module wants to hear of.
-    SharedProbeResult(u64, ProbeResult),
-    /// A duty came to this manager under a token, or went.
-    LeaseChanged(Resource, FencingToken, bool),
-    /// End once all is answered.
-    Shutdown,
-}
-
 struct Core {
     manager: Dispatcher,
     clients: HashMap<u64, Sender<(u64, Response)>>,
@@ -260,7 +203,7 @@
 
     fn input(&mut self, now: Micros, input: DispatcherEvent) {
         match &input {
-            DispatcherEvent::EndpointList(.., version) => {
+            DispatcherEvent::EndpointList { version, .. } => {
                 self.acts_on(
                     now,
                     ActiveConfiguration {
@@ -269,7 +212,10 @@
                     },
                 );
             }
-            DispatcherEvent::Reconfigure(_, _, hash, _) => {
+            DispatcherEvent::Reconfigure {
+                settings_hash: hash,
+                ..
+            } => {
                 let generation = self.acting.generation + 1;
                 self.acts_on(
                     now,
@@ -284,14 +230,16 @@
         }
         let (manager, orders) = (&mut self.manager, &mut self.orders);
         match input {
-            DispatcherEvent::ClientConnected(conn, answers) => {
-                drop(self.clients.insert(conn, answers))
-            }
+            DispatcherEvent::ClientConnected {
+                conn,
+                responses: answers,
+            } => drop(self.clients.insert(conn, answers)),
             DispatcherEvent::Request(ask) => manager.handle_request(now, ask, orders),
             DispatcherEvent::CancelRequest(origin) => manager.cancel_request(now, origin, orders),
-            DispatcherEvent::RejectedByFrontend(class, answer) => {
-                manager.record_frontend_rejection(class, &answer)
-            }
+            DispatcherEvent::RejectedByFrontend {
+                class,
+                response: answer,
+            } => manager.record_frontend_rejection(class, &answer),
             DispatcherEvent::ClientDisconnected(conn) => {
                 self.clients.remove(&conn);
                 manager.client_disconnected(now, conn, orders);
@@ -313,22 +261,42 @@
                 // What was asked for others tells the module something too.
                 manager.probe_completed(now, engine, kind, latency, load, orders);
             }
-            DispatcherEvent::EndpointList(kind, entries, rows, _) => {
+            DispatcherEvent::EndpointList {
+                kind,
+                entries,
+                new_endpoints: rows,
+                ..
+            } => {
                 self.engines.retain(|_, row| !row.is_closed());
                 self.engines.extend(rows);
                 manager.update_endpoints(now, kind, entries, orders);
             }
-            DispatcherEvent::Reconfigure(settings, names, _, done) => {
+            DispatcherEvent::Reconfigure {
+                settings,
+                class_names: names,
+                applied: done,
+                ..
+            } => {
                 manager.reconfigure(*settings, &names);
                 let _ = done.try_send(manager.classes());
             }
             DispatcherEvent::Tenants(tenants) => manager.set_tenants(&tenants),
-            DispatcherEvent::Probe(engine, until) => self.probe(now, EngineId(engine), until),
-            DispatcherEvent::SharedProbeResult(engine, sounding) => {
+            DispatcherEvent::Probe {
+                engine,
+                deadline: until,
+            } => self.probe(now, EngineId(engine), until),
+            DispatcherEvent::SharedProbeResult {
+                engine,
+                result: sounding,
+            } => {
                 let (kind, load) = sounding.outcome();
                 manager.probe_completed(now, EngineId(engine), kind, sounding.took, load, orders);
             }
-            DispatcherEvent::LeaseChanged(duty, token, owned) => {
+            DispatcherEvent::LeaseChanged {
+                resource: duty,
+                token,
+                held: owned,
+            } => {
                 if let Some(audit) = &mut self.audit {
                     audit.turn(now, &self.manager.take_decisions());
                     audit.owns(now, &duty.to_string(), token, owned);
@@ -336,8 +304,8 @@
             }
             DispatcherEvent::ActiveGateways(managers) => manager.set_active_gateways(managers),
             DispatcherEvent::DirectoryRead => manager.counters.directory_readings += 1,
-            DispatcherEvent::Reloaded(true) => manager.counters.reloads += 1,
-            DispatcherEvent::Reloaded(false) => manager.counters.reload_failures += 1,
+            DispatcherEvent::ReloadSucceeded => manager.counters.reloads += 1,
+            DispatcherEvent::ReloadFailed => manager.counters.reload_failures += 1,
             DispatcherEvent::DirectoryFailed => manager.counters.directory_failures += 1,
             DispatcherEvent::PrintCounters => eprintln!("yokelift: {}", manager.counters),
             DispatcherEvent::Shutdown => {}
--- a/src/net/fleet/lease.rs
+++ b/src/net/fleet/lease.rs
@@ -375,25 +375,40 @@
                 }
                 Action::Owned(duty, token) => {
                     log!("duties: {duty} is owned here under {token}");
-                    self.unsaid
-                        .push_back(DispatcherEvent::LeaseChanged(duty, token, true));
+                    self.unsaid.push_back(DispatcherEvent::LeaseChanged {
+                        resource: duty,
+                        token,
+                        held: true,
+                    });
                 }
                 Action::Over(duty, token) => {
                     log!("duties: {duty} is not owned here any more, under {token}");
-                    self.unsaid
-                        .push_back(DispatcherEvent::LeaseChanged(duty, token, false));
+                    self.unsaid.push_back(DispatcherEvent::LeaseChanged {
+                        resource: duty,
+                        token,
+                        held: false,
+                    });
                 }
             }
         }
         for step in steps {
             match step {
-                Step::Probe(engine) => self.unsaid.push_back(DispatcherEvent::Probe(engine, None)),
-                Step::ProbeForOthers(engine, until) => self
-                    .unsaid
-                    .push_back(DispatcherEvent::Probe(engine, Some(until))),
-                Step::Give(engine, sounding) => self
-                    .unsaid
-                    .push_back(DispatcherEvent::SharedProbeResult(engine, sounding)),
+                Step::Probe(engine) => self.unsaid.push_back(DispatcherEvent::Probe {
+                    engine,
+                    deadline: None,
+                }),
+                Step::ProbeForOthers(engine, until) => {
+                    self.unsaid.push_back(DispatcherEvent::Probe {
+                        engine,
+                        deadline: Some(until),
+                    })
+                }
+                Step::Give(engine, sounding) => {
+                    self.unsaid.push_back(DispatcherEvent::SharedProbeResult {
+                        engine,
+                        result: sounding,
+                    })
+                }
                 Step::Want(name, engine, number) => {
                     let letter = codec::encode(&LeaseMessage::Want(engine, number));
                     out.extend(LeaseService::addr(fleet, &name).map(|to| (to, letter)));
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -151,12 +151,12 @@
         let hash = settings_hash(&config.text);
         let _ = self
             .core
-            .send(DispatcherEvent::Reconfigure(
-                Box::new(settings),
-                names,
-                hash,
-                done,
-            ))
+            .send(DispatcherEvent::Reconfigure {
+                settings: Box::new(settings),
+                class_names: names,
+                settings_hash: hash,
+                applied: done,
+            })
             .await;
         told.recv().await.unwrap_or_default()
     }
--- a/src/testkit/scale/hollow_node.rs
+++ b/src/testkit/scale/hollow_node.rs
@@ -110,7 +110,7 @@
         let duties = shared.lease_requests.borrow().clone();
         let say = |word| duties.as_ref().map(|duties| duties.try_send(word));
         match input {
-            Some(DispatcherEvent::Probe(engine, _)) => {
+            Some(DispatcherEvent::Probe { engine, .. }) => {
                 asked.probes.set(asked.probes.get() + 1);
                 let load = [1.0, 0.5, 0.0, 0.0];
                 let sounding = ProbeResult {
@@ -122,10 +122,12 @@
                 };
                 let _ = say(ProbeRequest::Answered(engine, Some(sounding)));
             }
-            Some(DispatcherEvent::SharedProbeResult(..)) => asked.told.set(asked.told.get() + 1),
-            Some(DispatcherEvent::LeaseChanged(Resource::Probe(engine), token, owns)) => {
-                board.owns(who, engine, token, owns)
-            }
+            Some(DispatcherEvent::SharedProbeResult { .. }) => asked.told.set(asked.told.get() + 1),
+            Some(DispatcherEvent::LeaseChanged {
+                resource: Resource::Probe(engine),
+                token,
+                held: owns,
+            }) => board.owns(who, engine, token, owns),
             Some(_) => {}
             None => {
                 asked.wants.set(asked.wants.get() + 1);
--- a/tests/unit/endpoint_list.rs
+++ b/tests/unit/endpoint_list.rs
@@ -48,7 +48,7 @@
                     engines,
                 })
                 .await;
-            let Ok(DispatcherEvent::EndpointList(_, entries, ..)) = news.recv().await else {
+            let Ok(DispatcherEvent::EndpointList { entries, .. }) = news.recv().await else {
                 panic!("no news")
             };
             told.extend(
--- a/tests/unit/net_client.rs
+++ b/tests/unit/net_client.rs
@@ -143,7 +143,7 @@
     }
 
     fn opened(&self) {
-        self.says(|input| matches!(input, DispatcherEvent::ClientConnected(..)).then_some(()));
+        self.says(|input| matches!(input, DispatcherEvent::ClientConnected { .. }).then_some(()));
     }
 
     /// Asked and taken: open from here on.
--- a/tests/unit/net_engine.rs
+++ b/tests/unit/net_engine.rs
@@ -155,7 +155,7 @@
                 DispatcherEvent::AttemptFinished(ended) => {
                     told.push(format!("{:?} {:?}", ended.termination, ended.progress))
                 }
-                DispatcherEvent::ClientConnected(_, answers) => kept.push(answers),
+                DispatcherEvent::ClientConnected { responses, .. } => kept.push(responses),
                 _ => {}
             }
         }
