--- a/src/backend/connection_state.rs
+++ b/src/backend/connection_state.rs
@@ -4,7 +4,7 @@
 use super::{BackendEvent, Protocol};
 use crate::clock::{MS, Micros};
 use crate::dispatcher::termination::{Termination, TransmitProgress};
-use crate::dispatcher::{AttemptRequest, AttemptResult, Cost};
+use crate::dispatcher::{AttemptReply, AttemptRequest, AttemptResult, Cost};
 use crate::policy::api::{AttemptNo, LoadReport, OutcomeKind, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -150,7 +150,7 @@
         let mut bytes = self.wire.start(now, job);
         let tail = bytes.split_off(
             bytes.len()
-                - if job.single {
+                - if job.must_not_repeat {
                     LAST_BYTES.min(bytes.len() - 1)
                 } else {
                     0
@@ -224,9 +224,7 @@
             attempt,
             termination: end,
             progress: reach,
-            rows,
-            load,
-            cost,
+            reply: AttemptReply { rows, load, cost },
         }))
     }
 
--- a/src/backend/platform.rs
+++ b/src/backend/platform.rs
@@ -129,7 +129,7 @@
                     return Err(Termination::ProtocolViolation);
                 };
                 let told = |name| field(name).and_then(|v| v.parse().ok());
-                let cost = Cost::told(told("toil"), told("room"));
+                let cost = Cost::from_report(told("toil"), told("room"));
                 (running.load, running.cost, running.told_at) = (load, cost, now);
                 if sheets > MOST_SHEETS {
                     ended = Some(Termination::EngineError);
--- a/src/dispatcher/attempts.rs
+++ b/src/dispatcher/attempts.rs
@@ -29,8 +29,8 @@
             return;
         };
         let until = match timeout {
-            0 => open.ask.give_up_at,
-            t => open.ask.give_up_at.min(now + micros(t)),
+            0 => open.ask.deadline,
+            t => open.ask.deadline.min(now + micros(t)),
         };
         // Guards rule 2: a repeat that ran on past its key's window would be a second effect.
         let until = open
@@ -72,7 +72,7 @@
             class: name.clone(),
             statement: open.ask.statement.clone(),
             session: open.ask.session.clone(),
-            single: open.idempotency == Idempotency::NonIdempotent,
+            must_not_repeat: open.idempotency == Idempotency::NonIdempotent,
             idempotency_key: open
                 .ask
                 .idempotency_key
--- a/src/dispatcher/message.rs
+++ b/src/dispatcher/message.rs
@@ -34,13 +34,13 @@
     /// Its tenant.
     pub tenant: TenantId,
     /// When the client stops waiting.
-    pub give_up_at: Micros,
+    pub deadline: Micros,
     /// The estimate of its work.
     pub work_estimate: Option<Micros>,
     /// The estimate of its memory.
     pub memory_mb: Option<f64>,
     /// The client said that it tried before.
-    pub repeated: bool,
+    pub is_retry: bool,
     /// What to run.
     pub statement: Rc<[u8]>,
     /// What its session adds.
@@ -93,7 +93,7 @@
     /// What its session adds.
     pub session: Option<Rc<Session>>,
     /// It must never run twice.
-    pub single: bool,
+    pub must_not_repeat: bool,
     /// The key by which engines know a repeat of it.
     pub idempotency_key: Option<Rc<str>>,
     /// Its priority, where one was set and is heeded: 0 to 3.
@@ -136,35 +136,21 @@
     pub termination: Termination,
     /// How much of it went out.
     pub progress: TransmitProgress,
-    /// With [`Termination::Done`]: the rows.
+    /// What the engine replied; empty where it did not.
+    pub reply: AttemptReply,
+}
+
+/// The contents of an engine's reply to an attempt.
+#[derive(Clone, Debug, Default)]
+pub struct AttemptReply {
+    /// With [`Termination::Done`], the rows as text with tabs and line feeds.
     pub rows: Vec<u8>,
-    /// The engine's load, where told.
+    /// The engine's load, if it reported it.
     pub load: LoadReport,
-    /// What the query took, where told.
+    /// The cost of the query, if the engine reported it.
     pub cost: Cost,
 }
 
-impl AttemptResult {
-    /// The end of an attempt that brought nothing.
-    pub fn bare(
-        id: RequestId,
-        attempt: AttemptNo,
-        termination: Termination,
-        progress: TransmitProgress,
-    ) -> AttemptResult {
-        let (rows, load, cost) = (Vec::new(), LoadReport::default(), Cost::default());
-        AttemptResult {
-            id,
-            attempt,
-            termination,
-            progress,
-            rows,
-            load,
-            cost,
-        }
-    }
-}
-
 /// What an answer tells of the query's cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
@@ -176,13 +162,14 @@
 
 /// Waits and costs in milliseconds, and memory in MB, are figures of one query: beyond this they
 /// are mistakes.
-pub const MOST_FIGURE: f64 = 86_400_000.0;
+pub const MAX_REPORTED_FIGURE: f64 = 86_400_000.0;
 
 impl Cost {
     /// What an engine said: milliseconds of work, and MB. A figure that is missing, not positive,
     /// not finite or absurd is as none.
-    pub fn told(work_ms: Option<f64>, memory_mb: Option<f64>) -> Cost {
-        let sound = |figure: &f64| figure.is_finite() && *figure > 0.0 && *figure <= MOST_FIGURE;
+    pub fn from_report(work_ms: Option<f64>, memory_mb: Option<f64>) -> Cost {
+        let sound =
+            |figure: &f64| figure.is_finite() && *figure > 0.0 && *figure <= MAX_REPORTED_FIGURE;
         let work = work_ms.filter(sound).map(|ms| (ms * MS as f64) as Micros);
         Cost {
             work,
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -19,7 +19,8 @@
 use crate::statement;
 use in_flight::{InFlightAttempt, InFlightRequest, PossibleExecution};
 pub use message::{
-    AttemptRequest, AttemptResult, ClientRequest, Command, Cost, Failure, Origin, Response, Session,
+    AttemptReply, AttemptRequest, AttemptResult, ClientRequest, Command, Cost, Failure, Origin,
+    Response, Session,
 };
 use metrics::{Counters, MetricsSnapshot};
 use std::cmp::Reverse;
@@ -321,17 +322,17 @@
             class: ask.class,
             tenant: ask.tenant,
             key: None,
-            deadline: nanos(ask.give_up_at),
+            deadline: nanos(ask.deadline),
             work_hint: ask.work_estimate.map(nanos),
             memory_hint: ask.memory_mb,
             data_set: statement::group(&ask.statement, schema)
                 .map_or(0, |group| group.wrapping_add(1)),
-            is_retry: ask.repeated,
+            is_retry: ask.is_retry,
             must_not_repeat: effect == Idempotency::NonIdempotent,
         });
         self.generations.opened(ask.class);
         self.origins.insert(ask.origin, id);
-        self.deadlines.insert((ask.give_up_at + GUARD, id));
+        self.deadlines.insert((ask.deadline + GUARD, id));
         let open = InFlightRequest::new(ask, effect, self.max_attempts, copies);
         self.open.insert(id, open);
         self.tell(now, event, orders);
@@ -367,7 +368,7 @@
             return;
         };
         open.closed = true;
-        self.deadlines.remove(&(open.ask.give_up_at + GUARD, id));
+        self.deadlines.remove(&(open.ask.deadline + GUARD, id));
         self.tell(now, Event::ClientGone(id), orders);
         self.stop_all(id, Termination::Cancelled, orders);
         self.forget(id);
@@ -413,14 +414,14 @@
         }
         open.last_end = Some(end);
         let cost = if self.heeds.costs && kind == OutcomeKind::Ok {
-            ended.cost
+            ended.reply.cost
         } else {
             Cost::default()
         };
         let served = kind == OutcomeKind::Ok && !open.closed;
         let closed = open.closed || served;
         if served {
-            self.close(id, Response::Completed(ended.rows), orders);
+            self.close(id, Response::Completed(ended.reply.rows), orders);
         }
         let event = Event::Outcome(Outcome {
             id,
@@ -431,7 +432,7 @@
             request_finished: closed,
             work: cost.work.map(nanos),
             memory_mb: cost.memory_mb,
-            load: ended.load,
+            load: ended.reply.load,
         });
         self.tell(now, event, orders);
         self.forget(id);
@@ -490,7 +491,7 @@
             let Some(open) = self.open.get_mut(&id) else {
                 continue;
             };
-            if at < open.ask.give_up_at + GUARD {
+            if at < open.ask.deadline + GUARD {
                 let late = open
                     .outs
                     .iter()
--- a/src/dispatcher/responses.rs
+++ b/src/dispatcher/responses.rs
@@ -29,7 +29,7 @@
             return;
         };
         open.closed = true;
-        let (origin, class, at) = (open.ask.origin, open.ask.class, open.ask.give_up_at + GUARD);
+        let (origin, class, at) = (open.ask.origin, open.ask.class, open.ask.deadline + GUARD);
         let key = open.ask.client_request_id.clone();
         self.count(class, &answer);
         self.note_answer(class, &key, &answer);
--- a/src/frontend/jsonrpc.rs
+++ b/src/frontend/jsonrpc.rs
@@ -2,7 +2,7 @@
 use super::{DisconnectReason, Front, FrontendEvent};
 use crate::clock::{MS, Micros};
 use crate::config::process::LiveNames;
-use crate::dispatcher::message::MOST_FIGURE;
+use crate::dispatcher::message::MAX_REPORTED_FIGURE;
 use crate::dispatcher::termination::Termination;
 use crate::dispatcher::{ClientRequest, Failure, Origin, Response};
 use crate::hot_restart::message::TransferredConnection;
@@ -248,7 +248,7 @@
         if params.id.len() != 16 || !params.id.bytes().all(hex) {
             return Err((INVALID_PARAMS, "params.id is not 16 hex digits"));
         }
-        let figure = |value: f64| (0.0..=MOST_FIGURE).contains(&value);
+        let figure = |value: f64| (0.0..=MAX_REPORTED_FIGURE).contains(&value);
         if params.wait <= 0.0
             || ![Some(params.wait), params.cost, params.kb]
                 .into_iter()
@@ -285,13 +285,13 @@
             client_request_id: params.id.into(),
             class,
             tenant: TenantId(tenant as u16),
-            give_up_at: now + (params.wait * MS as f64) as Micros,
+            deadline: now + (params.wait * MS as f64) as Micros,
             work_estimate: params
                 .cost
                 .filter(|c| *c > 0.0)
                 .map(|c| (c * MS as f64) as Micros),
             memory_mb: params.kb.filter(|mb| *mb > 0.0),
-            repeated: matches!(&params.retry, Value::Bool(true))
+            is_retry: matches!(&params.retry, Value::Bool(true))
                 || params.retry.as_u64().is_some_and(|n| n > 0),
             statement: statement.into(),
             session: None,
--- a/src/net/dispatcher/mod.rs
+++ b/src/net/dispatcher/mod.rs
@@ -11,7 +11,7 @@
 use crate::audit::ActiveConfiguration;
 use crate::clock::{self, MS, Micros};
 use crate::dispatcher::termination::{Termination, TransmitProgress};
-use crate::dispatcher::{AttemptResult, Command, Dispatcher, Response};
+use crate::dispatcher::{AttemptReply, AttemptResult, Command, Dispatcher, Response};
 use crate::lease::shared_probe::ProbeResult;
 use crate::log;
 use crate::policy::api::{EngineId, LoadReport, OutcomeKind};
@@ -326,7 +326,13 @@
             Command::StartAttempt(engine, job) => {
                 let (id, attempt) = (job.id, job.attempt);
                 if let Err(end) = self.to_engine(engine, EngineCommand::Start(job)) {
-                    let ended = AttemptResult::bare(id, attempt, end, TransmitProgress::Unsent);
+                    let ended = AttemptResult {
+                        id,
+                        attempt,
+                        termination: end,
+                        progress: TransmitProgress::Unsent,
+                        reply: AttemptReply::default(),
+                    };
                     self.manager.attempt_finished(now, ended, &mut self.orders);
                 }
             }
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -12,7 +12,7 @@
 use crate::backend::connection_state::ConnectionState;
 use crate::clock::{self, Micros, SEC};
 use crate::dispatcher::termination::{Termination, TransmitProgress};
-use crate::dispatcher::{AttemptRequest, AttemptResult};
+use crate::dispatcher::{AttemptReply, AttemptRequest, AttemptResult};
 use crate::policy::api::{AttemptNo, EngineId, LoadReport, OutcomeKind, RequestId};
 use async_channel::{Receiver, Sender};
 use connection::Connection;
@@ -86,7 +86,7 @@
     /// attempt, or a reset, ends all that is on the connection, and this is lost then.
     fn takes(&self, job: &AttemptRequest, spare: bool) -> bool {
         let empty = self.attempts.borrow().is_empty() && self.orders.is_empty();
-        let shares = !spare || empty || !(job.single || self.alone.get());
+        let shares = !spare || empty || !(job.must_not_repeat || self.alone.get());
         shares && self.free.get() > self.orders.len() && !self.stale.borrow().contains(&job.id)
     }
 
@@ -94,7 +94,7 @@
     /// run twice one that has answered before. Guards against resets, which strike most at the
     /// first that a connection carries.
     fn rank(&self, job: &AttemptRequest) -> (bool, usize) {
-        (job.single && !self.proven.get(), self.free.get())
+        (job.must_not_repeat && !self.proven.get(), self.free.get())
     }
 }
 
@@ -240,13 +240,19 @@
 }
 
 async fn refuse(core: &Sender<DispatcherEvent>, job: &AttemptRequest, end: Termination) {
-    let ended = AttemptResult::bare(job.id, job.attempt, end, TransmitProgress::Unsent);
+    let ended = AttemptResult {
+        id: job.id,
+        attempt: job.attempt,
+        termination: end,
+        progress: TransmitProgress::Unsent,
+        reply: AttemptReply::default(),
+    };
     let _ = core.send(DispatcherEvent::AttemptFinished(ended)).await;
 }
 
 /// Hands an attempt to a connection; gives it back if the connection's mailbox is full.
 fn hand_over(c: &Handle, job: AttemptRequest) -> Option<AttemptRequest> {
-    let (id, single) = (job.id, job.single);
+    let (id, single) = (job.id, job.must_not_repeat);
     match c.orders.try_send(EngineCommand::Start(job)) {
         Ok(()) => {
             c.attempts.borrow_mut().insert(id);
--- a/tests/unit/clickhouse.rs
+++ b/tests/unit/clickhouse.rs
@@ -93,7 +93,7 @@
     let ask = &asked[0];
     assert_eq!(&ask.statement[..], b"SELECT a\nFROM orders GROUP BY a");
     assert_eq!(
-        (ask.class, ask.tenant.0, ask.give_up_at),
+        (ask.class, ask.tenant.0, ask.deadline),
         (ClassId(1), 1, SEC + 1_500 * MS)
     );
     assert_eq!((ask.memory_mb, ask.work_estimate), (Some(2.0), None));
@@ -121,7 +121,7 @@
         &mut front,
         &post("max_execution_time=99", "-- join\nSELECT 'join'"),
     );
-    assert_eq!((asked[0].class, asked[0].give_up_at), (ClassId(0), 7 * SEC));
+    assert_eq!((asked[0].class, asked[0].deadline), (ClassId(0), 7 * SEC));
     let (_, text) = answer(
         &mut front,
         asked[0].origin.tag,
--- a/tests/unit/connection_state.rs
+++ b/tests/unit/connection_state.rs
@@ -321,7 +321,7 @@
         }
     });
     let ended: Vec<(u32, Termination, &[u8])> = ended
-        .map(|e| (e.id.0, e.termination, &e.rows[..]))
+        .map(|e| (e.id.0, e.termination, &e.reply.rows[..]))
         .collect();
     assert_eq!(
         (probes, ended, link.over()),
@@ -365,7 +365,7 @@
                 attempt,
                 client_request_id: key,
                 class,
-                single: true,
+                must_not_repeat: true,
                 statement,
                 session,
                 deadline: until,
@@ -437,7 +437,7 @@
         panic!("{events:?}")
     };
     assert_eq!(
-        ended.cost,
+        ended.reply.cost,
         Cost {
             work: Some(412_500),
             memory_mb: Some(96.0)
@@ -467,7 +467,7 @@
             panic!("{events:?}")
         };
         assert!(
-            ended.termination == Termination::Done && ended.cost == Cost::default(),
+            ended.termination == Termination::Done && ended.reply.cost == Cost::default(),
             "{toil} {room}: {ended:?}"
         );
     }
--- a/tests/unit/dispatcher.rs
+++ b/tests/unit/dispatcher.rs
@@ -88,6 +88,22 @@
     audited: Vec<Decision>,
 }
 
+/// The result of an attempt whose engine sent no reply.
+fn result_without_reply(
+    id: RequestId,
+    attempt: AttemptNo,
+    termination: Termination,
+    progress: TransmitProgress,
+) -> AttemptResult {
+    AttemptResult {
+        id,
+        attempt,
+        termination,
+        progress,
+        reply: AttemptReply::default(),
+    }
+}
+
 fn entry(id: u64, readiness: Readiness) -> Endpoint {
     Endpoint {
         id: EngineId(id),
@@ -183,7 +199,7 @@
                     let there = seen.outs.values().any(|(e, _)| *e == engine);
                     let keyed = matches!(seen.effect, Rule::Key(_));
                     if job.idempotency_key.is_some() != keyed
-                        || job.single != (seen.effect == Rule::Never)
+                        || job.must_not_repeat != (seen.effect == Rule::Never)
                     {
                         return Err(format!("{tag} goes under {:?}", job.idempotency_key));
                     }
@@ -204,7 +220,7 @@
                     self.ids.insert(job.id, tag);
                 }
                 Command::CancelAttempt(_, id, attempt) => {
-                    more.push(AttemptResult::bare(
+                    more.push(result_without_reply(
                         id,
                         attempt,
                         Termination::Cancelled,
@@ -292,10 +308,10 @@
                     client_request_id: format!("{tag:016x}").into(),
                     class: id,
                     tenant: TenantId(u16::from(n % 2)),
-                    give_up_at: self.now + u64::from(*n) * 20 * MS,
+                    deadline: self.now + u64::from(*n) * 20 * MS,
                     work_estimate: Some(50 * MS),
                     memory_mb: None,
-                    repeated: false,
+                    is_retry: false,
                     statement: Rc::from(&b"select 1"[..]),
                     session: None,
                     idempotency_key: once,
@@ -322,8 +338,11 @@
                     TransmitProgress::Complete
                 };
                 let ended = AttemptResult {
-                    rows: b"a\n".to_vec(),
-                    ..AttemptResult::bare(id, attempt, *end, reach)
+                    reply: AttemptReply {
+                        rows: b"a\n".to_vec(),
+                        ..AttemptReply::default()
+                    },
+                    ..result_without_reply(id, attempt, *end, reach)
                 };
                 // The same end twice: the second one counts for nothing.
                 self.end(ended.clone())?;
@@ -516,7 +535,7 @@
         origin: Origin { conn: 1, tag: 1 },
         client_request_id: "9b1f03aa5c7e2d41".into(),
         class: ClassId(2),
-        give_up_at: 16 * SEC,
+        deadline: 16 * SEC,
         work_estimate: Some(cost),
         idempotency_key: once.map(Into::into),
         ..ClientRequest::default()
@@ -527,9 +546,9 @@
         for order in std::mem::take(&mut orders) {
             match order {
                 Command::StartAttempt(_, job) => {
-                    assert_eq!(job.single, once.is_none());
+                    assert_eq!(job.must_not_repeat, once.is_none());
                     sent.push((job.idempotency_key.clone(), job.deadline));
-                    let ended = AttemptResult::bare(
+                    let ended = result_without_reply(
                         job.id,
                         job.attempt,
                         Termination::Reset,
@@ -592,7 +611,7 @@
     let ask = |tag: u64| ClientRequest {
         origin: Origin { conn: 1, tag },
         client_request_id: format!("{tag:016x}").into(),
-        give_up_at: 6 * SEC,
+        deadline: 6 * SEC,
         work_estimate: Some(50 * MS),
         ..ClientRequest::default()
     };
@@ -623,8 +642,11 @@
         memory_mb: Some(9.0),
     };
     let done = AttemptResult {
-        cost,
-        ..AttemptResult::bare(
+        reply: AttemptReply {
+            cost,
+            ..AttemptReply::default()
+        },
+        ..result_without_reply(
             job.id,
             job.attempt,
             Termination::Done,
@@ -648,8 +670,11 @@
     plain.attempt_finished(
         SEC + 50 * MS,
         AttemptResult {
-            cost,
-            ..AttemptResult::bare(
+            reply: AttemptReply {
+                cost,
+                ..AttemptReply::default()
+            },
+            ..result_without_reply(
                 job.id,
                 job.attempt,
                 Termination::Done,
--- a/tests/unit/jsonrpc.rs
+++ b/tests/unit/jsonrpc.rs
@@ -50,7 +50,7 @@
             return false;
         };
         let first =
-            (one.origin.tag, one.class.0, one.tenant.0, one.give_up_at) == (1, 0, 1, 1_501 * MS);
+            (one.origin.tag, one.class.0, one.tenant.0, one.deadline) == (1, 0, 1, 1_501 * MS);
         let second = (
             two.origin.tag,
             two.class.0,
--- a/tests/unit/net_engine.rs
+++ b/tests/unit/net_engine.rs
@@ -26,7 +26,7 @@
         class,
         statement,
         session,
-        single,
+        must_not_repeat: single,
         deadline: until,
         ..AttemptRequest::default()
     }
