--- a/src/backend/platform.rs
+++ b/src/backend/platform.rs
@@ -4,7 +4,7 @@
 use crate::config::process::Names;
 use crate::dispatcher::termination::Termination;
 use crate::dispatcher::{AttemptRequest, Cost};
-use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
+use crate::policy::api::{LoadReport, MAX_LOAD_FIELDS, OutcomeKind, RequestId};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::rc::Rc;
@@ -54,7 +54,7 @@
     }
 
     fn load(&self, fields: &[(&str, &str)]) -> LoadReport {
-        let mut report = LoadReport::default();
+        let (mut values, mut len) = ([0.0; MAX_LOAD_FIELDS], 0);
         let meter = fields
             .iter()
             .find(|(name, _)| *name == "meter")
@@ -64,21 +64,15 @@
             .filter_map(|pair| pair.split_once(':'))
             .filter_map(|(name, value)| Some((name, value.parse().ok()?)))
             .collect();
-        for (at, name) in self
-            .names
-            .load_fields
-            .iter()
-            .take(report.values.len())
-            .enumerate()
-        {
+        for (at, name) in self.names.load_fields.iter().take(values.len()).enumerate() {
             // The settings and the sockets may use other words for the same figure.
             let same = |n: &str| n == name || n == plain_word(name);
             if let Some((_, value)) = told.iter().find(|(n, v)| same(n) && v.is_finite()) {
-                report.values[at] = *value;
-                report.len = at + 1;
+                values[at] = *value;
+                len = at + 1;
             }
         }
-        report
+        LoadReport::from_values(&values[..len])
     }
 
     fn answer(
--- a/src/bin/yokelift-sim-adapter/frames.rs
+++ b/src/bin/yokelift-sim-adapter/frames.rs
@@ -108,17 +108,10 @@
     /// A load report.
     pub fn load(&mut self, field: &str) -> Result<LoadReport, String> {
         let n = usize::from(self.u8(field)?);
-        let mut report = LoadReport {
-            len: n.min(4),
-            values: [0.0; 4],
-        };
-        for i in 0..n {
-            let value = self.f32(field)?;
-            if i < 4 {
-                report.values[i] = value;
-            }
-        }
-        Ok(report)
+        let values = (0..n)
+            .map(|_| self.f32(field))
+            .collect::<Result<Vec<f32>, String>>()?;
+        Ok(LoadReport::from_values(&values))
     }
 
     /// The entries of a numbered list.
@@ -129,11 +122,11 @@
         for _ in 0..n {
             let id = self.engine("rows engine")?;
             let zone = ZoneId(u16::from(self.u8("rows locality")?));
-            let kind = KindId(self.u16("rows type")?);
+            let kind = MachineTypeId(self.u16("rows type")?);
             let cell = CellId(self.u16("rows cohort")?);
             self.need(1, "rows readiness")?;
             let readiness = match self.rest[0] {
-                0 => Readiness::Gone,
+                0 => Readiness::Removed,
                 1 => Readiness::Ready,
                 2 => Readiness::Draining,
                 other => return self.bad("rows readiness", &format!("unknown value {other}")),
@@ -144,7 +137,7 @@
             entries.push(Endpoint {
                 id,
                 zone,
-                kind,
+                machine_type: kind,
                 cell,
                 readiness,
                 weight,
@@ -173,13 +166,13 @@
         Action::SendToPeer { .. } => 2,
         Action::Cancel { .. } => 4,
         Action::SetAttemptOptions { .. } => 5,
-        Action::CloseIdle { .. } => 6,
+        Action::CloseIdleConnections { .. } => 6,
         Action::FetchEndpointList => 7,
         Action::Probe { .. } => 8,
         Action::Reject { .. } => 9,
         Action::Fail { .. } => 10,
-        Action::Watch(_) => 11,
-        Action::Timer { .. } => 12,
+        Action::WatchEndpointList(_) => 11,
+        Action::StartTimer { .. } => 12,
         Action::Send { .. } => 13,
     };
     out.put_u8(code);
@@ -203,15 +196,17 @@
             out.put_u8(*priority);
             out.put_f32(*memory_mb as f32);
         }
-        Action::CloseIdle { engine } | Action::Probe { engine } => put_engine(out, *engine),
+        Action::CloseIdleConnections { engine } | Action::Probe { engine } => {
+            put_engine(out, *engine)
+        }
         Action::FetchEndpointList => {}
         Action::Reject { id, retry_after } => {
             out.put_u32(id.0);
             out.put_u64(*retry_after);
         }
         Action::Fail { id } => out.put_u32(id.0),
-        Action::Watch(on) => out.put_u8(u8::from(*on)),
-        Action::Timer { after, token } => {
+        Action::WatchEndpointList(on) => out.put_u8(u8::from(*on)),
+        Action::StartTimer { after, token } => {
             out.put_u64(*after);
             out.put_u64(*token);
         }
--- a/src/bin/yokelift-sim-adapter/main.rs
+++ b/src/bin/yokelift-sim-adapter/main.rs
@@ -128,8 +128,8 @@
                 Event::FirstByte { id, attempt }
             }
             5 => outcome(r)?,
-            6 => Event::ClientGone(RequestId(r.u32("VANISHED corr")?)),
-            7 => Event::Timer(r.u64("DUE ref")?),
+            6 => Event::ClientDisconnected(RequestId(r.u32("VANISHED corr")?)),
+            7 => Event::TimerFired(r.u64("DUE ref")?),
             8 => {
                 let latency = r.u64("CHECKED wait_time_ns")?;
                 let kind = r.outcome("CHECKED code")?;
@@ -209,7 +209,7 @@
         key,
         deadline: give_up_at,
         work_hint: Some(cost).filter(|c| *c > 0 && marks & 1 != 0),
-        memory_hint: Some(memory).filter(|m| *m > 0.0),
+        memory_hint_mb: Some(memory).filter(|m| *m > 0.0),
         data_set: group,
         is_retry: marks & 2 != 0,
         must_not_repeat: false,
--- a/src/class_registry/mod.rs
+++ b/src/class_registry/mod.rs
@@ -138,8 +138,8 @@
                 (
                     s.base_latency_objective,
                     s.threads,
-                    s.is_load,
-                    s.waits_for_loads,
+                    s.loads_data_set,
+                    s.blocked_by_loads,
                 )
             };
             work(a) == work(b)
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -105,9 +105,9 @@
 
 fn effect(c: &ClassJson) -> Result<Idempotency, String> {
     let scope = match c.dedup_scope.as_str() {
-        "zone" => Scope::Zone,
-        "cell" => Scope::Cell,
-        _ => Scope::All,
+        "zone" => DeduplicationScope::Zone,
+        "cell" => DeduplicationScope::Cell,
+        _ => DeduplicationScope::All,
     };
     match c.semantics.as_str() {
         "pure" => Ok(Idempotency::Idempotent),
@@ -122,14 +122,14 @@
 
 fn load_field(name: &str) -> LoadField {
     match name {
-        "outstanding" => LoadField::Inflight,
-        "backlog" => LoadField::Queue,
-        "utilization" => LoadField::Util,
-        "recent_ms" => LoadField::RecentMs,
-        "throughput" => LoadField::Rate,
-        "errors_per_s" => LoadField::Errors,
-        "x0" => LoadField::MemoryGranted,
-        "x1" => LoadField::DisksBusy,
+        "outstanding" => LoadField::QueriesInFlight,
+        "backlog" => LoadField::QueriesQueued,
+        "utilization" => LoadField::CpuUtilization,
+        "recent_ms" => LoadField::RecentServiceMillis,
+        "throughput" => LoadField::ThroughputPerSecond,
+        "errors_per_s" => LoadField::ErrorsPerSecond,
+        "x0" => LoadField::MemoryGrantedFraction,
+        "x1" => LoadField::DiskUtilization,
         _ => LoadField::Unknown,
     }
 }
@@ -147,23 +147,23 @@
             objective_slowdown: c.aim_stretch,
             deadline: c.deadline_ns,
             idempotency: effect(c)?,
-            in_order: c.serial_by_key,
+            serial_per_key: c.serial_by_key,
             threads: w.extra.class_threads.get(i).copied().unwrap_or(1.0),
-            is_load: flag(&w.extra.loads, i),
-            waits_for_loads: flag(&w.extra.blocked_by_loads, i),
-            streams: c.stream,
-            only_zones: c
+            loads_data_set: flag(&w.extra.loads, i),
+            blocked_by_loads: flag(&w.extra.blocked_by_loads, i),
+            streams_response: c.stream,
+            allowed_zones: c
                 .stays_in
                 .as_ref()
                 .map(|v| v.iter().copied().map(ZoneId).collect()),
-            only_kinds: c
+            allowed_machine_types: c
                 .runs_on
                 .as_ref()
-                .map(|v| v.iter().copied().map(KindId).collect()),
+                .map(|v| v.iter().copied().map(MachineTypeId).collect()),
         });
     }
     let kind_count = w.kinds.len().max(w.extra.cores_by_kind.len());
-    let kind = |i: usize| KindSpec {
+    let kind = |i: usize| MachineTypeSpec {
         cores: w.extra.cores_by_kind.get(i).copied().unwrap_or(1.0),
         memory_mb: w.extra.ram_of_kind_mb.get(i).copied().unwrap_or(0.0),
     };
@@ -176,9 +176,9 @@
         gateway_index: w.me,
         gateways: w.peers_total,
         zone: ZoneId(w.az),
-        tick: w.quantum_ns,
+        batch_interval: w.quantum_ns,
         classes,
-        kinds: (0..kind_count).map(kind).collect(),
+        machine_types: (0..kind_count).map(kind).collect(),
         tenants: w
             .orgs
             .iter()
@@ -190,7 +190,7 @@
         over_quota_weight: w.over_share_worth,
         poll_endpoint_list: w.discovery == "ask",
         load_fields: w.load_info.fields.iter().map(|f| load_field(f)).collect(),
-        cross_zone_costs: w.prices.cross_zone > 0.0,
+        cross_zone_is_charged: w.prices.cross_zone > 0.0,
         probe_price: w.prices.probe,
         memory_grants_supported: w.extra.takes_grants,
         priorities_supported: w.extra.ranks_heeded,
@@ -203,22 +203,22 @@
         progress_period: w.extra.note_period_ns,
         reports_cost: w.extra.says_cost,
         invariants: Invariants {
-            answer_slack: w.invariants.answer_slack_ns,
+            response_grace: w.invariants.answer_slack_ns,
             drain_grace: w.invariants.drain_grace_ns,
-            slow_start_from: w.invariants.cold_from,
+            slow_start_initial_fraction: w.invariants.cold_from,
             slow_start_duration: w.invariants.warm_within_ns,
             overload_multiple: w.invariants.fall_multiple,
             overload_window: w.invariants.fall_ns,
             key_cooldown: w.invariants.key_rest_ns,
             retry_budget: extra,
-            poll_within: w.invariants.ask_within_ns,
+            max_poll_interval: w.invariants.ask_within_ns,
         },
         limits: Limits {
             max_attempts: w.limits.send_cap,
             may_cancel: w.limits.may_cancel,
             may_probe: w.limits.probing,
             may_message_peers: w.limits.peers,
-            retry_after: w.limits.retry_after,
+            may_send_retry_after: w.limits.retry_after,
             max_retry_after: w.limits.max_retry_after_ns,
             hedging: w.limits.second_copies,
         },
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -257,7 +257,7 @@
         }
         self.engines.extend(entries.iter().map(|e| (e.id, *e)));
         self.engines
-            .retain(|_, entry| entry.readiness != Readiness::Gone);
+            .retain(|_, entry| entry.readiness != Readiness::Removed);
         self.tell(now, Event::EndpointList { kind, entries }, orders);
     }
 
@@ -323,7 +323,7 @@
             key: None,
             deadline: nanos(ask.give_up_at),
             work_hint: ask.work_estimate.map(nanos),
-            memory_hint: ask.memory_mb,
+            memory_hint_mb: ask.memory_mb,
             data_set: statement::group(&ask.statement, schema)
                 .map_or(0, |group| group.wrapping_add(1)),
             is_retry: ask.repeated,
@@ -368,7 +368,7 @@
         };
         open.closed = true;
         self.deadlines.remove(&(open.ask.give_up_at + GUARD, id));
-        self.tell(now, Event::ClientGone(id), orders);
+        self.tell(now, Event::ClientDisconnected(id), orders);
         self.stop_all(id, Termination::Cancelled, orders);
         self.forget(id);
     }
@@ -457,7 +457,7 @@
             .collect();
         for id in open {
             self.refuse(id, ELSEWHERE_AFTER, orders);
-            self.tell(now, Event::ClientGone(id), orders);
+            self.tell(now, Event::ClientDisconnected(id), orders);
         }
     }
 
@@ -504,7 +504,7 @@
                 // already.
                 self.counters.stopped += 1;
                 self.fail(id, Failure::Deadline, orders);
-                self.tell(now, Event::ClientGone(id), orders);
+                self.tell(now, Event::ClientDisconnected(id), orders);
                 self.stop_all(id, Termination::Deadline, orders);
                 self.forget(id);
             }
@@ -520,7 +520,7 @@
         }
         tokens
             .into_iter()
-            .for_each(|token| self.tell(now, Event::Timer(token), orders));
+            .for_each(|token| self.tell(now, Event::TimerFired(token), orders));
     }
 
     fn carry_out(&mut self, now: Micros, act: Action, orders: &mut Vec<Command>) {
@@ -555,7 +555,7 @@
                 };
                 self.fail(id, why, orders);
             }
-            Action::Timer { after, token } => {
+            Action::StartTimer { after, token } => {
                 self.timers
                     .push(Reverse((now + micros(after).max(1), token)));
             }
@@ -563,11 +563,13 @@
                 self.counters.probes += 1;
                 orders.push(Command::Probe(engine));
             }
-            Action::CloseIdle { engine } => orders.push(Command::CloseIdle(engine)),
+            Action::CloseIdleConnections { engine } => orders.push(Command::CloseIdle(engine)),
             Action::Log(line) => orders.push(Command::Log(line)),
             // Changes come by themselves, and gateways share nothing: there is nobody to ask or
             // tell.
-            Action::SendToPeer { .. } | Action::FetchEndpointList | Action::Watch(_) => {}
+            Action::SendToPeer { .. }
+            | Action::FetchEndpointList
+            | Action::WatchEndpointList(_) => {}
         }
     }
 }
--- a/src/lease/shared_probe.rs
+++ b/src/lease/shared_probe.rs
@@ -6,7 +6,7 @@
 //! the engine itself, as it does without duties: nothing is worse than that.
 use super::{Action, Candidate, FencingGuard, FencingToken, Resource};
 use crate::clock::{MS, Micros};
-use crate::policy::api::{LoadReport, OutcomeKind};
+use crate::policy::api::{LoadReport, MAX_LOAD_FIELDS, OutcomeKind};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -39,13 +39,15 @@
 impl ProbeResult {
     /// From what a probe brought here.
     pub fn new(kind: OutcomeKind, took: Micros, load: &LoadReport) -> ProbeResult {
+        let mut values = [0.0; MAX_LOAD_FIELDS];
+        values[..load.values().len()].copy_from_slice(load.values());
         let (well, unreachable) = (kind == OutcomeKind::Ok, kind == OutcomeKind::ConnectFailed);
         ProbeResult {
             well,
             unreachable,
             took,
-            len: load.len.min(4) as u8,
-            load: load.values,
+            len: load.values().len() as u8,
+            load: values,
         }
     }
 
@@ -58,10 +60,7 @@
         };
         (
             kind,
-            LoadReport {
-                len: usize::from(self.len.min(4)),
-                values: self.load,
-            },
+            LoadReport::from_values(&self.load[..usize::from(self.len.min(4))]),
         )
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -87,7 +87,14 @@
                 .map(|c| clock::micros(c.deadline))
                 .collect(),
         ),
-        loads: RefCell::new(config.settings.classes.iter().map(|c| c.is_load).collect()),
+        loads: RefCell::new(
+            config
+                .settings
+                .classes
+                .iter()
+                .map(|c| c.loads_data_set)
+                .collect(),
+        ),
         databases: Box::new(move || databases.engines_know_databases.get()),
         stopping: Box::new(move || stopping.lifecycle.borrow().announces_close()),
         // A walk through all numbers from a place that is new with each start.
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -8,7 +8,7 @@
 use crate::net::dispatcher::DispatcherEvent;
 use crate::net::engine::{EndpointHandle, Start, spawn};
 use crate::policy::api::{
-    CellId, Endpoint, EndpointListKind, EngineId, KindId, Nanos, Readiness, ZoneId,
+    CellId, Endpoint, EndpointListKind, EngineId, MachineTypeId, Nanos, Readiness, ZoneId,
 };
 use async_channel::{Receiver, Sender};
 use serde::Deserialize;
@@ -127,7 +127,7 @@
             let left = known
                 .values_mut()
                 .filter(|k| !named.contains(&k.listed.entry.id));
-            left.for_each(|k| mark(k, Readiness::Gone));
+            left.for_each(|k| mark(k, Readiness::Removed));
         }
         for listed in &update.engines {
             let id = listed.entry.id;
@@ -135,7 +135,7 @@
             // attempts that nobody could give up any more: with its row the old actor ends, its
             // connections, and what is on them.
             let same = known.get(&id).is_some_and(|k| k.listed.addr == listed.addr);
-            if !same && listed.entry.readiness != Readiness::Gone {
+            if !same && listed.entry.readiness != Readiness::Removed {
                 if let Some(old) = known.get_mut(&id) {
                     old.row.close();
                 }
@@ -154,7 +154,7 @@
                 k.listed = *listed;
             }
         }
-        known.retain(|_, k| k.listed.entry.readiness != Readiness::Gone);
+        known.retain(|_, k| k.listed.entry.readiness != Readiness::Removed);
         let serving = |k: &&Known| k.listed.entry.readiness == Readiness::Ready;
         let serving = known.values().filter(serving).map(|k| k.listed.entry.id);
         shared.engines_know_databases.set(
@@ -196,7 +196,7 @@
         .map(|k| k.listed)
         .filter(|l| taken.contains(&l.addr) && !named.contains(&l.entry.id));
     let gone = |mut l: ListedEndpoint| {
-        l.entry.readiness = Readiness::Gone;
+        l.entry.readiness = Readiness::Removed;
         l
     };
     update.engines.extend(old.map(gone));
@@ -222,7 +222,7 @@
     let (id, zone, kind, cell) = (
         EngineId(u64::from(id)),
         ZoneId(zone),
-        KindId(kind),
+        MachineTypeId(kind),
         CellId(cell),
     );
     let ready_at: Nanos = started_ms.saturating_mul(1_000_000);
@@ -230,7 +230,7 @@
         entry: Endpoint {
             id,
             zone,
-            kind,
+            machine_type: kind,
             cell,
             readiness,
             weight,
@@ -290,7 +290,7 @@
         let readiness = match s.state.as_str() {
             "in_service" => Readiness::Ready,
             "terminating" => Readiness::Draining,
-            "terminated" => Readiness::Gone,
+            "terminated" => Readiness::Removed,
             other => return Err(format!("known: unknown state {other:?}")),
         };
         let place = (
@@ -332,7 +332,7 @@
     let readiness = match record[10] {
         0 => Readiness::Ready,
         1 => Readiness::Draining,
-        2 => Readiness::Gone,
+        2 => Readiness::Removed,
         _ => return None,
     };
     let place = (u16::from(record[11]), u16::from(record[12]), u16_at(13));
--- a/src/net/engine/endpoint.rs
+++ b/src/net/engine/endpoint.rs
@@ -66,7 +66,7 @@
 
     /// Whether it is over: no order will be taken any more.
     pub fn is_closed(&self) -> bool {
-        !self.is_active() && (self.closed.get() || self.readiness.get() == Readiness::Gone)
+        !self.is_active() && (self.closed.get() || self.readiness.get() == Readiness::Removed)
     }
 
     /// Passes an order on; makes the actor for one that begins something.
@@ -98,7 +98,7 @@
         let was = self.readiness.replace(readiness);
         let order = match readiness {
             Readiness::Draining if was == Readiness::Ready => EngineCommand::Drain,
-            Readiness::Gone => EngineCommand::Gone,
+            Readiness::Removed => EngineCommand::Gone,
             _ => return,
         };
         // Guards against a lost word: with the mailbox closed the engine's connections end.
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -110,7 +110,8 @@
                 .iter()
                 .map(|(c, _)| micros(c.spec.deadline))
                 .collect();
-            *service.loads.borrow_mut() = classes.iter().map(|(c, _)| c.spec.is_load).collect();
+            *service.loads.borrow_mut() =
+                classes.iter().map(|(c, _)| c.spec.loads_data_set).collect();
             *service.rules.borrow_mut() = ClassRules::new(&deploy, &names)?;
             *second.file.borrow_mut() = users.clone();
             if !second.directory {
@@ -138,8 +139,8 @@
             gateway_index: old.gateway_index,
             gateways: old.gateways,
             zone: old.zone,
-            tick: old.tick,
-            kinds: old.kinds,
+            batch_interval: old.batch_interval,
+            machine_types: old.machine_types,
             tenants: old.tenants,
             poll_endpoint_list: old.poll_endpoint_list,
             load_fields: old.load_fields,
--- a/src/policy/admission_queue.rs
+++ b/src/policy/admission_queue.rs
@@ -52,7 +52,7 @@
                 self.held.remove(at);
                 continue;
             };
-            let plain = r.attempts_started == 0 && !self.class(r).in_order;
+            let plain = r.attempts_started == 0 && !self.class(r).serial_per_key;
             tries += usize::from(!(plain && *full));
             match if plain && *full {
                 None
@@ -79,7 +79,7 @@
         self.held
             .sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         let rate = self.fleet.cores * USUAL_BUSY / self.sharers;
-        let margin = 2 * SWEEP_EVERY.max(self.settings.tick);
+        let margin = 2 * SWEEP_EVERY.max(self.settings.batch_interval);
         let mut ahead = 0.0;
         for entry in std::mem::take(&mut self.held) {
             let id = entry.1;
--- /dev/null
+++ b/src/policy/api/event.rs
@@ -0,0 +1,218 @@
+//! What the module is informed of.
+
+use super::{
+    AttemptNo, CellId, ClassId, EngineId, MachineTypeId, Nanos, OrderKey, RequestId, TenantId,
+    ZoneId,
+};
+
+/// State of an engine in the endpoint list.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Readiness {
+    /// Accepts attempts.
+    Ready,
+    /// Finishes the attempts it has and accepts no new ones.
+    Draining,
+    /// No longer part of the deployment.
+    #[default]
+    Removed,
+}
+
+/// An entry of the endpoint list.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Endpoint {
+    /// The engine.
+    pub id: EngineId,
+    /// The zone it runs in.
+    pub zone: ZoneId,
+    /// The type of its machine.
+    pub machine_type: MachineTypeId,
+    /// The cell whose engines recognise its requests.
+    pub cell: CellId,
+    /// Whether it accepts attempts.
+    pub readiness: Readiness,
+    /// The deployment's own figure of size or load; the module makes no use of it.
+    pub weight: f64,
+    /// When it last started, on the clock of the events; 0 for long ago, past its slow start.
+    pub started_at: Nanos,
+}
+
+/// How an update relates to the endpoint list that the module has.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndpointListKind {
+    /// Complete but possibly out of date: what this gateway had stored.
+    Cached,
+    /// Only the entries that changed.
+    Changes,
+    /// Complete and current; an engine that is missing has been removed.
+    Full,
+    /// A poll failed or the watch broke; the update has no entries and changes nothing.
+    Failed,
+}
+
+/// A request from a client.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Request {
+    /// Its id.
+    pub id: RequestId,
+    /// Its class.
+    pub class: ClassId,
+    /// Its tenant.
+    pub tenant: TenantId,
+    /// The key it is ordered by, where its class is
+    /// [`serial_per_key`](super::ClassSpec::serial_per_key).
+    pub key: Option<OrderKey>,
+    /// The point in time at which the client stops waiting for it.
+    pub deadline: Nanos,
+    /// The client's estimate of its work: run time summed over all threads.
+    pub work_hint: Option<Nanos>,
+    /// The client's estimate of its memory, in MB.
+    pub memory_hint_mb: Option<f64>,
+    /// The data set that it reads; 0 if unknown.
+    pub data_set: u64,
+    /// The client marked it as a retry of its own.
+    pub is_retry: bool,
+    /// It must not run twice, whatever its class allows: it has no idempotency key.
+    pub must_not_repeat: bool,
+}
+
+/// How an attempt, or a load probe, ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OutcomeKind {
+    /// The engine completed it.
+    Ok,
+    /// The engine responded with an error; the attempt may have run.
+    Error,
+    /// The engine rejected it before it ran.
+    Rejected,
+    /// No response in time; the attempt may still run.
+    Timeout,
+    /// No connection was made; the attempt never ran.
+    ConnectFailed,
+    /// The connection broke; the attempt may still run.
+    Reset,
+    /// It was cancelled; it may have run, and may still run.
+    Cancelled,
+    /// The host did not send it; it never ran and counts for no budget.
+    NeverSent,
+}
+
+/// Number of values that a [`LoadReport`] can hold.
+pub const MAX_LOAD_FIELDS: usize = 4;
+
+/// Values of a load report, in the order of [`Settings::load_fields`](super::Settings::load_fields).
+#[derive(Clone, Copy, Debug, Default)]
+pub struct LoadReport {
+    len: usize,
+    values: [f32; MAX_LOAD_FIELDS],
+}
+
+impl LoadReport {
+    /// A report of the first [`MAX_LOAD_FIELDS`] of `reported`; further values are dropped.
+    pub fn from_values(reported: &[f32]) -> LoadReport {
+        let len = reported.len().min(MAX_LOAD_FIELDS);
+        let mut values = [0.0; MAX_LOAD_FIELDS];
+        values[..len].copy_from_slice(&reported[..len]);
+        LoadReport { len, values }
+    }
+
+    /// The values that were reported, at most [`MAX_LOAD_FIELDS`].
+    pub fn values(&self) -> &[f32] {
+        &self.values[..self.len]
+    }
+
+    /// Whether the engine reported no value at all.
+    pub fn is_empty(&self) -> bool {
+        self.len == 0
+    }
+}
+
+/// What an engine reports of an attempt that runs.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum ProgressUpdate {
+    /// Fraction of the query that is done, 0 to 1.
+    Progress(f64),
+    /// The query spills to disk; the memory that it lacks, in MB.
+    Spill(f64),
+    /// The query waits for memory.
+    WaitsForMemory,
+    /// The query waits for a load that holds the lock of its data set.
+    WaitsForLoad,
+}
+
+/// The end of an attempt.
+#[derive(Clone, Copy, Debug)]
+pub struct Outcome {
+    /// The request.
+    pub id: RequestId,
+    /// The attempt.
+    pub attempt: AttemptNo,
+    /// The engine that it was sent to.
+    pub engine: EngineId,
+    /// How it ended.
+    pub kind: OutcomeKind,
+    /// Time since it was sent.
+    pub latency: Nanos,
+    /// The request has its final response, from this attempt or from an earlier event.
+    pub request_finished: bool,
+    /// The query's work, summed over all threads, if the engine stated it.
+    pub work: Option<Nanos>,
+    /// The memory that the query needed, in MB, if the engine stated it.
+    pub memory_mb: Option<f64>,
+    /// The engine's load at the time; empty if it stated none.
+    pub load: LoadReport,
+}
+
+/// An event that the module is informed of.
+#[derive(Clone, Debug)]
+pub enum Event {
+    /// An update of the endpoint list.
+    EndpointList {
+        /// How the entries relate to the list that the module has.
+        kind: EndpointListKind,
+        /// The entries; none for [`EndpointListKind::Failed`].
+        entries: Vec<Endpoint>,
+    },
+    /// A request was received.
+    Request(Request),
+    /// An attempt ended.
+    Outcome(Outcome),
+    /// The first byte of a response was passed to the client; only this attempt can complete the
+    /// request from then on.
+    FirstByte {
+        /// The request.
+        id: RequestId,
+        /// The attempt.
+        attempt: AttemptNo,
+    },
+    /// An engine reported on a running attempt.
+    Progress {
+        /// The request.
+        id: RequestId,
+        /// The attempt.
+        attempt: AttemptNo,
+        /// What it reported.
+        update: ProgressUpdate,
+    },
+    /// The client of a request disconnected or withdrew it; no response is expected.
+    ClientDisconnected(RequestId),
+    /// A timer fired; the token is that of [`Action::StartTimer`](super::Action::StartTimer).
+    TimerFired(u64),
+    /// A load probe ended.
+    ProbeCompleted {
+        /// The engine.
+        engine: EngineId,
+        /// How the probe ended.
+        kind: OutcomeKind,
+        /// Time since it was sent.
+        latency: Nanos,
+        /// The engine's load; empty if it stated none.
+        load: LoadReport,
+    },
+    /// A message from another gateway.
+    PeerMessage {
+        /// The index of that gateway.
+        from: u32,
+        /// The content.
+        data: Vec<u8>,
+    },
+}
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -34,7 +34,7 @@
             max_attempts: most_sends,
             ..PendingRequest::default()
         };
-        if let (true, Some(key)) = (self.class(&r).in_order, ask.key) {
+        if let (true, Some(key)) = (self.class(&r).serial_per_key, ask.key) {
             self.keys.entry(key).or_default().line.push_back(ask.id);
         }
         self.cancels = (self.cancels + CANCEL_SHARE).min(CANCEL_SPARE);
@@ -70,7 +70,11 @@
             return;
         };
         let (alone, threads, long) = (self.alone(r), self.threads(r), self.is_long(r));
-        let (weight, is_load, group) = (self.cold_weight(r), self.class(r).is_load, r.ask.data_set);
+        let (weight, is_load, group) = (
+            self.cold_weight(r),
+            self.class(r).loads_data_set,
+            r.ask.data_set,
+        );
         let small = self.work(r) < self.learned(r).work;
         let hopeless = r.over_share || now + nanos(alone) > self.aim_end(r);
         self.extras.extend((r.attempts_started > 0).then_some(now));
@@ -221,7 +225,7 @@
             .min_by_key(|(_, sent)| *sent);
         let (ask, is_load) = (
             r.ask,
-            self.settings.classes[usize::from(r.ask.class.0)].is_load,
+            self.settings.classes[usize::from(r.ask.class.0)].loads_data_set,
         );
         self.carry(now, out.engine, out.running, -1.0);
         let Some(e) = self.engines.get_mut(&out.engine) else {
@@ -250,7 +254,8 @@
                 OutcomeKind::Timeout | OutcomeKind::Reset | OutcomeKind::Cancelled
             )
         {
-            k.rest_until = now + self.settings.invariants.key_cooldown + self.settings.tick;
+            k.rest_until =
+                now + self.settings.invariants.key_cooldown + self.settings.batch_interval;
         }
         self.again_or_end(now, id, acts);
         self.pump(now, acts);
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -172,7 +172,10 @@
     pub(super) fn spare(&self, pressed: bool) -> f64 {
         let tells = |field| self.settings.load_fields.contains(&field);
         let share = if pressed { 1.0 } else { SURGE };
-        let full = match (tells(LoadField::Inflight), tells(LoadField::DisksBusy)) {
+        let full = match (
+            tells(LoadField::QueriesInFlight),
+            tells(LoadField::DiskUtilization),
+        ) {
             (true, _) => START_THREADS_PER_CORE,
             (false, told) => share * f64::from(u8::from(told)),
         };
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -10,7 +10,7 @@
         acts: &mut Vec<Action>,
     ) {
         if kind == EndpointListKind::Failed {
-            return acts.push(Action::Watch(true));
+            return acts.push(Action::WatchEndpointList(true));
         }
         // No faster and no slower than the rest: else, as the rest slows, all gateways take the new
         // one.
@@ -25,7 +25,7 @@
     }
 
     pub(super) fn on_sweep(&mut self, now: Nanos, acts: &mut Vec<Action>) {
-        acts.push(Action::Timer {
+        acts.push(Action::StartTimer {
             after: SWEEP_EVERY,
             token: SWEEP,
         });
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -91,7 +91,7 @@
     pub(super) fn stands(&self, now: Nanos, r: &PendingRequest, e: &Engine) -> bool {
         let (c, group) = (self.class(r), &r.ask.data_set);
         let seen = || e.stood_still.get(group).is_some_and(|until| *until > now);
-        (c.is_load || c.waits_for_loads) && (e.held_groups.contains_key(group) || seen())
+        (c.loads_data_set || c.blocked_by_loads) && (e.held_groups.contains_key(group) || seen())
     }
 
     /// Lower is better: threads in use under the bound, scaled by slowness against peers.
@@ -108,7 +108,7 @@
         let on = |applies: bool, cost: f64| if applies { cost } else { 0.0 };
         let data = on(self.stands(now, r, e), GROUP_HELD);
         let place = on(
-            self.settings.cross_zone_costs && e.entry.zone != self.settings.zone,
+            self.settings.cross_zone_is_charged && e.entry.zone != self.settings.zone,
             CROSS,
         );
         let (blind, cold) = (
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -33,27 +33,24 @@
     /// whichever says most.
     pub(super) fn on_report(&mut self, now: Nanos, engine: EngineId, load: &LoadReport) {
         let mix = self.fleet.mix;
-        let Some(e) = self.engines.get_mut(&engine).filter(|_| load.len > 0) else {
+        let Some(e) = self.engines.get_mut(&engine).filter(|_| !load.is_empty()) else {
             return;
         };
         let mut threads: f64 = 0.0;
-        for (field, value) in self
-            .settings
-            .load_fields
-            .iter()
-            .zip(load.values)
-            .take(load.len)
-        {
-            let value = f64::from(value);
+        for (field, value) in self.settings.load_fields.iter().zip(load.values()) {
+            let value = f64::from(*value);
             let says = match field {
-                LoadField::Inflight => value * (mix.threads / mix.queries.max(1e-9)).max(1.0),
-                LoadField::Util | LoadField::DisksBusy => value * e.cores,
-                // Most of the memory is granted in normal work; only the last part of it is scarce.
-                LoadField::MemoryGranted => value.powi(4) * e.start,
-                LoadField::Queue => value * e.start,
-                LoadField::RecentMs | LoadField::Rate | LoadField::Errors | LoadField::Unknown => {
-                    0.0
+                LoadField::QueriesInFlight => {
+                    value * (mix.threads / mix.queries.max(1e-9)).max(1.0)
                 }
+                LoadField::CpuUtilization | LoadField::DiskUtilization => value * e.cores,
+                // Most of the memory is granted in normal work; only the last part of it is scarce.
+                LoadField::MemoryGrantedFraction => value.powi(4) * e.start,
+                LoadField::QueriesQueued => value * e.start,
+                LoadField::RecentServiceMillis
+                | LoadField::ThroughputPerSecond
+                | LoadField::ErrorsPerSecond
+                | LoadField::Unknown => 0.0,
             };
             threads = threads.max(if says.is_finite() { says } else { 0.0 });
         }
@@ -114,7 +111,10 @@
             .iter()
             .filter_map(|id| self.engines.get(id))
             .filter(|e| e.report.is_some());
-        let counts = self.settings.load_fields.contains(&LoadField::Inflight);
+        let counts = self
+            .settings
+            .load_fields
+            .contains(&LoadField::QueriesInFlight);
         if counts && known.filter(open).any(|e| idle(&e)) {
             return;
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -104,12 +104,12 @@
     pub fn handle(&mut self, now: Nanos, event: Event, acts: &mut Vec<Action>) {
         if !self.started {
             self.started = true;
-            acts.push(Action::Timer {
+            acts.push(Action::StartTimer {
                 after: SWEEP_EVERY,
                 token: SWEEP,
             });
             if self.settings.poll_endpoint_list {
-                acts.push(Action::Watch(true));
+                acts.push(Action::WatchEndpointList(true));
             }
         }
         // Guards against this gateway's own stalls: ages and times taken across one say nothing of
@@ -127,8 +127,8 @@
                 attempt,
                 update: note,
             } => self.on_note(now, id, attempt, note, acts),
-            Event::ClientGone(id) => self.on_gone(id, acts),
-            Event::Timer(SWEEP) => self.on_sweep(now, acts),
+            Event::ClientDisconnected(id) => self.on_gone(id, acts),
+            Event::TimerFired(SWEEP) => self.on_sweep(now, acts),
             Event::ProbeCompleted {
                 engine,
                 kind,
@@ -140,7 +140,7 @@
                 self.pump(now, acts);
             }
             // What gateways may tell one another is the fleet's membership's, not the module's.
-            Event::Timer(_) | Event::FirstByte { .. } | Event::PeerMessage { .. } => {}
+            Event::TimerFired(_) | Event::FirstByte { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -112,7 +112,7 @@
         let Some(e) = self.engines.get_mut(&o.engine) else {
             return;
         };
-        if self.settings.classes[class].waits_for_loads {
+        if self.settings.classes[class].blocked_by_loads {
             e.stood_still.remove(&ask.data_set);
         }
         e.window.finished += 1.0;
--- a/src/policy/stall_detection.rs
+++ b/src/policy/stall_detection.rs
@@ -140,7 +140,7 @@
         for r in self
             .requests
             .values()
-            .filter(|r| self.class(r).waits_for_loads)
+            .filter(|r| self.class(r).blocked_by_loads)
         {
             for o in r.outs.iter().filter(|o| !o.cancelling) {
                 let late =
--- a/src/policy/state/engine.rs
+++ b/src/policy/state/engine.rs
@@ -124,7 +124,7 @@
         }
         let age = secs(now.saturating_sub(self.entry.started_at))
             / secs(rules.slow_start_duration.max(1));
-        rules.slow_start_from + (1.0 - rules.slow_start_from) * age * age
+        rules.slow_start_initial_fraction + (1.0 - rules.slow_start_initial_fraction) * age * age
     }
 
     /// Enters work of that weight, sent to it while it is cold, and forgets what was sent before
--- a/src/policy/state/mod.rs
+++ b/src/policy/state/mod.rs
@@ -88,7 +88,7 @@
         let listed = self
             .engines
             .values()
-            .filter(|e| e.entry.readiness != Readiness::Gone);
+            .filter(|e| e.entry.readiness != Readiness::Removed);
         listed
             .filter(|e| !e.ready() || e.health != CircuitState::Closed)
             .count()
@@ -177,14 +177,14 @@
                 .values_mut()
                 .filter(|e| !named.contains(&e.entry.id))
             {
-                e.entry.readiness = Readiness::Gone;
+                e.entry.readiness = Readiness::Removed;
             }
         }
         for entry in entries {
             let cores = self
                 .settings
-                .kinds
-                .get(usize::from(entry.kind.0))
+                .machine_types
+                .get(usize::from(entry.machine_type.0))
                 .map_or(1.0, |k| k.cores)
                 .max(1.0);
             let fresh = || Engine::new(now, *entry, cores, per_core * cores, stretch);
@@ -214,7 +214,7 @@
             .filter_map(|r| r.ran_on.map(|(e, _)| e));
         let needed: BTreeSet<EngineId> = outs.chain(ran).collect();
         let stays =
-            |e: &Engine| e.entry.readiness != Readiness::Gone || needed.contains(&e.entry.id);
+            |e: &Engine| e.entry.readiness != Readiness::Removed || needed.contains(&e.entry.id);
         self.engines.retain(|_, e| stays(e));
         self.fleet
             .recent
@@ -240,7 +240,7 @@
     /// Rule 5: the head of its key's line, after the rest that follows an attempt which may still
     /// run.
     pub(crate) fn has_turn(&self, now: Nanos, id: RequestId, r: &PendingRequest) -> bool {
-        let (true, Some(key)) = (self.class(r).in_order, r.ask.key) else {
+        let (true, Some(key)) = (self.class(r).serial_per_key, r.ask.key) else {
             return true;
         };
         let Some(k) = self.keys.get(&key) else {
@@ -262,7 +262,7 @@
 
     /// Long classes: more than one thread, or loads.
     pub(crate) fn is_long(&self, r: &PendingRequest) -> bool {
-        self.threads(r) > 1.0 || self.class(r).is_load
+        self.threads(r) > 1.0 || self.class(r).loads_data_set
     }
 
     pub(crate) fn class(&self, r: &PendingRequest) -> &ClassSpec {
--- a/src/policy/state/request.rs
+++ b/src/policy/state/request.rs
@@ -104,9 +104,9 @@
         Idempotency::NonIdempotent => false,
         Idempotency::WithKey { scope, window } => {
             let same = pair.is_none_or(|(first, next)| match scope {
-                Scope::All => true,
-                Scope::Zone => first.zone == next.zone,
-                Scope::Cell => first.cell == next.cell,
+                DeduplicationScope::All => true,
+                DeduplicationScope::Zone => first.zone == next.zone,
+                DeduplicationScope::Cell => first.cell == next.cell,
             });
             same && now < sent.saturating_add(window)
         }
@@ -121,7 +121,7 @@
             effect,
             Idempotency::Idempotent
                 | Idempotency::WithKey {
-                    scope: Scope::All,
+                    scope: DeduplicationScope::All,
                     ..
                 }
         )
@@ -130,11 +130,11 @@
 /// Rule 6: the zones and kinds a class is bound to.
 pub fn placed(class: &ClassSpec, entry: &Endpoint) -> bool {
     class
-        .only_zones
+        .allowed_zones
         .as_ref()
         .is_none_or(|z| z.contains(&entry.zone))
         && class
-            .only_kinds
+            .allowed_machine_types
             .as_ref()
-            .is_none_or(|k| k.contains(&entry.kind))
+            .is_none_or(|k| k.contains(&entry.machine_type))
 }
--- a/src/testkit/coordinator.rs
+++ b/src/testkit/coordinator.rs
@@ -38,9 +38,9 @@
     out.push(match entry.readiness {
         Readiness::Ready => 0,
         Readiness::Draining => 1,
-        Readiness::Gone => 2,
+        Readiness::Removed => 2,
     });
-    out.extend([entry.zone.0 as u8, entry.kind.0 as u8]);
+    out.extend([entry.zone.0 as u8, entry.machine_type.0 as u8]);
     out.extend(entry.cell.0.to_be_bytes());
     out.extend(((entry.weight * 1000.0) as u32).to_be_bytes());
     out.extend((entry.started_at / 1_000_000).to_be_bytes());
@@ -160,7 +160,7 @@
 pub fn known(engines: &[ListedEndpoint], zones: &[&str], kinds: &[&str]) -> Value {
     let server = |l: &ListedEndpoint| {
         json!({"id": format!("s-{:08x}", l.entry.id.0), "addr": l.addr.to_string(),
-            "zone": zones[usize::from(l.entry.zone.0)], "kind": kinds[usize::from(l.entry.kind.0)],
+            "zone": zones[usize::from(l.entry.zone.0)], "kind": kinds[usize::from(l.entry.machine_type.0)],
             "cell": l.entry.cell.0, "state": "in_service", "weight": 1, "started_ms": 0})
     };
     let servers: Vec<Value> = engines.iter().map(server).collect();
--- a/src/testkit/scenario/mod.rs
+++ b/src/testkit/scenario/mod.rs
@@ -565,7 +565,7 @@
             ["gone", name] => {
                 self.book.drained(name);
                 self.coordinator
-                    .tell(false, &[self.listed(name, Readiness::Gone)?]);
+                    .tell(false, &[self.listed(name, Readiness::Removed)?]);
             }
             ["ready", name] => {
                 self.book.resumed(name);
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -213,7 +213,7 @@
     let mut fleet = start("lives", 12);
     // Nothing is in service: what is asked is given up.
     fleet.world(|world| {
-        (0..2).for_each(|engine| world.tell(0..MEMBERS, engine, Readiness::Gone));
+        (0..2).for_each(|engine| world.tell(0..MEMBERS, engine, Readiness::Removed));
     });
     assert!(eventually(|| ALL
         .iter()
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -16,13 +16,13 @@
         objective_slowdown: 2.0,
         deadline,
         idempotency: effect,
-        in_order: false,
+        serial_per_key: false,
         threads,
-        is_load: false,
-        waits_for_loads: false,
-        streams: false,
-        only_zones: None,
-        only_kinds: None,
+        loads_data_set: false,
+        blocked_by_loads: false,
+        streams_response: false,
+        allowed_zones: None,
+        allowed_machine_types: None,
     }
 }
 
@@ -31,17 +31,17 @@
 pub fn settings() -> Settings {
     let short = class(Idempotency::Idempotent, 1.0, S, 6 * S);
     let long = ClassSpec {
-        only_kinds: Some(vec![KindId(0)]),
+        allowed_machine_types: Some(vec![MachineTypeId(0)]),
         ..class(Idempotency::Idempotent, 4.0, 2 * S, 15 * S)
     };
     let load = ClassSpec {
-        in_order: true,
-        is_load: true,
+        serial_per_key: true,
+        loads_data_set: true,
         ..class(Idempotency::NonIdempotent, 2.0, 3 * S, 20 * S)
     };
     let keyed = class(
         Idempotency::WithKey {
-            scope: Scope::Cell,
+            scope: DeduplicationScope::Cell,
             window: 2 * S,
         },
         1.0,
@@ -52,14 +52,14 @@
         gateway_index: 0,
         gateways: 1,
         zone: ZoneId(0),
-        tick: 5 * MS,
+        batch_interval: 5 * MS,
         classes: vec![short, long, load, keyed],
-        kinds: vec![
-            KindSpec {
+        machine_types: vec![
+            MachineTypeSpec {
                 cores: 8.0,
                 memory_mb: 16384.0,
             },
-            KindSpec {
+            MachineTypeSpec {
                 cores: 4.0,
                 memory_mb: 8192.0,
             },
@@ -71,7 +71,7 @@
         over_quota_weight: 0.05,
         poll_endpoint_list: false,
         load_fields: vec![],
-        cross_zone_costs: false,
+        cross_zone_is_charged: false,
         probe_price: 0.01,
         memory_grants_supported: false,
         priorities_supported: false,
@@ -80,9 +80,9 @@
         progress_period: 500 * MS,
         reports_cost: true,
         invariants: Invariants {
-            answer_slack: 20 * MS,
+            response_grace: 20 * MS,
             drain_grace: 250 * MS,
-            slow_start_from: 0.3,
+            slow_start_initial_fraction: 0.3,
             slow_start_duration: 15 * S,
             overload_multiple: 2.0,
             overload_window: 2 * S,
@@ -92,14 +92,14 @@
                 ratio: 0.1,
                 window: 5 * S,
             }),
-            poll_within: 10 * S,
+            max_poll_interval: 10 * S,
         },
         limits: Limits {
             max_attempts: 3,
             may_cancel: true,
             may_probe: true,
             may_message_peers: false,
-            retry_after: true,
+            may_send_retry_after: true,
             max_retry_after: S,
             hedging: false,
         },
@@ -110,7 +110,7 @@
     Endpoint {
         id: EngineId(id),
         zone: ZoneId(0),
-        kind: KindId(kind),
+        machine_type: MachineTypeId(kind),
         cell: CellId((id % 2) as u16),
         readiness: Readiness::Ready,
         weight: 1.0,
@@ -170,7 +170,7 @@
     pub fn tell(&mut self, event: Event) -> Vec<Action> {
         let mut acts = Vec::new();
         self.g.handle(self.now, event, &mut acts);
-        acts.retain(|a| !matches!(a, Action::Timer { .. } | Action::Log(_)));
+        acts.retain(|a| !matches!(a, Action::StartTimer { .. } | Action::Log(_)));
         acts
     }
 
@@ -180,7 +180,7 @@
         let mut acts = Vec::new();
         while self.now < end {
             self.now += 20 * MS;
-            acts.extend(self.tell(Event::Timer(1)));
+            acts.extend(self.tell(Event::TimerFired(1)));
         }
         acts
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 fn many() -> Settings {
     let mut s = settings();
-    (s.gateways, s.load_fields) = (GATEWAYS, vec![LoadField::Inflight]);
+    (s.gateways, s.load_fields) = (GATEWAYS, vec![LoadField::QueriesInFlight]);
     s
 }
 
@@ -32,10 +32,7 @@
 }
 
 fn report(engine: u64, queries: f32) -> Event {
-    let load = LoadReport {
-        len: 1,
-        values: [queries, 0.0, 0.0, 0.0],
-    };
+    let load = LoadReport::from_values(&[queries]);
     Event::ProbeCompleted {
         engine: EngineId(engine),
         kind: OutcomeKind::Ok,
@@ -575,17 +572,14 @@
 #[test]
 fn an_engine_that_reports_idle_cores_but_answers_probes_late_is_left_alone() {
     let mut s = many();
-    s.load_fields = vec![LoadField::Util];
+    s.load_fields = vec![LoadField::CpuUtilization];
     let mut rig = one_of(3, s, (1..=4).map(|i| entry(i, 0, 0)).collect());
     rig.pass(3 * S);
     let probe = |engine, util, latency| Event::ProbeCompleted {
         engine: EngineId(engine),
         kind: OutcomeKind::Ok,
         latency,
-        load: LoadReport {
-            len: 1,
-            values: [util, 0.0, 0.0, 0.0],
-        },
+        load: LoadReport::from_values(&[util]),
     };
     let mut to = Vec::new();
     for id in 0..20 {
@@ -1032,7 +1026,7 @@
     let Event::Outcome(mut o) = outcome(id, 0, engine, OutcomeKind::Ok, 100 * MS) else {
         unreachable!()
     };
-    o.load = LoadReport { len: 4, values };
+    o.load = LoadReport::from_values(&values);
     rig.tell(Event::Outcome(o))
 }
 
@@ -1040,7 +1034,7 @@
 fn where_probes_are_not_allowed_a_pause_does_not_make_all_engines_full() {
     let mut rig = one_of(
         3,
-        unasked(vec![LoadField::Util]),
+        unasked(vec![LoadField::CpuUtilization]),
         (1..=18).map(|i| entry(i, 0, 0)).collect(),
     );
     rig.pass(3 * S);
@@ -1107,8 +1101,8 @@
         count
     };
     let (cores, both) = (
-        sent_with(vec![LoadField::Util]),
-        sent_with(vec![LoadField::Util, LoadField::DisksBusy]),
+        sent_with(vec![LoadField::CpuUtilization]),
+        sent_with(vec![LoadField::CpuUtilization, LoadField::DiskUtilization]),
     );
     assert!(
         both >= cores + 3,
@@ -1123,7 +1117,7 @@
     let mut served = 0;
     for me in 0..40 {
         let mut s = many();
-        s.load_fields = vec![LoadField::MemoryGranted];
+        s.load_fields = vec![LoadField::MemoryGrantedFraction];
         let mut rig = one_of(me, s, vec![entry(1, 0, 0)]);
         rig.tell(report(1, 0.7));
         let acts = rig.tell(Event::Request(ask(1, 0, rig.now, 6 * S, 200 * MS)));
--- a/tests/hedging.rs
+++ b/tests/hedging.rs
@@ -9,7 +9,7 @@
 fn copying() -> Settings {
     let mut s = settings();
     s.classes[3].idempotency = Idempotency::WithKey {
-        scope: Scope::All,
+        scope: DeduplicationScope::All,
         window: 20 * S,
     };
     s.limits.hedging = true;
@@ -84,7 +84,10 @@
     assert_eq!(finals(&acts), [(1, true)]);
     // A client that leaves takes both along.
     let (mut rig, _, _) = silent(copying(), 0, false);
-    assert_eq!(cancels(&rig.tell(Event::ClientGone(RequestId(1)))), 2);
+    assert_eq!(
+        cancels(&rig.tell(Event::ClientDisconnected(RequestId(1)))),
+        2
+    );
 }
 
 /// Guards rule 2: no copy where the settings allow none, nor of what must not run twice; what is
@@ -273,7 +276,7 @@
 fn the_window_of_a_key_counts_from_the_first_that_was_sent() {
     let mut s = copying();
     s.classes[3].idempotency = Idempotency::WithKey {
-        scope: Scope::All,
+        scope: DeduplicationScope::All,
         window: 3 * S,
     };
     let (mut rig, first, acts) = silent(s, 3, false);
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -320,8 +320,11 @@
         rig.tell(outcome(77, 0, EngineId(1), OutcomeKind::Ok, S))
             .is_empty()
     );
-    assert!(rig.tell(Event::ClientGone(RequestId(77))).is_empty());
-    assert!(rig.tell(Event::Timer(99)).is_empty());
+    assert!(
+        rig.tell(Event::ClientDisconnected(RequestId(77)))
+            .is_empty()
+    );
+    assert!(rig.tell(Event::TimerFired(99)).is_empty());
 }
 
 #[test]
@@ -329,11 +332,11 @@
     let mut s = settings();
     s.gateways = 0;
     s.tenants.clear();
-    s.kinds = vec![KindSpec {
+    s.machine_types = vec![MachineTypeSpec {
         cores: 0.0,
         memory_mb: 0.0,
     }];
-    s.classes[0].only_kinds = Some(vec![]);
+    s.classes[0].allowed_machine_types = Some(vec![]);
     s.classes[1].base_latency_objective = 1000 * S;
     s.limits.max_attempts = 0;
     s.invariants.slow_start_duration = 0;
@@ -581,7 +584,7 @@
         acts.extend(rig.tell(Event::Request(ask(id, (id % 3) as u16, rig.now, 6 * S, S))));
     }
     let gone = |i| Endpoint {
-        readiness: Readiness::Gone,
+        readiness: Readiness::Removed,
         ..entry(i, 0, 0)
     };
     rig.tell(Event::EndpointList {
@@ -609,7 +612,7 @@
 fn an_engine_back_under_the_same_id_and_start_time_gets_work_again() {
     let mut rig = Rig::new(settings(), vec![entry(1, 0, 0)]);
     rig.pass(3 * S);
-    for readiness in [Readiness::Gone, Readiness::Ready] {
+    for readiness in [Readiness::Removed, Readiness::Ready] {
         let entries = vec![Endpoint {
             readiness,
             ..entry(1, 0, 0)
@@ -679,7 +682,7 @@
     }
     rig.pass(100 * MS);
     rig.now += 2 * S;
-    assert_eq!(cancels(&rig.tell(Event::Timer(1))), 0);
+    assert_eq!(cancels(&rig.tell(Event::TimerFired(1))), 0);
     for (id, engine) in sent {
         rig.tell(outcome(id, 0, engine, OutcomeKind::Ok, 2100 * MS));
     }
@@ -732,7 +735,7 @@
 #[test]
 fn a_query_told_to_wait_for_a_load_goes_where_its_data_is_free() {
     let mut s = settings();
-    s.classes[0].waits_for_loads = true;
+    s.classes[0].blocked_by_loads = true;
     let mut rig = Rig::new(s, two());
     let look_up = |id, now| Request {
         data_set: 7,
@@ -762,7 +765,7 @@
 #[test]
 fn a_query_waits_for_room_elsewhere_rather_than_for_a_load() {
     let mut s = settings();
-    s.classes[0].waits_for_loads = true;
+    s.classes[0].blocked_by_loads = true;
     let mut rig = Rig::new(s, two());
     let look_up = |id, group, now| Request {
         data_set: group,
@@ -785,7 +788,7 @@
     (100..200)
         .filter(|id| !sent.iter().any(|(s, _)| s == id))
         .for_each(|id| {
-            rig.tell(Event::ClientGone(RequestId(id)));
+            rig.tell(Event::ClientDisconnected(RequestId(id)));
         });
     let on = |id: u32, engine| outcome(id, 0, engine, OutcomeKind::Ok, 200 * MS);
     let there = sent.iter().filter(|(_, e)| *e == held).take(3);
@@ -803,7 +806,7 @@
 #[test]
 fn a_query_that_takes_long_where_others_get_on_keeps_those_on_its_data_off() {
     let mut s = settings();
-    (s.classes[0].waits_for_loads, s.progress_period) = (true, 0);
+    (s.classes[0].blocked_by_loads, s.progress_period) = (true, 0);
     let mut rig = Rig::new(s, two());
     let ask_for = |rig: &mut Rig, id, group| {
         let ask = Request {
@@ -895,7 +898,7 @@
 #[test]
 fn a_query_that_stands_still_goes_where_its_data_is_free() {
     let mut s = settings();
-    (s.classes[0].waits_for_loads, s.progress_period) = (true, 0);
+    (s.classes[0].blocked_by_loads, s.progress_period) = (true, 0);
     let mut rig = Rig::new(s, two());
     let stands = sends(&rig.tell(Event::Request(ask(1, 0, rig.now, 6 * S, 200 * MS))))[0].1;
     rig.pass(300 * MS);
--- a/tests/recorded_run.rs
+++ b/tests/recorded_run.rs
@@ -99,14 +99,14 @@
             Action::Cancel { id, attempt } => (3, vec![u64::from(id.0), u64::from(attempt.0)]),
             Action::Reject { id, retry_after } => (4, vec![u64::from(id.0), *retry_after]),
             Action::Fail { id } => (5, vec![u64::from(id.0)]),
-            Action::Timer { after, token } => (6, vec![*after, *token]),
+            Action::StartTimer { after, token } => (6, vec![*after, *token]),
             Action::Probe { engine } => (7, vec![engine.0]),
-            Action::CloseIdle { engine } => (8, vec![engine.0]),
+            Action::CloseIdleConnections { engine } => (8, vec![engine.0]),
             Action::SendToPeer { peer, data } => {
                 (9, vec![peer.map_or(u64::MAX, u64::from), data.len() as u64])
             }
             Action::FetchEndpointList => (10, vec![]),
-            Action::Watch(on) => (11, vec![u64::from(*on)]),
+            Action::WatchEndpointList(on) => (11, vec![u64::from(*on)]),
             Action::Log(line) => (12, vec![line.len() as u64]),
         };
         self.digest.update(&[code]);
@@ -144,7 +144,7 @@
     fn load(&mut self) -> LoadReport {
         let len = self.settings.load_fields.len();
         let values = [0; 4].map(|_| self.draw(400) as f32 / 100.0);
-        LoadReport { len, values }
+        LoadReport::from_values(&values[..len])
     }
 
     fn request(&mut self) {
@@ -243,7 +243,7 @@
                 });
             }
             1 => self.entry(id, Readiness::Draining, 0),
-            2 => self.entry(id, Readiness::Gone, 0),
+            2 => self.entry(id, Readiness::Removed, 0),
             3 | 4 => self.entry(id, Readiness::Ready, self.now - self.now % MS),
             _ => {
                 let entries = (1..=self.engines)
@@ -320,7 +320,7 @@
             780..=789 => self.list(),
             790..=809 if !self.attempts.is_empty() => {
                 let id = RequestId(self.draw(self.attempts.len() as u32));
-                self.handle(Event::ClientGone(id));
+                self.handle(Event::ClientDisconnected(id));
             }
             810..=819 if !self.running.is_empty() => {
                 let (id, attempt) = (self.running[0].id, self.running[0].attempt);
@@ -334,7 +334,7 @@
             // A stall of this manager itself.
             824 => self.now += 200 * MS,
             825..=829 => self.now += 40 * MS,
-            _ => self.handle(Event::Timer(1)),
+            _ => self.handle(Event::TimerFired(1)),
         }
     }
 
@@ -354,16 +354,16 @@
     let mut settings = settings();
     settings.limits.hedging = true;
     settings.priorities_supported = true;
-    settings.load_fields = vec![LoadField::Inflight, LoadField::Util];
+    settings.load_fields = vec![LoadField::QueriesInFlight, LoadField::CpuUtilization];
     settings
 }
 
 fn ordered_loads() -> Settings {
     let mut settings = settings();
-    settings.classes[0].waits_for_loads = true;
-    settings.classes[1].waits_for_loads = true;
+    settings.classes[0].blocked_by_loads = true;
+    settings.classes[1].blocked_by_loads = true;
     settings.poll_endpoint_list = true;
-    settings.cross_zone_costs = true;
+    settings.cross_zone_is_charged = true;
     settings.reports_cost = false;
     settings.tenants = vec![
         TenantSpec {
@@ -381,10 +381,10 @@
     settings.gateway_index = 17;
     settings.limits.may_probe = may_probe;
     settings.load_fields = vec![
-        LoadField::Util,
-        LoadField::DisksBusy,
-        LoadField::MemoryGranted,
-        LoadField::Queue,
+        LoadField::CpuUtilization,
+        LoadField::DiskUtilization,
+        LoadField::MemoryGrantedFraction,
+        LoadField::QueriesQueued,
     ];
     settings.invariants.retry_budget = None;
     settings
@@ -393,16 +393,16 @@
 fn keyed_everywhere() -> Settings {
     let mut settings = settings();
     settings.classes[0].idempotency = Idempotency::WithKey {
-        scope: Scope::All,
+        scope: DeduplicationScope::All,
         window: 3 * S,
     };
     settings.classes[3].idempotency = Idempotency::WithKey {
-        scope: Scope::Zone,
+        scope: DeduplicationScope::Zone,
         window: 3 * S,
     };
     settings.limits.may_cancel = false;
     settings.progress_period = 0;
-    settings.limits.retry_after = false;
+    settings.limits.may_send_retry_after = false;
     settings
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -63,12 +63,12 @@
         s.gateway_index = rng.next_u32() % s.gateways;
         let fields = [
             vec![],
-            vec![LoadField::Inflight],
-            vec![LoadField::Util],
+            vec![LoadField::QueriesInFlight],
+            vec![LoadField::CpuUtilization],
             vec![
-                LoadField::Util,
-                LoadField::DisksBusy,
-                LoadField::MemoryGranted,
+                LoadField::CpuUtilization,
+                LoadField::DiskUtilization,
+                LoadField::MemoryGrantedFraction,
             ],
         ];
         s.load_fields = fields[rng.next_u32() as usize % 4].clone();
@@ -118,7 +118,7 @@
         if kind != EndpointListKind::Changes {
             let named: Vec<EngineId> = entries.iter().map(|e| e.id).collect();
             for e in self.listed.values_mut().filter(|e| !named.contains(&e.id)) {
-                e.readiness = Readiness::Gone;
+                e.readiness = Readiness::Removed;
             }
         }
         for e in &entries {
@@ -148,7 +148,7 @@
             r.ask.deadline
         };
         assert!(
-            now <= due + self.s.invariants.answer_slack,
+            now <= due + self.s.invariants.response_grace,
             "late answer for {id:?}"
         );
         r.over.get_or_insert(now);
@@ -164,7 +164,7 @@
         match action {
             Action::Reject { id, .. } => self.answer(*id, true),
             Action::Fail { id } => self.answer(*id, false),
-            Action::Timer { after, .. } => drop(self.timers.insert(now + after)),
+            Action::StartTimer { after, .. } => drop(self.timers.insert(now + after)),
             Action::Probe { .. } => {
                 assert!(self.s.limits.may_probe, "probed where that is not allowed")
             }
@@ -212,9 +212,9 @@
         );
         assert!(
             class
-                .only_kinds
+                .allowed_machine_types
                 .as_ref()
-                .is_none_or(|k| k.contains(&e.kind)),
+                .is_none_or(|k| k.contains(&e.machine_type)),
             "placement"
         );
         let first_run = r.tries.iter().find(|t| may_have_run(t));
@@ -228,7 +228,7 @@
             }
             _ => {}
         }
-        if let (true, Some(key)) = (class.in_order, r.ask.key) {
+        if let (true, Some(key)) = (class.serial_per_key, r.ask.key) {
             for other in self.order[&key].iter().take_while(|o| **o != id) {
                 let o = &self.seen[other];
                 assert!(o.over.is_some(), "{id:?} sent before {other:?} is over");
@@ -270,7 +270,7 @@
                 .iter()
                 .filter(|(t, c, _)| *c == engine && *t >= since);
             let (count, sent) = sent.fold((0, 0.0), |(n, sum), (_, _, w)| (n + 1, sum + w));
-            let cores = self.s.kinds[usize::from(e.kind.0)].cores;
+            let cores = self.s.machine_types[usize::from(e.machine_type.0)].cores;
             let age = (now - e.started_at) as f64 / self.s.invariants.slow_start_duration as f64;
             let window = self.s.invariants.overload_window as f64;
             let budget = 2.0 * cores * 0.85 * (0.3 + 0.7 * age) * window;
@@ -352,7 +352,7 @@
             let due: Vec<Nanos> = self.timers.range(..=now).copied().collect();
             for t in due {
                 self.timers.remove(&t);
-                self.tell(Event::Timer(1));
+                self.tell(Event::TimerFired(1));
             }
         }
     }
@@ -364,7 +364,7 @@
         self.rig.now += (300 + self.below(1700)) * MS;
         self.stood = (from, self.rig.now);
         self.timers.clear();
-        self.tell(Event::Timer(1));
+        self.tell(Event::TimerFired(1));
         for (id, n) in self.out() {
             let r = &self.seen[&id];
             let lost = r.tries[n].cancelled;
@@ -455,12 +455,12 @@
                 if let Some(id) = open.first() {
                     let r = self.seen.get_mut(id).expect("known");
                     (r.over, r.answers) = (Some(now), 1);
-                    self.tell(Event::ClientGone(*id));
+                    self.tell(Event::ClientDisconnected(*id));
                 }
             }
             17 => {
                 let i = 1 + self.below(6);
-                let readiness = [Readiness::Ready, Readiness::Draining, Readiness::Gone]
+                let readiness = [Readiness::Ready, Readiness::Draining, Readiness::Removed]
                     [self.below(3) as usize];
                 let old = self.listed.get(&EngineId(i)).map_or(0, |e| e.started_at);
                 let ready_at = if self.below(2) == 0 { now } else { old };
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -27,17 +27,20 @@
 fn fleet_settings(plan: &Plan, me: u32) -> Settings {
     let mut s = settings();
     (s.gateway_index, s.gateways) = (me, plan.managers);
-    s.classes.iter_mut().for_each(|c| c.only_kinds = None);
+    s.classes
+        .iter_mut()
+        .for_each(|c| c.allowed_machine_types = None);
     s.invariants.retry_budget = None;
     s.limits.may_probe = plan.probes;
-    s.load_fields = vec![LoadField::Util];
+    s.load_fields = vec![LoadField::CpuUtilization];
     s
 }
 
 /// What the settings allow a cold engine in calls of mean work within the stated time.
 fn allowed(rules: &Invariants, cores: f64, age: Nanos) -> f64 {
     let part = (age as f64 / rules.slow_start_duration as f64).min(1.0);
-    let warmth = rules.slow_start_from + (1.0 - rules.slow_start_from) * part * part;
+    let warmth =
+        rules.slow_start_initial_fraction + (1.0 - rules.slow_start_initial_fraction) * part * part;
     rules.overload_multiple * warmth * cores * 0.8 * rules.overload_window as f64 / WORK as f64
 }
 
@@ -125,7 +128,7 @@
                     &mut acts,
                 );
             }
-            m.g.handle(now, Event::Timer(1), &mut acts);
+            m.g.handle(now, Event::TimerFired(1), &mut acts);
             let mut due = plan.demand * capacity * burst * m.rate / sum * STEP as f64 / 1e9;
             while due >= 1.0 || draw() < due {
                 let ask = ask(m.next, 0, now, 6 * S, WORK);
@@ -145,10 +148,7 @@
                     }
                     Action::Probe { engine } => {
                         let util = if engine == COLD { 0.1 } else { 0.95 };
-                        let load = LoadReport {
-                            len: 1,
-                            values: [util; 4],
-                        };
+                        let load = LoadReport::from_values(&[util]);
                         let kind = OutcomeKind::Ok;
                         m.g.handle(
                             now,
--- a/tests/unit/concurrency_limit.rs
+++ b/tests/unit/concurrency_limit.rs
@@ -14,31 +14,31 @@
         objective_slowdown: 2.0,
         deadline: 60 * S,
         idempotency: Idempotency::Idempotent,
-        in_order: false,
+        serial_per_key: false,
         threads: 1.0,
-        is_load: false,
-        waits_for_loads: false,
-        streams: false,
-        only_zones: None,
-        only_kinds: None,
+        loads_data_set: false,
+        blocked_by_loads: false,
+        streams_response: false,
+        allowed_zones: None,
+        allowed_machine_types: None,
     };
     let rules = Invariants {
-        answer_slack: S / 50,
+        response_grace: S / 50,
         drain_grace: S,
-        slow_start_from: 0.3,
+        slow_start_initial_fraction: 0.3,
         slow_start_duration: 15 * S,
         overload_multiple: 2.0,
         overload_window: 2 * S,
         key_cooldown: 0,
         retry_budget: None,
-        poll_within: 0,
+        max_poll_interval: 0,
     };
     let limits = Limits {
         max_attempts: 3,
         may_cancel: true,
         may_probe: false,
         may_message_peers: false,
-        retry_after: true,
+        may_send_retry_after: true,
         max_retry_after: S,
         hedging: false,
     };
@@ -46,9 +46,9 @@
         gateway_index: 7,
         gateways: 300,
         zone: ZoneId(0),
-        tick: S / 200,
+        batch_interval: S / 200,
         classes: vec![class],
-        kinds: vec![KindSpec {
+        machine_types: vec![MachineTypeSpec {
             cores: 8.0,
             memory_mb: 0.0,
         }],
@@ -56,7 +56,7 @@
         over_quota_weight: 1.0,
         poll_endpoint_list: false,
         load_fields: vec![],
-        cross_zone_costs: false,
+        cross_zone_is_charged: false,
         probe_price: 0.01,
         memory_grants_supported: false,
         priorities_supported: false,
@@ -105,7 +105,7 @@
             }
             for _ in 0..25 {
                 self.now += S / 50;
-                self.tell(Event::Timer(1));
+                self.tell(Event::TimerFired(1));
             }
             if come == 0 || half % 2 == 1 {
                 continue;
@@ -225,7 +225,7 @@
         let latency = if round < 100 { S / 5 } else { S };
         for _ in 0..latency / (S / 50) {
             p.now += S / 50;
-            p.tell(Event::Timer(1));
+            p.tell(Event::TimerFired(1));
         }
         while let Some((id, engine)) = p.out.pop() {
             let (id, attempt, kind) = (RequestId(id), AttemptNo(0), OutcomeKind::Ok);
@@ -260,7 +260,7 @@
     // slowness it is measured by.
     let s = Settings {
         reports_cost: false,
-        load_fields: vec![LoadField::Inflight],
+        load_fields: vec![LoadField::QueriesInFlight],
         ..settings()
     };
     let mut p = Play {
@@ -280,10 +280,7 @@
     });
     let mut learned = Vec::new();
     for round in 0..900 {
-        let load = LoadReport {
-            len: 1,
-            values: [32.0, 0.0, 0.0, 0.0],
-        };
+        let load = LoadReport::from_values(&[32.0]);
         for i in 1..=4 {
             let engine = EngineId(i);
             p.tell(Event::ProbeCompleted {
@@ -307,7 +304,7 @@
             p.g.engines
                 .values_mut()
                 .for_each(|e| e.report = e.report.map(|(_, t)| (p.now, t)));
-            p.tell(Event::Timer(1));
+            p.tell(Event::TimerFired(1));
         }
         while let Some((id, engine)) = p.out.pop() {
             let (id, attempt) = (RequestId(id), AttemptNo(0));
@@ -358,7 +355,7 @@
     p.seconds(1, 3, S / 5);
     assert_eq!(p.out.first().map(|(_, engine)| *engine), Some(EngineId(1)));
     for i in 1..100 {
-        let entries = vec![entry(i + 1, Readiness::Ready), entry(i, Readiness::Gone)];
+        let entries = vec![entry(i + 1, Readiness::Ready), entry(i, Readiness::Removed)];
         p.tell(Event::EndpointList {
             kind: EndpointListKind::Changes,
             entries,
--- a/tests/unit/endpoint_list.rs
+++ b/tests/unit/endpoint_list.rs
@@ -39,7 +39,7 @@
             // Odd ones come to the address of the one before, with no word of its end.
             let mut engines = vec![one(id, 1_000 + (id / 2) as u16, Readiness::Ready)];
             if id % 2 == 0 {
-                engines.push(one(id - 1, 1_000 + (id / 2 - 1) as u16, Readiness::Gone));
+                engines.push(one(id - 1, 1_000 + (id / 2 - 1) as u16, Readiness::Removed));
             }
             let _ = updates
                 .send(Update {
@@ -54,7 +54,7 @@
             told.extend(
                 entries
                     .iter()
-                    .filter(|e| e.readiness == Readiness::Gone)
+                    .filter(|e| e.readiness == Readiness::Removed)
                     .map(|e| e.id.0),
             );
         }
--- a/tests/unit/fleet_scan.rs
+++ b/tests/unit/fleet_scan.rs
@@ -119,12 +119,12 @@
         let told = match self.draw(5) {
             0 | 1 => entry(id, Readiness::Ready, self.now - self.now % 7),
             2 => entry(id, Readiness::Draining, known),
-            3 => entry(id, Readiness::Gone, known),
+            3 => entry(id, Readiness::Removed, known),
             _ => {
                 let all: Vec<_> = self.g.engines.values().map(|e| e.entry).collect();
                 let entries = all
                     .into_iter()
-                    .filter(|e| e.readiness != Readiness::Gone)
+                    .filter(|e| e.readiness != Readiness::Removed)
                     .collect();
                 return self.tell(Event::EndpointList {
                     kind: EndpointListKind::Full,
@@ -243,7 +243,7 @@
             }
             let walks = p.g.fleet.walks;
             p.now += STEP / 2;
-            p.tell(Event::Timer(1));
+            p.tell(Event::TimerFired(1));
             p.compare(&format!("seed {seed}, step {step}"));
             short += u32::from(p.g.fleet.walks == walks);
             ejected += ejections(&p).saturating_sub(before);
@@ -268,7 +268,7 @@
         entries,
     });
     p.now += S;
-    p.tell(Event::Timer(1));
+    p.tell(Event::TimerFired(1));
     // At the instant when it woke it would learn nothing.
     p.now += STEP;
     let there = |p: &Play| p.out.iter().position(|o| o.2 == EngineId(1));
@@ -295,7 +295,7 @@
             let (walks, visits) = (p.g.fleet.walks, p.g.fleet.visits);
             for _ in 0..500 {
                 p.now += STEP;
-                p.tell(Event::Timer(1));
+                p.tell(Event::TimerFired(1));
             }
             let walks = p.g.fleet.walks - walks;
             assert!((20..=30).contains(&walks), "{walks} walks in ten seconds");
--- a/tests/unit/in_flight.rs
+++ b/tests/unit/in_flight.rs
@@ -1,11 +1,11 @@
 //! What the ledger allows next, by what a request's attempts have done so far.
 use super::*;
 use crate::clock::{MS, SEC};
-use crate::policy::api::{CellId, EngineId, Scope, ZoneId};
+use crate::policy::api::{CellId, DeduplicationScope, EngineId, ZoneId};
 
 const WINDOW: Micros = 20 * SEC;
 
-fn keyed(scope: Scope) -> Idempotency {
+fn keyed(scope: DeduplicationScope) -> Idempotency {
     Idempotency::WithKey {
         scope,
         window: nanos(WINDOW),
@@ -56,10 +56,16 @@
         [here, cell, zone, far].map(|to| open.may_send(now, &to))
     };
     let (within, past) = (SEC + WINDOW - MS, SEC + WINDOW);
-    assert_eq!(goes(keyed(Scope::All), within), [true; 4]);
-    assert_eq!(goes(keyed(Scope::Zone), within), [true, true, true, false]);
-    assert_eq!(goes(keyed(Scope::Cell), within), [true, true, false, false]);
-    assert_eq!(goes(keyed(Scope::All), past), [false; 4]);
+    assert_eq!(goes(keyed(DeduplicationScope::All), within), [true; 4]);
+    assert_eq!(
+        goes(keyed(DeduplicationScope::Zone), within),
+        [true, true, true, false]
+    );
+    assert_eq!(
+        goes(keyed(DeduplicationScope::Cell), within),
+        [true, true, false, false]
+    );
+    assert_eq!(goes(keyed(DeduplicationScope::All), past), [false; 4]);
     assert_eq!(goes(Idempotency::NonIdempotent, within), [false; 4]);
     assert_eq!(goes(Idempotency::Idempotent, past), [true; 4]);
 }
@@ -78,9 +84,9 @@
         with(Idempotency::Idempotent, 2).may_send(SEC, &there)
             && !with(Idempotency::Idempotent, 2).may_send(SEC, &here)
     );
-    assert!(with(keyed(Scope::All), 2).may_send(SEC, &there));
+    assert!(with(keyed(DeduplicationScope::All), 2).may_send(SEC, &there));
     assert!(
-        !with(keyed(Scope::All), 2).may_send(SEC + WINDOW, &there),
+        !with(keyed(DeduplicationScope::All), 2).may_send(SEC + WINDOW, &there),
         "what is out may have run"
     );
     assert!(
@@ -115,9 +121,9 @@
     let here = engine(1, 0, 0);
     for (effect, ran, is_out) in [
         (Idempotency::Idempotent, true, true),
-        (keyed(Scope::All), true, true),
-        (keyed(Scope::Zone), false, false),
-        (keyed(Scope::Cell), false, false),
+        (keyed(DeduplicationScope::All), true, true),
+        (keyed(DeduplicationScope::Zone), false, false),
+        (keyed(DeduplicationScope::Cell), false, false),
         (Idempotency::NonIdempotent, false, false),
     ] {
         let fresh = open(effect, 2);
@@ -157,7 +163,10 @@
         attempts_started: 1,
         ..open(effect, 1)
     };
-    assert_eq!(ran(keyed(Scope::All)).known_until(), Some(SEC + WINDOW));
+    assert_eq!(
+        ran(keyed(DeduplicationScope::All)).known_until(),
+        Some(SEC + WINDOW)
+    );
     assert_eq!(
         [
             ran(Idempotency::Idempotent),
@@ -167,7 +176,7 @@
         [None; 2]
     );
     assert_eq!(
-        open(keyed(Scope::All), 1).known_until(),
+        open(keyed(DeduplicationScope::All), 1).known_until(),
         None,
         "nothing ran: no window"
     );
--- a/tests/unit/net_engine_endpoint.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -295,7 +295,7 @@
             assert_eq!(old.tell(start(1)), Ok(()));
             w.steps(steps);
             if leaves {
-                old.mark(Readiness::Gone);
+                old.mark(Readiness::Removed);
             }
             old.close();
             let new = w.row(1);
