--- a/src/policy/admission_queue.rs
+++ b/src/policy/admission_queue.rs
@@ -10,18 +10,18 @@
     pub(super) fn in_aim(&self, now: Nanos, r: &PendingRequest) -> bool {
         let small = DOUBT * self.work(r);
         let runs = small / self.threads(r) * self.fleet.median_stretch.max(1.0);
-        now + nanos(runs) <= r.arrived + nanos(aim(self.class(r), small))
+        now + nanos(runs) <= r.arrived_at + nanos(aim(self.class(r), small))
     }
 
     /// Worth per second of work, less where late or beyond the tenant's share.
     fn rank(&self, now: Nanos, r: &PendingRequest) -> f64 {
         let c = self.class(r);
-        let share = if r.over_share {
+        let share = if r.over_quota {
             self.settings.over_quota_weight
         } else {
             1.0
         };
-        let late = if self.in_aim(now, r) && !r.ask.is_retry {
+        let late = if self.in_aim(now, r) && !r.request.is_retry {
             1.0
         } else {
             c.late_priority_weight.max(0.01)
@@ -33,7 +33,7 @@
         let Some(r) = self.requests.get(&id) else {
             return;
         };
-        self.held.push((self.rank(now, r), id, r.ask.class));
+        self.held.push((self.rank(now, r), id, r.request.class));
     }
 
     /// Sends held queries that have room, best rank first. Where a fresh query of a class found no
@@ -47,7 +47,7 @@
             let Some(r) = self
                 .requests
                 .get(&id)
-                .filter(|r| !r.done && r.outs.is_empty())
+                .filter(|r| !r.finished && r.attempts.is_empty())
             else {
                 self.held.remove(at);
                 continue;
@@ -78,7 +78,7 @@
         held.iter().for_each(|(_, id, _)| self.hold(now, *id));
         self.held
             .sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        let rate = self.fleet.cores * USUAL_BUSY / self.sharers;
+        let rate = self.fleet.cores * USUAL_BUSY / self.active_gateways;
         let margin = 2 * SWEEP_EVERY.max(self.settings.tick);
         let mut ahead = 0.0;
         for entry in std::mem::take(&mut self.held) {
@@ -86,13 +86,15 @@
             let Some(r) = self
                 .requests
                 .get(&id)
-                .filter(|r| !r.done && r.outs.is_empty())
+                .filter(|r| !r.finished && r.attempts.is_empty())
             else {
                 continue;
             };
             let wait = if rate > 0.0 { ahead / rate } else { 0.0 };
             let late = rate > 0.0 && now + nanos(wait + self.alone(r)) > self.useful_end(r);
-            if late || now + margin >= r.ask.deadline || r.attempts_started >= r.max_attempts.max(1)
+            if late
+                || now + margin >= r.request.deadline
+                || r.attempts_started >= r.max_attempts.max(1)
             {
                 self.give_up(id, nanos(wait.max(0.1)), acts);
             } else {
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -19,7 +19,7 @@
             .get_mut(usize::from(ask.tenant.0))
             .filter(|t| t.quota > 0.0)
         {
-            let rate = t.quota / self.sharers;
+            let rate = t.quota / self.active_gateways;
             let filled = t.tokens + rate * secs(now.saturating_sub(t.filled_at));
             (t.tokens, t.filled_at) = (filled.min((rate * QUOTA_BURST).max(QUOTA_LEAST)), now);
             // A query that comes again was counted at its first try.
@@ -28,9 +28,9 @@
         }
         let most_sends = self.settings.limits.max_attempts;
         let r = PendingRequest {
-            ask,
-            arrived: now,
-            over_share,
+            request: ask,
+            arrived_at: now,
+            over_quota: over_share,
             max_attempts: most_sends,
             ..PendingRequest::default()
         };
@@ -43,11 +43,11 @@
         let fits = some
             .iter()
             .filter_map(|id| self.engines.get(id))
-            .filter(|e| placed(self.class(&r), &e.entry));
-        let room = |e: &Engine| e.bound / self.sharers - e.running.threads;
+            .filter(|e| placed(self.class(&r), &e.endpoint));
+        let room = |e: &Engine| e.bound / self.active_gateways - e.running.threads;
         let best = fits
             .max_by(|a, b| room(a).total_cmp(&room(b)))
-            .map(|e| e.entry.id);
+            .map(|e| e.endpoint.id);
         if let Some(e) = best.and_then(|id| self.engines.get_mut(&id)) {
             e.window.wanted += 1.0;
         }
@@ -70,9 +70,13 @@
             return;
         };
         let (alone, threads, long) = (self.alone(r), self.threads(r), self.is_long(r));
-        let (weight, is_load, group) = (self.cold_weight(r), self.class(r).is_load, r.ask.data_set);
+        let (weight, is_load, group) = (
+            self.cold_weight(r),
+            self.class(r).is_load,
+            r.request.data_set,
+        );
         let small = self.work(r) < self.learned(r).work;
-        let hopeless = r.over_share || now + nanos(alone) > self.aim_end(r);
+        let hopeless = r.over_quota || now + nanos(alone) > self.aim_end(r);
         self.extras.extend((r.attempts_started > 0).then_some(now));
         let thin = self
             .engines
@@ -85,7 +89,7 @@
         let load = if thin {
             told
         } else {
-            e.running.threads * self.sharers
+            e.running.threads * self.active_gateways
         };
         let crowd = (if load.is_finite() { load } else { 0.0 } + threads) / e.cores;
         let running = Running {
@@ -98,21 +102,21 @@
         let before = self.fleet.mix;
         self.fleet.mix.add(before, -LEARN);
         self.fleet.mix.add(running, alone);
-        e.since += threads;
-        e.sent_at = now;
+        e.threads_sent_since_report += threads;
+        e.last_sent_at = now;
         if e.warmth(now, &self.settings.invariants) < 1.0 {
             e.count_cold(now, &self.settings.invariants, weight);
         }
         self.fleet.note_send(engine);
         if is_load {
-            *e.held_groups.entry(group).or_default() += 1;
+            *e.loading_data_sets.entry(group).or_default() += 1;
         }
-        e.health = if e.health == CircuitState::HalfOpen(None) {
+        e.circuit = if e.circuit == CircuitState::HalfOpen(None) {
             CircuitState::HalfOpen(Some(id))
         } else {
-            e.health
+            e.circuit
         };
-        let expected = alone * e.stretch.max(1.0);
+        let expected = alone * e.slowdown.max(1.0);
         self.carry(now, engine, running, 1.0);
         let Some(r) = self.requests.get_mut(&id) else {
             return;
@@ -125,7 +129,7 @@
             expected,
             ..Attempt::default()
         };
-        r.outs.push(Attempt {
+        r.attempts.push(Attempt {
             attempt,
             engine,
             running,
@@ -133,7 +137,7 @@
             ..times
         });
         r.attempts_started += 1;
-        r.tried.insert(engine);
+        r.tried_engines.insert(engine);
         if self.settings.priorities_supported {
             // Of long ones those under the usual size first: their aims are the nearest.
             let priority = if hopeless {
@@ -159,20 +163,20 @@
     /// The final answer of a request that will not be served: refused where that is honest, else
     /// failed.
     pub(super) fn give_up(&mut self, id: RequestId, come_back: Nanos, acts: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.done) else {
+        let Some(r) = self.requests.get(&id).filter(|r| !r.finished) else {
             return;
         };
         let honest = may_refuse(self.effect(r), r.first().is_some());
         let Some(r) = self.requests.get_mut(&id) else {
             return;
         };
-        r.done = true;
+        r.finished = true;
         if honest {
             // It will come again, and count again: retries must not use up a tenant's share.
             if let Some(t) = self
                 .tenants
-                .get_mut(usize::from(r.ask.tenant.0))
-                .filter(|_| !r.over_share)
+                .get_mut(usize::from(r.request.tenant.0))
+                .filter(|_| !r.over_quota)
             {
                 t.tokens += 1.0;
             }
@@ -194,7 +198,7 @@
         let Some(r) = self.requests.get_mut(&id) else {
             return;
         };
-        r.done = true;
+        r.finished = true;
         self.withdraw_all(id, acts);
         self.forget(id);
     }
@@ -207,7 +211,7 @@
         let Some(out) = r.take_out(o.attempt) else {
             return;
         };
-        r.done |= o.request_finished;
+        r.finished |= o.request_finished;
         let never_ran = matches!(
             o.kind,
             OutcomeKind::Rejected | OutcomeKind::ConnectFailed | OutcomeKind::NeverSent
@@ -220,26 +224,27 @@
             .chain(ran)
             .min_by_key(|(_, sent)| *sent);
         let (ask, is_load) = (
-            r.ask,
-            self.settings.classes[usize::from(r.ask.class.0)].is_load,
+            r.request,
+            self.settings.classes[usize::from(r.request.class.0)].is_load,
         );
         self.carry(now, out.engine, out.running, -1.0);
         let Some(e) = self.engines.get_mut(&out.engine) else {
             return;
         };
         if e.report.is_none_or(|(at, _)| at <= out.sent) {
-            e.since = (e.since - out.running.threads).max(0.0);
+            e.threads_sent_since_report =
+                (e.threads_sent_since_report - out.running.threads).max(0.0);
         }
         if is_load {
-            *e.held_groups.entry(ask.data_set).or_insert(1) -= 1;
-            e.held_groups.retain(|_, n| *n > 0);
+            *e.loading_data_sets.entry(ask.data_set).or_insert(1) -= 1;
+            e.loading_data_sets.retain(|_, n| *n > 0);
         }
         // What paid off gives its cancel back: losses do not use up the stock, slow engines do.
         if o.kind == OutcomeKind::Ok && o.attempt.0 > 0 {
             self.cancels = (self.cancels + 1.0).min(CANCEL_SPARE);
         }
         // What came while this gateway stood still is as old as that: it tells nothing of engines.
-        if o.kind == OutcomeKind::Ok && self.woke_at != now {
+        if o.kind == OutcomeKind::Ok && self.resumed_at != now {
             self.learn(&ask, o, &out);
         }
         self.on_report(now, out.engine, &o.load);
@@ -261,15 +266,15 @@
         let Some(r) = self.requests.get(&id) else {
             return;
         };
-        if r.done {
+        if r.finished {
             // Answered: the copy beside it runs for nobody.
             self.withdraw_all(id, acts);
             return self.forget(id);
         }
-        if !r.outs.is_empty() {
+        if !r.attempts.is_empty() {
             return;
         }
-        let time_left = now + nanos(self.alone(r)) < r.ask.deadline;
+        let time_left = now + nanos(self.alone(r)) < r.request.deadline;
         if time_left
             && self.effect_allows(now, r, None)
             && r.attempts_started < r.max_attempts.max(1)
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -59,7 +59,7 @@
             self.bound
         };
         let next = wanted.clamp(low, self.bound * (1.0 + STEP));
-        self.bound = next.clamp(self.start * FLOOR, self.start * CEILING);
+        self.bound = next.clamp(self.initial_bound * FLOOR, self.initial_bound * CEILING);
     }
 }
 
@@ -71,7 +71,7 @@
         let period = secs(now.saturating_sub(self.updated_at)).max(1e-3);
         self.updated_at = now;
         for r in self.requests.values() {
-            for o in &r.outs {
+            for o in &r.attempts {
                 let age = secs(now.saturating_sub(o.sent)) / aim(self.class(r), self.work(r));
                 if let Some(e) = self.engines.get_mut(&o.engine).filter(|_| age > 1.0) {
                     e.window.lateness += age.min(CLIP);
@@ -79,8 +79,8 @@
                 }
             }
         }
-        let (sharers, count) = (self.sharers, self.fleet.ready.len().max(1) as f64);
-        let thin = |e: &Engine| e.start * LONG_BORROW / sharers < 1.0;
+        let (sharers, count) = (self.active_gateways, self.fleet.ready.len().max(1) as f64);
+        let thin = |e: &Engine| e.initial_bound * LONG_BORROW / sharers < 1.0;
         for e in self.engines.values_mut() {
             e.count(now);
             let w = std::mem::take(&mut e.window);
@@ -91,7 +91,7 @@
                 } else {
                     self.fleet.median_stretch
                 };
-                e.stretch += FADE * (usual - e.stretch);
+                e.slowdown += FADE * (usual - e.slowdown);
             } else {
                 e.steer(w.law(period) * sharers, w.falls());
             }
@@ -110,7 +110,7 @@
             .engines
             .values()
             .filter(|e| e.ready())
-            .map(|e| e.stretch)
+            .map(|e| e.slowdown)
             .min_by(f64::total_cmp);
         self.fleet.best_stretch = best
             .unwrap_or(1.0)
@@ -121,7 +121,7 @@
 
     /// Latency far above the best. A gateway just started does not know and takes it for pressure.
     fn pressed(&self, now: Nanos, stretch: f64) -> bool {
-        let fresh = now.saturating_sub(self.born) < PERIOD;
+        let fresh = now.saturating_sub(self.created_at) < PERIOD;
         fresh || stretch > PRESSURE * self.fleet.best_stretch.min(2.0)
     }
 
@@ -130,11 +130,16 @@
     pub(super) fn has_room(&self, now: Nanos, r: &PendingRequest, e: &Engine) -> bool {
         let (k, long) = (self.threads(r), self.is_long(r));
         // Far slower than its peers: less, to clear it. Harms after underestimates.
-        let jam = (JAM * self.fleet.median_stretch / e.stretch).min(1.0);
+        let jam = (JAM * self.fleet.median_stretch / e.slowdown).min(1.0);
         let able = jam * e.warmth(now, &self.settings.invariants);
         if !self.thin(e, k) {
-            let pressed = now < e.full_until || self.pressed(now, e.stretch);
-            let limit = able * if pressed { e.bound } else { e.start * SURGE } / self.sharers;
+            let pressed = now < e.rejecting_until || self.pressed(now, e.slowdown);
+            let limit =
+                able * if pressed {
+                    e.bound
+                } else {
+                    e.initial_bound * SURGE
+                } / self.active_gateways;
             return e.running.fits(k, long, limit);
         }
         // Exception: a share under one query. All shares bound own threads, reports tell where room
@@ -147,7 +152,7 @@
         } else {
             LATE_PART
         };
-        let share = self.fleet.bound / self.sharers * self.spare(pressed) * part;
+        let share = self.fleet.bound / self.active_gateways * self.spare(pressed) * part;
         // A share of a few queries is kept in the mean over a period, like Ne of the law, lest a
         // good part of it be unused. At a moment it may be twice as much, and one with nothing out
         // may send one. A turn on a cold engine does not wait for own queries that are stuck on the
@@ -160,8 +165,10 @@
                     .fits(k, long, (2.0 * share).max(k / LONG_BORROW)));
         let whole = able * e.bound * if long { LONG_BORROW } else { SURGE };
         let load = self.load(now, e);
-        let crowded = now < e.full_until || load >= e.start || (pressed && load > FLOOR * e.start);
-        let holders = whole / k * f64::from(self.settings.gateways.max(1)) / self.sharers;
+        let crowded = now < e.rejecting_until
+            || load >= e.initial_bound
+            || (pressed && load > FLOOR * e.initial_bound);
+        let holders = whole / k * f64::from(self.settings.gateways.max(1)) / self.active_gateways;
         own && load + k <= whole && (!crowded || self.has_slot(now, e, TURN, holders, 0.0))
     }
 
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -52,7 +52,7 @@
         self.fleet.mean.add(mean, -part);
         self.fleet.mean.add(self.fleet.running, part);
         self.look(now);
-        if self.woke_at != now {
+        if self.resumed_at != now {
             self.find_silent(now, acts);
         }
         // The first held query asks again: what its engines told may be old news.
@@ -95,7 +95,7 @@
             ..FleetScan::default()
         };
         for e in self.engines.values() {
-            t.due = if let CircuitState::Open(until) = e.health {
+            t.due = if let CircuitState::Open(until) = e.circuit {
                 t.due.min(until)
             } else {
                 t.due
@@ -103,20 +103,23 @@
             if !e.ready() {
                 continue;
             }
-            let (cold, closed) = (e.warmth(now, rules) < 1.0, e.health == CircuitState::Closed);
+            let (cold, closed) = (
+                e.warmth(now, rules) < 1.0,
+                e.circuit == CircuitState::Closed,
+            );
             let slot = if cold { cold_slot } else { TURN };
-            let holds = |across| self.has_slot(now, e, slot, e.bound * self.part, across);
+            let holds = |across| self.has_slot(now, e, slot, e.bound * self.capacity_share, across);
             t.turns
-                .extend((holds(0.0) || (cold && holds(0.5))).then_some(e.entry.id));
+                .extend((holds(0.0) || (cold && holds(0.5))).then_some(e.endpoint.id));
             t.due = if cold {
                 t.due.min(next(slot)).min(e.warm_at(rules))
             } else {
                 t.due
             };
-            t.stretches.push(e.stretch);
+            t.stretches.push(e.slowdown);
             t.cores += if closed { e.cores } else { 0.0 };
             t.warm_bound += if closed && !cold { e.bound } else { 0.0 };
-            t.cold.extend((closed && cold).then_some(e.entry.id));
+            t.cold.extend((closed && cold).then_some(e.endpoint.id));
         }
         t
     }
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -59,11 +59,12 @@
     /// The gate of every send: one out, time left, drain, placement, cold, attempts, effects, key
     /// turn.
     pub(super) fn gate(&self, now: Nanos, id: RequestId, r: &PendingRequest, e: &Engine) -> bool {
-        let open = !r.done && now + nanos(DOUBT * self.alone(r)) < r.ask.deadline;
-        let beside = self.settings.limits.hedging && r.outs.len() < 2;
+        let open = !r.finished && now + nanos(DOUBT * self.alone(r)) < r.request.deadline;
+        let beside = self.settings.limits.hedging && r.attempts.len() < 2;
         let open = open
-            && (r.outs.is_empty() || (beside && r.outs.iter().all(|o| o.engine != e.entry.id)));
-        let engine = e.ready() && placed(self.class(r), &e.entry) && self.cold_allows(now, r, e);
+            && (r.attempts.is_empty()
+                || (beside && r.attempts.iter().all(|o| o.engine != e.endpoint.id)));
+        let engine = e.ready() && placed(self.class(r), &e.endpoint) && self.cold_allows(now, r, e);
         let further = r.attempts_started == 0
             || (r.attempts_started < r.max_attempts && self.budget_allows(now));
         open && engine
@@ -80,8 +81,8 @@
         let pair = self
             .engines
             .get(&first)
-            .map(|f| f.entry)
-            .zip(e.map(|e| e.entry));
+            .map(|f| f.endpoint)
+            .zip(e.map(|e| e.endpoint));
         // A repeat has to end while engines know its key, not only to begin.
         may_repeat(self.effect(r), sent, pair, now + nanos(self.alone(r)))
     }
@@ -89,26 +90,30 @@
     /// Whether it would stand still there for a load: an own one, or one that others were seen to
     /// wait for.
     pub(super) fn stands(&self, now: Nanos, r: &PendingRequest, e: &Engine) -> bool {
-        let (c, group) = (self.class(r), &r.ask.data_set);
-        let seen = || e.stood_still.get(group).is_some_and(|until| *until > now);
-        (c.is_load || c.waits_for_loads) && (e.held_groups.contains_key(group) || seen())
+        let (c, group) = (self.class(r), &r.request.data_set);
+        let seen = || {
+            e.blocked_data_sets
+                .get(group)
+                .is_some_and(|until| *until > now)
+        };
+        (c.is_load || c.waits_for_loads) && (e.loading_data_sets.contains_key(group) || seen())
     }
 
     /// Lower is better: threads in use under the bound, scaled by slowness against peers.
     fn cost(&self, now: Nanos, r: &PendingRequest, e: &Engine) -> f64 {
         let k = self.threads(r);
-        let slow = (e.stretch / self.fleet.median_stretch.max(0.1)).max(0.7);
+        let slow = (e.slowdown / self.fleet.median_stretch.max(0.1)).max(0.7);
         let whole = e.bound * e.warmth(now, &self.settings.invariants);
         let thin = self.thin(e, k);
         let (load, limit) = if thin {
             (self.load(now, e), whole)
         } else {
-            (e.running.threads, whole / self.sharers)
+            (e.running.threads, whole / self.active_gateways)
         };
         let on = |applies: bool, cost: f64| if applies { cost } else { 0.0 };
         let data = on(self.stands(now, r, e), GROUP_HELD);
         let place = on(
-            self.settings.cross_zone_costs && e.entry.zone != self.settings.zone,
+            self.settings.cross_zone_costs && e.endpoint.zone != self.settings.zone,
             CROSS,
         );
         let (blind, cold) = (
@@ -116,19 +121,19 @@
             e.warmth(now, &self.settings.invariants) < 1.0,
         );
         // A turn on a cold engine is rare, and lost if it is not used.
-        let far =
-            on(blind && !self.near(0).any(|id| id == e.entry.id), FAR) - on(blind && cold, TRIED);
-        let past = on(r.tried.contains(&e.entry.id), TRIED)
-            - on(e.health == CircuitState::HalfOpen(None), TRIAL);
+        let far = on(blind && !self.near(0).any(|id| id == e.endpoint.id), FAR)
+            - on(blind && cold, TRIED);
+        let past = on(r.tried_engines.contains(&e.endpoint.id), TRIED)
+            - on(e.circuit == CircuitState::HalfOpen(None), TRIAL);
         let few = self.fleet.ready.len() <= CANDIDATES;
         // Guards against a home that may be down: all that belongs there would pile up. Forgotten
         // after a period, as an engine that gets nothing can't speak; a small share hears too
         // little to tell.
-        let silent = e.silent_at > e.life_at && now < e.silent_at + PERIOD;
-        let quiet = silent && e.start >= self.sharers;
-        let known = few && r.ask.data_set > 0 && !quiet && self.settings.reports_cost;
-        let home =
-            on(known, HOME * strangeness(r.ask.data_set, e.entry.id)) + on(quiet, HOME + TRIED);
+        let silent = e.unresponsive_at > e.last_activity_at && now < e.unresponsive_at + PERIOD;
+        let quiet = silent && e.initial_bound >= self.active_gateways;
+        let known = few && r.request.data_set > 0 && !quiet && self.settings.reports_cost;
+        let home = on(known, HOME * strangeness(r.request.data_set, e.endpoint.id))
+            + on(quiet, HOME + TRIED);
         (load + k) / limit.max(0.5) * slow + data + place + far + past + home
     }
 
@@ -136,19 +141,19 @@
     pub(super) fn choose(&mut self, now: Nanos, id: RequestId) -> Option<EngineId> {
         let some = self.candidates();
         let r = self.requests.get(&id)?;
-        if self.fleet.probes_out > 0 && now < r.probing_until {
+        if self.fleet.probes_out > 0 && now < r.awaiting_probes_until {
             return None;
         }
         let class = self.class(r);
-        let mine = |e: &&Engine| e.ready() && placed(class, &e.entry);
+        let mine = |e: &&Engine| e.ready() && placed(class, &e.endpoint);
         // Never eject the last engines a class may use: with none closed, all count as closed.
         let any_closed = self
             .engines
             .values()
             .filter(mine)
-            .any(|e| e.health == CircuitState::Closed);
+            .any(|e| e.circuit == CircuitState::Closed);
         let first_safe = class.idempotency == Idempotency::Idempotent && r.attempts_started == 0;
-        let healthy = |e: &&Engine| match e.health {
+        let healthy = |e: &&Engine| match e.circuit {
             CircuitState::Closed => true,
             CircuitState::HalfOpen(None) => first_safe || !any_closed,
             CircuitState::HalfOpen(Some(_)) | CircuitState::Open(_) => !any_closed,
@@ -164,7 +169,7 @@
         let any_free = fits.clone().any(|e| free(&e));
         let fits = fits.filter(|e| !any_free || free(e));
         let fits = fits.filter(|e| self.has_room(now, r, e) && self.gate(now, id, r, e));
-        let priced = fits.map(|e| (self.cost(now, r, e), e.entry.id));
+        let priced = fits.map(|e| (self.cost(now, r, e), e.endpoint.id));
         priced.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, e)| e)
     }
 }
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -16,15 +16,17 @@
     /// to be jammed is new to this gateway.
     pub(super) fn load(&self, now: Nanos, e: &Engine) -> f64 {
         match e.report {
-            Some((at, threads)) if now.saturating_sub(at) < NEWS => threads + e.since,
+            Some((at, threads)) if now.saturating_sub(at) < NEWS => {
+                threads + e.threads_sent_since_report
+            }
             Some(_) | None
                 if self.fleet.recent.is_empty()
                     || e.warmth(now, &self.settings.invariants) < 1.0 =>
             {
-                e.since
+                e.threads_sent_since_report
             }
             Some(_) | None if self.asks() => f64::INFINITY,
-            Some(_) | None => self.fleet.crowd * e.cores + e.since,
+            Some(_) | None => self.fleet.crowd * e.cores + e.threads_sent_since_report,
         }
     }
 
@@ -49,15 +51,15 @@
                 LoadField::Inflight => value * (mix.threads / mix.queries.max(1e-9)).max(1.0),
                 LoadField::Util | LoadField::DisksBusy => value * e.cores,
                 // Most of the memory is granted in normal work; only the last part of it is scarce.
-                LoadField::MemoryGranted => value.powi(4) * e.start,
-                LoadField::Queue => value * e.start,
+                LoadField::MemoryGranted => value.powi(4) * e.initial_bound,
+                LoadField::Queue => value * e.initial_bound,
                 LoadField::RecentMs | LoadField::Rate | LoadField::Errors | LoadField::Unknown => {
                     0.0
                 }
             };
             threads = threads.max(if says.is_finite() { says } else { 0.0 });
         }
-        (e.report, e.since) = (Some((now, threads)), 0.0);
+        (e.report, e.threads_sent_since_report) = (Some((now, threads)), 0.0);
         smooth(&mut self.fleet.crowd, threads / e.cores);
         self.fleet.recent.retain(|id| *id != engine);
         self.fleet.recent.push_front(engine);
@@ -73,7 +75,7 @@
         let Some(e) = self.engines.get_mut(&engine) else {
             return;
         };
-        let base = &mut f.probe_base[usize::from(e.entry.zone != self.settings.zone)];
+        let base = &mut f.probe_base[usize::from(e.endpoint.zone != self.settings.zone)];
         *base = (*base * 1.001).min(took);
         let delay = took - *base;
         let slow = delay / f.probe_delay.max(0.25 * *base).max(1e-6);
@@ -86,7 +88,7 @@
             OutcomeKind::Error | OutcomeKind::Rejected | OutcomeKind::Timeout => SURGE,
             OutcomeKind::Reset | OutcomeKind::Cancelled | OutcomeKind::NeverSent => SURGE,
         };
-        e.report = Some((now, told.max(e.start * full)));
+        e.report = Some((now, told.max(e.initial_bound * full)));
     }
 
     /// Whether engines are asked for their load: not where all probes together cost more than they
@@ -105,10 +107,12 @@
         // nothing.
         let (class, threads) = (self.class(r), self.threads(r));
         let open = |e: &&Engine| {
-            placed(class, &e.entry) && e.health == CircuitState::Closed && self.gate(now, id, r, e)
+            placed(class, &e.endpoint)
+                && e.circuit == CircuitState::Closed
+                && self.gate(now, id, r, e)
         };
         let idle = |e: &&Engine| {
-            self.load(now, e) + threads <= FLOOR * e.start && self.has_room(now, r, e)
+            self.load(now, e) + threads <= FLOOR * e.initial_bound && self.has_room(now, r, e)
         };
         let known = some
             .iter()
@@ -138,11 +142,11 @@
             .filter_map(|id| self.engines.get(id));
         let useful = asked.filter(|e| self.thin(e, threads));
         let asked = useful.filter(open).filter(old);
-        let asked: Vec<EngineId> = asked.map(|e| e.entry.id).take(PROBES).collect();
+        let asked: Vec<EngineId> = asked.map(|e| e.endpoint.id).take(PROBES).collect();
         self.fleet.probes_out += asked.len();
         self.fleet.probed_at = now;
         if let Some(r) = self.requests.get_mut(&id).filter(|_| !asked.is_empty()) {
-            r.probing_until = now + PROBE_WAIT;
+            r.awaiting_probes_until = now + PROBE_WAIT;
         }
         acts.extend(asked.into_iter().map(|engine| Action::Probe { engine }));
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -58,7 +58,7 @@
     /// A gateway that knows nothing but its settings.
     pub fn new(now: Nanos, settings: Settings, seed: u64) -> Gateway {
         let mut g = Gateway::blank(now, settings, seed);
-        g.learned = g
+        g.class_estimates = g
             .settings
             .classes
             .iter()
@@ -75,7 +75,7 @@
             match self.tenants.get_mut(at) {
                 Some(known) => known.quota = t.quota_per_s,
                 None => {
-                    let (tokens, filled_at) = (QUOTA_LEAST, self.turn_at);
+                    let (tokens, filled_at) = (QUOTA_LEAST, self.last_event_at);
                     self.tenants.push(Tenant {
                         quota: t.quota_per_s,
                         tokens,
@@ -89,12 +89,13 @@
     /// New settings for what comes from now on. Fresh classes start from what those they follow
     /// have taught.
     pub fn reconfigure(&mut self, s: Settings, fresh: &[(ClassId, Option<ClassId>)]) {
-        self.learned.resize_with(s.classes.len(), || {
+        self.class_estimates.resize_with(s.classes.len(), || {
             ClassEstimates::first(&s.classes[0], TAIL_FIRST)
         });
         for (class, heir_of) in fresh.iter().map(|(class, of)| (usize::from(class.0), of)) {
             let first = ClassEstimates::first(&s.classes[class], TAIL_FIRST);
-            self.learned[class] = heir_of.map_or(first, |of| self.learned[usize::from(of.0)]);
+            self.class_estimates[class] =
+                heir_of.map_or(first, |of| self.class_estimates[usize::from(of.0)]);
         }
         self.settings = s;
         self.fleet.changed();
@@ -114,10 +115,10 @@
         }
         // Guards against this gateway's own stalls: ages and times taken across one say nothing of
         // engines.
-        if now.saturating_sub(self.turn_at) > STALL {
-            self.woke_at = now;
+        if now.saturating_sub(self.last_event_at) > STALL {
+            self.resumed_at = now;
         }
-        self.turn_at = now;
+        self.last_event_at = now;
         match event {
             Event::EndpointList { kind, entries } => self.on_list(now, kind, &entries, acts),
             Event::Request(ask) => self.on_request(now, ask, acts),
@@ -146,6 +147,6 @@
 
     /// Whether this gateway's share of an engine is under that many threads.
     fn thin(&self, e: &Engine, threads: f64) -> bool {
-        e.start * LONG_BORROW / self.sharers < threads
+        e.initial_bound * LONG_BORROW / self.active_gateways < threads
     }
 }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -15,9 +15,9 @@
 impl Engine {
     pub(super) fn eject(&mut self, now: Nanos, fleet: &mut Fleet) {
         fleet.changed();
-        self.health = CircuitState::Open(now + (EJECT << self.ejections.min(3)));
+        self.circuit = CircuitState::Open(now + (EJECT << self.ejections.min(3)));
         self.ejections += 1;
-        self.fail_share = 0.0;
+        self.failure_rate = 0.0;
     }
 }
 
@@ -28,8 +28,8 @@
         let Some(e) = self.engines.get_mut(&o.engine) else {
             return;
         };
-        let trial = e.health == CircuitState::HalfOpen(Some(o.id));
-        let silent = out.life_at.max(e.life_at) <= out.sent;
+        let trial = e.circuit == CircuitState::HalfOpen(Some(o.id));
+        let silent = out.life_at.max(e.last_activity_at) <= out.sent;
         let failed = match o.kind {
             OutcomeKind::Error | OutcomeKind::ConnectFailed | OutcomeKind::Reset => true,
             OutcomeKind::Ok | OutcomeKind::Rejected => false,
@@ -38,35 +38,37 @@
             OutcomeKind::Timeout if silent => true,
             // Its copy answered sooner. Where a gateway's share is small it hears too little to
             // tell.
-            OutcomeKind::Cancelled if silent && o.request_finished && e.start >= self.sharers => {
+            OutcomeKind::Cancelled
+                if silent && o.request_finished && e.initial_bound >= self.active_gateways =>
+            {
                 true
             }
             OutcomeKind::Timeout | OutcomeKind::Cancelled | OutcomeKind::NeverSent => {
-                e.health = if trial {
+                e.circuit = if trial {
                     CircuitState::HalfOpen(None)
                 } else {
-                    e.health
+                    e.circuit
                 };
                 return;
             }
         };
         // A connection that breaks ends all on it, and is one failure: no engine is ejected for
         // that alone.
-        if o.kind == OutcomeKind::Reset && !trial && now < e.reset_at + SWEEP_EVERY {
+        if o.kind == OutcomeKind::Reset && !trial && now < e.last_reset_at + SWEEP_EVERY {
             return;
         }
-        e.reset_at = if o.kind == OutcomeKind::Reset {
+        e.last_reset_at = if o.kind == OutcomeKind::Reset {
             now
         } else {
-            e.reset_at
+            e.last_reset_at
         };
-        let weight = if e.start < self.sharers {
+        let weight = if e.initial_bound < self.active_gateways {
             0.5
         } else {
             FAIL_WEIGHT
         };
-        e.fail_share += weight * (f64::from(u8::from(failed)) - e.fail_share);
-        let bad = failed && (trial || e.fail_share > FAIL_SHARE);
+        e.failure_rate += weight * (f64::from(u8::from(failed)) - e.failure_rate);
+        let bad = failed && (trial || e.failure_rate > FAIL_SHARE);
         // Walks over the fleet: asked last.
         let ejects = bad && (trial || self.may_eject(o.engine));
         let Some(e) = self.engines.get_mut(&o.engine) else {
@@ -75,15 +77,15 @@
         if ejects {
             e.eject(now, &mut self.fleet);
         } else if !failed {
-            e.full_until = if o.kind == OutcomeKind::Rejected {
+            e.rejecting_until = if o.kind == OutcomeKind::Rejected {
                 now + PERIOD
             } else {
-                e.full_until
+                e.rejecting_until
             };
-            e.life_at = now;
+            e.last_activity_at = now;
             if trial {
                 // Slow start: back with the least bound.
-                (e.health, e.bound) = (CircuitState::Closed, e.start * FLOOR);
+                (e.circuit, e.bound) = (CircuitState::Closed, e.initial_bound * FLOOR);
                 self.fleet.changed();
             }
         }
@@ -92,7 +94,7 @@
     /// Judged against peers: with most engines bad already nobody is ejected.
     pub(super) fn may_eject(&self, engine: EngineId) -> bool {
         let out =
-            |e: &&Engine| e.ready() && e.health != CircuitState::Closed && e.entry.id != engine;
+            |e: &&Engine| e.ready() && e.circuit != CircuitState::Closed && e.endpoint.id != engine;
         (self.engines.values().filter(out).count() + 1) as f64
             <= EJECT_MOST * self.fleet.ready.len() as f64
     }
@@ -104,8 +106,8 @@
         // Where none is asked nothing tells a crowd from work: only answers as fast as the best
         // teach it.
         let calm = self.asks() || self.fleet.stretch <= CALM * self.fleet.best_stretch;
-        let calm = calm || self.learned[class].samples < 4 * ENOUGH;
-        let (took, l) = (secs(o.latency), &mut self.learned[class]);
+        let calm = calm || self.class_estimates[class].samples < 4 * ENOUGH;
+        let (took, l) = (secs(o.latency), &mut self.class_estimates[class]);
         let work = o
             .work
             .map_or(ask.work_hint.map_or(l.work, |h| secs(h) * l.bias), secs);
@@ -113,19 +115,19 @@
             return;
         };
         if self.settings.classes[class].waits_for_loads {
-            e.stood_still.remove(&ask.data_set);
+            e.blocked_data_sets.remove(&ask.data_set);
         }
         e.window.finished += 1.0;
         e.window.samples += 1.0;
         e.window.lateness += (took / aim(&self.settings.classes[class], work)).min(CLIP);
         let stretch = took / (work / threads).max(1e-3);
-        let old = e.stretch;
-        for usual in [&mut self.fleet.stretch, &mut e.stretch] {
+        let old = e.slowdown;
+        for usual in [&mut self.fleet.stretch, &mut e.slowdown] {
             let clipped = stretch.min(CLIP * *usual);
             smooth(usual, clipped);
         }
         if e.ready() {
-            self.fleet.stretches.replace(old, e.stretch);
+            self.fleet.stretches.replace(old, e.slowdown);
         }
         // Where answers tell no cost, work is guessed from the time taken, over how crowded the
         // engine was at the send: else time under overload passes for work. Not over slowness, as
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -15,12 +15,12 @@
             e.warmth(now, &self.settings.invariants),
         );
         let rate = rules.overload_multiple * warmth * e.cores * USUAL_BUSY * COLD_MARGIN;
-        let budget = self.part * rate * secs(rules.overload_window);
+        let budget = self.capacity_share * rate * secs(rules.overload_window);
         let part = budget / f64::from(self.settings.gateways.max(1));
         let from = now.saturating_sub(rules.overload_window);
         let weight = self.cold_weight(r);
         let sent: f64 = e
-            .cold_sent
+            .warm_up_sends
             .iter()
             .filter(|(t, _)| *t >= from)
             .map(|(_, w)| w)
--- a/src/policy/stall_detection.rs
+++ b/src/policy/stall_detection.rs
@@ -18,7 +18,8 @@
 impl Gateway {
     /// Whether withdrawing its attempt could be followed by another.
     fn may_try_again(&self, now: Nanos, r: &PendingRequest) -> bool {
-        let again = self.settings.limits.may_cancel && !r.done && self.effect_allows(now, r, None);
+        let again =
+            self.settings.limits.may_cancel && !r.finished && self.effect_allows(now, r, None);
         again && r.attempts_started < r.max_attempts && self.budget_allows(now)
     }
 
@@ -47,14 +48,14 @@
 
     /// Room enough for what runs twice.
     fn idle(&self) -> bool {
-        self.fleet.mean.threads <= USUAL_BUSY * self.fleet.bound / self.sharers
+        self.fleet.mean.threads <= USUAL_BUSY * self.fleet.bound / self.active_gateways
     }
 
     pub(super) fn withdraw_all(&mut self, id: RequestId, acts: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id) else {
             return;
         };
-        let all: Vec<AttemptNo> = r.outs.iter().map(|o| o.attempt).collect();
+        let all: Vec<AttemptNo> = r.attempts.iter().map(|o| o.attempt).collect();
         all.into_iter()
             .for_each(|attempt| self.withdraw(id, attempt, acts));
     }
@@ -68,7 +69,7 @@
             return;
         };
         o.cancelling = true;
-        r.replans += 1;
+        r.cancellations += 1;
         acts.push(Action::Cancel { id, attempt });
     }
 
@@ -87,7 +88,7 @@
         o.life_at = now;
         let (engine, sent, cancelling, alone) = (o.engine, o.sent, o.cancelling, o.alone);
         let (group, due) = (
-            self.requests[&id].ask.data_set,
+            self.requests[&id].request.data_set,
             2 * self.settings.progress_period,
         );
         // A query that stands still for a load on its data is not slow, nor is its engine: it goes
@@ -95,9 +96,10 @@
         // about to end.
         let stands = note == ProgressUpdate::WaitsForLoad;
         if let Some(e) = self.engines.get_mut(&engine) {
-            e.life_at = now;
-            e.stood_still.retain(|_, until| *until > now);
-            e.stood_still.extend(stands.then_some((group, now + due)));
+            e.last_activity_at = now;
+            e.blocked_data_sets.retain(|_, until| *until > now);
+            e.blocked_data_sets
+                .extend(stands.then_some((group, now + due)));
         }
         if stands {
             return self.try_anew(now, id, attempt, acts);
@@ -112,18 +114,18 @@
         let stretch = self
             .engines
             .get(&engine)
-            .map_or(1.0, |e| e.stretch.max(1.0));
+            .map_or(1.0, |e| e.slowdown.max(1.0));
         let expected = self.alone(r) * stretch;
         let may = !cancelling
             && self.cancels >= 1.0
             && self.class(r).idempotency == Idempotency::Idempotent
-            && !r.done;
+            && !r.finished;
         let in_time = now + nanos(expected) <= self.useful_end(r) && self.may_try_again(now, r);
         let bad = whole > BAD_PLAN * self.learned(r).tail * alone && whole - age > 2.0 * expected;
-        let hopeless = now + nanos(DOUBT * (whole - age)) > r.ask.deadline;
-        if may && ((in_time && bad && r.replans < 2) || hopeless) {
+        let hopeless = now + nanos(DOUBT * (whole - age)) > r.request.deadline;
+        if may && ((in_time && bad && r.cancellations < 2) || hopeless) {
             self.cancels -= 1.0;
-            let again = in_time && bad && r.replans < 2;
+            let again = in_time && bad && r.cancellations < 2;
             self.withdraw(id, attempt, acts);
             if !again {
                 self.give_up(id, SWEEP_EVERY, acts);
@@ -142,30 +144,30 @@
             .values()
             .filter(|r| self.class(r).waits_for_loads)
         {
-            for o in r.outs.iter().filter(|o| !o.cancelling) {
+            for o in r.attempts.iter().filter(|o| !o.cancelling) {
                 let late =
                     secs(now.saturating_sub(o.sent)) > (usual * o.alone).max(secs(STANDS_LEAST));
                 if late
                     && self
                         .engines
                         .get(&o.engine)
-                        .is_some_and(|e| e.life_at > o.sent)
+                        .is_some_and(|e| e.last_activity_at > o.sent)
                 {
-                    found.push((r.ask.id, o.attempt, r.ask.data_set, o.engine));
+                    found.push((r.request.id, o.attempt, r.request.data_set, o.engine));
                 }
             }
         }
         for &(_, _, group, engine) in &found {
             if let Some(e) = self.engines.get_mut(&engine) {
-                e.stood_still.insert(group, now + STANDS);
+                e.blocked_data_sets.insert(group, now + STANDS);
             }
         }
         for (id, attempt, _, _) in found {
             let r = &self.requests[&id];
             let free = |e: &Engine| {
                 let usable = e.ready()
-                    && e.health == CircuitState::Closed
-                    && placed(self.class(r), &e.entry);
+                    && e.circuit == CircuitState::Closed
+                    && placed(self.class(r), &e.endpoint);
                 usable && !self.stands(now, r, e) && self.has_room(now, r, e)
             };
             if self
@@ -210,12 +212,12 @@
                 > nanos(SILENT_TIMES * o.expected)
                     .min(2 * noted)
                     .max(SILENT_LEAST);
-            (age > limit).then_some((r.ask.id, o.attempt, o.engine, o.sent, silent))
+            (age > limit).then_some((r.request.id, o.attempt, o.engine, o.sent, silent))
         };
         let out = self
             .requests
             .values()
-            .flat_map(|r| r.outs.iter().map(move |o| (r, o)));
+            .flat_map(|r| r.attempts.iter().map(move |o| (r, o)));
         let lost: Vec<_> = out
             .filter(|(_, o)| !o.cancelling)
             .filter_map(lost)
@@ -229,22 +231,26 @@
             let Some(e) = self.engines.get_mut(&engine) else {
                 continue;
             };
-            e.silent_at = if e.life_at <= sent { now } else { e.silent_at };
-            match e.health {
+            e.unresponsive_at = if e.last_activity_at <= sent {
+                now
+            } else {
+                e.unresponsive_at
+            };
+            match e.circuit {
                 CircuitState::HalfOpen(Some(trial)) if trial == id && silent => {
                     e.eject(now, &mut self.fleet)
                 }
-                CircuitState::Closed if may_eject && e.life_at <= sent => {
+                CircuitState::Closed if may_eject && e.last_activity_at <= sent => {
                     e.eject(now, &mut self.fleet)
                 }
                 CircuitState::Closed | CircuitState::HalfOpen(_) | CircuitState::Open(_) => {}
             }
             if let Some(o) = self.requests.get_mut(&id).and_then(|r| r.out(attempt)) {
                 let ghost = std::mem::take(&mut o.running);
-                e.since = if e.report.is_none() {
-                    (e.since - ghost.threads).max(0.0)
+                e.threads_sent_since_report = if e.report.is_none() {
+                    (e.threads_sent_since_report - ghost.threads).max(0.0)
                 } else {
-                    e.since
+                    e.threads_sent_since_report
                 };
                 self.carry(now, engine, ghost, -1.0);
             }
--- a/src/policy/state/engine.rs
+++ b/src/policy/state/engine.rs
@@ -53,65 +53,65 @@
 
 #[derive(Default)]
 pub struct Engine {
-    pub entry: Endpoint,
+    pub endpoint: Endpoint,
     pub cores: f64,
-    pub start: f64, // Bounds are in threads of all gateways together.
+    pub initial_bound: f64, // Bounds are in threads of all gateways together.
     pub bound: f64,
     pub running: Running,
     pub window: ControlWindow,
-    pub counted_at: Nanos,
+    pub integrated_at: Nanos,
     // Smoothed latency over expected time alone; the yardstick of pressure and of peers.
-    pub stretch: f64,
-    pub full_until: Nanos, // A full refusal counts as pressure for a period.
-    pub health: CircuitState,
+    pub slowdown: f64,
+    pub rejecting_until: Nanos, // A full refusal counts as pressure for a period.
+    pub circuit: CircuitState,
     pub ejections: u32,
-    pub fail_share: f64,
-    pub life_at: Nanos,
+    pub failure_rate: f64,
+    pub last_activity_at: Nanos,
     // When an attempt there passed its time with no sign of life of the engine since.
-    pub silent_at: Nanos,
-    pub reset_at: Nanos, // When a reset last counted against it.
-    pub cold_sent: VecDeque<(Nanos, f64)>, // When, and of what weight: oldest first.
+    pub unresponsive_at: Nanos,
+    pub last_reset_at: Nanos, // When a reset last counted against it.
+    pub warm_up_sends: VecDeque<(Nanos, f64)>, // When, and of what weight: oldest first.
     pub report: Option<(Nanos, f64)>, // When it last told its load, and that in threads.
-    pub since: f64,      // Own threads sent there since.
-    pub sent_at: Nanos,
-    pub held_groups: BTreeMap<u64, u32>,
+    pub threads_sent_since_report: f64, // Own threads sent there since.
+    pub last_sent_at: Nanos,
+    pub loading_data_sets: BTreeMap<u64, u32>,
     // Data sets that queries were told to wait for, and until when.
-    pub stood_still: BTreeMap<u64, Nanos>,
+    pub blocked_data_sets: BTreeMap<u64, Nanos>,
 }
 
 impl Engine {
     /// One that nothing is known of but its entry and its cores.
     pub fn new(now: Nanos, entry: Endpoint, cores: f64, start: f64, stretch: f64) -> Engine {
         let times = Engine {
-            counted_at: now,
-            life_at: now,
+            integrated_at: now,
+            last_activity_at: now,
             ..Engine::default()
         };
         Engine {
-            entry,
+            endpoint: entry,
             cores,
-            start,
+            initial_bound: start,
             bound: start,
-            stretch,
+            slowdown: stretch,
             ..times
         }
     }
 
     /// Brings the time integrals of the window up to now.
     pub fn count(&mut self, now: Nanos) {
-        let dt = secs(now.saturating_sub(self.counted_at));
+        let dt = secs(now.saturating_sub(self.integrated_at));
         self.window.queries += self.running.queries * dt;
         self.window.threads += self.running.threads * dt;
-        self.counted_at = now;
+        self.integrated_at = now;
     }
 
     pub fn ready(&self) -> bool {
-        self.entry.readiness == Readiness::Ready
+        self.endpoint.readiness == Readiness::Ready
     }
 
     /// When a started engine is warm at the latest.
     pub fn warm_at(&self, rules: &Invariants) -> Nanos {
-        self.entry
+        self.endpoint
             .started_at
             .saturating_add(rules.slow_start_duration)
     }
@@ -119,10 +119,10 @@
     /// Share of usual capacity that a started engine surely has: the start share, then a
     /// late-rising curve.
     pub fn warmth(&self, now: Nanos, rules: &Invariants) -> f64 {
-        if self.entry.started_at == 0 || self.warm_at(rules) <= now {
+        if self.endpoint.started_at == 0 || self.warm_at(rules) <= now {
             return 1.0;
         }
-        let age = secs(now.saturating_sub(self.entry.started_at))
+        let age = secs(now.saturating_sub(self.endpoint.started_at))
             / secs(rules.slow_start_duration.max(1));
         rules.slow_start_from + (1.0 - rules.slow_start_from) * age * age
     }
@@ -130,22 +130,22 @@
     /// Enters work of that weight, sent to it while it is cold, and forgets what was sent before
     /// the window.
     pub fn count_cold(&mut self, now: Nanos, rules: &Invariants, weight: f64) {
-        self.cold_sent.push_back((now, weight));
+        self.warm_up_sends.push_back((now, weight));
         self.forget_cold(now, rules);
     }
 
     /// What the time alone ends: an ejection, and the window of what was sent while it was cold.
     pub fn settle(&mut self, now: Nanos, rules: &Invariants) {
         self.forget_cold(now, rules);
-        if matches!(self.health, CircuitState::Open(until) if until <= now) {
-            self.health = CircuitState::HalfOpen(None);
+        if matches!(self.circuit, CircuitState::Open(until) if until <= now) {
+            self.circuit = CircuitState::HalfOpen(None);
         }
     }
 
     fn forget_cold(&mut self, now: Nanos, rules: &Invariants) {
         let from = now.saturating_sub(rules.overload_window);
-        self.cold_sent
-            .drain(..self.cold_sent.partition_point(|(t, _)| *t < from));
+        self.warm_up_sends
+            .drain(..self.warm_up_sends.partition_point(|(t, _)| *t < from));
     }
 }
 
--- a/src/policy/state/mod.rs
+++ b/src/policy/state/mod.rs
@@ -28,7 +28,7 @@
 pub struct Gateway {
     pub(crate) settings: Settings,
     pub(crate) rng: Pcg32,
-    pub(crate) born: Nanos,
+    pub(crate) created_at: Nanos,
     pub(crate) started: bool,
     pub(crate) engines: BTreeMap<EngineId, Engine>,
     pub(crate) fleet: Fleet,
@@ -36,18 +36,18 @@
     /// Held queries with their rank, best first as of the last sweep.
     pub(crate) held: Vec<(f64, RequestId, ClassId)>,
     pub(crate) keys: BTreeMap<OrderKey, OrderedQueue>,
-    pub(crate) learned: Vec<ClassEstimates>,
+    pub(crate) class_estimates: Vec<ClassEstimates>,
     pub(crate) tenants: Vec<Tenant>,
     pub(crate) taken: VecDeque<Nanos>,
     pub(crate) extras: VecDeque<Nanos>,
     pub(crate) cancels: f64,
-    pub(crate) sharers: f64, // Gateways taken to share the engines now.
+    pub(crate) active_gateways: f64, // Gateways taken to share the engines now.
     // Of what this gateway may use, while another process is this gateway too.
-    pub(crate) part: f64,
+    pub(crate) capacity_share: f64,
     pub(crate) updated_at: Nanos,
     // When it last had a turn, and when it last woke after having had none.
-    pub(crate) turn_at: Nanos,
-    pub(crate) woke_at: Nanos,
+    pub(crate) last_event_at: Nanos,
+    pub(crate) resumed_at: Nanos,
     pub(crate) swept_at: Nanos,
 }
 
@@ -61,23 +61,23 @@
         };
         Gateway {
             rng: Pcg32::seed_from_u64(seed),
-            born: now,
+            created_at: now,
             started: false,
             engines: BTreeMap::new(),
             fleet: Fleet::new(now),
             requests: BTreeMap::new(),
             held: Vec::new(),
             keys: BTreeMap::new(),
-            learned: Vec::new(),
+            class_estimates: Vec::new(),
             tenants: s.tenants.iter().map(tenant).collect(),
             taken: VecDeque::new(),
             extras: VecDeque::new(),
             cancels: 0.0,
-            sharers: f64::from(s.gateways.max(1)),
-            part: 1.0,
+            active_gateways: f64::from(s.gateways.max(1)),
+            capacity_share: 1.0,
             updated_at: now,
-            turn_at: now,
-            woke_at: 0,
+            last_event_at: now,
+            resumed_at: 0,
             swept_at: now,
             settings: s,
         }
@@ -88,24 +88,25 @@
         let listed = self
             .engines
             .values()
-            .filter(|e| e.entry.readiness != Readiness::Gone);
+            .filter(|e| e.endpoint.readiness != Readiness::Gone);
         listed
-            .filter(|e| !e.ready() || e.health != CircuitState::Closed)
+            .filter(|e| !e.ready() || e.circuit != CircuitState::Closed)
             .count()
     }
 
     /// Another process is this gateway too, and this one has that part of what the gateway may use.
     pub fn set_capacity_share(&mut self, part: f64) {
         let part = part.clamp(0.05, 1.0);
-        self.sharers *= self.part / part;
-        self.part = part;
+        self.active_gateways *= self.capacity_share / part;
+        self.capacity_share = part;
         self.fleet.changed();
     }
 
     /// So many gateways share the warm engines now, those that do not serve left out. Budgets of
     /// cold engines stay parts of all gateways.
     pub fn set_active_gateways(&mut self, gateways: u32) {
-        self.sharers = f64::from(gateways.clamp(1, self.settings.gateways.max(1))) / self.part;
+        self.active_gateways =
+            f64::from(gateways.clamp(1, self.settings.gateways.max(1))) / self.capacity_share;
     }
 
     /// Own queries there, so many times more; brings the time integrals of its window up to now.
@@ -132,9 +133,9 @@
         let gateways = self.settings.gateways.max(1);
         let circle = |x: u64| (x.wrapping_mul(MIX) >> 11) as f64 / (1u64 << 53) as f64;
         let place = f64::from(self.settings.gateway_index % gateways) / f64::from(gateways)
-            + circle(e.entry.id.0);
+            + circle(e.endpoint.id.0);
         let turn = now / slot.max(1);
-        let used = e.sent_at > 0 && e.sent_at / slot.max(1) == turn;
+        let used = e.last_sent_at > 0 && e.last_sent_at / slot.max(1) == turn;
         !used && (place + 1.0 + across - circle(turn)).fract() < holders / f64::from(gateways)
     }
 
@@ -175,9 +176,9 @@
             for e in self
                 .engines
                 .values_mut()
-                .filter(|e| !named.contains(&e.entry.id))
+                .filter(|e| !named.contains(&e.endpoint.id))
             {
-                e.entry.readiness = Readiness::Gone;
+                e.endpoint.readiness = Readiness::Gone;
             }
         }
         for entry in entries {
@@ -189,32 +190,32 @@
                 .max(1.0);
             let fresh = || Engine::new(now, *entry, cores, per_core * cores, stretch);
             let e = self.engines.entry(entry.id).or_insert_with(fresh);
-            if e.entry.started_at != entry.started_at {
+            if e.endpoint.started_at != entry.started_at {
                 // A restart under the same id: a cold engine without history, but attempts out
                 // still count.
                 let old = std::mem::replace(e, fresh());
-                (e.running, e.held_groups) = (old.running, old.held_groups);
+                (e.running, e.loading_data_sets) = (old.running, old.loading_data_sets);
             }
-            e.entry = *entry;
+            e.endpoint = *entry;
         }
         self.fleet.ready = self
             .engines
             .values()
             .filter(|e| e.ready())
-            .map(|e| e.entry.id)
+            .map(|e| e.endpoint.id)
             .collect();
         // What is gone is forgotten, unless an attempt there still counts: memory must not grow.
         let outs = self
             .requests
             .values()
-            .flat_map(|r| r.outs.iter().map(|o| o.engine));
+            .flat_map(|r| r.attempts.iter().map(|o| o.engine));
         let ran = self
             .requests
             .values()
             .filter_map(|r| r.ran_on.map(|(e, _)| e));
         let needed: BTreeSet<EngineId> = outs.chain(ran).collect();
         let stays =
-            |e: &Engine| e.entry.readiness != Readiness::Gone || needed.contains(&e.entry.id);
+            |e: &Engine| e.endpoint.readiness != Readiness::Gone || needed.contains(&e.endpoint.id);
         self.engines.retain(|_, e| stays(e));
         self.fleet
             .recent
@@ -227,11 +228,11 @@
         let Some(r) = self
             .requests
             .get(&id)
-            .filter(|r| r.done && r.outs.is_empty())
+            .filter(|r| r.finished && r.attempts.is_empty())
         else {
             return;
         };
-        if let Some(k) = r.ask.key.and_then(|k| self.keys.get_mut(&k)) {
+        if let Some(k) = r.request.key.and_then(|k| self.keys.get_mut(&k)) {
             k.line.retain(|other| *other != id);
         }
         self.requests.remove(&id);
@@ -240,7 +241,7 @@
     /// Rule 5: the head of its key's line, after the rest that follows an attempt which may still
     /// run.
     pub(crate) fn has_turn(&self, now: Nanos, id: RequestId, r: &PendingRequest) -> bool {
-        let (true, Some(key)) = (self.class(r).in_order, r.ask.key) else {
+        let (true, Some(key)) = (self.class(r).in_order, r.request.key) else {
             return true;
         };
         let Some(k) = self.keys.get(&key) else {
@@ -266,12 +267,12 @@
     }
 
     pub(crate) fn class(&self, r: &PendingRequest) -> &ClassSpec {
-        &self.settings.classes[usize::from(r.ask.class.0)]
+        &self.settings.classes[usize::from(r.request.class.0)]
     }
 
     /// What repeating it may do.
     pub(crate) fn effect(&self, r: &PendingRequest) -> Idempotency {
-        if r.ask.must_not_repeat {
+        if r.request.must_not_repeat {
             Idempotency::NonIdempotent
         } else {
             self.class(r).idempotency
@@ -279,7 +280,7 @@
     }
 
     pub(crate) fn learned(&self, r: &PendingRequest) -> &ClassEstimates {
-        &self.learned[usize::from(r.ask.class.0)]
+        &self.class_estimates[usize::from(r.request.class.0)]
     }
 
     pub(crate) fn threads(&self, r: &PendingRequest) -> f64 {
@@ -289,7 +290,7 @@
     /// Expected work in seconds on one core.
     pub(crate) fn work(&self, r: &PendingRequest) -> f64 {
         let l = self.learned(r);
-        r.ask.work_hint.map_or(l.work, |h| secs(h) * l.bias)
+        r.request.work_hint.map_or(l.work, |h| secs(h) * l.bias)
     }
 
     /// Expected time in seconds on an idle engine.
@@ -298,14 +299,14 @@
     }
 
     pub(crate) fn aim_end(&self, r: &PendingRequest) -> Nanos {
-        (r.arrived + nanos(aim(self.class(r), self.work(r)))).min(r.ask.deadline)
+        (r.arrived_at + nanos(aim(self.class(r), self.work(r)))).min(r.request.deadline)
     }
 
     /// The time after which an answer earns nothing: the deadline, or the aim where late answers
     /// are void.
     pub(crate) fn useful_end(&self, r: &PendingRequest) -> Nanos {
         if self.class(r).late_priority_weight > 0.0 {
-            r.ask.deadline
+            r.request.deadline
         } else {
             self.aim_end(r)
         }
--- a/src/policy/state/request.rs
+++ b/src/policy/state/request.rs
@@ -18,36 +18,36 @@
 
 #[derive(Default)]
 pub struct PendingRequest {
-    pub ask: Request,
-    pub arrived: Nanos,
-    pub over_share: bool,
-    pub done: bool, // Answered; kept only while an attempt is out.
+    pub request: Request,
+    pub arrived_at: Nanos,
+    pub over_quota: bool,
+    pub finished: bool, // Answered; kept only while an attempt is out.
     pub attempts_started: u32,
-    pub max_attempts: u32,  // As the settings had it when it came.
-    pub outs: Vec<Attempt>, // Two where a second copy runs beside the first.
+    pub max_attempts: u32,      // As the settings had it when it came.
+    pub attempts: Vec<Attempt>, // Two where a second copy runs beside the first.
     // First engine that may have run it, and when it was sent there.
     pub ran_on: Option<(EngineId, Nanos)>,
-    pub tried: BTreeSet<EngineId>,
-    pub probing_until: Nanos, // Waits for probes until then.
-    pub replans: u32,
+    pub tried_engines: BTreeSet<EngineId>,
+    pub awaiting_probes_until: Nanos, // Waits for probes until then.
+    pub cancellations: u32,
 }
 
 impl PendingRequest {
     /// The first attempt that may have run or is out: where it went, and when.
     pub fn first(&self) -> Option<(EngineId, Nanos)> {
-        let outs = self.outs.iter().map(|o| (o.engine, o.sent));
+        let outs = self.attempts.iter().map(|o| (o.engine, o.sent));
         outs.chain(self.ran_on).min_by_key(|(_, sent)| *sent)
     }
 
     /// The attempt of that number, if it is out.
     pub fn out(&mut self, attempt: AttemptNo) -> Option<&mut Attempt> {
-        self.outs.iter_mut().find(|o| o.attempt == attempt)
+        self.attempts.iter_mut().find(|o| o.attempt == attempt)
     }
 
     /// The same, off the book.
     pub fn take_out(&mut self, attempt: AttemptNo) -> Option<Attempt> {
-        let at = self.outs.iter().position(|o| o.attempt == attempt)?;
-        Some(self.outs.remove(at))
+        let at = self.attempts.iter().position(|o| o.attempt == attempt)?;
+        Some(self.attempts.remove(at))
     }
 }
 
--- a/tests/unit/concurrency_limit.rs
+++ b/tests/unit/concurrency_limit.rs
@@ -131,7 +131,7 @@
         self.g
             .engines
             .values()
-            .map(|e| e.bound / e.start)
+            .map(|e| e.bound / e.initial_bound)
             .sum::<f64>()
             / self.g.engines.len() as f64
     }
@@ -244,7 +244,7 @@
             p.tell(Event::Outcome(done));
         }
         if [99, 299].contains(&round) {
-            learned.push(p.g.learned[0].work);
+            learned.push(p.g.class_estimates[0].work);
         }
     }
     assert!(
@@ -326,7 +326,7 @@
             p.tell(Event::Outcome(done));
         }
         if [100, 899].contains(&round) {
-            learned.push((p.g.learned[0].work, p.g.learned[0].samples));
+            learned.push((p.g.class_estimates[0].work, p.g.class_estimates[0].samples));
         }
     }
     assert!(learned[1].1 > 60, "answers were learned from: {learned:?}");
@@ -402,7 +402,7 @@
     let reset = |p: &mut Play, id: u32| {
         // Out on the first engine, wherever the choice fell.
         let r = p.g.requests.get_mut(&RequestId(id)).expect("open");
-        r.outs = vec![Attempt {
+        r.attempts = vec![Attempt {
             engine: EngineId(1),
             sent: p.now,
             ..Attempt::default()
@@ -431,7 +431,7 @@
     }
     (1..=6).for_each(|id| reset(&mut p, id));
     assert!(
-        p.g.engines[&EngineId(1)].health == CircuitState::Closed,
+        p.g.engines[&EngineId(1)].circuit == CircuitState::Closed,
         "six attempts on one connection"
     );
     for id in 7..=12 {
@@ -439,7 +439,7 @@
         reset(&mut p, id);
     }
     assert!(
-        matches!(p.g.engines[&EngineId(1)].health, CircuitState::Open(_)),
+        matches!(p.g.engines[&EngineId(1)].circuit, CircuitState::Open(_)),
         "connection after connection"
     );
 }
--- a/tests/unit/dispatcher.rs
+++ b/tests/unit/dispatcher.rs
@@ -633,9 +633,9 @@
     };
     manager.attempt_finished(SEC + 50 * MS, done, &mut Vec::new());
     assert!(
-        (manager.module.learned[0].work - 0.08).abs() < 1e-9,
+        (manager.module.class_estimates[0].work - 0.08).abs() < 1e-9,
         "{}",
-        manager.module.learned[0].work
+        manager.module.class_estimates[0].work
     );
     // Neither counts where the settings say nothing of it.
     let mut plain = Model::new().manager;
@@ -658,5 +658,5 @@
         },
         &mut orders,
     );
-    assert!((plain.module.learned[0].work - 0.08).abs() > 1e-3);
+    assert!((plain.module.class_estimates[0].work - 0.08).abs() > 1e-3);
 }
--- a/tests/unit/fleet_scan.rs
+++ b/tests/unit/fleet_scan.rs
@@ -64,7 +64,7 @@
         for a in acts {
             match a {
                 Action::Send { id, engine, .. } => {
-                    let attempt = self.g.requests[&id].outs.last().expect("out").attempt;
+                    let attempt = self.g.requests[&id].attempts.last().expect("out").attempt;
                     self.out.push((id, attempt, engine, self.now));
                 }
                 Action::Cancel { id, attempt } => {
@@ -115,13 +115,13 @@
             .g
             .engines
             .get(&EngineId(id))
-            .map_or(0, |e| e.entry.started_at);
+            .map_or(0, |e| e.endpoint.started_at);
         let told = match self.draw(5) {
             0 | 1 => entry(id, Readiness::Ready, self.now - self.now % 7),
             2 => entry(id, Readiness::Draining, known),
             3 => entry(id, Readiness::Gone, known),
             _ => {
-                let all: Vec<_> = self.g.engines.values().map(|e| e.entry).collect();
+                let all: Vec<_> = self.g.engines.values().map(|e| e.endpoint).collect();
                 let entries = all
                     .into_iter()
                     .filter(|e| e.readiness != Readiness::Gone)
@@ -145,8 +145,8 @@
         self.g.look(now);
         let (g, f) = (&self.g, &self.g.fleet);
         let ready = || g.engines.values().filter(|e| e.ready());
-        let usable = || ready().filter(|e| e.health == CircuitState::Closed);
-        let mut stretches: Vec<f64> = ready().map(|e| e.stretch).collect();
+        let usable = || ready().filter(|e| e.circuit == CircuitState::Closed);
+        let mut stretches: Vec<f64> = ready().map(|e| e.slowdown).collect();
         stretches.sort_by(f64::total_cmp);
         let median = stretches.get(stretches.len() / 2).copied().unwrap_or(1.0);
         assert_eq!(
@@ -172,10 +172,10 @@
         );
         for e in g.engines.values() {
             assert!(
-                !matches!(e.health, CircuitState::Open(until) if until <= now),
+                !matches!(e.circuit, CircuitState::Open(until) if until <= now),
                 "an ejection is over, {why}"
             );
-            let ends = e.cold_sent.front().zip(e.cold_sent.back());
+            let ends = e.warm_up_sends.front().zip(e.warm_up_sends.back());
             assert!(
                 ends.is_none_or(|(a, b)| a.0 + rules.overload_window >= b.0),
                 "one window is kept, {why}"
