--- a/src/backend/clickhouse.rs
+++ b/src/backend/clickhouse.rs
@@ -1,321 +1,393 @@
 //! Engines that speak the ClickHouse HTTP interface: one query at a time on a connection that is
 //! kept alive.
-use super::{BackendEvent, Protocol};
+use super::{AttemptEnd, BackendEvent, ProbeId, Protocol, ProtocolError, ProtocolOutput};
 use crate::clock::{MS, Micros, SEC};
+use crate::dispatcher::AttemptRequest;
 use crate::dispatcher::termination::Termination;
-use crate::dispatcher::{AttemptRequest, Cost};
 use crate::http::{self, Body, Head};
 use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
 use std::rc::Rc;
 
-/// An answer longer than this is not gathered.
-const MOST_ROWS: usize = 256 * 1024;
-/// Between two pieces of one answer no more time than this passes: it is written once the query has
-/// ended.
-const GAP: Micros = 2 * SEC;
-/// The field that tells whose answer it is.
-const QUERY_ID: &str = "x-clickhouse-query-id";
-/// The code of an engine that has too many queries: it has not looked at this one.
-const TOO_MANY_QUERIES: u32 = 202;
-/// An exception's text in a body begins so.
-const CODE: &[u8] = b"Code: ";
+/// Longest response body that is accepted, in bytes.
+const MAX_RESPONSE_BYTES: usize = 256 * 1024;
+/// Longest pause within a response, which the engine writes only once the query has ended.
+const RESPONSE_GAP_TIMEOUT_MICROS: Micros = 2 * SEC;
+/// The header that names the query that a response belongs to.
+const QUERY_ID_HEADER: &str = "x-clickhouse-query-id";
+/// The header that holds the code of an exception.
+const EXCEPTION_CODE_HEADER: &str = "x-clickhouse-exception-code";
+/// The exception `TOO_MANY_SIMULTANEOUS_QUERIES`: the engine did not start the query.
+const TOO_MANY_SIMULTANEOUS_QUERIES: u32 = 202;
+/// The start of the text of an exception in a response body.
+const EXCEPTION_PREFIX: &[u8] = b"Code: ";
+/// Part of the text of an exception that does not occur in rows by chance.
+const EXCEPTION_MARKER: &[u8] = b". DB::Exception: ";
+const MEGABYTE_BYTES: u64 = 1 << 20;
 
-/// Who the manager is to an engine.
+/// The credentials with which the proxy authenticates to engines.
 #[derive(Clone, Debug, Default)]
 pub struct Credentials {
-    /// The user; empty for none.
+    /// The user; empty to send no credentials.
     pub user: String,
     /// The user's key.
     pub key: String,
 }
 
-enum Asked {
-    /// With the name that it goes by there.
-    Query(RequestId, Rc<str>),
-    Ping(u64),
-    /// Given up: what comes is for nobody.
-    Nobody,
+/// The request that the connection carries.
+enum Exchange {
+    /// A query, with the identifier that the engine knows it by.
+    Query { id: RequestId, query_id: Rc<str> },
+    /// A health check.
+    Ping(ProbeId),
+    /// A cancelled query: its response is discarded.
+    Cancelled,
 }
 
-/// One connection to a ClickHouse engine.
+/// A response whose head has been read.
+struct PendingResponse {
+    head: Head,
+    body: Body,
+}
+
+/// What reading the head of a response led to.
+enum HeadStatus {
+    /// More bytes are needed.
+    Incomplete,
+    /// An interim response (1xx) was skipped.
+    Interim,
+    /// The head of the final response was read; its body follows.
+    Final,
+}
+
+/// The protocol of one connection to a ClickHouse engine.
 pub struct ClickHouse {
-    login: Rc<Credentials>,
-    asked: Option<Asked>,
+    credentials: Rc<Credentials>,
+    exchange: Option<Exchange>,
     input: Vec<u8>,
-    answer: Option<(Head, Body)>,
+    response: Option<PendingResponse>,
     rows: Vec<u8>,
     reusable: bool,
-    /// When the last bytes of an answer came that is not whole.
-    heard_at: Option<Micros>,
+    /// When the last bytes of an incomplete response came.
+    partial_response_at: Option<Micros>,
 }
 
 impl ClickHouse {
-    /// A new connection.
-    pub fn new(login: Rc<Credentials>) -> ClickHouse {
-        let (input, rows) = (Vec::new(), Vec::new());
+    /// The protocol of a new connection.
+    pub fn new(credentials: Rc<Credentials>) -> ClickHouse {
         ClickHouse {
-            login,
-            asked: None,
-            input,
-            answer: None,
-            rows,
+            credentials,
+            exchange: None,
+            input: Vec::new(),
+            response: None,
+            rows: Vec::new(),
             reusable: true,
-            heard_at: None,
+            partial_response_at: None,
         }
     }
 
+    /// The headers of every request.
     fn headers(&self) -> String {
-        let Credentials { user, key } = &*self.login;
-        let login = match user.is_empty() {
-            true => String::new(),
-            false => format!("X-ClickHouse-User: {user}\r\nX-ClickHouse-Key: {key}\r\n"),
+        let Credentials { user, key } = &*self.credentials;
+        let mut headers = "Host: engine\r\nUser-Agent: yokelift\r\n".to_owned();
+        if !user.is_empty() {
+            headers += &format!("X-ClickHouse-User: {user}\r\nX-ClickHouse-Key: {key}\r\n");
+        }
+        headers
+    }
+
+    /// The path and parameters of the request that runs a query.
+    fn query_path(now: Micros, request: &AttemptRequest, query_id: &str) -> String {
+        let remaining_micros = request.deadline.saturating_sub(now).max(MS);
+        let remaining_seconds = remaining_micros as f64 / SEC as f64;
+        let mut path = format!(
+            "/?query_id={}&max_execution_time={remaining_seconds:.3}&default_format=TabSeparated",
+            http::escape(query_id)
+        );
+        // With the first an error shows in the status where possible; with the second closing the
+        // connection cancels a query that only reads.
+        path += "&wait_end_of_query=1&cancel_http_readonly_queries_on_client_close=1";
+        let session = request.session.as_deref();
+        if let Some(database) = session.and_then(|session| session.database.as_deref()) {
+            path += &format!("&database={}", http::escape(database));
+        }
+        if request.memory_mb > 0.0 {
+            let megabytes = request.memory_mb.ceil() as u64;
+            let bytes = megabytes.saturating_mul(MEGABYTE_BYTES);
+            path += &format!("&max_memory_usage={bytes}");
+        }
+        path
+    }
+
+    /// Reads the head of a response from the input.
+    fn receive_head(&mut self, output: &mut ProtocolOutput) -> Result<HeadStatus, ProtocolError> {
+        let head = http::head(&self.input).map_err(|_| ProtocolError::Violation)?;
+        let Some((head, used)) = head else {
+            return Ok(HeadStatus::Incomplete);
         };
-        format!("Host: engine\r\nUser-Agent: yokelift\r\n{login}")
+        let [version, status, _] = &head.first;
+        // A response without a request: the two sides do not agree any more on which response
+        // belongs to which request.
+        let supported = matches!(version.as_str(), "HTTP/1.1" | "HTTP/1.0");
+        if self.exchange.is_none() || !supported {
+            return Err(ProtocolError::Violation);
+        }
+        self.input.drain(..used);
+        if status.starts_with('1') {
+            return Ok(HeadStatus::Interim);
+        }
+        let default_body = match status.as_str() {
+            "204" | "304" => Body::Length(0),
+            _ => Body::UntilClose,
+        };
+        let body = head
+            .body(default_body)
+            .map_err(|_| ProtocolError::Violation)?;
+        self.check_query_id(&head)?;
+        if matches!(body, Body::Length(length) if length > MAX_RESPONSE_BYTES as u64) {
+            return Err(self.reject_large_response(output));
+        }
+        self.response = Some(PendingResponse { head, body });
+        Ok(HeadStatus::Final)
     }
 
-    /// An answer is whole: what does it say?
-    fn whole(&mut self, said: &mut Vec<BackendEvent>) {
-        let Some((head, _)) = self.answer.take() else {
-            return;
+    /// Detects a duplicate response, or one to an earlier query, where the engine names the query.
+    fn check_query_id(&self, head: &Head) -> Result<(), ProtocolError> {
+        let Some(Exchange::Query { query_id, .. }) = &self.exchange else {
+            return Ok(());
         };
-        self.heard_at = None;
-        let rows = std::mem::take(&mut self.rows);
-        self.reusable &= head.keeps_alive(&head.first[0]);
-        let code = head
-            .field("x-clickhouse-exception-code")
-            .and_then(|c| c.parse().ok());
-        // Some versions write a late error behind the rows and end the body as if all were well.
-        let lines = rows.strip_suffix(b"\n").unwrap_or(&rows);
-        let last = lines.rsplit(|c| *c == b'\n').next().unwrap_or_default();
-        let late = || {
-            Some(last)
-                .filter(|l| contains(l, b". DB::Exception: "))
-                .and_then(code_in)
+        match head.field(QUERY_ID_HEADER) {
+            Some(found) if *found != **query_id => Err(ProtocolError::Violation),
+            _ => Ok(()),
+        }
+    }
+
+    /// Reads the body of a response from the input; gives whether it is complete.
+    fn receive_body(&mut self, output: &mut ProtocolOutput) -> Result<bool, ProtocolError> {
+        let Some(response) = &mut self.response else {
+            return Ok(false);
         };
-        let code = code.or_else(|| {
-            if head.first[1] == "200" {
-                late()
-            } else {
-                code_in(&rows)
-            }
-        });
-        let load = LoadReport::default();
-        match (self.asked.take(), head.first[1].as_str(), code) {
-            (Some(Asked::Query(id, _)), "200", None) if same_columns(&rows) => said.push(
-                BackendEvent::Ended(id, Termination::Done, rows, load, Cost::default()),
-            ),
-            // Its own word that it took nothing on. Any other error may come after the query began.
-            (Some(Asked::Query(id, _)), "503", Some(TOO_MANY_QUERIES)) => {
-                said.push(BackendEvent::Ended(
-                    id,
-                    Termination::Rejected,
-                    Vec::new(),
-                    load,
-                    Cost::default(),
-                ));
+        let read = response
+            .body
+            .read(&self.input, &mut self.rows, MAX_RESPONSE_BYTES);
+        match read {
+            Ok((used, complete)) => {
+                self.input.drain(..used);
+                if complete {
+                    self.complete_response(output);
+                }
+                Ok(complete)
             }
-            (Some(Asked::Query(id, _)), _, _) => said.push(BackendEvent::Ended(
-                id,
-                Termination::EngineError,
-                Vec::new(),
-                load,
-                Cost::default(),
-            )),
-            (Some(Asked::Ping(n)), "200", _) => {
-                said.push(BackendEvent::Probed(n, OutcomeKind::Ok, load))
+            Err(http::Fault::BodyTooLong) => Err(self.reject_large_response(output)),
+            Err(_) => Err(ProtocolError::Violation),
+        }
+    }
+
+    fn reject_large_response(&mut self, output: &mut ProtocolOutput) -> ProtocolError {
+        self.fail_exchange(output);
+        ProtocolError::ResponseTooLarge
+    }
+
+    /// Ends the request with the response that is complete.
+    fn complete_response(&mut self, output: &mut ProtocolOutput) {
+        let Some(PendingResponse { head, .. }) = self.response.take() else {
+            return;
+        };
+        self.partial_response_at = None;
+        let rows = std::mem::take(&mut self.rows);
+        let [version, status, _] = &head.first;
+        self.reusable &= head.keeps_alive(version);
+        let success = status == "200";
+        match self.exchange.take() {
+            Some(Exchange::Query { id, .. }) => {
+                let exception = exception_code(&head, success, &rows);
+                let termination = query_termination(status, exception, &rows);
+                let mut end = AttemptEnd::without_result(id, termination);
+                if termination == Termination::Done {
+                    end.rows = rows;
+                }
+                output.events.push(BackendEvent::AttemptEnded(end));
             }
-            (Some(Asked::Ping(n)), _, _) => {
-                said.push(BackendEvent::Probed(n, OutcomeKind::Error, load))
+            Some(Exchange::Ping(probe)) => {
+                let kind = if success {
+                    OutcomeKind::Ok
+                } else {
+                    OutcomeKind::Error
+                };
+                output.events.push(BackendEvent::ProbeCompleted {
+                    probe,
+                    kind,
+                    load: LoadReport::default(),
+                });
             }
-            (Some(Asked::Nobody) | None, _, _) => {}
+            Some(Exchange::Cancelled) | None => {}
         }
     }
 
-    fn end(&mut self, end: Termination, said: &mut Vec<BackendEvent>) {
+    /// Ends the query in flight, if there is one, as failed.
+    fn fail_exchange(&mut self, output: &mut ProtocolOutput) {
         self.reusable = false;
-        if let Some(Asked::Query(id, _)) = self.asked.take() {
-            said.push(BackendEvent::Ended(
-                id,
-                end,
-                Vec::new(),
-                LoadReport::default(),
-                Cost::default(),
-            ));
+        if let Some(Exchange::Query { id, .. }) = self.exchange.take() {
+            let end = AttemptEnd::without_result(id, Termination::EngineError);
+            output.events.push(BackendEvent::AttemptEnded(end));
         }
     }
 }
 
-/// Whether rows are whole and have the same columns. Guards against passing noise on as an answer.
-fn same_columns(rows: &[u8]) -> bool {
-    let columns = |row: &[u8]| row.iter().filter(|c| **c == b'\t').count();
-    let lines = rows
-        .strip_suffix(b"\n")
-        .map(|all| all.split(|c| *c == b'\n').map(columns));
-    rows.is_empty()
-        || lines.is_some_and(|mut lines| lines.next().is_none_or(|n| lines.all(|m| m == n)))
+/// How a query with a complete response ended.
+fn query_termination(status: &str, exception: Option<u32>, rows: &[u8]) -> Termination {
+    match (status, exception) {
+        ("200", None) if has_uniform_columns(rows) => Termination::Done,
+        // The engine states that it did not start the query. Any other error may come after that.
+        ("503", Some(TOO_MANY_SIMULTANEOUS_QUERIES)) => Termination::Rejected,
+        _ => Termination::EngineError,
+    }
 }
 
-fn contains(text: &[u8], part: &[u8]) -> bool {
-    text.windows(part.len()).any(|w| w == part)
+/// The code of the exception that a response reports in its head or in its body.
+fn exception_code(head: &Head, success: bool, body: &[u8]) -> Option<u32> {
+    let in_head = head
+        .field(EXCEPTION_CODE_HEADER)
+        .and_then(|code| code.parse().ok());
+    in_head.or_else(|| {
+        if success {
+            late_exception_code(body)
+        } else {
+            exception_code_in(body)
+        }
+    })
+}
+
+/// Some versions write a late exception as the last line behind the rows, and end the body as after
+/// a success.
+fn late_exception_code(body: &[u8]) -> Option<u32> {
+    let lines = body.strip_suffix(b"\n").unwrap_or(body);
+    let last_line = lines.rsplit(|byte| *byte == b'\n').next()?;
+    if contains(last_line, EXCEPTION_MARKER) {
+        exception_code_in(last_line)
+    } else {
+        None
+    }
 }
 
-fn code_in(body: &[u8]) -> Option<u32> {
-    let digits = body.strip_prefix(CODE)?;
-    let end = digits.iter().position(|c| !c.is_ascii_digit())?;
+/// The code of an exception whose text is `text`.
+fn exception_code_in(text: &[u8]) -> Option<u32> {
+    let digits = text.strip_prefix(EXCEPTION_PREFIX)?;
+    let end = digits.iter().position(|byte| !byte.is_ascii_digit())?;
     std::str::from_utf8(&digits[..end]).ok()?.parse().ok()
 }
 
+/// Whether the rows are complete and all have the same number of columns, so that corrupted bytes
+/// are not passed on as a result.
+fn has_uniform_columns(rows: &[u8]) -> bool {
+    if rows.is_empty() {
+        return true;
+    }
+    let Some(lines) = rows.strip_suffix(b"\n") else {
+        return false;
+    };
+    let columns = |row: &[u8]| row.iter().filter(|byte| **byte == b'\t').count();
+    let mut counts = lines.split(|byte| *byte == b'\n').map(columns);
+    let first = counts.next();
+    counts.all(|count| Some(count) == first)
+}
+
+fn contains(text: &[u8], part: &[u8]) -> bool {
+    text.windows(part.len()).any(|window| window == part)
+}
+
 impl Protocol for ClickHouse {
-    fn streams(&self) -> usize {
+    fn max_streams(&self) -> usize {
         1
     }
 
-    fn start(&mut self, now: Micros, job: &AttemptRequest) -> Vec<u8> {
-        let seconds = job.deadline.saturating_sub(now).max(MS) as f64 / SEC as f64;
-        let session = job.session.as_deref();
-        let id = session
-            .and_then(|s| s.query_id.as_deref())
-            .unwrap_or(&job.client_request_id);
-        self.asked = Some(Asked::Query(job.id, id.into()));
-        let id = http::escape(id);
-        let mut path =
-            format!("/?query_id={id}&max_execution_time={seconds:.3}&default_format=TabSeparated");
-        // So an error shows in the status where it can, and a closed connection ends a query that
-        // only reads.
-        path += "&wait_end_of_query=1&cancel_http_readonly_queries_on_client_close=1";
-        if let Some(database) = session.and_then(|s| s.database.as_deref()) {
-            path += &format!("&database={}", http::escape(database));
-        }
-        if job.memory_mb > 0.0 {
-            path += &format!(
-                "&max_memory_usage={}",
-                (job.memory_mb.ceil() as u64).saturating_mul(1 << 20)
-            );
-        }
-        let (headers, length) = (self.headers(), job.statement.len());
+    fn start_attempt(&mut self, now: Micros, request: &AttemptRequest) -> Vec<u8> {
+        let session = request.session.as_deref();
+        let query_id = session
+            .and_then(|session| session.query_id.as_deref())
+            .unwrap_or(&request.client_request_id);
+        let path = ClickHouse::query_path(now, request, query_id);
+        let headers = self.headers();
+        let length = request.statement.len();
         let head = format!("POST {path} HTTP/1.1\r\n{headers}Content-Length: {length}\r\n\r\n");
-        let mut bytes = head.into_bytes();
-        bytes.extend_from_slice(&job.statement);
-        bytes
+        let mut command = head.into_bytes();
+        command.extend_from_slice(&request.statement);
+        self.exchange = Some(Exchange::Query {
+            id: request.id,
+            query_id: query_id.into(),
+        });
+        command
     }
 
-    /// Only closing the connection gives a query up.
-    fn stop(&mut self, _: RequestId) -> Option<Vec<u8>> {
-        self.asked = Some(Asked::Nobody);
+    /// Only closing the connection cancels a query.
+    fn cancel_attempt(&mut self, _: RequestId) -> Option<Vec<u8>> {
+        self.exchange = Some(Exchange::Cancelled);
         self.reusable = false;
         None
     }
 
-    fn probe(&mut self, number: u64) -> Vec<u8> {
-        self.asked = Some(Asked::Ping(number));
+    fn send_probe(&mut self, probe: ProbeId) -> Vec<u8> {
+        self.exchange = Some(Exchange::Ping(probe));
         format!("GET /ping HTTP/1.1\r\n{}\r\n", self.headers()).into_bytes()
     }
 
-    fn feed(
+    fn receive(
         &mut self,
         now: Micros,
         input: &[u8],
-        said: &mut Vec<BackendEvent>,
-        _: &mut Vec<u8>,
-    ) -> Result<(), Termination> {
-        self.heard_at = Some(now);
+        output: &mut ProtocolOutput,
+    ) -> Result<(), ProtocolError> {
+        self.partial_response_at = Some(now);
         self.input.extend_from_slice(input);
         while !self.input.is_empty() {
-            if self.answer.is_none() {
-                let Some((head, used)) =
-                    http::head(&self.input).map_err(|_| Termination::ProtocolViolation)?
-                else {
-                    break;
-                };
-                let version = head.first[0].as_str();
-                // An answer that nobody asked for: the two sides no longer agree on what belongs to
-                // what.
-                if self.asked.is_none() || !matches!(version, "HTTP/1.1" | "HTTP/1.0") {
-                    return Err(Termination::ProtocolViolation);
-                }
-                self.input.drain(..used);
-                if head.first[1].starts_with('1') {
-                    continue;
-                }
-                let bare = matches!(head.first[1].as_str(), "204" | "304");
-                let without = if bare {
-                    Body::Length(0)
-                } else {
-                    Body::UntilClose
-                };
-                let body = head
-                    .body(without)
-                    .map_err(|_| Termination::ProtocolViolation)?;
-                // Guards against a second copy, or an answer to an earlier query: where it tells
-                // whose it is.
-                if let (Some(Asked::Query(_, mine)), Some(theirs)) =
-                    (&self.asked, head.field(QUERY_ID))
-                    && **mine != *theirs
-                {
-                    return Err(Termination::ProtocolViolation);
+            if self.response.is_none() {
+                match self.receive_head(output)? {
+                    HeadStatus::Incomplete => break,
+                    HeadStatus::Interim => continue,
+                    HeadStatus::Final => {}
                 }
-                if matches!(body, Body::Length(n) if n > MOST_ROWS as u64) {
-                    self.end(Termination::EngineError, said);
-                    return Err(Termination::Dropped);
-                }
-                self.answer = Some((head, body));
             }
-            let Some((_, body)) = &mut self.answer else {
+            if !self.receive_body(output)? {
                 break;
-            };
-            match body.read(&self.input, &mut self.rows, MOST_ROWS) {
-                Ok((used, whole)) => {
-                    self.input.drain(..used);
-                    match whole {
-                        true => self.whole(said),
-                        false => break,
-                    }
-                }
-                Err(http::Fault::BodyTooLong) => {
-                    self.end(Termination::EngineError, said);
-                    return Err(Termination::Dropped);
-                }
-                Err(_) => return Err(Termination::ProtocolViolation),
             }
         }
-        // A body of no bytes is whole with its head.
-        if let Some((_, Body::Length(0))) = self.answer {
-            self.whole(said);
+        // An empty body is complete with its head.
+        if self
+            .response
+            .as_ref()
+            .is_some_and(|response| response.body == Body::Length(0))
+        {
+            self.complete_response(output);
+        }
+        if self.response.is_none() && self.input.is_empty() {
+            self.partial_response_at = None;
         }
-        let partial = self.answer.is_some() || !self.input.is_empty();
-        self.heard_at = self.heard_at.filter(|_| partial);
         Ok(())
     }
 
-    fn next_due(&self) -> Option<Micros> {
-        self.heard_at.map(|at| at + GAP)
+    fn next_timeout(&self) -> Option<Micros> {
+        let at = self.partial_response_at?;
+        Some(at + RESPONSE_GAP_TIMEOUT_MICROS)
     }
 
-    fn due(
-        &mut self,
-        now: Micros,
-        _: &mut Vec<BackendEvent>,
-        _: &mut Vec<u8>,
-    ) -> Result<(), Termination> {
-        if self.heard_at.is_some_and(|at| at + GAP <= now) {
-            Err(Termination::Unresponsive)
-        } else {
-            Ok(())
+    fn on_timeout(&mut self, now: Micros, _: &mut ProtocolOutput) -> Result<(), ProtocolError> {
+        if self.next_timeout().is_some_and(|at| at <= now) {
+            return Err(ProtocolError::Timeout);
         }
+        Ok(())
     }
 
-    /// Guards against a cut-off answer that passes for a whole one: only a body with no length of
-    /// its own may end with the connection; one that promised more has failed.
-    fn finish(&mut self, said: &mut Vec<BackendEvent>) {
-        match self.answer {
-            Some((_, Body::UntilClose)) => self.whole(said),
-            Some(_) => self.end(Termination::EngineError, said),
+    /// Only a body without a length of its own may end with the connection; one that announced more
+    /// was cut off and has failed.
+    fn on_end_of_input(&mut self, output: &mut ProtocolOutput) {
+        match &self.response {
+            Some(response) if response.body == Body::UntilClose => self.complete_response(output),
+            Some(_) => self.fail_exchange(output),
             None => {}
         }
         self.reusable = false;
     }
 
-    fn reusable(&self) -> bool {
+    fn is_reusable(&self) -> bool {
         self.reusable
     }
 }
--- /dev/null
+++ b/src/backend/connection_state/mod.rs
@@ -0,0 +1,487 @@
+//! The state machine of one connection to an engine, without its socket: output that waits to be
+//! written, attempts in flight, health checks without an answer, and how each of them ends. The
+//! caller moves bytes between it and a socket; the engine's [`Protocol`] is its parameter.
+mod output_queue;
+
+use super::{AttemptEnd, BackendEvent, ProbeId, Protocol, ProtocolOutput};
+use crate::clock::{MS, Micros};
+use crate::dispatcher::termination::{Termination, TransmitProgress, outcome};
+use crate::dispatcher::{AttemptRequest, AttemptResult};
+use crate::policy::api::{AttemptNo, LoadReport, OutcomeKind, RequestId};
+use output_queue::{OutputQueue, SegmentKind};
+use std::collections::{BTreeMap, VecDeque};
+
+/// Delay between the cancellation of an attempt and its end. The cancel command has to reach the
+/// engine before a retry does, which may travel on another connection.
+const CANCEL_SETTLE_MICROS: Micros = 5 * MS;
+/// Delay before the last bytes of an attempt that must never run twice are written; longer than a
+/// round trip. If the connection is reset meanwhile, the engine never had the whole command, so the
+/// attempt provably did not run.
+const TAIL_HOLD_MICROS: Micros = 5 * MS;
+/// A health check without an answer for this long has failed.
+const PROBE_TIMEOUT_MICROS: Micros = 250 * MS;
+/// Upper bound of the requests remembered in [`ConnectionState::abandoned_requests`]; the oldest
+/// are forgotten first.
+const MAX_ABANDONED_REQUESTS: usize = 256;
+
+/// An attempt that was started on the connection and has not ended.
+struct PendingAttempt {
+    attempt: AttemptNo,
+    client_connection: u64,
+    progress: TransmitProgress,
+    sent_at: Micros,
+    /// Set once the attempt is cancelled: when its end is reported.
+    cancel_settles_at: Option<Micros>,
+}
+
+impl PendingAttempt {
+    fn is_cancelled(&self) -> bool {
+        self.cancel_settles_at.is_some()
+    }
+
+    fn is_unsent(&self) -> bool {
+        self.progress == TransmitProgress::Unsent
+    }
+}
+
+/// A health check that was sent and has no answer.
+#[derive(Clone, Copy)]
+struct PendingProbe {
+    id: ProbeId,
+    sent_at: Micros,
+}
+
+/// The attempt whose first byte is the next one to be written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StartingAttempt {
+    /// The request.
+    pub id: RequestId,
+    /// The attempt.
+    pub attempt: AttemptNo,
+    /// The connection of the client that waits for it.
+    pub client_connection: u64,
+}
+
+/// An event on a connection.
+#[derive(Debug)]
+pub enum ConnectionEvent {
+    /// An attempt ended.
+    AttemptEnded(AttemptResult),
+    /// A health check ended.
+    ProbeCompleted {
+        /// Its outcome.
+        kind: OutcomeKind,
+        /// The time between sending it and this end.
+        latency: Micros,
+        /// The load that the engine reported; empty without an answer.
+        load: LoadReport,
+    },
+}
+
+/// One connection with the protocol `P`.
+pub struct ConnectionState<P> {
+    protocol: P,
+    pending: BTreeMap<RequestId, PendingAttempt>,
+    probes: VecDeque<PendingProbe>,
+    next_probe: ProbeId,
+    output: OutputQueue,
+    /// Until when an [`SegmentKind::AttemptTail`] at the front of the output is held back.
+    tail_held_until: Option<Micros>,
+    last_received_at: Micros,
+    idle_since: Micros,
+    /// Nothing was received since an attempt that took too long was sent: the connection may be
+    /// dead, so it carries nothing new.
+    suspect: bool,
+    abandoned_requests: VecDeque<RequestId>,
+    commands_written: u64,
+    close_reason: Option<Termination>,
+}
+
+impl<P: Protocol> ConnectionState<P> {
+    /// The state of a connection that is about to be established.
+    pub fn new(now: Micros, protocol: P) -> ConnectionState<P> {
+        ConnectionState {
+            protocol,
+            pending: BTreeMap::new(),
+            probes: VecDeque::new(),
+            next_probe: ProbeId::FIRST,
+            output: OutputQueue::default(),
+            tail_held_until: None,
+            last_received_at: now,
+            idle_since: now,
+            suspect: false,
+            abandoned_requests: VecDeque::new(),
+            commands_written: 0,
+            close_reason: None,
+        }
+    }
+
+    /// The number of attempts that it can carry in addition to those in flight.
+    pub fn free_streams(&self) -> usize {
+        if self.close_reason.is_some() || self.is_worn_out() {
+            return 0;
+        }
+        let max_streams = self.protocol.max_streams();
+        max_streams.saturating_sub(self.pending.len())
+    }
+
+    /// Whether it carries nothing new, and closes after the attempts in flight.
+    fn is_worn_out(&self) -> bool {
+        self.suspect || !self.protocol.is_reusable()
+    }
+
+    /// The requests with an attempt in flight.
+    pub fn attempts(&self) -> impl Iterator<Item = RequestId> {
+        self.pending.keys().copied()
+    }
+
+    /// Requests whose attempt ended here without a complete response. A retry needs another
+    /// connection: a late message about the earlier attempt, such as an error for each requested
+    /// page, would be taken for the end of the retry.
+    pub fn abandoned_requests(&self) -> impl Iterator<Item = RequestId> {
+        self.abandoned_requests.iter().copied()
+    }
+
+    /// Since when the connection has been idle: no attempt, no health check, no output. `None` if
+    /// it is in use.
+    pub fn idle_since(&self) -> Option<Micros> {
+        let idle = self.pending.is_empty() && self.probes.is_empty() && self.output.is_empty();
+        idle.then_some(self.idle_since)
+    }
+
+    /// Why the connection has to be closed, or `None` if it may stay open.
+    pub fn close_reason(&self) -> Option<Termination> {
+        let drained = self.is_worn_out() && self.pending.is_empty() && self.output.is_empty();
+        self.close_reason
+            .or(drained.then_some(Termination::Dropped))
+    }
+
+    /// When [`ConnectionState::on_timeout`] has to be called.
+    pub fn next_timeout(&self) -> Option<Micros> {
+        let cancelled = self.pending.values().filter_map(|a| a.cancel_settles_at);
+        let probe = self.probes.front();
+        let probe_timeout = probe.map(|probe| probe.sent_at + PROBE_TIMEOUT_MICROS);
+        cancelled
+            .chain(probe_timeout)
+            .chain(self.protocol.next_timeout())
+            .chain(self.tail_held_until)
+            .min()
+    }
+
+    /// Starts an attempt.
+    pub fn start_attempt(&mut self, now: Micros, request: &AttemptRequest) {
+        let command = self.protocol.start_attempt(now, request);
+        self.output
+            .push_attempt(request.id, command, request.single);
+        let pending = PendingAttempt {
+            attempt: request.attempt,
+            client_connection: request.client_connection,
+            progress: TransmitProgress::Unsent,
+            sent_at: now,
+            cancel_settles_at: None,
+        };
+        self.pending.insert(request.id, pending);
+    }
+
+    /// Sends a health check.
+    pub fn send_probe(&mut self, now: Micros) {
+        let id = self.next_probe;
+        let command = self.protocol.send_probe(id);
+        self.output.push_control(command);
+        self.probes.push_back(PendingProbe { id, sent_at: now });
+        self.next_probe = id.next();
+    }
+
+    fn end_attempt(&mut self, now: Micros, end: AttemptEnd) -> Option<ConnectionEvent> {
+        let pending = self.pending.remove(&end.id)?;
+        self.idle_since = now;
+        let answered = matches!(
+            end.termination,
+            Termination::Done | Termination::Rejected | Termination::AlreadyFinished
+        );
+        if !answered && !pending.is_unsent() {
+            self.remember_abandoned(end.id);
+        }
+        Some(ConnectionEvent::AttemptEnded(AttemptResult {
+            id: end.id,
+            attempt: pending.attempt,
+            termination: end.termination,
+            progress: pending.progress,
+            rows: end.rows,
+            load: end.load,
+            cost: end.cost,
+        }))
+    }
+
+    fn remember_abandoned(&mut self, id: RequestId) {
+        self.abandoned_requests.push_back(id);
+        if self.abandoned_requests.len() > MAX_ABANDONED_REQUESTS {
+            self.abandoned_requests.pop_front();
+        }
+    }
+
+    /// Withdraws an attempt before its first byte is written.
+    fn withdraw_unsent(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        termination: Termination,
+    ) -> Option<ConnectionEvent> {
+        self.output.remove_attempt(id);
+        // The engine never heard of the attempt: only the protocol has to forget it.
+        let _ = self.protocol.cancel_attempt(id);
+        self.end_attempt(now, AttemptEnd::without_result(id, termination))
+    }
+
+    /// Cancels an attempt. Its end follows after a short delay, unless it was not sent yet or only
+    /// closing the connection cancels it. Ignored for an attempt that is not in flight.
+    pub fn cancel_attempt(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        attempt: AttemptNo,
+        events: &mut Vec<ConnectionEvent>,
+    ) {
+        let in_flight = self.pending.get_mut(&id).filter(|a| a.attempt == attempt);
+        let Some(pending) = in_flight else { return };
+        if pending.is_unsent() {
+            events.extend(self.withdraw_unsent(now, id, Termination::Cancelled));
+            return;
+        }
+        if pending.is_cancelled() {
+            return;
+        }
+        pending.cancel_settles_at = Some(now + CANCEL_SETTLE_MICROS);
+        self.suspect |= self.last_received_at <= pending.sent_at;
+        match self.protocol.cancel_attempt(id) {
+            Some(command) => self.output.push_control(command),
+            None => {
+                self.close_reason = Some(Termination::Dropped);
+                let end = AttemptEnd::without_result(id, Termination::Cancelled);
+                events.extend(self.end_attempt(now, end));
+            }
+        }
+    }
+
+    /// Records that an attempt takes longer than expected and is being hedged elsewhere. If nothing
+    /// was received since it was sent, the connection may be dead and carries nothing new.
+    pub fn mark_slow(&mut self, id: RequestId, attempt: AttemptNo) {
+        let sent = self
+            .pending
+            .get(&id)
+            .filter(|pending| pending.attempt == attempt && !pending.is_unsent());
+        self.suspect |= sent.is_some_and(|pending| self.last_received_at <= pending.sent_at);
+    }
+
+    /// Changes the priority of an attempt. The command is queued behind the one that starts the
+    /// attempt, so it never arrives first.
+    pub fn set_priority(&mut self, id: RequestId, attempt: AttemptNo, priority: u8) {
+        let in_flight = self
+            .pending
+            .get(&id)
+            .is_some_and(|pending| pending.attempt == attempt && !pending.is_cancelled());
+        if !in_flight {
+            return;
+        }
+        let command = self.protocol.set_priority(id, priority);
+        if !command.is_empty() {
+            self.output.push_control(command);
+        }
+    }
+
+    /// The engine is draining or gone: withdraws every attempt that was not sent yet, for instance
+    /// while the connection is being established or the engine does not read.
+    pub fn drain(&mut self, now: Micros, events: &mut Vec<ConnectionEvent>) {
+        let unsent = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| pending.is_unsent());
+        let unsent: Vec<RequestId> = unsent.map(|(id, _)| *id).collect();
+        for id in unsent {
+            events.extend(self.withdraw_unsent(now, id, Termination::Drained));
+        }
+    }
+
+    /// The attempt whose first byte is the next one to be written.
+    pub fn next_starting_attempt(&self) -> Option<StartingAttempt> {
+        let id = self.output.next_attempt_start()?;
+        let pending = self.pending.get(&id)?;
+        Some(StartingAttempt {
+            id,
+            attempt: pending.attempt,
+            client_connection: pending.client_connection,
+        })
+    }
+
+    /// The bytes to write next, if there are any that are not held back.
+    pub fn pending_output(&self) -> Option<&[u8]> {
+        let (kind, bytes) = self.output.front()?;
+        let is_tail = matches!(kind, SegmentKind::AttemptTail(_));
+        let held_back = is_tail && self.tail_held_until.is_some();
+        (!held_back).then_some(bytes)
+    }
+
+    /// Records that the first `count` bytes of [`ConnectionState::pending_output`] were written.
+    pub fn advance_output(&mut self, now: Micros, count: usize) {
+        let Some(written) = self.output.advance(count) else {
+            return;
+        };
+        match written.kind {
+            SegmentKind::Attempt(id) | SegmentKind::AttemptHead(id) if count > 0 => {
+                self.record_first_write(now, id);
+            }
+            SegmentKind::AttemptTail(id) => {
+                if let Some(pending) = self.pending.get_mut(&id) {
+                    pending.progress = TransmitProgress::Complete;
+                }
+            }
+            _ => {}
+        }
+        if written.complete {
+            self.finish_segment(now, written.kind);
+        }
+    }
+
+    /// As soon as one byte is written the engine may have the whole command.
+    fn record_first_write(&mut self, now: Micros, id: RequestId) {
+        let unsent = self.pending.get_mut(&id).filter(|a| a.is_unsent());
+        if let Some(pending) = unsent {
+            pending.progress = TransmitProgress::Complete;
+            pending.sent_at = now;
+        }
+    }
+
+    fn finish_segment(&mut self, now: Micros, kind: SegmentKind) {
+        match kind {
+            SegmentKind::Attempt(_) | SegmentKind::AttemptTail(_) => self.commands_written += 1,
+            SegmentKind::AttemptHead(id) => {
+                if let Some(pending) = self.pending.get_mut(&id) {
+                    pending.progress = TransmitProgress::Partial;
+                    self.tail_held_until = Some(now + TAIL_HOLD_MICROS);
+                }
+            }
+            SegmentKind::Control => {}
+        }
+    }
+
+    /// The number of attempts written to their last byte since the previous call.
+    pub fn take_commands_written(&mut self) -> u64 {
+        std::mem::take(&mut self.commands_written)
+    }
+
+    /// Processes bytes that were received; an empty `input` is the end of the stream.
+    pub fn receive(&mut self, now: Micros, input: &[u8], events: &mut Vec<ConnectionEvent>) {
+        let mut output = ProtocolOutput::default();
+        self.last_received_at = now;
+        if input.is_empty() {
+            self.protocol.on_end_of_input(&mut output);
+            self.close_unless_closing(Termination::Closed);
+        } else if let Err(error) = self.protocol.receive(now, input, &mut output) {
+            self.close_unless_closing(error.into());
+        }
+        self.apply(now, output, events);
+    }
+
+    /// The first reason to close counts.
+    fn close_unless_closing(&mut self, reason: Termination) {
+        self.close_reason.get_or_insert(reason);
+    }
+
+    fn apply(&mut self, now: Micros, output: ProtocolOutput, events: &mut Vec<ConnectionEvent>) {
+        if !output.replies.is_empty() {
+            self.output.push_control(output.replies);
+        }
+        for event in output.events {
+            let event = match event {
+                BackendEvent::AttemptEnded(end) => self.end_attempt(now, end),
+                BackendEvent::ProbeCompleted { probe, kind, load } => {
+                    self.complete_probe(now, probe, kind, load)
+                }
+            };
+            events.extend(event);
+        }
+    }
+
+    /// Ignores a duplicate or late answer: it says nothing about a later health check.
+    fn complete_probe(
+        &mut self,
+        now: Micros,
+        id: ProbeId,
+        kind: OutcomeKind,
+        load: LoadReport,
+    ) -> Option<ConnectionEvent> {
+        let index = self.probes.iter().position(|probe| probe.id == id)?;
+        let probe = self.probes.remove(index)?;
+        Some(ConnectionEvent::ProbeCompleted {
+            kind,
+            latency: now.saturating_sub(probe.sent_at),
+            load,
+        })
+    }
+
+    /// Processes all timeouts that have expired at `now`.
+    pub fn on_timeout(&mut self, now: Micros, events: &mut Vec<ConnectionEvent>) {
+        self.tail_held_until = self.tail_held_until.filter(|until| *until > now);
+        self.end_settled_cancellations(now, events);
+        if self.protocol.next_timeout().is_some_and(|at| at <= now) {
+            let mut output = ProtocolOutput::default();
+            if let Err(error) = self.protocol.on_timeout(now, &mut output) {
+                self.close_unless_closing(error.into());
+            }
+            self.apply(now, output, events);
+        }
+        self.expire_probes(now, events);
+    }
+
+    fn end_settled_cancellations(&mut self, now: Micros, events: &mut Vec<ConnectionEvent>) {
+        let settled = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| pending.cancel_settles_at.is_some_and(|at| at <= now));
+        let settled: Vec<RequestId> = settled.map(|(id, _)| *id).collect();
+        for id in settled {
+            let end = AttemptEnd::without_result(id, Termination::Cancelled);
+            events.extend(self.end_attempt(now, end));
+        }
+    }
+
+    fn expire_probes(&mut self, now: Micros, events: &mut Vec<ConnectionEvent>) {
+        let expired = |probe: &mut PendingProbe| probe.sent_at + PROBE_TIMEOUT_MICROS <= now;
+        while let Some(probe) = self.probes.pop_front_if(expired) {
+            events.push(ConnectionEvent::ProbeCompleted {
+                kind: OutcomeKind::Timeout,
+                latency: now - probe.sent_at,
+                load: LoadReport::default(),
+            });
+        }
+    }
+
+    /// The connection ended, or could not be established: ends all attempts and health checks.
+    pub fn close(&mut self, now: Micros, reason: Termination, events: &mut Vec<ConnectionEvent>) {
+        self.close_unless_closing(reason);
+        let in_flight: Vec<RequestId> = self.attempts().collect();
+        for id in in_flight {
+            let cancelled = self.pending.get(&id).is_some_and(|a| a.is_cancelled());
+            let termination = if cancelled {
+                Termination::Cancelled
+            } else {
+                reason
+            };
+            let end = AttemptEnd::without_result(id, termination);
+            events.extend(self.end_attempt(now, end));
+        }
+        let kind = outcome(reason, TransmitProgress::Complete);
+        for probe in std::mem::take(&mut self.probes) {
+            events.push(ConnectionEvent::ProbeCompleted {
+                kind,
+                latency: now - probe.sent_at,
+                load: LoadReport::default(),
+            });
+        }
+        self.output.clear();
+    }
+}
+
+#[cfg(test)]
+#[path = "../../../tests/unit/connection_state.rs"]
+mod tests;
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -1,4 +1,5 @@
-//! Wires to engines: parsers and mapping only. The sockets are in `src/net`.
+//! The engine side of the proxy without its sockets: one [`Protocol`] per kind of engine, and the
+//! state machine of a connection that is driven by it. The sockets are in [`crate::net::engine`].
 pub mod clickhouse;
 pub mod connection_state;
 pub mod platform;
@@ -7,50 +8,153 @@
 use crate::dispatcher::termination::Termination;
 use crate::dispatcher::{AttemptRequest, Cost};
 use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
+use std::fmt;
 
-/// What a wire made of the bytes of an engine.
+/// Identifies a health check among those sent on one connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ProbeId(pub u64);
+
+impl ProbeId {
+    /// The first identifier on a connection.
+    pub const FIRST: ProbeId = ProbeId(1);
+
+    /// The identifier after this one.
+    #[must_use]
+    pub fn next(self) -> ProbeId {
+        ProbeId(self.0 + 1)
+    }
+}
+
+impl fmt::Display for ProbeId {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
+
+/// The end of an attempt, as far as the engine's response tells it.
+#[derive(Debug)]
+pub struct AttemptEnd {
+    /// The request whose attempt ended.
+    pub id: RequestId,
+    /// The reason.
+    pub termination: Termination,
+    /// All rows of the result, with [`Termination::Done`]; empty otherwise.
+    pub rows: Vec<u8>,
+    /// The load that the engine reported with its response.
+    pub load: LoadReport,
+    /// The cost of the query that the engine reported with its response.
+    pub cost: Cost,
+}
+
+impl AttemptEnd {
+    /// The end of an attempt without a result, a load report or a cost.
+    pub fn without_result(id: RequestId, termination: Termination) -> AttemptEnd {
+        AttemptEnd {
+            id,
+            termination,
+            rows: Vec::new(),
+            load: LoadReport::default(),
+            cost: Cost::default(),
+        }
+    }
+}
+
+/// An event that a protocol decoded from the bytes of an engine.
 #[derive(Debug)]
 pub enum BackendEvent {
-    /// An attempt ended; with [`Termination::Done`] come all its rows.
-    Ended(RequestId, Termination, Vec<u8>, LoadReport, Cost),
-    /// The probe with that number came back.
-    Probed(u64, OutcomeKind, LoadReport),
+    /// An attempt ended.
+    AttemptEnded(AttemptEnd),
+    /// A health check was answered.
+    ProbeCompleted {
+        /// The health check.
+        probe: ProbeId,
+        /// Its outcome.
+        kind: OutcomeKind,
+        /// The load that the engine reported with its answer.
+        load: LoadReport,
+    },
+}
+
+/// What a protocol produces while it decodes input.
+#[derive(Debug, Default)]
+pub struct ProtocolOutput {
+    /// Events in the order in which they were decoded.
+    pub events: Vec<BackendEvent>,
+    /// Bytes to send to the engine in return.
+    pub replies: Vec<u8>,
 }
 
-/// One connection's protocol, without its socket.
+/// Why a protocol can't go on with a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ProtocolError {
+    /// The engine sent bytes that its protocol does not allow.
+    #[error("the engine violated its protocol")]
+    Violation,
+    /// A message or response that had begun was not completed in time.
+    #[error("the engine did not complete a message in time")]
+    Timeout,
+    /// A response exceeds the size that is accepted, and only closing the connection stops it.
+    #[error("the engine's response is too large")]
+    ResponseTooLarge,
+}
+
+impl From<ProtocolError> for Termination {
+    fn from(error: ProtocolError) -> Termination {
+        match error {
+            ProtocolError::Violation => Termination::ProtocolViolation,
+            ProtocolError::Timeout => Termination::Unresponsive,
+            ProtocolError::ResponseTooLarge => Termination::Dropped,
+        }
+    }
+}
+
+/// Encodes and decodes the protocol of one connection to an engine.
 pub trait Protocol {
-    /// Attempts that the connection carries together.
-    fn streams(&self) -> usize;
-    /// The bytes that start an attempt.
-    fn start(&mut self, now: Micros, job: &AttemptRequest) -> Vec<u8>;
-    /// The bytes that give up an attempt that went out; `None` if only closing the connection does.
-    fn stop(&mut self, id: RequestId) -> Option<Vec<u8>>;
-    /// The bytes that give an attempt that went out a new priority; none if the protocol has no
-    /// word for it.
-    fn bump(&mut self, _id: RequestId, _urgency: u8) -> Vec<u8> {
+    /// The number of attempts that the connection carries at the same time.
+    fn max_streams(&self) -> usize;
+
+    /// Encodes the command that starts an attempt. Never empty.
+    fn start_attempt(&mut self, now: Micros, request: &AttemptRequest) -> Vec<u8>;
+
+    /// Encodes the command that cancels the attempt of a request, or `None` if only closing the
+    /// connection cancels it.
+    fn cancel_attempt(&mut self, id: RequestId) -> Option<Vec<u8>>;
+
+    /// Encodes the command that changes the priority of a running attempt. Empty if the protocol
+    /// has no such command, or the attempt does not run any more.
+    fn set_priority(&mut self, _id: RequestId, _priority: u8) -> Vec<u8> {
         Vec::new()
     }
-    /// The bytes of the probe with that number.
-    fn probe(&mut self, number: u64) -> Vec<u8>;
-    /// Reads what came. `replies` takes what the protocol has to say at once.
-    fn feed(
+
+    /// Encodes a health check.
+    fn send_probe(&mut self, probe: ProbeId) -> Vec<u8>;
+
+    /// Decodes bytes that were received.
+    ///
+    /// # Errors
+    ///
+    /// The connection must be closed. Events decoded before the fault are in `output` and count.
+    fn receive(
         &mut self,
         now: Micros,
         input: &[u8],
-        said: &mut Vec<BackendEvent>,
-        replies: &mut Vec<u8>,
-    ) -> Result<(), Termination>;
-    /// By when the rest of what has begun to come must be there.
-    fn next_due(&self) -> Option<Micros>;
-    /// Ends what is overdue by now: an answer, or the whole connection.
-    fn due(
-        &mut self,
-        now: Micros,
-        said: &mut Vec<BackendEvent>,
-        replies: &mut Vec<u8>,
-    ) -> Result<(), Termination>;
-    /// The engine closed its side: an answer may end by that.
-    fn finish(&mut self, said: &mut Vec<BackendEvent>);
-    /// Whether the connection may carry a further attempt after those on it.
-    fn reusable(&self) -> bool;
+        output: &mut ProtocolOutput,
+    ) -> Result<(), ProtocolError>;
+
+    /// When [`Protocol::on_timeout`] has to be called, if anything is expected from the engine.
+    fn next_timeout(&self) -> Option<Micros>;
+
+    /// Ends the responses that are overdue at `now`.
+    ///
+    /// # Errors
+    ///
+    /// The whole connection is overdue and must be closed.
+    fn on_timeout(&mut self, now: Micros, output: &mut ProtocolOutput)
+    -> Result<(), ProtocolError>;
+
+    /// The engine closed its side of the connection, which may complete a response.
+    fn on_end_of_input(&mut self, output: &mut ProtocolOutput);
+
+    /// Whether the connection may carry further attempts after those in flight.
+    fn is_reusable(&self) -> bool;
 }
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -6,7 +6,7 @@
 use crate::config::process::Names;
 use crate::net::Shared;
 use crate::net::dispatcher::DispatcherEvent;
-use crate::net::engine::{EndpointHandle, Start, spawn};
+use crate::net::engine::{ConnectionOptions, EndpointHandle, StartActor, spawn};
 use crate::policy::api::{
     CellId, Endpoint, EndpointListKind, EngineId, KindId, Nanos, Readiness, ZoneId,
 };
@@ -70,24 +70,25 @@
         names.clone(),
         http.login.clone(),
     );
-    let clickhouse: Start = Rc::new(move |row| {
-        let (connect_timeout, keepalive) = (micros(known.connect_timeout), micros(known.keepalive));
-        let (login, peer) = (
-            login.clone(),
-            row.peer(connect_timeout, keepalive.min(HTTP_KEEPALIVE), true),
-        );
-        spawn(&all, module.clone(), row, peer, move || {
+    let clickhouse: StartActor = Rc::new(move |row| {
+        let login = login.clone();
+        let options = ConnectionOptions {
+            connect_timeout: micros(known.connect_timeout),
+            keepalive: micros(known.keepalive).min(HTTP_KEEPALIVE),
+            supports_databases: true,
+        };
+        spawn(&all, module.clone(), row, options, move || {
             ClickHouse::new(login.clone())
         })
     });
-    let platform: Start = Rc::new(move |row| {
-        let peer = row.peer(
-            micros(names.connect_timeout),
-            micros(names.keepalive),
-            false,
-        );
+    let platform: StartActor = Rc::new(move |row| {
+        let options = ConnectionOptions {
+            connect_timeout: micros(names.connect_timeout),
+            keepalive: micros(names.keepalive),
+            supports_databases: false,
+        };
         let names = names.clone();
-        spawn(&shared, core.clone(), row, peer, move || {
+        spawn(&shared, core.clone(), row, options, move || {
             Platform::new(names.clone())
         })
     });
@@ -206,7 +207,7 @@
 /// news.
 fn mark(k: &mut Known, readiness: Readiness) {
     k.listed.entry.readiness = readiness;
-    k.row.mark(readiness);
+    k.row.set_readiness(readiness);
 }
 
 /// An entry, whatever form it came in. `started_ms` is a Unix time; the clock of the module counts
--- a/src/net/dispatcher.rs
+++ b/src/net/dispatcher.rs
@@ -364,20 +364,25 @@
             }
             Command::CancelAttempt(engine, id, attempt) => {
                 if self
-                    .to_engine(engine, EngineCommand::Stop(id, attempt))
+                    .to_engine(engine, EngineCommand::Cancel { id, attempt })
                     .is_err()
                 {
                     // Guards against a lost word: with the mailbox closed the engine's connections
                     // end.
-                    self.engines.get(&engine).iter().for_each(|row| row.cut());
+                    self.engines.get(&engine).iter().for_each(|row| row.abort());
                     log!("the mailbox of engine {} overflowed", engine.0);
                 }
             }
             Command::MarkSlow(engine, id, attempt) => {
-                let _ = self.to_engine(engine, EngineCommand::Doubt(id, attempt));
+                let _ = self.to_engine(engine, EngineCommand::MarkSlow { id, attempt });
             }
             Command::Reprioritize(engine, id, attempt, urgency) => {
-                let _ = self.to_engine(engine, EngineCommand::Bump(id, attempt, urgency));
+                let command = EngineCommand::SetPriority {
+                    id,
+                    attempt,
+                    priority: urgency,
+                };
+                let _ = self.to_engine(engine, command);
             }
             Command::Probe(engine) => {
                 // Where duties are shared out, their owner asks; without room there it is done as
@@ -414,7 +419,12 @@
         let late = until.is_some_and(|until| now >= until);
         if late
             || self
-                .to_engine(engine, EngineCommand::Probe(until.unwrap_or(Micros::MAX)))
+                .to_engine(
+                    engine,
+                    EngineCommand::Probe {
+                        not_after: until.unwrap_or(Micros::MAX),
+                    },
+                )
                 .is_err()
         {
             if until.is_some() {
@@ -434,6 +444,6 @@
     fn to_engine(&self, engine: EngineId, order: EngineCommand) -> Result<(), Termination> {
         self.engines
             .get(&engine)
-            .map_or(Err(Termination::LocalLimit), |row| row.tell(order))
+            .map_or(Err(Termination::LocalLimit), |row| row.send(order))
     }
 }
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -1,234 +1,340 @@
-//! A connection to an engine: made, written and read, with its link's machine between.
-use super::{EngineCommand, Peer, refuse};
+//! The task of one connection to an engine: establishes it, and moves bytes between its socket and
+//! its [`ConnectionState`].
+use super::connection_handle::ConnectionStatus;
+use super::{EngineCommand, MailboxSender, Peer, report_unsent};
 use crate::backend::Protocol;
-use crate::backend::connection_state::{ConnectionState, Event};
+use crate::backend::connection_state::{ConnectionEvent, ConnectionState, StartingAttempt};
 use crate::clock::{self, Micros, SEC};
 use crate::dispatcher::termination::Termination;
 use crate::net::dispatcher::DispatcherEvent;
-use crate::net::mailbox::Sender as Post;
 use crate::net::{CountGuard, Shared, sleep_until};
-use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
+use crate::policy::api::{LoadReport, OutcomeKind};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use std::cell::{Cell, RefCell};
-use std::collections::BTreeSet;
 use std::io;
 use std::net::TcpStream;
+use std::ops::ControlFlow;
 use std::pin::pin;
 use std::rc::Rc;
 
-/// Nothing is written to an engine that does not read for so long.
-const WRITE_STALL: Micros = 5 * SEC;
+/// A connection whose engine accepts no bytes for this long is closed.
+const WRITE_STALL_TIMEOUT_MICROS: Micros = 5 * SEC;
+/// Bytes read from the socket at a time.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// One connection to an engine, from before it is made.
-pub(super) struct Connection<W> {
-    pub(super) link: ConnectionState<W>,
+/// One connection to an engine, from before it is established.
+pub(super) struct Connection<P> {
+    pub(super) state: ConnectionState<P>,
     pub(super) mailbox: Receiver<EngineCommand>,
-    pub(super) core: Sender<DispatcherEvent>,
+    pub(super) dispatcher: Sender<DispatcherEvent>,
     pub(super) peer: Rc<Peer>,
-    pub(super) free: Rc<Cell<usize>>,
-    pub(super) attempts: Rc<RefCell<BTreeSet<RequestId>>>,
-    pub(super) stale: Rc<RefCell<BTreeSet<RequestId>>>,
-    pub(super) proven: Rc<Cell<bool>>,
-    pub(super) events: Vec<Event>,
+    pub(super) status: Rc<ConnectionStatus>,
+    /// Events that are not reported yet.
+    pub(super) events: Vec<ConnectionEvent>,
 }
 
-enum Turn {
-    Order(Option<EngineCommand>),
-    Connected(io::Result<Async<TcpStream>>),
-    Read(io::Result<usize>),
+/// Why the task of an established connection runs again.
+enum WakeReason {
+    /// A command came; `None` if the mailbox was closed.
+    Command(Option<EngineCommand>),
+    /// Bytes were written.
     Wrote(io::Result<usize>),
-    Due,
+    /// Bytes were read.
+    Read(io::Result<usize>),
+    /// A timeout has expired.
+    Timeout,
 }
 
-impl<W: Protocol> Connection<W> {
-    /// Runs to its end, of which its engine's actor is told.
-    pub(super) async fn run(mut self, shared: &Shared, actor: &Post<EngineCommand>) {
-        let socket = CountGuard::up_to(&shared.engine_sockets, shared.max_engine_sockets.get());
-        let end = match socket {
-            Some(_) => self.serve(shared).await,
+/// Why the task of a connection that is being established runs again.
+enum ConnectWakeReason {
+    /// A command came; `None` if the mailbox was closed.
+    Command(Option<EngineCommand>),
+    /// The connection was established, or could not be.
+    Connected(io::Result<Async<TcpStream>>),
+    /// The time for establishing it is over.
+    Timeout,
+}
+
+/// When an established connection has to be closed if nothing happens before.
+#[derive(Clone, Copy)]
+struct CloseTimeouts {
+    /// Set while the connection is idle.
+    idle_at: Option<Micros>,
+    /// Set while output waits to be written.
+    write_stall_at: Option<Micros>,
+}
+
+impl<P: Protocol> Connection<P> {
+    /// Runs the connection to its end, which is reported to the engine's actor.
+    pub(super) async fn run(mut self, shared: &Shared, actor: &MailboxSender<EngineCommand>) {
+        let max_sockets = shared.max_engine_sockets.get();
+        let socket = CountGuard::up_to(&shared.engine_sockets, max_sockets);
+        let reason = match socket {
+            Some(_) => self.connect_and_serve(shared).await,
             None => Termination::LocalLimit,
         };
+        self.close(reason).await;
+        // An actor whose mailbox is full or closed finds out by itself.
+        let _ = actor.try_send(EngineCommand::ConnectionEnded);
+    }
+
+    /// Ends everything on the connection; attempts that are still in the mailbox were never sent.
+    async fn close(&mut self, reason: Termination) {
         let now = clock::turn();
         self.mailbox.close();
-        self.link.close(now, end, &mut self.events);
-        // What came too late for this connection never went out.
-        while let Ok(order) = self.mailbox.try_recv() {
-            if let EngineCommand::Start(job) = order {
-                refuse(&self.core, &job, end).await;
+        self.state.close(now, reason, &mut self.events);
+        while let Ok(command) = self.mailbox.try_recv() {
+            if let EngineCommand::Start(request) = command {
+                report_unsent(&self.dispatcher, &request, reason).await;
             }
         }
-        self.report().await;
-        // An actor whose mailbox is full, or closed, looks by itself.
-        let _ = actor.try_send(EngineCommand::Parted);
+        self.report_events().await;
     }
 
-    async fn serve(&mut self, shared: &Shared) -> Termination {
-        let stream = match self.make().await {
-            Ok(stream) => stream,
-            Err(end) => return end,
-        };
-        let _ = stream.get_ref().set_nodelay(true);
-        let mut buffer = vec![0; 16 * 1024];
-        let mut written_at = clock::now();
+    async fn connect_and_serve(&mut self, shared: &Shared) -> Termination {
+        match self.connect().await {
+            Ok(stream) => self.serve(&stream, shared).await,
+            Err(reason) => reason,
+        }
+    }
+
+    /// Establishes the connection. Commands are processed meanwhile, so that a drain withdraws the
+    /// attempts that wait for it.
+    async fn connect(&mut self) -> Result<Async<TcpStream>, Termination> {
+        let mut connecting = pin!(Async::<TcpStream>::connect(self.peer.addr));
+        let timeout_at = clock::turn() + self.peer.options.connect_timeout;
         loop {
-            if let Some(end) = self.link.over() {
-                return end;
-            }
-            self.drop_abandoned(shared).await;
-            self.report().await;
-            let idle_at = self
-                .link
-                .idle_since()
-                .map(|at| at + self.peer.keepalive * 3 / 4);
-            let writing = self.link.to_write().is_some();
-            let stalled_at = writing.then_some(written_at + WRITE_STALL);
-            let due = self
-                .link
-                .next_due()
-                .into_iter()
-                .chain(idle_at)
-                .chain(stalled_at)
-                .min();
-            let (mut reader, mut writer) = (&stream, &stream);
-            let to_write = self.link.to_write();
-            let order = async { Turn::Order(self.mailbox.recv().await.ok()) };
-            let write = async {
-                match to_write {
-                    Some(bytes) => Turn::Wrote(writer.write(bytes).await),
-                    None => std::future::pending().await,
-                }
-            };
-            let read = async { Turn::Read(reader.read(&mut buffer).await) };
+            self.report_events().await;
+            let command = async { ConnectWakeReason::Command(self.mailbox.recv().await.ok()) };
+            let connected = async { ConnectWakeReason::Connected(connecting.as_mut().await) };
             let timer = async {
-                sleep_until(due).await;
-                Turn::Due
+                sleep_until(Some(timeout_at)).await;
+                ConnectWakeReason::Timeout
             };
-            let turn = or(order, or(write, or(read, timer))).await;
+            let reason = or(command, or(connected, timer)).await;
             let now = clock::turn();
-            if !writing {
-                written_at = now;
-            }
-            match turn {
-                Turn::Order(None) => return Termination::Dropped,
-                Turn::Order(Some(EngineCommand::CloseIdle)) if idle_at.is_some() => {
-                    return Termination::Idle;
-                }
-                Turn::Order(Some(order)) => self.order(now, order),
-                Turn::Wrote(Ok(n)) => {
-                    self.link.wrote(now, n);
-                    shared
-                        .dispatches
-                        .set(shared.dispatches.get() + self.link.dispatched());
-                    written_at = now;
+            match reason {
+                ConnectWakeReason::Command(Some(command)) => self.handle_command(now, command),
+                ConnectWakeReason::Command(None) => return Err(Termination::Dropped),
+                ConnectWakeReason::Connected(Ok(stream)) => return Ok(stream),
+                ConnectWakeReason::Connected(Err(error)) => {
+                    return Err(Termination::of_connect(&error));
                 }
-                Turn::Read(Ok(n)) => {
-                    self.proven.set(true);
-                    self.link.read(now, &buffer[..n], &mut self.events);
-                }
-                Turn::Read(Err(_)) | Turn::Wrote(Err(_)) => return Termination::Reset,
-                Turn::Due if idle_at.is_some_and(|at| at <= now) => return Termination::Idle,
-                Turn::Due if stalled_at.is_some_and(|at| at <= now) => {
-                    return Termination::Unresponsive;
-                }
-                Turn::Due => self.link.due(now, &mut self.events),
-                Turn::Connected(_) => {}
+                ConnectWakeReason::Timeout => return Err(Termination::ConnectTimeout),
             }
         }
     }
 
-    /// Takes back what is about to go out for a client that has gone. The news of the client goes
-    /// first, lest the module tries again for it.
-    async fn drop_abandoned(&mut self, shared: &Shared) {
-        while let Some((id, attempt, conn)) = self
-            .link
-            .starts()
-            .filter(|(.., conn)| shared.client_disconnected(*conn))
-        {
-            let _ = self
-                .core
-                .send(DispatcherEvent::ClientDisconnected(conn))
-                .await;
-            self.link.stop(clock::now(), id, attempt, &mut self.events);
+    /// Serves the established connection until it has to be closed, and gives the reason.
+    async fn serve(&mut self, stream: &Async<TcpStream>, shared: &Shared) -> Termination {
+        // Without it commands are delayed, but not lost.
+        let _ = stream.get_ref().set_nodelay(true);
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
+        let mut last_progress_at = clock::now();
+        loop {
+            if let Some(reason) = self.state.close_reason() {
+                return reason;
+            }
+            self.withdraw_abandoned(shared).await;
+            self.report_events().await;
+            let timeouts = self.close_timeouts(last_progress_at);
+            let reason = self.next_wake(stream, &mut buffer, timeouts).await;
+            let now = clock::turn();
+            let wrote = matches!(reason, WakeReason::Wrote(Ok(_)));
+            if wrote || timeouts.write_stall_at.is_none() {
+                last_progress_at = now;
+            }
+            let outcome = match reason {
+                WakeReason::Command(command) => self.on_command(now, command, timeouts),
+                WakeReason::Wrote(written) => self.on_written(now, written, shared),
+                WakeReason::Read(read) => self.on_read(now, read, &buffer),
+                WakeReason::Timeout => self.on_timeout(now, timeouts),
+            };
+            if let ControlFlow::Break(reason) = outcome {
+                return reason;
+            }
         }
     }
 
-    /// Makes the connection. Orders are obeyed meanwhile: a drain that comes now takes back what
-    /// waits.
-    async fn make(&mut self) -> Result<Async<TcpStream>, Termination> {
-        let mut connecting = pin!(Async::<TcpStream>::connect(self.peer.addr));
-        let give_up_at = clock::turn() + self.peer.connect_timeout;
-        loop {
-            self.report().await;
-            let order = async { Turn::Order(self.mailbox.recv().await.ok()) };
-            let connected = async { Turn::Connected(connecting.as_mut().await) };
-            let timer = async {
-                sleep_until(Some(give_up_at)).await;
-                Turn::Due
-            };
-            let turn = or(order, or(connected, timer)).await;
-            let now = clock::turn();
-            match turn {
-                Turn::Order(None) => return Err(Termination::Dropped),
-                Turn::Order(Some(order)) => self.order(now, order),
-                Turn::Connected(Ok(stream)) => return Ok(stream),
-                Turn::Connected(Err(e)) => return Err(Termination::of_connect(&e)),
-                Turn::Due => return Err(Termination::ConnectTimeout),
-                Turn::Read(_) | Turn::Wrote(_) => {}
+    fn close_timeouts(&self, last_progress_at: Micros) -> CloseTimeouts {
+        let idle_timeout = self.peer.options.keepalive * 3 / 4;
+        let idle_since = self.state.idle_since();
+        let has_output = self.state.pending_output().is_some();
+        CloseTimeouts {
+            idle_at: idle_since.map(|since| since + idle_timeout),
+            write_stall_at: has_output.then_some(last_progress_at + WRITE_STALL_TIMEOUT_MICROS),
+        }
+    }
+
+    async fn next_wake(
+        &self,
+        mut stream: &Async<TcpStream>,
+        buffer: &mut [u8],
+        timeouts: CloseTimeouts,
+    ) -> WakeReason {
+        let mut writer = stream;
+        let timeout_at = self
+            .state
+            .next_timeout()
+            .into_iter()
+            .chain(timeouts.idle_at)
+            .chain(timeouts.write_stall_at)
+            .min();
+        let command = async { WakeReason::Command(self.mailbox.recv().await.ok()) };
+        let write = async {
+            match self.state.pending_output() {
+                Some(bytes) => WakeReason::Wrote(writer.write(bytes).await),
+                None => std::future::pending().await,
+            }
+        };
+        let read = async { WakeReason::Read(stream.read(buffer).await) };
+        let timer = async {
+            sleep_until(timeout_at).await;
+            WakeReason::Timeout
+        };
+        or(command, or(write, or(read, timer))).await
+    }
+
+    fn on_command(
+        &mut self,
+        now: Micros,
+        command: Option<EngineCommand>,
+        timeouts: CloseTimeouts,
+    ) -> ControlFlow<Termination> {
+        match command {
+            None => ControlFlow::Break(Termination::Dropped),
+            Some(EngineCommand::CloseIdle) if timeouts.idle_at.is_some() => {
+                ControlFlow::Break(Termination::Idle)
+            }
+            Some(command) => {
+                self.handle_command(now, command);
+                ControlFlow::Continue(())
             }
         }
     }
 
-    fn order(&mut self, now: Micros, order: EngineCommand) {
-        match order {
-            EngineCommand::Start(job) => self.link.start(now, &job),
-            EngineCommand::Stop(id, attempt) => self.link.stop(now, id, attempt, &mut self.events),
-            EngineCommand::Doubt(id, attempt) => self.link.doubt(id, attempt),
-            EngineCommand::Bump(id, attempt, urgency) => self.link.bump(id, attempt, urgency),
-            // Looked up again here: it may have waited for the connection, or the process been
-            // stopped meanwhile.
-            EngineCommand::Probe(until) if now >= until => {
-                let (kind, load) = (OutcomeKind::NeverSent, LoadReport::default());
-                self.events.push(Event::Probed {
-                    kind,
+    fn on_written(
+        &mut self,
+        now: Micros,
+        written: io::Result<usize>,
+        shared: &Shared,
+    ) -> ControlFlow<Termination> {
+        let Ok(count) = written else {
+            return ControlFlow::Break(Termination::Reset);
+        };
+        self.state.advance_output(now, count);
+        let dispatches = shared.dispatches.get() + self.state.take_commands_written();
+        shared.dispatches.set(dispatches);
+        ControlFlow::Continue(())
+    }
+
+    fn on_read(
+        &mut self,
+        now: Micros,
+        read: io::Result<usize>,
+        buffer: &[u8],
+    ) -> ControlFlow<Termination> {
+        let Ok(count) = read else {
+            return ControlFlow::Break(Termination::Reset);
+        };
+        self.status.has_received.set(true);
+        self.state.receive(now, &buffer[..count], &mut self.events);
+        ControlFlow::Continue(())
+    }
+
+    fn on_timeout(&mut self, now: Micros, timeouts: CloseTimeouts) -> ControlFlow<Termination> {
+        if timeouts.idle_at.is_some_and(|at| at <= now) {
+            return ControlFlow::Break(Termination::Idle);
+        }
+        if timeouts.write_stall_at.is_some_and(|at| at <= now) {
+            return ControlFlow::Break(Termination::Unresponsive);
+        }
+        self.state.on_timeout(now, &mut self.events);
+        ControlFlow::Continue(())
+    }
+
+    fn handle_command(&mut self, now: Micros, command: EngineCommand) {
+        match command {
+            EngineCommand::Start(request) => self.state.start_attempt(now, &request),
+            EngineCommand::Cancel { id, attempt } => {
+                self.state
+                    .cancel_attempt(now, id, attempt, &mut self.events);
+            }
+            EngineCommand::MarkSlow { id, attempt } => self.state.mark_slow(id, attempt),
+            EngineCommand::SetPriority {
+                id,
+                attempt,
+                priority,
+            } => self.state.set_priority(id, attempt, priority),
+            // Checked here as well: the command may have waited for the connection, or the process
+            // may have been stopped meanwhile.
+            EngineCommand::Probe { not_after } if now >= not_after => {
+                self.events.push(ConnectionEvent::ProbeCompleted {
+                    kind: OutcomeKind::NeverSent,
                     latency: 0,
-                    load,
+                    load: LoadReport::default(),
                 });
             }
-            EngineCommand::Probe(_) => self.link.probe(now),
-            EngineCommand::Drain => self.link.drain(now, &mut self.events),
-            EngineCommand::CloseIdle | EngineCommand::Gone | EngineCommand::Parted => {}
+            EngineCommand::Probe { .. } => self.state.send_probe(now),
+            EngineCommand::Drain => self.state.drain(now, &mut self.events),
+            EngineCommand::CloseIdle | EngineCommand::Remove | EngineCommand::ConnectionEnded => {}
+        }
+    }
+
+    /// Withdraws attempts that are about to be sent for a client that has disconnected. The
+    /// disconnection is reported first, so that the dispatcher does not retry them.
+    async fn withdraw_abandoned(&mut self, shared: &Shared) {
+        while let Some(starting) = self.next_abandoned(shared) {
+            let event = DispatcherEvent::ClientDisconnected(starting.client_connection);
+            let _ = self.dispatcher.send(event).await;
+            self.state.cancel_attempt(
+                clock::now(),
+                starting.id,
+                starting.attempt,
+                &mut self.events,
+            );
         }
     }
 
-    /// Passes on what happened. Waiting for room in the module's mailbox holds back this connection
-    /// alone.
-    async fn report(&mut self) {
+    fn next_abandoned(&self, shared: &Shared) -> Option<StartingAttempt> {
+        let starting = self.state.next_starting_attempt()?;
+        shared
+            .client_disconnected(starting.client_connection)
+            .then_some(starting)
+    }
+
+    /// Reports events to the dispatcher. While its mailbox is full only this connection waits.
+    async fn report_events(&mut self) {
         if !self.events.is_empty() {
-            // Before the news: a further attempt may come at once.
-            *self.stale.borrow_mut() = self.link.stale().collect();
+            // Before the events: the dispatcher may retry at once.
+            let abandoned = self.state.abandoned_requests().collect();
+            *self.status.abandoned_requests.borrow_mut() = abandoned;
         }
         for event in std::mem::take(&mut self.events) {
-            let input = match event {
-                Event::Ended(ended) => {
-                    self.attempts.borrow_mut().remove(&ended.id);
-                    DispatcherEvent::AttemptFinished(ended)
-                }
-                Event::Probed {
-                    kind,
-                    latency,
-                    load,
-                } => DispatcherEvent::ProbeCompleted {
-                    engine: self.peer.id,
-                    kind,
-                    latency,
-                    load,
-                },
-            };
-            let _ = self.core.send(input).await;
+            let event = self.dispatcher_event(event);
+            let _ = self.dispatcher.send(event).await;
+        }
+        self.status.free_streams.set(self.state.free_streams());
+    }
+
+    fn dispatcher_event(&self, event: ConnectionEvent) -> DispatcherEvent {
+        match event {
+            ConnectionEvent::AttemptEnded(result) => {
+                self.status.attempts.borrow_mut().remove(&result.id);
+                DispatcherEvent::AttemptFinished(result)
+            }
+            ConnectionEvent::ProbeCompleted {
+                kind,
+                latency,
+                load,
+            } => DispatcherEvent::ProbeCompleted {
+                engine: self.peer.id,
+                kind,
+                latency,
+                load,
+            },
         }
-        self.free.set(self.link.free());
     }
 }
--- /dev/null
+++ b/src/net/engine/connection_handle.rs
@@ -0,0 +1,98 @@
+//! What an engine's actor knows of one of its connections, and which connection carries an attempt.
+use super::{EngineCommand, MailboxSender};
+use crate::dispatcher::AttemptRequest;
+use crate::policy::api::RequestId;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeSet;
+use std::rc::Rc;
+
+/// The state of a connection that its task shares with the engine's actor.
+#[derive(Debug, Default)]
+pub(super) struct ConnectionStatus {
+    /// The number of attempts that it can carry in addition to those in flight.
+    pub(super) free_streams: Cell<usize>,
+    /// The requests with an attempt on it, also those that its task has not processed yet.
+    pub(super) attempts: RefCell<BTreeSet<RequestId>>,
+    /// Requests that may not be retried on it.
+    pub(super) abandoned_requests: RefCell<BTreeSet<RequestId>>,
+    /// Whether anything was received from the engine on it.
+    pub(super) has_received: Cell<bool>,
+}
+
+/// The order in which connections are preferred for an attempt, lowest first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Preference {
+    unproven: bool,
+    free_streams: usize,
+}
+
+/// A connection, as the engine's actor sees it. Dropping it ends the connection.
+pub(super) struct ConnectionHandle {
+    pub(super) commands: MailboxSender<EngineCommand>,
+    pub(super) status: Rc<ConnectionStatus>,
+    /// The latest attempt on it must never run twice: it carries nothing else meanwhile.
+    pub(super) exclusive: Cell<bool>,
+}
+
+impl ConnectionHandle {
+    /// Whether it may carry this attempt. While sockets are available, an attempt that must never
+    /// run twice shares no connection: a corrupted response to another attempt, or a reset, would
+    /// end it too and leave open whether it ran.
+    pub(super) fn accepts(&self, request: &AttemptRequest, sockets_available: bool) -> bool {
+        let queued = self.commands.len();
+        let unused = self.status.attempts.borrow().is_empty() && queued == 0;
+        let needs_exclusive = request.single || self.exclusive.get();
+        let may_share = unused || !sockets_available || !needs_exclusive;
+        let has_free_stream = self.status.free_streams.get() > queued;
+        let abandoned = self
+            .status
+            .abandoned_requests
+            .borrow()
+            .contains(&request.id);
+        may_share && has_free_stream && !abandoned
+    }
+
+    /// Prefers the connection with the fewest free streams, so that surplus connections fall idle
+    /// and close. An attempt that must never run twice prefers one that has received data: resets
+    /// are most frequent at the first request of a connection.
+    pub(super) fn preference(&self, request: &AttemptRequest) -> Preference {
+        Preference {
+            unproven: request.single && !self.status.has_received.get(),
+            free_streams: self.status.free_streams.get(),
+        }
+    }
+
+    pub(super) fn carries(&self, id: RequestId) -> bool {
+        self.status.attempts.borrow().contains(&id)
+    }
+
+    /// Assigns an attempt to the connection. Gives it back if the connection's mailbox is full or
+    /// closed.
+    pub(super) fn start_attempt(&self, request: AttemptRequest) -> Result<(), Box<AttemptRequest>> {
+        let (id, single) = (request.id, request.single);
+        match self.commands.try_send(EngineCommand::Start(request)) {
+            Ok(()) => {
+                self.status.attempts.borrow_mut().insert(id);
+                self.exclusive.set(single);
+                Ok(())
+            }
+            Err(error) => match error.into_inner() {
+                EngineCommand::Start(request) => Err(Box::new(request)),
+                _ => unreachable!("the mailbox gives back the command that was sent"),
+            },
+        }
+    }
+
+    /// Sends a command that must not be lost: if the mailbox is full, the connection ends with all
+    /// attempts on it.
+    pub(super) fn send_or_close(&self, command: EngineCommand) {
+        if self.commands.try_send(command).is_err() {
+            self.commands.close();
+        }
+    }
+
+    /// Sends a command that may be lost if the mailbox is full.
+    pub(super) fn send_best_effort(&self, command: EngineCommand) {
+        let _ = self.commands.try_send(command);
+    }
+}
--- a/src/net/engine/endpoint.rs
+++ b/src/net/engine/endpoint.rs
@@ -1,7 +1,7 @@
-//! An engine in the list. A listed engine is a row; its actor, with a mailbox and connections, is
-//! there only while something is open or owed: made at the first use, and over once its last
-//! connection is.
-use super::{EngineCommand, Peer};
+//! An engine of the endpoint list. Its actor, with a mailbox and connections, exists only while
+//! something is in flight or queued there: it is started at the first use, and ends once its last
+//! connection has.
+use super::EngineCommand;
 use crate::dispatcher::termination::Termination;
 use crate::net::mailbox::Sender;
 use crate::policy::api::{EngineId, Readiness};
@@ -9,133 +9,135 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Starts the actor of a row, and gives its mailbox.
-pub type Start = Rc<dyn Fn(&Rc<EndpointHandle>) -> Sender<EngineCommand>>;
+/// Starts the actor of an endpoint and gives its mailbox.
+pub type StartActor = Rc<dyn Fn(&Rc<EndpointHandle>) -> Sender<EngineCommand>>;
 
-/// What the list and the module share of an engine. Whether it drains is told here, at once and
-/// whether there is an actor or not: no order that comes later, or waits, starts anything on it.
+/// An engine, as the endpoint list and the dispatcher share it. Its readiness is set here, whether
+/// there is an actor or not, and takes effect at once: no command that comes or is processed later
+/// starts an attempt on a draining engine.
 pub struct EndpointHandle {
-    /// Its id, which alone tells engines apart: addresses are used again.
+    /// The engine's id, which alone identifies it: addresses are reused.
     pub id: EngineId,
-    /// Where it listens.
+    /// The address where it listens.
     pub addr: SocketAddr,
     readiness: Cell<Readiness>,
-    /// Replaced under its id by a process at another address.
+    /// Set once the handle is replaced, see [`EndpointHandle::close`].
     closed: Cell<bool>,
     actor: RefCell<Option<Sender<EngineCommand>>>,
-    start: Start,
+    start_actor: StartActor,
 }
 
 impl EndpointHandle {
-    /// A row without an actor.
+    /// An endpoint without an actor.
     pub fn new(
         id: EngineId,
         addr: SocketAddr,
         readiness: Readiness,
-        start: Start,
+        start_actor: StartActor,
     ) -> Rc<EndpointHandle> {
-        let (readiness, closed, actor) =
-            (Cell::new(readiness), Cell::new(false), RefCell::default());
         Rc::new(EndpointHandle {
             id,
             addr,
-            readiness,
-            closed,
-            actor,
-            start,
+            readiness: Cell::new(readiness),
+            closed: Cell::new(false),
+            actor: RefCell::default(),
+            start_actor,
         })
     }
 
-    /// Whether nothing new may start there.
-    pub fn drains(&self) -> bool {
+    /// Whether nothing new may start on the engine: it is draining or gone.
+    pub fn is_draining(&self) -> bool {
         self.readiness.get() != Readiness::Ready
     }
 
-    /// The actor, if one takes orders.
-    fn actor(&self) -> Option<Sender<EngineCommand>> {
-        self.actor
-            .borrow()
-            .clone()
-            .filter(|actor| !actor.is_closed())
+    /// The mailbox of the actor, if one accepts commands.
+    fn active_actor(&self) -> Option<Sender<EngineCommand>> {
+        let actor = self.actor.borrow().clone();
+        actor.filter(|actor| !actor.is_closed())
     }
 
-    /// Whether an actor takes orders for it.
+    /// Whether there is an actor that accepts commands.
     pub fn is_active(&self) -> bool {
-        self.actor().is_some()
+        self.active_actor().is_some()
     }
 
-    /// Whether it is over: no order will be taken any more.
+    /// Whether the endpoint has ended: it accepts no command any more.
     pub fn is_closed(&self) -> bool {
-        !self.is_active() && (self.closed.get() || self.readiness.get() == Readiness::Gone)
+        let removed = self.closed.get() || self.readiness.get() == Readiness::Gone;
+        removed && !self.is_active()
     }
 
-    /// Passes an order on; makes the actor for one that begins something.
+    /// Sends a command to the actor, which is started for a command that begins something.
     ///
     /// # Errors
     ///
-    /// How an attempt that can't begin has ended, never sent. An order about what is open is never
-    /// refused for want of an actor: without one nothing is open.
-    pub fn tell(self: &Rc<EndpointHandle>, order: EngineCommand) -> Result<(), Termination> {
-        if let Some(actor) = self.actor() {
-            return actor.try_send(order).map_err(|_| Termination::LocalLimit);
+    /// The termination of an attempt that can't be started. A command about something in flight
+    /// does not fail for lack of an actor: without one nothing is in flight.
+    pub fn send(self: &Rc<EndpointHandle>, command: EngineCommand) -> Result<(), Termination> {
+        if let Some(actor) = self.active_actor() {
+            return actor.try_send(command).map_err(|_| Termination::LocalLimit);
         }
-        match &order {
-            _ if self.closed.get() => return Err(Termination::LocalLimit),
-            EngineCommand::Start(_) if self.drains() => return Err(Termination::Drained),
-            _ if self.is_closed() => return Err(Termination::LocalLimit),
-            EngineCommand::Start(_) | EngineCommand::Probe(_) => {}
-            _ => return Ok(()),
+        if self.closed.get() {
+            return Err(Termination::LocalLimit);
         }
-        let actor = (self.start)(self);
-        let told = actor.try_send(order).map_err(|_| Termination::LocalLimit);
+        if matches!(command, EngineCommand::Start(_)) && self.is_draining() {
+            return Err(Termination::Drained);
+        }
+        if self.is_closed() {
+            return Err(Termination::LocalLimit);
+        }
+        match command {
+            EngineCommand::Start(_) | EngineCommand::Probe { .. } => self.start_with(command),
+            _ => Ok(()),
+        }
+    }
+
+    /// Starts the actor with its first command.
+    fn start_with(self: &Rc<EndpointHandle>, command: EngineCommand) -> Result<(), Termination> {
+        let actor = (self.start_actor)(self);
+        let sent = actor.try_send(command).map_err(|_| Termination::LocalLimit);
         *self.actor.borrow_mut() = Some(actor);
-        told
+        sent
     }
 
-    /// The list says so. What waits to go out does not outlive the news: it is told here, before
-    /// the module hears of it.
-    pub fn mark(&self, readiness: Readiness) {
-        let was = self.readiness.replace(readiness);
-        let order = match readiness {
-            Readiness::Draining if was == Readiness::Ready => EngineCommand::Drain,
-            Readiness::Gone => EngineCommand::Gone,
+    /// Sets the readiness that the endpoint list gives, before the dispatcher learns of it, so that
+    /// nothing that waits to be sent outlives the change.
+    pub fn set_readiness(&self, readiness: Readiness) {
+        let previous = self.readiness.replace(readiness);
+        let command = match readiness {
+            Readiness::Draining if previous == Readiness::Ready => EngineCommand::Drain,
+            Readiness::Gone => EngineCommand::Remove,
             _ => return,
         };
-        // Guards against a lost word: with the mailbox closed the engine's connections end.
-        if let Some(actor) = self.actor().filter(|actor| actor.try_send(order).is_err()) {
+        let Some(actor) = self.active_actor() else {
+            return;
+        };
+        // The command must not be lost: with its mailbox closed the engine's connections end.
+        if actor.try_send(command).is_err() {
             actor.close();
         }
     }
 
-    /// Ends the actor and its connections, with what is on them: a word about that could not be
-    /// passed on.
-    pub fn cut(&self) {
-        self.actor().iter().for_each(|actor| _ = actor.close());
+    /// Ends the actor and its connections with everything on them, after a command that had to be
+    /// obeyed could not be sent. A later command may start another actor.
+    pub fn abort(&self) {
+        if let Some(actor) = self.active_actor() {
+            actor.close();
+        }
     }
 
-    /// The same for good: another process has its id, or the program ends.
+    /// Ends the endpoint for good: another process has its id, or the program ends.
     pub fn close(&self) {
         self.closed.set(true);
-        self.cut();
+        self.abort();
     }
 
-    /// The actor is over, and with it its mailbox.
-    pub(super) fn release(&self) {
+    /// Forgets the mailbox of an actor that has ended.
+    pub(super) fn release_actor(&self) {
         let mut actor = self.actor.borrow_mut();
-        // Cut off, it may have been followed by another one already.
+        // An aborted actor may have been followed by another one already.
         if actor.as_ref().is_some_and(Sender::is_closed) {
             *actor = None;
         }
     }
-
-    /// What its actor knows of it.
-    pub fn peer(&self, connect_timeout: u64, keepalive: u64, databases: bool) -> Peer {
-        Peer {
-            id: self.id,
-            addr: self.addr,
-            connect_timeout,
-            keepalive,
-            databases,
-        }
-    }
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -60,7 +60,7 @@
     };
     setrlimit(Resource::Nofile, few).expect("a lower limit");
     let taken: Vec<File> = std::iter::from_fn(|| File::open("/dev/null").ok()).collect();
-    assert_eq!(row.tell(start(1)), Ok(()));
+    assert_eq!(row.send(start(1)), Ok(()));
     let mut ended = Vec::new();
     let look = |ended: &mut Vec<(RequestId, Termination, TransmitProgress)>| {
         while let Ok(input) = inputs.try_recv() {
@@ -84,7 +84,7 @@
     );
     drop(taken);
     setrlimit(Resource::Nofile, before).expect("the limit of before");
-    assert_eq!(row.tell(start(2)), Ok(()));
+    assert_eq!(row.send(start(2)), Ok(()));
     // Its client is not there, so that it is taken back unsent, on a connection that was made.
     let mut came = Vec::new();
     let two = run(&mut || {
--- a/tests/unit/clickhouse.rs
+++ b/tests/unit/clickhouse.rs
@@ -2,7 +2,7 @@
 //! however the bytes are cut.
 use super::{ClickHouse as Front, ClickHouseShared};
 use crate::backend::clickhouse::ClickHouse as Engine;
-use crate::backend::{BackendEvent as Heard, Protocol};
+use crate::backend::{BackendEvent, Protocol, ProtocolOutput};
 use crate::clock::{MS, SEC};
 use crate::config::clickhouse::{self, ClassRules, Users};
 use crate::config::process::Names;
@@ -272,23 +272,22 @@
                 memory_mb,
                 ..AttemptRequest::default()
             };
-            let sent = String::from_utf8(engine.start(SEC, &job)).expect("text");
+            let sent = String::from_utf8(engine.start_attempt(SEC, &job)).expect("text");
             assert!(
                 sent.starts_with("POST /?query_id=k&max_execution_time=1.000&"),
                 "{sent}"
             );
-            let (mut heard, mut replies) = (Vec::new(), Vec::new());
+            let mut output = ProtocolOutput::default();
             for piece in text.as_bytes().chunks(step) {
-                engine
-                    .feed(SEC, piece, &mut heard, &mut replies)
-                    .expect("no fault");
+                engine.receive(SEC, piece, &mut output).expect("no fault");
             }
-            engine.finish(&mut heard);
-            let ends: Vec<(Termination, &[u8])> = heard
+            engine.on_end_of_input(&mut output);
+            let ends: Vec<(Termination, &[u8])> = output
+                .events
                 .iter()
-                .filter_map(|h| {
-                    if let Heard::Ended(_, end, rows, ..) = h {
-                        Some((*end, &rows[..]))
+                .filter_map(|event| {
+                    if let BackendEvent::AttemptEnded(end) = event {
+                        Some((end.termination, &end.rows[..]))
                     } else {
                         None
                     }
--- a/tests/unit/connection_state.rs
+++ b/tests/unit/connection_state.rs
@@ -1,7 +1,10 @@
 //! A model of a connection's states, against which random steps are checked: every attempt ends
 //! once, and what its end says of the bytes that went out is what the socket saw.
-use super::platform::Platform;
-use super::{ConnectionState, Event, Termination, TransmitProgress};
+use super::{
+    CANCEL_SETTLE_MICROS, ConnectionEvent, ConnectionState, TAIL_HOLD_MICROS, Termination,
+    TransmitProgress,
+};
+use crate::backend::platform::Platform;
 use crate::clock::{MS, Micros};
 use crate::config::process::Names;
 use crate::dispatcher::{AttemptRequest, Cost};
@@ -59,12 +62,14 @@
     /// Checks what the connection says has ended against what the model knows.
     fn check(
         &mut self,
-        events: Vec<Event>,
+        events: Vec<ConnectionEvent>,
         answered: Option<(u32, &str)>,
         closing: bool,
     ) -> Result<(), String> {
         for event in events {
-            let Event::Ended(ended) = event else { continue };
+            let ConnectionEvent::AttemptEnded(ended) = event else {
+                continue;
+            };
             let id = ended.id.0;
             let known = self.on_it.remove(&id).ok_or(format!("{id} ended twice"))?;
             let reach = if known.first_byte {
@@ -91,7 +96,7 @@
         // Given up for longer than it takes to settle, and not over.
         let late = |a: &&Attempt| {
             a.stopped_at
-                .is_some_and(|at| at + super::SETTLE <= self.now)
+                .is_some_and(|at| at + CANCEL_SETTLE_MICROS <= self.now)
         };
         let settled = self.on_it.values().find(late).filter(|a| a.first_byte);
         settled.map_or(Ok(()), |a| Err(format!("{a:?} did not settle")))
@@ -106,7 +111,7 @@
                 .copied()
         };
         match step {
-            Step::Start if self.link.free() > 0 => {
+            Step::Start if self.link.free_streams() > 0 => {
                 self.started += 1;
                 let (id, key) = (
                     RequestId(self.started),
@@ -125,7 +130,7 @@
                     deadline: until,
                     ..AttemptRequest::default()
                 };
-                self.link.start(self.now, &job);
+                self.link.start_attempt(self.now, &job);
                 self.on_it.insert(self.started, Attempt::default());
             }
             Step::Start => {}
@@ -134,15 +139,15 @@
                 let known = self.on_it.get_mut(&id).expect("picked");
                 known.stopped_at = known.stopped_at.or(Some(self.now));
                 self.link
-                    .stop(self.now, RequestId(id), AttemptNo(0), &mut events);
+                    .cancel_attempt(self.now, RequestId(id), AttemptNo(0), &mut events);
             }
             Step::Write(n) => {
-                let Some(bytes) = self.link.to_write() else {
+                let Some(bytes) = self.link.pending_output() else {
                     return Ok(());
                 };
                 let n = (usize::from(*n) % 90 + 1).min(bytes.len());
                 self.written.extend_from_slice(&bytes[..n]);
-                self.link.wrote(self.now, n);
+                self.link.advance_output(self.now, n);
                 // A command's first byte tells that it is out, however little of its line is.
                 let text = String::from_utf8_lossy(&self.written);
                 let starts =
@@ -165,7 +170,7 @@
                 [one, other]
                     .iter()
                     .filter(|p| !p.is_empty())
-                    .for_each(|p| self.link.read(self.now, p, &mut events));
+                    .for_each(|p| self.link.receive(self.now, p, &mut events));
             }
             Step::Drain => {
                 self.on_it.values_mut().for_each(|a| a.drained = true);
@@ -173,10 +178,10 @@
             }
             Step::Wait(n) => {
                 self.now += u64::from(*n) * MS / 8;
-                self.link.due(self.now, &mut events);
+                self.link.on_timeout(self.now, &mut events);
             }
         }
-        let over = self.link.over();
+        let over = self.link.close_reason();
         self.check(events, answered, false)?;
         if matches!(step, Step::Drain) && self.on_it.values().any(|a| !a.first_byte) {
             return Err("a drain left something that waits to go out".into());
@@ -243,10 +248,10 @@
             deadline: until,
             ..AttemptRequest::default()
         };
-        link.start(0, &job);
+        link.start_attempt(0, &job);
     }
-    while let Some(n) = link.to_write().map(<[u8]>::len) {
-        link.wrote(0, n);
+    while let Some(n) = link.pending_output().map(<[u8]>::len) {
+        link.advance_output(0, n);
     }
     link
 }
@@ -272,20 +277,20 @@
         &endless,
     ] {
         let (mut link, mut events) = (link(), Vec::new());
-        link.read(MS, text.as_bytes(), &mut events);
+        link.receive(MS, text.as_bytes(), &mut events);
         assert!(
-            link.over() == Some(Termination::ProtocolViolation) && events.is_empty(),
+            link.close_reason() == Some(Termination::ProtocolViolation) && events.is_empty(),
             "{text:?}: {events:?}"
         );
     }
     // One that stops short ends by the time, and bytes that dribble in do not put that off.
     let (mut link, mut events) = (link(), Vec::new());
-    link.read(MS, b"k1 DONE sheets=1 6\r\na", &mut events);
-    link.read(400 * MS, b"\t", &mut events);
-    let due = link.next_due().expect("due");
-    link.due(due, &mut events);
+    link.receive(MS, b"k1 DONE sheets=1 6\r\na", &mut events);
+    link.receive(400 * MS, b"\t", &mut events);
+    let due = link.next_timeout().expect("due");
+    link.on_timeout(due, &mut events);
     assert!(
-        link.over() == Some(Termination::Unresponsive) && due < 1_000 * MS,
+        link.close_reason() == Some(Termination::Unresponsive) && due < 1_000 * MS,
         "{due}"
     );
 }
@@ -295,7 +300,7 @@
 #[test]
 fn what_nobody_asked_for_does_no_harm() {
     let (mut link, mut events) = (link(), Vec::new());
-    link.probe(0);
+    link.send_probe(0);
     let page = |n| format!("k1 MORE sheet={n} 6\r\nd\te\tf\n\r\n");
     let told = "k1 DONE sheets=2 6\r\na\tb\tc\n\r\n";
     let load = "p1 FIT meter=queue:1 0\r\n\r\n";
@@ -303,18 +308,18 @@
         "zz DONE sheets=1 6\r\na\tb\tc\n\r\n{}{told}{told}{load}{load}",
         page(1)
     );
-    link.read(MS, text.as_bytes(), &mut events);
-    link.read(
+    link.receive(MS, text.as_bytes(), &mut events);
+    link.receive(
         MS,
         format!("{}{}{}{told}", page(9), page(1), page(1)).as_bytes(),
         &mut events,
     );
     let probes = events
         .iter()
-        .filter(|e| matches!(e, Event::Probed { .. }))
+        .filter(|e| matches!(e, ConnectionEvent::ProbeCompleted { .. }))
         .count();
     let ended = events.iter().filter_map(|e| {
-        if let Event::Ended(e) = e {
+        if let ConnectionEvent::AttemptEnded(e) = e {
             Some(e)
         } else {
             None
@@ -324,7 +329,7 @@
         .map(|e| (e.id.0, e.termination, &e.rows[..]))
         .collect();
     assert_eq!(
-        (probes, ended, link.over()),
+        (probes, ended, link.close_reason()),
         (
             1,
             vec![(1, Termination::Done, &b"a\tb\tc\nd\te\tf\n"[..])],
@@ -333,11 +338,11 @@
     );
     // A page that never comes ends its own request alone.
     let mut events = Vec::new();
-    link.read(2 * MS, b"k2 DONE sheets=2 0\r\n\r\n", &mut events);
-    link.due(9_000 * MS, &mut events);
+    link.receive(2 * MS, b"k2 DONE sheets=2 0\r\n\r\n", &mut events);
+    link.on_timeout(9_000 * MS, &mut events);
     assert!(
-        matches!(&events[..], [Event::Ended(e)] if e.termination == Termination::Unresponsive)
-            && link.over().is_none()
+        matches!(&events[..], [ConnectionEvent::AttemptEnded(e)] if e.termination == Termination::Unresponsive)
+            && link.close_reason().is_none()
     );
 }
 
@@ -358,7 +363,7 @@
         );
         let (key, statement, session) = ("k1".into(), Rc::from(&b"insert"[..]), None);
         let (id, attempt, class, until) = (RequestId(1), AttemptNo(0), "lookup".into(), 9_000 * MS);
-        link.start(
+        link.start_attempt(
             0,
             &AttemptRequest {
                 id,
@@ -372,19 +377,19 @@
                 ..AttemptRequest::default()
             },
         );
-        let head = link.to_write().expect("a head").to_vec();
+        let head = link.pending_output().expect("a head").to_vec();
         assert!(head.ends_with(b" 6\r\ninser"), "{head:?}");
-        link.wrote(0, head.len());
-        assert!(link.to_write().is_none() && link.next_due() == Some(super::HOLD));
+        link.advance_output(0, head.len());
+        assert!(link.pending_output().is_none() && link.next_timeout() == Some(TAIL_HOLD_MICROS));
         let mut events = Vec::new();
         if waits {
-            link.due(super::HOLD, &mut events);
-            assert_eq!(link.to_write(), Some(&b"t\r\n"[..]));
-            link.wrote(super::HOLD, 3);
+            link.on_timeout(TAIL_HOLD_MICROS, &mut events);
+            assert_eq!(link.pending_output(), Some(&b"t\r\n"[..]));
+            link.advance_output(TAIL_HOLD_MICROS, 3);
         }
         link.close(9 * MS, Termination::Reset, &mut events);
         assert!(
-            matches!(&events[..], [Event::Ended(e)] if e.termination == Termination::Reset && e.progress == reach),
+            matches!(&events[..], [ConnectionEvent::AttemptEnded(e)] if e.termination == Termination::Reset && e.progress == reach),
             "{events:?}"
         );
     }
@@ -412,14 +417,14 @@
         deadline: 9_000 * MS,
         ..AttemptRequest::default()
     };
-    link.start(0, &job);
+    link.start_attempt(0, &job);
     // Before its own words are out as well as after.
-    link.bump(RequestId(1), AttemptNo(0), 3);
-    link.bump(RequestId(1), AttemptNo(1), 0);
-    link.bump(RequestId(2), AttemptNo(0), 0);
+    link.set_priority(RequestId(1), AttemptNo(0), 3);
+    link.set_priority(RequestId(1), AttemptNo(1), 0);
+    link.set_priority(RequestId(2), AttemptNo(0), 0);
     let mut written = Vec::new();
-    while let Some(bytes) = link.to_write().map(<[u8]>::to_vec) {
-        link.wrote(0, bytes.len());
+    while let Some(bytes) = link.pending_output().map(<[u8]>::to_vec) {
+        link.advance_output(0, bytes.len());
         written.extend(bytes);
     }
     let fields = "cls=plan-load,limit=9000,nonce=5c0f6e1a,allot=96,urgency=2";
@@ -428,12 +433,12 @@
         format!("do k1 {fields} 6\r\ninsert\r\nbump k1 3\r\n")
     );
     let mut events = Vec::new();
-    link.read(
+    link.receive(
         MS,
         b"k1 DONE sheets=1,toil=412.5,room=96 6\r\na\tb\tc\n\r\n",
         &mut events,
     );
-    let [Event::Ended(ended)] = &events[..] else {
+    let [ConnectionEvent::AttemptEnded(ended)] = &events[..] else {
         panic!("{events:?}")
     };
     assert_eq!(
@@ -444,8 +449,8 @@
         }
     );
     // What has ended has no priority.
-    link.bump(RequestId(1), AttemptNo(0), 1);
-    assert!(link.to_write().is_none());
+    link.set_priority(RequestId(1), AttemptNo(0), 1);
+    assert!(link.pending_output().is_none());
 }
 
 /// Guards what classes teach: a figure that can't be one is as none, and spoils nothing else of the
@@ -462,8 +467,8 @@
     ] {
         let (mut link, mut events) = (link(), Vec::new());
         let text = format!("k1 DONE sheets=1,toil={toil},room={room},more=1 6\r\na\tb\tc\n\r\n");
-        link.read(MS, text.as_bytes(), &mut events);
-        let [Event::Ended(ended)] = &events[..] else {
+        link.receive(MS, text.as_bytes(), &mut events);
+        let [ConnectionEvent::AttemptEnded(ended)] = &events[..] else {
             panic!("{events:?}")
         };
         assert!(
@@ -479,23 +484,23 @@
 #[test]
 fn a_connection_in_doubt_carries_nothing_new_until_it_speaks() {
     let mut link = link();
-    assert_eq!(link.free(), 2);
-    link.doubt(RequestId(9), AttemptNo(0));
-    link.doubt(RequestId(1), AttemptNo(3));
-    assert_eq!(link.free(), 2, "no attempt of its own");
-    link.read(MS, b"k2 WAIT - 0\r\n\r\n", &mut Vec::new());
-    link.doubt(RequestId(1), AttemptNo(0));
-    assert_eq!(link.free(), 3, "it has spoken since");
+    assert_eq!(link.free_streams(), 2);
+    link.mark_slow(RequestId(9), AttemptNo(0));
+    link.mark_slow(RequestId(1), AttemptNo(3));
+    assert_eq!(link.free_streams(), 2, "no attempt of its own");
+    link.receive(MS, b"k2 WAIT - 0\r\n\r\n", &mut Vec::new());
+    link.mark_slow(RequestId(1), AttemptNo(0));
+    assert_eq!(link.free_streams(), 3, "it has spoken since");
     let (mut silent, mut events) = (self::link(), Vec::new());
-    silent.doubt(RequestId(1), AttemptNo(0));
+    silent.mark_slow(RequestId(1), AttemptNo(0));
     assert!(
-        silent.free() == 0 && silent.over().is_none(),
+        silent.free_streams() == 0 && silent.close_reason().is_none(),
         "what is on it may still be answered"
     );
-    silent.read(
+    silent.receive(
         9 * MS,
         b"k1 DONE sheets=1 0\r\n\r\nk2 WAIT - 0\r\n\r\n",
         &mut events,
     );
-    assert!(events.len() == 2 && silent.over() == Some(Termination::Dropped));
+    assert!(events.len() == 2 && silent.close_reason() == Some(Termination::Dropped));
 }
--- a/tests/unit/endpoint_list.rs
+++ b/tests/unit/endpoint_list.rs
@@ -13,7 +13,7 @@
     let (updates, mailbox) = async_channel::bounded(MAILBOX);
     let actors = Rc::new(RefCell::new(Vec::new()));
     let made = actors.clone();
-    let start: Start = Rc::new(move |row| {
+    let start: StartActor = Rc::new(move |row| {
         let (orders, mailbox) = bounded(64);
         made.borrow_mut().push((row.id.0, mailbox));
         orders
@@ -26,7 +26,8 @@
             listed.entry.readiness,
             start.clone(),
         );
-        row.tell(EngineCommand::Probe(0)).expect("room");
+        row.send(EngineCommand::Probe { not_after: 0 })
+            .expect("room");
         row
     });
     shared.spawn(run(shared.clone(), core, mailbox, make, Http::default()));
@@ -69,7 +70,10 @@
     let gone = |orders: &Receiver<EngineCommand>| {
         matches!(
             (orders.try_recv(), orders.try_recv()),
-            (Ok(EngineCommand::Probe(0)), Ok(EngineCommand::Gone))
+            (
+                Ok(EngineCommand::Probe { not_after: 0 }),
+                Ok(EngineCommand::Remove)
+            )
         )
     };
     let went = actors.iter().filter(|(_, orders)| gone(orders)).count();
--- a/tests/unit/mutation.rs
+++ b/tests/unit/mutation.rs
@@ -2,7 +2,7 @@
 //! the coordinator: a message dropped, doubled, cut short, held past its deadline, a byte flipped,
 //! each figure at its extremes. After each: one end or answer at most, and whatever else was open
 //! is not harmed by more than the wire's end.
-use crate::backend::connection_state::{ConnectionState, Event};
+use crate::backend::connection_state::{ConnectionEvent, ConnectionState};
 use crate::backend::platform::Platform;
 use crate::clock::{MS, Micros, SEC};
 use crate::config::process::Names;
@@ -77,12 +77,12 @@
         };
         let (mut now, mut events) = (SEC, Vec::new());
         let mut link = ConnectionState::new(now, Platform::new(Rc::new(names)));
-        link.probe(now);
+        link.send_probe(now);
         for id in 0..4u32 {
             let key: Rc<str> = format!("a{id}").into();
             let statement = Rc::from(&b"SELECT 1"[..]);
             let (id, until) = (RequestId(id), now + 9 * SEC);
-            link.start(
+            link.start_attempt(
                 now,
                 &AttemptRequest {
                     id,
@@ -95,8 +95,8 @@
             );
         }
         let write = |link: &mut ConnectionState<Platform>, now| {
-            while let Some(n) = link.to_write().map(<[u8]>::len) {
-                link.wrote(now, n);
+            while let Some(n) = link.pending_output().map(<[u8]>::len) {
+                link.advance_output(now, n);
             }
         };
         write(&mut link, now);
@@ -105,23 +105,23 @@
             .any(|(_, m)| words(m, "WAIT") || words(m, "PAST"));
         for (wait, message) in mutant {
             now += wait;
-            link.due(now, &mut events);
-            if link.over().is_none() && !message.is_empty() {
-                link.read(now, &message, &mut events);
+            link.on_timeout(now, &mut events);
+            if link.close_reason().is_none() && !message.is_empty() {
+                link.receive(now, &message, &mut events);
                 write(&mut link, now);
             }
         }
-        link.due(now + 5 * SEC, &mut events);
+        link.on_timeout(now + 5 * SEC, &mut events);
         link.close(
             now + 5 * SEC,
-            link.over().unwrap_or(Termination::Reset),
+            link.close_reason().unwrap_or(Termination::Reset),
             &mut events,
         );
         let mut ends: BTreeMap<RequestId, usize> = BTreeMap::new();
         let mut probes = 0;
         for event in events {
             match event {
-                Event::Ended(ended) => {
+                ConnectionEvent::AttemptEnded(ended) => {
                     assert_eq!(
                         (ended.attempt, ended.progress),
                         (AttemptNo(0), TransmitProgress::Complete),
@@ -134,7 +134,7 @@
                     );
                     *ends.entry(ended.id).or_default() += 1;
                 }
-                Event::Probed { .. } => probes += 1,
+                ConnectionEvent::ProbeCompleted { .. } => probes += 1,
             }
         }
         assert_eq!(
--- a/tests/unit/net_engine.rs
+++ b/tests/unit/net_engine.rs
@@ -1,5 +1,6 @@
 //! Which connection of an engine carries an attempt, and for whom none begins.
-use super::{EndpointHandle, EngineCommand, Handle, Start, bounded, spawn};
+use super::connection_handle::{ConnectionHandle, ConnectionStatus};
+use super::{ConnectionOptions, EndpointHandle, EngineCommand, StartActor, bounded, spawn};
 use crate::backend::platform::Platform;
 use crate::clock::SEC;
 use crate::config::process::Names;
@@ -32,24 +33,23 @@
     }
 }
 
-/// A connection of four streams, one attempt on it or none, which has answered before or not.
-fn connection(taken: bool, proven: bool) -> Handle {
-    let (orders, mailbox) = bounded(8);
+/// A connection of four streams with at most one attempt on it.
+fn connection(in_use: bool, has_received: bool) -> ConnectionHandle {
+    let (commands, mailbox) = bounded(8);
     // The mailbox stays open: this stands for a connection's task.
     std::mem::forget(mailbox);
-    let handle = Handle {
-        orders,
-        free: Rc::new(Cell::new(if taken { 3 } else { 4 })),
-        attempts: Rc::default(),
-        stale: Rc::default(),
-        alone: Cell::new(false),
-        proven: Rc::new(Cell::new(proven)),
+    let status = ConnectionStatus {
+        free_streams: Cell::new(if in_use { 3 } else { 4 }),
+        has_received: Cell::new(has_received),
+        ..ConnectionStatus::default()
     };
-    handle
-        .attempts
-        .borrow_mut()
-        .extend(taken.then_some(RequestId(9)));
-    handle
+    let attempts = in_use.then_some(RequestId(9));
+    status.attempts.borrow_mut().extend(attempts);
+    ConnectionHandle {
+        commands,
+        status: Rc::new(status),
+        exclusive: Cell::new(false),
+    }
 }
 
 /// Guards against resets, which strike most at the first that a connection carries, and against
@@ -57,17 +57,18 @@
 /// where there is one.
 #[test]
 fn what_must_never_run_twice_prefers_an_idle_connection_that_has_answered() {
-    let conns = [
+    let connections = [
         connection(false, false),
         connection(true, true),
         connection(false, true),
     ];
     let pick = |job: AttemptRequest| {
-        let room = conns
+        connections
             .iter()
             .enumerate()
-            .filter(|(_, c)| c.takes(&job, true));
-        room.min_by_key(|(_, c)| c.rank(&job)).map(|(at, _)| at)
+            .filter(|(_, connection)| connection.accepts(&job, true))
+            .min_by_key(|(_, connection)| connection.preference(&job))
+            .map(|(index, _)| index)
     };
     assert_eq!(pick(job(true)), Some(2));
     assert_eq!(pick(job(false)), Some(1), "others share the fullest");
@@ -101,13 +102,18 @@
         ..Names::default()
     });
     let (all, module) = (shared.clone(), core.clone());
-    let start: Start = Rc::new(move |row| {
-        let (peer, names) = (row.peer(5 * SEC, 15 * SEC, false), names.clone());
-        spawn(&all, module.clone(), row, peer, move || {
+    let start: StartActor = Rc::new(move |endpoint| {
+        let options = ConnectionOptions {
+            connect_timeout: 5 * SEC,
+            keepalive: 15 * SEC,
+            supports_databases: false,
+        };
+        let names = names.clone();
+        spawn(&all, module.clone(), endpoint, options, move || {
             Platform::new(names.clone())
         })
     });
-    let row = EndpointHandle::new(EngineId(1), addr, Readiness::Ready, start);
+    let endpoint = EndpointHandle::new(EngineId(1), addr, Readiness::Ready, start);
     let run = |holds: &mut dyn FnMut() -> bool| {
         assert!(
             async_io::block_on(shared.executor.run(eventually(holds))),
@@ -132,7 +138,7 @@
     if gone_before {
         leaves(&mut client);
     }
-    assert_eq!(row.tell(EngineCommand::Start(job)), Ok(()));
+    assert_eq!(endpoint.send(EngineCommand::Start(job)), Ok(()));
     let mut text = Vec::new();
     let (mut told, mut kept) = (Vec::new(), Vec::new());
     let mut stream = None;
--- a/tests/unit/net_engine_endpoint.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -1,7 +1,10 @@
 //! An engine's actor is there while something is open or owed. What may cross its making and its
 //! end is forced here: the crossing word comes after every number of steps that the actors can have
 //! taken, so that each order of the two is met.
-use super::{EndpointHandle, EngineCommand, Platform, Start, bounded, spawn};
+use super::{
+    ConnectionOptions, EndpointHandle, EngineCommand, MAILBOX_CAPACITY, StartActor, bounded, spawn,
+};
+use crate::backend::platform::Platform;
 use crate::clock::SEC;
 use crate::config::process::Names;
 use crate::dispatcher::AttemptRequest;
@@ -67,9 +70,14 @@
             streams: 4,
             ..Names::default()
         });
-        let start: Start = Rc::new(move |row| {
-            let (peer, names) = (row.peer(5 * SEC, 600 * SEC, false), names.clone());
-            spawn(&shared, core.clone(), row, peer, move || {
+        let start: StartActor = Rc::new(move |endpoint| {
+            let options = ConnectionOptions {
+                connect_timeout: 5 * SEC,
+                keepalive: 600 * SEC,
+                supports_databases: false,
+            };
+            let names = names.clone();
+            spawn(&shared, core.clone(), endpoint, options, move || {
                 Platform::new(names.clone())
             })
         });
@@ -183,11 +191,14 @@
     let mut w = world();
     let row = w.row(1);
     for order in [
-        EngineCommand::Stop(RequestId(1), AttemptNo(0)),
+        EngineCommand::Cancel {
+            id: RequestId(1),
+            attempt: AttemptNo(0),
+        },
         EngineCommand::CloseIdle,
     ] {
         assert_eq!(
-            row.tell(order),
+            row.send(order),
             Ok(()),
             "nothing is open: there is nothing to do"
         );
@@ -195,7 +206,7 @@
     w.steps(STEPS);
     assert!(!row.is_active() && w.shared.engine_actors.get() == 0);
     for id in 1..4 {
-        assert_eq!(row.tell(start(id)), Ok(()));
+        assert_eq!(row.send(start(id)), Ok(()));
         assert!(row.is_active());
         w.settles(&[id]);
         assert!(
@@ -214,13 +225,13 @@
     for steps in 0..=STEPS {
         let mut w = world();
         let row = w.row(1);
-        assert_eq!(row.tell(start(1)), Ok(()));
+        assert_eq!(row.send(start(1)), Ok(()));
         w.steps(steps);
         if steps == STEPS {
             w.until(&mut |w| !w.read.is_empty());
         }
-        row.mark(Readiness::Draining);
-        let later = row.tell(start(2));
+        row.set_readiness(Readiness::Draining);
+        let later = row.send(start(2));
         w.settles(if later.is_ok() { &[1, 2] } else { &[1] });
         if later.is_ok() {
             assert_eq!(
@@ -236,9 +247,9 @@
         );
         reaches.push(reach);
         // Without an actor the drain holds as well, until the engine is in service again.
-        assert_eq!(row.tell(start(3)), Err(Termination::Drained));
-        row.mark(Readiness::Ready);
-        assert_eq!(row.tell(start(4)), Ok(()));
+        assert_eq!(row.send(start(3)), Err(Termination::Drained));
+        row.set_readiness(Readiness::Ready);
+        assert_eq!(row.send(start(4)), Ok(()));
         w.settles(&[4]);
         assert_ne!(w.end_of(4).1, TransmitProgress::Unsent);
     }
@@ -257,15 +268,23 @@
         for what in 0..3 {
             let mut w = world();
             let row = w.row(1);
-            assert_eq!(row.tell(start(1)), Ok(()));
+            assert_eq!(row.send(start(1)), Ok(()));
             // The engine closes as it has read this; the actors have not seen it yet.
             w.until(&mut |w| w.read.ends_with("\r\n"));
             w.steps(steps);
             match what {
-                0 => assert_eq!(row.tell(start(2)), Ok(())),
-                1 => assert_eq!(row.tell(EngineCommand::Probe(u64::MAX)), Ok(())),
+                0 => assert_eq!(row.send(start(2)), Ok(())),
+                1 => assert_eq!(
+                    row.send(EngineCommand::Probe {
+                        not_after: u64::MAX
+                    }),
+                    Ok(())
+                ),
                 _ => assert_eq!(
-                    row.tell(EngineCommand::Stop(RequestId(1), AttemptNo(0))),
+                    row.send(EngineCommand::Cancel {
+                        id: RequestId(1),
+                        attempt: AttemptNo(0)
+                    }),
                     Ok(())
                 ),
             }
@@ -292,15 +311,15 @@
             let mut w = world();
             w.closes = false;
             let old = w.row(1);
-            assert_eq!(old.tell(start(1)), Ok(()));
+            assert_eq!(old.send(start(1)), Ok(()));
             w.steps(steps);
             if leaves {
-                old.mark(Readiness::Gone);
+                old.set_readiness(Readiness::Gone);
             }
             old.close();
             let new = w.row(1);
-            assert_eq!(new.tell(start(2)), Ok(()));
-            assert!(old.tell(start(3)).is_err() && old.is_closed());
+            assert_eq!(new.send(start(2)), Ok(()));
+            assert!(old.send(start(3)).is_err() && old.is_closed());
             w.until(&mut |w| {
                 w.read.contains("do k2 ") && w.ended.iter().any(|e| e.0 == RequestId(1))
             });
@@ -322,14 +341,14 @@
     let mut w = world();
     let row = w.row(1);
     let most = w.shared.max_engine_sockets.replace(0);
-    assert_eq!(row.tell(start(1)), Ok(()));
+    assert_eq!(row.send(start(1)), Ok(()));
     w.settles(&[1]);
     assert_eq!(
         w.end_of(1),
         (Termination::LocalLimit, TransmitProgress::Unsent)
     );
     w.shared.max_engine_sockets.set(most);
-    assert_eq!(row.tell(start(2)), Ok(()));
+    assert_eq!(row.send(start(2)), Ok(()));
     w.settles(&[2]);
     assert_ne!(w.end_of(2).1, TransmitProgress::Unsent);
 }
@@ -340,13 +359,16 @@
 fn a_full_mailbox_refuses() {
     let mut w = world();
     let row = w.row(1);
-    let filled = (1..).take_while(|id| row.tell(start(*id)).is_ok()).count();
-    assert_eq!(filled, super::MAILBOX);
+    let filled = (1..).take_while(|id| row.send(start(*id)).is_ok()).count();
+    assert_eq!(filled, MAILBOX_CAPACITY);
     assert_eq!(
-        row.tell(EngineCommand::Stop(RequestId(1), AttemptNo(0))),
+        row.send(EngineCommand::Cancel {
+            id: RequestId(1),
+            attempt: AttemptNo(0)
+        }),
         Err(Termination::LocalLimit)
     );
-    row.cut();
+    row.abort();
     assert!(!row.is_active() && !row.is_closed());
     let (orders, _mailbox) = bounded(1);
     assert!(orders.try_send(0).is_ok() && orders.try_send(1).is_err());
