--- a/src/main.rs
+++ b/src/main.rs
@@ -21,13 +21,15 @@
 use yokelift::dispatcher::Dispatcher;
 use yokelift::frontend::clickhouse::{ClickHouse, ClickHouseShared};
 use yokelift::frontend::jsonrpc::JsonRpc;
+use yokelift::net::discovery::ListedEndpoint;
 use yokelift::net::discovery::coordinator::CoordinatorMigration;
-use yokelift::net::discovery::endpoint_list::Http;
+use yokelift::net::discovery::endpoint_factory::{ClickHouseEngines, endpoint_factory};
+use yokelift::net::discovery::known_events::{index_of, parse_known};
 use yokelift::net::discovery::{coordinator, endpoint_list};
 use yokelift::net::dispatcher::DispatcherEvent;
 use yokelift::net::reload::{ClickHouseFrontend, Reload};
 use yokelift::net::{self, Shared, client, dispatcher, hot_restart, tenant_directory};
-use yokelift::policy::api::Readiness;
+use yokelift::policy::api::{Endpoint, KindId, Readiness, ZoneId};
 use yokelift::tenant_directory::Tenants;
 use yokelift::{clock, log};
 
@@ -35,33 +37,30 @@
 const READY_ANYWAY: Duration = Duration::from_millis(700);
 
 /// The engines of a deploy file, with the names of the settings.
-fn http_engines(deploy: &ClickHouseConfig, names: &process::Names) -> Result<Http, String> {
-    let mut http = Http::default();
+fn http_engines(
+    deploy: &ClickHouseConfig,
+    names: &process::Names,
+) -> Result<ClickHouseEngines, String> {
+    let mut http = ClickHouseEngines::default();
     let mut ids = std::collections::BTreeSet::new();
     for line in &deploy.engines {
         let id = clickhouse::engine_id(&line.id)?;
         ids.insert(id);
         if let Some(addr) = line.addr {
-            let place = |list: &[String], name: &str| {
-                list.iter().position(|n| n == name).unwrap_or(0) as u16
+            let endpoint = Endpoint {
+                id,
+                zone: ZoneId(index_of(&names.zones, &line.zone)),
+                kind: KindId(index_of(&names.kinds, &line.kind)),
+                readiness: Readiness::Ready,
+                weight: 1.0,
+                ..Endpoint::default()
             };
-            let place = (
-                place(&names.zones, &line.zone),
-                place(&names.kinds, &line.kind),
-                0,
-            );
-            http.fixed.push(endpoint_list::listed(
-                id.0 as u32,
-                addr,
-                Readiness::Ready,
-                place,
-                1.0,
-                0,
-            ));
+            http.static_endpoints
+                .push(ListedEndpoint { endpoint, addr });
         }
     }
-    http.engines = Rc::new(ids);
-    http.login = Rc::new(Credentials {
+    http.ids = Rc::new(ids);
+    http.credentials = Rc::new(Credentials {
         user: deploy.login.user.clone(),
         key: deploy.login.key.clone(),
     });
@@ -193,7 +192,7 @@
         .map(|d| service(d, &config, &names, &shared))
         .transpose()?
         .map(Rc::new);
-    let (last, known) = endpoint_list::parse_known(&config.known, &names)?;
+    let known = parse_known(&config.known, &names).map_err(|error| error.to_string())?;
 
     let tenants = Tenants::new(&names, config.settings.tenants.clone());
     let settings = config.settings.clone();
@@ -219,8 +218,8 @@
             seat,
         ));
     }
-    let (updates, list_mailbox) = bounded(endpoint_list::MAILBOX);
-    let make = endpoint_list::engines(shared.clone(), core.clone(), names.clone(), http.clone());
+    let (updates, list_mailbox) = bounded(endpoint_list::MAILBOX_CAPACITY);
+    let make = endpoint_factory(shared.clone(), core.clone(), names.clone(), &http);
     shared.spawn(endpoint_list::run(
         shared.clone(),
         core.clone(),
@@ -231,18 +230,16 @@
     let (listen, addr, move_on) = (config.listen, config.coordinator, coordinator.clone());
     let (flags, feed, seed) = (shared.clone(), updates.clone(), config.seed);
     shared.spawn(async move {
-        for update in known {
+        let start = coordinator::WatchStart {
+            last_index: known.last_index,
+            backoff_seed: seed,
+        };
+        for update in known.events {
             let _ = feed.send(update).await;
         }
         let ready = flags.clone();
         let heard = move || ready.lifecycle.borrow_mut().endpoint_list_received();
-        flags.spawn(coordinator::run(
-            flags.clone(),
-            (last, seed),
-            moves,
-            feed,
-            heard,
-        ));
+        flags.spawn(coordinator::run(flags.clone(), start, moves, feed, heard));
         let _ = move_on
             .send(CoordinatorMigration {
                 addr: Some(addr),
--- a/src/net/discovery/coordinator.rs
+++ b/src/net/discovery/coordinator.rs
@@ -1,251 +1,306 @@
-//! The actor of the coordinator: follows its numbered events, comes back after every break, and
-//! moves with it.
+//! The watch of the coordinator: receives its numbered events, reconnects after every break, and
+//! follows the coordinator to another address.
+use super::WatchEvent;
+use super::frame::{self, Frame, FrameError, Record};
 use crate::backoff::Backoff;
 use crate::clock::{self, Micros, SEC};
 use crate::dispatcher::termination::Termination;
 use crate::log;
-use crate::net::discovery::endpoint_list::{Update, parse_record};
 use crate::net::{Shared, sleep_until};
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::cell::Cell;
+use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A frame longer than this is not the protocol: it would hold tens of thousands of engines.
-const MOST_FRAME: usize = 2 * 1024 * 1024;
-const CONNECT: Micros = SEC;
-
-/// A frame.
-#[derive(Debug, PartialEq, Eq)]
-pub enum Frame<'a> {
-    /// Nothing new.
-    Empty,
-    /// An event: its number, whether it holds the whole list, and its records.
-    Event(u64, bool, &'a [[u8; 27]]),
-}
+/// Time allowed for establishing a connection.
+const CONNECT_TIMEOUT_MICROS: Micros = SEC;
+/// Bytes read from the socket at a time.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Reads the first frame, if it is there whole, and tells its length.
-pub fn frame(input: &[u8]) -> Result<Option<(Frame<'_>, usize)>, Termination> {
-    let Some((length, rest)) = input.split_first_chunk::<4>() else {
-        return Ok(None);
-    };
-    let length = u32::from_be_bytes(*length) as usize;
-    if !(9..=MOST_FRAME).contains(&length) {
-        return Err(Termination::ProtocolViolation);
-    }
-    let Some(body) = rest.get(..length) else {
-        return Ok(None);
-    };
-    let number = body
-        .first_chunk::<8>()
-        .map_or(0, |n| u64::from_be_bytes(*n));
-    let (records, left) = body[9..].as_chunks::<27>();
-    let frame = match body[8] {
-        0 => Frame::Empty,
-        kind @ (1 | 2) if left.is_empty() => Frame::Event(number, kind == 1, records),
-        _ => return Err(Termination::ProtocolViolation),
-    };
-    Ok(Some((frame, 4 + length)))
-}
-
-/// How far the events have come, over all connections: the numbers go on when the coordinator
-/// moves.
+/// How far the events have come, over all connections: their numbers continue when the coordinator
+/// moves to another address.
 #[derive(Default)]
 pub struct WatchPosition {
-    last: Cell<u64>,
-    /// A connection showed a gap once: the events between are not to be had.
-    gap: Cell<bool>,
-    /// The number of the newest address; connections to older ones are not made again.
-    newest: Cell<u64>,
+    last_index: Cell<u64>,
+    /// A connection skipped events after `last_index` before: they are not available.
+    gap_seen: Cell<bool>,
+    /// Counts the addresses followed; only the newest is connected to again.
+    generation: Cell<u64>,
 }
 
 impl WatchPosition {
-    /// After that event.
-    pub fn at(last: u64) -> WatchPosition {
+    /// The position after the event with that number.
+    pub fn after(last_index: u64) -> WatchPosition {
         WatchPosition {
-            last: Cell::new(last),
+            last_index: Cell::new(last_index),
             ..WatchPosition::default()
         }
     }
 }
 
-/// One connection's reader.
-pub struct Follower {
-    place: Rc<WatchPosition>,
+/// Why the input of a watch can't be used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum WatchError {
+    /// The input is no frame.
+    #[error("the coordinator violated its protocol")]
+    Frame(#[from] FrameError),
+    /// Events are missing; a new connection asks for them again.
+    #[error("the coordinator sent event {found} after event {last}")]
+    MissingEvents {
+        /// The last event that was received.
+        last: u64,
+        /// The event that came instead of the next one.
+        found: u64,
+    },
+}
+
+impl From<WatchError> for Termination {
+    fn from(error: WatchError) -> Termination {
+        match error {
+            WatchError::Frame(error) => error.into(),
+            WatchError::MissingEvents { .. } => Termination::Dropped,
+        }
+    }
+}
+
+/// Decodes what is received on one connection of the watch, or on several, one after the other.
+pub struct WatchReader {
+    position: Rc<WatchPosition>,
     input: Vec<u8>,
 }
 
-impl Follower {
-    /// One that goes on from there.
-    pub fn new(place: Rc<WatchPosition>) -> Follower {
-        Follower {
-            place,
+impl WatchReader {
+    /// A reader that continues at a position.
+    pub fn new(position: Rc<WatchPosition>) -> WatchReader {
+        WatchReader {
+            position,
             input: Vec::new(),
         }
     }
 
-    /// What it writes on a new connection.
-    pub fn hello(&mut self) -> [u8; 8] {
+    /// The request to write on a new connection: the number of the last event received.
+    pub fn begin_connection(&mut self) -> [u8; 8] {
         self.input.clear();
-        self.place.last.get().to_be_bytes()
+        self.position.last_index.get().to_be_bytes()
     }
 
-    /// Reads what came. Guards against a gap in the numbers: it asks again from the last event it
-    /// has, and takes a second gap at the same place as it is, lest it asks forever.
-    pub fn feed(&mut self, input: &[u8]) -> Result<Vec<Update>, Termination> {
+    /// Decodes bytes that were received into new events; those received before are skipped.
+    ///
+    /// # Errors
+    ///
+    /// The connection must be closed, as nothing new came before the fault. After new events a
+    /// fault is reported by the next call.
+    pub fn receive(&mut self, input: &[u8]) -> Result<Vec<WatchEvent>, WatchError> {
         self.input.extend_from_slice(input);
-        let (mut used, mut updates) = (0, Vec::new());
+        let mut events = Vec::new();
+        let mut used = 0;
         let result = loop {
-            match frame(&self.input[used..]) {
+            let decoded = match frame::decode(&self.input[used..]) {
+                Ok(Some(decoded)) => decoded,
                 Ok(None) => break Ok(()),
-                Err(end) => break Err(end),
-                Ok(Some((Frame::Empty, length))) => used += length,
-                Ok(Some((Frame::Event(index, whole, records), length))) => {
-                    used += length;
-                    let last = self.place.last.get();
-                    if index <= last {
-                        continue;
-                    }
-                    if index > last + 1 && !whole && !self.place.gap.get() {
-                        self.place.gap.set(true);
-                        break Err(Termination::Dropped);
-                    }
-                    self.place.last.set(index);
-                    self.place.gap.set(false);
-                    let engines = records.iter().filter_map(parse_record).collect();
-                    updates.push(Update {
-                        index,
-                        whole,
-                        engines,
-                    });
-                }
+                Err(error) => break Err(error.into()),
+            };
+            used += decoded.length;
+            match self.next_event(&decoded.frame) {
+                Ok(event) => events.extend(event),
+                Err(error) => break Err(error),
             }
         };
         self.input.drain(..used);
-        // What was whole before the fault still counts.
         match result {
-            Err(end) if updates.is_empty() => Err(end),
-            _ => Ok(updates),
+            Err(error) if events.is_empty() => Err(error),
+            _ => Ok(events),
         }
     }
+
+    /// The event of a frame, unless it was received before. After missing events the coordinator is
+    /// asked again once; if they are missing again they are skipped, as they may not be available
+    /// any more.
+    fn next_event(&self, frame: &Frame) -> Result<Option<WatchEvent>, WatchError> {
+        let Frame::Event {
+            index,
+            full,
+            records,
+        } = *frame
+        else {
+            return Ok(None);
+        };
+        let last = self.position.last_index.get();
+        if index <= last {
+            return Ok(None);
+        }
+        let has_gap = index > last + 1 && !full;
+        if has_gap && !self.position.gap_seen.get() {
+            self.position.gap_seen.set(true);
+            return Err(WatchError::MissingEvents { last, found: index });
+        }
+        self.position.last_index.set(index);
+        self.position.gap_seen.set(false);
+        Ok(Some(decode_event(index, full, records)))
+    }
 }
 
-/// Where the coordinator is from now on, and the events that came with the news.
+/// Records with an unknown state are skipped.
+fn decode_event(index: u64, full: bool, records: &[Record]) -> WatchEvent {
+    WatchEvent {
+        index,
+        full,
+        endpoints: records.iter().filter_map(frame::decode_record).collect(),
+    }
+}
+
+/// Tells the watch where the coordinator is from now on.
 pub struct CoordinatorMigration {
-    /// Its address; without one it is followed where it is, on a new connection: the present one
-    /// seems to be stuck.
+    /// Its address. `None` keeps the address and connects again, where the present connection seems
+    /// to be stuck.
     pub addr: Option<SocketAddr>,
-    /// Events; those already known are passed over.
-    pub known: Vec<Update>,
+    /// Events that came with the migration; those received before are skipped.
+    pub known: Vec<WatchEvent>,
+}
+
+/// Where the watch starts.
+#[derive(Clone, Copy, Debug)]
+pub struct WatchStart {
+    /// The number of the last event that is known.
+    pub last_index: u64,
+    /// Seeds the backoff. Each gateway has its own, so that a fleet does not reconnect in step.
+    pub backoff_seed: u64,
+}
+
+/// What all connections of the watch share.
+struct Watch<F> {
+    position: Rc<WatchPosition>,
+    events: Sender<WatchEvent>,
+    on_contact: F,
 }
 
-/// Runs the follower from the last event that is known; `heard` is called once the coordinator has
-/// spoken. After a move the new address is followed at once, and the old connection read until it
-/// ends. The seed is this manager's own, lest a fleet dials in step.
-pub async fn run(
+/// Runs the watch: events go to `events`, and `on_contact` is called whenever the coordinator has
+/// sent something. After a migration the new address is connected to at once, and the connection to
+/// the old one is read until it ends.
+pub async fn run<F>(
     shared: Rc<Shared>,
-    (last, seed): (u64, u64),
-    moves: Receiver<CoordinatorMigration>,
-    list: Sender<Update>,
-    heard: impl Fn() + Clone + 'static,
-) {
-    let place = Rc::new(WatchPosition::at(last));
-    let mut at = None;
-    while let Ok(CoordinatorMigration { addr, known }) = moves.recv().await {
-        for update in known.into_iter().filter(|u| u.index > place.last.get()) {
-            place.last.set(update.index);
-            let _ = list.send(update).await;
+    start: WatchStart,
+    migrations: Receiver<CoordinatorMigration>,
+    events: Sender<WatchEvent>,
+    on_contact: F,
+) where
+    F: Fn() + 'static,
+{
+    let position = Rc::new(WatchPosition::after(start.last_index));
+    let watch = Rc::new(Watch {
+        position: position.clone(),
+        events,
+        on_contact,
+    });
+    let mut current: Option<SocketAddr> = None;
+    while let Ok(migration) = migrations.recv().await {
+        watch.forward_known(migration.known).await;
+        let previous = current;
+        current = migration.addr.or(current);
+        let must_connect = migration.addr.is_none() || previous != current;
+        let Some(addr) = current.filter(|_| must_connect) else {
+            continue;
+        };
+        let generation = position.generation.get() + 1;
+        position.generation.set(generation);
+        let backoff = Backoff::new(start.backoff_seed.wrapping_add(generation));
+        let watch = watch.clone();
+        shared.spawn(async move { watch.follow(addr, backoff).await });
+    }
+}
+
+impl<F: Fn()> Watch<F> {
+    async fn forward_known(&self, known: Vec<WatchEvent>) {
+        for event in known {
+            if event.index > self.position.last_index.get() {
+                self.position.last_index.set(event.index);
+                let _ = self.events.send(event).await;
+            }
         }
-        let (was, again) = (at, addr.is_none());
-        at = addr.or(at);
-        if let Some(addr) = at.filter(|addr| again || was != Some(*addr)) {
-            place.newest.set(place.newest.get() + 1);
-            let backoff = Backoff::new(seed.wrapping_add(place.newest.get()));
-            shared.spawn(stay(
-                addr,
-                place.clone(),
-                backoff,
-                list.clone(),
-                heard.clone(),
-            ));
+    }
+
+    /// Connects to an address again and again for as long as it is the newest, and reads the last
+    /// connection until it ends.
+    async fn follow(&self, addr: SocketAddr, mut backoff: Backoff) {
+        let generation = self.position.generation.get();
+        while self.position.generation.get() == generation {
+            let contacted = Cell::new(false);
+            let silence_timeout = backoff.silence();
+            let reason = self.watch_once(addr, silence_timeout, &contacted).await;
+            log!("the coordinator's connection ended: {reason:?}");
+            let pause = backoff.pause(contacted.get());
+            Timer::after(Duration::from_micros(pause)).await;
         }
     }
-}
 
-/// Follows one address for as long as it is the newest, and its last connection until that ends.
-async fn stay(
-    addr: SocketAddr,
-    place: Rc<WatchPosition>,
-    mut backoff: Backoff,
-    list: Sender<Update>,
-    heard: impl Fn(),
-) {
-    let mine = place.newest.get();
-    while place.newest.get() == mine {
-        let (mut follower, spoke) = (Follower::new(place.clone()), Cell::new(false));
-        let told = || {
-            spoke.set(true);
-            heard();
+    /// Watches on one connection, and gives the reason for its end.
+    async fn watch_once(
+        &self,
+        addr: SocketAddr,
+        silence_timeout: Micros,
+        contacted: &Cell<bool>,
+    ) -> Termination {
+        let mut stream = match connect(addr).await {
+            Ok(stream) => stream,
+            Err(reason) => return reason,
         };
-        let silence = backoff.silence();
-        let end = follow(addr, &mut follower, silence, &list, &told).await;
-        log!("the coordinator's connection ended: {end:?}");
-        Timer::after(Duration::from_micros(backoff.pause(spoke.get()))).await;
+        // Without it the request is delayed, but not lost.
+        let _ = stream.get_ref().set_nodelay(true);
+        let mut reader = WatchReader::new(self.position.clone());
+        if stream.write_all(&reader.begin_connection()).await.is_err() {
+            return Termination::Reset;
+        }
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
+        loop {
+            let silent_at = clock::turn() + silence_timeout;
+            let count = match read_before(&mut stream, &mut buffer, silent_at).await {
+                None => return Termination::Unresponsive,
+                Some(Ok(0)) => return Termination::Closed,
+                Some(Ok(count)) => count,
+                Some(Err(_)) => return Termination::Reset,
+            };
+            let events = match reader.receive(&buffer[..count]) {
+                Ok(events) => events,
+                Err(error) => return error.into(),
+            };
+            for event in events {
+                let _ = self.events.send(event).await;
+            }
+            contacted.set(true);
+            (self.on_contact)();
+        }
     }
 }
 
-async fn follow(
-    addr: SocketAddr,
-    follower: &mut Follower,
-    silence: Micros,
-    list: &Sender<Update>,
-    heard: &impl Fn(),
-) -> Termination {
-    let connect = async {
-        Async::<TcpStream>::connect(addr)
-            .await
-            .map_err(|e| Termination::of_connect(&e))
+async fn connect(addr: SocketAddr) -> Result<Async<TcpStream>, Termination> {
+    let connected = async {
+        let stream = Async::<TcpStream>::connect(addr).await;
+        stream.map_err(|error| Termination::of_connect(&error))
     };
-    let late = async {
-        sleep_until(Some(clock::turn() + CONNECT)).await;
+    let timeout = async {
+        sleep_until(Some(clock::turn() + CONNECT_TIMEOUT_MICROS)).await;
         Err(Termination::ConnectTimeout)
     };
-    let mut stream = match or(connect, late).await {
-        Ok(stream) => stream,
-        Err(end) => return end,
+    or(connected, timeout).await
+}
+
+/// Reads what comes before a point in time; `None` if nothing does.
+async fn read_before(
+    stream: &mut Async<TcpStream>,
+    buffer: &mut [u8],
+    until: Micros,
+) -> Option<io::Result<usize>> {
+    let read = async { Some(stream.read(buffer).await) };
+    let timeout = async {
+        sleep_until(Some(until)).await;
+        None
     };
-    let _ = stream.get_ref().set_nodelay(true);
-    if stream.write_all(&follower.hello()).await.is_err() {
-        return Termination::Reset;
-    }
-    let mut buffer = vec![0; 16 * 1024];
-    loop {
-        let silent_at = clock::turn() + silence;
-        let read = async { Some(stream.read(&mut buffer).await) };
-        let silent = async {
-            sleep_until(Some(silent_at)).await;
-            None
-        };
-        let n = match or(read, silent).await {
-            None => return Termination::Unresponsive,
-            Some(Ok(0)) => return Termination::Closed,
-            Some(Ok(n)) => n,
-            Some(Err(_)) => return Termination::Reset,
-        };
-        match follower.feed(&buffer[..n]) {
-            Ok(updates) => {
-                for update in updates {
-                    let _ = list.send(update).await;
-                }
-                heard();
-            }
-            Err(end) => return end,
-        }
-    }
+    or(read, timeout).await
 }
 
 #[cfg(test)]
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -1,352 +1,188 @@
-//! The actor of the list of engines: applies what the coordinator tells, keeps a row for each
-//! engine, and passes the news on to the module.
-use crate::backend::clickhouse::{ClickHouse, Credentials};
-use crate::backend::platform::Platform;
-use crate::clock::{Micros, SEC, micros};
-use crate::config::process::Names;
+//! The actor of the endpoint list: applies the events of the coordinator, keeps a handle for each
+//! engine, and passes the changes on to the dispatcher.
+use super::endpoint_factory::{ClickHouseEngines, EndpointFactory};
+use super::{ListedEndpoint, WatchEvent};
 use crate::net::Shared;
 use crate::net::dispatcher::DispatcherEvent;
-use crate::net::engine::{ConnectionOptions, EndpointHandle, StartActor, spawn};
-use crate::policy::api::{
-    CellId, Endpoint, EndpointListKind, EngineId, KindId, Nanos, Readiness, ZoneId,
-};
+use crate::net::engine::EndpointHandle;
+use crate::policy::api::{EndpointListKind, EngineId, Readiness};
 use async_channel::{Receiver, Sender};
-use serde::Deserialize;
-use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Messages that wait for the list's actor.
-pub const MAILBOX: usize = 64;
+/// Capacity of the actor's mailbox in events.
+pub const MAILBOX_CAPACITY: usize = 64;
 
-/// An engine in the list.
-#[derive(Clone, Copy, Debug)]
-pub struct ListedEndpoint {
-    /// What the module is told of it.
-    pub entry: Endpoint,
-    /// Where it listens.
-    pub addr: SocketAddr,
-}
+/// The handle of an endpoint that did not have one.
+type NewHandle = (EngineId, Rc<EndpointHandle>);
 
-/// A numbered event of the coordinator.
-#[derive(Clone, Debug)]
-pub struct Update {
-    /// Its number.
-    pub index: u64,
-    /// The whole list, or what has changed.
-    pub whole: bool,
-    /// The engines it names.
-    pub engines: Vec<ListedEndpoint>,
+/// An endpoint in the list, with its handle.
+struct KnownEndpoint {
+    listed: ListedEndpoint,
+    handle: Rc<EndpointHandle>,
 }
 
-/// Makes the row of one engine.
-pub type MakeEngine = Box<dyn Fn(&ListedEndpoint) -> Rc<EndpointHandle>>;
-
-/// The engines that speak the ClickHouse interface, and who the manager is to them.
-#[derive(Clone, Default)]
-pub struct Http {
-    /// Their ids.
-    pub engines: Rc<BTreeSet<EngineId>>,
-    /// User and key.
-    pub login: Rc<Credentials>,
-    /// Those that the coordinator does not list: always in service.
-    pub fixed: Vec<ListedEndpoint>,
+impl KnownEndpoint {
+    /// Updates the handle at once, before the dispatcher learns of the change: nothing that waits
+    /// to be sent outlives it.
+    fn set_readiness(&mut self, readiness: Readiness) {
+        self.listed.endpoint.readiness = readiness;
+        self.handle.set_readiness(readiness);
+    }
 }
 
-/// ClickHouse servers of some versions close connections that are idle for this long.
-const HTTP_KEEPALIVE: Micros = 3 * SEC;
-
-/// How engines are made: by the wire they speak.
-pub fn engines(
+/// The endpoint list.
+struct EndpointList {
     shared: Rc<Shared>,
-    core: Sender<DispatcherEvent>,
-    names: Rc<Names>,
-    http: Http,
-) -> MakeEngine {
-    let (all, module, known, login) = (
-        shared.clone(),
-        core.clone(),
-        names.clone(),
-        http.login.clone(),
-    );
-    let clickhouse: StartActor = Rc::new(move |row| {
-        let login = login.clone();
-        let options = ConnectionOptions {
-            connect_timeout: micros(known.connect_timeout),
-            keepalive: micros(known.keepalive).min(HTTP_KEEPALIVE),
-            supports_databases: true,
-        };
-        spawn(&all, module.clone(), row, options, move || {
-            ClickHouse::new(login.clone())
-        })
-    });
-    let platform: StartActor = Rc::new(move |row| {
-        let options = ConnectionOptions {
-            connect_timeout: micros(names.connect_timeout),
-            keepalive: micros(names.keepalive),
-            supports_databases: false,
-        };
-        let names = names.clone();
-        spawn(&shared, core.clone(), row, options, move || {
-            Platform::new(names.clone())
-        })
-    });
-    Box::new(move |listed| {
-        let id = listed.entry.id;
-        let start = if http.engines.contains(&id) {
-            &clickhouse
-        } else {
-            &platform
-        };
-        EndpointHandle::new(id, listed.addr, listed.entry.readiness, start.clone())
-    })
-}
-
-struct Known {
-    listed: ListedEndpoint,
-    row: Rc<EndpointHandle>,
+    new_endpoint: EndpointFactory,
+    clickhouse: ClickHouseEngines,
+    known: BTreeMap<EngineId, KnownEndpoint>,
 }
 
-/// Runs the list. Its first update is what the module knew before it started.
+/// Runs the actor of the endpoint list. The first event is what was known before the start.
 pub async fn run(
     shared: Rc<Shared>,
-    core: Sender<DispatcherEvent>,
-    mailbox: Receiver<Update>,
-    make: MakeEngine,
-    http: Http,
+    dispatcher: Sender<DispatcherEvent>,
+    mailbox: Receiver<WatchEvent>,
+    new_endpoint: EndpointFactory,
+    clickhouse: ClickHouseEngines,
 ) {
-    let mut known: BTreeMap<EngineId, Known> = BTreeMap::new();
-    let mut first = true;
-    while let Ok(mut update) = mailbox.recv().await {
-        let mut made = Vec::new();
-        supersede(&known, &mut update);
-        if update.whole {
-            // A whole list of the coordinator does not name the engines of the file.
-            update.engines.extend(&http.fixed);
-            let named: BTreeSet<EngineId> = update.engines.iter().map(|l| l.entry.id).collect();
-            let left = known
-                .values_mut()
-                .filter(|k| !named.contains(&k.listed.entry.id));
-            left.for_each(|k| mark(k, Readiness::Gone));
-        }
-        for listed in &update.engines {
-            let id = listed.entry.id;
-            // An engine is its id, and under another address it is another process. Guards against
-            // attempts that nobody could give up any more: with its row the old actor ends, its
-            // connections, and what is on them.
-            let same = known.get(&id).is_some_and(|k| k.listed.addr == listed.addr);
-            if !same && listed.entry.readiness != Readiness::Gone {
-                if let Some(old) = known.get_mut(&id) {
-                    old.row.close();
-                }
-                let row = make(listed);
-                made.push((id, row.clone()));
-                known.insert(
-                    id,
-                    Known {
-                        listed: *listed,
-                        row,
-                    },
-                );
-            }
-            if let Some(k) = known.get_mut(&id) {
-                mark(k, listed.entry.readiness);
-                k.listed = *listed;
-            }
-        }
-        known.retain(|_, k| k.listed.entry.readiness != Readiness::Gone);
-        let serving = |k: &&Known| k.listed.entry.readiness == Readiness::Ready;
-        let serving = known.values().filter(serving).map(|k| k.listed.entry.id);
-        shared.engines_know_databases.set(
-            serving.clone().count() > 0 && serving.clone().all(|id| http.engines.contains(&id)),
-        );
-        let kind = match (update.whole, first) {
-            (true, true) => EndpointListKind::Cached,
-            (true, false) => EndpointListKind::Full,
-            (false, _) => EndpointListKind::Changes,
-        };
-        first = false;
-        let entries = update.engines.iter().map(|l| l.entry).collect();
-        let _ = core
-            .send(DispatcherEvent::EndpointList(
-                kind,
-                entries,
-                made,
-                update.index,
-            ))
-            .await;
+    let mut list = EndpointList {
+        shared,
+        new_endpoint,
+        clickhouse,
+        known: BTreeMap::new(),
+    };
+    let mut is_first = true;
+    while let Ok(mut event) = mailbox.recv().await {
+        let handles = list.apply(&mut event);
+        let kind = list_kind(event.full, is_first);
+        is_first = false;
+        let endpoints = event.endpoints.iter().map(|listed| listed.endpoint);
+        let update = DispatcherEvent::EndpointList(kind, endpoints.collect(), handles, event.index);
+        let _ = dispatcher.send(update).await;
     }
 }
 
-/// Where a new engine listens, an old one is gone, told or not. Guards against work that goes to
-/// the new process under the name of the old one.
-fn supersede(known: &BTreeMap<EngineId, Known>, update: &mut Update) {
-    let newcomer = |l: &&ListedEndpoint| {
-        l.entry.readiness == Readiness::Ready && !known.contains_key(&l.entry.id)
-    };
-    let taken: BTreeSet<SocketAddr> = update
-        .engines
-        .iter()
-        .filter(newcomer)
-        .map(|l| l.addr)
-        .collect();
-    let named: BTreeSet<EngineId> = update.engines.iter().map(|l| l.entry.id).collect();
-    let old = known
-        .values()
-        .map(|k| k.listed)
-        .filter(|l| taken.contains(&l.addr) && !named.contains(&l.entry.id));
-    let gone = |mut l: ListedEndpoint| {
-        l.entry.readiness = Readiness::Gone;
-        l
-    };
-    update.engines.extend(old.map(gone));
+fn list_kind(full: bool, is_first: bool) -> EndpointListKind {
+    match (full, is_first) {
+        (true, true) => EndpointListKind::Cached,
+        (true, false) => EndpointListKind::Full,
+        (false, _) => EndpointListKind::Changes,
+    }
 }
 
-/// Tells an engine's row first, and the module after it: nothing that waits to go out outlives the
-/// news.
-fn mark(k: &mut Known, readiness: Readiness) {
-    k.listed.entry.readiness = readiness;
-    k.row.set_readiness(readiness);
-}
+impl EndpointList {
+    /// Applies an event and completes it with what it implies; gives the handles of new endpoints.
+    fn apply(&mut self, event: &mut WatchEvent) -> Vec<NewHandle> {
+        let superseded = self.superseded_by(event);
+        event.endpoints.extend(superseded);
+        if event.full {
+            // The coordinator does not list the endpoints of the file.
+            event.endpoints.extend(&self.clickhouse.static_endpoints);
+            self.remove_unlisted(&event.endpoints);
+        }
+        let mut new_handles = Vec::new();
+        for listed in &event.endpoints {
+            new_handles.extend(self.apply_endpoint(listed));
+        }
+        self.known
+            .retain(|_, known| known.listed.endpoint.readiness != Readiness::Gone);
+        self.update_database_support();
+        new_handles
+    }
 
-/// An entry, whatever form it came in. `started_ms` is a Unix time; the clock of the module counts
-/// from there.
-pub fn listed(
-    id: u32,
-    addr: SocketAddr,
-    readiness: Readiness,
-    (zone, kind, cell): (u16, u16, u16),
-    weight: f64,
-    started_ms: u64,
-) -> ListedEndpoint {
-    let (id, zone, kind, cell) = (
-        EngineId(u64::from(id)),
-        ZoneId(zone),
-        KindId(kind),
-        CellId(cell),
-    );
-    let ready_at: Nanos = started_ms.saturating_mul(1_000_000);
-    ListedEndpoint {
-        entry: Endpoint {
-            id,
-            zone,
-            kind,
-            cell,
-            readiness,
-            weight,
-            started_at: ready_at,
-        },
-        addr,
+    /// Known endpoints at whose address the event lists a new engine: they are gone, even if the
+    /// event does not say so. Otherwise work for the old process would go to the new one.
+    fn superseded_by(&self, event: &WatchEvent) -> Vec<ListedEndpoint> {
+        let listed_ids = ids(&event.endpoints);
+        let taken_addrs: BTreeSet<SocketAddr> = event
+            .endpoints
+            .iter()
+            .filter(|listed| self.is_new_and_ready(listed))
+            .map(|listed| listed.addr)
+            .collect();
+        self.known
+            .values()
+            .map(|known| known.listed)
+            .filter(|listed| taken_addrs.contains(&listed.addr))
+            .filter(|listed| !listed_ids.contains(&listed.endpoint.id))
+            .map(gone)
+            .collect()
     }
-}
 
-#[derive(Deserialize)]
-struct KnownText {
-    index: u64,
-    updates: Vec<UpdateText>,
-}
+    fn is_new_and_ready(&self, listed: &ListedEndpoint) -> bool {
+        let is_ready = listed.endpoint.readiness == Readiness::Ready;
+        is_ready && !self.known.contains_key(&listed.endpoint.id)
+    }
 
-#[derive(Deserialize)]
-struct UpdateText {
-    index: u64,
-    endpoints: Endpoints,
-}
+    /// Marks the endpoints that a complete list does not name as gone.
+    fn remove_unlisted(&mut self, listed: &[ListedEndpoint]) {
+        let listed_ids = ids(listed);
+        for (id, known) in &mut self.known {
+            if !listed_ids.contains(id) {
+                known.set_readiness(Readiness::Gone);
+            }
+        }
+    }
 
-#[derive(Deserialize)]
-struct Endpoints {
-    #[serde(default)]
-    full: bool,
-    #[serde(default)]
-    servers: Vec<ServerText>,
-}
+    /// Applies the state of one endpoint; gives its handle if it is new.
+    fn apply_endpoint(&mut self, listed: &ListedEndpoint) -> Option<NewHandle> {
+        let id = listed.endpoint.id;
+        let new_handle = self.replace_handle(listed);
+        if let Some(known) = self.known.get_mut(&id) {
+            known.set_readiness(listed.endpoint.readiness);
+            known.listed = *listed;
+        }
+        new_handle.map(|handle| (id, handle))
+    }
 
-#[derive(Deserialize)]
-struct ServerText {
-    id: String,
-    addr: SocketAddr,
-    #[serde(default)]
-    zone: String,
-    #[serde(default)]
-    kind: String,
-    #[serde(default)]
-    cell: u16,
-    state: String,
-    #[serde(default)]
-    weight: f64,
-    #[serde(default)]
-    started_ms: u64,
+    /// Makes the handle of an endpoint that is new or has moved. Under another address an id is
+    /// another process: the old handle is closed with its actor and connections, as nobody could
+    /// cancel the attempts on them any more.
+    fn replace_handle(&mut self, listed: &ListedEndpoint) -> Option<Rc<EndpointHandle>> {
+        let id = listed.endpoint.id;
+        let known = self.known.get(&id);
+        let is_same_process = known.is_some_and(|known| known.listed.addr == listed.addr);
+        if is_same_process || listed.endpoint.readiness == Readiness::Gone {
+            return None;
+        }
+        if let Some(known) = known {
+            known.handle.close();
+        }
+        let handle = (self.new_endpoint)(listed);
+        let known = KnownEndpoint {
+            listed: *listed,
+            handle: handle.clone(),
+        };
+        self.known.insert(id, known);
+        Some(handle)
+    }
+
+    /// Sessions may name a database only while every engine in service resolves it.
+    fn update_database_support(&self) {
+        let mut has_ready = false;
+        let mut all_support = true;
+        for (id, known) in &self.known {
+            if known.listed.endpoint.readiness == Readiness::Ready {
+                has_ready = true;
+                all_support &= self.clickhouse.ids.contains(id);
+            }
+        }
+        self.shared
+            .engines_know_databases
+            .set(has_ready && all_support);
+    }
 }
 
-/// Reads the events that a start is told, and the number of the last one.
-pub fn parse_known(known: &Value, names: &Names) -> Result<(u64, Vec<Update>), String> {
-    let text = KnownText::deserialize(known).map_err(|e| format!("known: {e}"))?;
-    let place =
-        |list: &[String], name: &str| list.iter().position(|n| n == name).unwrap_or(0) as u16;
-    let server = |s: &ServerText| {
-        let id =
-            s.id.strip_prefix("s-")
-                .and_then(|hex| u32::from_str_radix(hex, 16).ok());
-        let id = id.ok_or_else(|| format!("known: {:?} is no id", s.id))?;
-        let readiness = match s.state.as_str() {
-            "in_service" => Readiness::Ready,
-            "terminating" => Readiness::Draining,
-            "terminated" => Readiness::Gone,
-            other => return Err(format!("known: unknown state {other:?}")),
-        };
-        let place = (
-            place(&names.zones, &s.zone),
-            place(&names.kinds, &s.kind),
-            s.cell,
-        );
-        Ok(listed(id, s.addr, readiness, place, s.weight, s.started_ms))
-    };
-    let update = |(at, u): (usize, &UpdateText)| {
-        let engines = u
-            .endpoints
-            .servers
-            .iter()
-            .map(server)
-            .collect::<Result<_, String>>()?;
-        Ok(Update {
-            index: u.index,
-            whole: u.endpoints.full || at == 0,
-            engines,
-        })
-    };
-    let updates = text
-        .updates
-        .iter()
-        .enumerate()
-        .map(update)
-        .collect::<Result<_, String>>()?;
-    Ok((text.index, updates))
+fn ids(listed: &[ListedEndpoint]) -> BTreeSet<EngineId> {
+    listed.iter().map(|listed| listed.endpoint.id).collect()
 }
 
-/// Reads one record of the coordinator's frames.
-pub fn parse_record(record: &[u8; 27]) -> Option<ListedEndpoint> {
-    let u16_at = |at: usize| u16::from_be_bytes([record[at], record[at + 1]]);
-    let u32_at = |at: usize| {
-        u32::from_be_bytes([record[at], record[at + 1], record[at + 2], record[at + 3]])
-    };
-    let ip = Ipv4Addr::from(u32_at(4));
-    let readiness = match record[10] {
-        0 => Readiness::Ready,
-        1 => Readiness::Draining,
-        2 => Readiness::Gone,
-        _ => return None,
-    };
-    let place = (u16::from(record[11]), u16::from(record[12]), u16_at(13));
-    let started = (u64::from(u32_at(19)) << 32) | u64::from(u32_at(23));
-    let weight = f64::from(u32_at(15)) / 1000.0;
-    Some(listed(
-        u32_at(0),
-        SocketAddr::from((ip, u16_at(8))),
-        readiness,
-        place,
-        weight,
-        started,
-    ))
+fn gone(mut listed: ListedEndpoint) -> ListedEndpoint {
+    listed.endpoint.readiness = Readiness::Gone;
+    listed
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/src/net/discovery/frame.rs
@@ -0,0 +1,149 @@
+//! The frames of the coordinator's watch. A frame is a length of 4 bytes and as many bytes: the
+//! event's number (8), its kind (1), and records of [`RECORD_BYTES`] each. All integers are
+//! big-endian.
+use super::ListedEndpoint;
+use crate::dispatcher::termination::Termination;
+use crate::policy::api::{CellId, Endpoint, EngineId, KindId, Readiness, ZoneId};
+use std::net::{Ipv4Addr, SocketAddr};
+
+/// The length of the record of one endpoint.
+pub const RECORD_BYTES: usize = 27;
+const LENGTH_BYTES: usize = 4;
+/// The number and the kind of an event.
+const HEADER_BYTES: usize = 9;
+/// Longest frame that is accepted: it would hold tens of thousands of endpoints.
+const MAX_FRAME_BYTES: usize = 2 * 1024 * 1024;
+const KIND_HEARTBEAT: u8 = 0;
+const KIND_FULL: u8 = 1;
+const KIND_CHANGES: u8 = 2;
+/// Records hold weights in thousandths.
+const WEIGHT_SCALE: f64 = 1_000.0;
+const NANOS_PER_MILLI: u64 = 1_000_000;
+
+/// The record of one endpoint.
+pub type Record = [u8; RECORD_BYTES];
+
+/// A decoded frame.
+#[derive(Debug, PartialEq, Eq)]
+pub enum Frame<'a> {
+    /// Nothing new; it shows that the coordinator is alive.
+    Heartbeat,
+    /// An event.
+    Event {
+        /// Its number.
+        index: u64,
+        /// Whether the records are the complete list.
+        full: bool,
+        /// One record per endpoint.
+        records: &'a [Record],
+    },
+}
+
+/// A frame with its length in bytes, including the length field.
+#[derive(Debug, PartialEq, Eq)]
+pub struct DecodedFrame<'a> {
+    /// The frame.
+    pub frame: Frame<'a>,
+    /// The bytes that it takes.
+    pub length: usize,
+}
+
+/// Bytes that are no frame of the watch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FrameError {
+    /// The length is too small for the header, or beyond the limit.
+    #[error("a frame of {0} bytes")]
+    InvalidLength(usize),
+    /// The kind is unknown.
+    #[error("unknown kind of event {0}")]
+    UnknownKind(u8),
+    /// The records do not fill the frame.
+    #[error("{0} bytes behind the last record of a frame")]
+    TrailingBytes(usize),
+}
+
+impl From<FrameError> for Termination {
+    fn from(_: FrameError) -> Termination {
+        Termination::ProtocolViolation
+    }
+}
+
+/// Decodes the frame at the start of `input`, or gives `None` until all of it has come.
+///
+/// # Errors
+///
+/// The input is no frame; nothing after it can be decoded.
+pub fn decode(input: &[u8]) -> Result<Option<DecodedFrame<'_>>, FrameError> {
+    let Some((length, rest)) = input.split_first_chunk::<LENGTH_BYTES>() else {
+        return Ok(None);
+    };
+    let length = u32::from_be_bytes(*length) as usize;
+    if !(HEADER_BYTES..=MAX_FRAME_BYTES).contains(&length) {
+        return Err(FrameError::InvalidLength(length));
+    }
+    let Some(body) = rest.get(..length) else {
+        return Ok(None);
+    };
+    let (header, records) = body.split_at(HEADER_BYTES);
+    let frame = match header[HEADER_BYTES - 1] {
+        KIND_HEARTBEAT => Frame::Heartbeat,
+        kind @ (KIND_FULL | KIND_CHANGES) => {
+            let (records, trailing) = records.as_chunks::<RECORD_BYTES>();
+            if !trailing.is_empty() {
+                return Err(FrameError::TrailingBytes(trailing.len()));
+            }
+            Frame::Event {
+                index: u64_at(header, 0),
+                full: kind == KIND_FULL,
+                records,
+            }
+        }
+        kind => return Err(FrameError::UnknownKind(kind)),
+    };
+    let length = LENGTH_BYTES + length;
+    Ok(Some(DecodedFrame { frame, length }))
+}
+
+/// Decodes the record of one endpoint; `None` if its state is unknown.
+pub fn decode_record(record: &Record) -> Option<ListedEndpoint> {
+    let readiness = match record[10] {
+        0 => Readiness::Ready,
+        1 => Readiness::Draining,
+        2 => Readiness::Gone,
+        _ => return None,
+    };
+    let ip = Ipv4Addr::from(u32_at(record, 4));
+    let port = u16_at(record, 8);
+    let started_ms = u64_at(record, 19);
+    let endpoint = Endpoint {
+        id: EngineId(u64::from(u32_at(record, 0))),
+        zone: ZoneId(u16::from(record[11])),
+        kind: KindId(u16::from(record[12])),
+        cell: CellId(u16_at(record, 13)),
+        readiness,
+        weight: f64::from(u32_at(record, 15)) / WEIGHT_SCALE,
+        started_at: started_ms.saturating_mul(NANOS_PER_MILLI),
+    };
+    Some(ListedEndpoint {
+        endpoint,
+        addr: SocketAddr::from((ip, port)),
+    })
+}
+
+fn bytes_at<const N: usize>(bytes: &[u8], offset: usize) -> [u8; N] {
+    let mut field = [0; N];
+    field.copy_from_slice(&bytes[offset..offset + N]);
+    field
+}
+
+fn u16_at(bytes: &[u8], offset: usize) -> u16 {
+    u16::from_be_bytes(bytes_at(bytes, offset))
+}
+
+fn u32_at(bytes: &[u8], offset: usize) -> u32 {
+    u32::from_be_bytes(bytes_at(bytes, offset))
+}
+
+fn u64_at(bytes: &[u8], offset: usize) -> u64 {
+    u64::from_be_bytes(bytes_at(bytes, offset))
+}
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -3,7 +3,7 @@
 //! everything as it was.
 use super::Shared;
 use super::discovery::coordinator::CoordinatorMigration;
-use super::discovery::endpoint_list::parse_known;
+use super::discovery::known_events::parse_known;
 use super::dispatcher::DispatcherEvent;
 use super::fleet::membership::settings_hash;
 use crate::class_registry::Class;
@@ -65,7 +65,7 @@
             ));
         }
         let names = self.names.borrow().clone();
-        let (_, known) = parse_known(&config.known, &names)?;
+        let known = parse_known(&config.known, &names).map_err(|error| error.to_string())?;
         let classes = config.names.classes.clone();
         let keyed = config.names.keyed.clone();
         let next = Names {
@@ -123,7 +123,7 @@
             .coordinator
             .send(CoordinatorMigration {
                 addr: Some(config.coordinator),
-                known,
+                known: known.events,
             })
             .await;
         Ok(())
--- a/src/testkit/coordinator.rs
+++ b/src/testkit/coordinator.rs
@@ -1,7 +1,7 @@
 //! A stand-in coordinator: numbered events, sent on to whoever follows.
 use super::{Executor, listener};
-use crate::net::discovery::endpoint_list::ListedEndpoint;
-use crate::policy::api::Readiness;
+use crate::net::discovery::ListedEndpoint;
+use crate::policy::api::{Endpoint, EngineId, Readiness};
 use async_channel::{Sender, bounded};
 use async_io::{Async, Timer};
 use futures_lite::future::or;
@@ -27,7 +27,7 @@
 }
 
 fn record(listed: &ListedEndpoint) -> Vec<u8> {
-    let entry = &listed.entry;
+    let entry = &listed.endpoint;
     let ip = match listed.addr.ip() {
         IpAddr::V4(ip) => ip.octets(),
         IpAddr::V6(_) => [0; 4],
@@ -156,12 +156,23 @@
     Ok(())
 }
 
+/// A listed endpoint that is in service, in the first zone, of the first kind and cell.
+pub fn ready_endpoint(id: u32, addr: SocketAddr) -> ListedEndpoint {
+    let endpoint = Endpoint {
+        id: EngineId(u64::from(id)),
+        readiness: Readiness::Ready,
+        weight: 1.0,
+        ..Endpoint::default()
+    };
+    ListedEndpoint { endpoint, addr }
+}
+
 /// The events of a start, as the configuration has them.
 pub fn known(engines: &[ListedEndpoint], zones: &[&str], kinds: &[&str]) -> Value {
     let server = |l: &ListedEndpoint| {
-        json!({"id": format!("s-{:08x}", l.entry.id.0), "addr": l.addr.to_string(),
-            "zone": zones[usize::from(l.entry.zone.0)], "kind": kinds[usize::from(l.entry.kind.0)],
-            "cell": l.entry.cell.0, "state": "in_service", "weight": 1, "started_ms": 0})
+        json!({"id": format!("s-{:08x}", l.endpoint.id.0), "addr": l.addr.to_string(),
+            "zone": zones[usize::from(l.endpoint.zone.0)], "kind": kinds[usize::from(l.endpoint.kind.0)],
+            "cell": l.endpoint.cell.0, "state": "in_service", "weight": 1, "started_ms": 0})
     };
     let servers: Vec<Value> = engines.iter().map(server).collect();
     json!({"index": 1, "updates": [{"index": 1, "endpoints": {"version": 1, "full": true, "servers": servers}}]})
--- a/src/testkit/fleet.rs
+++ b/src/testkit/fleet.rs
@@ -2,12 +2,12 @@
 //! coordinator for each and stand-in engines for all: for the tests of what managers do together
 //! when some fail.
 use super::clients::{self, ClientOutcome};
-use super::coordinator::{Coordinator, known};
+use super::coordinator::{Coordinator, known, ready_endpoint};
 use super::daemon::{self, Folder, KINDS, ZONES, free_addr};
 use super::engines::Engine;
 use super::fault_proxy::Relay;
 use super::{ExecutionLog, Executor};
-use crate::net::discovery::endpoint_list::{ListedEndpoint, listed};
+use crate::net::discovery::ListedEndpoint;
 use crate::policy::api::Readiness;
 use async_channel::{Receiver, Sender, bounded};
 use async_executor::LocalExecutor;
@@ -43,14 +43,10 @@
 
 impl StandIns {
     fn listed(&self, member: usize, engine: usize, readiness: Readiness) -> ListedEndpoint {
-        listed(
-            engine as u32 + 1,
-            self.engines[member][engine].addr,
-            readiness,
-            (0, 0, 0),
-            1.0,
-            0,
-        )
+        let addr = self.engines[member][engine].addr;
+        let mut listed = ready_endpoint(engine as u32 + 1, addr);
+        listed.endpoint.readiness = readiness;
+        listed
     }
 
     /// Tells some managers of an engine's state.
--- a/src/testkit/scale/daemons.rs
+++ b/src/testkit/scale/daemons.rs
@@ -2,9 +2,9 @@
 use super::load::BUSY;
 use super::testbed::Site;
 use super::{Options, Point, Progress};
-use crate::net::discovery::endpoint_list::{ListedEndpoint, listed};
-use crate::policy::api::Readiness;
-use crate::testkit::coordinator::{Coordinator, known};
+use crate::net::discovery::ListedEndpoint;
+use crate::policy::api::{KindId, ZoneId};
+use crate::testkit::coordinator::{Coordinator, known, ready_endpoint};
 use crate::testkit::daemon::{self, Daemon, KINDS, ZONES};
 use crate::testkit::engines::Engine;
 use crate::testkit::{ExecutionLog, Executor, pause};
@@ -150,16 +150,13 @@
     let engine = |i| Engine::start(executor, &engine_name(i), false, book.clone());
     let engines: Vec<Engine> = (0..point.engines).map(engine).collect();
     let coordinator = Coordinator::start(executor);
-    let place = |i: usize| {
-        (
-            (i % ZONES.len()) as u16,
-            (i / ZONES.len() % KINDS.len()) as u16,
-            0,
-        )
+    let listed = |(index, engine): (usize, &Engine)| {
+        let mut listed = ready_endpoint(index as u32 + 1, engine.addr);
+        listed.endpoint.zone = ZoneId((index % ZONES.len()) as u16);
+        listed.endpoint.kind = KindId((index / ZONES.len() % KINDS.len()) as u16);
+        listed
     };
-    let entry =
-        |(i, e): (usize, &Engine)| listed(i as u32 + 1, e.addr, Readiness::Ready, place(i), 1.0, 0);
-    let list: Vec<ListedEndpoint> = engines.iter().enumerate().map(entry).collect();
+    let list: Vec<ListedEndpoint> = engines.iter().enumerate().map(listed).collect();
     let known = known(&list, &ZONES, &KINDS);
     let settings = settings(options.managers);
     let daemon = Daemon::start(
--- a/src/testkit/scale/testbed.rs
+++ b/src/testkit/scale/testbed.rs
@@ -4,7 +4,7 @@
 use super::proc::{self, Usage};
 use super::{Options, Point, Progress};
 use crate::clock;
-use crate::net::discovery::endpoint_list::ListedEndpoint;
+use crate::net::discovery::ListedEndpoint;
 use crate::policy::api::Readiness;
 use crate::testkit::coordinator::Coordinator;
 use crate::testkit::daemon::Daemon;
@@ -275,9 +275,11 @@
             let mut draining = half.to_vec();
             draining
                 .iter_mut()
-                .for_each(|l| l.entry.readiness = Readiness::Draining);
-            let names: BTreeSet<String> =
-                half.iter().map(|l| engine_name(l.entry.id.0 - 1)).collect();
+                .for_each(|l| l.endpoint.readiness = Readiness::Draining);
+            let names: BTreeSet<String> = half
+                .iter()
+                .map(|l| engine_name(l.endpoint.id.0 - 1))
+                .collect();
             let (before, told) = (self.book.runs.borrow().len(), clock::turn());
             self.coordinator.tell(false, &draining);
             pause(CHANGE_MS).await;
--- a/src/testkit/scenario/mod.rs
+++ b/src/testkit/scenario/mod.rs
@@ -58,8 +58,8 @@
 use super::directory::Directory;
 use super::engines::{Engine, EngineBehavior, rows};
 use super::{ExecutionLog, Executor, eventually, in_time, pause};
-use crate::net::discovery::endpoint_list::{ListedEndpoint, listed};
-use crate::policy::api::Readiness;
+use crate::net::discovery::ListedEndpoint;
+use crate::policy::api::{KindId, Readiness};
 use async_executor::{LocalExecutor, Task};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -170,14 +170,10 @@
     fn listed(&self, name: &str, readiness: Readiness) -> Result<ListedEndpoint, String> {
         let (engine, number) = self.engines.get(name).ok_or("no such engine")?;
         let kind = self.kinds.get(name).copied().unwrap_or(0);
-        Ok(listed(
-            *number,
-            engine.addr,
-            readiness,
-            (0, kind, 0),
-            1.0,
-            0,
-        ))
+        let mut listed = coordinator::ready_endpoint(*number, engine.addr);
+        listed.endpoint.kind = KindId(kind);
+        listed.endpoint.readiness = readiness;
+        Ok(listed)
     }
 
     fn deploy(&self) -> String {
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -10,10 +10,12 @@
 use std::sync::atomic::{AtomicIsize, Ordering};
 use yokelift::config::process::Names;
 use yokelift::dispatcher::Dispatcher;
-use yokelift::net::discovery::endpoint_list::{self, Http, Update, listed};
+use yokelift::net::discovery::WatchEvent;
+use yokelift::net::discovery::endpoint_factory::{ClickHouseEngines, endpoint_factory};
+use yokelift::net::discovery::endpoint_list;
 use yokelift::net::dispatcher::DispatcherEvent;
 use yokelift::net::{Shared, sleep_until};
-use yokelift::policy::api::Readiness;
+use yokelift::testkit::coordinator::ready_endpoint;
 
 static HELD: AtomicIsize = AtomicIsize::new(0);
 
@@ -41,30 +43,35 @@
 fn held_with(engines: u32) -> isize {
     let shared = Shared::new(4_096, 1_024);
     let (core, news) = unbounded();
-    let (updates, mailbox) = bounded(endpoint_list::MAILBOX);
+    let (updates, mailbox) = bounded(endpoint_list::MAILBOX_CAPACITY);
     let names = Rc::new(Names {
         streams: 4,
         ..Names::default()
     });
-    let make = endpoint_list::engines(shared.clone(), core.clone(), names, Http::default());
+    let make = endpoint_factory(
+        shared.clone(),
+        core.clone(),
+        names,
+        &ClickHouseEngines::default(),
+    );
     shared.spawn(endpoint_list::run(
         shared.clone(),
         core,
         mailbox,
         make,
-        Http::default(),
+        ClickHouseEngines::default(),
     ));
     let mut manager = Dispatcher::new(0, settings(), &["a", "b", "c", "d"].map(String::from), 1);
     let mut orders = Vec::new();
     let before = HELD.load(Ordering::Relaxed);
     let one = |id: u32| {
         let at = SocketAddr::from(([127, 0, (id >> 8) as u8, id as u8], 9_000));
-        listed(id, at, Readiness::Ready, (0, 0, 0), 1.0, 0)
+        ready_endpoint(id, at)
     };
-    let update = Update {
+    let update = WatchEvent {
         index: 1,
-        whole: true,
-        engines: (1..=engines).map(one).collect(),
+        full: true,
+        endpoints: (1..=engines).map(one).collect(),
     };
     let executor = shared.executor.clone();
     let rows = async_io::block_on(executor.run(async {
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -9,10 +9,11 @@
 use yokelift::dispatcher::AttemptRequest;
 use yokelift::dispatcher::termination::{Termination, TransmitProgress};
 use yokelift::net::Shared;
-use yokelift::net::discovery::endpoint_list::{Http, engines, listed};
+use yokelift::net::discovery::endpoint_factory::{ClickHouseEngines, endpoint_factory};
 use yokelift::net::dispatcher::DispatcherEvent;
 use yokelift::net::engine::EngineCommand;
-use yokelift::policy::api::{EngineId, Readiness, RequestId};
+use yokelift::policy::api::{EngineId, RequestId};
+use yokelift::testkit::coordinator::ready_endpoint;
 use yokelift::testkit::eventually;
 
 /// Guards an engine's good name and the request: the attempt ends as never sent, for want of room
@@ -28,15 +29,13 @@
         connect_timeout: 5_000_000_000,
         ..Names::default()
     };
-    let make = engines(shared.clone(), core, Rc::new(names), Http::default());
-    let row = make(&listed(
-        1,
-        line.local_addr().expect("its address"),
-        Readiness::Ready,
-        (0, 0, 0),
-        1.0,
-        0,
-    ));
+    let make = endpoint_factory(
+        shared.clone(),
+        core,
+        Rc::new(names),
+        &ClickHouseEngines::default(),
+    );
+    let row = make(&ready_endpoint(1, line.local_addr().expect("its address")));
     assert_eq!(row.id, EngineId(1));
     let executor = shared.executor.clone();
     let run = |holds: &mut dyn FnMut() -> bool| async_io::block_on(executor.run(eventually(holds)));
--- a/tests/unit/coordinator.rs
+++ b/tests/unit/coordinator.rs
@@ -1,119 +1,133 @@
-//! The reader of the coordinator's frames.
-use super::*;
+//! The watch of the coordinator: which events it reports, once and in order.
+use super::{CoordinatorMigration, WatchError, WatchPosition, WatchReader, WatchStart, run};
+use crate::dispatcher::termination::Termination;
+use crate::net::Shared;
+use crate::net::discovery::frame::{FrameError, RECORD_BYTES, decode};
+use futures_lite::{AsyncReadExt, AsyncWriteExt};
+use std::rc::Rc;
 
-fn event(number: u64, kind: u8, records: usize) -> Vec<u8> {
-    let mut out = (9 + 27 * records as u32).to_be_bytes().to_vec();
-    out.extend(number.to_be_bytes());
-    out.push(kind);
-    out.extend(vec![0; 27 * records]);
-    out
+const HEARTBEAT: u8 = 0;
+const FULL: u8 = 1;
+const CHANGES: u8 = 2;
+
+/// The frame of an event with that many records of zeros.
+fn event(index: u64, kind: u8, records: usize) -> Vec<u8> {
+    let length = 9 + RECORD_BYTES * records;
+    let mut frame = (length as u32).to_be_bytes().to_vec();
+    frame.extend(index.to_be_bytes());
+    frame.push(kind);
+    frame.extend(vec![0; RECORD_BYTES * records]);
+    frame
 }
 
-fn at(last: u64) -> Rc<WatchPosition> {
-    Rc::new(WatchPosition::at(last))
+fn position_after(last_index: u64) -> Rc<WatchPosition> {
+    Rc::new(WatchPosition::after(last_index))
 }
 
-/// Guards the numbers across a move: a second connection tells nothing twice and goes on where all
-/// stand.
+/// During a migration two connections are read: each event is reported once, and the second
+/// connection continues after the last event of both.
 #[test]
-fn two_connections_tell_each_event_once() {
-    let place = at(3);
-    let (mut old, mut new) = (Follower::new(place.clone()), Follower::new(place));
-    assert_eq!(old.feed(&event(4, 2, 1)).unwrap().len(), 1);
-    assert_eq!(new.hello(), 4u64.to_be_bytes());
-    assert_eq!(new.feed(&event(5, 2, 1)).unwrap().len(), 1);
-    assert_eq!(
-        old.feed(&[event(5, 2, 1), event(6, 2, 1)].concat())
-            .unwrap()[0]
-            .index,
-        6
-    );
-    assert!(new.feed(&event(6, 2, 1)).unwrap().is_empty());
+fn two_connections_report_each_event_once() {
+    let position = position_after(3);
+    let mut old = WatchReader::new(position.clone());
+    let mut new = WatchReader::new(position);
+
+    assert_eq!(old.receive(&event(4, CHANGES, 1)).unwrap().len(), 1);
+    assert_eq!(new.begin_connection(), 4u64.to_be_bytes());
+    assert_eq!(new.receive(&event(5, CHANGES, 1)).unwrap().len(), 1);
+    let two_events = [event(5, CHANGES, 1), event(6, CHANGES, 1)].concat();
+    assert_eq!(old.receive(&two_events).unwrap()[0].index, 6);
+    assert!(new.receive(&event(6, CHANGES, 1)).unwrap().is_empty());
 }
 
 #[test]
-fn events_come_once_and_in_order_however_the_bytes_are_cut() {
+fn events_are_reported_once_and_in_order_however_the_bytes_are_split() {
     let wire = [
-        event(4, 1, 2),
-        event(4, 0, 0),
-        event(4, 1, 2),
-        event(5, 2, 1),
+        event(4, FULL, 2),
+        event(4, HEARTBEAT, 0),
+        event(4, FULL, 2),
+        event(5, CHANGES, 1),
     ]
     .concat();
-    for step in 1..wire.len() {
-        let mut follower = Follower::new(at(3));
-        let pieces = wire
-            .chunks(step)
-            .flat_map(|piece| follower.feed(piece).unwrap());
-        let got: Vec<(u64, bool, usize)> = pieces
-            .map(|u| (u.index, u.whole, u.engines.len()))
+    for piece_bytes in 1..wire.len() {
+        let mut reader = WatchReader::new(position_after(3));
+        let events = wire
+            .chunks(piece_bytes)
+            .flat_map(|piece| reader.receive(piece).unwrap());
+        let reported: Vec<(u64, bool, usize)> = events
+            .map(|event| (event.index, event.full, event.endpoints.len()))
             .collect();
-        assert_eq!(got, [(4, true, 2), (5, false, 1)]);
+        assert_eq!(reported, [(4, true, 2), (5, false, 1)]);
     }
 }
 
-/// Guards against missed changes: a gap is asked for once more, and not forever.
+/// Missing events are asked for again, but not forever: they may not be available any more.
 #[test]
-fn a_gap_is_asked_for_again_once() {
-    let mut follower = Follower::new(at(3));
-    assert_eq!(
-        follower.feed(&event(6, 2, 1)).unwrap_err(),
-        Termination::Dropped
-    );
-    assert_eq!(follower.hello(), 3u64.to_be_bytes());
-    assert_eq!(follower.feed(&event(6, 2, 1)).unwrap()[0].index, 6);
-    assert_eq!(follower.hello(), 6u64.to_be_bytes());
-    // A whole list leaves no gap.
-    assert_eq!(follower.feed(&event(9, 1, 1)).unwrap()[0].index, 9);
+fn missing_events_are_requested_again_once() {
+    let mut reader = WatchReader::new(position_after(3));
+
+    let error = reader.receive(&event(6, CHANGES, 1)).unwrap_err();
+    assert_eq!(error, WatchError::MissingEvents { last: 3, found: 6 });
+    assert_eq!(Termination::from(error), Termination::Dropped);
+    assert_eq!(reader.begin_connection(), 3u64.to_be_bytes());
+    assert_eq!(reader.receive(&event(6, CHANGES, 1)).unwrap()[0].index, 6);
+    assert_eq!(reader.begin_connection(), 6u64.to_be_bytes());
+    // A complete list leaves no gap.
+    assert_eq!(reader.receive(&event(9, FULL, 1)).unwrap()[0].index, 9);
 }
 
 #[test]
-fn what_is_no_frame_ends_the_connection() {
-    assert_eq!(
-        frame(&[0xff; 16]).unwrap_err(),
-        Termination::ProtocolViolation
-    );
-    assert_eq!(
-        frame(&event(1, 7, 0)).unwrap_err(),
-        Termination::ProtocolViolation
-    );
-    let mut ragged = event(1, 2, 1);
+fn malformed_frames_are_protocol_violations() {
+    let too_long = decode(&[0xff; 16]).unwrap_err();
+    let unknown_kind = decode(&event(1, 7, 0)).unwrap_err();
+    let mut ragged = event(1, CHANGES, 1);
     ragged[3] -= 1;
-    assert_eq!(frame(&ragged).unwrap_err(), Termination::ProtocolViolation);
-    assert_eq!(frame(&event(1, 2, 1)[..20]), Ok(None));
+    let ragged = decode(&ragged).unwrap_err();
+
+    assert_eq!(too_long, FrameError::InvalidLength(0xffff_ffff));
+    assert_eq!(unknown_kind, FrameError::UnknownKind(7));
+    assert_eq!(ragged, FrameError::TrailingBytes(RECORD_BYTES - 1));
+    for error in [too_long, unknown_kind, ragged] {
+        assert_eq!(Termination::from(error), Termination::ProtocolViolation);
+    }
+    assert_eq!(decode(&event(1, CHANGES, 1)[..20]), Ok(None));
 }
 
-/// Guards the drain rule against open watches that fall silent, several in a row: each is dialled
-/// anew from the last number, and what it hid is told.
+/// Draining engines are missed while a watch is silent without being closed. Several of them in a
+/// row are connected again from the last event, and the events that they hid are reported.
 #[test]
-fn watches_that_fall_silent_are_dialled_anew_from_the_last_number() {
+fn silent_watches_are_reconnected_from_the_last_event() {
     let shared = Shared::new(64, 64);
-    let (line, addr) = crate::testkit::listener();
-    let (where_to, moves) = async_channel::bounded(1);
-    let (list, updates) = async_channel::bounded(16);
-    shared.spawn(run(shared.clone(), (3, 9), moves, list, || {}));
-    let (hellos, told) = async_io::block_on(shared.executor.run(async {
-        let _ = where_to
-            .send(CoordinatorMigration {
-                addr: Some(addr),
-                known: Vec::new(),
-            })
-            .await;
-        let (mut hellos, mut open) = (Vec::new(), Vec::new());
-        for n in 0..3 {
-            let (mut stream, _) = line.accept().await.expect("a watch");
-            let mut hello = [0; 8];
-            stream.read_exact(&mut hello).await.expect("a number");
-            hellos.push(u64::from_be_bytes(hello));
-            // The first one speaks and falls silent, the second never speaks; both stay open.
-            let words = [event(4, 2, 1), Vec::new(), event(5, 2, 1)];
-            stream.write_all(&words[n]).await.expect("written");
+    let (listener, addr) = crate::testkit::listener();
+    let (migrations, mailbox) = async_channel::bounded(1);
+    let (events, reported) = async_channel::bounded(16);
+    let start = WatchStart {
+        last_index: 3,
+        backoff_seed: 9,
+    };
+    shared.spawn(run(shared.clone(), start, mailbox, events, || {}));
+    let watch_three_times = async {
+        let migration = CoordinatorMigration {
+            addr: Some(addr),
+            known: Vec::new(),
+        };
+        let _ = migrations.send(migration).await;
+        let (mut requests, mut open) = (Vec::new(), Vec::new());
+        // The first connection sends an event and falls silent, the second never sends anything;
+        // both stay open.
+        for sent in [event(4, CHANGES, 1), Vec::new(), event(5, CHANGES, 1)] {
+            let (mut stream, _) = listener.accept().await.expect("a watch");
+            let mut request = [0; 8];
+            stream.read_exact(&mut request).await.expect("an index");
+            requests.push(u64::from_be_bytes(request));
+            stream.write_all(&sent).await.expect("written");
             open.push(stream);
         }
-        (
-            hellos,
-            [updates.recv().await, updates.recv().await].map(|u| u.expect("news").index),
-        )
-    }));
-    assert_eq!((hellos, told), (vec![3, 4, 4], [4, 5]));
+        let events = [reported.recv().await, reported.recv().await];
+        (requests, events.map(|event| event.expect("an event").index))
+    };
+
+    let (requests, indexes) = async_io::block_on(shared.executor.run(watch_three_times));
+
+    assert_eq!((requests, indexes), (vec![3, 4, 4], [4, 5]));
 }
--- a/tests/unit/endpoint_list.rs
+++ b/tests/unit/endpoint_list.rs
@@ -1,81 +1,120 @@
-//! The list of engines: what is replaced leaves nothing behind.
-use super::*;
-use crate::net::engine::EngineCommand;
+//! The endpoint list: an engine that is replaced leaves nothing behind.
+use super::{ClickHouseEngines, EndpointFactory, MAILBOX_CAPACITY, WatchEvent, run};
+use crate::net::Shared;
+use crate::net::discovery::ListedEndpoint;
+use crate::net::dispatcher::DispatcherEvent;
+use crate::net::engine::{EndpointHandle, EngineCommand, StartActor};
 use crate::net::mailbox::bounded;
+use crate::policy::api::Readiness;
+use crate::testkit::coordinator::ready_endpoint;
+use async_channel::Receiver;
 use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
 
-/// Guards memory, descriptors and the drain rule on days when engines are replaced without end, at
-/// new addresses or at the address of one that nobody has told to be gone yet.
-#[test]
-fn a_replaced_engine_leaves_nothing_behind() {
-    let shared = Shared::new(64, 32);
-    let (core, news) = async_channel::unbounded();
-    let (updates, mailbox) = async_channel::bounded(MAILBOX);
-    let actors = Rc::new(RefCell::new(Vec::new()));
-    let made = actors.clone();
-    let start: StartActor = Rc::new(move |row| {
-        let (orders, mailbox) = bounded(64);
-        made.borrow_mut().push((row.id.0, mailbox));
-        orders
+const ENGINES: u32 = 40;
+
+/// The actors that were started: the engine's id and the receiving end of the mailbox.
+type StartedActors = Rc<RefCell<Vec<(u64, Receiver<EngineCommand>)>>>;
+
+/// Makes endpoints whose actors only record their commands. Each is in use at once, which is the
+/// harder case: without an actor an endpoint is nothing but memory.
+fn recording_factory(actors: &StartedActors) -> EndpointFactory {
+    let actors = actors.clone();
+    let start: StartActor = Rc::new(move |endpoint| {
+        let (commands, mailbox) = bounded(64);
+        actors.borrow_mut().push((endpoint.id.0, mailbox));
+        commands
     });
-    // Each is in use at once: the harder case, as a row alone is nothing but memory.
-    let make: MakeEngine = Box::new(move |listed| {
-        let row = EndpointHandle::new(
-            listed.entry.id,
+    Box::new(move |listed| {
+        let endpoint = EndpointHandle::new(
+            listed.endpoint.id,
             listed.addr,
-            listed.entry.readiness,
+            listed.endpoint.readiness,
             start.clone(),
         );
-        row.send(EngineCommand::Probe { not_after: 0 })
-            .expect("room");
-        row
-    });
-    shared.spawn(run(shared.clone(), core, mailbox, make, Http::default()));
-    let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
-    let one = |id, port, state| listed(id, at(port), state, (0, 0, 0), 1.0, 0);
-    let executor = shared.executor.clone();
-    let told = async_io::block_on(executor.run(async {
-        let mut told = Vec::new();
-        for id in 1..=40u32 {
-            // Odd ones come to the address of the one before, with no word of its end.
-            let mut engines = vec![one(id, 1_000 + (id / 2) as u16, Readiness::Ready)];
-            if id % 2 == 0 {
-                engines.push(one(id - 1, 1_000 + (id / 2 - 1) as u16, Readiness::Gone));
-            }
-            let _ = updates
-                .send(Update {
-                    index: u64::from(id),
-                    whole: id == 1,
-                    engines,
-                })
-                .await;
-            let Ok(DispatcherEvent::EndpointList(_, entries, ..)) = news.recv().await else {
-                panic!("no news")
+        let probe = EngineCommand::Probe { not_after: 0 };
+        endpoint.send(probe).expect("capacity");
+        endpoint
+    })
+}
+
+fn listed(id: u32, port: u16, readiness: Readiness) -> ListedEndpoint {
+    let mut listed = ready_endpoint(id, SocketAddr::from(([127, 0, 0, 1], port)));
+    listed.endpoint.readiness = readiness;
+    listed
+}
+
+/// The event that replaces engine `id - 1` by engine `id`. Engines with an odd id come to the
+/// address of the one before, which is not said to be gone.
+fn replacement(id: u32) -> WatchEvent {
+    let port = 1_000 + (id / 2) as u16;
+    let mut endpoints = vec![listed(id, port, Readiness::Ready)];
+    if id.is_multiple_of(2) {
+        endpoints.push(listed(id - 1, port - 1, Readiness::Gone));
+    }
+    WatchEvent {
+        index: u64::from(id),
+        full: id == 1,
+        endpoints,
+    }
+}
+
+/// Bounds memory and descriptors, and keeps the drain rule, where engines are replaced all the time.
+#[test]
+fn a_replaced_engine_leaves_nothing_behind() {
+    let shared = Shared::new(64, 32);
+    let (dispatcher, updates) = async_channel::unbounded();
+    let (events, mailbox) = async_channel::bounded(MAILBOX_CAPACITY);
+    let actors = StartedActors::default();
+    let factory = recording_factory(&actors);
+    let clickhouse = ClickHouseEngines::default();
+    shared.spawn(run(
+        shared.clone(),
+        dispatcher,
+        mailbox,
+        factory,
+        clickhouse,
+    ));
+    let replace_all = async {
+        let mut reported_gone = Vec::new();
+        for id in 1..=ENGINES {
+            let _ = events.send(replacement(id)).await;
+            let Ok(DispatcherEvent::EndpointList(_, endpoints, ..)) = updates.recv().await else {
+                panic!("no update")
             };
-            told.extend(
-                entries
-                    .iter()
-                    .filter(|e| e.readiness == Readiness::Gone)
-                    .map(|e| e.id.0),
-            );
+            let gone = endpoints
+                .iter()
+                .filter(|endpoint| endpoint.readiness == Readiness::Gone);
+            reported_gone.extend(gone.map(|endpoint| endpoint.id.0));
         }
-        told
-    }));
+        reported_gone
+    };
+
+    let reported_gone = async_io::block_on(shared.executor.run(replace_all));
+
     let actors = actors.borrow();
-    let left = actors
+    let open: Vec<u64> = actors
         .iter()
-        .filter(|(_, orders)| !orders.is_closed())
-        .map(|(id, _)| *id);
-    assert_eq!(left.collect::<Vec<u64>>(), [40]);
-    let gone = |orders: &Receiver<EngineCommand>| {
-        matches!(
-            (orders.try_recv(), orders.try_recv()),
-            (
-                Ok(EngineCommand::Probe { not_after: 0 }),
-                Ok(EngineCommand::Remove)
+        .filter(|(_, mailbox)| !mailbox.is_closed())
+        .map(|(id, _)| *id)
+        .collect();
+    assert_eq!(open, [40]);
+    let removed = actors
+        .iter()
+        .filter(|(_, mailbox)| {
+            let commands = (mailbox.try_recv(), mailbox.try_recv());
+            matches!(
+                commands,
+                (
+                    Ok(EngineCommand::Probe { not_after: 0 }),
+                    Ok(EngineCommand::Remove)
+                )
             )
-        )
-    };
-    let went = actors.iter().filter(|(_, orders)| gone(orders)).count();
-    assert_eq!((went, told), (39, (1..=39).collect::<Vec<u64>>()));
+        })
+        .count();
+    assert_eq!(
+        (removed, reported_gone),
+        (39, (1..=39).collect::<Vec<u64>>())
+    );
 }
--- a/tests/unit/mutation.rs
+++ b/tests/unit/mutation.rs
@@ -10,7 +10,7 @@
 use crate::dispatcher::{AttemptRequest, Response};
 use crate::frontend::jsonrpc::JsonRpc;
 use crate::frontend::{Front, FrontendEvent};
-use crate::net::discovery::coordinator::{Follower, WatchPosition};
+use crate::net::discovery::coordinator::{WatchPosition, WatchReader};
 use crate::policy::api::{AttemptNo, RequestId};
 use crate::testkit::clients::rpc_line;
 use std::collections::BTreeMap;
@@ -237,13 +237,13 @@
         frame(7, 2, 1),
     ];
     for (number, mutant) in mutants(&messages).into_iter().enumerate() {
-        let mut follower = Follower::new(Rc::new(WatchPosition::at(3)));
-        let mut told = vec![u64::from_be_bytes(follower.hello())];
+        let mut reader = WatchReader::new(Rc::new(WatchPosition::after(3)));
+        let mut told = vec![u64::from_be_bytes(reader.begin_connection())];
         for (_, message) in mutant {
-            match follower.feed(&message) {
+            match reader.receive(&message) {
                 Ok(updates) => told.extend(updates.into_iter().map(|u| u.index)),
                 Err(_) => {
-                    let from = u64::from_be_bytes(follower.hello());
+                    let from = u64::from_be_bytes(reader.begin_connection());
                     assert_eq!(Some(&from), told.last(), "{number}");
                 }
             }
