--- a/tests/unit/connection_state.rs
+++ b/tests/unit/connection_state.rs
@@ -1,5 +1,5 @@
-//! A model of a connection's states, against which random steps are checked: every attempt ends
-//! once, and what its end says of the bytes that went out is what the socket saw.
+//! The state machine of a connection to an engine. A model is checked against random steps: every
+//! attempt ends once, and its end says of the transmitted bytes what the socket saw.
 use super::{
     CANCEL_SETTLE_MICROS, ConnectionEvent, ConnectionState, TAIL_HOLD_MICROS, Termination,
     TransmitProgress,
@@ -7,217 +7,322 @@
 use crate::backend::platform::Platform;
 use crate::clock::{MS, Micros};
 use crate::config::process::Names;
-use crate::dispatcher::{AttemptRequest, Cost};
+use crate::dispatcher::{AttemptRequest, AttemptResult, Cost};
 use crate::policy::api::{AttemptNo, RequestId};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
+/// The first attempt of a request, the only one in these tests.
+const FIRST_ATTEMPT: AttemptNo = AttemptNo(0);
+
+/// A new connection of four streams to an engine of the platform.
+fn new_connection(now: Micros) -> ConnectionState<Platform> {
+    let names = Names {
+        classes: vec!["lookup".into()],
+        streams: 4,
+        ..Names::default()
+    };
+    ConnectionState::new(now, Platform::new(Rc::new(names)))
+}
+
+fn attempt(id: u32, client_request_id: &str, deadline: Micros) -> AttemptRequest {
+    AttemptRequest {
+        id: RequestId(id),
+        attempt: FIRST_ATTEMPT,
+        client_request_id: client_request_id.into(),
+        class: "lookup".into(),
+        statement: Rc::from(&b"select"[..]),
+        deadline,
+        ..AttemptRequest::default()
+    }
+}
+
+/// Writes everything that is not held back, and gives it.
+fn write_all(connection: &mut ConnectionState<Platform>, now: Micros) -> Vec<u8> {
+    let mut written = Vec::new();
+    while let Some(bytes) = connection.pending_output().map(<[u8]>::to_vec) {
+        connection.advance_output(now, bytes.len());
+        written.extend(bytes);
+    }
+    written
+}
+
+/// A connection with the attempts `k1` and `k2` of requests 1 and 2, both sent.
+fn connection_with_two_attempts() -> ConnectionState<Platform> {
+    let mut connection = new_connection(0);
+    for id in 1..=2 {
+        connection.start_attempt(0, &attempt(id, &format!("k{id}"), 9_000 * MS));
+    }
+    write_all(&mut connection, 0);
+    connection
+}
+
+fn ended_attempts(events: &[ConnectionEvent]) -> Vec<&AttemptResult> {
+    events
+        .iter()
+        .filter_map(|event| match event {
+            ConnectionEvent::AttemptEnded(result) => Some(result),
+            ConnectionEvent::ProbeCompleted { .. } => None,
+        })
+        .collect()
+}
+
+/// The result of the only event.
+fn only_result(events: &[ConnectionEvent]) -> &AttemptResult {
+    match events {
+        [ConnectionEvent::AttemptEnded(result)] => result,
+        _ => panic!("not one ended attempt: {events:?}"),
+    }
+}
+
 #[derive(Clone, Debug)]
 enum Step {
     Start,
-    Stop(u8),
+    Cancel(u8),
     Write(u8),
     Answer(u8, &'static str),
     Drain,
     Wait(u8),
 }
 
+const ANSWERS: [&str; 4] = ["DONE sheets=1 6", "WAIT - 6", "BROKE - 6", "PAST - 6"];
+
 impl Arbitrary for Step {
-    fn arbitrary(g: &mut Gen) -> Step {
-        let (n, words) = (
-            u8::arbitrary(g),
-            ["DONE sheets=1 6", "WAIT - 6", "BROKE - 6", "PAST - 6"],
-        );
-        match u8::arbitrary(g) % 10 {
+    fn arbitrary(generator: &mut Gen) -> Step {
+        let argument = u8::arbitrary(generator);
+        match u8::arbitrary(generator) % 10 {
             0..=2 => Step::Start,
-            3 => Step::Stop(n),
-            4..=6 => Step::Write(n),
-            7 => Step::Answer(n, g.choose(&words).expect("words")),
-            8 => Step::Wait(n),
+            3 => Step::Cancel(argument),
+            4..=6 => Step::Write(argument),
+            7 => Step::Answer(argument, generator.choose(&ANSWERS).expect("answers")),
+            8 => Step::Wait(argument),
             _ => Step::Drain,
         }
     }
 }
 
-/// What the model holds of an attempt that is on the connection.
+/// What the model knows of an attempt in flight.
 #[derive(Clone, Debug, Default)]
-struct Attempt {
-    first_byte: bool,
-    stopped_at: Option<Micros>,
+struct ModelAttempt {
+    first_byte_written: bool,
+    cancelled_at: Option<Micros>,
     drained: bool,
 }
 
+impl ModelAttempt {
+    fn progress(&self) -> TransmitProgress {
+        if self.first_byte_written {
+            TransmitProgress::Complete
+        } else {
+            TransmitProgress::Unsent
+        }
+    }
+
+    /// Whether the attempt may end so, after that answer or while the connection is closed.
+    fn may_end(&self, termination: Termination, answer: Option<&str>, closing: bool) -> bool {
+        match (termination, answer) {
+            (Termination::Done, Some("DONE"))
+            | (Termination::Rejected, Some("WAIT"))
+            | (Termination::EngineError, Some("BROK"))
+            | (Termination::AlreadyFinished, Some("PAST")) => true,
+            (Termination::Drained, None) => self.drained && !self.first_byte_written,
+            (Termination::Cancelled, None) => self.cancelled_at.is_some(),
+            (Termination::Reset, None) => closing && self.cancelled_at.is_none(),
+            _ => false,
+        }
+    }
+
+    /// Cancelled for longer than it takes to settle, although the engine may have it.
+    fn is_overdue(&self, now: Micros) -> bool {
+        let settled = |at| at + CANCEL_SETTLE_MICROS <= now;
+        self.first_byte_written && self.cancelled_at.is_some_and(settled)
+    }
+}
+
+/// An answer of the engine to an attempt in flight.
+#[derive(Clone, Copy)]
+struct Answer {
+    id: u32,
+    text: &'static str,
+}
+
 struct Model {
-    link: ConnectionState<Platform>,
+    connection: ConnectionState<Platform>,
     now: Micros,
-    on_it: BTreeMap<u32, Attempt>,
+    in_flight: BTreeMap<u32, ModelAttempt>,
     started: u32,
     written: Vec<u8>,
-    /// Commands that start an attempt and have begun to go out.
-    begun: usize,
+    /// Commands that start an attempt and have begun to be written.
+    commands_begun: usize,
 }
 
 impl Model {
-    /// Checks what the connection says has ended against what the model knows.
+    fn new() -> Model {
+        let now = 1_000 * MS;
+        Model {
+            connection: new_connection(now),
+            now,
+            in_flight: BTreeMap::new(),
+            started: 0,
+            written: Vec::new(),
+            commands_begun: 0,
+        }
+    }
+
+    /// Checks the attempts that ended against what the model knows of them.
     fn check(
         &mut self,
-        events: Vec<ConnectionEvent>,
-        answered: Option<(u32, &str)>,
+        events: &[ConnectionEvent],
+        answer: Option<Answer>,
         closing: bool,
     ) -> Result<(), String> {
-        for event in events {
-            let ConnectionEvent::AttemptEnded(ended) = event else {
-                continue;
-            };
-            let id = ended.id.0;
-            let known = self.on_it.remove(&id).ok_or(format!("{id} ended twice"))?;
-            let reach = if known.first_byte {
-                TransmitProgress::Complete
-            } else {
-                TransmitProgress::Unsent
-            };
-            let word = answered
-                .filter(|(answered, _)| *answered == id)
-                .map(|(_, word)| &word[..4]);
-            let right = match (ended.termination, word) {
-                (Termination::Done, Some("DONE")) | (Termination::Rejected, Some("WAIT")) => true,
-                (Termination::EngineError, Some("BROK"))
-                | (Termination::AlreadyFinished, Some("PAST")) => true,
-                (Termination::Drained, None) => known.drained && !known.first_byte,
-                (Termination::Cancelled, None) => known.stopped_at.is_some(),
-                (Termination::Reset, None) => closing && known.stopped_at.is_none(),
-                _ => false,
-            };
-            if !right || ended.progress != reach {
-                return Err(format!("{ended:?} of {known:?}"));
+        for result in ended_attempts(events) {
+            let id = result.id.0;
+            let known = self
+                .in_flight
+                .remove(&id)
+                .ok_or(format!("{id} ended twice"))?;
+            let verb = answer
+                .filter(|answer| answer.id == id)
+                .map(|answer| &answer.text[..4]);
+            let allowed = known.may_end(result.termination, verb, closing);
+            if !allowed || result.progress != known.progress() {
+                return Err(format!("{result:?} of {known:?}"));
             }
         }
-        // Given up for longer than it takes to settle, and not over.
-        let late = |a: &&Attempt| {
-            a.stopped_at
-                .is_some_and(|at| at + CANCEL_SETTLE_MICROS <= self.now)
-        };
-        let settled = self.on_it.values().find(late).filter(|a| a.first_byte);
-        settled.map_or(Ok(()), |a| Err(format!("{a:?} did not settle")))
+        let now = self.now;
+        match self.in_flight.values().find(|known| known.is_overdue(now)) {
+            Some(known) => Err(format!("{known:?} did not settle")),
+            None => Ok(()),
+        }
     }
 
     fn step(&mut self, step: &Step) -> Result<(), String> {
-        let (mut events, mut answered) = (Vec::new(), None);
-        let pick = |n: u8| {
-            self.on_it
-                .keys()
-                .nth(usize::from(n) % self.on_it.len().max(1))
-                .copied()
-        };
+        let mut events = Vec::new();
+        let mut answer = None;
         match step {
-            Step::Start if self.link.free_streams() > 0 => {
-                self.started += 1;
-                let (id, key) = (
-                    RequestId(self.started),
-                    format!("{:016x}", self.started).into(),
-                );
-                let (class, statement, until) = (
-                    "lookup".into(),
-                    Rc::from(&b"select"[..]),
-                    self.now + 1_000 * MS,
-                );
-                let job = AttemptRequest {
-                    id,
-                    client_request_id: key,
-                    class,
-                    statement,
-                    deadline: until,
-                    ..AttemptRequest::default()
-                };
-                self.link.start_attempt(self.now, &job);
-                self.on_it.insert(self.started, Attempt::default());
-            }
-            Step::Start => {}
-            Step::Stop(n) => {
-                let Some(id) = pick(*n) else { return Ok(()) };
-                let known = self.on_it.get_mut(&id).expect("picked");
-                known.stopped_at = known.stopped_at.or(Some(self.now));
-                self.link
-                    .cancel_attempt(self.now, RequestId(id), AttemptNo(0), &mut events);
-            }
-            Step::Write(n) => {
-                let Some(bytes) = self.link.pending_output() else {
-                    return Ok(());
-                };
-                let n = (usize::from(*n) % 90 + 1).min(bytes.len());
-                self.written.extend_from_slice(&bytes[..n]);
-                self.link.advance_output(self.now, n);
-                // A command's first byte tells that it is out, however little of its line is.
-                let text = String::from_utf8_lossy(&self.written);
-                let starts =
-                    |l: &&str| !l.is_empty() && ("do ".starts_with(*l) || l.starts_with("do "));
-                let begun = text.split("\r\n").filter(starts).count();
-                if begun > self.begun {
-                    let next = self.on_it.values_mut().find(|a| !a.first_byte);
-                    next.ok_or("a command for nobody")?.first_byte = true;
-                }
-                self.begun = begun;
-            }
-            Step::Answer(n, word) => {
-                let Some(id) = pick(*n).filter(|id| self.on_it[id].first_byte) else {
-                    return Ok(());
-                };
-                // What was given up is not known to the wire any more.
-                answered = Some((id, *word)).filter(|_| self.on_it[&id].stopped_at.is_none());
-                let text = format!("{id:016x} {word}\r\na\tb\tc\n\r\n");
-                let (one, other) = text.as_bytes().split_at(usize::from(*n) % text.len());
-                [one, other]
-                    .iter()
-                    .filter(|p| !p.is_empty())
-                    .for_each(|p| self.link.receive(self.now, p, &mut events));
-            }
-            Step::Drain => {
-                self.on_it.values_mut().for_each(|a| a.drained = true);
-                self.link.drain(self.now, &mut events);
-            }
-            Step::Wait(n) => {
-                self.now += u64::from(*n) * MS / 8;
-                self.link.on_timeout(self.now, &mut events);
-            }
+            Step::Start => self.start(),
+            Step::Cancel(index) => self.cancel(*index, &mut events),
+            Step::Write(count) => self.write(*count)?,
+            Step::Answer(index, text) => answer = self.answer(*index, text, &mut events),
+            Step::Drain => self.drain(&mut events),
+            Step::Wait(eighths) => self.wait(*eighths, &mut events),
         }
-        let over = self.link.close_reason();
-        self.check(events, answered, false)?;
-        if matches!(step, Step::Drain) && self.on_it.values().any(|a| !a.first_byte) {
-            return Err("a drain left something that waits to go out".into());
+        let close_reason = self.connection.close_reason();
+        self.check(&events, answer, false)?;
+        let unsent = |known: &ModelAttempt| !known.first_byte_written;
+        if matches!(step, Step::Drain) && self.in_flight.values().any(unsent) {
+            return Err("a drain left something that waits to be sent".into());
         }
-        if over.is_some_and(|end| end != Termination::Dropped) {
-            Err(format!("over: {over:?}"))
-        } else {
-            Ok(())
+        match close_reason {
+            None | Some(Termination::Dropped) => Ok(()),
+            Some(reason) => Err(format!("closes: {reason:?}")),
+        }
+    }
+
+    /// One of the attempts in flight.
+    fn pick(&self, index: u8) -> Option<u32> {
+        let index = usize::from(index) % self.in_flight.len().max(1);
+        self.in_flight.keys().nth(index).copied()
+    }
+
+    fn start(&mut self) {
+        if self.connection.free_streams() == 0 {
+            return;
+        }
+        self.started += 1;
+        let client_request_id = format!("{:016x}", self.started);
+        let request = attempt(self.started, &client_request_id, self.now + 1_000 * MS);
+        self.connection.start_attempt(self.now, &request);
+        self.in_flight.insert(self.started, ModelAttempt::default());
+    }
+
+    fn cancel(&mut self, index: u8, events: &mut Vec<ConnectionEvent>) {
+        let Some(id) = self.pick(index) else { return };
+        let known = self.in_flight.get_mut(&id).expect("picked");
+        known.cancelled_at = known.cancelled_at.or(Some(self.now));
+        self.connection
+            .cancel_attempt(self.now, RequestId(id), FIRST_ATTEMPT, events);
+    }
+
+    fn write(&mut self, count: u8) -> Result<(), String> {
+        let Some(bytes) = self.connection.pending_output() else {
+            return Ok(());
+        };
+        let count = (usize::from(count) % 90 + 1).min(bytes.len());
+        self.written.extend_from_slice(&bytes[..count]);
+        self.connection.advance_output(self.now, count);
+        // The first byte of a command shows that it is out, however little of its line is.
+        let text = String::from_utf8_lossy(&self.written);
+        let starts_attempt =
+            |line: &&str| !line.is_empty() && ("do ".starts_with(*line) || line.starts_with("do "));
+        let begun = text.split("\r\n").filter(starts_attempt).count();
+        if begun > self.commands_begun {
+            let next = self
+                .in_flight
+                .values_mut()
+                .find(|known| !known.first_byte_written);
+            next.ok_or("a command for no attempt")?.first_byte_written = true;
+        }
+        self.commands_begun = begun;
+        Ok(())
+    }
+
+    /// Answers an attempt that was sent, in two pieces. The protocol does not know an attempt that
+    /// was cancelled any more: its answer counts for nothing.
+    fn answer(
+        &mut self,
+        index: u8,
+        text: &'static str,
+        events: &mut Vec<ConnectionEvent>,
+    ) -> Option<Answer> {
+        let id = self.pick(index)?;
+        let known = &self.in_flight[&id];
+        if !known.first_byte_written {
+            return None;
+        }
+        let cancelled = known.cancelled_at.is_some();
+        let message = format!("{id:016x} {text}\r\na\tb\tc\n\r\n");
+        let split_at = usize::from(index) % message.len();
+        let (first, second) = message.as_bytes().split_at(split_at);
+        for piece in [first, second] {
+            if !piece.is_empty() {
+                self.connection.receive(self.now, piece, events);
+            }
         }
+        (!cancelled).then_some(Answer { id, text })
+    }
+
+    fn drain(&mut self, events: &mut Vec<ConnectionEvent>) {
+        for known in self.in_flight.values_mut() {
+            known.drained = true;
+        }
+        self.connection.drain(self.now, events);
+    }
+
+    fn wait(&mut self, eighths: u8, events: &mut Vec<ConnectionEvent>) {
+        self.now += u64::from(eighths) * MS / 8;
+        self.connection.on_timeout(self.now, events);
+    }
+
+    fn close(&mut self) -> Result<(), String> {
+        let mut events = Vec::new();
+        self.connection
+            .close(self.now, Termination::Reset, &mut events);
+        self.check(&events, None, true)
     }
 }
 
 #[test]
-fn every_attempt_ends_once_and_says_what_went_out() {
+fn every_attempt_ends_once_with_the_progress_that_the_socket_saw() {
     fn walk(steps: Vec<Step>) -> Result<bool, String> {
-        let names = Names {
-            classes: vec!["lookup".into()],
-            streams: 4,
-            ..Names::default()
-        };
-        let now = 1_000 * MS;
-        let link = ConnectionState::new(now, Platform::new(Rc::new(names)));
-        let (on_it, written) = (BTreeMap::new(), Vec::new());
-        let mut model = Model {
-            link,
-            now,
-            on_it,
-            started: 0,
-            written,
-            begun: 0,
-        };
-        steps.iter().try_for_each(|step| model.step(step))?;
-        let mut events = Vec::new();
-        model.link.close(model.now, Termination::Reset, &mut events);
-        model.check(events, None, true)?;
-        if model.on_it.is_empty() {
+        let mut model = Model::new();
+        for step in &steps {
+            model.step(step)?;
+        }
+        model.close()?;
+        if model.in_flight.is_empty() {
             Ok(true)
         } else {
             Err("something did not end".into())
@@ -229,38 +334,10 @@
     check.quickcheck(walk as fn(Vec<Step>) -> Result<bool, String>);
 }
 
-fn link() -> ConnectionState<Platform> {
-    let names = Names {
-        classes: vec!["lookup".into()],
-        streams: 4,
-        ..Names::default()
-    };
-    let mut link = ConnectionState::new(0, Platform::new(Rc::new(names)));
-    for id in 1..=2 {
-        let (key, statement) = (format!("k{id}").into(), Rc::from(&b"select"[..]));
-        let (attempt, class, until) = (AttemptNo(0), "lookup".into(), 9_000 * MS);
-        let job = AttemptRequest {
-            id: RequestId(id),
-            attempt,
-            client_request_id: key,
-            class,
-            statement,
-            deadline: until,
-            ..AttemptRequest::default()
-        };
-        link.start_attempt(0, &job);
-    }
-    while let Some(n) = link.pending_output().map(<[u8]>::len) {
-        link.advance_output(0, n);
-    }
-    link
-}
-
-/// Guards against passing on what no engine made: a spoilt answer ends its connection, in bounded
-/// time and memory.
+/// Corrupted bytes must not be passed on as a result: the connection is closed.
 #[test]
-fn a_spoilt_answer_spoils_its_connection() {
-    let endless = format!("k1 DONE {}", "x".repeat(5_000));
+fn a_corrupted_response_closes_the_connection() {
+    let endless_line = format!("k1 DONE {}", "x".repeat(5_000));
     for text in [
         "k1 DONE sheets=1 -3\r\n",
         "k1 DONE sheets=1 +6\r\na\tb\tc\n\r\n",
@@ -274,190 +351,165 @@
         "k1 DONE sheets 0\r\n\r\n",
         "noise\r\n",
         "k1 GONE - 0\r\n\r\n",
-        &endless,
+        &endless_line,
     ] {
-        let (mut link, mut events) = (link(), Vec::new());
-        link.receive(MS, text.as_bytes(), &mut events);
-        assert!(
-            link.close_reason() == Some(Termination::ProtocolViolation) && events.is_empty(),
-            "{text:?}: {events:?}"
+        let mut connection = connection_with_two_attempts();
+        let mut events = Vec::new();
+
+        connection.receive(MS, text.as_bytes(), &mut events);
+
+        assert_eq!(
+            connection.close_reason(),
+            Some(Termination::ProtocolViolation),
+            "{text:?}"
         );
+        assert!(events.is_empty(), "{text:?}: {events:?}");
     }
-    // One that stops short ends by the time, and bytes that dribble in do not put that off.
-    let (mut link, mut events) = (link(), Vec::new());
-    link.receive(MS, b"k1 DONE sheets=1 6\r\na", &mut events);
-    link.receive(400 * MS, b"\t", &mut events);
-    let due = link.next_timeout().expect("due");
-    link.on_timeout(due, &mut events);
-    assert!(
-        link.close_reason() == Some(Termination::Unresponsive) && due < 1_000 * MS,
-        "{due}"
-    );
 }
 
-/// Guards good answers against what comes with them: second copies, strangers' answers, late
-/// reports of load.
+/// Bytes that trickle in do not postpone the timeout of a message.
 #[test]
-fn what_nobody_asked_for_does_no_harm() {
-    let (mut link, mut events) = (link(), Vec::new());
-    link.send_probe(0);
-    let page = |n| format!("k1 MORE sheet={n} 6\r\nd\te\tf\n\r\n");
-    let told = "k1 DONE sheets=2 6\r\na\tb\tc\n\r\n";
-    let load = "p1 FIT meter=queue:1 0\r\n\r\n";
-    let text = format!(
-        "zz DONE sheets=1 6\r\na\tb\tc\n\r\n{}{told}{told}{load}{load}",
-        page(1)
-    );
-    link.receive(MS, text.as_bytes(), &mut events);
-    link.receive(
-        MS,
-        format!("{}{}{}{told}", page(9), page(1), page(1)).as_bytes(),
-        &mut events,
-    );
-    let probes = events
+fn a_message_that_stops_short_times_out() {
+    let mut connection = connection_with_two_attempts();
+    let mut events = Vec::new();
+    connection.receive(MS, b"k1 DONE sheets=1 6\r\na", &mut events);
+    connection.receive(400 * MS, b"\t", &mut events);
+
+    let timeout_at = connection.next_timeout().expect("a timeout");
+    connection.on_timeout(timeout_at, &mut events);
+
+    assert_eq!(connection.close_reason(), Some(Termination::Unresponsive));
+    assert!(timeout_at < 1_000 * MS, "{timeout_at}");
+}
+
+/// Duplicates, responses to unknown requests and late load reports do not spoil good responses.
+#[test]
+fn unexpected_messages_are_ignored() {
+    let mut connection = connection_with_two_attempts();
+    let mut events = Vec::new();
+    connection.send_probe(0);
+    let unknown = "zz DONE sheets=1 6\r\na\tb\tc\n\r\n";
+    let first_page = "k1 DONE sheets=2 6\r\na\tb\tc\n\r\n";
+    let page = |number| format!("k1 MORE sheet={number} 6\r\nd\te\tf\n\r\n");
+    let report = "p1 FIT meter=queue:1 0\r\n\r\n";
+
+    let premature = page(1);
+    let before = format!("{unknown}{premature}{first_page}{first_page}{report}{report}");
+    connection.receive(MS, before.as_bytes(), &mut events);
+    let after = format!("{}{}{}{first_page}", page(9), page(1), page(1));
+    connection.receive(MS, after.as_bytes(), &mut events);
+
+    let results = ended_attempts(&events);
+    let probes = events.len() - results.len();
+    let ended: Vec<(u32, Termination, &[u8])> = results
         .iter()
-        .filter(|e| matches!(e, ConnectionEvent::ProbeCompleted { .. }))
-        .count();
-    let ended = events.iter().filter_map(|e| {
-        if let ConnectionEvent::AttemptEnded(e) = e {
-            Some(e)
-        } else {
-            None
-        }
-    });
-    let ended: Vec<(u32, Termination, &[u8])> = ended
-        .map(|e| (e.id.0, e.termination, &e.rows[..]))
+        .map(|result| (result.id.0, result.termination, &result.rows[..]))
         .collect();
+    let expected = vec![(1, Termination::Done, &b"a\tb\tc\nd\te\tf\n"[..])];
     assert_eq!(
-        (probes, ended, link.close_reason()),
-        (
-            1,
-            vec![(1, Termination::Done, &b"a\tb\tc\nd\te\tf\n"[..])],
-            None
-        )
+        (probes, ended, connection.close_reason()),
+        (1, expected, None)
     );
-    // A page that never comes ends its own request alone.
+}
+
+#[test]
+fn a_missing_page_ends_only_its_own_request() {
+    let mut connection = connection_with_two_attempts();
     let mut events = Vec::new();
-    link.receive(2 * MS, b"k2 DONE sheets=2 0\r\n\r\n", &mut events);
-    link.on_timeout(9_000 * MS, &mut events);
-    assert!(
-        matches!(&events[..], [ConnectionEvent::AttemptEnded(e)] if e.termination == Termination::Unresponsive)
-            && link.close_reason().is_none()
-    );
+    let first_page = b"k2 DONE sheets=2 0\r\n\r\n";
+    connection.receive(2 * MS, first_page, &mut events);
+
+    connection.on_timeout(9_000 * MS, &mut events);
+
+    let result = only_result(&events);
+    assert_eq!(result.termination, Termination::Unresponsive);
+    assert_eq!(connection.close_reason(), None);
 }
 
-/// Guards a load against a reset of its connection: until its last bytes go out, a moment later, it
-/// never ran.
+/// An attempt that must never run twice can safely be retried after a reset of its connection,
+/// until its last bytes are written a moment later.
 #[test]
-fn the_end_of_what_must_not_run_twice_is_held_back() {
-    for (waits, reach) in [
+fn the_tail_of_a_non_idempotent_attempt_is_held_back() {
+    for (tail_written, progress) in [
         (false, TransmitProgress::Partial),
         (true, TransmitProgress::Complete),
     ] {
-        let mut link = ConnectionState::new(
-            0,
-            Platform::new(Rc::new(Names {
-                streams: 4,
-                ..Names::default()
-            })),
-        );
-        let (key, statement, session) = ("k1".into(), Rc::from(&b"insert"[..]), None);
-        let (id, attempt, class, until) = (RequestId(1), AttemptNo(0), "lookup".into(), 9_000 * MS);
-        link.start_attempt(
-            0,
-            &AttemptRequest {
-                id,
-                attempt,
-                client_request_id: key,
-                class,
-                single: true,
-                statement,
-                session,
-                deadline: until,
-                ..AttemptRequest::default()
-            },
-        );
-        let head = link.pending_output().expect("a head").to_vec();
-        assert!(head.ends_with(b" 6\r\ninser"), "{head:?}");
-        link.advance_output(0, head.len());
-        assert!(link.pending_output().is_none() && link.next_timeout() == Some(TAIL_HOLD_MICROS));
+        let mut connection = new_connection(0);
+        let request = AttemptRequest {
+            single: true,
+            statement: Rc::from(&b"insert"[..]),
+            ..attempt(1, "k1", 9_000 * MS)
+        };
         let mut events = Vec::new();
-        if waits {
-            link.on_timeout(TAIL_HOLD_MICROS, &mut events);
-            assert_eq!(link.pending_output(), Some(&b"t\r\n"[..]));
-            link.advance_output(TAIL_HOLD_MICROS, 3);
+
+        connection.start_attempt(0, &request);
+        let head = connection.pending_output().expect("a head").to_vec();
+        connection.advance_output(0, head.len());
+
+        assert!(head.ends_with(b" 6\r\ninser"), "{head:?}");
+        assert!(connection.pending_output().is_none());
+        assert_eq!(connection.next_timeout(), Some(TAIL_HOLD_MICROS));
+
+        if tail_written {
+            connection.on_timeout(TAIL_HOLD_MICROS, &mut events);
+            assert_eq!(connection.pending_output(), Some(&b"t\r\n"[..]));
+            connection.advance_output(TAIL_HOLD_MICROS, 3);
         }
-        link.close(9 * MS, Termination::Reset, &mut events);
-        assert!(
-            matches!(&events[..], [ConnectionEvent::AttemptEnded(e)] if e.termination == Termination::Reset && e.progress == reach),
-            "{events:?}"
+        connection.close(9 * MS, Termination::Reset, &mut events);
+
+        let result = only_result(&events);
+        assert_eq!(
+            (result.termination, result.progress),
+            (Termination::Reset, progress)
         );
     }
 }
 
-/// The key, the grant and the priority stand in the command as the wire words them, and a new
-/// priority follows it.
+/// The idempotency key, the memory grant and the priority are in the command as the protocol spells
+/// them; a change of priority follows the command, and the cost comes back with the response.
 #[test]
-fn keys_priorities_and_costs_pass_on_the_platforms_wire() {
-    let mut link = ConnectionState::new(
-        0,
-        Platform::new(Rc::new(Names {
-            streams: 4,
-            ..Names::default()
-        })),
-    );
-    let job = AttemptRequest {
-        id: RequestId(1),
-        client_request_id: "k1".into(),
+fn keys_priorities_and_costs_are_encoded_in_the_platforms_protocol() {
+    let mut connection = new_connection(0);
+    let request = AttemptRequest {
         class: "plan-load".into(),
         statement: Rc::from(&b"insert"[..]),
         idempotency_key: Some("5c0f6e1a".into()),
         memory_mb: 95.2,
         priority: Some(2),
-        deadline: 9_000 * MS,
-        ..AttemptRequest::default()
+        ..attempt(1, "k1", 9_000 * MS)
     };
-    link.start_attempt(0, &job);
-    // Before its own words are out as well as after.
-    link.set_priority(RequestId(1), AttemptNo(0), 3);
-    link.set_priority(RequestId(1), AttemptNo(1), 0);
-    link.set_priority(RequestId(2), AttemptNo(0), 0);
-    let mut written = Vec::new();
-    while let Some(bytes) = link.pending_output().map(<[u8]>::to_vec) {
-        link.advance_output(0, bytes.len());
-        written.extend(bytes);
-    }
+    connection.start_attempt(0, &request);
+    // Before the command is written; the other two are not in flight.
+    connection.set_priority(RequestId(1), FIRST_ATTEMPT, 3);
+    connection.set_priority(RequestId(1), AttemptNo(1), 0);
+    connection.set_priority(RequestId(2), FIRST_ATTEMPT, 0);
+
+    let written = write_all(&mut connection, 0);
     let fields = "cls=plan-load,limit=9000,nonce=5c0f6e1a,allot=96,urgency=2";
     assert_eq!(
         String::from_utf8_lossy(&written),
         format!("do k1 {fields} 6\r\ninsert\r\nbump k1 3\r\n")
     );
+
     let mut events = Vec::new();
-    link.receive(
-        MS,
-        b"k1 DONE sheets=1,toil=412.5,room=96 6\r\na\tb\tc\n\r\n",
-        &mut events,
-    );
-    let [ConnectionEvent::AttemptEnded(ended)] = &events[..] else {
-        panic!("{events:?}")
+    let response = b"k1 DONE sheets=1,toil=412.5,room=96 6\r\na\tb\tc\n\r\n";
+    connection.receive(MS, response, &mut events);
+    let expected = Cost {
+        work: Some(412_500),
+        memory_mb: Some(96.0),
     };
-    assert_eq!(
-        ended.cost,
-        Cost {
-            work: Some(412_500),
-            memory_mb: Some(96.0)
-        }
-    );
-    // What has ended has no priority.
-    link.set_priority(RequestId(1), AttemptNo(0), 1);
-    assert!(link.pending_output().is_none());
+    assert_eq!(only_result(&events).cost, expected);
+
+    // An attempt that has ended has no priority.
+    connection.set_priority(RequestId(1), FIRST_ATTEMPT, 1);
+    assert!(connection.pending_output().is_none());
 }
 
-/// Guards what classes teach: a figure that can't be one is as none, and spoils nothing else of the
-/// answer.
+/// Impossible figures must not reach the estimates of a class, and spoil nothing else of the
+/// response.
 #[test]
-fn costs_that_can_not_be_are_as_none() {
-    for (toil, room) in [
+fn impossible_costs_are_ignored() {
+    for (work, memory) in [
         ("", ""),
         ("x", "y"),
         ("-4", "-1"),
@@ -465,42 +517,54 @@
         ("NaN", "inf"),
         ("1e300", "1e99"),
     ] {
-        let (mut link, mut events) = (link(), Vec::new());
-        let text = format!("k1 DONE sheets=1,toil={toil},room={room},more=1 6\r\na\tb\tc\n\r\n");
-        link.receive(MS, text.as_bytes(), &mut events);
-        let [ConnectionEvent::AttemptEnded(ended)] = &events[..] else {
-            panic!("{events:?}")
-        };
-        assert!(
-            ended.termination == Termination::Done && ended.cost == Cost::default(),
-            "{toil} {room}: {ended:?}"
+        let mut connection = connection_with_two_attempts();
+        let mut events = Vec::new();
+        let fields = format!("sheets=1,toil={work},room={memory},more=1");
+        let response = format!("k1 DONE {fields} 6\r\na\tb\tc\n\r\n");
+
+        connection.receive(MS, response.as_bytes(), &mut events);
+
+        let result = only_result(&events);
+        assert_eq!(
+            (result.termination, result.cost),
+            (Termination::Done, Cost::default()),
+            "{work} {memory}"
         );
     }
 }
 
-/// Guards what follows against a connection that swallows what is sent on it: one that is passed by
-/// with another attempt beside it, and has said nothing since, carries nothing new; any word since
-/// clears it.
+/// An attempt that is not in flight, or was sent before the engine was last heard, is no reason to
+/// suspect the connection.
 #[test]
-fn a_connection_in_doubt_carries_nothing_new_until_it_speaks() {
-    let mut link = link();
-    assert_eq!(link.free_streams(), 2);
-    link.mark_slow(RequestId(9), AttemptNo(0));
-    link.mark_slow(RequestId(1), AttemptNo(3));
-    assert_eq!(link.free_streams(), 2, "no attempt of its own");
-    link.receive(MS, b"k2 WAIT - 0\r\n\r\n", &mut Vec::new());
-    link.mark_slow(RequestId(1), AttemptNo(0));
-    assert_eq!(link.free_streams(), 3, "it has spoken since");
-    let (mut silent, mut events) = (self::link(), Vec::new());
-    silent.mark_slow(RequestId(1), AttemptNo(0));
-    assert!(
-        silent.free_streams() == 0 && silent.close_reason().is_none(),
-        "what is on it may still be answered"
-    );
-    silent.receive(
-        9 * MS,
-        b"k1 DONE sheets=1 0\r\n\r\nk2 WAIT - 0\r\n\r\n",
-        &mut events,
+fn a_connection_that_has_received_since_is_not_suspect() {
+    let mut connection = connection_with_two_attempts();
+    assert_eq!(connection.free_streams(), 2);
+
+    connection.mark_slow(RequestId(9), FIRST_ATTEMPT);
+    connection.mark_slow(RequestId(1), AttemptNo(3));
+    assert_eq!(connection.free_streams(), 2, "no attempt of its own");
+
+    connection.receive(MS, b"k2 WAIT - 0\r\n\r\n", &mut Vec::new());
+    connection.mark_slow(RequestId(1), FIRST_ATTEMPT);
+    assert_eq!(connection.free_streams(), 3, "received since");
+}
+
+/// A connection that may be dead carries nothing new, and closes after the attempts in flight.
+#[test]
+fn a_suspect_connection_carries_nothing_new() {
+    let mut connection = connection_with_two_attempts();
+    let mut events = Vec::new();
+
+    connection.mark_slow(RequestId(1), FIRST_ATTEMPT);
+    assert_eq!(connection.free_streams(), 0);
+    assert_eq!(
+        connection.close_reason(),
+        None,
+        "the attempts in flight may still be answered"
     );
-    assert!(events.len() == 2 && silent.close_reason() == Some(Termination::Dropped));
+
+    let responses = b"k1 DONE sheets=1 0\r\n\r\nk2 WAIT - 0\r\n\r\n";
+    connection.receive(9 * MS, responses, &mut events);
+    assert_eq!(events.len(), 2);
+    assert_eq!(connection.close_reason(), Some(Termination::Dropped));
 }
--- a/tests/unit/mutation.rs
+++ b/tests/unit/mutation.rs
@@ -76,13 +76,13 @@
             ..Names::default()
         };
         let (mut now, mut events) = (SEC, Vec::new());
-        let mut link = ConnectionState::new(now, Platform::new(Rc::new(names)));
-        link.send_probe(now);
+        let mut connection = ConnectionState::new(now, Platform::new(Rc::new(names)));
+        connection.send_probe(now);
         for id in 0..4u32 {
             let key: Rc<str> = format!("a{id}").into();
             let statement = Rc::from(&b"SELECT 1"[..]);
             let (id, until) = (RequestId(id), now + 9 * SEC);
-            link.start_attempt(
+            connection.start_attempt(
                 now,
                 &AttemptRequest {
                     id,
@@ -94,27 +94,27 @@
                 },
             );
         }
-        let write = |link: &mut ConnectionState<Platform>, now| {
-            while let Some(n) = link.pending_output().map(<[u8]>::len) {
-                link.advance_output(now, n);
+        let write = |connection: &mut ConnectionState<Platform>, now| {
+            while let Some(n) = connection.pending_output().map(<[u8]>::len) {
+                connection.advance_output(now, n);
             }
         };
-        write(&mut link, now);
+        write(&mut connection, now);
         let told_full = mutant
             .iter()
             .any(|(_, m)| words(m, "WAIT") || words(m, "PAST"));
         for (wait, message) in mutant {
             now += wait;
-            link.on_timeout(now, &mut events);
-            if link.close_reason().is_none() && !message.is_empty() {
-                link.receive(now, &message, &mut events);
-                write(&mut link, now);
+            connection.on_timeout(now, &mut events);
+            if connection.close_reason().is_none() && !message.is_empty() {
+                connection.receive(now, &message, &mut events);
+                write(&mut connection, now);
             }
         }
-        link.on_timeout(now + 5 * SEC, &mut events);
-        link.close(
+        connection.on_timeout(now + 5 * SEC, &mut events);
+        connection.close(
             now + 5 * SEC,
-            link.close_reason().unwrap_or(Termination::Reset),
+            connection.close_reason().unwrap_or(Termination::Reset),
             &mut events,
         );
         let mut ends: BTreeMap<RequestId, usize> = BTreeMap::new();
--- a/tests/unit/net_engine.rs
+++ b/tests/unit/net_engine.rs
@@ -1,34 +1,34 @@
-//! Which connection of an engine carries an attempt, and for whom none begins.
+//! Which connection of an engine carries an attempt, and for which clients none is started.
 use super::connection_handle::{ConnectionHandle, ConnectionStatus};
 use super::{ConnectionOptions, EndpointHandle, EngineCommand, StartActor, bounded, spawn};
 use crate::backend::platform::Platform;
 use crate::clock::SEC;
 use crate::config::process::Names;
 use crate::dispatcher::AttemptRequest;
+use crate::dispatcher::termination::TransmitProgress;
 use crate::frontend::jsonrpc::JsonRpc;
 use crate::net::Shared;
 use crate::net::dispatcher::DispatcherEvent;
 use crate::policy::api::{AttemptNo, EngineId, Readiness, RequestId};
 use crate::testkit::{eventually, listener};
-use async_channel::Sender;
+use async_channel::{Receiver, Sender};
 use async_io::Async;
 use std::cell::Cell;
 use std::io::{Read, Write};
-use std::net::TcpStream;
+use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 
-fn job(single: bool) -> AttemptRequest {
-    let (id, attempt, class, until) = (RequestId(1), AttemptNo(0), "lookup".into(), 9_000_000);
-    let (key, statement, session) = ("k".into(), Rc::from(&b"select"[..]), None);
+const CLIENT: u64 = 7;
+
+fn attempt(single: bool) -> AttemptRequest {
     AttemptRequest {
-        id,
-        attempt,
-        client_request_id: key,
-        class,
-        statement,
-        session,
+        id: RequestId(1),
+        attempt: AttemptNo(0),
+        client_request_id: "k".into(),
+        class: "lookup".into(),
+        statement: Rc::from(&b"select"[..]),
         single,
-        deadline: until,
+        deadline: 9 * SEC,
         ..AttemptRequest::default()
     }
 }
@@ -52,146 +52,215 @@
     }
 }
 
-/// Guards against resets, which strike most at the first that a connection carries, and against
-/// spoilt answers to others: what must never run twice goes alone, on one that has answered before
-/// where there is one.
+/// Resets are most frequent at the first request of a connection, and a corrupted response ends the
+/// other attempts on it: an attempt that must never run twice gets a connection of its own, and
+/// where possible one that has received data.
 #[test]
-fn what_must_never_run_twice_prefers_an_idle_connection_that_has_answered() {
+fn a_non_idempotent_attempt_prefers_an_idle_connection_that_has_received_data() {
     let connections = [
         connection(false, false),
         connection(true, true),
         connection(false, true),
     ];
-    let pick = |job: AttemptRequest| {
+    let select = |request: AttemptRequest| {
         connections
             .iter()
             .enumerate()
-            .filter(|(_, connection)| connection.accepts(&job, true))
-            .min_by_key(|(_, connection)| connection.preference(&job))
+            .filter(|(_, connection)| connection.accepts(&request, true))
+            .min_by_key(|(_, connection)| connection.preference(&request))
             .map(|(index, _)| index)
     };
-    assert_eq!(pick(job(true)), Some(2));
-    assert_eq!(pick(job(false)), Some(1), "others share the fullest");
+
+    assert_eq!(select(attempt(true)), Some(2));
+    assert_eq!(select(attempt(false)), Some(1), "others share the fullest");
+}
+
+/// When the client disconnects.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Disconnect {
+    BeforeFirstByte,
+    AfterFirstByte,
+}
+
+/// An engine, and a client whose connection has an actor.
+struct Scene {
+    shared: Rc<Shared>,
+    events: Receiver<DispatcherEvent>,
+    engine: Async<TcpListener>,
+    endpoint: Rc<EndpointHandle>,
+    client: Option<TcpStream>,
+    engine_connection: Option<TcpStream>,
+    /// What the engine has read.
+    engine_input: Vec<u8>,
+    /// What was reported to the dispatcher of the client and of the attempt.
+    reported: Vec<String>,
+    /// Keeps the mailboxes of the client's actor open.
+    responses: Vec<DispatcherEvent>,
 }
 
-/// A client's connection with its actor, which is not let go on, and the client's end of it.
-fn client(shared: &Rc<Shared>, core: &Sender<DispatcherEvent>, conn: u64) -> TcpStream {
-    let (line, addr) = listener();
+/// The client's end of a connection whose other end has an actor.
+fn connect_client(shared: &Rc<Shared>, dispatcher: &Sender<DispatcherEvent>) -> TcpStream {
+    let (listener, addr) = listener();
     let client = TcpStream::connect(addr).expect("a connection");
-    let (stream, _) = line.get_ref().accept().expect("a connection");
-    let front = JsonRpc::new(conn, Rc::default(), Rc::new(|| true));
+    let (stream, _) = listener.get_ref().accept().expect("a connection");
+    let frontend = JsonRpc::new(CLIENT, Rc::default(), Rc::new(|| true));
     crate::net::client::start(
         shared,
-        core.clone(),
+        dispatcher.clone(),
         Async::new(stream).expect("a socket"),
-        conn,
-        front,
+        CLIENT,
+        frontend,
         None,
     );
     client
 }
 
-/// What an engine reads of one attempt whose client goes, with bytes of it that nobody has read,
-/// before or after the attempt's first byte; and what the core is told.
-fn dispatch(gone_before: bool) -> (String, Vec<String>) {
-    let shared = Shared::new(64, 64);
-    let (core, inputs) = async_channel::bounded(100);
-    let (line, addr) = listener();
+/// Starts actors that speak the platform's protocol.
+fn platform_actor(shared: &Rc<Shared>, dispatcher: &Sender<DispatcherEvent>) -> StartActor {
+    let (shared, dispatcher) = (shared.clone(), dispatcher.clone());
     let names = Rc::new(Names {
         streams: 4,
         ..Names::default()
     });
-    let (all, module) = (shared.clone(), core.clone());
-    let start: StartActor = Rc::new(move |endpoint| {
-        let options = ConnectionOptions {
-            connect_timeout: 5 * SEC,
-            keepalive: 15 * SEC,
-            supports_databases: false,
-        };
-        let names = names.clone();
-        spawn(&all, module.clone(), endpoint, options, move || {
-            Platform::new(names.clone())
-        })
-    });
-    let endpoint = EndpointHandle::new(EngineId(1), addr, Readiness::Ready, start);
-    let run = |holds: &mut dyn FnMut() -> bool| {
-        assert!(
-            async_io::block_on(shared.executor.run(eventually(holds))),
-            "it never came to that"
-        );
+    let options = ConnectionOptions {
+        connect_timeout: 5 * SEC,
+        keepalive: 15 * SEC,
+        supports_databases: false,
     };
-    let mut client = Some(client(&shared, &core, 7));
-    run(&mut || shared.clients.borrow().contains_key(&7));
-    let leaves = |client: &mut Option<TcpStream>| {
-        // Its actor reads slowly, or is about to: it stands still while this is written and the end
-        // follows.
-        let mut client = client.take().expect("a client");
+    Rc::new(move |endpoint| {
+        let names = names.clone();
+        let new_protocol = move || Platform::new(names.clone());
+        spawn(&shared, dispatcher.clone(), endpoint, options, new_protocol)
+    })
+}
+
+impl Scene {
+    fn new() -> Scene {
+        let shared = Shared::new(64, 64);
+        let (dispatcher, events) = async_channel::bounded(100);
+        let (engine, addr) = listener();
+        let start = platform_actor(&shared, &dispatcher);
+        let endpoint = EndpointHandle::new(EngineId(1), addr, Readiness::Ready, start);
+        let client = connect_client(&shared, &dispatcher);
+        Scene {
+            shared,
+            events,
+            engine,
+            endpoint,
+            client: Some(client),
+            engine_connection: None,
+            engine_input: Vec::new(),
+            reported: Vec::new(),
+            responses: Vec::new(),
+        }
+    }
+
+    fn run_until(&mut self, mut condition: impl FnMut(&mut Scene) -> bool) {
+        let executor = self.shared.executor.clone();
+        let reached = async_io::block_on(executor.run(eventually(|| condition(self))));
+        assert!(reached, "the condition was never met");
+    }
+
+    /// The client writes part of a message and disconnects. Its actor is delayed: the end of its
+    /// input is behind bytes that nobody has read.
+    fn disconnect_client(&mut self) {
+        let mut client = self.client.take().expect("a client");
         client.write_all(b"{\"jsonrpc\":").expect("written");
-    };
-    let now = crate::clock::turn();
-    let job = AttemptRequest {
-        client_connection: 7,
-        statement: Rc::from(&b"SELECT 1"[..]),
-        deadline: now + 9 * SEC,
-        ..job(false)
-    };
-    if gone_before {
-        leaves(&mut client);
     }
-    assert_eq!(endpoint.send(EngineCommand::Start(job)), Ok(()));
-    let mut text = Vec::new();
-    let (mut told, mut kept) = (Vec::new(), Vec::new());
-    let mut stream = None;
-    run(&mut || {
-        stream = stream
-            .take()
-            .or_else(|| line.get_ref().accept().ok())
-            .inspect(|(stream, _)| {
-                stream.set_nonblocking(true).expect("a socket");
-            });
-        let mut piece = [0; 256];
-        if let Some((stream, _)) = &stream
-            && let Ok(n) = (&*stream).read(&mut piece)
+
+    fn poll_engine(&mut self) {
+        if self.engine_connection.is_none()
+            && let Ok((stream, _)) = self.engine.get_ref().accept()
         {
-            text.extend_from_slice(&piece[..n]);
+            stream.set_nonblocking(true).expect("a socket");
+            self.engine_connection = Some(stream);
         }
-        while let Ok(input) = inputs.try_recv() {
-            match input {
-                DispatcherEvent::ClientDisconnected(conn) => told.push(format!("hung up {conn}")),
-                DispatcherEvent::AttemptFinished(ended) => {
-                    told.push(format!("{:?} {:?}", ended.termination, ended.progress))
+        let mut buffer = [0; 256];
+        if let Some(mut stream) = self.engine_connection.as_ref()
+            && let Ok(count) = stream.read(&mut buffer)
+        {
+            self.engine_input.extend_from_slice(&buffer[..count]);
+        }
+    }
+
+    fn poll_dispatcher(&mut self) {
+        while let Ok(event) = self.events.try_recv() {
+            match event {
+                DispatcherEvent::ClientDisconnected(conn) => {
+                    self.reported.push(format!("client {conn} disconnected"));
+                }
+                DispatcherEvent::AttemptFinished(result) => {
+                    let (termination, progress) = (result.termination, result.progress);
+                    self.reported.push(format!("{termination:?} {progress:?}"));
                 }
-                DispatcherEvent::ClientConnected(_, answers) => kept.push(answers),
+                DispatcherEvent::ClientConnected(..) => self.responses.push(event),
                 _ => {}
             }
         }
-        if text.ends_with(b"SELECT 1\r\n") && client.is_some() {
-            leaves(&mut client);
+    }
+
+    fn reported_unsent(&self) -> bool {
+        let unsent = format!("{:?}", TransmitProgress::Unsent);
+        self.reported.iter().any(|line| line.contains(&unsent))
+    }
+}
+
+/// Starts an attempt for a client that disconnects, and gives what the engine read and what was
+/// reported to the dispatcher.
+fn dispatch(disconnect: Disconnect) -> (String, Vec<String>) {
+    let mut scene = Scene::new();
+    scene.run_until(|scene| scene.shared.clients.borrow().contains_key(&CLIENT));
+    let request = AttemptRequest {
+        client_connection: CLIENT,
+        statement: Rc::from(&b"SELECT 1"[..]),
+        deadline: crate::clock::turn() + 9 * SEC,
+        ..attempt(false)
+    };
+    let disconnects_before = disconnect == Disconnect::BeforeFirstByte;
+    if disconnects_before {
+        scene.disconnect_client();
+    }
+    assert_eq!(scene.endpoint.send(EngineCommand::Start(request)), Ok(()));
+    scene.run_until(|scene| {
+        scene.poll_engine();
+        scene.poll_dispatcher();
+        if scene.engine_input.ends_with(b"SELECT 1\r\n") && scene.client.is_some() {
+            scene.disconnect_client();
         }
-        !told.is_empty() && (gone_before == told.iter().any(|t| t.contains("Unsent")))
+        !scene.reported.is_empty() && scene.reported_unsent() == disconnects_before
     });
-    (String::from_utf8(text).expect("text"), told)
+    let text = String::from_utf8(scene.engine_input).expect("text");
+    (text, scene.reported)
 }
 
-/// Guards against work for nobody, first order: the client has gone when the attempt is about to go
-/// out, its end behind bytes that nobody has read. Not a byte goes out, and the core hears of the
-/// client before it hears of the attempt.
+/// No work is done for a client that disconnected before the first byte, and the dispatcher learns
+/// of the client before it learns of the attempt, lest it retries.
 #[test]
-fn no_attempt_begins_for_a_client_that_has_gone() {
-    let (text, told) = dispatch(true);
-    assert_eq!(text, "");
-    let hung_up = told.iter().position(|t| t == "hung up 7");
-    let unsent = told.iter().position(|t| t == "Cancelled Unsent");
-    assert!(hung_up < unsent && hung_up.is_some(), "{told:?}");
+fn no_attempt_is_sent_for_a_client_that_has_disconnected() {
+    let (engine_input, reported) = dispatch(Disconnect::BeforeFirstByte);
+
+    assert_eq!(engine_input, "");
+    let position = |wanted: &str| reported.iter().position(|line| line == wanted);
+    let disconnected = position("client 7 disconnected");
+    let withdrawn = position("Cancelled Unsent");
+    assert!(
+        disconnected < withdrawn && disconnected.is_some(),
+        "{reported:?}"
+    );
 }
 
-/// The other order: what has begun goes out whole, once.
+/// An attempt whose first byte was written is completed, and sent once.
 #[test]
-fn an_attempt_that_has_begun_goes_out_whole_though_its_client_goes() {
-    let (text, told) = dispatch(false);
-    assert_eq!(text.matches("do k ").count(), 1, "{text}");
+fn an_attempt_that_has_begun_is_sent_completely_though_its_client_disconnects() {
+    let (engine_input, reported) = dispatch(Disconnect::AfterFirstByte);
+
+    assert_eq!(engine_input.matches("do k ").count(), 1, "{engine_input}");
+    assert!(
+        reported.iter().any(|line| line == "client 7 disconnected"),
+        "{reported:?}"
+    );
     assert!(
-        told.iter().any(|t| t == "hung up 7") && !told.iter().any(|t| t.contains("Unsent")),
-        "{told:?}"
+        !reported.iter().any(|line| line.contains("Unsent")),
+        "{reported:?}"
     );
 }
--- a/tests/unit/net_engine_endpoint.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -1,6 +1,6 @@
-//! An engine's actor is there while something is open or owed. What may cross its making and its
-//! end is forced here: the crossing word comes after every number of steps that the actors can have
-//! taken, so that each order of the two is met.
+//! The actor of an engine exists while something is in flight or queued there. Events that may
+//! cross its start or its end are forced here after every number of steps that the actors can have
+//! taken, so that each order of the two is covered.
 use super::{
     ConnectionOptions, EndpointHandle, EngineCommand, MAILBOX_CAPACITY, StartActor, bounded, spawn,
 };
@@ -21,357 +21,400 @@
 use std::rc::Rc;
 
 /// More steps than any of the crossings takes.
-const STEPS: usize = 24;
+const MAX_STEPS: usize = 24;
 const CLIENT: u64 = 7;
 
-struct World {
+/// The end of an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct End {
+    id: RequestId,
+    termination: Termination,
+    progress: TransmitProgress,
+}
+
+/// An engine, and a dispatcher that records what is reported to it.
+struct Scene {
     shared: Rc<Shared>,
-    core: Sender<DispatcherEvent>,
-    inputs: Receiver<DispatcherEvent>,
-    line: Async<TcpListener>,
+    dispatcher: Sender<DispatcherEvent>,
+    events: Receiver<DispatcherEvent>,
+    engine: Async<TcpListener>,
     addr: SocketAddr,
-    /// What the engine read, over all connections, and those.
-    read: String,
-    conns: Vec<TcpStream>,
+    /// What the engine has read, over all connections.
+    engine_input: String,
+    engine_connections: Vec<TcpStream>,
     /// The engine closes a connection once it has read a whole command.
-    closes: bool,
-    /// It closes all connections.
-    hangs_up: bool,
-    ended: Vec<(RequestId, Termination, TransmitProgress)>,
-    probed: Vec<OutcomeKind>,
+    closes_after_command: bool,
+    /// The engine closes all connections.
+    closes_all: bool,
+    ends: Vec<End>,
+    probes: Vec<OutcomeKind>,
     _client: (Rc<Async<TcpStream>>, TcpStream),
 }
 
-fn world() -> World {
-    let shared = Shared::new(64, 64);
-    let (core, inputs) = async_channel::bounded(1_000);
-    let client = resting(&shared, CLIENT);
-    let (line, addr) = listener();
-    World {
-        shared,
-        core,
-        inputs,
-        line,
-        addr,
-        read: String::new(),
-        conns: Vec::new(),
-        closes: true,
-        hangs_up: false,
-        ended: Vec::new(),
-        probed: Vec::new(),
-        _client: client,
+impl Scene {
+    fn new() -> Scene {
+        let shared = Shared::new(64, 64);
+        let (dispatcher, events) = async_channel::bounded(1_000);
+        let client = resting(&shared, CLIENT);
+        let (engine, addr) = listener();
+        Scene {
+            shared,
+            dispatcher,
+            events,
+            engine,
+            addr,
+            engine_input: String::new(),
+            engine_connections: Vec::new(),
+            closes_after_command: true,
+            closes_all: false,
+            ends: Vec::new(),
+            probes: Vec::new(),
+            _client: client,
+        }
     }
-}
 
-impl World {
-    fn row(&self, id: u64) -> Rc<EndpointHandle> {
-        let (shared, core) = (self.shared.clone(), self.core.clone());
+    /// An endpoint of the engine without an actor.
+    fn endpoint(&self) -> Rc<EndpointHandle> {
+        let (shared, dispatcher) = (self.shared.clone(), self.dispatcher.clone());
         let names = Rc::new(Names {
             streams: 4,
             ..Names::default()
         });
+        let options = ConnectionOptions {
+            connect_timeout: 5 * SEC,
+            keepalive: 600 * SEC,
+            supports_databases: false,
+        };
         let start: StartActor = Rc::new(move |endpoint| {
-            let options = ConnectionOptions {
-                connect_timeout: 5 * SEC,
-                keepalive: 600 * SEC,
-                supports_databases: false,
-            };
             let names = names.clone();
-            spawn(&shared, core.clone(), endpoint, options, move || {
-                Platform::new(names.clone())
-            })
+            let new_protocol = move || Platform::new(names.clone());
+            spawn(&shared, dispatcher.clone(), endpoint, options, new_protocol)
         });
-        EndpointHandle::new(EngineId(id), self.addr, Readiness::Ready, start)
+        EndpointHandle::new(EngineId(1), self.addr, Readiness::Ready, start)
     }
 
-    /// So many steps of the actors.
-    fn steps(&mut self, n: usize) {
-        (0..n).for_each(|_| _ = self.shared.executor.try_tick());
+    /// Runs that many steps of the actors.
+    fn run_steps(&self, count: usize) {
+        for _ in 0..count {
+            self.shared.executor.try_tick();
+        }
     }
 
-    /// The engine and the core take what has come.
-    fn look(&mut self) {
-        while let Ok((stream, _)) = self.line.get_ref().accept() {
+    fn poll_engine(&mut self) {
+        while let Ok((stream, _)) = self.engine.get_ref().accept() {
             stream.set_nonblocking(true).expect("a socket");
-            self.conns.push(stream);
+            self.engine_connections.push(stream);
         }
-        let (read, closes) = (&mut self.read, self.closes);
-        if self.hangs_up {
-            self.conns.clear();
+        if self.closes_all {
+            self.engine_connections.clear();
         }
-        self.conns.retain(|stream| {
-            let mut piece = [0; 512];
-            match (&*stream).read(&mut piece) {
+        let closes_after_command = self.closes_after_command;
+        let engine_input = &mut self.engine_input;
+        self.engine_connections.retain_mut(|stream| {
+            let mut buffer = [0; 512];
+            match stream.read(&mut buffer) {
                 Ok(0) => false,
-                Ok(n) => {
-                    read.push_str(&String::from_utf8_lossy(&piece[..n]));
-                    !(closes && read.ends_with("\r\n"))
+                Ok(count) => {
+                    engine_input.push_str(&String::from_utf8_lossy(&buffer[..count]));
+                    !(closes_after_command && engine_input.ends_with("\r\n"))
                 }
                 Err(_) => true,
             }
         });
-        while let Ok(input) = self.inputs.try_recv() {
-            match input {
-                DispatcherEvent::AttemptFinished(ended) => {
-                    self.ended
-                        .push((ended.id, ended.termination, ended.progress))
-                }
-                DispatcherEvent::ProbeCompleted { kind, .. } => self.probed.push(kind),
+    }
+
+    fn poll_dispatcher(&mut self) {
+        while let Ok(event) = self.events.try_recv() {
+            match event {
+                DispatcherEvent::AttemptFinished(result) => self.ends.push(End {
+                    id: result.id,
+                    termination: result.termination,
+                    progress: result.progress,
+                }),
+                DispatcherEvent::ProbeCompleted { kind, .. } => self.probes.push(kind),
                 _ => {}
             }
         }
     }
 
-    fn until(&mut self, holds: &mut dyn FnMut(&World) -> bool) {
+    fn run_until(&mut self, mut condition: impl FnMut(&Scene) -> bool) {
         let executor = self.shared.executor.clone();
-        let came = async_io::block_on(executor.run(eventually(|| {
-            self.look();
-            holds(self)
+        let reached = async_io::block_on(executor.run(eventually(|| {
+            self.poll_engine();
+            self.poll_dispatcher();
+            condition(self)
         })));
         assert!(
-            came,
-            "it never came to that: {:?} {:?} {:?}",
-            self.read, self.ended, self.probed
+            reached,
+            "the condition was never met: {:?} {:?} {:?}",
+            self.engine_input, self.ends, self.probes
         );
     }
 
-    /// Runs until those have ended, and, with all connections closed by the engine, until no actor
-    /// is left; each has ended once, and what never went out was never read.
-    fn settles(&mut self, ids: &[u32]) {
-        self.until(&mut |w| {
-            ids.iter()
-                .all(|id| w.ended.iter().any(|e| e.0 == RequestId(*id)))
-        });
-        self.hangs_up = true;
-        self.until(&mut |w| {
-            w.shared.engine_actors.get() == 0 && w.shared.engine_sockets.get() == 0
+    fn has_ended(&self, id: u32) -> bool {
+        self.ends.iter().any(|end| end.id == RequestId(id))
+    }
+
+    fn ends_of(&self, id: u32) -> Vec<End> {
+        let of_request = |end: &&End| end.id == RequestId(id);
+        self.ends.iter().filter(of_request).copied().collect()
+    }
+
+    fn end_of(&self, id: u32) -> End {
+        *self.ends_of(id).first().expect("an end")
+    }
+
+    /// Runs until those requests have ended and, with all connections closed by the engine, no
+    /// actor is left. Each has ended once, and what was never sent was never read.
+    fn settle(&mut self, ids: &[u32]) {
+        self.run_until(|scene| ids.iter().all(|id| scene.has_ended(*id)));
+        self.closes_all = true;
+        self.run_until(|scene| {
+            let shared = &scene.shared;
+            shared.engine_actors.get() == 0 && shared.engine_sockets.get() == 0
         });
-        self.hangs_up = false;
+        self.closes_all = false;
         for id in ids {
-            let ends: Vec<_> = self
-                .ended
-                .iter()
-                .filter(|e| e.0 == RequestId(*id))
-                .collect();
-            let read = self.read.matches(&format!("do k{id} ")).count();
-            let most = usize::from(ends[0].2 != TransmitProgress::Unsent);
-            assert!(ends.len() == 1 && read <= most, "{ends:?} {}", self.read);
+            let ends = self.ends_of(*id);
+            let command = format!("do k{id} ");
+            let times_read = self.engine_input.matches(&command).count();
+            let max_read = usize::from(ends[0].progress != TransmitProgress::Unsent);
+            assert_eq!(ends.len(), 1, "{ends:?} {}", self.engine_input);
+            assert!(times_read <= max_read, "{ends:?} {}", self.engine_input);
         }
     }
-
-    fn end_of(&self, id: u32) -> (Termination, TransmitProgress) {
-        let end = self
-            .ended
-            .iter()
-            .find(|e| e.0 == RequestId(id))
-            .expect("an end");
-        (end.1, end.2)
-    }
 }
 
 fn start(id: u32) -> EngineCommand {
-    let (class, until) = ("lookup".into(), crate::clock::turn() + 60 * SEC);
-    let (key, statement) = (format!("k{id}").as_str().into(), Rc::from(&b"SELECT 1"[..]));
     EngineCommand::Start(AttemptRequest {
         id: RequestId(id),
         attempt: AttemptNo(0),
         client_connection: CLIENT,
-        client_request_id: key,
-        class,
-        statement,
-        deadline: until,
+        client_request_id: format!("k{id}").into(),
+        class: "lookup".into(),
+        statement: Rc::from(&b"SELECT 1"[..]),
+        deadline: crate::clock::turn() + 60 * SEC,
         ..AttemptRequest::default()
     })
 }
 
-/// Guards memory: an engine that nobody uses is a row. One that was used is one again once its
-/// connections are over.
+fn cancel(id: u32) -> EngineCommand {
+    EngineCommand::Cancel {
+        id: RequestId(id),
+        attempt: AttemptNo(0),
+    }
+}
+
+/// Bounds memory: an engine that nobody uses has no actor, and has none again once the connections
+/// of its last use have ended.
 #[test]
-fn an_actor_is_there_while_something_is_open() {
-    let mut w = world();
-    let row = w.row(1);
-    for order in [
-        EngineCommand::Cancel {
-            id: RequestId(1),
-            attempt: AttemptNo(0),
-        },
-        EngineCommand::CloseIdle,
-    ] {
+fn an_actor_exists_while_something_is_in_flight() {
+    let mut scene = Scene::new();
+    let endpoint = scene.endpoint();
+    for command in [cancel(1), EngineCommand::CloseIdle] {
         assert_eq!(
-            row.send(order),
+            endpoint.send(command),
             Ok(()),
-            "nothing is open: there is nothing to do"
+            "nothing is in flight: there is nothing to do"
         );
     }
-    w.steps(STEPS);
-    assert!(!row.is_active() && w.shared.engine_actors.get() == 0);
+    scene.run_steps(MAX_STEPS);
+    assert!(!endpoint.is_active());
+    assert_eq!(scene.shared.engine_actors.get(), 0);
+
     for id in 1..4 {
-        assert_eq!(row.send(start(id)), Ok(()));
-        assert!(row.is_active());
-        w.settles(&[id]);
-        assert!(
-            !row.is_active() && !row.is_closed(),
-            "a row again, and in the list"
+        assert_eq!(endpoint.send(start(id)), Ok(()));
+        assert!(endpoint.is_active());
+        scene.settle(&[id]);
+        assert!(!endpoint.is_active());
+        assert!(!endpoint.is_closed(), "it is still in the list");
+    }
+}
+
+/// Drains an engine after `steps` of the actors since its first use, and gives the progress of the
+/// attempt.
+fn drain_after(steps: usize) -> TransmitProgress {
+    let mut scene = Scene::new();
+    let endpoint = scene.endpoint();
+    assert_eq!(endpoint.send(start(1)), Ok(()));
+    scene.run_steps(steps);
+    if steps == MAX_STEPS {
+        scene.run_until(|scene| !scene.engine_input.is_empty());
+    }
+
+    endpoint.set_readiness(Readiness::Draining);
+    let later_attempt = endpoint.send(start(2));
+
+    if later_attempt.is_ok() {
+        scene.settle(&[1, 2]);
+        let end = scene.end_of(2);
+        assert_eq!(
+            (end.termination, end.progress),
+            (Termination::Drained, TransmitProgress::Unsent)
         );
+    } else {
+        scene.settle(&[1]);
     }
+    let end = scene.end_of(1);
+    assert_eq!(
+        end.termination == Termination::Drained,
+        end.progress == TransmitProgress::Unsent,
+        "{end:?}"
+    );
+    // Without an actor the drain applies as well, until the engine is in service again.
+    assert_eq!(endpoint.send(start(3)), Err(Termination::Drained));
+    endpoint.set_readiness(Readiness::Ready);
+    assert_eq!(endpoint.send(start(4)), Ok(()));
+    scene.settle(&[4]);
+    assert_ne!(scene.end_of(4).progress, TransmitProgress::Unsent);
+    end.progress
 }
 
-/// Guards rule 3, both orders: a drain that is told while the actor is being made, while it
-/// connects, and after the first byte. What has not gone out by then does not go out, and nothing
-/// starts afterwards, actor or none.
+/// An engine drains while its actor is started, while it connects, and after the first byte. What
+/// was not sent by then is not sent, and nothing starts afterwards, with or without an actor.
 #[test]
-fn a_drain_crosses_the_first_use() {
-    let mut reaches = Vec::new();
-    for steps in 0..=STEPS {
-        let mut w = world();
-        let row = w.row(1);
-        assert_eq!(row.send(start(1)), Ok(()));
-        w.steps(steps);
-        if steps == STEPS {
-            w.until(&mut |w| !w.read.is_empty());
+fn a_drain_during_the_first_use_withdraws_what_is_unsent() {
+    let progress: Vec<TransmitProgress> = (0..=MAX_STEPS).map(drain_after).collect();
+
+    assert_eq!(progress[0], TransmitProgress::Unsent, "{progress:?}");
+    assert_ne!(
+        progress[MAX_STEPS],
+        TransmitProgress::Unsent,
+        "{progress:?}"
+    );
+}
+
+/// Commands that may cross the end of an actor.
+#[derive(Clone, Copy)]
+enum Crossing {
+    Start,
+    Probe,
+    Cancel,
+}
+
+fn cross_the_end_of_an_actor(crossing: Crossing, steps: usize) {
+    let mut scene = Scene::new();
+    let endpoint = scene.endpoint();
+    assert_eq!(endpoint.send(start(1)), Ok(()));
+    // The engine closes the connection as it has read this; the actors have not noticed yet.
+    scene.run_until(|scene| scene.engine_input.ends_with("\r\n"));
+    scene.run_steps(steps);
+    match crossing {
+        Crossing::Start => {
+            assert_eq!(endpoint.send(start(2)), Ok(()));
+            scene.settle(&[1, 2]);
         }
-        row.set_readiness(Readiness::Draining);
-        let later = row.send(start(2));
-        w.settles(if later.is_ok() { &[1, 2] } else { &[1] });
-        if later.is_ok() {
-            assert_eq!(
-                w.end_of(2),
-                (Termination::Drained, TransmitProgress::Unsent)
-            );
+        Crossing::Probe => {
+            let probe = EngineCommand::Probe {
+                not_after: u64::MAX,
+            };
+            assert_eq!(endpoint.send(probe), Ok(()));
+            scene.run_until(|scene| !scene.probes.is_empty());
+            scene.settle(&[1]);
+            assert_eq!(scene.probes.len(), 1);
+        }
+        Crossing::Cancel => {
+            assert_eq!(endpoint.send(cancel(1)), Ok(()));
+            scene.settle(&[1]);
         }
-        let (end, reach) = w.end_of(1);
-        assert_eq!(
-            end == Termination::Drained,
-            reach == TransmitProgress::Unsent,
-            "{end:?} {reach:?}"
-        );
-        reaches.push(reach);
-        // Without an actor the drain holds as well, until the engine is in service again.
-        assert_eq!(row.send(start(3)), Err(Termination::Drained));
-        row.set_readiness(Readiness::Ready);
-        assert_eq!(row.send(start(4)), Ok(()));
-        w.settles(&[4]);
-        assert_ne!(w.end_of(4).1, TransmitProgress::Unsent);
     }
-    assert!(
-        reaches[0] == TransmitProgress::Unsent && reaches[STEPS] != TransmitProgress::Unsent,
-        "both orders: {reaches:?}"
-    );
 }
 
-/// Guards the rule of one end: an attempt, a probe or a withdrawal that comes while the last
-/// connection ends and the actor is let go, after every number of steps. Nothing that was taken is
-/// lost, nothing ends twice.
+/// An attempt, a health check or a cancellation comes while the last connection ends and with it
+/// the actor. Nothing that was accepted is lost, and nothing ends twice.
 #[test]
-fn an_order_crosses_the_end_of_an_idle_actor() {
-    for steps in 0..=STEPS {
-        for what in 0..3 {
-            let mut w = world();
-            let row = w.row(1);
-            assert_eq!(row.send(start(1)), Ok(()));
-            // The engine closes as it has read this; the actors have not seen it yet.
-            w.until(&mut |w| w.read.ends_with("\r\n"));
-            w.steps(steps);
-            match what {
-                0 => assert_eq!(row.send(start(2)), Ok(())),
-                1 => assert_eq!(
-                    row.send(EngineCommand::Probe {
-                        not_after: u64::MAX
-                    }),
-                    Ok(())
-                ),
-                _ => assert_eq!(
-                    row.send(EngineCommand::Cancel {
-                        id: RequestId(1),
-                        attempt: AttemptNo(0)
-                    }),
-                    Ok(())
-                ),
-            }
-            match what {
-                0 => w.settles(&[1, 2]),
-                1 => {
-                    w.until(&mut |w| !w.probed.is_empty());
-                    w.settles(&[1]);
-                    assert_eq!(w.probed.len(), 1);
-                }
-                _ => w.settles(&[1]),
-            }
+fn a_command_during_the_end_of_an_idle_actor_is_not_lost() {
+    for steps in 0..=MAX_STEPS {
+        for crossing in [Crossing::Start, Crossing::Probe, Crossing::Cancel] {
+            cross_the_end_of_an_actor(crossing, steps);
         }
     }
 }
 
-/// Guards attempts that nobody could give up any more: an engine leaves, and another process has
-/// its address, while the actor of the first ends. What was out on the first ends, and the second's
-/// attempt goes out on its own connection.
+fn replace_engine(steps: usize, removed_before: bool) {
+    let mut scene = Scene::new();
+    scene.closes_after_command = false;
+    let old = scene.endpoint();
+    assert_eq!(old.send(start(1)), Ok(()));
+    scene.run_steps(steps);
+    if removed_before {
+        old.set_readiness(Readiness::Gone);
+    }
+
+    old.close();
+    let new = scene.endpoint();
+    assert_eq!(new.send(start(2)), Ok(()));
+
+    assert!(old.send(start(3)).is_err());
+    assert!(old.is_closed());
+    scene.run_until(|scene| scene.engine_input.contains("do k2 ") && scene.has_ended(1));
+    assert!(
+        !scene.has_ended(2),
+        "the attempt on the new one is in flight"
+    );
+    scene.closes_after_command = true;
+    scene.engine_connections.clear();
+    scene.settle(&[1, 2]);
+}
+
+/// An engine is removed and another process gets its address while the actor of the first ends.
+/// Attempts on the first end, as nobody could cancel them any more; the attempt on the second is
+/// sent on a connection of its own.
 #[test]
-fn an_engine_leaves_and_comes_back_while_its_actor_ends() {
-    for steps in 0..=STEPS {
-        for leaves in [true, false] {
-            let mut w = world();
-            w.closes = false;
-            let old = w.row(1);
-            assert_eq!(old.send(start(1)), Ok(()));
-            w.steps(steps);
-            if leaves {
-                old.set_readiness(Readiness::Gone);
-            }
-            old.close();
-            let new = w.row(1);
-            assert_eq!(new.send(start(2)), Ok(()));
-            assert!(old.send(start(3)).is_err() && old.is_closed());
-            w.until(&mut |w| {
-                w.read.contains("do k2 ") && w.ended.iter().any(|e| e.0 == RequestId(1))
-            });
-            assert!(
-                w.ended.iter().all(|e| e.0 != RequestId(2)),
-                "the second's is out"
-            );
-            w.closes = true;
-            w.conns.clear();
-            w.settles(&[1, 2]);
+fn a_replaced_engine_ends_its_attempts_while_its_actor_ends() {
+    for steps in 0..=MAX_STEPS {
+        for removed_before in [true, false] {
+            replace_engine(steps, removed_before);
         }
     }
 }
 
-/// Guards an engine's good name, and the next attempt: no descriptor is left at the first use. The
-/// attempt ends as never sent, the actor goes, and the next use finds a descriptor again.
+/// Without a descriptor at the first use the attempt ends unsent, which is no fault of the engine;
+/// the actor ends too, and the next use finds a descriptor again.
 #[test]
-fn no_descriptor_is_left_at_the_first_use() {
-    let mut w = world();
-    let row = w.row(1);
-    let most = w.shared.max_engine_sockets.replace(0);
-    assert_eq!(row.send(start(1)), Ok(()));
-    w.settles(&[1]);
+fn an_attempt_without_a_descriptor_ends_unsent() {
+    let mut scene = Scene::new();
+    let endpoint = scene.endpoint();
+    let max_sockets = scene.shared.max_engine_sockets.replace(0);
+
+    assert_eq!(endpoint.send(start(1)), Ok(()));
+    scene.settle(&[1]);
+    let end = scene.end_of(1);
     assert_eq!(
-        w.end_of(1),
+        (end.termination, end.progress),
         (Termination::LocalLimit, TransmitProgress::Unsent)
     );
-    w.shared.max_engine_sockets.set(most);
-    assert_eq!(row.send(start(2)), Ok(()));
-    w.settles(&[2]);
-    assert_ne!(w.end_of(2).1, TransmitProgress::Unsent);
+
+    scene.shared.max_engine_sockets.set(max_sockets);
+    assert_eq!(endpoint.send(start(2)), Ok(()));
+    scene.settle(&[2]);
+    assert_ne!(scene.end_of(2).progress, TransmitProgress::Unsent);
 }
 
-/// Guards the bound on what waits for an engine, which is as it was: what does not fit is never
-/// sent, and a withdrawal that does not fit ends the connections.
+/// What waits for an engine is bounded: an attempt beyond the bound is not accepted, and neither is
+/// a cancellation, after which the dispatcher aborts the actor with its connections.
 #[test]
-fn a_full_mailbox_refuses() {
-    let mut w = world();
-    let row = w.row(1);
-    let filled = (1..).take_while(|id| row.send(start(*id)).is_ok()).count();
-    assert_eq!(filled, MAILBOX_CAPACITY);
-    assert_eq!(
-        row.send(EngineCommand::Cancel {
-            id: RequestId(1),
-            attempt: AttemptNo(0)
-        }),
-        Err(Termination::LocalLimit)
-    );
-    row.abort();
-    assert!(!row.is_active() && !row.is_closed());
-    let (orders, _mailbox) = bounded(1);
-    assert!(orders.try_send(0).is_ok() && orders.try_send(1).is_err());
-    w.closes = false;
-    w.until(&mut |w| w.shared.engine_actors.get() == 0 && w.ended.len() == filled);
+fn a_full_mailbox_rejects_commands() {
+    let mut scene = Scene::new();
+    let endpoint = scene.endpoint();
+
+    let accepted = (1..)
+        .take_while(|id| endpoint.send(start(*id)).is_ok())
+        .count();
+    assert_eq!(accepted, MAILBOX_CAPACITY);
+    assert_eq!(endpoint.send(cancel(1)), Err(Termination::LocalLimit));
+
+    endpoint.abort();
+    assert!(!endpoint.is_active());
+    assert!(!endpoint.is_closed());
+    scene.closes_after_command = false;
+    scene.run_until(|scene| scene.shared.engine_actors.get() == 0 && scene.ends.len() == accepted);
+}
+
+#[test]
+fn a_mailbox_holds_no_more_than_its_capacity() {
+    let (commands, _mailbox) = bounded(1);
+
+    assert!(commands.try_send(0).is_ok());
+    assert!(commands.try_send(1).is_err());
 }
