--- a/tests/unit/mutation.rs
+++ b/tests/unit/mutation.rs
@@ -2,7 +2,7 @@
 //! the coordinator: a message dropped, doubled, cut short, held past its deadline, a byte flipped,
 //! each figure at its extremes. After each: one end or answer at most, and whatever else was open
 //! is not harmed by more than the wire's end.
-use crate::backend::connection_state::{ConnectionState, Event};
+use crate::backend::connection_state::{ConnectionEvent, ConnectionState};
 use crate::backend::platform::Platform;
 use crate::clock::{MS, Micros, SEC};
 use crate::config::process::Names;
@@ -10,7 +10,7 @@
 use crate::dispatcher::{AttemptRequest, Response};
 use crate::frontend::jsonrpc::JsonRpc;
 use crate::frontend::{Front, FrontendEvent};
-use crate::net::discovery::coordinator::{Follower, WatchPosition};
+use crate::net::discovery::coordinator::{WatchPosition, WatchReader};
 use crate::policy::api::{AttemptNo, RequestId};
 use crate::testkit::clients::rpc_line;
 use std::collections::BTreeMap;
@@ -76,13 +76,13 @@
             ..Names::default()
         };
         let (mut now, mut events) = (SEC, Vec::new());
-        let mut link = ConnectionState::new(now, Platform::new(Rc::new(names)));
-        link.probe(now);
+        let mut connection = ConnectionState::new(now, Platform::new(Rc::new(names)));
+        connection.send_probe(now);
         for id in 0..4u32 {
             let key: Rc<str> = format!("a{id}").into();
             let statement = Rc::from(&b"SELECT 1"[..]);
             let (id, until) = (RequestId(id), now + 9 * SEC);
-            link.start(
+            connection.start_attempt(
                 now,
                 &AttemptRequest {
                     id,
@@ -94,34 +94,34 @@
                 },
             );
         }
-        let write = |link: &mut ConnectionState<Platform>, now| {
-            while let Some(n) = link.to_write().map(<[u8]>::len) {
-                link.wrote(now, n);
+        let write = |connection: &mut ConnectionState<Platform>, now| {
+            while let Some(n) = connection.pending_output().map(<[u8]>::len) {
+                connection.advance_output(now, n);
             }
         };
-        write(&mut link, now);
+        write(&mut connection, now);
         let told_full = mutant
             .iter()
             .any(|(_, m)| words(m, "WAIT") || words(m, "PAST"));
         for (wait, message) in mutant {
             now += wait;
-            link.due(now, &mut events);
-            if link.over().is_none() && !message.is_empty() {
-                link.read(now, &message, &mut events);
-                write(&mut link, now);
+            connection.on_timeout(now, &mut events);
+            if connection.close_reason().is_none() && !message.is_empty() {
+                connection.receive(now, &message, &mut events);
+                write(&mut connection, now);
             }
         }
-        link.due(now + 5 * SEC, &mut events);
-        link.close(
+        connection.on_timeout(now + 5 * SEC, &mut events);
+        connection.close(
             now + 5 * SEC,
-            link.over().unwrap_or(Termination::Reset),
+            connection.close_reason().unwrap_or(Termination::Reset),
             &mut events,
         );
         let mut ends: BTreeMap<RequestId, usize> = BTreeMap::new();
         let mut probes = 0;
         for event in events {
             match event {
-                Event::Ended(ended) => {
+                ConnectionEvent::AttemptEnded(ended) => {
                     assert_eq!(
                         (ended.attempt, ended.progress),
                         (AttemptNo(0), TransmitProgress::Complete),
@@ -134,7 +134,7 @@
                     );
                     *ends.entry(ended.id).or_default() += 1;
                 }
-                Event::Probed { .. } => probes += 1,
+                ConnectionEvent::ProbeCompleted { .. } => probes += 1,
             }
         }
         assert_eq!(
@@ -237,13 +237,13 @@
         frame(7, 2, 1),
     ];
     for (number, mutant) in mutants(&messages).into_iter().enumerate() {
-        let mut follower = Follower::new(Rc::new(WatchPosition::at(3)));
-        let mut told = vec![u64::from_be_bytes(follower.hello())];
+        let mut reader = WatchReader::new(Rc::new(WatchPosition::after(3)));
+        let mut told = vec![u64::from_be_bytes(reader.begin_connection())];
         for (_, message) in mutant {
-            match follower.feed(&message) {
+            match reader.receive(&message) {
                 Ok(updates) => told.extend(updates.into_iter().map(|u| u.index)),
                 Err(_) => {
-                    let from = u64::from_be_bytes(follower.hello());
+                    let from = u64::from_be_bytes(reader.begin_connection());
                     assert_eq!(Some(&from), told.last(), "{number}");
                 }
             }
