--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -2,8 +2,8 @@
 //!
 //! The `*Json` structs have the platform's keys, all of them optional.
 use crate::policy::api::{
-    ClassSpec, Idempotency, Invariants, KindId, KindSpec, Limits, LoadField,
-    MemoryExhaustionPolicy, RetryBudget, Scope, Settings, TenantSpec, ZoneId,
+    ClassSpec, DeduplicationScope, Idempotency, Invariants, Limits, LoadField, MachineTypeId,
+    MachineTypeSpec, MemoryExhaustionPolicy, RetryBudget, Settings, TenantSpec, ZoneId,
 };
 use serde::Deserialize;
 use thiserror::Error;
@@ -142,14 +142,14 @@
             gateway_index: json.me,
             gateways: json.peers_total,
             zone: ZoneId(json.az),
-            tick: json.quantum_ns,
+            batch_interval: json.quantum_ns,
             classes,
-            kinds: kind_specs(json.kinds.len(), &json.extra),
+            machine_types: machine_type_specs(json.kinds.len(), &json.extra),
             tenants: json.orgs.into_iter().map(TenantSpec::from).collect(),
             over_quota_weight: json.over_share_worth,
             poll_endpoint_list: json.discovery == "ask",
             load_fields: load_fields(&json.load_info.fields),
-            cross_zone_costs: json.prices.cross_zone > 0.0,
+            cross_zone_is_charged: json.prices.cross_zone > 0.0,
             probe_price: json.prices.probe,
             memory_grants_supported: json.extra.takes_grants,
             priorities_supported: json.extra.ranks_heeded,
@@ -170,7 +170,7 @@
     index: usize,
 ) -> Result<ClassSpec, SettingsError> {
     let zone_ids = |zones: &Vec<u16>| zones.iter().copied().map(ZoneId).collect();
-    let kind_ids = |kinds: &Vec<u16>| kinds.iter().copied().map(KindId).collect();
+    let machine_type_ids = |types: &Vec<u16>| types.iter().copied().map(MachineTypeId).collect();
     Ok(ClassSpec {
         priority_weight: class.worth,
         late_priority_weight: class.late_worth,
@@ -178,13 +178,13 @@
         objective_slowdown: class.aim_stretch,
         deadline: class.deadline_ns,
         idempotency: idempotency(class)?,
-        in_order: class.serial_by_key,
+        serial_per_key: class.serial_by_key,
         threads: item_or(&extra.class_threads, index, 1.0),
-        is_load: item_or(&extra.loads, index, false),
-        waits_for_loads: item_or(&extra.blocked_by_loads, index, false),
-        streams: class.stream,
-        only_zones: class.stays_in.as_ref().map(zone_ids),
-        only_kinds: class.runs_on.as_ref().map(kind_ids),
+        loads_data_set: item_or(&extra.loads, index, false),
+        blocked_by_loads: item_or(&extra.blocked_by_loads, index, false),
+        streams_response: class.stream,
+        allowed_zones: class.stays_in.as_ref().map(zone_ids),
+        allowed_machine_types: class.runs_on.as_ref().map(machine_type_ids),
     })
 }
 
@@ -206,19 +206,19 @@
     }
 }
 
-fn deduplication_scope(name: &str) -> Scope {
+fn deduplication_scope(name: &str) -> DeduplicationScope {
     match name {
-        "zone" => Scope::Zone,
-        "cell" => Scope::Cell,
-        _ => Scope::All,
+        "zone" => DeduplicationScope::Zone,
+        "cell" => DeduplicationScope::Cell,
+        _ => DeduplicationScope::All,
     }
 }
 
 /// The kinds of machine: as many as are listed, or as many as `extra` has cores for.
-fn kind_specs(listed: usize, extra: &ExtraJson) -> Vec<KindSpec> {
+fn machine_type_specs(listed: usize, extra: &ExtraJson) -> Vec<MachineTypeSpec> {
     let count = listed.max(extra.cores_by_kind.len());
     (0..count)
-        .map(|index| KindSpec {
+        .map(|index| MachineTypeSpec {
             cores: item_or(&extra.cores_by_kind, index, 1.0),
             memory_mb: item_or(&extra.ram_of_kind_mb, index, 0.0),
         })
@@ -231,14 +231,14 @@
 
 fn load_field(name: &str) -> LoadField {
     match name {
-        "outstanding" => LoadField::Inflight,
-        "backlog" => LoadField::Queue,
-        "utilization" => LoadField::Util,
-        "recent_ms" => LoadField::RecentMs,
-        "throughput" => LoadField::Rate,
-        "errors_per_s" => LoadField::Errors,
-        "x0" => LoadField::MemoryGranted,
-        "x1" => LoadField::DisksBusy,
+        "outstanding" => LoadField::QueriesInFlight,
+        "backlog" => LoadField::QueriesQueued,
+        "utilization" => LoadField::CpuUtilization,
+        "recent_ms" => LoadField::RecentServiceMillis,
+        "throughput" => LoadField::ThroughputPerSecond,
+        "errors_per_s" => LoadField::ErrorsPerSecond,
+        "x0" => LoadField::MemoryGrantedFraction,
+        "x1" => LoadField::DiskUtilization,
         _ => LoadField::Unknown,
     }
 }
@@ -268,15 +268,15 @@
             window,
         });
         Invariants {
-            answer_slack: json.answer_slack_ns,
+            response_grace: json.answer_slack_ns,
             drain_grace: json.drain_grace_ns,
-            slow_start_from: json.cold_from,
+            slow_start_initial_fraction: json.cold_from,
             slow_start_duration: json.warm_within_ns,
             overload_multiple: json.fall_multiple,
             overload_window: json.fall_ns,
             key_cooldown: json.key_rest_ns,
             retry_budget,
-            poll_within: json.ask_within_ns,
+            max_poll_interval: json.ask_within_ns,
         }
     }
 }
@@ -288,7 +288,7 @@
             may_cancel: json.may_cancel,
             may_probe: json.probing,
             may_message_peers: json.peers,
-            retry_after: json.retry_after,
+            may_send_retry_after: json.retry_after,
             max_retry_after: json.max_retry_after_ns,
             hedging: json.second_copies,
         }
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -19,7 +19,8 @@
 use crate::statement;
 use in_flight::{InFlightAttempt, InFlightRequest, PossibleExecution};
 pub use message::{
-    AttemptRequest, AttemptResult, ClientRequest, Command, Cost, Failure, Origin, Response, Session,
+    AttemptReply, AttemptRequest, AttemptResult, ClientRequest, Command, Cost, Failure, Origin,
+    Response, Session,
 };
 use metrics::{Counters, MetricsSnapshot};
 use std::cmp::Reverse;
@@ -257,7 +258,7 @@
         }
         self.engines.extend(entries.iter().map(|e| (e.id, *e)));
         self.engines
-            .retain(|_, entry| entry.readiness != Readiness::Gone);
+            .retain(|_, entry| entry.readiness != Readiness::Removed);
         self.tell(now, Event::EndpointList { kind, entries }, orders);
     }
 
@@ -321,17 +322,17 @@
             class: ask.class,
             tenant: ask.tenant,
             key: None,
-            deadline: nanos(ask.give_up_at),
+            deadline: nanos(ask.deadline),
             work_hint: ask.work_estimate.map(nanos),
-            memory_hint: ask.memory_mb,
+            memory_hint_mb: ask.memory_mb,
             data_set: statement::group(&ask.statement, schema)
                 .map_or(0, |group| group.wrapping_add(1)),
-            is_retry: ask.repeated,
+            is_retry: ask.is_retry,
             must_not_repeat: effect == Idempotency::NonIdempotent,
         });
         self.generations.opened(ask.class);
         self.origins.insert(ask.origin, id);
-        self.deadlines.insert((ask.give_up_at + GUARD, id));
+        self.deadlines.insert((ask.deadline + GUARD, id));
         let open = InFlightRequest::new(ask, effect, self.max_attempts, copies);
         self.open.insert(id, open);
         self.tell(now, event, orders);
@@ -367,8 +368,8 @@
             return;
         };
         open.closed = true;
-        self.deadlines.remove(&(open.ask.give_up_at + GUARD, id));
-        self.tell(now, Event::ClientGone(id), orders);
+        self.deadlines.remove(&(open.ask.deadline + GUARD, id));
+        self.tell(now, Event::ClientDisconnected(id), orders);
         self.stop_all(id, Termination::Cancelled, orders);
         self.forget(id);
     }
@@ -413,14 +414,14 @@
         }
         open.last_end = Some(end);
         let cost = if self.heeds.costs && kind == OutcomeKind::Ok {
-            ended.cost
+            ended.reply.cost
         } else {
             Cost::default()
         };
         let served = kind == OutcomeKind::Ok && !open.closed;
         let closed = open.closed || served;
         if served {
-            self.close(id, Response::Completed(ended.rows), orders);
+            self.close(id, Response::Completed(ended.reply.rows), orders);
         }
         let event = Event::Outcome(Outcome {
             id,
@@ -431,7 +432,7 @@
             request_finished: closed,
             work: cost.work.map(nanos),
             memory_mb: cost.memory_mb,
-            load: ended.load,
+            load: ended.reply.load,
         });
         self.tell(now, event, orders);
         self.forget(id);
@@ -457,7 +458,7 @@
             .collect();
         for id in open {
             self.refuse(id, ELSEWHERE_AFTER, orders);
-            self.tell(now, Event::ClientGone(id), orders);
+            self.tell(now, Event::ClientDisconnected(id), orders);
         }
     }
 
@@ -490,7 +491,7 @@
             let Some(open) = self.open.get_mut(&id) else {
                 continue;
             };
-            if at < open.ask.give_up_at + GUARD {
+            if at < open.ask.deadline + GUARD {
                 let late = open
                     .outs
                     .iter()
@@ -504,7 +505,7 @@
                 // already.
                 self.counters.stopped += 1;
                 self.fail(id, Failure::Deadline, orders);
-                self.tell(now, Event::ClientGone(id), orders);
+                self.tell(now, Event::ClientDisconnected(id), orders);
                 self.stop_all(id, Termination::Deadline, orders);
                 self.forget(id);
             }
@@ -520,7 +521,7 @@
         }
         tokens
             .into_iter()
-            .for_each(|token| self.tell(now, Event::Timer(token), orders));
+            .for_each(|token| self.tell(now, Event::TimerFired(token), orders));
     }
 
     fn carry_out(&mut self, now: Micros, act: Action, orders: &mut Vec<Command>) {
@@ -555,7 +556,7 @@
                 };
                 self.fail(id, why, orders);
             }
-            Action::Timer { after, token } => {
+            Action::StartTimer { after, token } => {
                 self.timers
                     .push(Reverse((now + micros(after).max(1), token)));
             }
@@ -563,11 +564,13 @@
                 self.counters.probes += 1;
                 orders.push(Command::Probe(engine));
             }
-            Action::CloseIdle { engine } => orders.push(Command::CloseIdle(engine)),
+            Action::CloseIdleConnections { engine } => orders.push(Command::CloseIdle(engine)),
             Action::Log(line) => orders.push(Command::Log(line)),
             // Changes come by themselves, and gateways share nothing: there is nobody to ask or
             // tell.
-            Action::SendToPeer { .. } | Action::FetchEndpointList | Action::Watch(_) => {}
+            Action::SendToPeer { .. }
+            | Action::FetchEndpointList
+            | Action::WatchEndpointList(_) => {}
         }
     }
 }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -2,8 +2,9 @@
 //! first, then applied as one new generation. Open requests and engines are not affected. If a file
 //! can't be used, nothing changes.
 use super::Shared;
+use super::discovery::WatchEvent;
 use super::discovery::coordinator::CoordinatorMigration;
-use super::discovery::endpoint_list::{Update, parse_known};
+use super::discovery::known_events::{KnownEventsError, parse_known};
 use super::dispatcher::DispatcherEvent;
 use super::fleet::membership::settings_hash;
 use crate::class_registry::Class;
@@ -39,7 +40,7 @@
     },
     /// The coordinator's events in the configuration are invalid.
     #[error("{0}")]
-    KnownEvents(String),
+    KnownEvents(#[from] KnownEventsError),
     /// The file of the ClickHouse frontend can't be read or is invalid.
     #[error("{0}")]
     ClickHouseFile(#[from] FileError<ClickHouseConfigError>),
@@ -86,7 +87,7 @@
 /// A configuration that was read and validated, and is not applied yet.
 struct NewConfiguration<'a> {
     config: Config,
-    known_events: Vec<Update>,
+    known_events: Vec<WatchEvent>,
     /// The names in force with the new classes.
     names: Names,
     clickhouse: Option<NewClickHouse<'a>>,
@@ -126,8 +127,7 @@
             });
         }
         let names_in_force = self.names.borrow().clone();
-        let (_, known_events) = parse_known(&config.known_events, &names_in_force)
-            .map_err(|error| ReloadError::KnownEvents(error.to_string()))?;
+        let known_events = parse_known(&config.known_events, &names_in_force)?.events;
         let names = Names {
             classes: config.names.classes.clone(),
             keyed_classes: config.names.keyed_classes.clone(),
@@ -185,8 +185,8 @@
             gateway_index: in_force.gateway_index,
             gateways: in_force.gateways,
             zone: in_force.zone,
-            tick: in_force.tick,
-            kinds: in_force.kinds,
+            batch_interval: in_force.batch_interval,
+            machine_types: in_force.machine_types,
             tenants: in_force.tenants,
             poll_endpoint_list: in_force.poll_endpoint_list,
             load_fields: in_force.load_fields,
@@ -194,12 +194,12 @@
         };
         *self.settings.borrow_mut() = settings.clone();
         let (applied, classes) = bounded(1);
-        let reconfigure = DispatcherEvent::Reconfigure(
-            Box::new(settings),
-            config.names.classes.clone(),
-            settings_hash(&config.json),
+        let reconfigure = DispatcherEvent::Reconfigure {
+            settings: Box::new(settings),
+            class_names: config.names.classes.clone(),
+            settings_hash: settings_hash(&config.json),
             applied,
-        );
+        };
         let _ = self.dispatcher.send(reconfigure).await;
         classes.recv().await.unwrap_or_default()
     }
@@ -228,7 +228,7 @@
             .collect();
         *service.loads.borrow_mut() = classes
             .iter()
-            .map(|(class, _)| class.spec.is_load)
+            .map(|(class, _)| class.spec.loads_data_set)
             .collect();
         *service.rules.borrow_mut() = ClassRules::new(&self.config, names)?;
         *self.frontend.file_users.borrow_mut() = self.users.clone();
--- a/src/startup/clickhouse.rs
+++ b/src/startup/clickhouse.rs
@@ -6,10 +6,12 @@
 use crate::config::clickhouse::{self, ClassRules, ClickHouseConfig, DirectoryConfig, Users};
 use crate::config::process::{Config, Names};
 use crate::frontend::clickhouse::{ClickHouse, ClickHouseShared};
-use crate::net::discovery::endpoint_list::{self, Http};
+use crate::net::discovery::ListedEndpoint;
+use crate::net::discovery::endpoint_factory::ClickHouseEngines;
+use crate::net::discovery::known_events::index_of;
 use crate::net::reload::ClickHouseFrontend;
 use crate::net::{Shared, client, tenant_directory};
-use crate::policy::api::Readiness;
+use crate::policy::api::{Endpoint, MachineTypeId, Readiness, ZoneId};
 use crate::tenant_directory::Tenants;
 use async_io::Async;
 use std::cell::{Cell, RefCell};
@@ -25,7 +27,7 @@
 /// What is derived from the frontend's file before any actor starts.
 pub(super) struct ClickHouseStart {
     path: PathBuf,
-    engines: Http,
+    engines: ClickHouseEngines,
     service: Rc<ClickHouseShared>,
     directory: Option<DirectoryConfig>,
     tenants: Tenants,
@@ -48,7 +50,7 @@
     }
 
     /// The engines that speak the ClickHouse interface.
-    pub(super) fn engines(&self) -> Http {
+    pub(super) fn engines(&self) -> ClickHouseEngines {
         self.engines.clone()
     }
 
@@ -93,37 +95,34 @@
 
 /// The engines of the file. Those with an address are not in the coordinator's list, and always in
 /// service.
-fn engines(file: &ClickHouseConfig, names: &Names) -> Result<Http, StartError> {
+fn engines(file: &ClickHouseConfig, names: &Names) -> Result<ClickHouseEngines, StartError> {
     let mut ids = BTreeSet::new();
-    let mut fixed = Vec::new();
+    let mut static_endpoints = Vec::new();
     for engine in &file.engines {
         let id = clickhouse::engine_id(&engine.id)?;
         ids.insert(id);
-        if let Some(address) = engine.addr {
-            let zone = index_or_first(&names.zones, &engine.zone);
-            let kind = index_or_first(&names.kinds, &engine.kind);
-            let place = (zone, kind, 0);
-            let id = id.0 as u32;
-            let ready = Readiness::Ready;
-            fixed.push(endpoint_list::listed(id, address, ready, place, 1.0, 0));
+        if let Some(addr) = engine.addr {
+            let endpoint = Endpoint {
+                id,
+                zone: ZoneId(index_of(&names.zones, &engine.zone)),
+                machine_type: MachineTypeId(index_of(&names.kinds, &engine.kind)),
+                readiness: Readiness::Ready,
+                weight: 1.0,
+                ..Endpoint::default()
+            };
+            static_endpoints.push(ListedEndpoint { endpoint, addr });
         }
     }
-    Ok(Http {
-        engines: Rc::new(ids),
-        login: Rc::new(Credentials {
+    Ok(ClickHouseEngines {
+        ids: Rc::new(ids),
+        credentials: Rc::new(Credentials {
             user: file.credentials.user.clone(),
             key: file.credentials.key.clone(),
         }),
-        fixed,
+        static_endpoints,
     })
 }
 
-/// The index of a name, 0 if the settings lack it.
-fn index_or_first(names: &[String], name: &str) -> u16 {
-    let index = names.iter().position(|candidate| candidate == name);
-    index.unwrap_or(0) as u16
-}
-
 /// What all connections of the frontend share.
 fn shared_state(
     file: &ClickHouseConfig,
@@ -135,7 +134,7 @@
         .iter()
         .map(|class| clock::micros(class.deadline))
         .collect();
-    let loads = classes.iter().map(|class| class.is_load).collect();
+    let loads = classes.iter().map(|class| class.loads_data_set).collect();
     let for_databases = shared.clone();
     let for_stopping = shared.clone();
     Ok(ClickHouseShared {
--- a/src/startup/error.rs
+++ b/src/startup/error.rs
@@ -2,6 +2,7 @@
 use crate::config::FileError;
 use crate::config::clickhouse::ClickHouseConfigError;
 use crate::config::process::ProcessConfigError;
+use crate::net::discovery::known_events::KnownEventsError;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -47,7 +48,7 @@
     Membership(String),
     /// The coordinator's events in the configuration are invalid.
     #[error("{0}")]
-    KnownEvents(String),
+    KnownEvents(#[from] KnownEventsError),
     /// A frontend's address can't be bound.
     #[error("{name}: can't listen on {address}: {source}")]
     Listen {
--- a/src/startup/mod.rs
+++ b/src/startup/mod.rs
@@ -19,6 +19,7 @@
 use crate::frontend::jsonrpc::JsonRpc;
 use crate::net::audit::AuditWriter;
 use crate::net::discovery::coordinator::CoordinatorMigration;
+use crate::net::discovery::known_events::parse_known;
 use crate::net::dispatcher::DispatcherEvent;
 use crate::net::fleet::membership::{self, MembershipService};
 use crate::net::reload::Reload;
@@ -26,7 +27,6 @@
 use async_channel::{Receiver, Sender, bounded};
 use async_io::{Async, block_on};
 use clickhouse::ClickHouseStart;
-use discovery::KnownEvents;
 use files::ConfigurationFiles;
 use sockets::{FleetSocket, Sockets};
 use std::cell::RefCell;
@@ -85,7 +85,7 @@
         .as_ref()
         .map(|file| ClickHouseStart::prepare(file, config, &shared))
         .transpose()?;
-    let known_events = KnownEvents::parse(config)?;
+    let known_events = parse_known(&config.known_events, &config.names)?;
 
     let dispatcher = new_dispatcher(&shared, config);
     let (events, mailbox) = bounded(dispatcher::MAILBOX);
--- a/src/startup/signals.rs
+++ b/src/startup/signals.rs
@@ -35,11 +35,11 @@
     match reload.reload().await {
         Ok(()) => {
             log!("read the configuration again");
-            DispatcherEvent::Reloaded(true)
+            DispatcherEvent::ReloadSucceeded
         }
         Err(error) => {
             log!("the configuration can't be used, the old one stands: {error}");
-            DispatcherEvent::Reloaded(false)
+            DispatcherEvent::ReloadFailed
         }
     }
 }
--- a/src/testkit/scale/hollow_module.rs
+++ b/src/testkit/scale/hollow_module.rs
@@ -3,7 +3,7 @@
 use super::observations::Observations;
 use crate::clock::{self, Micros, SEC};
 use crate::lease::Resource;
-use crate::lease::shared_probe::ProbeResult;
+use crate::lease::shared_probe::{ProbeResult, ProbeStatus};
 use crate::net::dispatcher::DispatcherEvent;
 use crate::net::fleet::lease::ProbeRequest;
 use crate::net::{Shared, sleep_until};
@@ -82,24 +82,30 @@
     fn handle(&self, event: DispatcherEvent) {
         let counters = &self.counters;
         match event {
-            DispatcherEvent::Probe(engine, _) => {
+            DispatcherEvent::Probe { engine, .. } => {
                 counters.probes.set(counters.probes.get() + 1);
                 let load = [1.0, 0.5, 0.0, 0.0];
                 let result = ProbeResult {
-                    well: true,
-                    unreachable: false,
-                    took: ANSWER,
-                    len: 2,
+                    status: ProbeStatus::Succeeded,
+                    latency: ANSWER,
+                    load_fields: 2,
                     load,
                 };
-                self.send(ProbeRequest::Answered(engine, Some(result)));
+                self.send(ProbeRequest::ProbeFinished {
+                    engine,
+                    result: Some(result),
+                });
             }
-            DispatcherEvent::SharedProbeResult(..) => {
+            DispatcherEvent::SharedProbeResult { .. } => {
                 counters
                     .shared_results
                     .set(counters.shared_results.get() + 1);
             }
-            DispatcherEvent::LeaseChanged(Resource::Probe(engine), token, is_held) => {
+            DispatcherEvent::LeaseChanged {
+                resource: Resource::Probe(engine),
+                token,
+                held: is_held,
+            } => {
                 self.observations
                     .record_lease(self.node, engine, token, is_held);
             }
@@ -110,7 +116,7 @@
     fn want_some_load(&mut self) {
         self.counters.wants.set(self.counters.wants.get() + 1);
         let engine = 1 + self.random_below(self.plan.engines);
-        self.send(ProbeRequest::Wanted(engine));
+        self.send(ProbeRequest::LoadWanted { engine });
     }
 
     /// Sends a request to the node's lease service, if it has one.
--- a/src/testkit/scale/plan.rs
+++ b/src/testkit/scale/plan.rs
@@ -1,7 +1,7 @@
 //! The plan of a run with a fleet of hollow nodes.
 use super::capacity_check::{CapacityError, FleetRequirements};
 use crate::config::fleet::{FleetConfig, LeaseConfig};
-use crate::lease::LeaseTiming;
+use crate::lease::{LeaseTiming, LeaseTimingError};
 use crate::membership::Timing;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -29,9 +29,12 @@
     /// The rate of wanted loads or the number of restarts is out of range.
     #[error("wants from 0 to 1000 a second, and no more restarts than managers")]
     Rates,
-    /// The membership's or the leases' timing is invalid.
+    /// The membership's timing is invalid.
     #[error("{0}")]
     Timing(String),
+    /// The leases' timing is invalid.
+    #[error(transparent)]
+    LeaseTiming(#[from] LeaseTimingError),
     /// The machine has too little for the run.
     #[error(transparent)]
     Capacity(#[from] CapacityError),
@@ -152,9 +155,8 @@
         if !WANTS_PER_S.contains(&self.wants) || self.rolling > self.managers {
             return Err(PlanError::Rates);
         }
-        let timing_error = |error: String| PlanError::Timing(error);
-        self.timing.check().map_err(timing_error)?;
-        self.terms.check().map_err(timing_error)?;
+        self.timing.check().map_err(PlanError::Timing)?;
+        self.terms.validate()?;
         Ok(FleetRequirements::of(self).check_machine()?)
     }
 }
--- a/tests/scale_fleet.rs
+++ b/tests/scale_fleet.rs
@@ -37,8 +37,8 @@
             ..Timing::default()
         },
         terms: LeaseTiming {
-            term_ms: 600,
-            margin_ms: 50,
+            lease_duration_ms: 600,
+            safety_margin_ms: 50,
             ..LeaseTiming::default()
         },
         settle: Duration::from_millis(300),
--- a/tests/unit/clickhouse.rs
+++ b/tests/unit/clickhouse.rs
@@ -2,7 +2,7 @@
 //! however the bytes are cut.
 use super::{ClickHouse as Front, ClickHouseShared};
 use crate::backend::clickhouse::ClickHouse as Engine;
-use crate::backend::{BackendEvent as Heard, Protocol};
+use crate::backend::{BackendEvent, Protocol, ProtocolOutput};
 use crate::clock::{MS, SEC};
 use crate::config::clickhouse::{self, ClassRules, Users};
 use crate::config::process::Names;
@@ -93,7 +93,7 @@
     let ask = &asked[0];
     assert_eq!(&ask.statement[..], b"SELECT a\nFROM orders GROUP BY a");
     assert_eq!(
-        (ask.class, ask.tenant.0, ask.give_up_at),
+        (ask.class, ask.tenant.0, ask.deadline),
         (ClassId(1), 1, SEC + 1_500 * MS)
     );
     assert_eq!((ask.memory_mb, ask.work_estimate), (Some(2.0), None));
@@ -121,7 +121,7 @@
         &mut front,
         &post("max_execution_time=99", "-- join\nSELECT 'join'"),
     );
-    assert_eq!((asked[0].class, asked[0].give_up_at), (ClassId(0), 7 * SEC));
+    assert_eq!((asked[0].class, asked[0].deadline), (ClassId(0), 7 * SEC));
     let (_, text) = answer(
         &mut front,
         asked[0].origin.tag,
@@ -272,23 +272,22 @@
                 memory_mb,
                 ..AttemptRequest::default()
             };
-            let sent = String::from_utf8(engine.start(SEC, &job)).expect("text");
+            let sent = String::from_utf8(engine.start_attempt(SEC, &job)).expect("text");
             assert!(
                 sent.starts_with("POST /?query_id=k&max_execution_time=1.000&"),
                 "{sent}"
             );
-            let (mut heard, mut replies) = (Vec::new(), Vec::new());
+            let mut output = ProtocolOutput::default();
             for piece in text.as_bytes().chunks(step) {
-                engine
-                    .feed(SEC, piece, &mut heard, &mut replies)
-                    .expect("no fault");
+                engine.receive(SEC, piece, &mut output).expect("no fault");
             }
-            engine.finish(&mut heard);
-            let ends: Vec<(Termination, &[u8])> = heard
+            engine.on_end_of_input(&mut output);
+            let ends: Vec<(Termination, &[u8])> = output
+                .events
                 .iter()
-                .filter_map(|h| {
-                    if let Heard::Ended(_, end, rows, ..) = h {
-                        Some((*end, &rows[..]))
+                .filter_map(|event| {
+                    if let BackendEvent::AttemptEnded(end) = event {
+                        Some((end.termination, &end.rows[..]))
                     } else {
                         None
                     }
--- a/tests/unit/fleet_scan.rs
+++ b/tests/unit/fleet_scan.rs
@@ -64,7 +64,7 @@
         for a in acts {
             match a {
                 Action::Send { id, engine, .. } => {
-                    let attempt = self.g.requests[&id].outs.last().expect("out").attempt;
+                    let attempt = self.g.requests[&id].attempts.last().expect("out").attempt;
                     self.out.push((id, attempt, engine, self.now));
                 }
                 Action::Cancel { id, attempt } => {
@@ -115,16 +115,16 @@
             .g
             .engines
             .get(&EngineId(id))
-            .map_or(0, |e| e.entry.started_at);
+            .map_or(0, |e| e.endpoint.started_at);
         let told = match self.draw(5) {
             0 | 1 => entry(id, Readiness::Ready, self.now - self.now % 7),
             2 => entry(id, Readiness::Draining, known),
-            3 => entry(id, Readiness::Gone, known),
+            3 => entry(id, Readiness::Removed, known),
             _ => {
-                let all: Vec<_> = self.g.engines.values().map(|e| e.entry).collect();
+                let all: Vec<_> = self.g.engines.values().map(|e| e.endpoint).collect();
                 let entries = all
                     .into_iter()
-                    .filter(|e| e.readiness != Readiness::Gone)
+                    .filter(|e| e.readiness != Readiness::Removed)
                     .collect();
                 return self.tell(Event::EndpointList {
                     kind: EndpointListKind::Full,
@@ -145,8 +145,8 @@
         self.g.look(now);
         let (g, f) = (&self.g, &self.g.fleet);
         let ready = || g.engines.values().filter(|e| e.ready());
-        let usable = || ready().filter(|e| e.health == CircuitState::Closed);
-        let mut stretches: Vec<f64> = ready().map(|e| e.stretch).collect();
+        let usable = || ready().filter(|e| e.circuit == CircuitState::Closed);
+        let mut stretches: Vec<f64> = ready().map(|e| e.slowdown).collect();
         stretches.sort_by(f64::total_cmp);
         let median = stretches.get(stretches.len() / 2).copied().unwrap_or(1.0);
         assert_eq!(
@@ -172,10 +172,10 @@
         );
         for e in g.engines.values() {
             assert!(
-                !matches!(e.health, CircuitState::Open(until) if until <= now),
+                !matches!(e.circuit, CircuitState::Open(until) if until <= now),
                 "an ejection is over, {why}"
             );
-            let ends = e.cold_sent.front().zip(e.cold_sent.back());
+            let ends = e.warm_up_sends.front().zip(e.warm_up_sends.back());
             assert!(
                 ends.is_none_or(|(a, b)| a.0 + rules.overload_window >= b.0),
                 "one window is kept, {why}"
@@ -243,7 +243,7 @@
             }
             let walks = p.g.fleet.walks;
             p.now += STEP / 2;
-            p.tell(Event::Timer(1));
+            p.tell(Event::TimerFired(1));
             p.compare(&format!("seed {seed}, step {step}"));
             short += u32::from(p.g.fleet.walks == walks);
             ejected += ejections(&p).saturating_sub(before);
@@ -268,7 +268,7 @@
         entries,
     });
     p.now += S;
-    p.tell(Event::Timer(1));
+    p.tell(Event::TimerFired(1));
     // At the instant when it woke it would learn nothing.
     p.now += STEP;
     let there = |p: &Play| p.out.iter().position(|o| o.2 == EngineId(1));
@@ -295,7 +295,7 @@
             let (walks, visits) = (p.g.fleet.walks, p.g.fleet.visits);
             for _ in 0..500 {
                 p.now += STEP;
-                p.tell(Event::Timer(1));
+                p.tell(Event::TimerFired(1));
             }
             let walks = p.g.fleet.walks - walks;
             assert!((20..=30).contains(&walks), "{walks} walks in ten seconds");
