--- a/src/frontend/clickhouse.rs
+++ b/src/frontend/clickhouse.rs
@@ -1,6 +1,6 @@
 //! The ClickHouse HTTP interface for clients: one query at a time on a connection that is kept
 //! alive.
-use super::{DisconnectReason, Front, FrontendEvent};
+use super::{DisconnectReason, Frontend, FrontendEvent};
 use crate::clock::{MS, Micros, SEC};
 use crate::config::clickhouse::{ClassRules, Users};
 use crate::dispatcher::termination::Termination;
@@ -237,7 +237,7 @@
     began: Option<Micros>,
     seen: u64,
     useful: bool,
-    strikes: u64,
+    penalized_messages: u64,
 }
 
 impl ClickHouse {
@@ -253,7 +253,7 @@
             began: None,
             seen: 0,
             useful: false,
-            strikes: 0,
+            penalized_messages: 0,
         }
     }
 
@@ -325,7 +325,7 @@
     /// Answers what can't be read, and reads nothing more: where the next request begins is not
     /// known.
     fn give_up(&mut self, what: RequestError, replies: &mut Vec<u8>) {
-        self.strikes += 1;
+        self.penalized_messages += 1;
         error(replies, what, "", false, (what == NO_ROOM).then_some(SEC));
         (self.input, self.state) = (Vec::new(), State::Last);
     }
@@ -343,7 +343,7 @@
         self.state = if keep { State::Head } else { State::Last };
         let method = head.first[0].as_str();
         let Some((path, pairs)) = http::target(&head.first[1]) else {
-            self.strikes += 1;
+            self.penalized_messages += 1;
             return error(replies, BAD_URL, "", keep, None);
         };
         let param = |name: &str| {
@@ -370,7 +370,7 @@
             ("GET" | "POST", "/") => match self.ask(now, head, &pairs, body) {
                 Ok((ask, busy)) => {
                     self.state = State::Busy(Busy { keep, ..busy });
-                    said.push(FrontendEvent::Ask(ask));
+                    said.push(FrontendEvent::Request(ask));
                 }
                 Err(what) => error(
                     replies,
@@ -384,7 +384,7 @@
             _ => error(replies, NO_PAGE, "", keep, None),
         }
         match replies.get(answer_at..answer_at + 10) {
-            Some(b"HTTP/1.1 4" | b"HTTP/1.1 5") => self.strikes += 1,
+            Some(b"HTTP/1.1 4" | b"HTTP/1.1 5") => self.penalized_messages += 1,
             _ => self.useful = true,
         }
     }
@@ -613,7 +613,7 @@
     replies.extend_from_slice(rest.as_bytes());
 }
 
-impl Front for ClickHouse {
+impl Frontend for ClickHouse {
     fn feed(
         &mut self,
         now: Micros,
@@ -634,7 +634,7 @@
         }
     }
 
-    fn answer(
+    fn write_response(
         &mut self,
         now: Micros,
         tag: u64,
@@ -697,15 +697,15 @@
         self.read_on(now, said, replies);
     }
 
-    fn open(&self) -> usize {
+    fn open_requests(&self) -> usize {
         usize::from(matches!(self.state, State::Busy(_)))
     }
 
-    fn began(&self) -> Option<Micros> {
+    fn message_started_at(&self) -> Option<Micros> {
         self.began
     }
 
-    fn held(&self) -> usize {
+    fn buffered_bytes(&self) -> usize {
         self.input.len()
             + if let State::Body(_, _, text) = &self.state {
                 text.len()
@@ -714,7 +714,7 @@
             }
     }
 
-    fn cut_off(&mut self, why: DisconnectReason, replies: &mut Vec<u8>) {
+    fn stop_reading(&mut self, why: DisconnectReason, replies: &mut Vec<u8>) {
         self.began = None;
         // What is ahead of its turn is dropped; the connection ends behind the answer that is owed.
         if let State::Busy(busy) = &mut self.state {
@@ -722,7 +722,7 @@
             return;
         }
         self.give_up(
-            if why == DisconnectReason::Late {
+            if why == DisconnectReason::MessageTimeout {
                 TOO_SLOW
             } else {
                 NO_ROOM
@@ -731,15 +731,15 @@
         );
     }
 
-    fn useful(&self) -> bool {
+    fn has_valid_message(&self) -> bool {
         self.useful
     }
 
-    fn strikes(&self) -> u64 {
-        self.strikes
+    fn penalized_messages(&self) -> u64 {
+        self.penalized_messages
     }
 
-    fn last(&self) -> bool {
+    fn closes_after_output(&self) -> bool {
         matches!(self.state, State::Last)
     }
 }
--- a/src/frontend/jsonrpc.rs
+++ b/src/frontend/jsonrpc.rs
@@ -1,5 +1,5 @@
 //! The platform's protocol for clients: JSON-RPC 2.0 over TCP, one message per line.
-use super::{DisconnectReason, Front, FrontendEvent};
+use super::{DisconnectReason, Frontend, FrontendEvent};
 use crate::clock::{MS, Micros};
 use crate::config::process::LiveNames;
 use crate::dispatcher::message::MOST_FIGURE;
@@ -77,7 +77,7 @@
     /// Since when the line in `input` has begun.
     began: Option<Micros>,
     useful: bool,
-    strikes: u64,
+    penalized_messages: u64,
     /// Nothing more is read: the connection ends once what is open is answered.
     closing: bool,
 }
@@ -86,7 +86,7 @@
     /// A new connection.
     pub fn new(conn: u64, names: LiveNames, ready: Rc<dyn Fn() -> bool>) -> JsonRpc {
         let (input, open) = (Vec::new(), BTreeSet::new());
-        let (began, useful, strikes, closing) = (None, false, 0, false);
+        let (began, useful, penalized_messages, closing) = (None, false, 0, false);
         let elsewhere = BTreeSet::new();
         JsonRpc {
             conn,
@@ -98,7 +98,7 @@
             elsewhere,
             began,
             useful,
-            strikes,
+            penalized_messages,
             closing,
         }
     }
@@ -114,7 +114,7 @@
 
     /// Turns a message away.
     fn error(&mut self, replies: &mut Vec<u8>, id: &Value, code: i64, message: &str) {
-        self.strikes += 1;
+        self.penalized_messages += 1;
         // The time to come back goes with every refusal.
         error(
             replies,
@@ -173,14 +173,14 @@
                 );
             }
             "withdraw" => {
-                self.strikes += 1;
+                self.penalized_messages += 1;
                 self.withdraw(&message.params, said);
             }
             method => match self.ask(now, method, &id, message.params) {
                 Ok(ask) => {
                     self.open.insert(ask.origin.tag);
                     self.useful = true;
-                    said.push(FrontendEvent::Ask(ask));
+                    said.push(FrontendEvent::Request(ask));
                 }
                 Err((code, what)) => {
                     if let Some(class) = self.class(method) {
@@ -190,7 +190,10 @@
                         } else {
                             Response::Failed(Failure::NotSent)
                         };
-                        said.push(FrontendEvent::TurnedAway(class, answer));
+                        said.push(FrontendEvent::RequestRejected {
+                            class,
+                            response: answer,
+                        });
                     }
                     // Guards the answer to the first request under a number: the second one's error
                     // is not for it.
@@ -210,9 +213,9 @@
         };
         let named = named.and_then(Value::as_u64);
         if let Some(tag) = named.filter(|tag| self.open.remove(tag)) {
-            said.push(FrontendEvent::Withdraw(tag));
+            said.push(FrontendEvent::RequestCancelled { tag });
         } else if let Some(tag) = named.filter(|tag| self.elsewhere.remove(tag)) {
-            said.push(FrontendEvent::WithdrawElsewhere(tag));
+            said.push(FrontendEvent::TransferredRequestCancelled { tag });
         }
     }
 
@@ -239,7 +242,7 @@
         if self.in_use(tag) {
             return Err((INVALID_REQUEST, "the id is in use"));
         }
-        if self.open() >= MOST_OPEN {
+        if self.open_requests() >= MOST_OPEN {
             return Err((REFUSED, "too many requests are open on this connection"));
         }
         let params: Params =
@@ -332,7 +335,7 @@
     );
 }
 
-impl Front for JsonRpc {
+impl Frontend for JsonRpc {
     fn feed(
         &mut self,
         now: Micros,
@@ -373,7 +376,12 @@
         Ok(())
     }
 
-    fn skim(&mut self, waiting: &[u8], from: usize, said: &mut Vec<FrontendEvent>) -> usize {
+    fn scan_deferred_input(
+        &mut self,
+        waiting: &[u8],
+        from: usize,
+        said: &mut Vec<FrontendEvent>,
+    ) -> usize {
         let mut at = from;
         while let Some(end) = waiting[at..]
             .iter()
@@ -401,7 +409,7 @@
         at
     }
 
-    fn answer(
+    fn write_response(
         &mut self,
         _: Micros,
         tag: u64,
@@ -441,11 +449,11 @@
         }
     }
 
-    fn open(&self) -> usize {
+    fn open_requests(&self) -> usize {
         self.open.len() + self.elsewhere.len()
     }
 
-    fn hand_over(&self) -> Option<TransferredConnection> {
+    fn transfer_state(&self) -> Option<TransferredConnection> {
         let open = self.open.iter().chain(&self.elsewhere).copied().collect();
         // Twice over there is nobody to ask: what an older process has open is waited for here.
         let may = !self.closing && self.elsewhere.is_empty();
@@ -456,39 +464,39 @@
         })
     }
 
-    fn withdrawn(&mut self, tag: u64) {
+    fn forget_cancelled(&mut self, tag: u64) {
         self.open.remove(&tag);
     }
 
-    fn began(&self) -> Option<Micros> {
+    fn message_started_at(&self) -> Option<Micros> {
         self.began
     }
 
-    fn held(&self) -> usize {
+    fn buffered_bytes(&self) -> usize {
         self.input.len()
     }
 
-    fn cut_off(&mut self, why: DisconnectReason, replies: &mut Vec<u8>) {
+    fn stop_reading(&mut self, why: DisconnectReason, replies: &mut Vec<u8>) {
         (self.input, self.began) = (Vec::new(), None);
         match why {
-            DisconnectReason::Late => {
+            DisconnectReason::MessageTimeout => {
                 self.no_message(replies, PARSE_ERROR, "the message did not end in time")
             }
-            DisconnectReason::Room => {
+            DisconnectReason::OutOfMemory => {
                 self.no_message(replies, REFUSED, "there is no room for long messages now")
             }
         }
     }
 
-    fn useful(&self) -> bool {
+    fn has_valid_message(&self) -> bool {
         self.useful
     }
 
-    fn strikes(&self) -> u64 {
-        self.strikes
+    fn penalized_messages(&self) -> u64 {
+        self.penalized_messages
     }
 
-    fn last(&self) -> bool {
+    fn closes_after_output(&self) -> bool {
         self.closing && self.open.is_empty()
     }
 }
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,5 +1,5 @@
-//! The fronts: parsers and mapping between a client's protocol and the core. The sockets are in
-//! `src/net`.
+//! Frontends: the protocols that clients and operators speak, as parsers and formatters without
+//! sockets. The sockets are in `src/net`.
 pub mod admin;
 pub mod clickhouse;
 pub mod jsonrpc;
@@ -10,70 +10,109 @@
 use crate::hot_restart::message::TransferredConnection;
 use crate::policy::api::ClassId;
 
-/// What a front made of a client's bytes.
+/// What a frontend derived from the bytes of its client.
 pub enum FrontendEvent {
-    /// A request.
-    Ask(ClientRequest),
-    /// The client stopped waiting for the request with that mark.
-    Withdraw(u64),
-    /// The same for a request that another process has open.
-    WithdrawElsewhere(u64),
-    /// A request of that class was turned away here, with that answer.
-    TurnedAway(ClassId, Response),
+    /// A new request.
+    Request(ClientRequest),
+    /// The client cancelled a request of its own.
+    RequestCancelled {
+        /// The frontend's identifier of the request on this connection.
+        tag: u64,
+    },
+    /// The client cancelled a request that the predecessor process still has in flight: it sent the
+    /// request before a hot restart transferred the connection.
+    TransferredRequestCancelled {
+        /// The identifier of the request on this connection.
+        tag: u64,
+    },
+    /// The frontend rejected a request itself, without the dispatcher. Reported so that the class's
+    /// metrics include it.
+    RequestRejected {
+        /// The class of the request.
+        class: ClassId,
+        /// The response that the client received, as the metrics classify it.
+        response: Response,
+    },
 }
 
-/// Why a client is cut off within a message.
+/// Why the connection stops reading from a client in the middle of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisconnectReason {
-    /// The message takes too long.
-    Late,
-    /// All clients together have sent more than there is room for.
-    Room,
+    /// The message was not complete within its time limit.
+    MessageTimeout,
+    /// The incomplete messages of all clients together exceed their memory limit.
+    OutOfMemory,
 }
 
-/// One client connection's protocol, without its socket.
-pub trait Front {
-    /// Reads what came. `replies` takes what can be answered at once.
+/// The protocol of one client connection, without its socket.
+///
+/// The methods append protocol events to `events` and bytes for the client to `output`; the
+/// connection's actor forwards the former to the dispatcher and writes the latter to the socket.
+pub trait Frontend {
+    /// Parses bytes that the client sent.
+    ///
+    /// # Errors
+    /// The client exceeded a limit of the connection, which is to be closed for that reason.
     fn feed(
         &mut self,
         now: Micros,
         input: &[u8],
-        said: &mut Vec<FrontendEvent>,
-        replies: &mut Vec<u8>,
+        events: &mut Vec<FrontendEvent>,
+        output: &mut Vec<u8>,
     ) -> Result<(), Termination>;
-    /// Looks through bytes that are to be read later, from a place in them on, for withdrawals of
-    /// what is open: those count at once. Tells how far it looked.
-    fn skim(&mut self, waiting: &[u8], _from: usize, _said: &mut Vec<FrontendEvent>) -> usize {
-        waiting.len()
+
+    /// Searches bytes that were received but whose parsing is deferred, from offset `_from` on, for
+    /// cancellations of open requests: a cancellation takes effect at once, also when the client's
+    /// requests are parsed at a reduced rate. Returns the offset up to which it searched.
+    fn scan_deferred_input(
+        &mut self,
+        deferred: &[u8],
+        _from: usize,
+        _events: &mut Vec<FrontendEvent>,
+    ) -> usize {
+        deferred.len()
     }
-    /// Words the final answer to the request with that mark, and reads on in what waited behind it.
-    fn answer(
+
+    /// Formats the final response to the request `tag`, and parses the input that was queued behind
+    /// that request. Does nothing if the request is not open any more.
+    fn write_response(
         &mut self,
         now: Micros,
         tag: u64,
-        answer: Response,
-        said: &mut Vec<FrontendEvent>,
-        replies: &mut Vec<u8>,
+        response: Response,
+        events: &mut Vec<FrontendEvent>,
+        output: &mut Vec<u8>,
     );
-    /// Requests on it that wait for their answer.
-    fn open(&self) -> usize;
-    /// Since when a message has begun and is not whole.
-    fn began(&self) -> Option<Micros>;
-    /// Bytes of it, and of what waits behind an open request.
-    fn held(&self) -> usize;
-    /// Says why nothing more is read; what is open is answered, and then the connection is to be
-    /// closed.
-    fn cut_off(&mut self, why: DisconnectReason, replies: &mut Vec<u8>);
-    /// Whether the client has said anything that could be used.
-    fn useful(&self) -> bool;
-    /// Messages that cost and brought nothing: turned away here, or withdrawn.
-    fn strikes(&self) -> u64;
-    /// What another process needs to go on with this connection; nothing if none can.
-    fn hand_over(&self) -> Option<TransferredConnection> {
+
+    /// The number of requests on this connection that have no response yet.
+    fn open_requests(&self) -> usize;
+
+    /// When the first byte of the message arrived that is still incomplete, if there is one.
+    fn message_started_at(&self) -> Option<Micros>;
+
+    /// Bytes buffered here: of an incomplete message, and queued behind an open request.
+    fn buffered_bytes(&self) -> usize;
+
+    /// Discards the incomplete message with an error to the client and parses nothing more. Open
+    /// requests still get their responses; after the last one the connection is to be closed.
+    fn stop_reading(&mut self, reason: DisconnectReason, output: &mut Vec<u8>);
+
+    /// Whether the client has sent at least one valid message.
+    fn has_valid_message(&self) -> bool;
+
+    /// The number of messages so far that cost work without a result: rejected by this frontend, or
+    /// cancellations. Each adds to the client's rejection penalty.
+    fn penalized_messages(&self) -> u64;
+
+    /// The protocol state with which the successor process can continue this connection; `None` if
+    /// the connection cannot be transferred now.
+    fn transfer_state(&self) -> Option<TransferredConnection> {
         None
     }
-    /// The client withdrew this request, as another process says that now reads from it.
-    fn withdrawn(&mut self, _tag: u64) {}
-    /// Whether the connection is to be closed once all is written.
-    fn last(&self) -> bool;
+
+    /// Removes a request that the client cancelled at the process that now reads from it.
+    fn forget_cancelled(&mut self, _tag: u64) {}
+
+    /// Whether the connection is to be closed once all output is written.
+    fn closes_after_output(&self) -> bool;
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -298,7 +298,7 @@
                 names.clone(),
                 Rc::new(move || flags.lifecycle.borrow().is_ready()),
             );
-            let front = JsonRpc::resume(clock::turn(), &adopted.handed, front);
+            let front = JsonRpc::resume(clock::turn(), &adopted.state, front);
             match Async::new(stream) {
                 Ok(stream) => {
                     client::start(&all, module.clone(), stream, conn, front, Some(adopted))
--- /dev/null
+++ b/src/net/client/buffers.rs
@@ -0,0 +1,69 @@
+//! The buffers of a client connection, counted against the process-wide memory limits.
+use crate::net::ByteQuota;
+
+/// The capacity that the buffers of an idle connection keep, in bytes.
+pub(super) const IDLE_CAPACITY_BYTES: usize = 4 * 1024;
+/// Deferred bytes that the frontend parses at a time.
+const DEFERRED_CHUNK_BYTES: usize = 16 * 1024;
+
+/// Bytes for the client that the socket has not taken yet.
+pub(super) struct OutputBuffer<'a> {
+    /// All bytes; the frontend appends to them.
+    pub(super) bytes: Vec<u8>,
+    written: usize,
+    /// Counts the unwritten bytes against the limit over all connections: bounds the memory that
+    /// many clients can occupy by not reading their responses.
+    quota: ByteQuota<'a>,
+}
+
+impl<'a> OutputBuffer<'a> {
+    pub(super) fn new(bytes: Vec<u8>, quota: ByteQuota<'a>) -> OutputBuffer<'a> {
+        OutputBuffer {
+            bytes,
+            written: 0,
+            quota,
+        }
+    }
+
+    /// The bytes that are still to be written.
+    pub(super) fn pending(&self) -> &[u8] {
+        &self.bytes[self.written..]
+    }
+
+    /// The socket took `count` more bytes.
+    pub(super) fn mark_written(&mut self, count: usize) {
+        self.written += count;
+        if self.written == self.bytes.len() {
+            self.bytes.clear();
+            self.bytes.shrink_to(IDLE_CAPACITY_BYTES);
+            self.written = 0;
+        }
+    }
+
+    /// Counts the pending bytes against the quota, and returns their number.
+    pub(super) fn update_quota(&mut self) -> usize {
+        let pending = self.pending().len();
+        self.quota.set(pending);
+        pending
+    }
+}
+
+/// Input that was received while the client is throttled, or while it does not read its responses.
+/// The frontend parses it later, but cancellations in it take effect at once, and so does the
+/// client's end of stream behind it.
+#[derive(Default)]
+pub(super) struct DeferredInput {
+    pub(super) bytes: Vec<u8>,
+    /// The offset up to which the bytes were searched for cancellations.
+    pub(super) scanned: usize,
+}
+
+impl DeferredInput {
+    /// Removes the first chunk, to be parsed now.
+    pub(super) fn take_chunk(&mut self) -> Vec<u8> {
+        let rest = self
+            .bytes
+            .split_off(self.bytes.len().min(DEFERRED_CHUNK_BYTES));
+        std::mem::replace(&mut self.bytes, rest)
+    }
+}
--- a/src/net/client/connection_registry.rs
+++ b/src/net/client/connection_registry.rs
@@ -1,6 +1,6 @@
-//! What all connections of clients show of themselves: which may be shed or let go, and whose
-//! client has gone.
-use super::GRACE;
+//! The registry of client connections: which of them may be shed or closed, and which clients have
+//! disconnected.
+use super::SHED_GRACE_PERIOD;
 use crate::clock::{self, Micros};
 use crate::net::Shared;
 use async_channel::Sender;
@@ -8,86 +8,121 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::cell::Cell;
 use std::net::TcpStream;
-use std::rc::{Rc, Weak};
+use std::rc::Weak;
 
-/// What the listeners know of a connection: whether it may be shed when there are too many.
+/// What a connection's actor shares with the listeners, which shed connections when there are too
+/// many, and with the dispatcher's actor, which closes them during a drain.
 pub struct ConnectionStatus {
-    /// It has said something usable.
-    pub(super) useful: Cell<bool>,
-    /// Nothing is open on it and nothing is to be written, since then.
+    /// The client has sent at least one valid message.
+    pub(super) has_valid_message: Cell<bool>,
+    /// Since when nothing is open on the connection and nothing is to be written; `None` if
+    /// something is.
     pub(super) idle_since: Cell<Option<Micros>>,
-    /// To be let go at the next moment that it is quiet, so that no request is lost.
-    pub(super) leaving: Cell<bool>,
-    /// To be passed to the process that follows this one.
-    pub(super) passes: Cell<bool>,
-    /// Closed to shed it; a word on it says to look whether it is to leave.
-    pub(super) shed: Sender<()>,
-    /// Its socket, while this process has it.
+    /// The connection is to close at the next moment at which it is quiet, so that no request is
+    /// lost.
+    pub(super) draining: Cell<bool>,
+    /// The connection is to be transferred to the successor process.
+    pub(super) transferring: Cell<bool>,
+    /// A message asks the actor to check whether the connection should close; closing the channel
+    /// sheds it.
+    pub(super) close_checks: Sender<()>,
+    /// The socket, while this process has it.
     pub(super) stream: Weak<Async<TcpStream>>,
 }
 
 impl ConnectionStatus {
-    /// Whether its client has closed its side: also where bytes that came before are not read yet,
-    /// as with a client that is read slowly or does not take its answers.
-    pub fn gone(&self) -> bool {
+    /// The status of a connection that was just accepted at `now`.
+    pub(super) fn new(
+        now: Micros,
+        close_checks: Sender<()>,
+        stream: Weak<Async<TcpStream>>,
+    ) -> ConnectionStatus {
+        ConnectionStatus {
+            has_valid_message: Cell::new(false),
+            idle_since: Cell::new(Some(now)),
+            draining: Cell::new(false),
+            transferring: Cell::new(false),
+            close_checks,
+            stream,
+        }
+    }
+
+    /// Whether the client has closed its side, or the connection is broken. Detects this also
+    /// behind input that is not read yet, as from a client that is throttled or does not read its
+    /// responses.
+    pub fn disconnected(&self) -> bool {
         self.stream
             .upgrade()
-            .is_some_and(|stream| hung_up(stream.get_ref()))
+            .is_some_and(|stream| has_hung_up(stream.get_ref()))
+    }
+
+    /// Asks the connection's actor to check whether the connection should close.
+    fn request_close_check(&self) {
+        // A full channel means that a check is already requested.
+        let _ = self.close_checks.try_send(());
     }
 }
 
-/// Whether the peer has closed its side, or the connection is broken. Costs one system call and
+/// Whether the peer has closed its side, or the connection is broken. Takes one system call and
 /// reads nothing.
-fn hung_up(stream: &TcpStream) -> bool {
-    let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-    let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
-    let some = poll(&mut polled, Some(&Timespec::default())).is_ok_and(|n| n > 0);
-    some && polled[0].revents().intersects(ends)
+fn has_hung_up(stream: &TcpStream) -> bool {
+    let hang_up = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    let mut descriptors = [PollFd::new(stream, PollFlags::RDHUP)];
+    let ready = poll(&mut descriptors, Some(&Timespec::default())).is_ok_and(|count| count > 0);
+    ready && descriptors[0].revents().intersects(hang_up)
 }
 
-/// Sheds the connection that is missed least: one that never said anything usable, and among those,
-/// or else among all with nothing open, the one idle for longest. Guards the usual clients against
-/// being kept out.
-pub(super) fn shed(shared: &Shared) -> bool {
+/// Sheds the connection whose loss matters least: among the idle ones, first those that never sent
+/// a valid message, then the one that has been idle for longest. Guards usual clients against being
+/// excluded by a crowd. Returns whether there was one to shed.
+pub(super) fn shed_one(shared: &Shared) -> bool {
     let clients = shared.clients.borrow();
-    // With the grace first: to wait for a newcomer's would leave one place a tenth of a second to
-    // all others.
-    let stays = clock::turn().saturating_sub(GRACE);
-    let idle = |s: &&Rc<ConnectionStatus>| s.idle_since.get().is_some_and(|since| since <= stays);
-    let all = clients
+    // Connections within the grace period are passed over. Waiting for the period of a newcomer to
+    // end instead would block all others for that time.
+    let idle_before = clock::turn().saturating_sub(SHED_GRACE_PERIOD);
+    clients
         .values()
-        .filter(idle)
-        .filter(|s| !s.shed.is_closed());
-    all.min_by_key(|s| (s.useful.get(), s.idle_since.get()))
-        .is_some_and(|s| s.shed.close())
+        .filter(|status| {
+            status
+                .idle_since
+                .get()
+                .is_some_and(|since| since <= idle_before)
+        })
+        .filter(|status| !status.close_checks.is_closed())
+        .min_by_key(|status| (status.has_valid_message.get(), status.idle_since.get()))
+        .is_some_and(|status| status.close_checks.close())
 }
 
-/// Lets kept connections go when the lifecycle says so: each closes itself at its next quiet
-/// moment. `letting_go` is whether any was to go at the last look, and is again now: while none is
-/// and none was, nobody is told anything, and idle clients cost no turn.
-pub fn let_go(shared: &Shared, now: Micros, letting_go: &mut bool) {
-    let life = shared.lifecycle.borrow();
-    if life.successor_took_over() {
+/// Has idle client connections close, or be transferred, when the lifecycle requires it: each
+/// connection acts at its next quiet moment.
+///
+/// `was_closing` is whether the lifecycle required it at the last call, and is updated. While it
+/// neither did nor does, no connection is notified, and idle clients cost no time.
+pub fn close_idle_connections(shared: &Shared, now: Micros, was_closing: &mut bool) {
+    let lifecycle = shared.lifecycle.borrow();
+    let transferring = lifecycle.successor_took_over();
+    if transferring {
         shared.accepting.0.close();
     }
-    let before = std::mem::replace(letting_go, life.closes_idle_connections());
-    if !*letting_go && !before {
+    let closing = lifecycle.closes_idle_connections();
+    let closing_before = std::mem::replace(was_closing, closing);
+    if !closing && !closing_before {
         return;
     }
-    for (conn, standing) in shared.clients.borrow().iter() {
-        let leaving = life.idle_close_at(*conn).is_some_and(|at| at <= now);
-        let passes = life.successor_took_over();
-        if standing.leaving.replace(leaving) != leaving || standing.passes.replace(passes) != passes
-        {
-            let _ = standing.shed.try_send(());
+    for (id, status) in shared.clients.borrow().iter() {
+        let draining = lifecycle.idle_close_at(*id).is_some_and(|at| at <= now);
+        let changed = status.draining.replace(draining) != draining
+            || status.transferring.replace(transferring) != transferring;
+        if changed {
+            status.request_close_check();
         }
     }
 }
 
-/// The program is about to end, as the lifecycle says: every connection looks whether it is quiet,
-/// and leaves.
-pub fn send_away(shared: &Shared) {
-    for standing in shared.clients.borrow().values() {
-        let _ = standing.shed.try_send(());
+/// The process is about to exit, as the lifecycle already records: has every connection check
+/// whether it is quiet, and close then.
+pub fn begin_shutdown(shared: &Shared) {
+    for status in shared.clients.borrow().values() {
+        status.request_close_check();
     }
 }
--- a/src/net/client/graceful_close.rs
+++ b/src/net/client/graceful_close.rs
@@ -1,135 +1,79 @@
-//! How a client's connection is left: passed on, or with a farewell.
-use super::connection::{Peer, take_some};
+//! The graceful close of a client connection (lingering close): a close with unread input would
+//! reset the connection, and the client would lose the last response.
+use super::connection::{ClientConnection, read_into_shared_buffer};
 use crate::clock::{self, MS, Micros, SEC};
 use crate::dispatcher::termination::Termination;
-use crate::dispatcher::{Origin, Response};
-use crate::frontend::Front;
-use crate::hot_restart::message::{HotRestartMessage, TransferredConnection};
-use crate::net::dispatcher::DispatcherEvent;
-use crate::net::hot_restart::TransferredItem;
-use crate::net::{CountGuard, sleep_until};
-use async_channel::{Receiver, Sender};
+use crate::frontend::Frontend;
+use crate::net::{CountGuard, Shared, sleep_until};
+use async_io::Async;
 use futures_lite::AsyncWriteExt;
 use futures_lite::future::{or, yield_now};
 use std::io;
-use std::net::Shutdown;
-use std::rc::Rc;
+use std::net::{Shutdown, TcpStream};
 
-/// At its end a connection takes so long at most to write what is left, and so long and so many
-/// bytes to take in what the client still sends.
-const LAST_WORDS: Micros = SEC;
-const DRAIN: Micros = 300 * MS;
-const DRAIN_BYTES: usize = 1 << 20;
+/// Time to write the remaining output.
+const FINAL_WRITE_TIMEOUT: Micros = SEC;
+/// Time to wait for the client to close its side.
+const LINGER_TIMEOUT: Micros = 300 * MS;
+/// Bytes that are read and discarded in that time at most.
+const MAX_LINGER_BYTES: usize = 1 << 20;
 
-impl<F: Front> Peer<'_, F> {
-    /// Passes the connection to the process that follows, and what is still answered here after it.
-    pub(super) async fn pass(
-        self,
-        newer: Sender<TransferredItem>,
-        mut handed: TransferredConnection,
-        mailbox: &Receiver<(u64, Response)>,
-    ) -> Termination {
-        let Peer {
+impl<F: Frontend> ClientConnection<'_, F> {
+    /// Writes the remaining output, shuts down the write side, and reads and discards what the
+    /// client still sends, within limits. A client repeats elsewhere a request that crosses the
+    /// close. Returns `reason`.
+    pub(super) async fn close_gracefully(self, reason: Termination) -> Termination {
+        let output_guard = CountGuard::new(&self.shared.connections_with_unwritten_output);
+        let write_side_closed = self.write_remaining_output().await
+            && self.stream.get_ref().shutdown(Shutdown::Write).is_ok();
+        if !write_side_closed {
+            return reason;
+        }
+        drop(output_guard);
+        let ClientConnection {
             shared,
-            core,
             stream,
-            socket,
-            conn,
-            mut front,
-            unwritten,
-            written,
+            socket_guard,
             ..
         } = self;
-        handed.unwritten = unwritten[written..].to_vec();
-        // From here on nobody here looks at the socket.
-        let stream = Rc::try_unwrap(stream).map(|stream| stream.into_inner());
-        let Ok(Ok(stream)) = stream else {
-            return Termination::Reset;
+        // A connection that only waits for its client to close does not count as a client socket.
+        let closing_limit = shared.max_closing_sockets.get();
+        let Some(_closing_guard) = CountGuard::up_to(&shared.closing_sockets, closing_limit) else {
+            // One read takes what has arrived, so that the close resets as seldom as possible.
+            let _ = io::Read::read(&mut stream.get_ref(), &mut shared.buffer.borrow_mut());
+            return reason;
         };
-        let (back, words) = async_channel::unbounded();
-        let held = CountGuard::new(&shared.connections_with_unwritten_output);
-        let client = TransferredItem::Client(conn, stream.into(), handed, back, held);
-        drop(socket);
-        if newer.send(client).await.is_err() {
-            return Termination::Dropped;
-        }
-        let (mut said, mut bytes) = (Vec::new(), Vec::new());
-        while front.open() > 0 {
-            let answer = async { Ok(mailbox.recv().await) };
-            let word = async { Err(words.recv().await) };
-            match or(answer, word).await {
-                Ok(Ok((tag, answer))) => {
-                    let held = CountGuard::new(&shared.connections_with_unwritten_output);
-                    front.answer(clock::turn(), tag, answer, &mut said, &mut bytes);
-                    let line = std::mem::take(&mut bytes);
-                    if !line.is_empty()
-                        && newer
-                            .send(TransferredItem::Answer(conn, tag, line, held))
-                            .await
-                            .is_err()
-                    {
-                        return Termination::Dropped;
-                    }
-                }
-                Err(Ok(HotRestartMessage::Cancel(_, tag))) => {
-                    front.withdrawn(tag);
-                    let _ = core
-                        .send(DispatcherEvent::CancelRequest(Origin { conn, tag }))
-                        .await;
-                }
-                Ok(Err(_)) | Err(_) => return Termination::Closed,
-            }
-        }
-        Termination::Done
+        drop(socket_guard);
+        let linger_ends_at = clock::turn() + LINGER_TIMEOUT;
+        or(
+            discard_input(&stream, shared),
+            sleep_until(Some(linger_ends_at)),
+        )
+        .await;
+        reason
     }
 
-    /// Writes what is owed, ends this side, and takes in a little of what the client still sends,
-    /// none of which is acted on: a client sends what crosses an end again elsewhere. Guards the
-    /// last answer or error: a close with unread input resets the connection, and the client loses
-    /// both.
-    pub(super) async fn farewell(self, end: Termination) -> Termination {
-        let busy = CountGuard::new(&self.shared.connections_with_unwritten_output);
-        let now = clock::turn();
-        let mut writer = &*self.stream;
-        let rest = async {
-            writer
-                .write_all(&self.unwritten[self.written..])
-                .await
-                .is_ok()
-        };
-        let late = async {
-            sleep_until(Some(now + LAST_WORDS)).await;
+    /// Whether all output was written in time.
+    async fn write_remaining_output(&self) -> bool {
+        let deadline = clock::turn() + FINAL_WRITE_TIMEOUT;
+        let mut socket = &*self.stream;
+        let write = async { socket.write_all(self.output.pending()).await.is_ok() };
+        let timeout = async {
+            sleep_until(Some(deadline)).await;
             false
         };
-        if !or(rest, late).await || self.stream.get_ref().shutdown(Shutdown::Write).is_err() {
-            return end;
+        or(write, timeout).await
+    }
+}
+
+/// Reads until the client closes its side, an error, or the limit.
+async fn discard_input(stream: &Async<TcpStream>, shared: &Shared) {
+    let mut discarded = 0;
+    while discarded < MAX_LINGER_BYTES {
+        match read_into_shared_buffer(stream, shared).await {
+            Ok(count) if count > 0 => discarded += count,
+            _ => break,
         }
-        drop(busy);
-        let Peer {
-            shared,
-            stream,
-            socket,
-            ..
-        } = self;
-        // One that only waits for its client's end has given its place among the clients back.
-        let Some(_place) =
-            CountGuard::up_to(&shared.closing_sockets, shared.max_closing_sockets.get())
-        else {
-            let _ = io::Read::read(&mut stream.get_ref(), &mut shared.buffer.borrow_mut());
-            return end;
-        };
-        drop(socket);
-        let drain = async {
-            let mut taken = 0;
-            while taken < DRAIN_BYTES {
-                match take_some(&stream, shared).await {
-                    Ok(n) if n > 0 => taken += n,
-                    _ => break,
-                }
-                yield_now().await;
-            }
-        };
-        or(drain, sleep_until(Some(clock::turn() + DRAIN))).await;
-        end
+        yield_now().await;
     }
 }
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -1,7 +1,7 @@
-//! The listeners of the fronts.
-use super::connection_registry::shed;
+//! The listeners of the client frontends.
+use super::connection_registry::shed_one;
 use super::start;
-use crate::frontend::Front;
+use crate::frontend::Frontend;
 use crate::log;
 use crate::net::dispatcher::DispatcherEvent;
 use crate::net::{CountGuard, Shared};
@@ -9,26 +9,35 @@
 use async_io::{Async, Timer};
 use futures_lite::StreamExt;
 use futures_lite::future::{or, yield_now};
-use rustix::net::SocketFlags;
+use rustix::net::{AddressFamily, SocketFlags, SocketType, sockopt};
 use std::io;
-use std::net::{SocketAddr, TcpListener};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections that may wait to be accepted; the system has its own limit.
-const LINE: i32 = 4_096;
+/// The backlog of a listener: connections that may wait to be accepted. The system has a limit of
+/// its own.
+const LISTEN_BACKLOG: i32 = 4_096;
+/// How long a listener waits when there is no descriptor for the next connection.
+const NO_DESCRIPTOR_PAUSE: Duration = Duration::from_millis(10);
 
-/// Listens there. Guards against a crowd that fills the usual short line: what does not fit into it
-/// believes to be connected, and is heard only seconds later.
+/// Binds a listener. Its backlog is larger than the usual one: a client that does not fit into the
+/// backlog takes itself for connected and is served only seconds later.
+///
+/// # Errors
+/// Those of the system, such as an address in use.
 pub fn bind(addr: SocketAddr) -> io::Result<Async<TcpListener>> {
     let listener = Async::<TcpListener>::bind(addr)?;
-    rustix::net::listen(&listener, LINE)?;
+    rustix::net::listen(&listener, LISTEN_BACKLOG)?;
     Ok(listener)
 }
 
-/// The same at an address that a process of a newer version may share.
+/// Binds a listener at an address that another process may share (`SO_REUSEPORT`): its successor in
+/// a hot restart.
+///
+/// # Errors
+/// Those of the system, such as an address in use.
 pub fn bind_shared(addr: SocketAddr) -> io::Result<Async<TcpListener>> {
-    use rustix::net::{AddressFamily, SocketType, sockopt};
     let family = if addr.is_ipv4() {
         AddressFamily::INET
     } else {
@@ -39,58 +48,82 @@
     sockopt::set_socket_reuseport(&socket, true)?;
     rustix::net::bind(&socket, &addr)?;
     let listener = Async::new(TcpListener::from(socket))?;
-    rustix::net::listen(&listener, LINE)?;
+    rustix::net::listen(&listener, LISTEN_BACKLOG)?;
     Ok(listener)
 }
 
-/// Accepts connections until the program is about to end; `front` makes the protocol of each.
-pub async fn listen<F: Front + 'static>(
+/// Accepts connections until the process is about to exit; `new_frontend` makes the protocol of
+/// each from the connection's number.
+pub async fn listen<F: Frontend + 'static>(
     shared: Rc<Shared>,
-    core: Sender<DispatcherEvent>,
+    dispatcher: Sender<DispatcherEvent>,
     listener: Async<TcpListener>,
-    front: impl Fn(u64) -> F,
+    new_frontend: impl Fn(u64) -> F,
 ) {
     let _listening = CountGuard::new(&shared.listening);
-    let mut incoming = Box::pin(listener.incoming());
-    let closed = shared.accepting.1.clone();
     let serve = |stream| {
-        let conn = shared.next_conn.get();
-        shared.next_conn.set(conn + 1);
-        start(&shared, core.clone(), stream, conn, front(conn), None);
+        let id = shared.next_conn.get();
+        shared.next_conn.set(id + 1);
+        start(
+            &shared,
+            dispatcher.clone(),
+            stream,
+            id,
+            new_frontend(id),
+            None,
+        );
     };
+    let mut incoming = Box::pin(listener.incoming());
     loop {
-        let none = async {
-            let _ = closed.recv().await;
+        let stopped = async {
+            // An error says that the channel is closed, which is the signal to stop.
+            let _ = shared.accepting.1.recv().await;
             None
         };
-        let Some(stream) = or(none, incoming.next()).await else {
+        let Some(accepted) = or(stopped, incoming.next()).await else {
             break;
         };
-        match stream {
+        match accepted {
             Ok(stream) => serve(stream),
-            // Most likely all descriptors are in use: one that idles makes room, and nothing spins.
-            Err(e) => {
-                log!("accepting a client: {e}");
-                shed(&shared);
-                Timer::after(Duration::from_millis(10)).await;
+            // Most likely all descriptors are in use: shed an idle connection, and do not spin.
+            Err(error) => {
+                log!("accepting a client: {error}");
+                shed_one(&shared);
+                Timer::after(NO_DESCRIPTOR_PAUSE).await;
             }
         }
-        // Guards the limit on sockets: connections that wait in the listener's line come without a
-        // pause.
+        // The connections in the backlog come without a pause: the actors get their turn first, so
+        // that the limit on sockets applies.
         yield_now().await;
-        while shared.client_sockets.get() >= shared.max_client_sockets.get() && !closed.is_closed()
-        {
-            if !shed(&shared) {
-                Timer::after(Duration::from_millis(10)).await;
-            }
-            yield_now().await;
-        }
+        wait_for_client_socket(&shared).await;
     }
     drop(incoming);
-    // What waits in the line is connected, as its clients see it: each gets a farewell or its
-    // answer, not a reset. A successor has the same line.
-    let alone = !shared.lifecycle.borrow().successor_took_over();
-    while alone && shared.client_sockets.get() < shared.max_client_sockets.get() {
+    accept_backlog(&shared, &listener, serve);
+}
+
+/// Waits while the limit on client sockets is reached, and sheds idle connections.
+async fn wait_for_client_socket(shared: &Shared) {
+    let stopped = &shared.accepting.1;
+    while shared.client_sockets.get() >= shared.max_client_sockets.get() && !stopped.is_closed() {
+        if !shed_one(shared) {
+            Timer::after(NO_DESCRIPTOR_PAUSE).await;
+        }
+        yield_now().await;
+    }
+}
+
+/// Accepts what is left in the backlog as the process ends. Its clients take themselves for
+/// connected: each gets its response or a graceful close instead of a reset. A successor process
+/// accepts from the same backlog itself.
+fn accept_backlog(
+    shared: &Shared,
+    listener: &Async<TcpListener>,
+    serve: impl Fn(Async<TcpStream>),
+) {
+    if shared.lifecycle.borrow().successor_took_over() {
+        return;
+    }
+    while shared.client_sockets.get() < shared.max_client_sockets.get() {
         let Ok((stream, _)) = listener.get_ref().accept() else {
             break;
         };
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -1,11 +1,15 @@
-//! The listeners of the fronts and the actor of each client connection.
+//! The client side: the listeners of the frontends, and the actor of each client connection.
+mod buffers;
 mod connection;
 mod connection_registry;
+mod events;
 mod graceful_close;
 mod listener;
 mod rejection_penalty;
+mod transfer;
+mod wait;
 
-pub use connection_registry::{ConnectionStatus, let_go, send_away};
+pub use connection_registry::{ConnectionStatus, begin_shutdown, close_idle_connections};
 pub use listener::{bind, bind_shared, listen};
 
 use super::dispatcher::DispatcherEvent;
@@ -13,128 +17,148 @@
 use crate::clock::{self, MS, Micros};
 use crate::dispatcher::Response;
 use crate::dispatcher::termination::Termination;
-use crate::frontend::Front;
+use crate::frontend::Frontend;
 use crate::hot_restart::message::{HotRestartMessage, TransferredConnection};
 use crate::log;
 use async_channel::{Receiver, Sender, bounded};
 use async_io::Async;
-use connection::Peer;
-use std::cell::Cell;
+use buffers::{DeferredInput, OutputBuffer};
+use connection::{ClientConnection, PredecessorLink};
+use rejection_penalty::RejectionPenalty;
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Answers that wait for a client's connection: more than a front lets be open on it.
-const MAILBOX: usize = 64;
-/// However many come, one that just came or was just answered has this long to ask.
-const GRACE: Micros = 100 * MS;
+/// Responses that wait for a connection's actor at most: more than a frontend admits open requests
+/// on one connection.
+const RESPONSE_MAILBOX_CAPACITY: usize = 64;
+/// A connection that was just accepted or just served has this long to send a request before it can
+/// be shed, however many others wait.
+const SHED_GRACE_PERIOD: Micros = 100 * MS;
 
-/// A connection that another process passed on: its number there, and where to say what is meant
-/// for it.
+/// A connection that another process transferred to this one.
 pub struct AdoptedConnection {
-    /// The number.
+    /// The connection's number in that process.
     pub number: u64,
-    /// What was read there and not used, and not written yet.
-    pub handed: TransferredConnection,
-    /// To the other process.
-    pub older: Sender<HotRestartMessage>,
+    /// The protocol state: input that is not parsed, and output that is not written.
+    pub state: TransferredConnection,
+    /// Messages to that process.
+    pub predecessor: Sender<HotRestartMessage>,
 }
 
-/// Both ends of a connection's mailbox, with the mark of the request that each answer is for.
-type Mailbox = (Sender<(u64, Response)>, Receiver<(u64, Response)>);
+/// What the actor of a connection starts with.
+struct NewConnection<F> {
+    id: u64,
+    stream: Async<TcpStream>,
+    socket_guard: CountGuard,
+    frontend: F,
+    adopted: Option<AdoptedConnection>,
+    responses_sender: Sender<(u64, Response)>,
+    responses: Receiver<(u64, Response)>,
+}
 
-/// Starts the actor of a connection, and gives its mailbox.
-pub fn start<F: Front + 'static>(
+/// Starts the actor of a connection, and returns the mailbox for its responses: each with the tag
+/// of its request.
+pub fn start<F: Frontend + 'static>(
     shared: &Rc<Shared>,
-    core: Sender<DispatcherEvent>,
+    dispatcher: Sender<DispatcherEvent>,
     stream: Async<TcpStream>,
-    conn: u64,
-    front: F,
+    id: u64,
+    frontend: F,
     adopted: Option<AdoptedConnection>,
 ) -> Sender<(u64, Response)> {
-    let (answers, mailbox) = bounded(MAILBOX);
-    let (all, mine, socket) = (
-        shared.clone(),
-        answers.clone(),
-        CountGuard::new(&shared.client_sockets),
-    );
+    let (responses_sender, responses) = bounded(RESPONSE_MAILBOX_CAPACITY);
+    let connection = NewConnection {
+        id,
+        stream,
+        socket_guard: CountGuard::new(&shared.client_sockets),
+        frontend,
+        adopted,
+        responses_sender: responses_sender.clone(),
+        responses,
+    };
+    let actor_shared = Rc::clone(shared);
     shared.spawn(async move {
-        actor(
-            &all,
-            core,
-            (stream, socket, conn),
-            front,
-            adopted,
-            (mine, mailbox),
-        )
-        .await;
+        serve(&actor_shared, &dispatcher, connection).await;
     });
-    answers
+    responses_sender
 }
 
-async fn actor(
+/// Registers the connection, runs it to its end, and reports both to the dispatcher.
+async fn serve<F: Frontend>(
     shared: &Shared,
-    core: Sender<DispatcherEvent>,
-    (stream, socket, conn): (Async<TcpStream>, CountGuard, u64),
-    front: impl Front,
-    adopted: Option<AdoptedConnection>,
-    (answers, mailbox): Mailbox,
+    dispatcher: &Sender<DispatcherEvent>,
+    connection: NewConnection<F>,
 ) {
-    let (shed, shedding) = bounded(1);
-    let (useful, idle_since) = (Cell::new(false), Cell::new(Some(clock::turn())));
-    let (leaving, passes) = (Cell::new(false), Cell::new(false));
-    let stream = Rc::new(stream);
-    let at = Rc::downgrade(&stream);
-    let standing = Rc::new(ConnectionStatus {
-        useful,
-        idle_since,
-        leaving,
-        passes,
-        shed,
-        stream: at,
-    });
-    shared.clients.borrow_mut().insert(conn, standing.clone());
-    let _ = core
-        .send(DispatcherEvent::ClientConnected(conn, answers))
+    let id = connection.id;
+    let (close_check_sender, close_checks) = bounded(1);
+    let stream = Rc::new(connection.stream);
+    let status = Rc::new(ConnectionStatus::new(
+        clock::turn(),
+        close_check_sender,
+        Rc::downgrade(&stream),
+    ));
+    shared.clients.borrow_mut().insert(id, Rc::clone(&status));
+    // The dispatcher's mailbox is closed only while the process exits.
+    let _ = dispatcher
+        .send(DispatcherEvent::ClientConnected(
+            id,
+            connection.responses_sender,
+        ))
         .await;
-    let (held, unread) = (
-        ByteQuota::new(&shared.unwritten_bytes),
-        ByteQuota::new(&shared.unread_bytes),
-    );
-    let (mut unwritten, said, waiting, skimmed) = (Vec::new(), Vec::new(), Vec::new(), 0);
-    let older = adopted.map(|adopted| {
-        unwritten = adopted.handed.unwritten;
-        (adopted.number, adopted.older)
-    });
-    let (core, written) = (&core, 0);
-    let peer = Peer {
+    let (predecessor, unwritten) = match connection.adopted {
+        Some(adopted) => {
+            let link = PredecessorLink {
+                connection_number: adopted.number,
+                messages: adopted.predecessor,
+            };
+            (Some(link), adopted.state.unwritten)
+        }
+        None => (None, Vec::new()),
+    };
+    let now = clock::now();
+    let running = ClientConnection {
         shared,
-        core,
+        dispatcher,
         stream,
-        socket,
-        conn,
-        front,
-        unwritten,
-        written,
-        held,
-        unread,
-        said,
-        waiting,
-        skimmed,
-        older,
+        socket_guard: connection.socket_guard,
+        output_guard: None,
+        id,
+        status: &status,
+        responses: &connection.responses,
+        close_checks: &close_checks,
+        frontend: connection.frontend,
+        events: Vec::new(),
+        output: OutputBuffer::new(unwritten, ByteQuota::new(&shared.unwritten_bytes)),
+        deferred: DeferredInput::default(),
+        input_quota: ByteQuota::new(&shared.unread_bytes),
+        predecessor: predecessor.clone(),
+        accepted_at: now,
+        active_at: now,
+        penalty: RejectionPenalty::default(),
+        has_unread_input: false,
     };
-    let passed_by = peer.older.clone();
-    let end = peer.serve(&standing, &mailbox, &shedding).await;
-    if let Some((number, older)) = passed_by {
-        let _ = older.try_send(HotRestartMessage::ClientGone(number));
+    let reason = running.run().await;
+    if let Some(predecessor) = predecessor {
+        let gone = HotRestartMessage::ClientGone(predecessor.connection_number);
+        // A predecessor that has exited does not need to know.
+        let _ = predecessor.messages.try_send(gone);
     }
-    shared.clients.borrow_mut().remove(&conn);
-    if !matches!(
-        end,
+    shared.clients.borrow_mut().remove(&id);
+    log_unexpected_end(reason);
+    let _ = dispatcher
+        .send(DispatcherEvent::ClientDisconnected(id))
+        .await;
+}
+
+/// Logs the end of a connection, unless it is one that usual clients and limits cause.
+fn log_unexpected_end(reason: Termination) {
+    let expected = matches!(
+        reason,
         Termination::Closed | Termination::Idle | Termination::Done | Termination::LocalLimit
-    ) {
-        log!("a client's connection ended: {end:?}");
+    );
+    if !expected {
+        log!("a client's connection ended: {reason:?}");
     }
-    let _ = core.send(DispatcherEvent::ClientDisconnected(conn)).await;
 }
 
 #[cfg(test)]
--- a/src/net/client/rejection_penalty.rs
+++ b/src/net/client/rejection_penalty.rs
@@ -1,23 +1,31 @@
-//! Clients that are turned away again and again are read from more slowly.
+//! The rejection penalty: input of a client whose requests are rejected again and again is deferred,
+//! so that its messages are parsed at a bounded rate. Guards the other clients' share of the
+//! processor.
 use crate::clock::{MS, Micros};
 
-/// So many times at once are free, and each one more costs this pause. Guards the others' share of
-/// the processor.
-const FREE_STRIKES: u64 = 64;
-const STRIKE: Micros = 20 * MS;
+/// Rejections in a row that cost nothing.
+const FREE_REJECTIONS: u64 = 64;
+/// The delay that each further rejection adds.
+const DELAY_PER_REJECTION: Micros = 20 * MS;
 
-/// How often a client was turned away of late, as the time by which it will all be made up for.
+/// The recent rejections of one client, as a token bucket: each advances the time at which the
+/// bucket is full again.
 #[derive(Default)]
-pub(super) struct Strikes(Micros);
+pub(super) struct RejectionPenalty {
+    replenished_at: Micros,
+}
 
-impl Strikes {
+impl RejectionPenalty {
+    /// Records `count` rejections.
     pub(super) fn add(&mut self, now: Micros, count: u64) {
-        self.0 = self.0.max(now) + count * STRIKE;
+        self.replenished_at = self.replenished_at.max(now) + count * DELAY_PER_REJECTION;
     }
 
-    /// Until when nothing more is read, if so.
-    pub(super) fn pause(&self, now: Micros) -> Option<Micros> {
-        let until = self.0.saturating_sub(FREE_STRIKES * STRIKE);
-        (until > now).then_some(until)
+    /// Until when the client's input is deferred; `None` if it is not.
+    pub(super) fn ends_at(&self, now: Micros) -> Option<Micros> {
+        let ends_at = self
+            .replenished_at
+            .saturating_sub(FREE_REJECTIONS * DELAY_PER_REJECTION);
+        (ends_at > now).then_some(ends_at)
     }
 }
--- /dev/null
+++ b/src/net/client/wait.rs
@@ -0,0 +1,218 @@
+//! What a client connection waits for: its deadlines, and the event that wakes it.
+use super::connection::{ClientConnection, read_into_shared_buffer};
+use crate::clock::{MS, Micros, SEC};
+use crate::dispatcher::Response;
+use crate::frontend::Frontend;
+use crate::net::sleep_until;
+use futures_lite::AsyncWriteExt;
+use futures_lite::future::or;
+use std::future::pending;
+use std::io;
+
+/// Reading from a client stops while more bytes than this wait to be written to it.
+const MAX_UNWRITTEN_BYTES: usize = 256 * 1024;
+/// Deferred input that a connection holds at most; beyond this nothing is read, and the client's
+/// disconnect is detected by polling instead.
+const MAX_DEFERRED_BYTES: usize = 64 * 1024;
+/// The interval of that polling.
+const DISCONNECT_POLL_INTERVAL: Micros = 20 * MS;
+/// A client without open requests is disconnected after this time without activity. Usual clients
+/// close their side after 4 s.
+const IDLE_TIMEOUT: Micros = 10 * SEC;
+/// A client has to send its first valid message, and the rest of a message that it began, within
+/// this time. Guards against clients that connect in large numbers, send nothing or a part of a
+/// message, and exclude others.
+const MESSAGE_TIMEOUT: Micros = 2_500 * MS;
+/// A client that does not read its responses is disconnected after this time.
+const WRITE_STALL_TIMEOUT: Micros = 10 * SEC;
+
+/// Why the connection woke up.
+pub(super) enum WakeReason {
+    /// The dispatcher sent the response to the request with that tag; `None`: it closed the mailbox.
+    Response(Option<(u64, Response)>),
+    /// The connection is to check whether it should close: it is shed, its drain began, or it has
+    /// been quiet for long enough.
+    CloseCheck,
+    /// Bytes were read into the shared buffer; zero: the client closed its side.
+    Read(io::Result<usize>),
+    /// The socket took bytes.
+    Written(io::Result<usize>),
+    /// A deadline of the [`WaitPlan`] passed.
+    Deadline,
+}
+
+/// Whether input of this client is deferred at present, and until when.
+pub(super) struct Throttle {
+    /// The rejection penalty ends at this time.
+    pub(super) penalty_ends_at: Option<Micros>,
+    /// Too many bytes wait to be written, to this client or to all.
+    pub(super) output_is_full: bool,
+}
+
+impl Throttle {
+    pub(super) fn is_active(&self) -> bool {
+        self.output_is_full || self.penalty_ends_at.is_some()
+    }
+}
+
+/// The state of a connection before it waits, and the deadlines that follow from it.
+pub(super) struct WaitPlan {
+    /// New input is deferred instead of parsed.
+    pub(super) defers_input: bool,
+    /// No input is read at all: the deferred input has reached its limit.
+    pub(super) input_blocked: bool,
+    /// Bytes wait to be written.
+    pub(super) writing: bool,
+    /// Nothing is open, deferred or to be written.
+    idle: bool,
+    /// The connection waits for a valid message that is due by then.
+    pub(super) message_due_at: Option<Micros>,
+    /// The client counts as unresponsive from then on, unless it acts before.
+    pub(super) unresponsive_at: Option<Micros>,
+    /// The connection closes at this time if it stays quiet: it is draining.
+    quiet_close_at: Option<Micros>,
+    wake_at: Option<Micros>,
+}
+
+impl WaitPlan {
+    /// Whether the connection has been quiet for as long as a drain requires.
+    pub(super) fn quiet_close_is_due(&self, now: Micros) -> bool {
+        has_passed(self.quiet_close_at, now)
+    }
+}
+
+/// Whether that deadline exists and has passed.
+pub(super) fn has_passed(deadline: Option<Micros>, now: Micros) -> bool {
+    deadline.is_some_and(|at| at <= now)
+}
+
+fn earliest(deadlines: [Option<Micros>; 5]) -> Option<Micros> {
+    deadlines.into_iter().flatten().min()
+}
+
+impl<F: Frontend> ClientConnection<'_, F> {
+    /// Whether the client's input is deferred now; also updates the count of unwritten bytes.
+    pub(super) fn throttle(&mut self, now: Micros) -> Throttle {
+        let unwritten = self.output.update_quota();
+        let over_shared_limit =
+            self.shared.unwritten_bytes.get() > self.shared.max_unwritten_bytes.get();
+        let closing = self.shared.lifecycle.borrow().is_closing();
+        Throttle {
+            penalty_ends_at: self.penalty.ends_at(now).filter(|_| !closing),
+            output_is_full: unwritten > MAX_UNWRITTEN_BYTES || over_shared_limit,
+        }
+    }
+
+    /// Computes the deadlines before the connection waits.
+    pub(super) fn plan_wait(&self, now: Micros, throttle: &Throttle) -> WaitPlan {
+        let writing = self.is_writing();
+        let open_requests = self.frontend.open_requests();
+        let idle = !writing && open_requests == 0 && self.deferred.bytes.is_empty();
+        let defers_input = throttle.is_active();
+        let input_blocked = defers_input && self.deferred.bytes.len() >= MAX_DEFERRED_BYTES;
+        let message_due_at = self.message_due_at();
+        let unresponsive_at = match (writing, idle) {
+            (true, _) => Some(self.active_at + WRITE_STALL_TIMEOUT),
+            (false, true) => Some(self.active_at + IDLE_TIMEOUT),
+            (false, false) => None,
+        };
+        let poll_disconnect_at =
+            (input_blocked && open_requests > 0).then_some(now + DISCONNECT_POLL_INTERVAL);
+        let quiet_close_at = self.quiet_close_at(now);
+        WaitPlan {
+            defers_input,
+            input_blocked,
+            writing,
+            idle,
+            message_due_at,
+            unresponsive_at,
+            quiet_close_at,
+            wake_at: earliest([
+                unresponsive_at,
+                message_due_at,
+                throttle.penalty_ends_at,
+                poll_disconnect_at,
+                quiet_close_at.filter(|at| idle && *at > now),
+            ]),
+        }
+    }
+
+    /// When the client's first valid message, or the rest of the incomplete one, has to be here.
+    fn message_due_at(&self) -> Option<Micros> {
+        let first_message_since = (!self.frontend.has_valid_message()).then_some(self.accepted_at);
+        let waiting_since = self
+            .frontend
+            .message_started_at()
+            .into_iter()
+            .chain(first_message_since)
+            .min();
+        waiting_since.map(|since| since + MESSAGE_TIMEOUT)
+    }
+
+    /// When the connection closes for the sake of a drain or of the end of the process, provided
+    /// that it is quiet then. An incomplete message keeps it open during a drain; at the end of the
+    /// process it requests nothing.
+    fn quiet_close_at(&self, now: Micros) -> Option<Micros> {
+        let lifecycle = self.shared.lifecycle.borrow();
+        let closing = lifecycle.is_closing();
+        let no_message_begun =
+            self.frontend.message_started_at().is_none() && self.frontend.buffered_bytes() == 0;
+        let quiet = (closing || no_message_begun) && !self.has_unread_input;
+        let leaves = quiet && (closing || self.status.draining.get());
+        leaves.then(|| {
+            let is_active_client = self.frontend.has_valid_message();
+            self.active_at + lifecycle.required_quiet_time(self.id, now, is_active_client)
+        })
+    }
+
+    /// Waits for the next event. Where several are ready, responses come first, then the check
+    /// whether to close, then writing before reading.
+    pub(super) async fn wait(&self, now: Micros, plan: &WaitPlan) -> WakeReason {
+        let response = async { WakeReason::Response(self.responses.recv().await.ok()) };
+        let close_check = self.wait_for_close_check(now, plan);
+        let write = async {
+            if !plan.writing {
+                return pending().await;
+            }
+            let mut socket = &*self.stream;
+            WakeReason::Written(socket.write(self.output.pending()).await)
+        };
+        let read = async {
+            if plan.input_blocked {
+                return pending().await;
+            }
+            WakeReason::Read(read_into_shared_buffer(&self.stream, self.shared).await)
+        };
+        let deadline = async {
+            sleep_until(plan.wake_at).await;
+            WakeReason::Deadline
+        };
+        or(response, or(close_check, or(write, or(read, deadline)))).await
+    }
+
+    /// Returns at once if an idle connection has been quiet for long enough, else when the
+    /// connection's status asks for a check. Unread input comes first: it makes this wait forever.
+    async fn wait_for_close_check(&self, now: Micros, plan: &WaitPlan) -> WakeReason {
+        if !plan.idle {
+            return pending().await;
+        }
+        if !plan.quiet_close_is_due(now) {
+            if self.has_unread_input {
+                return pending().await;
+            }
+            // An error says that the channel is closed: the connection is shed.
+            let _ = self.close_checks.recv().await;
+        }
+        WakeReason::CloseCheck
+    }
+
+    /// Publishes to the connection registry what the listeners and the lifecycle need to know.
+    pub(super) fn publish_status(&self, plan: &WaitPlan) {
+        self.status
+            .has_valid_message
+            .set(self.frontend.has_valid_message());
+        self.status
+            .idle_since
+            .set(plan.idle.then_some(self.active_at));
+    }
+}
--- a/src/net/dispatcher.rs
+++ b/src/net/dispatcher.rs
@@ -54,7 +54,7 @@
     fn look(&mut self, shared: &Shared, now: Micros) -> Option<f64> {
         self.due(shared).filter(|due| *due <= now)?;
         self.looked_at = now;
-        client::let_go(shared, now, &mut self.letting_go);
+        client::close_idle_connections(shared, now, &mut self.letting_go);
         let (part, was) = (shared.lifecycle.borrow().capacity_share(), self.part);
         let new = (part - was).abs() > 0.01 || (part != was && (part == 1.0 || part == 0.0));
         self.part = if new { part } else { was };
@@ -229,7 +229,7 @@
             // or a farewell.
             shared.lifecycle.borrow_mut().begin_closing();
             shared.accepting.0.close();
-            client::send_away(&shared);
+            client::begin_shutdown(&shared);
             parts_until = Some(now + if core.ended { LAST_PARTING } else { PARTING });
         }
         let all = [
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -287,8 +287,8 @@
             let open = handed.open.iter().copied().collect();
             let adopted = AdoptedConnection {
                 number,
-                handed,
-                older: words.clone(),
+                state: handed,
+                predecessor: words.clone(),
             };
             clients.insert(
                 number,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -177,7 +177,7 @@
     /// the instant in which something begins for it.
     pub fn client_disconnected(&self, conn: u64) -> bool {
         let standing = self.clients.borrow().get(&conn).cloned();
-        standing.is_none_or(|standing| standing.gone())
+        standing.is_none_or(|standing| standing.disconnected())
     }
 
     /// What operators are told now.
--- a/tests/unit/clickhouse.rs
+++ b/tests/unit/clickhouse.rs
@@ -1,6 +1,6 @@
 //! The ClickHouse interface without sockets: what a client sees, and what an engine's words mean,
 //! however the bytes are cut.
-use super::{ClickHouse as Front, ClickHouseShared};
+use super::{ClickHouse as Frontend, ClickHouseShared};
 use crate::backend::clickhouse::ClickHouse as Engine;
 use crate::backend::{BackendEvent as Heard, Protocol};
 use crate::clock::{MS, SEC};
@@ -8,12 +8,12 @@
 use crate::config::process::Names;
 use crate::dispatcher::termination::Termination;
 use crate::dispatcher::{AttemptRequest, ClientRequest, Failure, Response};
-use crate::frontend::{Front as _, FrontendEvent};
+use crate::frontend::{Frontend as _, FrontendEvent};
 use crate::policy::api::{AttemptNo, ClassId, RequestId};
 use quickcheck::{Gen, QuickCheck};
 use std::rc::Rc;
 
-fn front() -> Front {
+fn front() -> Frontend {
     let text = include_str!("../../deploy/clickhouse.toml");
     let deploy = clickhouse::parse(text).expect("the file that is shipped");
     let named = |list: &[&str]| list.iter().map(|n| (*n).to_owned()).collect();
@@ -37,7 +37,7 @@
         vec![6 * SEC, 15 * SEC, 25 * SEC].into(),
         vec![false, false, true].into(),
     );
-    Front::new(
+    Frontend::new(
         9,
         Rc::new(ClickHouseShared {
             rules: rules.into(),
@@ -51,7 +51,7 @@
     )
 }
 
-fn feed(front: &mut Front, bytes: &[u8]) -> (Vec<ClientRequest>, String) {
+fn feed(front: &mut Frontend, bytes: &[u8]) -> (Vec<ClientRequest>, String) {
     let (mut said, mut replies) = (Vec::new(), Vec::new());
     front
         .feed(SEC, bytes, &mut said, &mut replies)
@@ -62,7 +62,7 @@
 fn asks(said: Vec<FrontendEvent>) -> Vec<ClientRequest> {
     said.into_iter()
         .filter_map(|s| {
-            if let FrontendEvent::Ask(ask) = s {
+            if let FrontendEvent::Request(ask) = s {
                 Some(ask)
             } else {
                 None
@@ -71,9 +71,9 @@
         .collect()
 }
 
-fn answer(front: &mut Front, tag: u64, answer: Response) -> (Vec<ClientRequest>, String) {
+fn answer(front: &mut Frontend, tag: u64, answer: Response) -> (Vec<ClientRequest>, String) {
     let (mut said, mut replies) = (Vec::new(), Vec::new());
-    front.answer(SEC, tag, answer, &mut said, &mut replies);
+    front.write_response(SEC, tag, answer, &mut said, &mut replies);
     (asks(said), String::from_utf8(replies).expect("text"))
 }
 
@@ -180,7 +180,7 @@
             text += &replies;
         }
         let mut at = 0;
-        while at < asked.len() && front.open() == 1 {
+        while at < asked.len() && front.open_requests() == 1 {
             let (more, replies) = answer(
                 &mut front,
                 asked[at].origin.tag,
--- a/tests/unit/jsonrpc.rs
+++ b/tests/unit/jsonrpc.rs
@@ -42,9 +42,9 @@
             }
         }
         let [
-            FrontendEvent::Ask(one),
-            FrontendEvent::Ask(two),
-            FrontendEvent::Withdraw(1),
+            FrontendEvent::Request(one),
+            FrontendEvent::Request(two),
+            FrontendEvent::RequestCancelled { tag: 1 },
         ] = &said[..]
         else {
             return false;
@@ -59,15 +59,15 @@
         ) == (2, 1, 0, b"insert 1");
         let green = String::from_utf8_lossy(&replies).contains("\"green\":true");
         replies.clear();
-        front.answer(
+        front.write_response(
             MS,
             1,
             Response::Completed(b"a\n".to_vec()),
             &mut Vec::new(),
             &mut replies,
         );
-        let silent = replies.is_empty() && front.open() == 1;
-        front.answer(
+        let silent = replies.is_empty() && front.open_requests() == 1;
+        front.write_response(
             MS,
             2,
             Response::Rejected(Some(150 * MS)),
@@ -78,7 +78,7 @@
         let refused = told["error"]["code"] == REFUSED
             && told["error"]["data"]["after"] == 150
             && told["id"] == 2;
-        first && second && green && silent && refused && front.open() == 0
+        first && second && green && silent && refused && front.open_requests() == 0
     }
     let mut check = QuickCheck::new()
         .rng(Gen::from_size_and_seed(255, 19))
@@ -114,13 +114,28 @@
         .collect();
     let asks = said
         .iter()
-        .filter(|s| matches!(s, FrontendEvent::Ask(_)))
+        .filter(|s| matches!(s, FrontendEvent::Request(_)))
         .count();
     assert_eq!((asks, codes), (32, vec![REFUSED, INVALID_REQUEST]));
     // Guards the figures: what never gets to the core is counted under its class too.
-    let turned = |s: &&FrontendEvent| matches!(s, FrontendEvent::TurnedAway(ClassId(0), _));
-    let refused =
-        |s: &&FrontendEvent| matches!(s, FrontendEvent::TurnedAway(_, Response::Rejected(_)));
+    let turned = |s: &&FrontendEvent| {
+        matches!(
+            s,
+            FrontendEvent::RequestRejected {
+                class: ClassId(0),
+                ..
+            }
+        )
+    };
+    let refused = |s: &&FrontendEvent| {
+        matches!(
+            s,
+            FrontendEvent::RequestRejected {
+                response: Response::Rejected(_),
+                ..
+            }
+        )
+    };
     assert_eq!(
         (
             said.iter().filter(turned).count(),
@@ -152,13 +167,13 @@
             .ok()
             .and_then(|v| v["error"]["code"].as_i64());
         let asked = said.iter().find_map(|s| {
-            if let FrontendEvent::Ask(ask) = s {
+            if let FrontendEvent::Request(ask) = s {
                 Some(ask.idempotency_key.clone())
             } else {
                 None
             }
         });
-        (asked, code, front.last())
+        (asked, code, front.closes_after_output())
     };
     let key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     assert_eq!(
@@ -213,7 +228,7 @@
         front
             .feed(MS, &line, &mut said, &mut replies)
             .expect("no fault");
-        front.answer(
+        front.write_response(
             MS,
             1,
             Response::Failed(Failure::Attempt(end)),
--- a/tests/unit/mutation.rs
+++ b/tests/unit/mutation.rs
@@ -9,7 +9,7 @@
 use crate::dispatcher::termination::{Termination, TransmitProgress, never_ran, outcome};
 use crate::dispatcher::{AttemptRequest, Response};
 use crate::frontend::jsonrpc::JsonRpc;
-use crate::frontend::{Front, FrontendEvent};
+use crate::frontend::{Frontend, FrontendEvent};
 use crate::net::discovery::coordinator::{Follower, WatchPosition};
 use crate::policy::api::{AttemptNo, RequestId};
 use crate::testkit::clients::rpc_line;
@@ -170,13 +170,13 @@
         for (wait, message) in mutant {
             now += wait;
             // It may be read slowly: what is skimmed is found again, and counts once.
-            front.skim(&message, 0, &mut said);
+            front.scan_deferred_input(&message, 0, &mut said);
             let _ = front.feed(now, &message, &mut said, &mut replies);
         }
         let asked: Vec<u64> = said
             .iter()
             .filter_map(|s| {
-                if let FrontendEvent::Ask(a) = s {
+                if let FrontendEvent::Request(a) = s {
                     Some(a.origin.tag)
                 } else {
                     None
@@ -184,7 +184,7 @@
             })
             .collect();
         for tag in asked.iter().chain(&asked) {
-            front.answer(
+            front.write_response(
                 now,
                 *tag,
                 Response::Rejected(Some(MS)),
@@ -212,9 +212,9 @@
         );
         let withdrawn = said
             .iter()
-            .filter(|s| matches!(s, FrontendEvent::Withdraw(_)))
+            .filter(|s| matches!(s, FrontendEvent::RequestCancelled { .. }))
             .count();
-        assert!(withdrawn <= 1 && front.open() == 0, "{number}");
+        assert!(withdrawn <= 1 && front.open_requests() == 0, "{number}");
     }
 }
 
--- a/tests/unit/net_client.rs
+++ b/tests/unit/net_client.rs
@@ -45,18 +45,10 @@
     let client = TcpStream::connect(addr).expect("a connection");
     let (here, _) = listener.get_ref().accept().expect("a connection");
     let here = Rc::new(Async::new(here).expect("a socket"));
-    let (useful, idle_since) = (Cell::new(true), Cell::new(None));
-    let (leaving, passes) = (Cell::new(false), Cell::new(false));
-    let (shed, stream) = (bounded(1).0, Rc::downgrade(&here));
-    let standing = ConnectionStatus {
-        useful,
-        idle_since,
-        leaving,
-        passes,
-        shed,
-        stream,
-    };
-    shared.clients.borrow_mut().insert(conn, Rc::new(standing));
+    let status = ConnectionStatus::new(0, bounded(1).0, Rc::downgrade(&here));
+    status.has_valid_message.set(true);
+    status.idle_since.set(None);
+    shared.clients.borrow_mut().insert(conn, Rc::new(status));
     (here, client)
 }
 
@@ -159,7 +151,7 @@
             .borrow_mut()
             .begin_shutdown(clock::turn());
         self.shared.lifecycle.borrow_mut().begin_closing();
-        send_away(&self.shared);
+        begin_shutdown(&self.shared);
     }
 
     /// What the client reads up to the end of the connection, and that it is a proper end.
@@ -196,7 +188,7 @@
     let rig = Rig::new();
     rig.write(STATUS);
     rig.opened();
-    rig.until(|| rig.shared.clients.borrow()[&1].useful.get());
+    rig.until(|| rig.shared.clients.borrow()[&1].has_valid_message.get());
     let request = line(7);
     rig.write(&request);
     rig.has_come(request.len());
@@ -241,13 +233,13 @@
         let rig = Rig::new();
         rig.write(STATUS);
         rig.opened();
-        rig.until(|| rig.shared.clients.borrow()[&1].useful.get());
+        rig.until(|| rig.shared.clients.borrow()[&1].has_valid_message.get());
         let request = line(7);
         if before {
             rig.write(&request);
             rig.has_come(request.len());
         }
-        rig.shared.clients.borrow()[&1].shed.close();
+        rig.shared.clients.borrow()[&1].close_checks.close();
         if before {
             rig.says(|input| ask_of(&input).map(|ask| ask.origin.tag));
             rig.answers
@@ -423,12 +415,12 @@
         .map(|_| TcpStream::connect(addr).expect("a connection"))
         .collect();
     run(&|| shared.client_sockets.get() == 5);
-    send_away(&shared);
+    begin_shutdown(&shared);
     shared
         .clients
         .borrow()
         .values()
-        .for_each(|standing| _ = standing.shed.close());
+        .for_each(|status| _ = status.close_checks.close());
     run(&|| shared.client_sockets.get() == 0);
     assert!(shared.closing_sockets.get() <= 2);
     drop(clients);
