--- /dev/null
+++ b/src/frontend/jsonrpc/error.rs
@@ -0,0 +1,89 @@
+//! The errors of the platform's protocol: their codes and texts.
+use crate::clock::{MS, Micros};
+use thiserror::Error;
+
+/// The client's request was rejected before it ran: a retry is harmless.
+pub(super) const REJECTED: i64 = -32050;
+/// The request failed, possibly after it ran.
+pub(super) const FAILED: i64 = -32051;
+/// The request's deadline passed.
+pub(super) const DEADLINE_EXCEEDED: i64 = -32052;
+/// JSON-RPC 2.0: the text is not JSON.
+pub(super) const PARSE_ERROR: i64 = -32700;
+/// JSON-RPC 2.0: the JSON is not a request.
+pub(super) const INVALID_REQUEST: i64 = -32600;
+/// JSON-RPC 2.0: there is no such method, which is the name of a class here.
+pub(super) const METHOD_NOT_FOUND: i64 = -32601;
+/// JSON-RPC 2.0: the parameters cannot be used.
+pub(super) const INVALID_PARAMS: i64 = -32602;
+
+/// The Retry-After of a message that this frontend rejects for lack of capacity.
+const CAPACITY_RETRY_AFTER: Micros = 100 * MS;
+
+/// Why this frontend rejects a message itself. The texts go to the client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub(super) enum MessageError {
+    #[error("no batches")]
+    Batch,
+    #[error("not a message")]
+    NotJson,
+    /// It is JSON, but has not the form of a request.
+    #[error("not a message")]
+    NotARequest,
+    #[error("not JSON-RPC 2.0")]
+    WrongVersion,
+    #[error("the line is too long")]
+    LineTooLong,
+    #[error("the message did not end in time")]
+    Incomplete,
+    #[error("there is no room for long messages now")]
+    OutOfMemory,
+    #[error("no such class")]
+    UnknownClass,
+    #[error("the id is not a number")]
+    InvalidId,
+    #[error("the id is in use")]
+    IdInUse,
+    #[error("too many requests are open on this connection")]
+    TooManyOpenRequests,
+    #[error("unusable params")]
+    InvalidParams,
+    #[error("params.id is not 16 hex digits")]
+    InvalidClientRequestId,
+    #[error("a figure is out of range")]
+    FigureOutOfRange,
+    #[error("params.once is no key")]
+    InvalidIdempotencyKey,
+    #[error("no such tenant")]
+    UnknownTenant,
+    #[error("arg is not base64")]
+    InvalidStatementEncoding,
+}
+
+impl MessageError {
+    /// The JSON-RPC error code.
+    pub(super) fn code(self) -> i64 {
+        match self {
+            MessageError::NotJson | MessageError::Incomplete => PARSE_ERROR,
+            MessageError::Batch
+            | MessageError::NotARequest
+            | MessageError::WrongVersion
+            | MessageError::LineTooLong
+            | MessageError::InvalidId
+            | MessageError::IdInUse => INVALID_REQUEST,
+            MessageError::OutOfMemory | MessageError::TooManyOpenRequests => REJECTED,
+            MessageError::UnknownClass => METHOD_NOT_FOUND,
+            MessageError::InvalidParams
+            | MessageError::InvalidClientRequestId
+            | MessageError::FigureOutOfRange
+            | MessageError::InvalidIdempotencyKey
+            | MessageError::UnknownTenant
+            | MessageError::InvalidStatementEncoding => INVALID_PARAMS,
+        }
+    }
+
+    /// When a retry makes sense; every rejection for lack of capacity says so.
+    pub(super) fn retry_after(self) -> Option<Micros> {
+        (self.code() == REJECTED).then_some(CAPACITY_RETRY_AFTER)
+    }
+}
--- /dev/null
+++ b/src/frontend/jsonrpc/mod.rs
@@ -0,0 +1,354 @@
+//! The platform's protocol for clients: JSON-RPC 2.0 over TCP, one message per line, with several
+//! requests open on a connection.
+mod error;
+mod request;
+mod response;
+
+use super::input_buffer::InputBuffer;
+use super::{DisconnectReason, Frontend, FrontendEvent};
+use crate::clock::Micros;
+use crate::config::process::LiveNames;
+use crate::dispatcher::termination::Termination;
+use crate::dispatcher::{ClientRequest, Failure, Origin, Response};
+use crate::hot_restart::message::TransferredConnection;
+use crate::policy::api::ClassId;
+use error::MessageError;
+use request::{Message, Params};
+use serde_json::Value;
+use std::collections::BTreeSet;
+use std::rc::Rc;
+
+/// A longer line ends the connection; in bytes.
+const MAX_LINE_BYTES: usize = 256 * 1024;
+/// Requests that may be open on a connection.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// The method that asks whether the gateway is ready.
+const STATUS_METHOD: &str = "status";
+/// The method that cancels a request.
+const CANCEL_METHOD: &str = "withdraw";
+/// Every line that holds a cancellation contains these bytes.
+const CANCEL_MARKER: &[u8] = b"\"withdraw\"";
+
+/// One client connection.
+pub struct JsonRpc {
+    connection: u64,
+    names: LiveNames,
+    /// Whether this process is ready to serve.
+    is_ready: Rc<dyn Fn() -> bool>,
+    input: InputBuffer,
+    /// The offset in `input` up to which there is no end of a line.
+    searched: usize,
+    /// Tags of the requests in flight here.
+    open: BTreeSet<u64>,
+    /// Tags of the requests in flight at the process that transferred this connection.
+    open_at_predecessor: BTreeSet<u64>,
+    has_valid_message: bool,
+    penalized_messages: u64,
+    /// Nothing more is parsed: the connection ends once the open requests have their responses.
+    closing: bool,
+}
+
+impl JsonRpc {
+    /// A new connection with that number; `is_ready` answers its readiness queries.
+    pub fn new(connection: u64, names: LiveNames, is_ready: Rc<dyn Fn() -> bool>) -> JsonRpc {
+        JsonRpc {
+            connection,
+            names,
+            is_ready,
+            input: InputBuffer::default(),
+            searched: 0,
+            open: BTreeSet::new(),
+            open_at_predecessor: BTreeSet::new(),
+            has_valid_message: false,
+            penalized_messages: 0,
+            closing: false,
+        }
+    }
+
+    /// Continues, on a new connection, one that another process transferred at `now`.
+    pub fn resume(now: Micros, state: &TransferredConnection, new: JsonRpc) -> JsonRpc {
+        JsonRpc {
+            open_at_predecessor: state.open.iter().copied().collect(),
+            input: InputBuffer::resume(state.input.clone(), now),
+            has_valid_message: true,
+            ..new
+        }
+    }
+
+    /// Rejects a message.
+    fn reject(&mut self, output: &mut Vec<u8>, id: &Value, cause: MessageError) {
+        self.penalized_messages += 1;
+        response::write_message_error(output, id, cause);
+    }
+
+    /// Rejects what is not a message, and parses nothing more: input of another protocol has no
+    /// boundaries to resume at.
+    fn reject_and_close(&mut self, output: &mut Vec<u8>, cause: MessageError) {
+        self.reject(output, &Value::Null, cause);
+        self.closing = true;
+    }
+
+    /// Handles each complete line of the input, and returns whether there was any.
+    fn handle_lines(
+        &mut self,
+        now: Micros,
+        events: &mut Vec<FrontendEvent>,
+        output: &mut Vec<u8>,
+    ) -> bool {
+        let mut buffer = self.input.take_bytes();
+        let mut consumed = 0;
+        while !self.closing {
+            let search_from = consumed.max(self.searched);
+            let rest = &buffer[search_from..];
+            let Some(length) = rest.iter().position(|byte| *byte == b'\n') else {
+                break;
+            };
+            let line_end = search_from + length;
+            self.handle_line(now, &buffer[consumed..line_end], events, output);
+            consumed = line_end + 1;
+            self.searched = 0;
+        }
+        if !self.closing {
+            buffer.drain(..consumed);
+            self.searched = buffer.len();
+            self.input.restore_bytes(buffer);
+        }
+        consumed > 0
+    }
+
+    fn handle_line(
+        &mut self,
+        now: Micros,
+        line: &[u8],
+        events: &mut Vec<FrontendEvent>,
+        output: &mut Vec<u8>,
+    ) {
+        if line.iter().all(u8::is_ascii_whitespace) {
+            return;
+        }
+        let message = match Message::parse(line) {
+            Ok(message) => message,
+            Err(cause) => return self.reject_and_close(output, cause),
+        };
+        match message.method.as_str() {
+            STATUS_METHOD => {
+                self.has_valid_message = true;
+                response::write_status(output, &message.returnable_id(), (self.is_ready)());
+            }
+            CANCEL_METHOD => {
+                self.penalized_messages += 1;
+                self.cancel(&message, events);
+            }
+            _ => self.handle_request(now, message, events, output),
+        }
+    }
+
+    fn handle_request(
+        &mut self,
+        now: Micros,
+        message: Message,
+        events: &mut Vec<FrontendEvent>,
+        output: &mut Vec<u8>,
+    ) {
+        let id = message.returnable_id();
+        let class = self.names.borrow().class(&message.method);
+        match self.parse_request(now, class, &id, message.params) {
+            Ok(request) => {
+                self.open.insert(request.origin.tag);
+                self.has_valid_message = true;
+                events.push(FrontendEvent::Request(request));
+            }
+            Err(cause) => {
+                if let Some(class) = class {
+                    let response = response_for_metrics(cause);
+                    events.push(FrontendEvent::RequestRejected { class, response });
+                }
+                // The error of a second request under an open id must not be taken for the response
+                // to the first one.
+                let id_in_use = id.as_u64().is_some_and(|tag| self.is_open(tag));
+                let error_id = if id_in_use { &Value::Null } else { &id };
+                self.reject(output, error_id, cause);
+            }
+        }
+    }
+
+    fn parse_request(
+        &self,
+        now: Micros,
+        class: Option<ClassId>,
+        id: &Value,
+        params: Value,
+    ) -> Result<ClientRequest, MessageError> {
+        let class = class.ok_or(MessageError::UnknownClass)?;
+        let tag = id
+            .as_u64()
+            .filter(|tag| *tag > 0)
+            .ok_or(MessageError::InvalidId)?;
+        if self.is_open(tag) {
+            return Err(MessageError::IdInUse);
+        }
+        if self.open_requests() >= MAX_OPEN_REQUESTS {
+            return Err(MessageError::TooManyOpenRequests);
+        }
+        let origin = Origin {
+            conn: self.connection,
+            tag,
+        };
+        Params::parse(params)?.into_request(now, origin, class, &self.names.borrow())
+    }
+
+    /// Cancels an open request. A request that is not open is no error: its response may have
+    /// crossed the cancellation. No response follows.
+    fn cancel(&mut self, message: &Message, events: &mut Vec<FrontendEvent>) {
+        let Some(tag) = message.cancelled_tag() else {
+            return;
+        };
+        if self.open.remove(&tag) {
+            events.push(FrontendEvent::RequestCancelled { tag });
+        } else if self.open_at_predecessor.remove(&tag) {
+            events.push(FrontendEvent::TransferredRequestCancelled { tag });
+        }
+    }
+
+    fn is_open(&self, tag: u64) -> bool {
+        self.open.contains(&tag) || self.open_at_predecessor.contains(&tag)
+    }
+}
+
+/// How the class's metrics classify a request that this frontend rejected.
+fn response_for_metrics(cause: MessageError) -> Response {
+    if cause.code() == error::REJECTED {
+        Response::Rejected(None)
+    } else {
+        Response::Failed(Failure::NotSent)
+    }
+}
+
+fn contains(line: &[u8], pattern: &[u8]) -> bool {
+    line.windows(pattern.len()).any(|window| window == pattern)
+}
+
+impl Frontend for JsonRpc {
+    fn feed(
+        &mut self,
+        now: Micros,
+        input: &[u8],
+        events: &mut Vec<FrontendEvent>,
+        output: &mut Vec<u8>,
+    ) -> Result<(), Termination> {
+        if self.closing {
+            return Ok(());
+        }
+        self.input.extend(input);
+        let completed_line = self.handle_lines(now, events, output);
+        if self.closing {
+            return Ok(());
+        }
+        let incomplete_line = !self.input.is_empty();
+        self.input
+            .update_message_start(now, completed_line, incomplete_line);
+        if self.input.len() > MAX_LINE_BYTES {
+            self.input.discard_message();
+            self.reject_and_close(output, MessageError::LineTooLong);
+        }
+        Ok(())
+    }
+
+    fn scan_deferred_input(
+        &mut self,
+        deferred: &[u8],
+        from: usize,
+        events: &mut Vec<FrontendEvent>,
+    ) -> usize {
+        let mut line_start = from;
+        while let Some(length) = deferred[line_start..]
+            .iter()
+            .position(|byte| *byte == b'\n')
+            .filter(|_| !self.closing)
+        {
+            let line_end = line_start + length;
+            let line = &deferred[line_start..line_end];
+            // The first line may have begun in the input that is not deferred.
+            let joined_line;
+            let line = if line_start == 0 {
+                joined_line = [self.input.bytes(), line].concat();
+                &joined_line[..]
+            } else {
+                line
+            };
+            if contains(line, CANCEL_MARKER)
+                && let Some(cancellation) = Message::parse_cancellation(line)
+            {
+                self.cancel(&cancellation, events);
+            }
+            line_start = line_end + 1;
+        }
+        line_start
+    }
+
+    fn write_response(
+        &mut self,
+        _now: Micros,
+        tag: u64,
+        response: Response,
+        _events: &mut Vec<FrontendEvent>,
+        output: &mut Vec<u8>,
+    ) {
+        // No response is due to a request that was cancelled meanwhile.
+        if self.open.remove(&tag) || self.open_at_predecessor.remove(&tag) {
+            response::write_response(output, &Value::from(tag), response);
+        }
+    }
+
+    fn open_requests(&self) -> usize {
+        self.open.len() + self.open_at_predecessor.len()
+    }
+
+    fn transfer_state(&self) -> Option<TransferredConnection> {
+        // A second transfer waits for the requests of the first: their predecessor would be out of
+        // reach for the new process.
+        let can_transfer = !self.closing && self.open_at_predecessor.is_empty();
+        can_transfer.then(|| TransferredConnection {
+            open: self.open.iter().copied().collect(),
+            input: self.input.bytes().to_vec(),
+            unwritten: Vec::new(),
+        })
+    }
+
+    fn forget_cancelled(&mut self, tag: u64) {
+        self.open.remove(&tag);
+    }
+
+    fn message_started_at(&self) -> Option<Micros> {
+        self.input.message_started_at()
+    }
+
+    fn buffered_bytes(&self) -> usize {
+        self.input.len()
+    }
+
+    fn stop_reading(&mut self, reason: DisconnectReason, output: &mut Vec<u8>) {
+        self.input.discard_message();
+        let cause = match reason {
+            DisconnectReason::MessageTimeout => MessageError::Incomplete,
+            DisconnectReason::OutOfMemory => MessageError::OutOfMemory,
+        };
+        self.reject_and_close(output, cause);
+    }
+
+    fn has_valid_message(&self) -> bool {
+        self.has_valid_message
+    }
+
+    fn penalized_messages(&self) -> u64 {
+        self.penalized_messages
+    }
+
+    fn closes_after_output(&self) -> bool {
+        self.closing && self.open.is_empty()
+    }
+}
+
+#[cfg(test)]
+#[path = "../../../tests/unit/jsonrpc.rs"]
+mod tests;
--- /dev/null
+++ b/src/frontend/jsonrpc/request.rs
@@ -0,0 +1,206 @@
+//! The parsing and validation of messages: from JSON to a request for the dispatcher.
+use super::error::MessageError;
+use crate::clock::{MS, Micros};
+use crate::config::process::Names;
+use crate::dispatcher::message::MOST_FIGURE;
+use crate::dispatcher::{ClientRequest, Origin};
+use crate::policy::api::{ClassId, TenantId};
+use base64::prelude::{BASE64_STANDARD, Engine as _};
+use serde::Deserialize;
+use serde_json::Value;
+use std::rc::Rc;
+
+/// The JSON-RPC version that messages have to name.
+const PROTOCOL_VERSION: &str = "2.0";
+/// A longer id is not returned to the client, and a longer idempotency key is invalid; in bytes.
+const MAX_ID_BYTES: usize = 64;
+/// The length of the client's name for a request, in hex digits.
+const CLIENT_REQUEST_ID_DIGITS: usize = 16;
+
+/// A JSON-RPC message from a client.
+#[derive(Deserialize)]
+pub(super) struct Message {
+    #[serde(default)]
+    jsonrpc: String,
+    id: Option<Value>,
+    #[serde(default)]
+    pub(super) method: String,
+    #[serde(default)]
+    pub(super) params: Value,
+}
+
+impl Message {
+    /// Parses a line that is not blank.
+    pub(super) fn parse(line: &[u8]) -> Result<Message, MessageError> {
+        // Batches are not supported, and an array must not pass for a message that lists its fields
+        // in order.
+        if line.trim_ascii_start().starts_with(b"[") {
+            return Err(MessageError::Batch);
+        }
+        let message: Message = serde_json::from_slice(line).map_err(|error| {
+            if error.is_data() {
+                MessageError::NotARequest
+            } else {
+                MessageError::NotJson
+            }
+        })?;
+        if message.jsonrpc != PROTOCOL_VERSION {
+            return Err(MessageError::WrongVersion);
+        }
+        Ok(message)
+    }
+
+    /// Parses a line as a cancellation; `None` if it is something else.
+    pub(super) fn parse_cancellation(line: &[u8]) -> Option<Message> {
+        let message: Message = serde_json::from_slice(line).ok()?;
+        let is_cancellation =
+            message.method == super::CANCEL_METHOD && message.jsonrpc == PROTOCOL_VERSION;
+        is_cancellation.then_some(message)
+    }
+
+    /// The id as it may be returned to the client: null in place of one that is long or structured.
+    pub(super) fn returnable_id(&self) -> Value {
+        match &self.id {
+            Some(id @ Value::Number(_)) => id.clone(),
+            Some(Value::String(text)) if text.len() <= MAX_ID_BYTES => Value::from(text.as_str()),
+            _ => Value::Null,
+        }
+    }
+
+    /// The tag of the request that a cancellation names.
+    pub(super) fn cancelled_tag(&self) -> Option<u64> {
+        let id = match &self.params {
+            Value::Object(params) => params.get("id").or_else(|| params.get("rpc")),
+            Value::Array(params) => params.first(),
+            id => Some(id),
+        };
+        id.and_then(Value::as_u64)
+    }
+}
+
+/// The parameters of a request, with the protocol's names for them.
+#[derive(Deserialize)]
+pub(super) struct Params {
+    #[serde(rename = "id")]
+    client_request_id: String,
+    #[serde(rename = "wait")]
+    wait_ms: f64,
+    #[serde(default)]
+    tenant: String,
+    #[serde(rename = "cost")]
+    work_estimate_ms: Option<f64>,
+    #[serde(rename = "kb")]
+    memory_mb: Option<f64>,
+    /// True or a positive count if the client repeats an earlier request.
+    #[serde(default)]
+    retry: Value,
+    #[serde(default, rename = "once")]
+    idempotency_key: Value,
+    #[serde(rename = "arg")]
+    statement_base64: String,
+}
+
+impl Params {
+    /// Parses and validates what does not depend on the configuration.
+    pub(super) fn parse(params: Value) -> Result<Params, MessageError> {
+        let params: Params =
+            serde_json::from_value(params).map_err(|_| MessageError::InvalidParams)?;
+        if !is_client_request_id(&params.client_request_id) {
+            return Err(MessageError::InvalidClientRequestId);
+        }
+        let figures = [
+            Some(params.wait_ms),
+            params.work_estimate_ms,
+            params.memory_mb,
+        ];
+        let in_range = |figure: f64| (0.0..=MOST_FIGURE).contains(&figure);
+        if params.wait_ms <= 0.0 || !figures.into_iter().flatten().all(in_range) {
+            return Err(MessageError::FigureOutOfRange);
+        }
+        Ok(params)
+    }
+
+    /// The request for the dispatcher.
+    pub(super) fn into_request(
+        self,
+        now: Micros,
+        origin: Origin,
+        class: ClassId,
+        names: &Names,
+    ) -> Result<ClientRequest, MessageError> {
+        let idempotency_key = self.idempotency_key(class, names)?;
+        let tenant = self.tenant_id(names)?;
+        let repeated = self.is_retry();
+        let statement = BASE64_STANDARD
+            .decode(&self.statement_base64)
+            .map_err(|_| MessageError::InvalidStatementEncoding)?;
+        Ok(ClientRequest {
+            origin,
+            client_request_id: self.client_request_id.into(),
+            class,
+            tenant,
+            give_up_at: now + micros_from_ms(self.wait_ms),
+            work_estimate: self
+                .work_estimate_ms
+                .filter(|estimate| *estimate > 0.0)
+                .map(micros_from_ms),
+            memory_mb: self.memory_mb.filter(|estimate| *estimate > 0.0),
+            repeated,
+            statement: statement.into(),
+            session: None,
+            idempotency_key,
+        })
+    }
+
+    /// The idempotency key. Where a class has no keys the field is ignored, whatever it holds; for a
+    /// class with keys, one that cannot be forwarded to an engine unchanged is an error.
+    fn idempotency_key(
+        &self,
+        class: ClassId,
+        names: &Names,
+    ) -> Result<Option<Rc<str>>, MessageError> {
+        match &self.idempotency_key {
+            Value::Null => Ok(None),
+            Value::String(key) if is_idempotency_key(key) => Ok(Some(key.as_str().into())),
+            _ if names.keyed.contains(&class.0) => Err(MessageError::InvalidIdempotencyKey),
+            _ => Ok(None),
+        }
+    }
+
+    /// The tenant; without configured tenants every request belongs to the first.
+    fn tenant_id(&self, names: &Names) -> Result<TenantId, MessageError> {
+        if names.tenants.is_empty() {
+            return Ok(TenantId(0));
+        }
+        names
+            .tenants
+            .iter()
+            .position(|name| *name == self.tenant)
+            .map(|index| TenantId(index as u16))
+            .ok_or(MessageError::UnknownTenant)
+    }
+
+    fn is_retry(&self) -> bool {
+        match &self.retry {
+            Value::Bool(is_retry) => *is_retry,
+            count => count.as_u64().is_some_and(|count| count > 0),
+        }
+    }
+}
+
+fn micros_from_ms(milliseconds: f64) -> Micros {
+    (milliseconds * MS as f64) as Micros
+}
+
+fn is_client_request_id(text: &str) -> bool {
+    let is_lower_hex = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
+    text.len() == CLIENT_REQUEST_ID_DIGITS && text.bytes().all(is_lower_hex)
+}
+
+/// Whether an idempotency key can be forwarded unchanged: the protocol of engines carries it as one
+/// token of a line.
+fn is_idempotency_key(key: &str) -> bool {
+    let is_token =
+        |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b':');
+    (1..=MAX_ID_BYTES).contains(&key.len()) && key.bytes().all(is_token)
+}
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -2,6 +2,7 @@
 //! sockets. The sockets are in `src/net`.
 pub mod admin;
 pub mod clickhouse;
+mod input_buffer;
 pub mod jsonrpc;
 
 use crate::clock::Micros;
--- a/tests/unit/jsonrpc.rs
+++ b/tests/unit/jsonrpc.rs
@@ -1,16 +1,26 @@
-//! The platform's protocol for clients without sockets: the same however the bytes are cut.
+//! The platform's protocol for clients, without sockets: the parser behaves the same however its
+//! input is divided.
 use super::*;
+use crate::clock::MS;
 use crate::config::process::Names;
 use crate::dispatcher::termination::Termination;
 use crate::testkit::clients::rpc_line;
+use error::{FAILED, INVALID_PARAMS, INVALID_REQUEST, REJECTED};
 use quickcheck::{Gen, QuickCheck};
+use serde_json::json;
 
-fn front() -> JsonRpc {
-    let named = |list: &[&str]| list.iter().map(|n| (*n).to_owned()).collect();
-    let (classes, tenants) = (named(&["lookup", "load"]), named(&["acme", "other"]));
+const STATEMENT_CLIENT_ID: &str = "9b1f03aa5c7e2d41";
+const IDEMPOTENCY_KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+
+fn owned(names: &[&str]) -> Vec<String> {
+    names.iter().map(|name| (*name).to_owned()).collect()
+}
+
+/// A connection with the classes `lookup` and `load`, and the tenants `acme` and `other`.
+fn connection() -> JsonRpc {
     let names = Names {
-        classes,
-        tenants,
+        classes: owned(&["lookup", "load"]),
+        tenants: owned(&["acme", "other"]),
         ..Names::default()
     };
     JsonRpc::new(
@@ -20,189 +30,242 @@
     )
 }
 
-/// Requests, a withdrawal and a question come out once each, and what was withdrawn gets no answer.
+/// The same where requests of the class `load` have idempotency keys.
+fn connection_with_keyed_load() -> JsonRpc {
+    let frontend = connection();
+    let names = Names {
+        keyed: [1].into(),
+        ..(**frontend.names.borrow()).clone()
+    };
+    *frontend.names.borrow_mut() = Rc::new(names);
+    frontend
+}
+
+fn lookup_line(id: u64) -> Vec<u8> {
+    rpc_line(
+        id,
+        "lookup",
+        &format!("{id:016x}"),
+        "acme",
+        1_500,
+        "select 1",
+    )
+}
+
+/// What came of one input.
+#[derive(Default)]
+struct Fed {
+    events: Vec<FrontendEvent>,
+    output: Vec<u8>,
+}
+
+impl Fed {
+    fn feed(&mut self, frontend: &mut JsonRpc, input: &[u8]) {
+        frontend
+            .feed(MS, input, &mut self.events, &mut self.output)
+            .expect("this frontend has no fatal errors");
+    }
+
+    fn requests(&self) -> Vec<&ClientRequest> {
+        let request = |event| match event {
+            &FrontendEvent::Request(ref request) => Some(request),
+            _ => None,
+        };
+        self.events.iter().filter_map(request).collect()
+    }
+
+    fn error_codes(&self) -> Vec<i64> {
+        let code = |line: &str| {
+            let message: Value = serde_json::from_str(line).expect("JSON");
+            message["error"]["code"].as_i64().expect("an error code")
+        };
+        String::from_utf8_lossy(&self.output)
+            .lines()
+            .map(code)
+            .collect()
+    }
+}
+
+fn respond(frontend: &mut JsonRpc, tag: u64, response: Response) -> Vec<u8> {
+    let mut output = Vec::new();
+    frontend.write_response(MS, tag, response, &mut Vec::new(), &mut output);
+    output
+}
+
+fn two_requests_a_cancellation_and_a_status_query() -> Vec<u8> {
+    [
+        rpc_line(1, "lookup", STATEMENT_CLIENT_ID, "other", 1_500, "select 1"),
+        rpc_line(2, "load", "9b1f03aa5c7e2d42", "acme", 2_500, "insert 1"),
+        b"{\"jsonrpc\":\"2.0\",\"method\":\"withdraw\",\"params\":{\"id\":1}}\n".to_vec(),
+        b"{\"jsonrpc\":\"2.0\",\"id\":3,\"method\":\"status\"}\n".to_vec(),
+    ]
+    .concat()
+}
+
 #[test]
-fn lines_say_the_same_however_they_are_cut() {
-    fn cut(step: u8) -> bool {
-        let mut wire = rpc_line(1, "lookup", "9b1f03aa5c7e2d41", "other", 1_500, "select 1");
-        wire.extend(rpc_line(
-            2,
-            "load",
-            "9b1f03aa5c7e2d42",
-            "acme",
-            2_500,
-            "insert 1",
-        ));
-        wire.extend(b"{\"jsonrpc\":\"2.0\",\"method\":\"withdraw\",\"params\":{\"id\":1}}\n");
-        wire.extend(b"{\"jsonrpc\":\"2.0\",\"id\":3,\"method\":\"status\"}\n");
-        let (mut front, mut said, mut replies) = (front(), Vec::new(), Vec::new());
-        for piece in wire.chunks(usize::from(step) + 1) {
-            if front.feed(MS, piece, &mut said, &mut replies).is_err() {
-                return false;
-            }
+fn messages_mean_the_same_however_they_are_divided_and_a_cancelled_request_gets_no_response() {
+    fn divided_into_pieces(step: u8) -> bool {
+        let (mut frontend, mut fed) = (connection(), Fed::default());
+
+        for piece in two_requests_a_cancellation_and_a_status_query().chunks(usize::from(step) + 1)
+        {
+            fed.feed(&mut frontend, piece);
         }
+
         let [
-            FrontendEvent::Request(one),
-            FrontendEvent::Request(two),
+            FrontendEvent::Request(first),
+            FrontendEvent::Request(second),
             FrontendEvent::RequestCancelled { tag: 1 },
-        ] = &said[..]
+        ] = &fed.events[..]
         else {
             return false;
         };
-        let first =
-            (one.origin.tag, one.class.0, one.tenant.0, one.give_up_at) == (1, 0, 1, 1_501 * MS);
-        let second = (
-            two.origin.tag,
-            two.class.0,
-            two.tenant.0,
-            &two.statement[..],
-        ) == (2, 1, 0, b"insert 1");
-        let green = String::from_utf8_lossy(&replies).contains("\"green\":true");
-        replies.clear();
-        front.write_response(
-            MS,
-            1,
-            Response::Completed(b"a\n".to_vec()),
-            &mut Vec::new(),
-            &mut replies,
-        );
-        let silent = replies.is_empty() && front.open_requests() == 1;
-        front.write_response(
-            MS,
-            2,
-            Response::Rejected(Some(150 * MS)),
-            &mut Vec::new(),
-            &mut replies,
+        assert_eq!((first.origin.tag, first.class.0), (1, 0));
+        assert_eq!((first.tenant.0, first.give_up_at), (1, 1_501 * MS));
+        assert_eq!((second.origin.tag, second.class.0), (2, 1));
+        assert_eq!(
+            (second.tenant.0, &second.statement[..]),
+            (0, &b"insert 1"[..])
         );
-        let told: Value = serde_json::from_slice(&replies).unwrap_or_default();
-        let refused = told["error"]["code"] == REFUSED
-            && told["error"]["data"]["after"] == 150
-            && told["id"] == 2;
-        first && second && green && silent && refused && front.open_requests() == 0
+        assert!(String::from_utf8_lossy(&fed.output).contains("\"green\":true"));
+
+        let to_cancelled = respond(&mut frontend, 1, Response::Completed(b"a\n".to_vec()));
+        assert!(to_cancelled.is_empty() && frontend.open_requests() == 1);
+
+        let to_open = respond(&mut frontend, 2, Response::Rejected(Some(150 * MS)));
+        let message: Value = serde_json::from_slice(&to_open).unwrap_or_default();
+        assert_eq!(message["error"]["code"], REJECTED);
+        assert_eq!(message["error"]["data"]["after"], 150);
+        assert_eq!(message["id"], 2);
+        frontend.open_requests() == 0
     }
     let mut check = QuickCheck::new()
         .rng(Gen::from_size_and_seed(255, 19))
         .tests(200);
-    check.quickcheck(cut as fn(u8) -> bool);
+    check.quickcheck(divided_into_pieces as fn(u8) -> bool);
 }
 
-/// Guards against a mark that is used twice while open, and against more than a connection may hold
-/// open.
 #[test]
-fn marks_and_places_on_a_connection_are_counted() {
-    let (mut front, mut said, mut replies) = (front(), Vec::new(), Vec::new());
+fn a_second_request_under_an_open_id_and_requests_beyond_the_limit_are_rejected() {
+    let (mut frontend, mut fed) = (connection(), Fed::default());
+
     for id in (1..=33).chain([5]) {
-        let line = rpc_line(
-            id,
-            "lookup",
-            &format!("{id:016x}"),
-            "acme",
-            1_500,
-            "select 1",
-        );
-        front
-            .feed(MS, &line, &mut said, &mut replies)
-            .expect("no fault");
+        fed.feed(&mut frontend, &lookup_line(id));
+    }
+
+    assert_eq!(fed.requests().len(), 32);
+    assert_eq!(fed.error_codes(), vec![REJECTED, INVALID_REQUEST]);
+}
+
+#[test]
+fn requests_that_the_frontend_rejects_are_reported_under_their_class() {
+    let (mut frontend, mut fed) = (connection(), Fed::default());
+
+    for id in (1..=33).chain([5]) {
+        fed.feed(&mut frontend, &lookup_line(id));
     }
-    let codes: Vec<i64> = String::from_utf8_lossy(&replies)
-        .lines()
-        .map(|l| {
-            serde_json::from_str::<Value>(l).expect("JSON")["error"]["code"]
-                .as_i64()
-                .expect("a code")
-        })
-        .collect();
-    let asks = said
-        .iter()
-        .filter(|s| matches!(s, FrontendEvent::Request(_)))
-        .count();
-    assert_eq!((asks, codes), (32, vec![REFUSED, INVALID_REQUEST]));
-    // Guards the figures: what never gets to the core is counted under its class too.
-    let turned = |s: &&FrontendEvent| {
+
+    let is_reported = |event: &&FrontendEvent| {
         matches!(
-            s,
+            event,
             FrontendEvent::RequestRejected {
                 class: ClassId(0),
                 ..
             }
         )
     };
-    let refused = |s: &&FrontendEvent| {
+    let is_rejected_for_capacity = |event: &&FrontendEvent| {
         matches!(
-            s,
+            event,
             FrontendEvent::RequestRejected {
                 response: Response::Rejected(_),
                 ..
             }
         )
     };
+    assert_eq!(fed.events.iter().filter(is_reported).count(), 2);
     assert_eq!(
-        (
-            said.iter().filter(turned).count(),
-            said.iter().filter(refused).count()
-        ),
-        (2, 1)
+        fed.events.iter().filter(is_rejected_for_capacity).count(),
+        1
     );
 }
 
-/// Guards the second effect: the key of a keyed class passes on as it came, and one that could not
-/// is told so. Where a class has no keys, whatever stands there means nothing.
+/// What the frontend makes of the idempotency key of one request.
+#[derive(Debug, PartialEq)]
+struct KeyOutcome {
+    /// The key of the forwarded request, if it was forwarded.
+    forwarded: Option<Option<Rc<str>>>,
+    error_code: Option<i64>,
+    closes: bool,
+}
+
+fn forwarded(key: Option<&str>) -> KeyOutcome {
+    KeyOutcome {
+        forwarded: Some(key.map(Into::into)),
+        error_code: None,
+        closes: false,
+    }
+}
+
+/// Sends one request with that idempotency key, and a field that is not known.
+fn request_with_key(class: &str, key: Value) -> KeyOutcome {
+    let line = rpc_line(1, class, STATEMENT_CLIENT_ID, "acme", 1_500, "insert 1");
+    let mut message: Value = serde_json::from_slice(&line).expect("a message");
+    message["params"]["once"] = key;
+    message["params"]["what"] = json!("an unknown field");
+    let (mut frontend, mut fed) = (connection_with_keyed_load(), Fed::default());
+
+    fed.feed(&mut frontend, format!("{message}\n").as_bytes());
+
+    let error: Option<Value> = serde_json::from_slice(&fed.output).ok();
+    KeyOutcome {
+        forwarded: fed
+            .requests()
+            .first()
+            .map(|request| request.idempotency_key.clone()),
+        error_code: error.and_then(|message| message["error"]["code"].as_i64()),
+        closes: frontend.closes_after_output(),
+    }
+}
+
 #[test]
-fn keys_pass_unchanged_and_spoilt_ones_get_one_clear_error() {
-    let ask = |class: &str, once: Value| {
-        let mut front = front();
-        let keyed = Names {
-            keyed: [1].into(),
-            ..(**front.names.borrow()).clone()
-        };
-        *front.names.borrow_mut() = Rc::new(keyed);
-        let line = rpc_line(1, class, "9b1f03aa5c7e2d41", "acme", 1_500, "insert 1");
-        let mut line: Value = serde_json::from_slice(&line).expect("a line");
-        (line["params"]["once"], line["params"]["what"]) = (once, json!("an unknown field"));
-        let (mut said, mut replies) = (Vec::new(), Vec::new());
-        front
-            .feed(MS, format!("{line}\n").as_bytes(), &mut said, &mut replies)
-            .expect("no fault");
-        let code = serde_json::from_slice::<Value>(&replies)
-            .ok()
-            .and_then(|v| v["error"]["code"].as_i64());
-        let asked = said.iter().find_map(|s| {
-            if let FrontendEvent::Request(ask) = s {
-                Some(ask.idempotency_key.clone())
-            } else {
-                None
-            }
-        });
-        (asked, code, front.closes_after_output())
-    };
-    let key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+fn an_idempotency_key_is_forwarded_unchanged() {
     assert_eq!(
-        ask("load", json!(key)),
-        (Some(Some(key.into())), None, false)
+        request_with_key("load", json!(IDEMPOTENCY_KEY)),
+        forwarded(Some(IDEMPOTENCY_KEY))
     );
-    assert_eq!(ask("load", Value::Null), (Some(None), None, false));
-    for spoilt in [
+    assert_eq!(request_with_key("load", Value::Null), forwarded(None));
+}
+
+#[test]
+fn an_invalid_idempotency_key_is_an_error_where_the_class_has_keys_and_ignored_elsewhere() {
+    let invalid_key = KeyOutcome {
+        forwarded: None,
+        error_code: Some(INVALID_PARAMS),
+        closes: false,
+    };
+    for key in [
         json!(""),
         json!("a,b=c"),
         json!("a b"),
         json!("a\r\nundo x"),
         json!("é"),
         json!(7),
-        json!([key]),
+        json!([IDEMPOTENCY_KEY]),
     ] {
-        assert_eq!(
-            ask("load", spoilt.clone()),
-            (None, Some(INVALID_PARAMS), false),
-            "{spoilt}"
-        );
-        assert_eq!(ask("lookup", spoilt).0, Some(None));
+        assert_eq!(request_with_key("load", key.clone()), invalid_key, "{key}");
+        assert_eq!(request_with_key("lookup", key).forwarded, Some(None));
     }
-    assert_eq!(ask("load", json!("x".repeat(65))).1, Some(INVALID_PARAMS));
+    let too_long = json!("x".repeat(65));
+    assert_eq!(
+        request_with_key("load", too_long).error_code,
+        Some(INVALID_PARAMS)
+    );
 }
 
-/// Clients and operators know the ends of attempts by these words, whatever the code calls them.
+/// Clients and operators know the ends of attempts by these texts, whatever the code calls them.
 #[test]
-fn answers_that_failed_have_the_same_texts_as_before() {
+fn failed_requests_have_the_documented_error_texts() {
     let texts = [
         (Termination::Done, "Done"),
         (Termination::Rejected, "Full"),
@@ -222,22 +285,19 @@
         (Termination::Deadline, "Deadline"),
         (Termination::Dropped, "Dropped"),
     ];
-    for (end, text) in texts {
-        let (mut front, mut said, mut replies) = (front(), Vec::new(), Vec::new());
-        let line = rpc_line(1, "lookup", "9b1f03aa5c7e2d41", "acme", 1_500, "select 1");
-        front
-            .feed(MS, &line, &mut said, &mut replies)
-            .expect("no fault");
-        front.write_response(
-            MS,
+    for (termination, text) in texts {
+        let (mut frontend, mut fed) = (connection(), Fed::default());
+        fed.feed(&mut frontend, &lookup_line(1));
+
+        let output = respond(
+            &mut frontend,
             1,
-            Response::Failed(Failure::Attempt(end)),
-            &mut Vec::new(),
-            &mut replies,
+            Response::Failed(Failure::Attempt(termination)),
         );
+
         let expected = format!(
             "{{\"error\":{{\"code\":{FAILED},\"message\":\"failed: {text}\"}},\"id\":1,\"jsonrpc\":\"2.0\"}}\n"
         );
-        assert_eq!(String::from_utf8_lossy(&replies), expected);
+        assert_eq!(String::from_utf8_lossy(&output), expected);
     }
 }
