--- /dev/null
+++ b/src/frontend/clickhouse/mod.rs
@@ -0,0 +1,430 @@
+//! The ClickHouse HTTP interface for clients: one query at a time on a persistent connection.
+mod error;
+mod format;
+mod request;
+mod response;
+
+use super::input_buffer::InputBuffer;
+use super::{DisconnectReason, Frontend, FrontendEvent};
+use crate::clock::{Micros, SEC};
+use crate::config::clickhouse::{ClassRules, Users};
+use crate::dispatcher::termination::Termination;
+use crate::dispatcher::{Origin, Response};
+use crate::http::{self, Body, Head};
+use error::QueryError;
+use format::Format;
+use request::RequestHead;
+use response::Framing;
+use std::cell::RefCell;
+use std::rc::Rc;
+
+/// A longer statement is rejected; in bytes.
+const MAX_STATEMENT_BYTES: usize = 256 * 1024;
+/// Input that a client may send behind a query that is still open, in bytes.
+const MAX_PIPELINED_BYTES: usize = 64 * 1024;
+/// The Retry-After of a rejection without a better estimate.
+const DEFAULT_RETRY_AFTER: Micros = SEC;
+/// The page at `/` and `/ping`.
+const PING_TEXT: &str = "Ok.\n";
+
+/// What all connections of this frontend share.
+pub struct ClickHouseShared {
+    /// Which statements belong to which class.
+    pub class_rules: RefCell<ClassRules>,
+    /// Which users belong to which tenant.
+    pub users: RefCell<Users>,
+    /// By class: how long its clients wait at most, over all attempts.
+    pub class_deadlines: RefCell<Vec<Micros>>,
+    /// By class: whether it is a load class, whose statements write.
+    pub load_classes: RefCell<Vec<bool>>,
+    /// Whether all engines of the pool know databases, and not qualified names only.
+    pub supports_databases: Box<dyn Fn() -> bool>,
+    /// Whether connections are being closed, so that each response announces the end of its
+    /// connection.
+    pub is_draining: Box<dyn Fn() -> bool>,
+    /// Makes an identifier for a request: 16 hex digits, unique.
+    pub new_request_id: Box<dyn Fn() -> String>,
+}
+
+/// A request whose body is being read.
+struct PartialRequest {
+    head: Head,
+    framing: Body,
+    body: Vec<u8>,
+}
+
+/// The query in flight on a connection: what its response depends on.
+struct OpenQuery {
+    tag: u64,
+    query_id: String,
+    format: Format,
+    framing: Framing,
+}
+
+enum State {
+    /// Before a request's head, or within it.
+    Head,
+    /// Within a request's body.
+    Body(PartialRequest),
+    /// A query is in flight.
+    Open(OpenQuery),
+    /// Nothing more is parsed: the connection is to be closed.
+    Closing,
+}
+
+/// A request that is rejected, and the query id that the response returns.
+struct Rejection {
+    error: QueryError,
+    query_id: String,
+}
+
+impl From<QueryError> for Rejection {
+    fn from(error: QueryError) -> Rejection {
+        Rejection {
+            error,
+            query_id: String::new(),
+        }
+    }
+}
+
+/// One client connection.
+pub struct ClickHouse {
+    connection: u64,
+    service: Rc<ClickHouseShared>,
+    input: InputBuffer,
+    state: State,
+    last_tag: u64,
+    /// Requests that were read to their end.
+    complete_requests: u64,
+    has_valid_message: bool,
+    penalized_messages: u64,
+}
+
+impl ClickHouse {
+    /// A new connection with that number.
+    pub fn new(connection: u64, service: Rc<ClickHouseShared>) -> ClickHouse {
+        ClickHouse {
+            connection,
+            service,
+            input: InputBuffer::default(),
+            state: State::Head,
+            last_tag: 0,
+            complete_requests: 0,
+            has_valid_message: false,
+            penalized_messages: 0,
+        }
+    }
+
+    /// Parses the buffered input until a query is in flight or more input is needed, and updates
+    /// the start of the incomplete request.
+    fn parse(&mut self, now: Micros, events: &mut Vec<FrontendEvent>, output: &mut Vec<u8>) {
+        let complete_before = self.complete_requests;
+        while self.parse_part(now, events, output) {}
+        let completed = self.complete_requests != complete_before;
+        let incomplete = match self.state {
+            State::Head => !self.input.is_empty(),
+            State::Body(_) => true,
+            State::Open(_) | State::Closing => false,
+        };
+        self.input.update_message_start(now, completed, incomplete);
+    }
+
+    /// Parses a head or a body; returns whether there may be more to parse.
+    fn parse_part(
+        &mut self,
+        now: Micros,
+        events: &mut Vec<FrontendEvent>,
+        output: &mut Vec<u8>,
+    ) -> bool {
+        match std::mem::replace(&mut self.state, State::Head) {
+            State::Head => match self.parse_head(output) {
+                Ok(Some(partial)) => {
+                    self.state = State::Body(partial);
+                    true
+                }
+                Ok(None) => false,
+                Err(error) => {
+                    self.reject_and_close(error, output);
+                    false
+                }
+            },
+            State::Body(partial) => self.parse_body(now, partial, events, output),
+            state @ (State::Open(_) | State::Closing) => {
+                self.state = state;
+                false
+            }
+        }
+    }
+
+    /// Parses a head; `None` if it is incomplete.
+    fn parse_head(&mut self, output: &mut Vec<u8>) -> Result<Option<PartialRequest>, QueryError> {
+        let Some((head, length)) = http::head(self.input.bytes())? else {
+            return Ok(None);
+        };
+        self.input.consume(length);
+        if !head.first[2].starts_with("HTTP/1.") {
+            return Err(QueryError::Malformed);
+        }
+        let framing = head.body(Body::Length(0))?;
+        // A long body is rejected before its bytes are read, and before the client is invited to
+        // send them.
+        if matches!(framing, Body::Length(length) if length > MAX_STATEMENT_BYTES as u64) {
+            return Err(QueryError::StatementTooLong);
+        }
+        if head.has_word("expect", "100-continue") && framing != Body::Length(0) {
+            output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
+        }
+        Ok(Some(PartialRequest {
+            head,
+            framing,
+            body: Vec::new(),
+        }))
+    }
+
+    /// Reads on in a body, and handles its request once it is complete; returns whether it is.
+    fn parse_body(
+        &mut self,
+        now: Micros,
+        mut partial: PartialRequest,
+        events: &mut Vec<FrontendEvent>,
+        output: &mut Vec<u8>,
+    ) -> bool {
+        let read = partial
+            .framing
+            .read(self.input.bytes(), &mut partial.body, MAX_STATEMENT_BYTES);
+        match read {
+            Ok((used, true)) => {
+                self.input.consume(used);
+                self.handle_request(now, &partial.head, partial.body, events, output);
+                true
+            }
+            Ok((used, false)) => {
+                self.input.consume(used);
+                self.state = State::Body(partial);
+                false
+            }
+            Err(fault) => {
+                self.reject_and_close(fault.into(), output);
+                false
+            }
+        }
+    }
+
+    /// Rejects what cannot be parsed, and parses nothing more: the start of the next request is not
+    /// known.
+    fn reject_and_close(&mut self, error: QueryError, output: &mut Vec<u8>) {
+        self.penalized_messages += 1;
+        let retry_after = (error == QueryError::OutOfMemory).then_some(DEFAULT_RETRY_AFTER);
+        response::write_error(output, error, "", false, retry_after);
+        self.input.discard_message();
+        self.state = State::Closing;
+    }
+
+    fn handle_request(
+        &mut self,
+        now: Micros,
+        head: &Head,
+        body: Vec<u8>,
+        events: &mut Vec<FrontendEvent>,
+        output: &mut Vec<u8>,
+    ) {
+        self.complete_requests += 1;
+        let version = &head.first[2];
+        let framing = Framing {
+            keep_alive: head.keeps_alive(version) && !(self.service.is_draining)(),
+            chunked: version != "HTTP/1.0",
+        };
+        self.state = state_after_response(framing.keep_alive);
+        match self.route(now, head, body, framing, events, output) {
+            Ok(()) => self.has_valid_message = true,
+            Err(Rejection { error, query_id }) => {
+                self.penalized_messages += 1;
+                response::write_error(output, error, &query_id, framing.keep_alive, None);
+            }
+        }
+    }
+
+    fn route(
+        &mut self,
+        now: Micros,
+        head: &Head,
+        body: Vec<u8>,
+        framing: Framing,
+        events: &mut Vec<FrontendEvent>,
+        output: &mut Vec<u8>,
+    ) -> Result<(), Rejection> {
+        let (path, parameters) = http::target(&head.first[1]).ok_or(QueryError::InvalidUrl)?;
+        let request = RequestHead {
+            head,
+            parameters: &parameters,
+        };
+        let without_query = request.parameter("query").is_none() && body.is_empty();
+        match (head.first[0].as_str(), path) {
+            ("GET", "/") if without_query => {
+                response::write_text(output, framing.keep_alive, PING_TEXT);
+            }
+            ("GET", "/ping") => response::write_text(output, framing.keep_alive, PING_TEXT),
+            ("HEAD", "/" | "/ping") => {
+                response::write_head_only(output, framing.keep_alive, PING_TEXT.len());
+            }
+            ("GET" | "POST", "/") => self.start_query(now, &request, body, framing, events)?,
+            (_, "/" | "/ping") => return Err(QueryError::MethodNotAllowed.into()),
+            _ => return Err(QueryError::UnknownPath.into()),
+        }
+        Ok(())
+    }
+
+    fn start_query(
+        &mut self,
+        now: Micros,
+        request: &RequestHead<'_>,
+        body: Vec<u8>,
+        framing: Framing,
+        events: &mut Vec<FrontendEvent>,
+    ) -> Result<(), Rejection> {
+        let tag = self.last_tag + 1;
+        let origin = Origin {
+            conn: self.connection,
+            tag,
+        };
+        let query = self
+            .service
+            .parse_query(now, origin, request, body)
+            .map_err(|error| Rejection {
+                error,
+                query_id: request.parameter("query_id").unwrap_or_default().to_owned(),
+            })?;
+        self.last_tag = tag;
+        self.state = State::Open(OpenQuery {
+            tag,
+            query_id: query.query_id,
+            format: query.format,
+            framing,
+        });
+        events.push(FrontendEvent::Request(query.request));
+        Ok(())
+    }
+
+    /// Takes the open query out of the state if it has this tag.
+    fn take_open_query(&mut self, tag: u64) -> Option<OpenQuery> {
+        match std::mem::replace(&mut self.state, State::Head) {
+            State::Open(query) if query.tag == tag => Some(query),
+            state => {
+                self.state = state;
+                None
+            }
+        }
+    }
+}
+
+fn state_after_response(keep_alive: bool) -> State {
+    if keep_alive {
+        State::Head
+    } else {
+        State::Closing
+    }
+}
+
+impl Frontend for ClickHouse {
+    fn feed(
+        &mut self,
+        now: Micros,
+        input: &[u8],
+        events: &mut Vec<FrontendEvent>,
+        output: &mut Vec<u8>,
+    ) -> Result<(), Termination> {
+        if matches!(self.state, State::Closing) {
+            return Ok(());
+        }
+        self.input.extend(input);
+        self.parse(now, events, output);
+        let pipelines_too_much =
+            matches!(self.state, State::Open(_)) && self.input.len() > MAX_PIPELINED_BYTES;
+        if pipelines_too_much {
+            return Err(Termination::LocalLimit);
+        }
+        Ok(())
+    }
+
+    fn write_response(
+        &mut self,
+        now: Micros,
+        tag: u64,
+        response: Response,
+        events: &mut Vec<FrontendEvent>,
+        output: &mut Vec<u8>,
+    ) {
+        let Some(query) = self.take_open_query(tag) else {
+            return;
+        };
+        let query_id = query.query_id.as_str();
+        let keep_alive = query.framing.keep_alive && !(self.service.is_draining)();
+        match response {
+            Response::Completed(rows) => {
+                let framing = Framing {
+                    keep_alive,
+                    ..query.framing
+                };
+                response::write_rows(output, framing, query_id, query.format, rows);
+            }
+            Response::Rejected(retry_after) => {
+                let retry_after = Some(retry_after.unwrap_or(DEFAULT_RETRY_AFTER));
+                let error = QueryError::PoolFull;
+                response::write_error(output, error, query_id, keep_alive, retry_after);
+            }
+            Response::Failed(failure) => {
+                response::write_error(output, failure.into(), query_id, keep_alive, None);
+            }
+            // Only a transferred connection gets one, and this frontend transfers none.
+            Response::Preformatted(_) => {}
+        }
+        self.state = state_after_response(keep_alive);
+        self.parse(now, events, output);
+    }
+
+    fn open_requests(&self) -> usize {
+        usize::from(matches!(self.state, State::Open(_)))
+    }
+
+    fn message_started_at(&self) -> Option<Micros> {
+        self.input.message_started_at()
+    }
+
+    fn buffered_bytes(&self) -> usize {
+        let body = match &self.state {
+            State::Body(partial) => partial.body.len(),
+            State::Head | State::Open(_) | State::Closing => 0,
+        };
+        self.input.len() + body
+    }
+
+    fn stop_reading(&mut self, reason: DisconnectReason, output: &mut Vec<u8>) {
+        // Requests behind an open query are dropped; the connection ends after its response.
+        if let State::Open(query) = &mut self.state {
+            query.framing.keep_alive = false;
+            self.input.discard_message();
+            return;
+        }
+        let error = match reason {
+            DisconnectReason::MessageTimeout => QueryError::Incomplete,
+            DisconnectReason::OutOfMemory => QueryError::OutOfMemory,
+        };
+        self.reject_and_close(error, output);
+    }
+
+    fn has_valid_message(&self) -> bool {
+        self.has_valid_message
+    }
+
+    fn penalized_messages(&self) -> u64 {
+        self.penalized_messages
+    }
+
+    fn closes_after_output(&self) -> bool {
+        matches!(self.state, State::Closing)
+    }
+}
+
+#[cfg(test)]
+#[path = "../../../tests/unit/clickhouse.rs"]
+mod tests;
--- a/src/frontend/input_buffer.rs
+++ b/src/frontend/input_buffer.rs
@@ -37,6 +37,14 @@
         self.bytes.extend_from_slice(input);
     }
 
+    /// Removes the first `count` bytes, which are parsed.
+    ///
+    /// # Panics
+    /// Fewer bytes are buffered.
+    pub(super) fn consume(&mut self, count: usize) {
+        self.bytes.drain(..count);
+    }
+
     /// Takes all bytes out, to parse them while the protocol's state changes.
     pub(super) fn take_bytes(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.bytes)
@@ -47,15 +55,9 @@
         self.bytes = bytes;
     }
 
-    /// Drops all bytes and their memory; the start of the incomplete message is kept.
-    pub(super) fn discard_bytes(&mut self) {
-        self.bytes = Vec::new();
-    }
-
     /// Drops the incomplete message: its bytes, their memory and its start.
     pub(super) fn discard_message(&mut self) {
-        self.discard_bytes();
-        self.message_started_at = None;
+        *self = InputBuffer::default();
     }
 
     /// When the message that is still incomplete started, if there is one.
--- a/src/main.rs
+++ b/src/main.rs
@@ -77,9 +77,9 @@
 ) -> Result<ClickHouseShared, String> {
     let (databases, stopping, next) = (shared.clone(), shared.clone(), Cell::new(config.seed));
     Ok(ClickHouseShared {
-        rules: RefCell::new(ClassRules::new(deploy, names)?),
+        class_rules: RefCell::new(ClassRules::new(deploy, names)?),
         users: RefCell::new(Users::new(deploy, names)?),
-        deadlines: RefCell::new(
+        class_deadlines: RefCell::new(
             config
                 .settings
                 .classes
@@ -87,11 +87,11 @@
                 .map(|c| clock::micros(c.deadline))
                 .collect(),
         ),
-        loads: RefCell::new(config.settings.classes.iter().map(|c| c.is_load).collect()),
-        databases: Box::new(move || databases.engines_know_databases.get()),
-        stopping: Box::new(move || stopping.lifecycle.borrow().announces_close()),
+        load_classes: RefCell::new(config.settings.classes.iter().map(|c| c.is_load).collect()),
+        supports_databases: Box::new(move || databases.engines_know_databases.get()),
+        is_draining: Box::new(move || stopping.lifecycle.borrow().announces_close()),
         // A walk through all numbers from a place that is new with each start.
-        new_key: Box::new(move || {
+        new_request_id: Box::new(move || {
             next.set(next.get().wrapping_add(0x9E37_79B9_7F4A_7C15));
             format!("{:016x}", next.get())
         }),
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,5 +1,6 @@
-//! The second address: its listener and the actor of each caller. Answers from the lifecycle and
-//! from what the core has put down; it never waits for the module.
+//! The admin endpoint: its listener, and the actor of each operator's connection. Responses come
+//! from the lifecycle and from what the dispatcher published last; a request never waits for the
+//! dispatcher.
 use super::{CountGuard, Shared, sleep_until};
 use crate::audit::RecordPosition;
 use crate::clock::{self, MS, Micros, SEC};
@@ -15,159 +16,200 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Callers at once at most. Their descriptors are of the quarter that neither clients nor engines
-/// get: a part of it.
-const CALLERS: usize = 16;
-const PART: usize = 16;
-/// A caller owes its call, and takes its answer, within this time.
-const OWED: Micros = 2 * SEC;
-/// After the answer a little of what the caller still sends is taken in, lest a reset takes the
-/// answer along.
-const LAST_WORDS: Micros = 200 * MS;
-
-/// Accepts callers; with all places taken, the oldest one goes: its call is not finished.
+/// Operators' connections at a time, at most.
+const MAX_CONNECTIONS: usize = 16;
+/// Operators' connections at a time, at least.
+const MIN_CONNECTIONS: usize = 2;
+/// One in this many of the process's descriptors may be an operator's connection. They belong to the
+/// quarter that neither clients nor engines use.
+const DESCRIPTORS_PER_CONNECTION: usize = 16;
+/// An operator has to send a complete request within this time.
+const REQUEST_TIMEOUT: Micros = 2 * SEC;
+/// Time for writing the response and closing the connection.
+const RESPONSE_TIMEOUT: Micros = SEC;
+/// After the response, input is read and discarded for this time: a close with unread input would
+/// reset the connection, and the response would be lost.
+const LINGER_TIMEOUT: Micros = 200 * MS;
+/// How long the listener waits after an error.
+const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(10);
+/// The size of a read, in bytes.
+const READ_BYTES: usize = 1024;
+
+/// The open connections by their numbers, oldest first. Closing the channel of one sheds it.
+type Connections = Rc<RefCell<BTreeMap<u64, Sender<()>>>>;
+
+/// Accepts operators' connections. At the limit the oldest one is shed: its request is not complete,
+/// or its response is not read.
 pub async fn listen(shared: Rc<Shared>, listener: Async<TcpListener>) {
-    let places: Rc<RefCell<BTreeMap<u64, Sender<()>>>> = Rc::default();
-    let held = Rc::default();
+    let connections = Connections::default();
+    let open_count = Rc::default();
     let mut incoming = Box::pin(listener.incoming());
-    let mut next = 0u64;
-    while let Some(stream) = incoming.next().await {
-        let stream = match stream {
+    let mut next_id = 0u64;
+    while let Some(accepted) = incoming.next().await {
+        let stream = match accepted {
             Ok(stream) => stream,
-            Err(e) => {
-                log!("accepting an operator: {e}");
-                Timer::after(Duration::from_millis(10)).await;
+            Err(error) => {
+                log!("accepting an operator: {error}");
+                Timer::after(ACCEPT_ERROR_PAUSE).await;
                 continue;
             }
         };
-        let most = (shared.limits.get().0 / PART).clamp(2, CALLERS);
-        if places.borrow().len() >= most {
-            places
-                .borrow_mut()
-                .pop_first()
-                .map(|(_, oldest)| oldest.close());
+        if connections.borrow().len() >= max_connections(&shared) {
+            shed_oldest(&connections);
         }
-        let (place, shed) = bounded(1);
-        places.borrow_mut().insert(next, place);
-        let (all, mine, taken, socket) =
-            (shared.clone(), next, places.clone(), CountGuard::new(&held));
+        let (shed, is_shed) = bounded(1);
+        connections.borrow_mut().insert(next_id, shed);
+        let actor_shared = Rc::clone(&shared);
+        let actor_connections = Rc::clone(&connections);
+        let open_guard = CountGuard::new(&open_count);
+        let id = next_id;
         shared.spawn(async move {
-            serve(&all, stream, shed).await;
-            taken.borrow_mut().remove(&mine);
-            drop(socket);
+            serve(&actor_shared, stream, is_shed).await;
+            actor_connections.borrow_mut().remove(&id);
+            drop(open_guard);
         });
-        next += 1;
-        // One that was shed ends at its next turn, before the next one is taken.
+        next_id += 1;
+        // A connection that was shed ends at its next turn, before the next one is accepted.
         yield_now().await;
     }
 }
 
-async fn serve(shared: &Shared, mut stream: Async<TcpStream>, shed: Receiver<()>) {
+fn max_connections(shared: &Shared) -> usize {
+    let descriptors = shared.limits.get().0;
+    (descriptors / DESCRIPTORS_PER_CONNECTION).clamp(MIN_CONNECTIONS, MAX_CONNECTIONS)
+}
+
+fn shed_oldest(connections: &Connections) {
+    if let Some((_, shed)) = connections.borrow_mut().pop_first() {
+        shed.close();
+    }
+}
+
+/// Reads one request and responds to it.
+async fn serve(shared: &Shared, mut stream: Async<TcpStream>, is_shed: Receiver<()>) {
+    // Without this option the response is only slower.
     let _ = stream.get_ref().set_nodelay(true);
-    let late_at = clock::turn() + OWED;
+    let request_due_at = clock::turn() + REQUEST_TIMEOUT;
     let shed = async {
-        let _ = shed.recv().await;
+        // An error says that the channel is closed, which is the signal.
+        let _ = is_shed.recv().await;
         None
     };
-    let late = async {
-        sleep_until(Some(late_at)).await;
-        Some(Err(RequestError::Late))
+    let timeout = async {
+        sleep_until(Some(request_due_at)).await;
+        Some(Err(RequestError::Incomplete))
     };
-    let Some(call) = or(shed, or(read(&mut stream), late)).await else {
+    let Some(request) = or(shed, or(read_request(&mut stream), timeout)).await else {
         return;
     };
-    let answer = match call {
-        Ok(call) => carry_out(shared, call).await,
-        Err(why) => admin::wrong(why),
-    };
-    let last_at = clock::turn() + SEC;
-    let write = async {
-        let whole = stream.write_all(&answer).await.is_ok();
-        if whole && stream.get_ref().shutdown(Shutdown::Write).is_ok() {
-            let rest_at = clock::turn() + LAST_WORDS;
-            let mut rest = [0; 1024];
-            let drain = async { while stream.read(&mut rest).await.is_ok_and(|n| n > 0) {} };
-            or(drain, sleep_until(Some(rest_at))).await;
-        }
+    let response = match request {
+        Ok(request) => handle(shared, request).await,
+        Err(error) => admin::error_response(error),
     };
-    or(write, sleep_until(Some(last_at))).await;
+    let response_due_at = clock::turn() + RESPONSE_TIMEOUT;
+    or(
+        write_and_close(&mut stream, &response),
+        sleep_until(Some(response_due_at)),
+    )
+    .await;
 }
 
-/// Reads a call; nothing if the caller went away.
-async fn read(stream: &mut Async<TcpStream>) -> Option<Result<AdminRequest, RequestError>> {
-    let (mut input, mut piece) = (Vec::new(), [0; 1024]);
+/// Reads a request; `None` if the operator closed the connection before it was complete.
+async fn read_request(stream: &mut Async<TcpStream>) -> Option<Result<AdminRequest, RequestError>> {
+    let mut input = Vec::new();
+    let mut chunk = [0; READ_BYTES];
     loop {
-        let n = stream.read(&mut piece).await.ok().filter(|n| *n > 0)?;
-        input.extend_from_slice(&piece[..n]);
-        match admin::call(&input) {
-            Ok(None) => {}
-            Ok(Some(call)) => return Some(Ok(call)),
-            Err(why) => return Some(Err(why)),
+        let count = stream
+            .read(&mut chunk)
+            .await
+            .ok()
+            .filter(|count| *count > 0)?;
+        input.extend_from_slice(&chunk[..count]);
+        if let Some(request) = admin::parse_request(&input).transpose() {
+            return Some(request);
         }
     }
 }
 
-async fn audit(shared: &Shared, since: RecordPosition, most: usize) -> Vec<u8> {
-    match super::audit::read(shared, since, most).await {
-        Some(Ok(page)) => admin::answer(200, None, &page.text()),
-        Some(Err(why)) => admin::answer(503, None, &format!("{why}\n")),
-        None => admin::answer(404, None, "no audit is kept: no fleet file with [audit]\n"),
+/// Writes the response and closes the connection gracefully.
+async fn write_and_close(stream: &mut Async<TcpStream>, response: &[u8]) {
+    let written = stream.write_all(response).await.is_ok();
+    if !written || stream.get_ref().shutdown(Shutdown::Write).is_err() {
+        return;
     }
+    let linger_ends_at = clock::turn() + LINGER_TIMEOUT;
+    let mut discarded = [0; READ_BYTES];
+    let discard = async {
+        while stream
+            .read(&mut discarded)
+            .await
+            .is_ok_and(|count| count > 0)
+        {}
+    };
+    or(discard, sleep_until(Some(linger_ends_at))).await;
 }
 
-async fn carry_out(shared: &Shared, call: AdminRequest) -> Vec<u8> {
+/// Serves a request, and returns the response.
+async fn handle(shared: &Shared, request: AdminRequest) -> Vec<u8> {
     let now = clock::turn();
-    match call {
-        AdminRequest::Ready => {
-            let life = shared.lifecycle.borrow();
-            let status = if life.is_ready() { 200 } else { 503 };
-            admin::answer(
-                status,
-                None,
-                &format!("{:?}\n", life.stage()).to_lowercase(),
-            )
-        }
+    match request {
+        AdminRequest::Ready => readiness(shared),
         AdminRequest::Metrics => {
-            admin::answer(200, None, &admin::figures(&shared.current_metrics()))
+            admin::response(200, &admin::metrics_text(&shared.current_metrics()))
         }
-        AdminRequest::Drain => {
-            shared.lifecycle.borrow_mut().drain(now);
-            log!("told to send clients away");
-            admin::answer(200, None, "draining\n")
-        }
-        AdminRequest::Undrain => {
-            let may = shared.lifecycle.borrow_mut().undrain();
-            log!(
-                "the drain is {}",
-                if may {
-                    "over"
-                } else {
-                    "not over: the program ends"
-                }
-            );
-            if may {
-                admin::answer(200, None, "serving\n")
-            } else {
-                admin::answer(409, None, "the program is about to end\n")
-            }
-        }
-        AdminRequest::Audit(since, most) => audit(shared, since, most).await,
-        AdminRequest::Duties => match shared.lease_view.borrow().as_ref() {
-            Some(view) => admin::answer(200, None, view),
-            None => admin::answer(
-                404,
-                None,
-                "no duties are shared out: no fleet file with [duties]\n",
-            ),
-        },
-        AdminRequest::Fleet => match shared.fleet_view.borrow().as_ref() {
-            Some(view) => admin::answer(200, None, &view.lines()),
-            None => admin::answer(
-                404,
-                None,
-                "no fleet membership: started without a fleet file\n",
-            ),
-        },
+        AdminRequest::Drain => drain(shared, now),
+        AdminRequest::Undrain => undrain(shared),
+        AdminRequest::Audit { since, limit } => audit_page(shared, since, limit).await,
+        AdminRequest::Leases => leases(shared),
+        AdminRequest::Fleet => fleet_members(shared),
+    }
+}
+
+fn readiness(shared: &Shared) -> Vec<u8> {
+    let lifecycle = shared.lifecycle.borrow();
+    let status = if lifecycle.is_ready() { 200 } else { 503 };
+    let stage = format!("{:?}\n", lifecycle.stage()).to_lowercase();
+    admin::response(status, &stage)
+}
+
+fn drain(shared: &Shared, now: Micros) -> Vec<u8> {
+    shared.lifecycle.borrow_mut().drain(now);
+    log!("drain: started by an operator, closing client connections");
+    admin::response(200, "draining\n")
+}
+
+fn undrain(shared: &Shared) -> Vec<u8> {
+    if shared.lifecycle.borrow_mut().undrain() {
+        log!("drain: ended by an operator");
+        admin::response(200, "serving\n")
+    } else {
+        log!("drain: not ended, the process is shutting down");
+        admin::response(409, "the program is about to end\n")
+    }
+}
+
+async fn audit_page(shared: &Shared, since: RecordPosition, limit: usize) -> Vec<u8> {
+    match super::audit::read(shared, since, limit).await {
+        Some(Ok(page)) => admin::response(200, &page.text()),
+        Some(Err(error)) => admin::response(503, &format!("{error}\n")),
+        None => admin::response(404, "no audit is kept: no fleet file with [audit]\n"),
+    }
+}
+
+fn leases(shared: &Shared) -> Vec<u8> {
+    match shared.lease_view.borrow().as_ref() {
+        Some(view) => admin::response(200, view),
+        None => admin::response(
+            404,
+            "no duties are shared out: no fleet file with [duties]\n",
+        ),
+    }
+}
+
+fn fleet_members(shared: &Shared) -> Vec<u8> {
+    match shared.fleet_view.borrow().as_ref() {
+        Some(view) => admin::response(200, &view.lines()),
+        None => admin::response(404, "no fleet membership: started without a fleet file\n"),
     }
 }
 
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -106,12 +106,13 @@
         *self.names.borrow_mut() = names.clone();
         if let Some((second, deploy, users)) = second {
             let service = &second.service;
-            *service.deadlines.borrow_mut() = classes
+            *service.class_deadlines.borrow_mut() = classes
                 .iter()
                 .map(|(c, _)| micros(c.spec.deadline))
                 .collect();
-            *service.loads.borrow_mut() = classes.iter().map(|(c, _)| c.spec.is_load).collect();
-            *service.rules.borrow_mut() = ClassRules::new(&deploy, &names)?;
+            *service.load_classes.borrow_mut() =
+                classes.iter().map(|(c, _)| c.spec.is_load).collect();
+            *service.class_rules.borrow_mut() = ClassRules::new(&deploy, &names)?;
             *second.file.borrow_mut() = users.clone();
             if !second.directory {
                 *service.users.borrow_mut() = users;
--- a/tests/unit/clickhouse.rs
+++ b/tests/unit/clickhouse.rs
@@ -1,140 +1,159 @@
-//! The ClickHouse interface without sockets: what a client sees, and what an engine's words mean,
-//! however the bytes are cut.
-use super::{ClickHouse as Frontend, ClickHouseShared};
-use crate::backend::clickhouse::ClickHouse as Engine;
-use crate::backend::{BackendEvent as Heard, Protocol};
+//! The ClickHouse interface without sockets: what a client receives, and how an engine's responses
+//! are classified, however the bytes are divided.
+use super::{ClickHouse, ClickHouseShared};
+use crate::backend::clickhouse::ClickHouse as EngineProtocol;
+use crate::backend::{BackendEvent, Protocol};
 use crate::clock::{MS, SEC};
 use crate::config::clickhouse::{self, ClassRules, Users};
 use crate::config::process::Names;
 use crate::dispatcher::termination::Termination;
 use crate::dispatcher::{AttemptRequest, ClientRequest, Failure, Response};
-use crate::frontend::{Frontend as _, FrontendEvent};
+use crate::frontend::{Frontend, FrontendEvent};
 use crate::policy::api::{AttemptNo, ClassId, RequestId};
 use quickcheck::{Gen, QuickCheck};
 use std::rc::Rc;
 
-fn front() -> Frontend {
-    let text = include_str!("../../deploy/clickhouse.toml");
-    let deploy = clickhouse::parse(text).expect("the file that is shipped");
-    let named = |list: &[&str]| list.iter().map(|n| (*n).to_owned()).collect();
-    let (classes, tenants) = (
-        named(&["lookup", "report", "load"]),
-        named(&["billing-desk", "channel-desk"]),
-    );
+/// The headers that authenticate a user of the deploy file.
+const LOGIN: &str = "X-ClickHouse-User: area-cable\r\nX-ClickHouse-Key: change-me\r\n";
+
+fn owned(names: &[&str]) -> Vec<String> {
+    names.iter().map(|name| (*name).to_owned()).collect()
+}
+
+/// A connection with the users and class rules of the deploy file that is shipped.
+fn connection() -> ClickHouse {
+    let deploy_file = include_str!("../../deploy/clickhouse.toml");
+    let deploy = clickhouse::parse(deploy_file).expect("the file that is shipped");
     let names = Names {
-        classes,
-        tenants,
+        classes: owned(&["lookup", "report", "load"]),
+        tenants: owned(&["billing-desk", "channel-desk"]),
         ..Names::default()
     };
-    let users = Users::new(&deploy, &names).expect("users").into();
-    let rules = ClassRules::new(&deploy, &names).expect("classes");
-    let (databases, stopping, new_key) = (
-        Box::new(|| true),
-        Box::new(|| false),
-        Box::new(|| "00ff".to_owned()),
-    );
-    let (deadlines, loads) = (
-        vec![6 * SEC, 15 * SEC, 25 * SEC].into(),
-        vec![false, false, true].into(),
-    );
-    Frontend::new(
-        9,
-        Rc::new(ClickHouseShared {
-            rules: rules.into(),
-            users,
-            deadlines,
-            loads,
-            databases,
-            stopping,
-            new_key,
-        }),
-    )
+    let service = ClickHouseShared {
+        class_rules: ClassRules::new(&deploy, &names).expect("classes").into(),
+        users: Users::new(&deploy, &names).expect("users").into(),
+        class_deadlines: vec![6 * SEC, 15 * SEC, 25 * SEC].into(),
+        load_classes: vec![false, false, true].into(),
+        supports_databases: Box::new(|| true),
+        is_draining: Box::new(|| false),
+        new_request_id: Box::new(|| "00ff".to_owned()),
+    };
+    ClickHouse::new(9, Rc::new(service))
 }
 
-fn feed(front: &mut Frontend, bytes: &[u8]) -> (Vec<ClientRequest>, String) {
-    let (mut said, mut replies) = (Vec::new(), Vec::new());
-    front
-        .feed(SEC, bytes, &mut said, &mut replies)
-        .expect("no fault");
-    (asks(said), String::from_utf8(replies).expect("text"))
+/// What came of one step: the requests for the dispatcher, and the text for the client.
+struct Outcome {
+    requests: Vec<ClientRequest>,
+    text: String,
 }
 
-fn asks(said: Vec<FrontendEvent>) -> Vec<ClientRequest> {
-    said.into_iter()
-        .filter_map(|s| {
-            if let FrontendEvent::Request(ask) = s {
-                Some(ask)
-            } else {
-                None
-            }
-        })
-        .collect()
+impl Outcome {
+    fn new(events: Vec<FrontendEvent>, output: Vec<u8>) -> Outcome {
+        let request = |event| match event {
+            FrontendEvent::Request(request) => Some(request),
+            _ => None,
+        };
+        Outcome {
+            requests: events.into_iter().filter_map(request).collect(),
+            text: String::from_utf8(output).expect("text"),
+        }
+    }
 }
 
-fn answer(front: &mut Frontend, tag: u64, answer: Response) -> (Vec<ClientRequest>, String) {
-    let (mut said, mut replies) = (Vec::new(), Vec::new());
-    front.write_response(SEC, tag, answer, &mut said, &mut replies);
-    (asks(said), String::from_utf8(replies).expect("text"))
+fn feed(frontend: &mut ClickHouse, input: &[u8]) -> Outcome {
+    let (mut events, mut output) = (Vec::new(), Vec::new());
+    frontend
+        .feed(SEC, input, &mut events, &mut output)
+        .expect("within the limits");
+    Outcome::new(events, output)
 }
 
-const LOGIN: &str = "X-ClickHouse-User: area-cable\r\nX-ClickHouse-Key: change-me\r\n";
+fn respond(frontend: &mut ClickHouse, tag: u64, response: Response) -> Outcome {
+    let (mut events, mut output) = (Vec::new(), Vec::new());
+    frontend.write_response(SEC, tag, response, &mut events, &mut output);
+    Outcome::new(events, output)
+}
 
-fn post(params: &str, statement: &str) -> Vec<u8> {
+fn post(parameters: &str, statement: &str) -> Vec<u8> {
     let length = statement.len();
-    format!("POST /?{params} HTTP/1.1\r\n{LOGIN}Content-Length: {length}\r\n\r\n{statement}")
+    format!("POST /?{parameters} HTTP/1.1\r\n{LOGIN}Content-Length: {length}\r\n\r\n{statement}")
         .into_bytes()
 }
 
+fn post_with_settings() -> Vec<u8> {
+    post(
+        "query=SELECT+a&database=ops_4&max_execution_time=1.5&max_memory_usage=2097152&query_id=mine",
+        "FROM orders GROUP BY a",
+    )
+}
+
 #[test]
-fn a_request_says_what_the_core_needs() {
-    let mut front = front();
-    let params = "query=SELECT+a&database=ops_4&max_execution_time=1.5&max_memory_usage=2097152&query_id=mine";
-    let (asked, _) = feed(&mut front, &post(params, "FROM orders GROUP BY a"));
-    let ask = &asked[0];
-    assert_eq!(&ask.statement[..], b"SELECT a\nFROM orders GROUP BY a");
-    assert_eq!(
-        (ask.class, ask.tenant.0, ask.give_up_at),
-        (ClassId(1), 1, SEC + 1_500 * MS)
-    );
-    assert_eq!((ask.memory_mb, ask.work_estimate), (Some(2.0), None));
-    let session = ask.session.as_ref().expect("a session");
+fn a_request_carries_the_statement_the_settings_and_the_session() {
+    let mut frontend = connection();
+
+    let outcome = feed(&mut frontend, &post_with_settings());
+
+    let request = &outcome.requests[0];
+    assert_eq!(&request.statement[..], b"SELECT a\nFROM orders GROUP BY a");
+    assert_eq!((request.class, request.tenant.0), (ClassId(1), 1));
+    assert_eq!(request.give_up_at, SEC + 1_500 * MS);
     assert_eq!(
-        (session.database.as_deref(), session.query_id.as_deref()),
-        (Some("ops_4"), Some("mine"))
-    );
-    // No more than the class's own deadline, and the class follows from the words outside strings.
-    let (_, text) = answer(
-        &mut front,
-        ask.origin.tag,
-        Response::Rejected(Some(1_200 * MS)),
+        (request.memory_mb, request.work_estimate),
+        (Some(2.0), None)
     );
+    let session = request.session.as_ref().expect("a session");
+    assert_eq!(session.database.as_deref(), Some("ops_4"));
+    assert_eq!(session.query_id.as_deref(), Some("mine"));
+}
+
+#[test]
+fn a_rejected_query_gets_503_with_retry_after_in_whole_seconds() {
+    let mut frontend = connection();
+    let outcome = feed(&mut frontend, &post_with_settings());
+    let tag = outcome.requests[0].origin.tag;
+
+    let text = respond(&mut frontend, tag, Response::Rejected(Some(1_200 * MS))).text;
+
+    assert!(text.starts_with("HTTP/1.1 503 "), "{text}");
+    assert!(text.contains("\r\nRetry-After: 2\r\n"), "{text}");
     assert!(
-        text.starts_with("HTTP/1.1 503 ") && text.contains("\r\nRetry-After: 2\r\n"),
+        text.contains("X-ClickHouse-Exception-Code: 202\r\n"),
         "{text}"
     );
-    assert!(
-        text.contains("X-ClickHouse-Exception-Code: 202\r\n")
-            && text.contains("Query-Id: mine\r\n"),
-        "{text}"
+    assert!(text.contains("Query-Id: mine\r\n"), "{text}");
+}
+
+/// The class follows from the words outside comments and strings, and the client waits no longer
+/// than the class's own deadline.
+#[test]
+fn a_query_waits_no_longer_than_the_deadline_of_its_class() {
+    let mut frontend = connection();
+    let first = feed(&mut frontend, &post_with_settings());
+    respond(
+        &mut frontend,
+        first.requests[0].origin.tag,
+        Response::Rejected(Some(1_200 * MS)),
     );
-    let (asked, _) = feed(
-        &mut front,
+
+    let outcome = feed(
+        &mut frontend,
         &post("max_execution_time=99", "-- join\nSELECT 'join'"),
     );
-    assert_eq!((asked[0].class, asked[0].give_up_at), (ClassId(0), 7 * SEC));
-    let (_, text) = answer(
-        &mut front,
-        asked[0].origin.tag,
+
+    let request = &outcome.requests[0];
+    assert_eq!((request.class, request.give_up_at), (ClassId(0), 7 * SEC));
+    let text = respond(
+        &mut frontend,
+        request.origin.tag,
         Response::Failed(Failure::Deadline),
-    );
-    assert!(
-        text.starts_with("HTTP/1.1 500 ") && text.contains("Exception-Code: 159\r\n"),
-        "{text}"
-    );
+    )
+    .text;
+    assert!(text.starts_with("HTTP/1.1 500 "), "{text}");
+    assert!(text.contains("Exception-Code: 159\r\n"), "{text}");
 }
 
 #[test]
-fn rows_go_out_in_the_format_that_was_asked_for() {
+fn rows_are_encoded_in_the_requested_format() {
     let rows = b"a\\tb\t\\N\nq\"\t2\n";
     for (format, expected) in [
         ("", "a\\tb\t\\N\nq\"\t2\n"),
@@ -145,168 +164,153 @@
             "[\"a\\tb\", null]\n[\"q\\\"\", \"2\"]\n",
         ),
     ] {
-        let mut front = front();
-        let (asked, _) = feed(
-            &mut front,
+        let mut frontend = connection();
+        let outcome = feed(
+            &mut frontend,
             &post(&format!("default_format={format}"), "SELECT 1"),
         );
-        let (_, text) = answer(
-            &mut front,
-            asked[0].origin.tag,
-            Response::Completed(rows.to_vec()),
-        );
+        let tag = outcome.requests[0].origin.tag;
+
+        let text = respond(&mut frontend, tag, Response::Completed(rows.to_vec())).text;
+
         let body = format!("\r\n\r\n{:x}\r\n{expected}\r\n0\r\n\r\n", expected.len());
-        assert!(
-            text.ends_with(&body) && text.contains("\"result_rows\":\"2\""),
-            "{text}"
-        );
+        assert!(text.ends_with(&body), "{text}");
+        assert!(text.contains("\"result_rows\":\"2\""), "{text}");
     }
 }
 
-/// Requests that come together are answered in turn, each once, also when the bytes are cut
-/// anywhere.
 #[test]
-fn requests_on_one_connection_take_turns() {
-    fn cut(step: u8) -> bool {
-        let wire = [
+fn pipelined_requests_are_answered_in_order_each_once_however_they_are_divided() {
+    fn divided_into_pieces(step: u8) -> bool {
+        let input = [
             post("query_id=one", "SELECT 1"),
             post("query_id=two", "SELECT 2"),
             b"GET /ping HTTP/1.1\r\n\r\n".to_vec(),
-        ];
-        let (mut front, mut asked, mut text) = (front(), Vec::new(), String::new());
-        for piece in wire.concat().chunks(usize::from(step) + 1) {
-            let (more, replies) = feed(&mut front, piece);
-            asked.extend(more);
-            text += &replies;
+        ]
+        .concat();
+        let mut frontend = connection();
+        let (mut requests, mut text) = (Vec::new(), String::new());
+
+        for piece in input.chunks(usize::from(step) + 1) {
+            let outcome = feed(&mut frontend, piece);
+            requests.extend(outcome.requests);
+            text += &outcome.text;
         }
-        let mut at = 0;
-        while at < asked.len() && front.open_requests() == 1 {
-            let (more, replies) = answer(
-                &mut front,
-                asked[at].origin.tag,
-                Response::Completed(Vec::new()),
-            );
-            asked.extend(more);
-            text += &replies;
-            at += 1;
+        let mut answered = 0;
+        while answered < requests.len() && frontend.open_requests() == 1 {
+            let tag = requests[answered].origin.tag;
+            let outcome = respond(&mut frontend, tag, Response::Completed(Vec::new()));
+            requests.extend(outcome.requests);
+            text += &outcome.text;
+            answered += 1;
         }
-        let ids = ["Query-Id: one", "Query-Id: two", "Ok.\n"].map(|id| text.find(id));
-        asked.len() == 2 && ids.iter().all(Option::is_some) && ids.is_sorted()
+
+        let positions = ["Query-Id: one", "Query-Id: two", "Ok.\n"].map(|answer| text.find(answer));
+        requests.len() == 2 && positions.iter().all(Option::is_some) && positions.is_sorted()
     }
     let mut check = QuickCheck::new()
         .rng(Gen::from_size_and_seed(255, 17))
         .tests(200);
-    check.quickcheck(cut as fn(u8) -> bool);
+    check.quickcheck(divided_into_pieces as fn(u8) -> bool);
 }
 
-/// Guards rule 2 on this wire: only a 503 with code 202 says that nothing ran; half an answer is
-/// none.
-#[test]
-fn an_engines_words_mean_the_same_however_they_are_cut() {
-    let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\na\n\r\n";
-    let late = "Code: 241. DB::Exception: Memory limit exceeded\n";
-    let cases = [
-        (format!("{chunked}0\r\n\r\n"), Some(Termination::Done)),
-        (
-            "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na\n".to_owned(),
-            Some(Termination::Done),
-        ),
-        (
-            "HTTP/1.1 200 OK\r\n\r\na\n".to_owned(),
-            Some(Termination::Done),
-        ),
-        (chunked.to_owned(), Some(Termination::EngineError)),
-        (
-            "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na\n".to_owned(),
-            Some(Termination::EngineError),
-        ),
-        (
-            format!("{chunked}{:x}\r\n{late}\r\n0\r\n\r\n", late.len()),
-            Some(Termination::EngineError),
-        ),
-        (
-            "HTTP/1.1 200 OK\r\nX-ClickHouse-Exception-Code: 60\r\nContent-Length: 0\r\n\r\n"
-                .to_owned(),
-            Some(Termination::EngineError),
-        ),
-        (
-            "HTTP/1.1 503 X\r\nX-ClickHouse-Exception-Code: 202\r\nContent-Length: 0\r\n\r\n"
-                .to_owned(),
-            Some(Termination::Rejected),
-        ),
-        (
-            "HTTP/1.1 503 X\r\nContent-Length: 18\r\n\r\nCode: 202. too man".to_owned(),
-            Some(Termination::Rejected),
-        ),
-        (
-            "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".to_owned(),
-            Some(Termination::EngineError),
-        ),
-        (
-            "HTTP/1.1 500 X\r\nX-ClickHouse-Exception-Code: 202\r\nContent-Length: 0\r\n\r\n"
-                .to_owned(),
-            Some(Termination::EngineError),
-        ),
-        (
-            "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na\n"
-                .to_owned(),
-            Some(Termination::Done),
-        ),
-        // Closed before a word: for the connection's own end to say.
-        (String::new(), None),
+const CHUNKED_ROW: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\na\n\r\n";
+const LATE_EXCEPTION: &str = "Code: 241. DB::Exception: Memory limit exceeded\n";
+
+/// Responses of an engine, up to the end of its connection, and how each ends the attempt; `None`
+/// leaves that to the end of the connection.
+fn engine_responses() -> Vec<(String, Option<Termination>)> {
+    let late_exception_chunk = format!("{:x}\r\n{LATE_EXCEPTION}\r\n", LATE_EXCEPTION.len());
+    let complete = [
+        format!("{CHUNKED_ROW}0\r\n\r\n"),
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na\n".to_owned(),
+        "HTTP/1.1 200 OK\r\n\r\na\n".to_owned(),
+        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na\n".to_owned(),
     ];
-    for (text, expected) in cases {
-        for step in 1..=text.len().max(1) {
-            let mut engine = Engine::new(Rc::default());
-            let (id, attempt, class) = (RequestId(1), AttemptNo(0), "lookup".into());
-            let (key, statement) = (Rc::from("k"), Rc::from(&b"select"[..]));
-            let (session, until, memory_mb) = (None, 2 * SEC, 0.0);
-            let job = AttemptRequest {
-                id,
-                attempt,
-                client_request_id: key,
-                class,
-                statement,
-                session,
-                deadline: until,
-                memory_mb,
-                ..AttemptRequest::default()
-            };
-            let sent = String::from_utf8(engine.start(SEC, &job)).expect("text");
-            assert!(
-                sent.starts_with("POST /?query_id=k&max_execution_time=1.000&"),
-                "{sent}"
-            );
-            let (mut heard, mut replies) = (Vec::new(), Vec::new());
-            for piece in text.as_bytes().chunks(step) {
-                engine
-                    .feed(SEC, piece, &mut heard, &mut replies)
-                    .expect("no fault");
-            }
-            engine.finish(&mut heard);
-            let ends: Vec<(Termination, &[u8])> = heard
+    let failed = [
+        CHUNKED_ROW.to_owned(),
+        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na\n".to_owned(),
+        format!("{CHUNKED_ROW}{late_exception_chunk}0\r\n\r\n"),
+        "HTTP/1.1 200 OK\r\nX-ClickHouse-Exception-Code: 60\r\nContent-Length: 0\r\n\r\n"
+            .to_owned(),
+        "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n".to_owned(),
+        "HTTP/1.1 500 X\r\nX-ClickHouse-Exception-Code: 202\r\nContent-Length: 0\r\n\r\n"
+            .to_owned(),
+    ];
+    let rejected = [
+        "HTTP/1.1 503 X\r\nX-ClickHouse-Exception-Code: 202\r\nContent-Length: 0\r\n\r\n"
+            .to_owned(),
+        "HTTP/1.1 503 X\r\nContent-Length: 18\r\n\r\nCode: 202. too man".to_owned(),
+    ];
+    let closed_before_a_response = String::new();
+    let ending = |termination| move |text| (text, Some(termination));
+    complete
+        .map(ending(Termination::Done))
+        .into_iter()
+        .chain(failed.map(ending(Termination::EngineError)))
+        .chain(rejected.map(ending(Termination::Rejected)))
+        .chain([(closed_before_a_response, None)])
+        .collect()
+}
+
+fn attempt() -> AttemptRequest {
+    AttemptRequest {
+        id: RequestId(1),
+        attempt: AttemptNo(0),
+        client_request_id: "k".into(),
+        class: "lookup".into(),
+        statement: Rc::from(&b"select"[..]),
+        session: None,
+        deadline: 2 * SEC,
+        memory_mb: 0.0,
+        ..AttemptRequest::default()
+    }
+}
+
+/// Runs one attempt against an engine that sends `response` in pieces of `step` bytes and closes.
+fn run_attempt(response: &str, step: usize) -> Vec<BackendEvent> {
+    let mut engine = EngineProtocol::new(Rc::default());
+    let sent = String::from_utf8(engine.start(SEC, &attempt())).expect("text");
+    assert!(
+        sent.starts_with("POST /?query_id=k&max_execution_time=1.000&"),
+        "{sent}"
+    );
+    let (mut events, mut output) = (Vec::new(), Vec::new());
+    for piece in response.as_bytes().chunks(step) {
+        engine
+            .feed(SEC, piece, &mut events, &mut output)
+            .expect("no protocol violation");
+    }
+    engine.finish(&mut events);
+    events
+}
+
+/// Guards the rule against double execution on this protocol: only a 503 with code 202 says that
+/// the query did not run, and a partial response is no response.
+#[test]
+fn an_engines_response_ends_the_attempt_the_same_way_however_it_is_divided() {
+    for (response, expected) in engine_responses() {
+        for step in 1..=response.len().max(1) {
+            let events = run_attempt(&response, step);
+
+            let endings: Vec<(Termination, &[u8])> = events
                 .iter()
-                .filter_map(|h| {
-                    if let Heard::Ended(_, end, rows, ..) = h {
-                        Some((*end, &rows[..]))
-                    } else {
-                        None
+                .filter_map(|event| match event {
+                    BackendEvent::Ended(_, termination, rows, ..) => {
+                        Some((*termination, &rows[..]))
                     }
+                    _ => None,
                 })
                 .collect();
-            let rows: &[u8] = if expected == Some(Termination::Done) {
-                b"a\n"
-            } else {
-                b""
+            let expected_rows: &[u8] = match expected {
+                Some(Termination::Done) => b"a\n",
+                _ => b"",
             };
-            assert_eq!(
-                ends,
-                expected
-                    .map(|end| (end, rows))
-                    .into_iter()
-                    .collect::<Vec<_>>(),
-                "{text}"
-            );
+            let expected_endings: Vec<(Termination, &[u8])> = expected
+                .map(|termination| (termination, expected_rows))
+                .into_iter()
+                .collect();
+            assert_eq!(endings, expected_endings, "{response}");
         }
     }
 }
--- a/tests/unit/net_admin.rs
+++ b/tests/unit/net_admin.rs
@@ -1,13 +1,13 @@
-//! What the second address says of readiness.
+//! The admin endpoint's readiness response in each stage of the lifecycle.
 use super::*;
 use crate::lifecycle::SuccessorState;
 use futures_lite::future::block_on;
 
-fn ready(shared: &Shared) -> String {
-    String::from_utf8(block_on(carry_out(shared, AdminRequest::Ready))).expect("text")
+fn readiness_response(shared: &Shared) -> String {
+    String::from_utf8(block_on(handle(shared, AdminRequest::Ready))).expect("text")
 }
 
-fn answer(status: &str, stage: &str) -> String {
+fn expected_response(status: &str, stage: &str) -> String {
     let head = format!("HTTP/1.1 {status}\r\nContent-Type: text/plain; charset=utf-8\r\n");
     format!(
         "{head}Content-Length: {}\r\nConnection: close\r\n\r\n{stage}\n",
@@ -16,26 +16,36 @@
 }
 
 #[test]
-fn each_stage_is_told_with_the_same_status_and_word_as_before() {
+fn each_lifecycle_stage_has_its_documented_status_and_name() {
     let shared = Shared::new(64, 64);
-    let life = || shared.lifecycle.borrow_mut();
+    let lifecycle = || shared.lifecycle.borrow_mut();
     assert_eq!(
-        ready(&shared),
-        answer("503 Service Unavailable", "starting")
+        readiness_response(&shared),
+        expected_response("503 Service Unavailable", "starting")
     );
-    life().endpoint_list_received();
-    assert_eq!(ready(&shared), answer("200 OK", "ready"));
-    life().drain(clock::now());
+
+    lifecycle().endpoint_list_received();
+    assert_eq!(
+        readiness_response(&shared),
+        expected_response("200 OK", "ready")
+    );
+
+    lifecycle().drain(clock::now());
     assert_eq!(
-        ready(&shared),
-        answer("503 Service Unavailable", "draining")
+        readiness_response(&shared),
+        expected_response("503 Service Unavailable", "draining")
     );
-    life().undrain();
-    life().set_successor(SuccessorState::Ready);
-    assert_eq!(ready(&shared), answer("200 OK", "handingover"));
-    life().begin_shutdown(clock::now());
+
+    lifecycle().undrain();
+    lifecycle().set_successor(SuccessorState::Ready);
+    assert_eq!(
+        readiness_response(&shared),
+        expected_response("200 OK", "handingover")
+    );
+
+    lifecycle().begin_shutdown(clock::now());
     assert_eq!(
-        ready(&shared),
-        answer("503 Service Unavailable", "stopping")
+        readiness_response(&shared),
+        expected_response("503 Service Unavailable", "stopping")
     );
 }
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -405,7 +405,7 @@
         reload_success: 2,
         reload_failure: 1,
     };
-    assert_text("metrics.txt", &admin::figures(&figures));
+    assert_text("metrics.txt", &admin::metrics_text(&figures));
 }
 
 #[test]
