--- a/tests/unit/net_client.rs
+++ b/tests/unit/net_client.rs
@@ -1,5 +1,5 @@
-//! Crossings on a client's connection, on real sockets: the actor stands still until the byte, the
-//! close or the word is where the test wants it, then goes on. Both orders of each.
+//! Races on a client's connection, on real sockets: the actor is suspended until the byte, the close
+//! or the message is where the test needs it, and then continues. Both orders of each race.
 use super::*;
 use crate::config::process::Names;
 use crate::dispatcher::ClientRequest;
@@ -11,48 +11,47 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::Shutdown;
 
-/// An actor that runs only when it is told to, its client, and what it says to the core.
-struct Rig {
-    shared: Rc<Shared>,
-    inputs: Receiver<DispatcherEvent>,
-    answers: Sender<(u64, Response)>,
-    client: TcpStream,
-    /// The daemon's side of the same connection, to see what waits there.
-    here: TcpStream,
+/// Rejections that exceed the free ones, so that the client is throttled for a while.
+const THROTTLING_REJECTIONS: u64 = 100;
+/// A response that does not fit into the buffers of the sockets.
+const LARGE_RESPONSE_BYTES: usize = 1 << 15;
+
+fn owned(names: &[&str]) -> Vec<String> {
+    names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-fn front(shared: &Rc<Shared>) -> impl Fn(u64) -> JsonRpc + use<> {
-    let named = |list: &[&str]| list.iter().map(|n| (*n).to_owned()).collect();
+fn new_frontend(shared: &Rc<Shared>) -> impl Fn(u64) -> JsonRpc + use<> {
     let names = Names {
-        classes: named(&["lookup"]),
-        tenants: named(&["acme"]),
+        classes: owned(&["lookup"]),
+        tenants: owned(&["acme"]),
         ..Names::default()
     };
-    let (names, life) = (Rc::new(RefCell::new(Rc::new(names))), shared.clone());
-    move |conn| {
-        let life = life.clone();
-        JsonRpc::new(
-            conn,
-            names.clone(),
-            Rc::new(move || life.lifecycle.borrow().is_ready()),
-        )
+    let names = Rc::new(RefCell::new(Rc::new(names)));
+    let shared = Rc::clone(shared);
+    move |id| {
+        let shared = Rc::clone(&shared);
+        let is_ready = Rc::new(move || shared.lifecycle.borrow().is_ready());
+        JsonRpc::new(id, names.clone(), is_ready)
     }
 }
 
-/// A client that is there and says nothing, without an actor, and both ends of its connection.
-pub(in crate::net) fn resting(shared: &Shared, conn: u64) -> (Rc<Async<TcpStream>>, TcpStream) {
+/// A registered client connection without an actor: the daemon's end and the client's.
+pub(in crate::net) fn register_client(
+    shared: &Shared,
+    id: u64,
+) -> (Rc<Async<TcpStream>>, TcpStream) {
     let (listener, addr) = listener();
     let client = TcpStream::connect(addr).expect("a connection");
-    let (here, _) = listener.get_ref().accept().expect("a connection");
-    let here = Rc::new(Async::new(here).expect("a socket"));
-    let status = ConnectionStatus::new(0, bounded(1).0, Rc::downgrade(&here));
+    let (accepted, _) = listener.get_ref().accept().expect("a connection");
+    let accepted = Rc::new(Async::new(accepted).expect("a socket"));
+    let status = ConnectionStatus::new(0, bounded(1).0, Rc::downgrade(&accepted));
     status.has_valid_message.set(true);
     status.idle_since.set(None);
-    shared.clients.borrow_mut().insert(conn, Rc::new(status));
-    (here, client)
+    shared.clients.borrow_mut().insert(id, Rc::new(status));
+    (accepted, client)
 }
 
-fn line(id: u64) -> Vec<u8> {
+fn request_line(id: u64) -> Vec<u8> {
     rpc_line(
         id,
         "lookup",
@@ -63,366 +62,443 @@
     )
 }
 
-fn withdraw(id: u64) -> Vec<u8> {
+fn cancellation_line(id: u64) -> Vec<u8> {
     format!("{{\"jsonrpc\":\"2.0\",\"method\":\"withdraw\",\"params\":{{\"id\":{id}}}}}\n")
         .into_bytes()
 }
 
-fn ask_of(input: &DispatcherEvent) -> Option<&ClientRequest> {
-    if let DispatcherEvent::Request(ask) = input {
-        Some(ask)
-    } else {
-        None
+fn as_request(event: &DispatcherEvent) -> Option<&ClientRequest> {
+    match event {
+        DispatcherEvent::Request(request) => Some(request),
+        _ => None,
     }
 }
 
-fn withdrawn(input: DispatcherEvent) -> Option<u64> {
-    if let DispatcherEvent::CancelRequest(origin) = input {
-        Some(origin.tag)
-    } else {
-        None
+fn requested_tag(event: DispatcherEvent) -> Option<u64> {
+    as_request(&event).map(|request| request.origin.tag)
+}
+
+fn cancelled_tag(event: DispatcherEvent) -> Option<u64> {
+    match event {
+        DispatcherEvent::CancelRequest(origin) => Some(origin.tag),
+        _ => None,
     }
 }
 
-impl Rig {
-    fn new() -> Rig {
-        let (line, addr) = listener();
+fn count_requests(events: &Receiver<DispatcherEvent>) -> usize {
+    std::iter::from_fn(|| events.try_recv().ok())
+        .filter(|event| as_request(event).is_some())
+        .count()
+}
+
+/// An event that the dispatcher received, and the requests up to the end of that batch.
+struct Received<T> {
+    event: T,
+    requests: usize,
+}
+
+/// The actor of one connection, which runs only while the test waits for something, its client, and
+/// the events for the dispatcher.
+struct Fixture {
+    shared: Rc<Shared>,
+    events: Receiver<DispatcherEvent>,
+    responses: Sender<(u64, Response)>,
+    client: TcpStream,
+    /// A second descriptor of the daemon's end, to see which input has arrived there.
+    accepted: TcpStream,
+}
+
+impl Fixture {
+    fn new() -> Fixture {
+        let (listener, addr) = listener();
         let client = TcpStream::connect(addr).expect("a connection");
-        let (stream, _) = line.get_ref().accept().expect("a connection");
-        let here = stream.try_clone().expect("a second descriptor");
+        let (stream, _) = listener.get_ref().accept().expect("a connection");
+        let accepted = stream.try_clone().expect("a second descriptor");
         let shared = Shared::new(64, 64);
-        let (core, inputs) = bounded(1_000);
+        let (dispatcher, events) = bounded(1_000);
         let stream = Async::new(stream).expect("a socket");
-        let answers = start(&shared, core, stream, 1, front(&shared)(1), None);
-        Rig {
+        let frontend = new_frontend(&shared)(1);
+        let responses = start(&shared, dispatcher, stream, 1, frontend, None);
+        Fixture {
             shared,
-            inputs,
-            answers,
+            events,
+            responses,
             client,
-            here,
+            accepted,
         }
     }
 
-    /// Lets it go on until that holds.
-    fn until(&self, holds: impl FnMut() -> bool) {
-        let came = block_on(self.shared.executor.run(eventually(holds)));
-        assert!(came, "it never came to that");
+    /// A connection that its actor has registered.
+    fn connected() -> Fixture {
+        let fixture = Fixture::new();
+        fixture.wait_for_connection();
+        fixture
+    }
+
+    /// A connection whose client has sent a valid message.
+    fn with_valid_message() -> Fixture {
+        let fixture = Fixture::new();
+        fixture.write(STATUS);
+        fixture.wait_for_connection();
+        fixture.run_until(|| fixture.shared.clients.borrow()[&1].has_valid_message.get());
+        fixture
+    }
+
+    /// Runs the actor until the condition holds.
+    fn run_until(&self, condition: impl FnMut() -> bool) {
+        let held = block_on(self.shared.executor.run(eventually(condition)));
+        assert!(held, "the condition never held");
     }
 
-    /// Lets it go on until it says that; what it says before is passed over, but told.
-    fn says<T>(&self, pick: impl Fn(DispatcherEvent) -> Option<T>) -> (T, usize) {
-        let (mut got, mut asks) = (None, 0);
-        self.until(|| {
-            while let Ok(input) = self.inputs.try_recv() {
-                asks += usize::from(ask_of(&input).is_some());
-                got = got.take().or(pick(input));
+    /// Runs the actor until it sends such an event; events before it are dropped, requests counted.
+    fn wait_for<T>(&self, select: impl Fn(DispatcherEvent) -> Option<T>) -> Received<T> {
+        let (mut selected, mut requests) = (None, 0);
+        self.run_until(|| {
+            while let Ok(event) = self.events.try_recv() {
+                requests += usize::from(as_request(&event).is_some());
+                selected = selected.take().or(select(event));
             }
-            got.is_some()
+            selected.is_some()
+        });
+        Received {
+            event: selected.expect("the condition held"),
+            requests,
+        }
+    }
+
+    fn wait_for_connection(&self) {
+        self.wait_for(|event| matches!(event, DispatcherEvent::ClientConnected(..)).then_some(()));
+    }
+
+    fn wait_for_disconnect(&self) {
+        self.wait_for(|event| {
+            matches!(event, DispatcherEvent::ClientDisconnected(1)).then_some(())
         });
-        (got.expect("a word"), asks)
     }
 
     fn write(&self, bytes: &[u8]) {
         (&self.client).write_all(bytes).expect("written");
     }
 
-    /// Waits, while the actor stands still, until so much has come to the daemon's side.
-    fn has_come(&self, bytes: usize) {
-        let mut seen = vec![0; bytes];
-        while !matches!(self.here.peek(&mut seen), Ok(n) if n >= bytes) {
+    /// Waits, while the actor is suspended, until that much input has arrived at the daemon's end.
+    fn wait_for_input(&self, bytes: usize) {
+        let mut input = vec![0; bytes];
+        while !matches!(self.accepted.peek(&mut input), Ok(count) if count >= bytes) {
             std::thread::yield_now();
         }
     }
 
-    fn opened(&self) {
-        self.says(|input| matches!(input, DispatcherEvent::ClientConnected(..)).then_some(()));
+    /// Sends a request, and waits until it is open.
+    fn open_request(&self, id: u64) {
+        self.write(&request_line(id));
+        self.wait_for(requested_tag);
     }
 
-    /// Asked and taken: open from here on.
-    fn asks(&self, id: u64) {
-        self.write(&line(id));
-        self.says(|input| ask_of(&input).map(|ask| ask.origin.tag));
+    fn respond(&self, tag: u64, response: Response) {
+        self.responses.try_send((tag, response)).expect("capacity");
     }
 
-    /// The last phase of the process.
-    fn ends(&self) {
-        self.shared
-            .lifecycle
-            .borrow_mut()
-            .begin_shutdown(clock::turn());
-        self.shared.lifecycle.borrow_mut().begin_closing();
+    /// The process begins its last phase.
+    fn shut_down(&self) {
+        let lifecycle = || self.shared.lifecycle.borrow_mut();
+        lifecycle().begin_shutdown(clock::turn());
+        lifecycle().begin_closing();
         begin_shutdown(&self.shared);
     }
 
-    /// What the client reads up to the end of the connection, and that it is a proper end.
-    fn reads(&self) -> String {
-        let (mut text, mut piece) = (Vec::new(), vec![0; 1 << 16]);
+    fn shed(&self) {
+        self.shared.clients.borrow()[&1].close_checks.close();
+    }
+
+    fn wait_for_closing_socket(&self) {
+        self.run_until(|| self.shared.closing_sockets.get() == 1);
+    }
+
+    fn close_write_side(&self) {
+        self.client.shutdown(Shutdown::Write).expect("a socket");
+    }
+
+    /// What the client reads up to the end of the connection, which must not be a reset.
+    fn read_to_end(&self) -> String {
+        let (mut text, mut chunk) = (Vec::new(), vec![0; 1 << 16]);
         self.client.set_nonblocking(true).expect("a socket");
-        let mut over = false;
-        self.until(|| {
-            match (&self.client).read(&mut piece) {
-                Ok(0) => over = true,
-                Ok(n) => text.extend_from_slice(&piece[..n]),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                Err(e) => panic!("the connection did not end properly: {e}"),
+        let mut ended = false;
+        self.run_until(|| {
+            match (&self.client).read(&mut chunk) {
+                Ok(0) => ended = true,
+                Ok(count) => text.extend_from_slice(&chunk[..count]),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+                Err(error) => panic!("the connection did not end properly: {error}"),
             }
-            over
+            ended
         });
         String::from_utf8(text).expect("text")
     }
 
-    /// The client goes, and the actor with it.
-    fn parts(self) {
+    /// Sends so many messages to be rejected that the client is throttled, and reads the errors.
+    fn throttle(&self) {
+        let rejected: Vec<u8> = (1_000..1_000 + THROTTLING_REJECTIONS)
+            .flat_map(|id| rpc_line(id, "none", "", "acme", 1, ""))
+            .collect();
+        self.write(&rejected);
+        self.client.set_nonblocking(true).expect("a socket");
+        let (mut errors, mut chunk) = (0, vec![0; 1 << 16]);
+        self.run_until(|| {
+            if let Ok(count) = (&self.client).read(&mut chunk) {
+                let line_feeds = chunk[..count].iter().filter(|byte| **byte == b'\n');
+                errors += line_feeds.count() as u64;
+            }
+            errors == THROTTLING_REJECTIONS
+        });
+        self.client.set_nonblocking(false).expect("a socket");
+    }
+
+    /// Closes the client, and waits until nothing of the connection is left.
+    fn close(self) {
         drop(self.client);
-        let (shared, here) = (self.shared.clone(), self.here);
-        drop(here);
+        drop(self.accepted);
+        let shared = self.shared;
         let gone = || shared.clients.borrow().is_empty() && shared.closing_sockets.get() == 0;
         assert!(block_on(shared.executor.run(eventually(gone))));
     }
 }
 
-/// Guards what crosses the end of the process, first order: a request that has come before the
-/// shutdown is answered.
+/// A listener with its actor, and the clients that connect to it.
+struct ListenerFixture {
+    shared: Rc<Shared>,
+    events: Receiver<DispatcherEvent>,
+    addr: std::net::SocketAddr,
+}
+
+impl ListenerFixture {
+    fn new() -> ListenerFixture {
+        let (listener, addr) = listener();
+        let shared = Shared::new(64, 64);
+        let (dispatcher, events) = bounded(1_000);
+        let new_frontend = new_frontend(&shared);
+        shared.spawn(listen(shared.clone(), dispatcher, listener, new_frontend));
+        ListenerFixture {
+            shared,
+            events,
+            addr,
+        }
+    }
+
+    fn connect(&self, count: usize) -> Vec<TcpStream> {
+        (0..count)
+            .map(|_| TcpStream::connect(self.addr).expect("a connection"))
+            .collect()
+    }
+
+    fn run_until(&self, condition: impl FnMut() -> bool) {
+        assert!(block_on(self.shared.executor.run(eventually(condition))));
+    }
+}
+
 #[test]
-fn a_request_that_came_before_the_shutdown_is_answered() {
-    let rig = Rig::new();
-    rig.write(STATUS);
-    rig.opened();
-    rig.until(|| rig.shared.clients.borrow()[&1].has_valid_message.get());
-    let request = line(7);
-    rig.write(&request);
-    rig.has_come(request.len());
-    rig.ends();
-    let text = rig.reads();
-    assert!(
-        text.contains("\"code\":-32050") && text.contains("\"id\":7"),
-        "{text}"
-    );
-    rig.parts();
+fn a_request_that_arrives_before_the_shutdown_gets_a_response() {
+    let fixture = Fixture::with_valid_message();
+    let request = request_line(7);
+    fixture.write(&request);
+    fixture.wait_for_input(request.len());
+
+    fixture.shut_down();
+
+    let text = fixture.read_to_end();
+    assert!(text.contains("\"code\":-32050"), "{text}");
+    assert!(text.contains("\"id\":7"), "{text}");
+    fixture.close();
 }
 
-/// The other order: what comes after the shutdown is read and not acted on, and resets nothing.
 #[test]
-fn a_request_that_comes_after_the_shutdown_is_never_sent_on() {
-    let rig = Rig::new();
-    rig.opened();
-    rig.asks(1);
-    rig.answers
-        .try_send((1, Response::Completed(vec![b'x'; 1 << 15])))
-        .expect("room");
-    rig.ends();
-    // The client has not read a byte when its side is shut; what it sends then crosses that.
-    rig.until(|| rig.shared.closing_sockets.get() == 1);
-    rig.write(&line(2));
-    let text = rig.reads();
-    assert!(
-        text.ends_with('\n') && text.len() > 1 << 15,
-        "{} bytes",
-        text.len()
-    );
-    let asks =
-        std::iter::from_fn(|| rig.inputs.try_recv().ok()).filter(|input| ask_of(input).is_some());
-    assert_eq!(asks.count(), 0);
-    rig.parts();
+fn a_request_that_arrives_after_the_shutdown_is_discarded_without_a_reset() {
+    let fixture = Fixture::connected();
+    fixture.open_request(1);
+    fixture.respond(1, Response::Completed(vec![b'x'; LARGE_RESPONSE_BYTES]));
+    fixture.shut_down();
+    // The client has not read a byte when the write side is shut down; its request crosses that.
+    fixture.wait_for_closing_socket();
+
+    fixture.write(&request_line(2));
+
+    let text = fixture.read_to_end();
+    assert!(text.ends_with('\n'), "{} bytes", text.len());
+    assert!(text.len() > LARGE_RESPONSE_BYTES, "{} bytes", text.len());
+    assert_eq!(count_requests(&fixture.events), 0);
+    fixture.close();
 }
 
-/// The same two orders at the idle close of one that is shed to make room.
 #[test]
-fn one_that_is_shed_is_heard_before_and_not_after() {
-    for before in [true, false] {
-        let rig = Rig::new();
-        rig.write(STATUS);
-        rig.opened();
-        rig.until(|| rig.shared.clients.borrow()[&1].has_valid_message.get());
-        let request = line(7);
-        if before {
-            rig.write(&request);
-            rig.has_come(request.len());
-        }
-        rig.shared.clients.borrow()[&1].close_checks.close();
-        if before {
-            rig.says(|input| ask_of(&input).map(|ask| ask.origin.tag));
-            rig.answers
-                .try_send((7, Response::Rejected(None)))
-                .expect("room");
-        } else {
-            rig.until(|| rig.shared.closing_sockets.get() == 1);
-            rig.write(&request);
-        }
-        assert_eq!(rig.reads().contains("\"id\":7"), before);
-        rig.parts();
-    }
+fn a_request_that_arrives_before_its_connection_is_shed_gets_a_response() {
+    let fixture = Fixture::with_valid_message();
+    let request = request_line(7);
+    fixture.write(&request);
+    fixture.wait_for_input(request.len());
+
+    fixture.shed();
+
+    fixture.wait_for(requested_tag);
+    fixture.respond(7, Response::Rejected(None));
+    assert!(fixture.read_to_end().contains("\"id\":7"));
+    fixture.close();
+}
+
+#[test]
+fn a_request_that_arrives_after_its_connection_is_shed_is_discarded_without_a_reset() {
+    let fixture = Fixture::with_valid_message();
+    fixture.shed();
+    fixture.wait_for_closing_socket();
+
+    fixture.write(&request_line(7));
+
+    assert!(!fixture.read_to_end().contains("\"id\":7"));
+    fixture.close();
 }
 
-/// Half a line at the end asks for nothing, and holds nothing up.
 #[test]
-fn half_a_line_at_the_end_asks_for_nothing() {
-    let rig = Rig::new();
-    rig.opened();
-    let half = &line(1)[..20];
-    rig.write(half);
-    rig.until(|| rig.shared.unread_bytes.get() == half.len());
-    rig.ends();
-    assert_eq!(rig.reads(), "");
-    rig.parts();
+fn an_incomplete_message_does_not_delay_the_shutdown() {
+    let fixture = Fixture::connected();
+    let incomplete = &request_line(1)[..20];
+    fixture.write(incomplete);
+    fixture.run_until(|| fixture.shared.unread_bytes.get() == incomplete.len());
+
+    fixture.shut_down();
+
+    assert_eq!(fixture.read_to_end(), "");
+    fixture.close();
 }
 
-/// Guards clients in the listener's line at the end of the process: each gets its answer or a
-/// farewell, not a reset.
 #[test]
-fn what_waits_in_the_listeners_line_at_the_end_is_answered() {
-    let (line_of, addr) = listener();
-    let shared = Shared::new(64, 64);
-    let (core, inputs) = bounded(1_000);
-    shared.spawn(listen(shared.clone(), core, line_of, front(&shared)));
-    let run = |holds: &dyn Fn() -> bool| assert!(block_on(shared.executor.run(eventually(holds))));
-    run(&|| shared.listening.get() == 1);
-    // Connected while nothing accepts; the end comes first.
-    let clients: Vec<TcpStream> = (0..3)
-        .map(|_| TcpStream::connect(addr).expect("a connection"))
-        .collect();
-    (&clients[0]).write_all(&line(7)).expect("written");
+fn clients_in_the_listen_backlog_at_the_shutdown_get_a_response_or_a_graceful_close() {
+    let fixture = ListenerFixture::new();
+    let shared = &fixture.shared;
+    fixture.run_until(|| shared.listening.get() == 1);
+    // The clients connect while nothing is accepted, and the shutdown comes before that changes.
+    let clients = fixture.connect(3);
+    (&clients[0]).write_all(&request_line(7)).expect("written");
+
     shared.lifecycle.borrow_mut().begin_shutdown(clock::turn());
     shared.lifecycle.borrow_mut().begin_closing();
     shared.accepting.0.close();
-    run(&|| shared.listening.get() == 0 && shared.closing_sockets.get() == 3);
-    for (at, mut client) in clients.iter().enumerate() {
+
+    fixture.run_until(|| shared.listening.get() == 0 && shared.closing_sockets.get() == 3);
+    for (index, mut client) in clients.iter().enumerate() {
         let mut text = String::new();
         client.read_to_string(&mut text).expect("a proper end");
-        assert_eq!(text.contains("\"code\":-32050"), at == 0, "{text}");
+        assert_eq!(text.contains("\"code\":-32050"), index == 0, "{text}");
     }
     drop(clients);
-    run(&|| shared.clients.borrow().is_empty());
-    assert_eq!(
-        std::iter::from_fn(|| inputs.try_recv().ok())
-            .filter(|i| ask_of(i).is_some())
-            .count(),
-        0
-    );
+    fixture.run_until(|| shared.clients.borrow().is_empty());
+    assert_eq!(count_requests(&fixture.events), 0);
 }
 
-/// So many messages that are turned away that the client is read slowly for a while.
-fn flooded(rig: &Rig) {
-    let bad: Vec<u8> = (1_000..1_100)
-        .flat_map(|id| rpc_line(id, "none", "", "acme", 1, ""))
-        .collect();
-    rig.write(&bad);
-    // All of them were turned away: their answers are there.
-    rig.client.set_nonblocking(true).expect("a socket");
-    let (mut lines, mut piece) = (0, vec![0; 1 << 16]);
-    rig.until(|| {
-        if let Ok(n) = (&rig.client).read(&mut piece) {
-            lines += piece[..n].iter().filter(|c| **c == b'\n').count();
-        }
-        lines == 100
-    });
-    rig.client.set_nonblocking(false).expect("a socket");
-}
-
-/// Guards against work for nobody: a withdrawal counts at once, also behind a request that is read
-/// later.
+/// Guards against work for nobody: also behind a request whose parsing is deferred.
 #[test]
-fn a_withdrawal_counts_while_its_client_is_read_slowly() {
-    let rig = Rig::new();
-    rig.opened();
-    rig.asks(1);
-    flooded(&rig);
-    rig.write(&[line(2), withdraw(2), line(3), withdraw(1)].concat());
-    let (tag, asks) = rig.says(withdrawn);
-    assert_eq!((tag, asks), (1, 0), "the request before it is not read yet");
-    // What was asked and withdrawn is never asked; what stands is, once its time has come.
-    let (tag, asks) = rig.says(|input| ask_of(&input).map(|ask| ask.origin.tag));
-    assert_eq!((tag, asks), (3, 1));
-    rig.parts();
+fn a_cancellation_takes_effect_at_once_while_its_client_is_throttled() {
+    let fixture = Fixture::connected();
+    fixture.open_request(1);
+    fixture.throttle();
+
+    fixture.write(
+        &[
+            request_line(2),
+            cancellation_line(2),
+            request_line(3),
+            cancellation_line(1),
+        ]
+        .concat(),
+    );
+
+    let cancelled = fixture.wait_for(cancelled_tag);
+    assert_eq!(cancelled.event, 1);
+    assert_eq!(cancelled.requests, 0, "the request before it is deferred");
+    // The request that was cancelled is never forwarded, the other one after the penalty.
+    let requested = fixture.wait_for(requested_tag);
+    assert_eq!((requested.event, requested.requests), (3, 1));
+    fixture.close();
 }
 
-/// Guards a mark that comes again: a withdrawal is of what was asked before it, not of what is
-/// asked after it.
 #[test]
-fn a_withdrawal_is_of_what_was_asked_before_it() {
-    let rig = Rig::new();
-    rig.opened();
-    rig.asks(1);
-    rig.write(&[withdraw(1), line(1)].concat());
-    assert_eq!(rig.says(withdrawn), (1, 1));
-    rig.parts();
+fn a_cancellation_applies_to_the_request_before_it_and_not_to_a_later_one_with_its_tag() {
+    let fixture = Fixture::connected();
+    fixture.open_request(1);
+
+    fixture.write(&[cancellation_line(1), request_line(1)].concat());
+
+    let cancelled = fixture.wait_for(cancelled_tag);
+    assert_eq!((cancelled.event, cancelled.requests), (1, 1));
+    fixture.close();
 }
 
-/// The same for the end of the connection, with more before it than is kept for later.
+/// Also with more input before the end of stream than a connection defers.
 #[test]
-fn a_client_that_goes_is_seen_while_it_is_read_slowly() {
-    for more in [0, 8_000] {
-        let rig = Rig::new();
-        rig.opened();
-        rig.asks(1);
-        flooded(&rig);
-        rig.write(&vec![b' '; 10 * more]);
-        rig.client.shutdown(Shutdown::Write).expect("a socket");
-        rig.says(|input| matches!(input, DispatcherEvent::ClientDisconnected(1)).then_some(()));
-        rig.parts();
+fn a_disconnect_is_detected_while_the_client_is_throttled() {
+    for input_bytes in [0, 80_000] {
+        let fixture = Fixture::connected();
+        fixture.open_request(1);
+        fixture.throttle();
+
+        fixture.write(&vec![b' '; input_bytes]);
+        fixture.close_write_side();
+
+        fixture.wait_for_disconnect();
+        fixture.close();
     }
 }
 
-/// The same where the client does not take its answers, so that nothing more is read from it.
 #[test]
-fn a_withdrawal_and_an_end_count_while_answers_are_not_taken() {
-    let rig = Rig::new();
-    rig.opened();
-    (1..=9).for_each(|id| rig.asks(id));
+fn a_cancellation_and_a_disconnect_take_effect_while_responses_are_not_read() {
+    let fixture = Fixture::connected();
+    (1..=9).for_each(|id| fixture.open_request(id));
     for id in 1..=8 {
-        rig.answers
-            .try_send((id, Response::Completed(vec![b'x'; 4 << 20])))
-            .expect("room");
+        fixture.respond(id, Response::Completed(vec![b'x'; 4 << 20]));
     }
-    rig.until(|| rig.shared.unwritten_bytes.get() > 8 << 20);
-    rig.write(&withdraw(9));
-    let (tag, _) = rig.says(withdrawn);
-    assert_eq!(tag, 9);
-    rig.client.shutdown(Shutdown::Write).expect("a socket");
-    rig.says(|input| matches!(input, DispatcherEvent::ClientDisconnected(1)).then_some(()));
-    rig.parts();
+    fixture.run_until(|| fixture.shared.unwritten_bytes.get() > 8 << 20);
+
+    fixture.write(&cancellation_line(9));
+    assert_eq!(fixture.wait_for(cancelled_tag).event, 9);
+
+    fixture.close_write_side();
+    fixture.wait_for_disconnect();
+    fixture.close();
 }
 
-/// Guards the look at the instant of a dispatch: an end shows behind bytes that nobody has read.
+/// The check at the instant of a dispatch.
 #[test]
-fn an_end_shows_behind_bytes_that_are_not_read() {
-    let rig = Rig::new();
-    rig.opened();
-    rig.write(&line(1));
-    rig.has_come(10);
-    assert!(!rig.shared.client_disconnected(1));
-    rig.client.shutdown(Shutdown::Write).expect("a socket");
-    let mut seen = 0;
-    while !rig.shared.client_disconnected(1) && seen < 100_000 {
-        seen += 1;
+fn a_disconnect_is_detected_behind_unread_input() {
+    let fixture = Fixture::connected();
+    fixture.write(&request_line(1));
+    fixture.wait_for_input(10);
+    assert!(!fixture.shared.client_disconnected(1));
+
+    fixture.close_write_side();
+
+    let mut attempts = 0;
+    while !fixture.shared.client_disconnected(1) && attempts < 100_000 {
+        attempts += 1;
         std::thread::yield_now();
     }
-    assert!(rig.shared.client_disconnected(1));
-    rig.parts();
+    assert!(fixture.shared.client_disconnected(1));
+    fixture.close();
 }
 
-/// Guards places for new clients: one that only waits for its client's end holds none, and beyond
-/// the places for those it is closed at once.
+/// Guards the sockets for new clients. Beyond the limit on closing sockets a connection is closed at
+/// once.
 #[test]
-fn ended_connections_hold_no_clients_places() {
-    let shared = Shared::new(64, 64);
+fn connections_that_wait_for_their_client_to_close_are_no_client_sockets() {
+    let fixture = ListenerFixture::new();
+    let shared = &fixture.shared;
     shared.max_closing_sockets.set(2);
-    let (line_of, addr) = listener();
-    let (core, _inputs) = bounded(1_000);
-    shared.spawn(listen(shared.clone(), core, line_of, front(&shared)));
-    let run = |holds: &dyn Fn() -> bool| assert!(block_on(shared.executor.run(eventually(holds))));
-    let clients: Vec<TcpStream> = (0..5)
-        .map(|_| TcpStream::connect(addr).expect("a connection"))
-        .collect();
-    run(&|| shared.client_sockets.get() == 5);
-    begin_shutdown(&shared);
-    shared
-        .clients
-        .borrow()
-        .values()
-        .for_each(|status| _ = status.close_checks.close());
-    run(&|| shared.client_sockets.get() == 0);
+    let clients = fixture.connect(5);
+    fixture.run_until(|| shared.client_sockets.get() == 5);
+
+    begin_shutdown(shared);
+    for status in shared.clients.borrow().values() {
+        status.close_checks.close();
+    }
+
+    fixture.run_until(|| shared.client_sockets.get() == 0);
     assert!(shared.closing_sockets.get() <= 2);
     drop(clients);
-    run(&|| shared.closing_sockets.get() == 0);
+    fixture.run_until(|| shared.closing_sockets.get() == 0);
 }
--- a/tests/unit/net_engine_endpoint.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -7,7 +7,7 @@
 use crate::dispatcher::AttemptRequest;
 use crate::dispatcher::termination::{Termination, TransmitProgress};
 use crate::net::Shared;
-use crate::net::client::tests::resting;
+use crate::net::client::tests::register_client;
 use crate::net::dispatcher::DispatcherEvent;
 use crate::policy::api::{AttemptNo, EngineId, OutcomeKind, Readiness, RequestId};
 use crate::testkit::{eventually, listener};
@@ -42,7 +42,7 @@
 fn world() -> World {
     let shared = Shared::new(64, 64);
     let (core, inputs) = async_channel::bounded(1_000);
-    let client = resting(&shared, CLIENT);
+    let client = register_client(&shared, CLIENT);
     let (line, addr) = listener();
     World {
         shared,
