--- a/src/main.rs
+++ b/src/main.rs
@@ -76,9 +76,9 @@
 ) -> Result<ClickHouseShared, String> {
     let (databases, stopping, next) = (shared.clone(), shared.clone(), Cell::new(config.seed));
     Ok(ClickHouseShared {
-        rules: RefCell::new(ClassRules::new(deploy, names)?),
+        class_rules: RefCell::new(ClassRules::new(deploy, names)?),
         users: RefCell::new(Users::new(deploy, names)?),
-        deadlines: RefCell::new(
+        class_deadlines: RefCell::new(
             config
                 .settings
                 .classes
@@ -86,7 +86,7 @@
                 .map(|c| clock::micros(c.deadline))
                 .collect(),
         ),
-        loads: RefCell::new(
+        load_classes: RefCell::new(
             config
                 .settings
                 .classes
@@ -94,10 +94,10 @@
                 .map(|c| c.loads_data_set)
                 .collect(),
         ),
-        databases: Box::new(move || databases.engines_know_databases.get()),
-        stopping: Box::new(move || stopping.lifecycle.borrow().announces_close()),
+        supports_databases: Box::new(move || databases.engines_know_databases.get()),
+        is_draining: Box::new(move || stopping.lifecycle.borrow().announces_close()),
         // A walk through all numbers from a place that is new with each start.
-        new_key: Box::new(move || {
+        new_request_id: Box::new(move || {
             next.set(next.get().wrapping_add(0x9E37_79B9_7F4A_7C15));
             format!("{:016x}", next.get())
         }),
@@ -302,7 +302,7 @@
                 names.clone(),
                 Rc::new(move || flags.lifecycle.borrow().is_ready()),
             );
-            let front = JsonRpc::resume(clock::turn(), &adopted.handed, front);
+            let front = JsonRpc::resume(clock::turn(), &adopted.state, front);
             match Async::new(stream) {
                 Ok(stream) => {
                     client::start(&all, module.clone(), stream, conn, front, Some(adopted))
--- a/tests/unit/net_engine_endpoint.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -10,7 +10,7 @@
 use crate::dispatcher::AttemptRequest;
 use crate::dispatcher::termination::{Termination, TransmitProgress};
 use crate::net::Shared;
-use crate::net::client::tests::resting;
+use crate::net::client::tests::register_client;
 use crate::net::dispatcher::DispatcherEvent;
 use crate::policy::api::{AttemptNo, EngineId, OutcomeKind, Readiness, RequestId};
 use crate::testkit::{eventually, listener};
@@ -55,7 +55,7 @@
     fn new() -> Scene {
         let shared = Shared::new(64, 64);
         let (dispatcher, events) = async_channel::bounded(1_000);
-        let client = resting(&shared, CLIENT);
+        let client = register_client(&shared, CLIENT);
         let (engine, addr) = listener();
         Scene {
             shared,
