--- a/src/net/hot_restart/successor_session.rs
+++ b/src/net/hot_restart/successor_session.rs
@@ -180,8 +180,8 @@
         let open_requests = state.open_requests.iter().copied().collect();
         let adopted = AdoptedConnection {
             number: conn,
-            handed: state,
-            older: self.to_predecessor.clone(),
+            state,
+            predecessor: self.to_predecessor.clone(),
         };
         let client = AdoptedClient {
             responses: (self.adopt)(TcpStream::from(socket), adopted),
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -222,15 +222,15 @@
 impl NewClickHouse<'_> {
     fn apply(self, classes: &[ReloadedClass], names: &Names) -> Result<(), ClickHouseConfigError> {
         let service = &self.frontend.service;
-        *service.deadlines.borrow_mut() = classes
+        *service.class_deadlines.borrow_mut() = classes
             .iter()
             .map(|(class, _)| micros(class.spec.deadline))
             .collect();
-        *service.loads.borrow_mut() = classes
+        *service.load_classes.borrow_mut() = classes
             .iter()
             .map(|(class, _)| class.spec.loads_data_set)
             .collect();
-        *service.rules.borrow_mut() = ClassRules::new(&self.config, names)?;
+        *service.class_rules.borrow_mut() = ClassRules::new(&self.config, names)?;
         *self.frontend.file_users.borrow_mut() = self.users.clone();
         if !self.frontend.has_directory {
             *service.users.borrow_mut() = self.users;
--- a/src/startup/clickhouse.rs
+++ b/src/startup/clickhouse.rs
@@ -138,13 +138,13 @@
     let for_databases = shared.clone();
     let for_stopping = shared.clone();
     Ok(ClickHouseShared {
-        rules: RefCell::new(ClassRules::new(file, &config.names)?),
+        class_rules: RefCell::new(ClassRules::new(file, &config.names)?),
         users: RefCell::new(Users::new(file, &config.names)?),
-        deadlines: RefCell::new(deadlines),
-        loads: RefCell::new(loads),
-        databases: Box::new(move || for_databases.engines_know_databases.get()),
-        stopping: Box::new(move || for_stopping.lifecycle.borrow().announces_close()),
-        new_key: Box::new(request_names(config.seed)),
+        class_deadlines: RefCell::new(deadlines),
+        load_classes: RefCell::new(loads),
+        supports_databases: Box::new(move || for_databases.engines_know_databases.get()),
+        is_draining: Box::new(move || for_stopping.lifecycle.borrow().announces_close()),
+        new_request_id: Box::new(request_names(config.seed)),
     })
 }
 
--- a/src/startup/hot_restart.rs
+++ b/src/startup/hot_restart.rs
@@ -60,7 +60,7 @@
         let conn = shared.next_conn.get();
         shared.next_conn.set(conn + 1);
         let frontend = JsonRpc::new(conn, names.clone(), Rc::clone(&ready));
-        let frontend = JsonRpc::resume(clock::turn(), &adopted.handed, frontend);
+        let frontend = JsonRpc::resume(clock::turn(), &adopted.state, frontend);
         match Async::new(stream) {
             Ok(stream) => client::start(
                 &shared,
