--- a/src/backend/connection_state/mod.rs
+++ b/src/backend/connection_state/mod.rs
@@ -1,14 +1,20 @@
 //! The state machine of one connection to an engine, without its socket: output that waits to be
 //! written, attempts in flight, health checks without an answer, and how each of them ends. The
 //! caller moves bytes between it and a socket; the engine's [`Protocol`] is its parameter.
+mod attempt;
 mod output_queue;
+mod probes;
 
-use super::{AttemptEnd, BackendEvent, ProbeId, Protocol, ProtocolOutput};
+pub use attempt::{ConnectionEvent, StartingAttempt};
+
+use super::{AttemptEnd, BackendEvent, Protocol, ProtocolOutput};
 use crate::clock::{MS, Micros};
 use crate::dispatcher::termination::{Termination, TransmitProgress, outcome};
 use crate::dispatcher::{AttemptRequest, AttemptResult};
-use crate::policy::api::{AttemptNo, LoadReport, OutcomeKind, RequestId};
+use crate::policy::api::{AttemptNo, RequestId};
+use attempt::PendingAttempt;
 use output_queue::{OutputQueue, SegmentKind};
+use probes::PendingProbes;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Delay between the cancellation of an attempt and its end. The cancel command has to reach the
@@ -18,72 +24,15 @@
 /// round trip. If the connection is reset meanwhile, the engine never had the whole command, so the
 /// attempt provably did not run.
 const TAIL_HOLD_MICROS: Micros = 5 * MS;
-/// A health check without an answer for this long has failed.
-const PROBE_TIMEOUT_MICROS: Micros = 250 * MS;
 /// Upper bound of the requests remembered in [`ConnectionState::abandoned_requests`]; the oldest
 /// are forgotten first.
 const MAX_ABANDONED_REQUESTS: usize = 256;
 
-/// An attempt that was started on the connection and has not ended.
-struct PendingAttempt {
-    attempt: AttemptNo,
-    client_connection: u64,
-    progress: TransmitProgress,
-    sent_at: Micros,
-    /// Set once the attempt is cancelled: when its end is reported.
-    cancel_settles_at: Option<Micros>,
-}
-
-impl PendingAttempt {
-    fn is_cancelled(&self) -> bool {
-        self.cancel_settles_at.is_some()
-    }
-
-    fn is_unsent(&self) -> bool {
-        self.progress == TransmitProgress::Unsent
-    }
-}
-
-/// A health check that was sent and has no answer.
-#[derive(Clone, Copy)]
-struct PendingProbe {
-    id: ProbeId,
-    sent_at: Micros,
-}
-
-/// The attempt whose first byte is the next one to be written.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StartingAttempt {
-    /// The request.
-    pub id: RequestId,
-    /// The attempt.
-    pub attempt: AttemptNo,
-    /// The connection of the client that waits for it.
-    pub client_connection: u64,
-}
-
-/// An event on a connection.
-#[derive(Debug)]
-pub enum ConnectionEvent {
-    /// An attempt ended.
-    AttemptEnded(AttemptResult),
-    /// A health check ended.
-    ProbeCompleted {
-        /// Its outcome.
-        kind: OutcomeKind,
-        /// The time between sending it and this end.
-        latency: Micros,
-        /// The load that the engine reported; empty without an answer.
-        load: LoadReport,
-    },
-}
-
 /// One connection with the protocol `P`.
 pub struct ConnectionState<P> {
     protocol: P,
     pending: BTreeMap<RequestId, PendingAttempt>,
-    probes: VecDeque<PendingProbe>,
-    next_probe: ProbeId,
+    probes: PendingProbes,
     output: OutputQueue,
     /// Until when an [`SegmentKind::AttemptTail`] at the front of the output is held back.
     tail_held_until: Option<Micros>,
@@ -103,8 +52,7 @@
         ConnectionState {
             protocol,
             pending: BTreeMap::new(),
-            probes: VecDeque::new(),
-            next_probe: ProbeId::FIRST,
+            probes: PendingProbes::new(),
             output: OutputQueue::default(),
             tail_held_until: None,
             last_received_at: now,
@@ -159,10 +107,8 @@
     /// When [`ConnectionState::on_timeout`] has to be called.
     pub fn next_timeout(&self) -> Option<Micros> {
         let cancelled = self.pending.values().filter_map(|a| a.cancel_settles_at);
-        let probe = self.probes.front();
-        let probe_timeout = probe.map(|probe| probe.sent_at + PROBE_TIMEOUT_MICROS);
         cancelled
-            .chain(probe_timeout)
+            .chain(self.probes.next_timeout())
             .chain(self.protocol.next_timeout())
             .chain(self.tail_held_until)
             .min()
@@ -173,23 +119,15 @@
         let command = self.protocol.start_attempt(now, request);
         self.output
             .push_attempt(request.id, command, request.single);
-        let pending = PendingAttempt {
-            attempt: request.attempt,
-            client_connection: request.client_connection,
-            progress: TransmitProgress::Unsent,
-            sent_at: now,
-            cancel_settles_at: None,
-        };
+        let pending = PendingAttempt::new(now, request);
         self.pending.insert(request.id, pending);
     }
 
     /// Sends a health check.
     pub fn send_probe(&mut self, now: Micros) {
-        let id = self.next_probe;
+        let id = self.probes.register(now);
         let command = self.protocol.send_probe(id);
         self.output.push_control(command);
-        self.probes.push_back(PendingProbe { id, sent_at: now });
-        self.next_probe = id.next();
     }
 
     fn end_attempt(&mut self, now: Micros, end: AttemptEnd) -> Option<ConnectionEvent> {
@@ -395,30 +333,13 @@
             let event = match event {
                 BackendEvent::AttemptEnded(end) => self.end_attempt(now, end),
                 BackendEvent::ProbeCompleted { probe, kind, load } => {
-                    self.complete_probe(now, probe, kind, load)
+                    self.probes.complete(now, probe, kind, load)
                 }
             };
             events.extend(event);
         }
     }
 
-    /// Ignores a duplicate or late answer: it says nothing about a later health check.
-    fn complete_probe(
-        &mut self,
-        now: Micros,
-        id: ProbeId,
-        kind: OutcomeKind,
-        load: LoadReport,
-    ) -> Option<ConnectionEvent> {
-        let index = self.probes.iter().position(|probe| probe.id == id)?;
-        let probe = self.probes.remove(index)?;
-        Some(ConnectionEvent::ProbeCompleted {
-            kind,
-            latency: now.saturating_sub(probe.sent_at),
-            load,
-        })
-    }
-
     /// Processes all timeouts that have expired at `now`.
     pub fn on_timeout(&mut self, now: Micros, events: &mut Vec<ConnectionEvent>) {
         self.tail_held_until = self.tail_held_until.filter(|until| *until > now);
@@ -430,7 +351,9 @@
             }
             self.apply(now, output, events);
         }
-        self.expire_probes(now, events);
+        while let Some(event) = self.probes.expire_next(now) {
+            events.push(event);
+        }
     }
 
     fn end_settled_cancellations(&mut self, now: Micros, events: &mut Vec<ConnectionEvent>) {
@@ -445,17 +368,6 @@
         }
     }
 
-    fn expire_probes(&mut self, now: Micros, events: &mut Vec<ConnectionEvent>) {
-        let expired = |probe: &mut PendingProbe| probe.sent_at + PROBE_TIMEOUT_MICROS <= now;
-        while let Some(probe) = self.probes.pop_front_if(expired) {
-            events.push(ConnectionEvent::ProbeCompleted {
-                kind: OutcomeKind::Timeout,
-                latency: now - probe.sent_at,
-                load: LoadReport::default(),
-            });
-        }
-    }
-
     /// The connection ended, or could not be established: ends all attempts and health checks.
     pub fn close(&mut self, now: Micros, reason: Termination, events: &mut Vec<ConnectionEvent>) {
         self.close_unless_closing(reason);
@@ -471,13 +383,7 @@
             events.extend(self.end_attempt(now, end));
         }
         let kind = outcome(reason, TransmitProgress::Complete);
-        for probe in std::mem::take(&mut self.probes) {
-            events.push(ConnectionEvent::ProbeCompleted {
-                kind,
-                latency: now - probe.sent_at,
-                load: LoadReport::default(),
-            });
-        }
+        events.extend(self.probes.end_all(now, kind));
         self.output.clear();
     }
 }
--- a/src/backend/platform/response.rs
+++ b/src/backend/platform/response.rs
@@ -48,8 +48,8 @@
         !self.pages.is_empty()
     }
 
-    /// Whether the response has more than one page, which the engine keeps until it is told to
-    /// forget them.
+    /// Whether the response has more than one page, which the engine keeps until it receives
+    /// a `forget` command.
     pub(super) fn has_several_pages(&self) -> bool {
         self.pages.len() > 1
     }
--- a/src/testkit/coordinator.rs
+++ b/src/testkit/coordinator.rs
@@ -1,157 +1,197 @@
-//! A stand-in coordinator: numbered events, sent on to whoever follows.
+//! A stand-in coordinator: sends numbered events to every client that watches it.
 use super::{Executor, listener};
 use crate::net::discovery::ListedEndpoint;
 use crate::policy::api::{Endpoint, EngineId, Readiness};
-use async_channel::{Sender, bounded};
+use async_channel::{Receiver, Sender, bounded};
 use async_io::{Async, Timer};
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, StreamExt};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
-use std::net::{IpAddr, SocketAddr, TcpStream};
+use std::io;
+use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The stand-in.
+const KIND_HEARTBEAT: u8 = 0;
+const KIND_FULL: u8 = 1;
+const KIND_CHANGES: u8 = 2;
+/// The number and the kind of an event.
+const HEADER_BYTES: usize = 9;
+/// The number of the first event that is sent as a frame. The one before is the list that the
+/// daemon's configuration holds.
+const FIRST_INDEX: u64 = 2;
+/// Time between two looks at new events.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of polls between two heartbeats.
+const POLLS_PER_HEARTBEAT: u32 = 100;
+
+/// A stand-in coordinator.
 pub struct Coordinator {
-    /// Where it listens.
+    /// The address where it listens.
     pub addr: SocketAddr,
-    /// Events from the second on, as frames; the first is the list that the daemon is given.
-    frames: Rc<RefCell<Vec<Vec<u8>>>>,
-    /// Counts up to break all connections.
-    breaks: Rc<RefCell<u64>>,
-    /// Counts up to keep events from all connections there are.
-    stalls: Rc<Cell<u64>>,
-    /// Closed to end it; it lives on where this is merely dropped.
-    ending: Sender<()>,
+    state: Rc<State>,
+    /// Closed to end the coordinator; dropping it does not.
+    shutdown: Sender<()>,
+}
+
+/// What its connections share.
+#[derive(Default)]
+struct State {
+    /// The frames of the events, from [`FIRST_INDEX`] on.
+    frames: RefCell<Vec<Vec<u8>>>,
+    /// Incremented to break all connections.
+    break_count: Cell<u64>,
+    /// Incremented to send no more events on the connections that are open.
+    stall_count: Cell<u64>,
 }
 
-fn record(listed: &ListedEndpoint) -> Vec<u8> {
-    let entry = &listed.endpoint;
+fn encode_record(listed: &ListedEndpoint) -> Vec<u8> {
+    let endpoint = &listed.endpoint;
     let ip = match listed.addr.ip() {
         IpAddr::V4(ip) => ip.octets(),
         IpAddr::V6(_) => [0; 4],
     };
-    let mut out = (entry.id.0 as u32).to_be_bytes().to_vec();
-    out.extend(ip);
-    out.extend(listed.addr.port().to_be_bytes());
-    out.push(match entry.readiness {
+    let readiness = match endpoint.readiness {
         Readiness::Ready => 0,
         Readiness::Draining => 1,
         Readiness::Gone => 2,
-    });
-    out.extend([entry.zone.0 as u8, entry.kind.0 as u8]);
-    out.extend(entry.cell.0.to_be_bytes());
-    out.extend(((entry.weight * 1000.0) as u32).to_be_bytes());
-    out.extend((entry.started_at / 1_000_000).to_be_bytes());
-    out
+    };
+    let mut record = (endpoint.id.0 as u32).to_be_bytes().to_vec();
+    record.extend(ip);
+    record.extend(listed.addr.port().to_be_bytes());
+    record.push(readiness);
+    record.extend([endpoint.zone.0 as u8, endpoint.kind.0 as u8]);
+    record.extend(endpoint.cell.0.to_be_bytes());
+    record.extend(((endpoint.weight * 1000.0) as u32).to_be_bytes());
+    record.extend((endpoint.started_at / 1_000_000).to_be_bytes());
+    record
 }
 
-fn frame(number: u64, kind: u8, records: &[u8]) -> Vec<u8> {
-    let mut out = (9 + records.len() as u32).to_be_bytes().to_vec();
-    out.extend(number.to_be_bytes());
-    out.push(kind);
-    out.extend(records);
-    out
+fn encode_frame(index: u64, kind: u8, records: &[u8]) -> Vec<u8> {
+    let length = HEADER_BYTES + records.len();
+    let mut frame = (length as u32).to_be_bytes().to_vec();
+    frame.extend(index.to_be_bytes());
+    frame.push(kind);
+    frame.extend(records);
+    frame
 }
 
 impl Coordinator {
-    /// Starts one.
+    /// Starts a coordinator without events.
     pub fn start(executor: &Executor) -> Coordinator {
-        Coordinator::with(executor, Vec::new())
+        Coordinator::start_with(executor, Vec::new())
     }
 
-    /// Starts another one that goes on with the numbers of this one.
+    /// Starts another coordinator that continues after the events of this one.
     pub fn successor(&self, executor: &Executor) -> Coordinator {
-        Coordinator::with(executor, self.frames.borrow().clone())
+        let frames = self.state.frames.borrow().clone();
+        Coordinator::start_with(executor, frames)
     }
 
-    fn with(executor: &Executor, frames: Vec<Vec<u8>>) -> Coordinator {
+    fn start_with(executor: &Executor, frames: Vec<Vec<u8>>) -> Coordinator {
         let (listener, addr) = listener();
-        let frames: Rc<RefCell<Vec<Vec<u8>>>> = Rc::new(RefCell::new(frames));
-        let breaks: Rc<RefCell<u64>> = Rc::default();
-        let stalls: Rc<Cell<u64>> = Rc::default();
-        let stalled = stalls.clone();
-        let (all, broken, spawner) = (frames.clone(), breaks.clone(), executor.clone());
-        let (ending, ended) = bounded::<()>(1);
-        let kept = ending.clone();
-        let serve = async move {
-            let mut incoming = Box::pin(listener.incoming());
-            let end = async || {
-                let _ = ended.recv().await;
-                None
-            };
-            while let Some(Ok(stream)) = or(end(), incoming.next()).await {
-                let (frames, breaks, stalls) = (all.clone(), broken.clone(), stalled.clone());
-                spawner
-                    .spawn(async move { drop(feed(stream, &frames, &breaks, &stalls).await) })
-                    .detach();
-            }
-            drop(kept);
+        let state = Rc::new(State {
+            frames: RefCell::new(frames),
+            ..State::default()
+        });
+        let (shutdown, ended) = bounded::<()>(1);
+        let serve = accept_connections(executor.clone(), state.clone(), listener, ended);
+        // The task keeps a sender of its own, so that the coordinator survives this handle.
+        let kept_open = shutdown.clone();
+        let task = async move {
+            serve.await;
+            drop(kept_open);
         };
-        executor.spawn(serve).detach();
+        executor.spawn(task).detach();
         Coordinator {
             addr,
-            frames,
-            breaks,
-            stalls,
-            ending,
+            state,
+            shutdown,
         }
     }
 
-    /// A new event: what has changed, or the whole list.
-    pub fn tell(&self, whole: bool, engines: &[ListedEndpoint]) {
-        let records: Vec<u8> = engines.iter().flat_map(record).collect();
-        let mut frames = self.frames.borrow_mut();
-        let number = frames.len() as u64 + 2;
-        frames.push(frame(number, if whole { 1 } else { 2 }, &records));
+    /// Sends a new event with endpoints that have changed.
+    pub fn send_changes(&self, endpoints: &[ListedEndpoint]) {
+        self.send(KIND_CHANGES, endpoints);
     }
 
-    /// The connections there are go on to live, but carry no event any more.
-    pub fn stall(&self) {
-        self.stalls.set(self.stalls.get() + 1);
+    /// Sends a new event with the complete list.
+    pub fn send_full_list(&self, endpoints: &[ListedEndpoint]) {
+        self.send(KIND_FULL, endpoints);
     }
 
-    /// Takes no connections any more and breaks all there are.
-    pub fn end(&self) {
-        self.ending.close();
-        self.cut();
+    fn send(&self, kind: u8, endpoints: &[ListedEndpoint]) {
+        let records: Vec<u8> = endpoints.iter().flat_map(encode_record).collect();
+        let mut frames = self.state.frames.borrow_mut();
+        let index = frames.len() as u64 + FIRST_INDEX;
+        frames.push(encode_frame(index, kind, &records));
     }
 
-    /// Breaks all connections.
-    pub fn cut(&self) {
-        *self.breaks.borrow_mut() += 1;
+    /// Sends no more events on the connections that are open now; they stay open.
+    pub fn stall_connections(&self) {
+        let stall_count = &self.state.stall_count;
+        stall_count.set(stall_count.get() + 1);
+    }
+
+    /// Accepts no more connections and breaks the open ones.
+    pub fn shut_down(&self) {
+        self.shutdown.close();
+        self.break_connections();
+    }
+
+    /// Breaks the connections that are open now.
+    pub fn break_connections(&self) {
+        let break_count = &self.state.break_count;
+        break_count.set(break_count.get() + 1);
     }
 }
 
-async fn feed(
-    mut stream: Async<TcpStream>,
-    frames: &RefCell<Vec<Vec<u8>>>,
-    breaks: &RefCell<u64>,
-    stalls: &Cell<u64>,
-) -> std::io::Result<()> {
-    let (mut last, from, flows) = ([0; 8], *breaks.borrow(), stalls.get());
-    stream.read_exact(&mut last).await?;
-    let mut next = u64::from_be_bytes(last).saturating_sub(1) as usize;
-    let mut quiet = 0;
-    while *breaks.borrow() == from {
-        let most = if stalls.get() == flows { usize::MAX } else { 0 };
-        let new: Vec<Vec<u8>> = frames
-            .borrow()
-            .iter()
-            .skip(next)
-            .take(most)
-            .cloned()
-            .collect();
-        next += new.len();
-        for frame in new {
-            stream.write_all(&frame).await?;
+/// Accepts connections until the channel is closed, and serves each in a task of its own.
+async fn accept_connections(
+    executor: Executor,
+    state: Rc<State>,
+    listener: Async<TcpListener>,
+    ended: Receiver<()>,
+) {
+    let mut incoming = Box::pin(listener.incoming());
+    let end = async || {
+        let _ = ended.recv().await;
+        None
+    };
+    while let Some(Ok(stream)) = or(end(), incoming.next()).await {
+        let state = state.clone();
+        let serve = async move {
+            // The daemon may close the connection at any time.
+            let _ = serve_watch(stream, &state).await;
+        };
+        executor.spawn(serve).detach();
+    }
+}
+
+/// Sends the events after the one that the client names, and heartbeats.
+async fn serve_watch(mut stream: Async<TcpStream>, state: &State) -> io::Result<()> {
+    let break_count = state.break_count.get();
+    let stall_count = state.stall_count.get();
+    let mut last_index = [0; 8];
+    stream.read_exact(&mut last_index).await?;
+    let last_index = u64::from_be_bytes(last_index);
+    let mut sent = (last_index + 1).saturating_sub(FIRST_INDEX) as usize;
+    let mut polls = 0;
+    while state.break_count.get() == break_count {
+        if state.stall_count.get() == stall_count {
+            let frames: Vec<Vec<u8>> = state.frames.borrow().iter().skip(sent).cloned().collect();
+            sent += frames.len();
+            for frame in frames {
+                stream.write_all(&frame).await?;
+            }
         }
-        if quiet % 100 == 0 {
-            stream.write_all(&frame(next as u64 + 1, 0, &[])).await?;
+        if polls % POLLS_PER_HEARTBEAT == 0 {
+            let heartbeat = encode_frame(sent as u64 + 1, KIND_HEARTBEAT, &[]);
+            stream.write_all(&heartbeat).await?;
         }
-        quiet += 1;
-        Timer::after(Duration::from_millis(5)).await;
+        polls += 1;
+        Timer::after(POLL_INTERVAL).await;
     }
     Ok(())
 }
@@ -167,13 +207,22 @@
     ListedEndpoint { endpoint, addr }
 }
 
-/// The events of a start, as the configuration has them.
-pub fn known(engines: &[ListedEndpoint], zones: &[&str], kinds: &[&str]) -> Value {
-    let server = |l: &ListedEndpoint| {
-        json!({"id": format!("s-{:08x}", l.endpoint.id.0), "addr": l.addr.to_string(),
-            "zone": zones[usize::from(l.endpoint.zone.0)], "kind": kinds[usize::from(l.endpoint.kind.0)],
-            "cell": l.endpoint.cell.0, "state": "in_service", "weight": 1, "started_ms": 0})
+/// The section `known` of a configuration, with one event that lists these endpoints.
+pub fn known(endpoints: &[ListedEndpoint], zones: &[&str], kinds: &[&str]) -> Value {
+    let server = |listed: &ListedEndpoint| {
+        let endpoint = &listed.endpoint;
+        json!({
+            "id": format!("s-{:08x}", endpoint.id.0),
+            "addr": listed.addr.to_string(),
+            "zone": zones[usize::from(endpoint.zone.0)],
+            "kind": kinds[usize::from(endpoint.kind.0)],
+            "cell": endpoint.cell.0,
+            "state": "in_service",
+            "weight": 1,
+            "started_ms": 0,
+        })
     };
-    let servers: Vec<Value> = engines.iter().map(server).collect();
-    json!({"index": 1, "updates": [{"index": 1, "endpoints": {"version": 1, "full": true, "servers": servers}}]})
+    let servers: Vec<Value> = endpoints.iter().map(server).collect();
+    let list = json!({"version": 1, "full": true, "servers": servers});
+    json!({"index": 1, "updates": [{"index": 1, "endpoints": list}]})
 }
--- /dev/null
+++ b/src/testkit/daemon/mod.rs
@@ -0,0 +1,378 @@
+//! The real daemon as a child process, with a configuration written for it.
+mod config;
+mod error;
+mod folder;
+
+pub use config::{CLASSES, KINDS, ZONES, config, settings};
+pub use error::DaemonError;
+pub use folder::Folder;
+
+use super::{clients, eventually, pause};
+use config::{class_like, config_with, set_classes};
+use rustix::process::{Pid, Signal, kill_process};
+use serde_json::Value;
+use std::fs::File;
+use std::net::{SocketAddr, TcpListener};
+use std::path::Path;
+use std::process::{Child, Command, ExitStatus, Stdio};
+
+/// Polls until the daemon counts as not ready.
+const MAX_READINESS_POLLS: usize = 2_000;
+const READINESS_POLL_MILLIS: u64 = 5;
+/// The descriptors that a configuration with another coordinator allows.
+const RECONFIGURED_MAX_SOCKETS: usize = 1_024;
+const CONFIG_FILE: &str = "config.json";
+const DEPLOY_FILE: &str = "clickhouse.toml";
+/// The words by which a line with the daemon's counters is known.
+const COUNTERS_MARK: &str = " taken ";
+
+/// A port that is free now.
+pub fn free_addr() -> SocketAddr {
+    let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free loopback port");
+    listener.local_addr().expect("the port's address")
+}
+
+/// How the daemon is started.
+#[derive(Clone, Debug)]
+pub struct DaemonOptions {
+    /// The address of its coordinator.
+    pub coordinator: SocketAddr,
+    /// The events of the coordinator that its configuration holds.
+    pub known: Value,
+    /// The deploy file of its ClickHouse frontend, if it has one.
+    pub deploy_file: Option<String>,
+    /// The descriptors that it may hold.
+    pub max_sockets: usize,
+    /// Whether it has an admin endpoint.
+    pub has_admin_endpoint: bool,
+    /// Its settings.
+    pub settings: Value,
+}
+
+/// A process of a daemon during a hot restart.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DaemonProcess {
+    /// The one that is replaced.
+    Older,
+    /// Its successor.
+    Newer,
+}
+
+/// The daemon, killed when it is dropped.
+pub struct Daemon {
+    child: Child,
+    /// The address of its JSON-RPC frontend.
+    pub listen: SocketAddr,
+    /// The address of its admin endpoint, if it has one.
+    pub console: Option<SocketAddr>,
+    /// The process that the present one replaces.
+    older: Option<Child>,
+    starts: u32,
+    options: DaemonOptions,
+    folder: Folder,
+}
+
+impl Daemon {
+    /// Starts the daemon and waits until it is ready.
+    ///
+    /// # Errors
+    ///
+    /// It can't be started, or does not become ready in time.
+    pub async fn start(program: &Path, options: DaemonOptions) -> Result<Daemon, DaemonError> {
+        let folder = Folder::new()?;
+        let listen = free_addr();
+        let text = config_with(
+            listen,
+            options.coordinator,
+            &options.known,
+            options.max_sockets,
+            &options.settings,
+        );
+        let config_path = folder.put(CONFIG_FILE, &text.to_string())?;
+        let console = options.has_admin_endpoint.then(free_addr);
+        let mut command = command(program, &folder, listen, console);
+        command.env("PROXY_CONFIG", config_path);
+        if let Some(deploy_file) = &options.deploy_file {
+            command.arg(folder.put(DEPLOY_FILE, deploy_file)?);
+        }
+        let child = spawn(command, program, &folder.path(&log_file(0)))?;
+        let mut daemon = Daemon {
+            child,
+            listen,
+            console,
+            older: None,
+            starts: 1,
+            options,
+            folder,
+        };
+        if daemon.becomes_ready().await {
+            return Ok(daemon);
+        }
+        let _ = daemon.child.kill();
+        let log = daemon.log();
+        Err(DaemonError::NotReady { log })
+    }
+
+    async fn becomes_ready(&mut self) -> bool {
+        for _ in 0..MAX_READINESS_POLLS {
+            if clients::green(self.listen).await {
+                return true;
+            }
+            if self.has_exited() {
+                return false;
+            }
+            pause(READINESS_POLL_MILLIS).await;
+        }
+        false
+    }
+
+    fn has_exited(&mut self) -> bool {
+        exit_status(&mut self.child).is_some()
+    }
+
+    /// Starts a successor beside the daemon, with an admin endpoint of its own.
+    ///
+    /// # Errors
+    ///
+    /// It can't be started.
+    pub fn launch(&mut self, program: &Path) -> Result<(), DaemonError> {
+        let console = Some(free_addr());
+        let mut command = command(program, &self.folder, self.listen, console);
+        command.env("PROXY_CONFIG", self.folder.path(CONFIG_FILE));
+        let log_path = self.folder.path(&log_file(self.starts));
+        let child = spawn(command, program, &log_path)?;
+        self.starts += 1;
+        self.older = Some(std::mem::replace(&mut self.child, child));
+        self.console = console;
+        Ok(())
+    }
+
+    /// Starts a successor and waits until it is ready.
+    ///
+    /// # Errors
+    ///
+    /// It can't be started, or does not become ready in time.
+    pub async fn follow(&mut self, program: &Path) -> Result<(), DaemonError> {
+        self.launch(program)?;
+        let console = self.console.ok_or(DaemonError::NoAdminEndpoint)?;
+        for _ in 0..MAX_READINESS_POLLS {
+            let response = clients::call(console, "GET", "/ready").await;
+            if response.is_some_and(|(status, _)| status == 200) {
+                return Ok(());
+            }
+            if self.has_exited() {
+                break;
+            }
+            pause(READINESS_POLL_MILLIS).await;
+        }
+        Err(DaemonError::SuccessorNotReady)
+    }
+
+    /// Asks the older process to end.
+    pub fn retire(&self) {
+        if let Some(older) = &self.older {
+            signal(older, Signal::TERM);
+        }
+    }
+
+    /// Waits for the end of the older process.
+    pub async fn retired(&mut self) -> Option<ExitStatus> {
+        let mut status = None;
+        eventually(|| {
+            status = self.older.as_mut().and_then(exit_status);
+            status.is_some()
+        })
+        .await;
+        self.older = None;
+        status
+    }
+
+    /// Kills a process of a hot restart. After the newer one is killed, the older one is the daemon
+    /// again.
+    pub fn kill(&mut self, process: DaemonProcess) {
+        let Some(mut killed) = self.older.take() else {
+            return;
+        };
+        if process == DaemonProcess::Newer {
+            std::mem::swap(&mut killed, &mut self.child);
+        }
+        let _ = killed.kill();
+        let _ = killed.wait();
+    }
+
+    /// Writes a configuration with these classes (`NAME:SEMANTICS`) and another maximum of attempts
+    /// (`attempts:COUNT`), and makes the daemon read it.
+    ///
+    /// # Errors
+    ///
+    /// A change is neither, or the configuration can't be written.
+    pub fn reconfigure(&self, changes: &[&str]) -> Result<(), DaemonError> {
+        let mut config = self.config(self.options.coordinator, self.options.max_sockets);
+        let settings = &mut config["settings"];
+        let templates = settings["classes"].as_array().cloned();
+        let templates = templates.unwrap_or_default();
+        let mut classes = Vec::new();
+        for change in changes {
+            let invalid = || DaemonError::InvalidChange((*change).to_owned());
+            let (name, value) = change.split_once(':').ok_or_else(invalid)?;
+            if name == "attempts" {
+                settings["limits"]["send_cap"] = parse_attempts(value)?.into();
+            } else {
+                classes.push(class_like(&templates, name, value));
+            }
+        }
+        set_classes(settings, classes);
+        self.write_config(&config.to_string())
+    }
+
+    /// Writes a configuration that names another coordinator, and makes the daemon read it.
+    ///
+    /// # Errors
+    ///
+    /// The configuration can't be written.
+    pub fn reconfigure_coordinator(&self, coordinator: SocketAddr) -> Result<(), DaemonError> {
+        let config = self.config(coordinator, RECONFIGURED_MAX_SOCKETS);
+        self.write_config(&config.to_string())
+    }
+
+    /// Writes a configuration that can't be used, and makes the daemon read it.
+    ///
+    /// # Errors
+    ///
+    /// The configuration can't be written.
+    pub fn reconfigure_invalid(&self) -> Result<(), DaemonError> {
+        self.write_config("{")
+    }
+
+    fn config(&self, coordinator: SocketAddr, max_sockets: usize) -> Value {
+        let DaemonOptions {
+            known, settings, ..
+        } = &self.options;
+        config_with(self.listen, coordinator, known, max_sockets, settings)
+    }
+
+    fn write_config(&self, text: &str) -> Result<(), DaemonError> {
+        self.folder.put(CONFIG_FILE, text)?;
+        self.signal(Signal::HUP);
+        Ok(())
+    }
+
+    fn signal(&self, number: Signal) {
+        signal(&self.child, number);
+    }
+
+    /// The id of its process.
+    pub fn pid(&self) -> u32 {
+        self.child.id()
+    }
+
+    /// Asks it to end.
+    pub fn terminate(&self) {
+        self.signal(Signal::TERM);
+    }
+
+    /// Waits for its end.
+    pub async fn ended(&mut self) -> Option<ExitStatus> {
+        let mut status = None;
+        eventually(|| {
+            status = exit_status(&mut self.child);
+            status.is_some()
+        })
+        .await;
+        status
+    }
+
+    /// Everything that its processes have logged.
+    pub fn log(&self) -> String {
+        let read = |start| std::fs::read_to_string(self.folder.path(&log_file(start)));
+        (0..self.starts)
+            .map(|start| read(start).unwrap_or_default())
+            .collect()
+    }
+
+    /// Asks it to log its counters.
+    pub fn report(&self) {
+        self.signal(Signal::USR1);
+    }
+
+    /// How often it has logged its counters.
+    pub fn reports(&self) -> usize {
+        let log = self.log();
+        let lines = log.lines().filter(|line| line.contains(COUNTERS_MARK));
+        lines.count()
+    }
+
+    /// The value of a counter when it logged them last.
+    pub fn counter(&self, name: &str) -> Option<u64> {
+        let log = self.log();
+        let mut lines = log.lines().rev();
+        let counters = lines.find(|line| line.contains(COUNTERS_MARK))?;
+        let mut words = counters.split(' ').skip_while(|word| *word != name);
+        words.nth(1)?.parse().ok()
+    }
+}
+
+impl Drop for Daemon {
+    fn drop(&mut self) {
+        self.kill(DaemonProcess::Older);
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
+
+/// The log file of the process with that number.
+fn log_file(start: u32) -> String {
+    if start == 0 {
+        "log".to_owned()
+    } else {
+        format!("log{start}")
+    }
+}
+
+fn parse_attempts(value: &str) -> Result<i64, DaemonError> {
+    value
+        .parse()
+        .map_err(|source| DaemonError::InvalidAttempts {
+            value: value.to_owned(),
+            source,
+        })
+}
+
+fn command(
+    program: &Path,
+    folder: &Folder,
+    listen: SocketAddr,
+    console: Option<SocketAddr>,
+) -> Command {
+    let mut command = Command::new(program);
+    command
+        .env("PROXY_NAME", "n0")
+        .env("PROXY_LISTEN", listen.to_string())
+        .env("TMPDIR", folder.root());
+    if let Some(console) = console {
+        command.env("PROXY_CONSOLE", console.to_string());
+    }
+    command
+}
+
+fn spawn(mut command: Command, program: &Path, log_path: &Path) -> Result<Child, DaemonError> {
+    let log = File::create(log_path)?;
+    command
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(log);
+    command.spawn().map_err(|source| DaemonError::Spawn {
+        program: program.display().to_string(),
+        source,
+    })
+}
+
+fn exit_status(child: &mut Child) -> Option<ExitStatus> {
+    child.try_wait().ok().flatten()
+}
+
+fn signal(child: &Child, number: Signal) {
+    if let Some(pid) = Pid::from_raw(child.id() as i32) {
+        let _ = kill_process(pid, number);
+    }
+}
--- /dev/null
+++ b/src/testkit/engines/clickhouse.rs
@@ -0,0 +1,176 @@
+//! A stand-in engine of the ClickHouse HTTP interface.
+use super::{EngineBehavior, EngineState, Stream, reset, rows, write};
+use crate::http::{self, Body, Head};
+use crate::testkit::execution_log::{RunId, RunOutcome};
+use crate::testkit::pause;
+use async_io::Async;
+use futures_lite::AsyncReadExt;
+use futures_lite::future::or;
+use std::collections::BTreeMap;
+use std::net::TcpStream;
+use std::rc::Rc;
+
+const READ_BUFFER_BYTES: usize = 8_192;
+/// Longest body that is read.
+const MAX_BODY_BYTES: usize = 1 << 22;
+/// The exception `TOO_MANY_SIMULTANEOUS_QUERIES`.
+const TOO_MANY_SIMULTANEOUS_QUERIES: u32 = 202;
+/// The exception `MEMORY_LIMIT_EXCEEDED`.
+const MEMORY_LIMIT_EXCEEDED: u32 = 241;
+
+/// Whether a connection goes on after a query.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Next {
+    Continue,
+    Close,
+}
+
+/// Reads one HTTP message; `None` once the peer has closed. `default_body` is the framing of a body
+/// that the head says nothing of.
+pub async fn read_http(
+    stream: &Async<TcpStream>,
+    input: &mut Vec<u8>,
+    default_body: Body,
+) -> Option<(Head, Vec<u8>)> {
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
+    let mut body = Vec::new();
+    let mut partial: Option<(Head, Body)> = None;
+    loop {
+        if partial.is_none()
+            && let Some((head, used)) = http::head(input).ok()?
+        {
+            input.drain(..used);
+            let framing = head.body(default_body).ok()?;
+            partial = Some((head, framing));
+        }
+        if let Some((_, framing)) = &mut partial {
+            let (used, complete) = framing.read(input, &mut body, MAX_BODY_BYTES).ok()?;
+            input.drain(..used);
+            if complete {
+                return partial.map(|(head, _)| (head, body));
+            }
+        }
+        match (&*stream).read(&mut buffer).await {
+            Ok(count) if count > 0 => input.extend_from_slice(&buffer[..count]),
+            _ => return None,
+        }
+    }
+}
+
+/// Serves a connection to its end, one query after the other.
+pub(super) async fn serve(state: &Rc<EngineState>, stream: &Stream) {
+    let mut input = Vec::new();
+    while let Some((head, body)) = read_http(stream, &mut input, Body::Length(0)).await {
+        if head.first[1] == "/ping" {
+            write(stream, &response("200 OK", "", "Ok.\n")).await;
+            continue;
+        }
+        let run = state.log.record_start(&state.name, &body, BTreeMap::new());
+        let query = Query { state, stream, run };
+        if query.run(state.next_behavior()).await == Next::Close {
+            break;
+        }
+    }
+}
+
+/// A query that runs.
+struct Query<'a> {
+    state: &'a EngineState,
+    stream: &'a Stream,
+    run: RunId,
+}
+
+impl Query<'_> {
+    async fn run(&self, behavior: EngineBehavior) -> Next {
+        match behavior {
+            EngineBehavior::Complete { after_millis, rows } => {
+                return self.complete(after_millis, rows).await;
+            }
+            EngineBehavior::Reject => {
+                let code = TOO_MANY_SIMULTANEOUS_QUERIES;
+                let response = exception("503 Service Unavailable", code);
+                self.finish(RunOutcome::Rejected, &response).await;
+            }
+            EngineBehavior::Fail => {
+                let response = exception("500 Internal Server Error", MEMORY_LIMIT_EXCEEDED);
+                self.finish(RunOutcome::Answered, &response).await;
+            }
+            EngineBehavior::FailWithinResponse => {
+                // Rows, then the end of the connection without the last chunk.
+                let response =
+                    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\na\tb\n\r\n";
+                self.finish(RunOutcome::Answered, response).await;
+                return Next::Close;
+            }
+            EngineBehavior::ViolateProtocol => {
+                self.finish(RunOutcome::Answered, b"what is this\r\n\r\n")
+                    .await;
+                return Next::Close;
+            }
+            EngineBehavior::Reset => {
+                self.end(RunOutcome::Cancelled);
+                reset(self.stream);
+                return Next::Close;
+            }
+            EngineBehavior::Hang => {
+                self.next_input().await;
+                self.end(RunOutcome::Cancelled);
+                return Next::Close;
+            }
+        }
+        Next::Continue
+    }
+
+    /// Waits for the end of the connection or for further input; gives whether there is input.
+    async fn next_input(&self) -> bool {
+        let mut byte = [0; 1];
+        matches!((&**self.stream).read(&mut byte).await, Ok(count) if count > 0)
+    }
+
+    /// Closing the connection cancels the query.
+    async fn complete(&self, after_millis: u64, row_count: usize) -> Next {
+        let is_closed = async { !self.next_input().await };
+        let is_done = async {
+            pause(after_millis).await;
+            false
+        };
+        if or(is_done, is_closed).await {
+            self.end(RunOutcome::Cancelled);
+            return Next::Close;
+        }
+        let rows = rows(&self.state.log.run(self.run).query, row_count);
+        self.finish(RunOutcome::Answered, &chunked_response(&rows))
+            .await;
+        Next::Continue
+    }
+
+    fn end(&self, outcome: RunOutcome) {
+        self.state.log.record_end(self.run, outcome);
+    }
+
+    async fn finish(&self, outcome: RunOutcome, response: &[u8]) {
+        self.end(outcome);
+        write(self.stream, response).await;
+    }
+}
+
+fn response(status: &str, headers: &str, body: &str) -> Vec<u8> {
+    let length = body.len();
+    format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}").into_bytes()
+}
+
+fn exception(status: &str, code: u32) -> Vec<u8> {
+    let headers = format!("X-ClickHouse-Exception-Code: {code}\r\n");
+    let body = format!("Code: {code}. DB::Exception: no\n");
+    response(status, &headers, &body)
+}
+
+fn chunked_response(rows: &str) -> Vec<u8> {
+    let headers = "Transfer-Encoding: chunked\r\nX-ClickHouse-Format: TabSeparated\r\n";
+    let mut text = format!("HTTP/1.1 200 OK\r\n{headers}\r\n");
+    if !rows.is_empty() {
+        text += &format!("{:x}\r\n{rows}\r\n", rows.len());
+    }
+    text += "0\r\n\r\n";
+    text.into_bytes()
+}
--- /dev/null
+++ b/src/testkit/execution_log.rs
@@ -0,0 +1,321 @@
+//! What all stand-in engines have seen of queries, and the invariants that follow from it.
+use super::engines::EngineBehavior;
+use crate::clock::{self, MS, Micros};
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, VecDeque};
+use std::rc::Rc;
+
+/// Time within which a drain has to take effect, with an allowance for sockets.
+const DRAIN_GRACE_MICROS: Micros = 300 * MS;
+/// The field that holds the idempotency key of a query.
+const KEY_FIELD: &str = "nonce";
+
+/// How the run of a query on an engine ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RunOutcome {
+    /// The engine wrote its whole response, or an error.
+    Answered,
+    /// The engine rejected the query: it did not run.
+    Rejected,
+    /// The query was cancelled, by a command or by closing the connection.
+    Cancelled,
+}
+
+/// The end of a run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RunEnd {
+    /// When it ended.
+    pub at: Micros,
+    /// How it ended.
+    pub outcome: RunOutcome,
+}
+
+/// Identifies a run in the log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RunId(usize);
+
+/// The run of a query on an engine.
+#[derive(Clone, Debug)]
+pub struct Run {
+    /// The query's name, from the comment at the end of its statement.
+    pub query: String,
+    /// The engine.
+    pub engine: String,
+    /// Whether the query changes data: it may not run twice.
+    pub is_load: bool,
+    /// The fields that were sent with it, in a protocol that has fields: its key, its memory grant,
+    /// its priority.
+    pub fields: BTreeMap<String, String>,
+    /// Whether the engines knew its idempotency key, so that it changed nothing.
+    pub deduplicated: bool,
+    /// The priorities that it was given while it ran, in order.
+    pub priorities: Vec<String>,
+    /// When the engine had received all of it.
+    pub started_at: Micros,
+    /// Its end, once it has ended.
+    pub end: Option<RunEnd>,
+}
+
+impl Run {
+    fn idempotency_key(&self) -> Option<&String> {
+        self.fields.get(KEY_FIELD)
+    }
+
+    fn was_in_flight_at(&self, at: Micros) -> bool {
+        self.end.is_none_or(|end| end.at > at)
+    }
+
+    /// Whether the engine may have executed it.
+    fn may_have_run(&self) -> bool {
+        self.end
+            .is_none_or(|end| end.outcome != RunOutcome::Rejected)
+    }
+
+    /// Whether engines knew this run by its key as a repetition of an earlier one.
+    fn repeats_by_key(&self, earlier: &Run, key_window: Micros) -> bool {
+        let has_same_key =
+            self.idempotency_key().is_some() && self.idempotency_key() == earlier.idempotency_key();
+        has_same_key && self.started_at < earlier.started_at + key_window
+    }
+}
+
+/// A time during which the daemon may not send anything to an engine.
+struct Drain {
+    engine: String,
+    announced_at: Micros,
+    resumed_at: Option<Micros>,
+}
+
+impl Drain {
+    fn forbids(&self, run: &Run) -> bool {
+        let took_effect = run.started_at > self.announced_at + DRAIN_GRACE_MICROS;
+        let is_resumed = self.resumed_at.is_some_and(|at| run.started_at >= at);
+        self.engine == run.engine && took_effect && !is_resumed
+    }
+}
+
+/// What the settings allow.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ExecutionLimits {
+    /// Attempts of a request that may be in flight at the same time.
+    pub max_concurrent: usize,
+    /// Attempts of a request in total.
+    pub max_attempts: usize,
+    /// How long the engines together know an idempotency key.
+    pub key_window: Micros,
+}
+
+impl Default for ExecutionLimits {
+    fn default() -> ExecutionLimits {
+        ExecutionLimits {
+            max_concurrent: 1,
+            max_attempts: 3,
+            key_window: 0,
+        }
+    }
+}
+
+/// A health check that an engine received.
+pub(super) struct ReceivedProbe {
+    engine: String,
+}
+
+/// What all stand-in engines have seen. Clones share one log.
+#[derive(Clone, Default)]
+pub struct ExecutionLog {
+    pub(super) runs: Rc<RefCell<Vec<Run>>>,
+    pub(super) probes: Rc<RefCell<Vec<ReceivedProbe>>>,
+    drains: Rc<RefCell<Vec<Drain>>>,
+    /// When the first run with each idempotency key started.
+    keys: Rc<RefCell<BTreeMap<String, Micros>>>,
+    limits: Rc<Cell<ExecutionLimits>>,
+    /// What whichever engine gets the next query does with it.
+    behaviors: Rc<RefCell<VecDeque<EngineBehavior>>>,
+}
+
+impl ExecutionLog {
+    /// Sets what the settings allow.
+    pub fn set_limits(&self, limits: ExecutionLimits) {
+        self.limits.set(limits);
+    }
+
+    /// Records that an engine received a query.
+    pub fn record_start(
+        &self,
+        engine: &str,
+        statement: &[u8],
+        fields: BTreeMap<String, String>,
+    ) -> RunId {
+        let statement = String::from_utf8_lossy(statement);
+        let started_at = clock::turn();
+        let key = fields.get(KEY_FIELD);
+        let deduplicated = key.is_some_and(|key| self.observe_key(key, started_at));
+        let run = Run {
+            query: query_name(&statement).to_owned(),
+            engine: engine.to_owned(),
+            is_load: is_load(&statement),
+            fields,
+            deduplicated,
+            priorities: Vec::new(),
+            started_at,
+            end: None,
+        };
+        let mut runs = self.runs.borrow_mut();
+        runs.push(run);
+        RunId(runs.len() - 1)
+    }
+
+    /// Whether engines know an idempotency key; they know it from now on.
+    fn observe_key(&self, key: &str, now: Micros) -> bool {
+        let key_window = self.limits.get().key_window;
+        let mut keys = self.keys.borrow_mut();
+        keys.retain(|_, first_at| *first_at + key_window > now);
+        let is_known = keys.contains_key(key);
+        keys.entry(key.to_owned()).or_insert(now);
+        is_known
+    }
+
+    /// Records the end of a run; the first end counts.
+    pub fn record_end(&self, run: RunId, outcome: RunOutcome) {
+        let end = &mut self.runs.borrow_mut()[run.0].end;
+        let at = clock::turn();
+        end.get_or_insert(RunEnd { at, outcome });
+    }
+
+    /// Records a new priority of a run.
+    pub fn record_priority(&self, run: RunId, priority: &str) {
+        let mut runs = self.runs.borrow_mut();
+        runs[run.0].priorities.push(priority.to_owned());
+    }
+
+    /// Makes engines forget the key of a run that was rejected.
+    pub fn forget_key(&self, run: RunId) {
+        let runs = self.runs.borrow();
+        let run = &runs[run.0];
+        if let Some(key) = run.idempotency_key().filter(|_| !run.deduplicated) {
+            self.keys.borrow_mut().remove(key);
+        }
+    }
+
+    /// A copy of a run.
+    pub fn run(&self, run: RunId) -> Run {
+        self.runs.borrow()[run.0].clone()
+    }
+
+    /// Whether a run has not ended.
+    pub fn is_running(&self, run: RunId) -> bool {
+        self.runs.borrow()[run.0].end.is_none()
+    }
+
+    /// The runs of a query, in order.
+    pub fn runs_of(&self, query: &str) -> Vec<Run> {
+        let runs = self.runs.borrow();
+        runs.iter()
+            .filter(|run| run.query == query)
+            .cloned()
+            .collect()
+    }
+
+    /// Records that an engine received a health check.
+    pub fn record_probe(&self, engine: &str) {
+        let engine = engine.to_owned();
+        self.probes.borrow_mut().push(ReceivedProbe { engine });
+    }
+
+    /// The number of health checks that an engine has received.
+    pub fn probe_count(&self, engine: &str) -> usize {
+        let probes = self.probes.borrow();
+        probes.iter().filter(|probe| probe.engine == engine).count()
+    }
+
+    /// Records that the daemon was sent the news that an engine is draining or gone.
+    pub fn record_drained(&self, engine: &str) {
+        self.drains.borrow_mut().push(Drain {
+            engine: engine.to_owned(),
+            announced_at: clock::turn(),
+            resumed_at: None,
+        });
+    }
+
+    /// Records that the daemon was sent the news that an engine is in service again.
+    pub fn record_resumed(&self, engine: &str) {
+        let now = clock::turn();
+        for drain in self.drains.borrow_mut().iter_mut() {
+            if drain.engine == engine {
+                drain.resumed_at.get_or_insert(now);
+            }
+        }
+    }
+
+    /// Sets what whichever engine gets the next query does with it.
+    pub fn push_behavior(&self, behavior: EngineBehavior) {
+        self.behaviors.borrow_mut().push_back(behavior);
+    }
+
+    pub(super) fn next_behavior(&self) -> Option<EngineBehavior> {
+        self.behaviors.borrow_mut().pop_front()
+    }
+
+    /// The violations of invariants, one line each.
+    pub fn violations(&self) -> Vec<String> {
+        let runs = self.runs.borrow();
+        let mut violations = Vec::new();
+        for (index, run) in runs.iter().enumerate() {
+            let earlier = runs[..index]
+                .iter()
+                .filter(|earlier| earlier.query == run.query);
+            let earlier: Vec<&Run> = earlier.collect();
+            violations.extend(self.attempt_violations(run, &earlier));
+            violations.extend(self.drain_violation(run));
+        }
+        violations
+    }
+
+    fn attempt_violations(&self, run: &Run, earlier: &[&Run]) -> Vec<String> {
+        let limits = self.limits.get();
+        let query = &run.query;
+        let mut violations = Vec::new();
+        let in_flight = earlier
+            .iter()
+            .filter(|earlier| earlier.was_in_flight_at(run.started_at))
+            .count();
+        if in_flight >= limits.max_concurrent {
+            violations.push(format!(
+                "{query}: more attempts were out at once than may be"
+            ));
+        }
+        // With a key that engines know, a repetition changes nothing.
+        let repeats = |earlier: &&Run| {
+            earlier.may_have_run() && !run.repeats_by_key(earlier, limits.key_window)
+        };
+        if run.is_load && earlier.iter().any(repeats) {
+            violations.push(format!(
+                "{query}: a load was sent again after it may have run"
+            ));
+        }
+        if earlier.len() >= limits.max_attempts {
+            let max_attempts = limits.max_attempts;
+            violations.push(format!("{query}: more than {max_attempts} attempts"));
+        }
+        violations
+    }
+
+    fn drain_violation(&self, run: &Run) -> Option<String> {
+        let drains = self.drains.borrow();
+        let is_forbidden = drains.iter().any(|drain| drain.forbids(run));
+        is_forbidden.then(|| format!("{}: sent to {} after its drain", run.query, run.engine))
+    }
+}
+
+/// The name of a query, from the last comment of its statement.
+fn query_name(statement: &str) -> &str {
+    let comment = statement.rsplit("/* ").next();
+    comment
+        .and_then(|comment| comment.split(" */").next())
+        .unwrap_or_default()
+}
+
+fn is_load(statement: &str) -> bool {
+    let statement = statement.trim_start().to_ascii_lowercase();
+    statement.starts_with("insert")
+}
--- a/src/testkit/fleet.rs
+++ b/src/testkit/fleet.rs
@@ -4,7 +4,7 @@
 use super::clients::{self, ClientOutcome};
 use super::coordinator::{Coordinator, known, ready_endpoint};
 use super::daemon::{self, Folder, KINDS, ZONES, free_addr};
-use super::engines::Engine;
+use super::engines::{Engine, EngineOptions, EngineProtocol};
 use super::fault_proxy::Relay;
 use super::{ExecutionLog, Executor};
 use crate::net::discovery::ListedEndpoint;
@@ -52,12 +52,12 @@
     /// Tells some managers of an engine's state.
     pub fn tell(&self, members: std::ops::Range<usize>, engine: usize, readiness: Readiness) {
         members
-            .for_each(|i| self.coordinators[i].tell(false, &[self.listed(i, engine, readiness)]));
+            .for_each(|i| self.coordinators[i].send_changes(&[self.listed(i, engine, readiness)]));
     }
 
     /// How often a manager asked an engine for its load.
     pub fn probes(&self, member: usize, engine: usize) -> usize {
-        self.book.probes(&at(member, engine))
+        self.book.probe_count(&at(member, engine))
     }
 }
 
@@ -116,7 +116,10 @@
 fn stand_ins(tasks: Receiver<Task>, told: std::sync::mpsc::Sender<(Vec<SocketAddr>, Vec<Value>)>) {
     let executor: Executor = Rc::new(LocalExecutor::new());
     let book = ExecutionLog::default();
-    let engine = |i, e| Engine::start(&executor, &at(i, e), false, book.clone());
+    let engine = |i, e| {
+        let options = EngineOptions::new(EngineProtocol::Platform);
+        Engine::start(&executor, &at(i, e), options, book.clone())
+    };
     let engines = (0..MEMBERS)
         .map(|i| (0..ENGINES).map(|e| engine(i, e)).collect())
         .collect();
--- a/src/testkit/scale/daemons.rs
+++ b/src/testkit/scale/daemons.rs
@@ -5,8 +5,8 @@
 use crate::net::discovery::ListedEndpoint;
 use crate::policy::api::{KindId, ZoneId};
 use crate::testkit::coordinator::{Coordinator, known, ready_endpoint};
-use crate::testkit::daemon::{self, Daemon, KINDS, ZONES};
-use crate::testkit::engines::Engine;
+use crate::testkit::daemon::{self, Daemon, DaemonOptions, KINDS, ZONES};
+use crate::testkit::engines::{Engine, EngineOptions, EngineProtocol};
 use crate::testkit::{ExecutionLog, Executor, pause};
 use async_executor::LocalExecutor;
 use async_io::block_on;
@@ -147,7 +147,10 @@
     progress: &mut dyn FnMut(&Progress),
 ) -> Result<Measured, String> {
     let book = ExecutionLog::default();
-    let engine = |i| Engine::start(executor, &engine_name(i), false, book.clone());
+    let engine = |i| {
+        let options = EngineOptions::new(EngineProtocol::Platform);
+        Engine::start(executor, &engine_name(i), options, book.clone())
+    };
     let engines: Vec<Engine> = (0..point.engines).map(engine).collect();
     let coordinator = Coordinator::start(executor);
     let listed = |(index, engine): (usize, &Engine)| {
@@ -159,16 +162,17 @@
     let list: Vec<ListedEndpoint> = engines.iter().enumerate().map(listed).collect();
     let known = known(&list, &ZONES, &KINDS);
     let settings = settings(options.managers);
-    let daemon = Daemon::start(
-        &options.daemon,
-        coordinator.addr,
-        &known,
-        None,
-        sockets as usize,
-        true,
+    let daemon_options = DaemonOptions {
+        coordinator: coordinator.addr,
+        known,
+        deploy_file: None,
+        max_sockets: sockets as usize,
+        has_admin_endpoint: true,
         settings,
-    )
-    .await?;
+    };
+    let daemon = Daemon::start(&options.daemon, daemon_options)
+        .await
+        .map_err(|error| error.to_string())?;
     let site = Site {
         executor,
         point,
--- a/src/testkit/scale/testbed.rs
+++ b/src/testkit/scale/testbed.rs
@@ -41,7 +41,7 @@
 
 impl Drop for Site<'_> {
     fn drop(&mut self) {
-        self.coordinator.end();
+        self.coordinator.shut_down();
     }
 }
 
@@ -76,7 +76,7 @@
             if let Some(fault) = self.tally.fault.borrow().clone() {
                 return Err(fault);
             }
-            if !self.engines.iter().all(Engine::serves) {
+            if !self.engines.iter().all(Engine::is_serving) {
                 return Err("a stand-in engine takes no connections any more".into());
             }
             pause(LOOK_MS).await;
@@ -90,7 +90,10 @@
     }
 
     fn engine_connections(&self) -> u64 {
-        self.engines.iter().map(|e| e.open() as u64).sum()
+        self.engines
+            .iter()
+            .map(|e| e.open_connections() as u64)
+            .sum()
     }
 
     fn engines_used(&self) -> u64 {
@@ -241,7 +244,7 @@
         }
         // A connection that is just made or ended is seen at the two ends at two instants.
         m.client_connections = m.clients + busy;
-        let connects = |e: &Engine| e.connects() as u64;
+        let connects = |e: &Engine| e.accepted_connections() as u64;
         for _ in 0..100 {
             m.engine_connections = self.engine_connections();
             m.connects = self.engines.iter().map(connects).sum();
@@ -281,17 +284,17 @@
                 .map(|l| engine_name(l.endpoint.id.0 - 1))
                 .collect();
             let (before, told) = (self.book.runs.borrow().len(), clock::turn());
-            self.coordinator.tell(false, &draining);
+            self.coordinator.send_changes(&draining);
             pause(CHANGE_MS).await;
             for run in &self.book.runs.borrow()[before..] {
                 let late = if names.contains(&run.engine) {
-                    run.from.saturating_sub(told)
+                    run.started_at.saturating_sub(told)
                 } else {
                     0
                 };
                 worst = worst.max(Some(late));
             }
-            self.coordinator.tell(false, half);
+            self.coordinator.send_changes(half);
             pause(CHANGE_MS).await;
         }
         worst
@@ -319,7 +322,7 @@
         pause(LISTS * LIST_MS).await;
         let quiet = self.usage()?;
         for _ in 0..LISTS {
-            self.coordinator.tell(true, &self.list);
+            self.coordinator.send_full_list(&self.list);
             pause(LIST_MS).await;
         }
         let end = self.usage()?;
--- /dev/null
+++ b/src/testkit/scenario/checks.rs
@@ -0,0 +1,106 @@
+//! Steps that check what engines have seen of a query.
+use super::error::{StepError, expect};
+use super::{Stage, count};
+use crate::testkit::eventually;
+
+/// The value of a field that was not sent.
+const NO_VALUE: &str = "-";
+
+/// A step that checks what engines have seen.
+pub(super) enum CheckStep<'a> {
+    AwaitRunning {
+        query: &'a str,
+    },
+    AwaitNotRunning {
+        query: &'a str,
+    },
+    ExpectRuns {
+        query: &'a str,
+        runs: usize,
+    },
+    ExpectField {
+        query: &'a str,
+        field: &'a str,
+        value: &'a str,
+    },
+    ExpectDeduplicated {
+        query: &'a str,
+        runs: usize,
+    },
+}
+
+impl<'a> CheckStep<'a> {
+    pub(super) fn parse(words: &[&'a str]) -> Result<Option<CheckStep<'a>>, StepError> {
+        let step = match *words {
+            ["seen", query] => CheckStep::AwaitRunning { query },
+            ["over", query] => CheckStep::AwaitNotRunning { query },
+            ["runs", query, runs] => CheckStep::ExpectRuns {
+                query,
+                runs: count(runs)?,
+            },
+            ["sent", query, field, value] => CheckStep::ExpectField {
+                query,
+                field,
+                value,
+            },
+            ["dropped", query, runs] => CheckStep::ExpectDeduplicated {
+                query,
+                runs: count(runs)?,
+            },
+            _ => return Ok(None),
+        };
+        Ok(Some(step))
+    }
+}
+
+impl Stage<'_> {
+    pub(super) async fn execute_check(&mut self, step: CheckStep<'_>) -> Result<(), StepError> {
+        match step {
+            CheckStep::AwaitRunning { query } => self.await_running(query).await,
+            CheckStep::AwaitNotRunning { query } => self.await_not_running(query).await,
+            CheckStep::ExpectRuns { query, runs } => {
+                let found = self.log.runs_of(query).len();
+                expect(found == runs, || format!("{found} runs"))
+            }
+            CheckStep::ExpectField {
+                query,
+                field,
+                value,
+            } => self.expect_field(query, field, value),
+            CheckStep::ExpectDeduplicated { query, runs } => self.expect_deduplicated(query, runs),
+        }
+    }
+
+    async fn await_running(&self, query: &str) -> Result<(), StepError> {
+        let is_running = || {
+            let runs = self.log.runs_of(query);
+            runs.iter().any(|run| run.end.is_none())
+        };
+        let reached = eventually(is_running).await;
+        expect(reached, || "that no engine runs it".into())
+    }
+
+    async fn await_not_running(&self, query: &str) -> Result<(), StepError> {
+        let has_ended = || {
+            let runs = self.log.runs_of(query);
+            runs.iter().all(|run| run.end.is_some())
+        };
+        let reached = eventually(has_ended).await;
+        expect(reached, || "that an engine still runs it".into())
+    }
+
+    /// Compares a field that was sent with the last attempt of a query.
+    fn expect_field(&self, query: &str, field: &str, value: &str) -> Result<(), StepError> {
+        let runs = self.log.runs_of(query);
+        let found = runs.last().and_then(|run| run.fields.get(field));
+        let found = found.map_or(NO_VALUE, String::as_str);
+        expect(found == value, || format!("{found:?}"))
+    }
+
+    /// Compares how many attempts of a query changed nothing, as engines knew its key.
+    fn expect_deduplicated(&self, query: &str, count: usize) -> Result<(), StepError> {
+        let runs = self.log.runs_of(query);
+        let found = runs.iter().filter(|run| run.deduplicated).count();
+        expect(found == count, || format!("{found} runs"))
+    }
+}
--- /dev/null
+++ b/src/testkit/scenario/connections.rs
@@ -0,0 +1,379 @@
+//! Steps about clients that keep their connections: several queries on one, streams of queries, and
+//! idle clients.
+use super::error::{StepError, expect};
+use super::queries::named_statement;
+use super::{PersistentConnection, Query, Stage, count, number};
+use crate::testkit::clients::{self, ClientOutcome, PersistentClient};
+use crate::testkit::{Executor, eventually, pause};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// The connections that a stream of queries uses in turn.
+const STREAM_CONNECTIONS: usize = 3;
+/// The client's identifiers of a stream's queries start here, beside those of other queries.
+const FIRST_STREAM_REQUEST_ID: usize = 0x5000_0000;
+
+/// How much of a query is sent.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Portion {
+    Whole,
+    FirstHalf,
+}
+
+/// What idle clients do before they fall silent.
+#[derive(Clone, Copy)]
+pub(super) enum Greeting {
+    /// Nothing.
+    Mute,
+    /// They ask once for the daemon's status.
+    Status,
+}
+
+/// Where idle clients connect.
+#[derive(Clone, Copy)]
+pub(super) enum Listener {
+    JsonRpc,
+    Http,
+    Admin,
+}
+
+/// A query on a kept connection.
+pub(super) struct KeptQuery<'a> {
+    name: &'a str,
+    class: &'a str,
+    tenant: &'a str,
+    wait_millis: u64,
+    statement: String,
+}
+
+/// Queries one after the other.
+pub(super) struct QueryStream<'a> {
+    name: &'a str,
+    class: &'a str,
+    tenant: &'a str,
+    wait_millis: u64,
+    queries: usize,
+    gap_millis: u64,
+}
+
+/// A step about a client that keeps its connection.
+pub(super) enum ConnectionStep<'a> {
+    Open {
+        connection: &'a str,
+    },
+    Ask {
+        connection: &'a str,
+        query: KeptQuery<'a>,
+        portion: Portion,
+    },
+    SendRest {
+        connection: &'a str,
+    },
+    ExpectClosed {
+        connection: &'a str,
+    },
+    ExpectOpen {
+        connection: &'a str,
+    },
+    OpenIdle {
+        name: &'a str,
+        greeting: Greeting,
+        listener: Listener,
+        clients: usize,
+    },
+    ExpectIdleClosed {
+        name: &'a str,
+    },
+    Stream(QueryStream<'a>),
+    ExpectStreamServed {
+        name: &'a str,
+    },
+}
+
+impl<'a> ConnectionStep<'a> {
+    pub(super) fn parse(words: &[&'a str]) -> Result<Option<ConnectionStep<'a>>, StepError> {
+        let step = match *words {
+            ["keep", connection] => ConnectionStep::Open { connection },
+            [
+                verb @ ("ask" | "begin"),
+                name,
+                "on",
+                connection,
+                class,
+                tenant,
+                wait,
+                ref statement @ ..,
+            ] => ConnectionStep::Ask {
+                connection,
+                query: KeptQuery {
+                    name,
+                    class,
+                    tenant,
+                    wait_millis: number(wait)?,
+                    statement: named_statement(name, statement),
+                },
+                portion: match verb {
+                    "begin" => Portion::FirstHalf,
+                    _ => Portion::Whole,
+                },
+            },
+            ["rest", connection] => ConnectionStep::SendRest { connection },
+            ["closed", connection] => ConnectionStep::ExpectClosed { connection },
+            ["kept", connection] => ConnectionStep::ExpectOpen { connection },
+            ["mute", name, listener, clients] => ConnectionStep::OpenIdle {
+                name,
+                greeting: Greeting::Mute,
+                listener: Listener::parse(listener),
+                clients: count(clients)?,
+            },
+            ["stay", name, listener, clients] => ConnectionStep::OpenIdle {
+                name,
+                greeting: Greeting::Status,
+                listener: Listener::parse(listener),
+                clients: count(clients)?,
+            },
+            ["shut", name] => ConnectionStep::ExpectIdleClosed { name },
+            ["stream", ref stream @ ..] => ConnectionStep::Stream(QueryStream::parse(stream)?),
+            ["expect-all", name, "served"] => ConnectionStep::ExpectStreamServed { name },
+            _ => return Ok(None),
+        };
+        Ok(Some(step))
+    }
+}
+
+impl Listener {
+    fn parse(word: &str) -> Listener {
+        match word {
+            "http" => Listener::Http,
+            "console" => Listener::Admin,
+            _ => Listener::JsonRpc,
+        }
+    }
+}
+
+impl<'a> QueryStream<'a> {
+    fn parse(words: &[&'a str]) -> Result<QueryStream<'a>, StepError> {
+        let [name, class, tenant, wait, queries, gap] = *words else {
+            return Err(StepError::UnknownStep);
+        };
+        Ok(QueryStream {
+            name,
+            class,
+            tenant,
+            wait_millis: number(wait)?,
+            queries: count(queries)?,
+            gap_millis: number(gap)?,
+        })
+    }
+}
+
+impl Stage<'_> {
+    pub(super) async fn execute_connection(
+        &mut self,
+        step: ConnectionStep<'_>,
+    ) -> Result<(), StepError> {
+        match step {
+            ConnectionStep::Open { connection } => self.open_connection(connection),
+            ConnectionStep::Ask {
+                connection,
+                query,
+                portion,
+            } => self.ask_on(connection, &query, portion),
+            ConnectionStep::SendRest { connection } => self.send_rest(connection),
+            ConnectionStep::ExpectClosed { connection } => self.expect_closed(connection).await,
+            ConnectionStep::ExpectOpen { connection } => self.expect_open(connection),
+            ConnectionStep::OpenIdle {
+                name,
+                greeting,
+                listener,
+                clients,
+            } => self.open_idle(name, greeting, listener, clients),
+            ConnectionStep::ExpectIdleClosed { name } => self.expect_idle_closed(name).await,
+            ConnectionStep::Stream(stream) => self.start_stream(&stream),
+            ConnectionStep::ExpectStreamServed { name } => self.expect_stream_served(name).await,
+        }
+    }
+
+    fn open_connection(&mut self, name: &str) -> Result<(), StepError> {
+        let addr = self.daemon()?.listen;
+        let connection = PersistentConnection {
+            client: PersistentClient::open(&self.executor, addr),
+            unsent: Vec::new(),
+        };
+        self.persistent.insert(name.to_owned(), connection);
+        Ok(())
+    }
+
+    fn connection(&self, name: &str) -> Result<&PersistentConnection, StepError> {
+        self.persistent.get(name).ok_or(StepError::UnknownClient)
+    }
+
+    fn connection_mut(&mut self, name: &str) -> Result<&mut PersistentConnection, StepError> {
+        self.persistent
+            .get_mut(name)
+            .ok_or(StepError::UnknownClient)
+    }
+
+    fn ask_on(
+        &mut self,
+        connection: &str,
+        query: &KeptQuery<'_>,
+        portion: Portion,
+    ) -> Result<(), StepError> {
+        let client_request_id = self.next_client_request_id();
+        let connection = self.connection_mut(connection)?;
+        let outcome = clients::End::default();
+        let request = (
+            query.class,
+            client_request_id.as_str(),
+            query.tenant,
+            query.wait_millis,
+            query.statement.as_str(),
+        );
+        let portions = match portion {
+            Portion::Whole => 1,
+            Portion::FirstHalf => 2,
+        };
+        let rest = connection.client.ask(request, outcome.clone(), portions);
+        connection.unsent.extend(rest);
+        let query_state = Query {
+            task: None,
+            outcome,
+            disconnects: Rc::default(),
+            reported: false,
+        };
+        self.queries.insert(query.name.to_owned(), query_state);
+        Ok(())
+    }
+
+    fn send_rest(&mut self, connection: &str) -> Result<(), StepError> {
+        let connection = self.connection_mut(connection)?;
+        let rest = std::mem::take(&mut connection.unsent);
+        connection.client.send(rest);
+        Ok(())
+    }
+
+    async fn expect_closed(&self, connection: &str) -> Result<(), StepError> {
+        let client = &self.connection(connection)?.client;
+        let closed = eventually(|| client.closed()).await;
+        expect(closed, || "that it is still open".into())
+    }
+
+    fn expect_open(&self, connection: &str) -> Result<(), StepError> {
+        let closed = self.connection(connection)?.client.closed();
+        expect(!closed, || "that it is closed".into())
+    }
+
+    fn open_idle(
+        &mut self,
+        name: &str,
+        greeting: Greeting,
+        listener: Listener,
+        clients: usize,
+    ) -> Result<(), StepError> {
+        let json_rpc_addr = self.daemon()?.listen;
+        let addr = match listener {
+            Listener::JsonRpc => json_rpc_addr,
+            Listener::Http => self.http_addr,
+            Listener::Admin => self.admin_addr()?,
+        };
+        let greeting: &[u8] = match (greeting, listener) {
+            (Greeting::Mute, _) => b"",
+            (Greeting::Status, Listener::Http) => clients::PING,
+            (Greeting::Status, Listener::JsonRpc | Listener::Admin) => clients::STATUS,
+        };
+        let client = |_| self.executor.spawn(clients::mute(addr, greeting));
+        let tasks = (0..clients).map(client).collect();
+        self.idle_clients.insert(name.to_owned(), tasks);
+        Ok(())
+    }
+
+    /// Waits until the daemon has closed all connections of idle clients.
+    async fn expect_idle_closed(&mut self, name: &str) -> Result<(), StepError> {
+        let clients = self.idle_clients.remove(name);
+        for client in clients.ok_or(StepError::UnknownClient)? {
+            client.await;
+        }
+        Ok(())
+    }
+
+    fn start_stream(&mut self, stream: &QueryStream<'_>) -> Result<(), StepError> {
+        let addr = self.daemon()?.listen;
+        let outcomes: Vec<clients::End> = (0..stream.queries).map(|_| Default::default()).collect();
+        self.streams
+            .entry(stream.name.to_owned())
+            .or_default()
+            .extend(outcomes.clone());
+        let task = StreamTask {
+            executor: self.executor.clone(),
+            addr,
+            name: stream.name.to_owned(),
+            class: stream.class.to_owned(),
+            tenant: stream.tenant.to_owned(),
+            wait_millis: stream.wait_millis,
+            gap_millis: stream.gap_millis,
+        };
+        self.background
+            .push(self.executor.spawn(task.run(outcomes)));
+        Ok(())
+    }
+
+    /// Waits for the outcomes of all queries of a stream and compares them.
+    async fn expect_stream_served(&mut self, name: &str) -> Result<(), StepError> {
+        let outcomes = self.streams.get(name).ok_or(StepError::UnknownStream)?;
+        eventually(|| outcomes.iter().all(|outcome| outcome.borrow().is_some())).await;
+        let is_served =
+            |outcome: &Option<ClientOutcome>| matches!(outcome, Some(ClientOutcome::Served(_)));
+        let others: Vec<String> = outcomes
+            .iter()
+            .filter(|outcome| !is_served(&outcome.borrow()))
+            .map(|outcome| format!("{:?}", outcome.borrow()))
+            .collect();
+        let total = outcomes.len();
+        let served = total - others.len();
+        (self.report)(&format!("{name}: {served} of {total} served"));
+        expect(others.is_empty(), || others.join(", "))
+    }
+}
+
+/// The client of a stream of queries.
+struct StreamTask {
+    executor: Executor,
+    addr: SocketAddr,
+    name: String,
+    class: String,
+    tenant: String,
+    wait_millis: u64,
+    gap_millis: u64,
+}
+
+impl StreamTask {
+    fn connect(&self) -> PersistentClient {
+        PersistentClient::open(&self.executor, self.addr)
+    }
+
+    /// Sends the queries in turn on its connections, which stay open until the last response.
+    async fn run(self, outcomes: Vec<clients::End>) {
+        let mut connections: Vec<PersistentClient> =
+            (0..STREAM_CONNECTIONS).map(|_| self.connect()).collect();
+        for (index, outcome) in outcomes.into_iter().enumerate() {
+            let connection = &mut connections[index % STREAM_CONNECTIONS];
+            // A connection that the daemon closed is replaced, as the web frontend does.
+            if connection.closed() {
+                *connection = self.connect();
+            }
+            let client_request_id = format!("{:016x}", FIRST_STREAM_REQUEST_ID + index);
+            let statement = format!("SELECT 1 /* {}{index} */", self.name);
+            let request = (
+                self.class.as_str(),
+                client_request_id.as_str(),
+                self.tenant.as_str(),
+                self.wait_millis,
+                statement.as_str(),
+            );
+            connection.ask(request, outcome, 1);
+            pause(self.gap_millis).await;
+        }
+        std::future::pending::<()>().await;
+    }
+}
--- /dev/null
+++ b/src/testkit/scenario/daemon.rs
@@ -0,0 +1,209 @@
+//! Steps that control the daemon, its coordinator and its admin endpoint.
+use super::error::{StepError, expect};
+use super::{Stage, number};
+use crate::testkit::daemon::DaemonProcess;
+use crate::testkit::{clients, pause};
+
+/// Time between two looks at the daemon's counters.
+const COUNTER_POLL_MILLIS: u64 = 20;
+/// Time between two calls of the admin endpoint.
+const ADMIN_POLL_MILLIS: u64 = 10;
+/// The value of a metric that has to equal the number of runs on engines.
+const NUMBER_OF_RUNS: &str = "runs";
+
+/// The value that a counter has to reach.
+pub(super) enum CounterTarget {
+    Absolute(u64),
+    /// More than now.
+    Increase(u64),
+}
+
+/// A step that controls the daemon.
+pub(super) enum DaemonStep<'a> {
+    Reconfigure {
+        changes: Vec<&'a str>,
+    },
+    ReconfigureInvalid,
+    LaunchSuccessor,
+    FollowSuccessor,
+    Retire,
+    ExpectRetired,
+    Kill(DaemonProcess),
+    Terminate,
+    ExpectEnded,
+    BreakCoordinator,
+    MigrateCoordinator,
+    AwaitCounter {
+        name: &'a str,
+        target: CounterTarget,
+    },
+    ExpectCounter {
+        name: &'a str,
+        value: u64,
+    },
+    CallAdmin {
+        method: &'a str,
+        path: &'a str,
+        status: u64,
+    },
+    AwaitMetric {
+        name: &'a str,
+        value: &'a str,
+    },
+}
+
+impl<'a> DaemonStep<'a> {
+    pub(super) fn parse(words: &[&'a str]) -> Result<Option<DaemonStep<'a>>, StepError> {
+        let step = match *words {
+            ["retune", ref changes @ ..] => DaemonStep::Reconfigure {
+                changes: changes.to_vec(),
+            },
+            ["spoil"] => DaemonStep::ReconfigureInvalid,
+            ["launch"] => DaemonStep::LaunchSuccessor,
+            ["follow"] => DaemonStep::FollowSuccessor,
+            ["retire"] => DaemonStep::Retire,
+            ["retired"] => DaemonStep::ExpectRetired,
+            ["kill", "older"] => DaemonStep::Kill(DaemonProcess::Older),
+            ["kill", "newer"] => DaemonStep::Kill(DaemonProcess::Newer),
+            ["term"] => DaemonStep::Terminate,
+            ["ended"] => DaemonStep::ExpectEnded,
+            ["cut"] => DaemonStep::BreakCoordinator,
+            ["move"] => DaemonStep::MigrateCoordinator,
+            ["until", name, value] => DaemonStep::AwaitCounter {
+                name,
+                target: CounterTarget::parse(value)?,
+            },
+            ["counter", name, value] => DaemonStep::ExpectCounter {
+                name,
+                value: number(value)?,
+            },
+            ["call", method, path, status] => DaemonStep::CallAdmin {
+                method,
+                path,
+                status: number(status)?,
+            },
+            ["figure", name, value] => DaemonStep::AwaitMetric { name, value },
+            _ => return Ok(None),
+        };
+        Ok(Some(step))
+    }
+}
+
+impl CounterTarget {
+    fn parse(word: &str) -> Result<CounterTarget, StepError> {
+        match word.strip_prefix('+') {
+            Some(increase) => Ok(CounterTarget::Increase(number(increase)?)),
+            None => Ok(CounterTarget::Absolute(number(word)?)),
+        }
+    }
+}
+
+impl Stage<'_> {
+    pub(super) async fn execute_daemon(&mut self, step: DaemonStep<'_>) -> Result<(), StepError> {
+        let program = self.program;
+        match step {
+            DaemonStep::Reconfigure { changes } => self.daemon()?.reconfigure(&changes)?,
+            DaemonStep::ReconfigureInvalid => self.daemon()?.reconfigure_invalid()?,
+            DaemonStep::LaunchSuccessor => self.daemon_mut()?.launch(program)?,
+            DaemonStep::FollowSuccessor => self.daemon_mut()?.follow(program).await?,
+            DaemonStep::Retire => self.daemon()?.retire(),
+            DaemonStep::ExpectRetired => self.expect_retired().await?,
+            DaemonStep::Kill(process) => self.daemon_mut()?.kill(process),
+            DaemonStep::Terminate => self.daemon()?.terminate(),
+            DaemonStep::ExpectEnded => self.expect_ended().await?,
+            DaemonStep::BreakCoordinator => self.coordinator.break_connections(),
+            DaemonStep::MigrateCoordinator => self.migrate_coordinator()?,
+            DaemonStep::AwaitCounter { name, target } => self.await_counter(name, target).await?,
+            DaemonStep::ExpectCounter { name, value } => self.expect_counter(name, value)?,
+            DaemonStep::CallAdmin {
+                method,
+                path,
+                status,
+            } => self.call_admin(method, path, status).await?,
+            DaemonStep::AwaitMetric { name, value } => self.await_metric(name, value).await?,
+        }
+        Ok(())
+    }
+
+    async fn expect_retired(&mut self) -> Result<(), StepError> {
+        let status = self.daemon_mut()?.retired().await;
+        let status = status.ok_or(StepError::Timeout)?;
+        expect(status.success(), || status.to_string())
+    }
+
+    async fn expect_ended(&mut self) -> Result<(), StepError> {
+        let status = self.daemon_mut()?.ended().await;
+        let status = status.ok_or(StepError::Timeout)?;
+        expect(status.success(), || status.to_string())
+    }
+
+    /// Another coordinator takes over. The old one sends no more events, and its connections stay
+    /// open.
+    fn migrate_coordinator(&mut self) -> Result<(), StepError> {
+        self.coordinator = self.coordinator.successor(&self.executor);
+        let addr = self.coordinator.addr;
+        self.daemon()?.reconfigure_coordinator(addr)?;
+        Ok(())
+    }
+
+    /// Waits until a counter of the daemon has reached a value.
+    async fn await_counter(&self, name: &str, target: CounterTarget) -> Result<(), StepError> {
+        let daemon = self.daemon()?;
+        let target = match target {
+            CounterTarget::Absolute(value) => value,
+            CounterTarget::Increase(increase) => {
+                let reports = daemon.reports();
+                while daemon.reports() == reports {
+                    daemon.report();
+                    pause(COUNTER_POLL_MILLIS).await;
+                }
+                daemon.counter(name).unwrap_or(0) + increase
+            }
+        };
+        while daemon.counter(name).is_none_or(|value| value < target) {
+            daemon.report();
+            pause(COUNTER_POLL_MILLIS).await;
+        }
+        Ok(())
+    }
+
+    fn expect_counter(&self, name: &str, value: u64) -> Result<(), StepError> {
+        let found = self.daemon()?.counter(name);
+        expect(found == Some(value), || format!("{found:?}"))
+    }
+
+    /// Calls the admin endpoint until it answers with that status.
+    async fn call_admin(&self, method: &str, path: &str, status: u64) -> Result<(), StepError> {
+        let addr = self.admin_addr()?;
+        loop {
+            let response = clients::call(addr, method, path).await;
+            if response.is_some_and(|(found, _)| u64::from(found) == status) {
+                return Ok(());
+            }
+            pause(ADMIN_POLL_MILLIS).await;
+        }
+    }
+
+    /// Waits until a metric has a value.
+    async fn await_metric(&self, name: &str, value: &str) -> Result<(), StepError> {
+        let addr = self.admin_addr()?;
+        let value = if value == NUMBER_OF_RUNS {
+            let runs = self
+                .queries
+                .keys()
+                .map(|query| self.log.runs_of(query).len());
+            runs.sum::<usize>().to_string()
+        } else {
+            value.to_owned()
+        };
+        let expected = format!("app.{name}:{value}|");
+        loop {
+            let response = clients::call(addr, "GET", "/metrics").await;
+            let has_value = |text: &str| text.lines().any(|line| line.starts_with(&expected));
+            if response.is_some_and(|(_, text)| has_value(&text)) {
+                return Ok(());
+            }
+            pause(ADMIN_POLL_MILLIS).await;
+        }
+    }
+}
--- a/src/testkit/scenario/deployment.rs
+++ b/src/testkit/scenario/deployment.rs
@@ -1,83 +1,280 @@
-//! Steps that make the scene that of another deployment: its settings, its models of engines, its
-//! keys.
-use super::Stage;
+//! Steps that describe the deployment, and the start of the daemon.
+use super::error::StepError;
+use super::{ScenarioEngine, Stage, count, text_after};
 use crate::clock::micros;
-use crate::testkit::Terms;
-use crate::testkit::daemon::KINDS;
-use crate::testkit::engines::Engine;
+use crate::policy::api::Readiness;
+use crate::testkit::coordinator;
+use crate::testkit::daemon::{Daemon, DaemonError, DaemonOptions, KINDS, ZONES, free_addr};
+use crate::testkit::directory::Directory;
+use crate::testkit::engines::{Engine, EngineOptions, EngineProtocol};
+use crate::testkit::execution_log::ExecutionLimits;
 use serde_json::Value;
+use std::fmt::Write as _;
+use std::net::TcpListener;
 
-/// What the rules allow under these settings.
-pub fn terms(settings: &Value) -> Terms {
+/// How often the daemon is started until it has the ports that were free.
+const MAX_STARTS: usize = 5;
+/// The tenant of a user without one.
+const NO_TENANT: &str = "-";
+
+/// A step that describes the deployment.
+pub(super) enum DeploymentStep<'a> {
+    Engine {
+        name: &'a str,
+        protocol: EngineProtocol,
+    },
+    EngineOfKind {
+        name: &'a str,
+        kind: &'a str,
+        max_sessions: usize,
+    },
+    Set {
+        pointer: &'a str,
+        json: &'a str,
+    },
+    User {
+        name: &'a str,
+        key: &'a str,
+        tenant: &'a str,
+    },
+    DirectoryTenant {
+        name: &'a str,
+        share: &'a str,
+    },
+    DirectoryUser {
+        name: &'a str,
+        key: &'a str,
+        tenant: &'a str,
+    },
+    DirectoryBusy(bool),
+    MaxSockets(usize),
+    OccupyPort,
+    AdminEndpoint,
+    Start,
+}
+
+impl<'a> DeploymentStep<'a> {
+    pub(super) fn parse(
+        line: &'a str,
+        words: &[&'a str],
+    ) -> Result<Option<DeploymentStep<'a>>, StepError> {
+        let step = match *words {
+            ["engine", name, "platform"] => DeploymentStep::Engine {
+                name,
+                protocol: EngineProtocol::Platform,
+            },
+            ["engine", name, "clickhouse"] => DeploymentStep::Engine {
+                name,
+                protocol: EngineProtocol::ClickHouse,
+            },
+            ["engine", name, "platform", kind, sessions] => DeploymentStep::EngineOfKind {
+                name,
+                kind,
+                max_sessions: count(sessions)?,
+            },
+            ["set", pointer, ..] => DeploymentStep::Set {
+                pointer,
+                json: text_after(line, 2),
+            },
+            ["user", name, key, tenant] => DeploymentStep::User { name, key, tenant },
+            ["tenant", name, share] => DeploymentStep::DirectoryTenant { name, share },
+            ["person", name, key, tenant] => DeploymentStep::DirectoryUser { name, key, tenant },
+            ["busy"] => DeploymentStep::DirectoryBusy(true),
+            ["idle"] => DeploymentStep::DirectoryBusy(false),
+            ["sockets", sockets] => DeploymentStep::MaxSockets(count(sockets)?),
+            ["occupy"] => DeploymentStep::OccupyPort,
+            ["console"] => DeploymentStep::AdminEndpoint,
+            ["start"] => DeploymentStep::Start,
+            _ => return Ok(None),
+        };
+        Ok(Some(step))
+    }
+}
+
+/// What the settings allow.
+fn execution_limits(settings: &Value) -> ExecutionLimits {
     let limits = &settings["limits"];
-    let copies = if limits["second_copies"] == true {
-        2
-    } else {
-        1
-    };
+    let hedging = limits["second_copies"] == true;
     let classes = settings["classes"].as_array().into_iter().flatten();
-    let window = classes
-        .filter(|c| c["semantics"] == "token")
-        .filter_map(|c| c["window_ns"].as_u64())
+    let key_window_nanos = classes
+        .filter(|class| class["semantics"] == "token")
+        .filter_map(|class| class["window_ns"].as_u64())
         .max();
-    let attempts = limits["send_cap"].as_u64().unwrap_or(1) as usize;
-    Terms {
-        copies,
-        attempts,
-        window: micros(window.unwrap_or(0)),
+    ExecutionLimits {
+        max_concurrent: if hedging { 2 } else { 1 },
+        max_attempts: limits["send_cap"].as_u64().unwrap_or(1) as usize,
+        key_window: micros(key_window_nanos.unwrap_or(0)),
     }
 }
 
 impl Stage<'_> {
-    /// An engine of that kind of machine.
-    pub fn model(&mut self, name: &str, kind: &str, sessions: usize) -> Result<(), String> {
-        let kind = KINDS
-            .iter()
-            .position(|k| *k == kind)
-            .ok_or("no such kind")?;
-        let engine = Engine::with(&self.executor, name, false, self.book.clone(), sessions);
-        let number = self.engines.len() as u32 + 1;
-        self.engines.insert(name.to_owned(), (engine, number));
-        self.kinds.insert(name.to_owned(), kind as u16);
+    pub(super) async fn execute_deployment(
+        &mut self,
+        step: DeploymentStep<'_>,
+    ) -> Result<(), StepError> {
+        match step {
+            DeploymentStep::Engine { name, protocol } => {
+                self.add_engine(name, 0, EngineOptions::new(protocol));
+            }
+            DeploymentStep::EngineOfKind {
+                name,
+                kind,
+                max_sessions,
+            } => self.add_engine_of_kind(name, kind, max_sessions)?,
+            DeploymentStep::Set { pointer, json } => self.set(pointer, json)?,
+            DeploymentStep::User { name, key, tenant } => self.add_user(name, key, tenant),
+            DeploymentStep::DirectoryTenant { name, share } => {
+                self.directory().tenant(name, share);
+            }
+            DeploymentStep::DirectoryUser { name, key, tenant } => {
+                let tenant = tenant.trim_matches('-');
+                self.directory().user(name, key, tenant);
+            }
+            DeploymentStep::DirectoryBusy(busy) => self.directory().content.busy.set(busy),
+            DeploymentStep::MaxSockets(max_sockets) => self.max_sockets = max_sockets,
+            DeploymentStep::OccupyPort => self.occupy_port()?,
+            DeploymentStep::AdminEndpoint => self.has_admin_endpoint = true,
+            DeploymentStep::Start => self.start().await?,
+        }
+        Ok(())
+    }
+
+    fn add_engine(&mut self, name: &str, kind: u16, options: EngineOptions) {
+        let engine = Engine::start(&self.executor, name, options, self.log.clone());
+        let id = self.engines.len() as u32 + 1;
+        let engine = ScenarioEngine { engine, id, kind };
+        self.engines.insert(name.to_owned(), engine);
+    }
+
+    /// Adds an engine of that kind of machine.
+    fn add_engine_of_kind(
+        &mut self,
+        name: &str,
+        kind: &str,
+        max_sessions: usize,
+    ) -> Result<(), StepError> {
+        let kind = KINDS.iter().position(|known| *known == kind);
+        let kind = kind.ok_or(StepError::UnknownKind)?;
+        let options = EngineOptions {
+            max_sessions,
+            ..EngineOptions::new(EngineProtocol::Platform)
+        };
+        self.add_engine(name, kind as u16, options);
         Ok(())
     }
 
-    /// Another figure in the settings; the last part of the path may be new.
-    pub fn set(&mut self, pointer: &str, text: &str) -> Result<(), String> {
-        let value: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
-        let (parent, key) = pointer.rsplit_once('/').ok_or("no path")?;
-        match self.settings.pointer_mut(parent).ok_or("no such place")? {
-            Value::Object(map) => drop(map.insert(key.to_owned(), value)),
+    /// Sets a value in the settings; the last key of the path may be new.
+    fn set(&mut self, pointer: &str, json: &str) -> Result<(), StepError> {
+        let value: Value = serde_json::from_str(json)?;
+        let unknown = || StepError::UnknownSetting(pointer.to_owned());
+        let (parent, key) = pointer.rsplit_once('/').ok_or_else(unknown)?;
+        match self.settings.pointer_mut(parent).ok_or_else(unknown)? {
+            Value::Object(map) => {
+                map.insert(key.to_owned(), value);
+            }
             Value::Array(list) => {
-                let at = key.parse::<usize>().map_err(|e| e.to_string())?;
-                *list.get_mut(at).ok_or("no such place")? = value;
+                let entry = list.get_mut(count(key)?);
+                *entry.ok_or_else(unknown)? = value;
             }
-            _ => return Err("no such place".into()),
+            _ => return Err(unknown()),
+        }
+        Ok(())
+    }
+
+    fn add_user(&mut self, name: &str, key: &str, tenant: &str) {
+        // Writing to a string can't fail.
+        let _ = writeln!(self.users, "[[user]]\nname = \"{name}\"\nkey = \"{key}\"");
+        if tenant != NO_TENANT {
+            let _ = writeln!(self.users, "tenant = \"{tenant}\"");
         }
+    }
+
+    fn directory(&mut self) -> &Directory {
+        let executor = &self.executor;
+        self.directory.get_or_insert_with(|| {
+            let directory = Directory::start(executor);
+            *directory.content.password.borrow_mut() = "secret".into();
+            directory
+        })
+    }
+
+    /// The system chooses the port: one that was free before may be another test's now.
+    fn occupy_port(&mut self) -> Result<(), StepError> {
+        let listener = TcpListener::bind((self.http_addr.ip(), 0)).map_err(StepError::Occupy)?;
+        self.http_addr = listener.local_addr().map_err(StepError::Occupy)?;
+        self.occupied_port = Some(listener);
         Ok(())
     }
 
-    /// What stood with the last attempt of a query.
-    pub fn sent(&self, name: &str, field: &str, value: &str) -> Result<(), String> {
-        let runs = self.book.of(name);
-        let found = runs
-            .last()
-            .and_then(|run| run.fields.get(field))
-            .map_or("-", String::as_str);
-        if found == value {
-            Ok(())
-        } else {
-            Err(format!("{found:?}"))
+    /// Starts the daemon, again if a port that was free was taken before the daemon had it.
+    async fn start(&mut self) -> Result<(), StepError> {
+        self.log.set_limits(execution_limits(&self.settings));
+        let names: Vec<String> = self.engines.keys().cloned().collect();
+        let mut endpoints = Vec::new();
+        for name in &names {
+            endpoints.push(self.listed_endpoint(name, Readiness::Ready)?);
+        }
+        let known = coordinator::known(&endpoints, &ZONES, &KINDS);
+        for _ in 1..MAX_STARTS {
+            match self.start_daemon(&known).await {
+                Err(DaemonError::NotReady { log }) if log.contains("Address already in use") => {
+                    self.http_addr = free_addr();
+                }
+                started => return self.set_daemon(started),
+            }
         }
+        let started = self.start_daemon(&known).await;
+        self.set_daemon(started)
     }
 
-    /// How many attempts of a query changed nothing, as engines knew its key.
-    pub fn dropped(&self, name: &str, count: usize) -> Result<(), String> {
-        let found = self.book.of(name).iter().filter(|run| run.dropped).count();
-        if found == count {
-            Ok(())
-        } else {
-            Err(format!("{found}"))
+    fn set_daemon(&mut self, started: Result<Daemon, DaemonError>) -> Result<(), StepError> {
+        self.daemon = Some(started?);
+        Ok(())
+    }
+
+    async fn start_daemon(&self, known: &Value) -> Result<Daemon, DaemonError> {
+        let has_clickhouse_frontend = !self.users.is_empty() || self.directory.is_some();
+        let deploy_file = has_clickhouse_frontend.then(|| self.deploy_file());
+        let options = DaemonOptions {
+            coordinator: self.coordinator.addr,
+            known: known.clone(),
+            deploy_file,
+            max_sockets: self.max_sockets,
+            has_admin_endpoint: self.has_admin_endpoint,
+            settings: self.settings.clone(),
+        };
+        Daemon::start(self.program, options).await
+    }
+
+    fn deploy_file(&self) -> String {
+        let mut text = format!(
+            "listen = \"{}\"\nusual_class = \"lookup\"\n",
+            self.http_addr
+        );
+        for known in self.engines.values() {
+            if known.engine.protocol == EngineProtocol::ClickHouse {
+                let _ = writeln!(
+                    text,
+                    "# {}\n[[engine]]\nid = \"s-{:08x}\"",
+                    known.engine.addr, known.id
+                );
+            }
         }
+        text += "[[class]]\nname = \"load\"\nbegins = [\"insert\"]\n";
+        text += "[[class]]\nname = \"report\"\nholds = [\"group\", \"join\"]\n";
+        text += &self.users;
+        text + &self.directory_section()
+    }
+
+    fn directory_section(&self) -> String {
+        let Some(directory) = &self.directory else {
+            return String::new();
+        };
+        format!(
+            "[directory]\naddr = \"{}\"\nbind_dn = \"cn=reader\"\nbind_password = \"secret\"\n\
+             users_base = \"ou=people\"\ntenants_base = \"ou=tenants\"\nkey_attribute = \"employeeNumber\"\n\
+             page = 2\nrefresh_s = 1\n",
+            directory.addr
+        )
     }
 }
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -173,7 +173,7 @@
         .iter()
         .all(|i| versions(&fleet, *i)["list"] == json!(1))));
     fleet.world(|world| {
-        world.coordinators[3].stall();
+        world.coordinators[3].stall_connections();
         world.tell(0..4, 1, Readiness::Draining);
     });
     assert!(
