--- a/src/testkit/execution_log.rs
+++ b/src/testkit/execution_log.rs
@@ -94,6 +94,39 @@
     }
 }
 
+/// A violation of an invariant.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Violation {
+    /// More attempts of a query were in flight at the same time than the settings allow.
+    #[error("{query}: more attempts were out at once than may be")]
+    ConcurrentAttempts {
+        /// The query.
+        query: String,
+    },
+    /// A query that changes data was repeated although it may have run.
+    #[error("{query}: a load was sent again after it may have run")]
+    RepeatedLoad {
+        /// The query.
+        query: String,
+    },
+    /// A query had more attempts than the settings allow.
+    #[error("{query}: more than {max_attempts} attempts")]
+    TooManyAttempts {
+        /// The query.
+        query: String,
+        /// The attempts that the settings allow.
+        max_attempts: usize,
+    },
+    /// A query was sent to an engine that was draining or gone.
+    #[error("{query}: sent to {engine} after its drain")]
+    SentAfterDrain {
+        /// The query.
+        query: String,
+        /// The engine.
+        engine: String,
+    },
+}
+
 /// What the settings allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExecutionLimits {
@@ -256,8 +289,8 @@
         self.behaviors.borrow_mut().pop_front()
     }
 
-    /// The violations of invariants, one line each.
-    pub fn violations(&self) -> Vec<String> {
+    /// The violations of invariants.
+    pub fn violations(&self) -> Vec<Violation> {
         let runs = self.runs.borrow();
         let mut violations = Vec::new();
         for (index, run) in runs.iter().enumerate() {
@@ -271,39 +304,45 @@
         violations
     }
 
-    fn attempt_violations(&self, run: &Run, earlier: &[&Run]) -> Vec<String> {
+    fn attempt_violations(&self, run: &Run, earlier: &[&Run]) -> Vec<Violation> {
         let limits = self.limits.get();
-        let query = &run.query;
+        let query = run.query.clone();
         let mut violations = Vec::new();
         let in_flight = earlier
             .iter()
             .filter(|earlier| earlier.was_in_flight_at(run.started_at))
             .count();
         if in_flight >= limits.max_concurrent {
-            violations.push(format!(
-                "{query}: more attempts were out at once than may be"
-            ));
+            violations.push(Violation::ConcurrentAttempts {
+                query: query.clone(),
+            });
         }
         // With a key that engines know, a repetition changes nothing.
         let repeats = |earlier: &&Run| {
             earlier.may_have_run() && !run.repeats_by_key(earlier, limits.key_window)
         };
         if run.is_load && earlier.iter().any(repeats) {
-            violations.push(format!(
-                "{query}: a load was sent again after it may have run"
-            ));
+            violations.push(Violation::RepeatedLoad {
+                query: query.clone(),
+            });
         }
         if earlier.len() >= limits.max_attempts {
             let max_attempts = limits.max_attempts;
-            violations.push(format!("{query}: more than {max_attempts} attempts"));
+            violations.push(Violation::TooManyAttempts {
+                query,
+                max_attempts,
+            });
         }
         violations
     }
 
-    fn drain_violation(&self, run: &Run) -> Option<String> {
+    fn drain_violation(&self, run: &Run) -> Option<Violation> {
         let drains = self.drains.borrow();
         let is_forbidden = drains.iter().any(|drain| drain.forbids(run));
-        is_forbidden.then(|| format!("{}: sent to {} after its drain", run.query, run.engine))
+        is_forbidden.then(|| Violation::SentAfterDrain {
+            query: run.query.clone(),
+            engine: run.engine.clone(),
+        })
     }
 }
 
--- a/src/testkit/scenario/connections.rs
+++ b/src/testkit/scenario/connections.rs
@@ -358,7 +358,7 @@
             (0..STREAM_CONNECTIONS).map(|_| self.connect()).collect();
         for (index, outcome) in outcomes.into_iter().enumerate() {
             let connection = &mut connections[index % STREAM_CONNECTIONS];
-            // A connection that the daemon closed is replaced, as the web frontend does.
+            // A connection that the daemon closed is replaced, as real clients do.
             if connection.closed() {
                 *connection = self.connect();
             }
