--- a/src/testkit/scale/daemons.rs
+++ b/src/testkit/scale/daemons.rs
@@ -5,8 +5,8 @@
 use crate::net::discovery::ListedEndpoint;
 use crate::policy::api::{MachineTypeId, ZoneId};
 use crate::testkit::coordinator::{Coordinator, known, ready_endpoint};
-use crate::testkit::daemon::{self, Daemon, KINDS, ZONES};
-use crate::testkit::engines::Engine;
+use crate::testkit::daemon::{self, Daemon, DaemonOptions, KINDS, ZONES};
+use crate::testkit::engines::{Engine, EngineOptions, EngineProtocol};
 use crate::testkit::{ExecutionLog, Executor, pause};
 use async_executor::LocalExecutor;
 use async_io::block_on;
@@ -150,7 +150,10 @@
     progress: &mut dyn FnMut(&Progress),
 ) -> Result<Measured, String> {
     let log = ExecutionLog::default();
-    let start_engine = |index| Engine::start(executor, &engine_name(index), false, log.clone());
+    let start_engine = |index| {
+        let options = EngineOptions::new(EngineProtocol::Platform);
+        Engine::start(executor, &engine_name(index), options, log.clone())
+    };
     let engines: Vec<Engine> = (0..point.engines).map(start_engine).collect();
     let coordinator = Coordinator::start(executor);
     let listed = |(index, engine): (usize, &Engine)| {
@@ -161,16 +164,17 @@
     };
     let list: Vec<ListedEndpoint> = engines.iter().enumerate().map(listed).collect();
     let known = known(&list, &ZONES, &KINDS);
-    let daemon = Daemon::start(
-        &options.daemon,
-        coordinator.addr,
-        &known,
-        None,
-        daemon_descriptors as usize,
-        true,
-        settings(options.managers),
-    )
-    .await?;
+    let daemon_options = DaemonOptions {
+        coordinator: coordinator.addr,
+        known,
+        deploy_file: None,
+        max_sockets: daemon_descriptors as usize,
+        has_admin_endpoint: true,
+        settings: settings(options.managers),
+    };
+    let daemon = Daemon::start(&options.daemon, daemon_options)
+        .await
+        .map_err(|error| error.to_string())?;
     let testbed = Testbed {
         executor,
         point,
--- a/src/testkit/scale/testbed.rs
+++ b/src/testkit/scale/testbed.rs
@@ -54,7 +54,7 @@
 
 impl Drop for Testbed<'_> {
     fn drop(&mut self) {
-        self.coordinator.end();
+        self.coordinator.shut_down();
     }
 }
 
@@ -89,7 +89,7 @@
             if let Some(fault) = self.counters.fault.borrow().clone() {
                 return Err(fault);
             }
-            if !self.engines.iter().all(Engine::serves) {
+            if !self.engines.iter().all(Engine::is_serving) {
                 return Err("a stand-in engine takes no connections any more".into());
             }
             pause(WATCH_INTERVAL_MS).await;
@@ -103,7 +103,7 @@
     }
 
     fn engine_connections(&self) -> u64 {
-        let open = |engine: &Engine| engine.open() as u64;
+        let open = |engine: &Engine| engine.open_connections() as u64;
         self.engines.iter().map(open).sum()
     }
 
@@ -280,7 +280,7 @@
     /// Descriptors and connections, once they add up: the two ends of a connection that is just
     /// opened or closed change at different instants.
     async fn measure_connections(&self, measured: &mut Measured) -> Result<(), String> {
-        let connects = |engine: &Engine| engine.connects() as u64;
+        let connects = |engine: &Engine| engine.accepted_connections() as u64;
         for _ in 0..MAX_READS {
             measured.engine_connections = self.engine_connections();
             measured.connects = self.engines.iter().map(connects).sum();
@@ -326,17 +326,17 @@
                 .collect();
             let runs_before = self.log.runs.borrow().len();
             let announced_at = clock::turn();
-            self.coordinator.tell(false, &draining);
+            self.coordinator.send_changes(&draining);
             pause(LIST_CHANGE_PAUSE_MS).await;
             for run in &self.log.runs.borrow()[runs_before..] {
                 let late_us = if names.contains(&run.engine) {
-                    run.from.saturating_sub(announced_at)
+                    run.started_at.saturating_sub(announced_at)
                 } else {
                     0
                 };
                 worst = worst.max(Some(late_us));
             }
-            self.coordinator.tell(false, half);
+            self.coordinator.send_changes(half);
             pause(LIST_CHANGE_PAUSE_MS).await;
         }
         worst
@@ -358,7 +358,7 @@
         pause(FULL_LISTS * FULL_LIST_PAUSE_MS).await;
         let quiet = self.usage()?;
         for _ in 0..FULL_LISTS {
-            self.coordinator.tell(true, &self.list);
+            self.coordinator.send_full_list(&self.list);
             pause(FULL_LIST_PAUSE_MS).await;
         }
         let end = self.usage()?;
