--- a/src/main.rs
+++ b/src/main.rs
@@ -339,12 +339,12 @@
         });
         let reader = deploy.directory.map(|line| {
             let (service, core) = (service.clone(), core.clone());
-            tenant_directory::Reader {
-                line,
-                file,
+            tenant_directory::DirectoryReader {
+                config: line,
+                file_users: file,
                 tenants,
-                service,
-                core,
+                frontend: service,
+                dispatcher: core,
             }
         });
         let front = move |conn| ClickHouse::new(conn, service.clone());
@@ -353,7 +353,7 @@
             // Clients that come before the first reading wait in the listener's line, lest they
             // pass for unknown.
             if let Some(mut reader) = reader {
-                let pause = reader.once().await;
+                let pause = reader.refresh().await;
                 all.spawn(reader.run(pause));
             }
             let _ = starts.recv().await;
--- a/src/net/tenant_directory.rs
+++ b/src/net/tenant_directory.rs
@@ -1,8 +1,8 @@
-//! The actor of the directory: reads it at the start and then slowly again; a failure keeps the
-//! last good list.
+//! The actor of the tenant directory: reads it at the start of the process and then at an interval.
+//! After a failed read the last good snapshot stays in use.
 use super::dispatcher::DispatcherEvent;
 use super::sleep_until;
-use crate::clock::{self, SEC};
+use crate::clock::{self, Micros, SEC};
 use crate::config::clickhouse::{DirectoryConfig, Users};
 use crate::frontend::clickhouse::ClickHouseShared;
 use crate::log;
@@ -16,85 +16,97 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time for one reading.
-const LIMIT: u64 = 10 * SEC;
-/// After a failure the next try comes sooner than the usual refresh.
-const AGAIN_S: u64 = 5;
+/// The time limit of one read, in seconds.
+const READ_TIMEOUT_S: u64 = 10;
+/// After a failed read the next one comes after this many seconds at most.
+const MAX_RETRY_DELAY_S: u64 = 5;
+/// The size of a read from the socket, in bytes.
+const READ_BYTES: usize = 16 * 1024;
 
-async fn read(line: &DirectoryConfig) -> Result<DirectorySnapshot, ReadError> {
-    let reading = async {
-        let broken = |_| ReadError::Connection;
-        let mut stream = Async::<TcpStream>::connect(line.addr)
-            .await
-            .map_err(broken)?;
-        let _ = stream.get_ref().set_nodelay(true);
-        let (mut reading, hello) = DirectoryRead::new(line.clone());
-        stream.write_all(&hello).await.map_err(broken)?;
-        let mut buffer = vec![0; 16 * 1024];
-        loop {
-            let n = stream.read(&mut buffer).await.map_err(broken)?;
-            if n == 0 {
-                return Err(ReadError::Connection);
-            }
-            let (out, listing) = reading.feed(&buffer[..n])?;
-            // The last word is a farewell: whether it arrives does not matter.
-            match (stream.write_all(&out).await, listing) {
-                (_, Some(listing)) => return Ok(listing),
-                (Err(_), None) => return Err(ReadError::Connection),
-                (Ok(()), None) => {}
-            }
-        }
+/// Reads the directory within the time limit.
+async fn read(config: &DirectoryConfig) -> Result<DirectorySnapshot, ReadError> {
+    let timeout: Micros = READ_TIMEOUT_S * SEC;
+    let timed_out = async {
+        sleep_until(Some(clock::turn() + timeout)).await;
+        Err(ReadError::Timeout {
+            seconds: READ_TIMEOUT_S,
+        })
     };
-    let late = async {
-        sleep_until(Some(clock::turn() + LIMIT)).await;
-        Err(ReadError::Connection)
-    };
-    or(reading, late).await
+    or(read_snapshot(config), timed_out).await
+}
+
+async fn read_snapshot(config: &DirectoryConfig) -> Result<DirectorySnapshot, ReadError> {
+    let mut stream = Async::<TcpStream>::connect(config.addr).await?;
+    // Without this option the read is only slower.
+    let _ = stream.get_ref().set_nodelay(true);
+    let (mut read, bind) = DirectoryRead::new(config.clone());
+    stream.write_all(&bind).await?;
+    let mut buffer = vec![0; READ_BYTES];
+    loop {
+        let count = stream.read(&mut buffer).await?;
+        if count == 0 {
+            return Err(ReadError::Closed);
+        }
+        let progress = read.feed(&buffer[..count])?;
+        let written = stream.write_all(&progress.output).await;
+        match progress.snapshot {
+            // The last message is the unbind, whose arrival does not matter.
+            Some(snapshot) => return Ok(snapshot),
+            None => written?,
+        }
+    }
 }
 
-/// What a reading changes.
-pub struct Reader {
+/// Reads the directory, and applies each snapshot to the frontend and the dispatcher.
+pub struct DirectoryReader {
     /// Where and what to read.
-    pub line: DirectoryConfig,
-    /// The users of the deploy file, who come before those of the directory.
-    pub file: Rc<RefCell<Users>>,
-    /// The tenants as the module knows them.
+    pub config: DirectoryConfig,
+    /// The users of the deploy file, which take precedence over those of the directory.
+    pub file_users: Rc<RefCell<Users>>,
+    /// The tenants as the decision module knows them.
     pub tenants: Tenants,
-    /// Whose users these are.
-    pub service: Rc<ClickHouseShared>,
-    /// The module.
-    pub core: Sender<DispatcherEvent>,
+    /// The frontend whose users these are.
+    pub frontend: Rc<ClickHouseShared>,
+    /// The dispatcher, which gets the tenants' shares.
+    pub dispatcher: Sender<DispatcherEvent>,
 }
 
-impl Reader {
-    /// Reads once, and tells how many seconds to wait for the next time.
-    pub async fn once(&mut self) -> u64 {
-        match read(&self.line).await {
-            Ok(listing) => {
-                let mut users = Users::default();
-                listing.apply(&mut self.tenants.names, &mut self.tenants.specs, &mut users);
-                users.extend(&self.file.borrow());
-                *self.service.users.borrow_mut() = users;
-                let _ = self
-                    .core
-                    .send(DispatcherEvent::Tenants(self.tenants.specs.clone()))
-                    .await;
-                let _ = self.core.send(DispatcherEvent::DirectoryRead).await;
-                self.line.refresh_s
+impl DirectoryReader {
+    /// Reads once and applies the snapshot; returns the seconds to wait before the next read.
+    pub async fn refresh(&mut self) -> u64 {
+        match read(&self.config).await {
+            Ok(snapshot) => {
+                self.apply(&snapshot).await;
+                self.config.refresh_s
             }
-            Err(fault) => {
-                log!("the directory was not read, the last list stands: {fault:?}");
-                let _ = self.core.send(DispatcherEvent::DirectoryFailed).await;
-                self.line.refresh_s.min(AGAIN_S)
+            Err(error) => {
+                log!("tenant directory: not read, the last snapshot stays in use: {error}");
+                self.send(DispatcherEvent::DirectoryFailed).await;
+                self.config.refresh_s.min(MAX_RETRY_DELAY_S)
             }
         }
     }
 
-    /// Reads for as long as the program runs.
-    pub async fn run(mut self, mut pause: u64) {
+    async fn apply(&mut self, snapshot: &DirectorySnapshot) {
+        let mut users = Users::default();
+        snapshot.apply(&mut self.tenants, &mut users);
+        users.extend(&self.file_users.borrow());
+        *self.frontend.users.borrow_mut() = users;
+        self.send(DispatcherEvent::Tenants(self.tenants.specs.clone()))
+            .await;
+        self.send(DispatcherEvent::DirectoryRead).await;
+    }
+
+    async fn send(&self, event: DispatcherEvent) {
+        // The dispatcher's mailbox is closed only while the process exits.
+        let _ = self.dispatcher.send(event).await;
+    }
+
+    /// Reads again and again while the process runs, first after `delay_s` seconds.
+    pub async fn run(mut self, mut delay_s: u64) {
         loop {
-            Timer::after(Duration::from_secs(pause)).await;
-            pause = self.once().await;
+            Timer::after(Duration::from_secs(delay_s)).await;
+            delay_s = self.refresh().await;
         }
     }
 }
--- /dev/null
+++ b/src/tenant_directory/error.rs
@@ -0,0 +1,69 @@
+//! Why a read of the directory fails.
+use rasn_ldap::ResultCode;
+use std::io;
+use thiserror::Error;
+
+/// Why a read failed. The caller keeps its last good snapshot.
+#[derive(Debug, Error)]
+pub enum ReadError {
+    /// The connection could not be made, or broke.
+    #[error("the connection failed: {0}")]
+    Connection(#[from] io::Error),
+    /// The directory closed the connection before the read was complete.
+    #[error("the directory closed the connection")]
+    Closed,
+    /// The read took too long.
+    #[error("the directory did not answer within {seconds} s")]
+    Timeout {
+        /// The time limit.
+        seconds: u64,
+    },
+    /// A message does not begin as LDAP messages do.
+    #[error("not an LDAP message: tag {tag:#04x}")]
+    InvalidTag {
+        /// The first byte.
+        tag: u8,
+    },
+    /// The length of a message is encoded in a form that LDAP does not use.
+    #[error("not an LDAP message: length octet {octet:#04x}")]
+    InvalidLength {
+        /// The first byte of the length.
+        octet: u8,
+    },
+    /// A message is longer than a directory's entries can be.
+    #[error("a message of {length} bytes, at most {limit} are read")]
+    MessageTooLong {
+        /// The length, in bytes.
+        length: usize,
+        /// The limit, in bytes.
+        limit: usize,
+    },
+    /// A message cannot be decoded.
+    #[error("an LDAP message that cannot be decoded: {0}")]
+    Decode(#[from] rasn::error::DecodeError),
+    /// A message belongs to another request.
+    #[error("message id {found} in place of {expected}")]
+    WrongMessageId {
+        /// The id of the open request.
+        expected: u32,
+        /// The id in the message.
+        found: u32,
+    },
+    /// A message does not answer the open request.
+    #[error("a message that does not answer the open request")]
+    UnexpectedMessage,
+    /// The directory refused a request.
+    #[error("the directory refused: {code:?} {diagnostic}")]
+    Denied {
+        /// LDAP's result code.
+        code: ResultCode,
+        /// The directory's own text.
+        diagnostic: String,
+    },
+    /// The directory lists too many entries.
+    #[error("more than {limit} entries")]
+    TooManyEntries {
+        /// The limit.
+        limit: usize,
+    },
+}
--- a/src/testkit/directory.rs
+++ b/src/testkit/directory.rs
@@ -1,179 +1,259 @@
-//! A stand-in directory: binds, and searches in pages, as far as a list of tenants and users needs
-//! it.
+//! A stand-in for a directory service: the part of LDAPv3 that reading tenants and users needs, with
+//! paged searches.
 use super::{Executor, listener};
-use crate::tenant_directory::{PAGED, PagedValue, take_message};
+use crate::tenant_directory::{PAGED_RESULTS_CONTROL, PagedResultsValue, take_message};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, StreamExt};
 use rasn::types::SetOf;
 use rasn_ldap::{
-    AuthenticationChoice, BindResponse, Control, Filter, LdapMessage, LdapResult, PartialAttribute,
-    ProtocolOp, ResultCode, SearchResultDone, SearchResultEntry,
+    AuthenticationChoice, BindRequest, BindResponse, Control, Filter, LdapMessage, LdapResult,
+    PartialAttribute, ProtocolOp, ResultCode, SearchRequest, SearchResultDone, SearchResultEntry,
 };
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// An entry: its class, and its attributes.
-pub type Entry = (String, Vec<(String, String)>);
+/// The size of a read from a socket, in bytes.
+const READ_BYTES: usize = 8192;
 
-/// What it holds, and who may read it.
+/// An attribute of an entry.
+struct Attribute {
+    name: String,
+    value: String,
+}
+
+impl Attribute {
+    fn new(name: &str, value: &str) -> Attribute {
+        Attribute {
+            name: name.to_owned(),
+            value: value.to_owned(),
+        }
+    }
+
+    fn encode(&self) -> PartialAttribute {
+        let values = SetOf::from(vec![self.value.clone().into_bytes().into()]);
+        PartialAttribute::new(self.name.as_str().into(), values)
+    }
+}
+
+/// An entry of the directory.
+struct Entry {
+    object_class: &'static str,
+    attributes: Vec<Attribute>,
+}
+
+/// What the directory holds, and how it responds.
 #[derive(Default)]
 pub struct Content {
-    /// The entries.
-    pub entries: RefCell<Vec<Entry>>,
-    /// The password of the one who may bind.
+    entries: RefCell<Vec<Entry>>,
+    /// The password with which a bind succeeds.
     pub password: RefCell<String>,
-    /// Pages given so far.
+    /// Pages returned so far.
     pub pages: Cell<usize>,
-    /// Answers searches with 'busy'.
+    /// Searches end with the result 'busy'.
     pub busy: Cell<bool>,
 }
 
 /// The stand-in.
 pub struct Directory {
-    /// Where it listens.
+    /// The address of its listener.
     pub addr: SocketAddr,
     /// What it holds.
     pub content: Rc<Content>,
 }
 
 impl Directory {
-    /// Starts one.
+    /// Starts an empty directory.
     pub fn start(executor: &Executor) -> Directory {
         let (listener, addr) = listener();
         let content: Rc<Content> = Rc::default();
-        let (all, spawner) = (content.clone(), executor.clone());
-        let serve = async move {
+        let served_content = Rc::clone(&content);
+        let connections = executor.clone();
+        let accept = async move {
             let mut incoming = Box::pin(listener.incoming());
             while let Some(Ok(stream)) = incoming.next().await {
-                let content = all.clone();
-                spawner
-                    .spawn(async move { drop(answer(stream, &content).await) })
+                let connection = Connection {
+                    stream,
+                    content: Rc::clone(&served_content),
+                    bound: false,
+                };
+                // A connection that breaks ends like one that its client closes.
+                connections
+                    .spawn(async move { drop(connection.serve().await) })
                     .detach();
             }
         };
-        executor.spawn(serve).detach();
+        executor.spawn(accept).detach();
         Directory { addr, content }
     }
 
     /// Adds a tenant.
     pub fn tenant(&self, name: &str, share: &str) {
-        let attributes =
-            [("ou", name), ("description", share)].map(|(n, v)| (n.to_owned(), v.to_owned()));
-        self.content
-            .entries
-            .borrow_mut()
-            .push(("organizationalUnit".into(), attributes.into()));
+        self.content.entries.borrow_mut().push(Entry {
+            object_class: "organizationalUnit",
+            attributes: vec![
+                Attribute::new("ou", name),
+                Attribute::new("description", share),
+            ],
+        });
     }
 
-    /// Adds a user; without a tenant if that is empty.
+    /// Adds a user. An empty key or tenant is left out.
     pub fn user(&self, name: &str, key: &str, tenant: &str) {
-        let all = [
+        let attributes = [
             ("uid", name),
             ("employeeNumber", key),
             ("departmentNumber", tenant),
         ];
-        let told = all
-            .iter()
-            .filter(|(_, v)| !v.is_empty())
-            .map(|(n, v)| ((*n).to_owned(), (*v).to_owned()));
-        self.content
-            .entries
-            .borrow_mut()
-            .push(("inetOrgPerson".into(), told.collect()));
+        self.content.entries.borrow_mut().push(Entry {
+            object_class: "inetOrgPerson",
+            attributes: attributes
+                .into_iter()
+                .filter(|(_, value)| !value.is_empty())
+                .map(|(name, value)| Attribute::new(name, value))
+                .collect(),
+        });
     }
 }
 
-async fn answer(mut stream: Async<TcpStream>, content: &Content) -> std::io::Result<()> {
-    let (mut input, mut buffer, mut bound) = (Vec::new(), vec![0; 8192], false);
-    loop {
-        while let Ok(Some(message)) = take_message(&mut input) {
-            let id = message.message_id;
-            let mut say = Vec::new();
-            match message.protocol_op {
-                ProtocolOp::BindRequest(bind) => {
-                    let AuthenticationChoice::Simple(password) = &bind.authentication else {
-                        return Ok(());
-                    };
-                    bound = password[..] == *content.password.borrow().as_bytes();
-                    let code = if bound {
-                        ResultCode::Success
-                    } else {
-                        ResultCode::InvalidCredentials
-                    };
-                    let response = BindResponse::new(code, "".into(), "".into(), None, None);
-                    say.push(LdapMessage::new(id, ProtocolOp::BindResponse(response)));
-                }
-                ProtocolOp::SearchRequest(search) => {
-                    let Filter::EqualityMatch(class) = &search.filter else {
-                        return Ok(());
-                    };
-                    let entries = content.entries.borrow();
-                    let is = |e: &&Entry| e.0.as_bytes() == &class.assertion_value[..];
-                    let controls = message.controls.iter().flatten();
-                    let paged = controls
-                        .filter(|c| *c.control_type == *PAGED)
-                        .find_map(|c| c.control_value.clone());
-                    let Some(Ok(page)) = paged.map(|v| rasn::ber::decode::<PagedValue>(&v)) else {
-                        return Ok(());
-                    };
-                    let from = std::str::from_utf8(&page.cookie)
-                        .ok()
-                        .and_then(|c| c.parse().ok())
-                        .unwrap_or(0);
-                    let found: Vec<&Entry> = entries.iter().filter(is).collect();
-                    let to = (from + page.size as usize).min(found.len());
-                    for (_, attributes) in &found[from.min(to)..to] {
-                        let wanted = |name: &str| {
-                            search
-                                .attributes
-                                .iter()
-                                .any(|a| a.0.eq_ignore_ascii_case(name))
-                        };
-                        let attribute = |(name, value): &(String, String)| {
-                            let values = SetOf::from(vec![value.clone().into_bytes().into()]);
-                            PartialAttribute::new(name.as_str().into(), values)
-                        };
-                        let told = attributes
-                            .iter()
-                            .filter(|(n, _)| wanted(n))
-                            .map(attribute)
-                            .collect();
-                        let entry = SearchResultEntry::new("cn=entry".into(), told);
-                        say.push(LdapMessage::new(id, ProtocolOp::SearchResEntry(entry)));
-                    }
-                    content.pages.set(content.pages.get() + 1);
-                    let cookie = if to < found.len() {
-                        to.to_string()
-                    } else {
-                        String::new()
-                    };
-                    let value = PagedValue {
-                        size: found.len() as u32,
-                        cookie: cookie.into_bytes().into(),
-                    };
-                    let code = match (bound, content.busy.get()) {
-                        (true, false) => ResultCode::Success,
-                        (true, true) => ResultCode::Busy,
-                        (false, _) => ResultCode::InsufficientAccessRights,
-                    };
-                    let done = SearchResultDone(LdapResult::new(code, "".into(), "".into()));
-                    let mut done = LdapMessage::new(id, ProtocolOp::SearchResDone(done));
-                    let value = rasn::ber::encode(&value).unwrap_or_default();
-                    done.controls =
-                        Some(vec![Control::new(PAGED.into(), false, Some(value.into()))]);
-                    say.push(done);
+/// A connection of a client.
+struct Connection {
+    stream: Async<TcpStream>,
+    content: Rc<Content>,
+    /// The client has bound successfully.
+    bound: bool,
+}
+
+impl Connection {
+    /// Responds to requests until the client closes, or sends what is not supported.
+    async fn serve(mut self) -> std::io::Result<()> {
+        let mut input = Vec::new();
+        let mut buffer = vec![0; READ_BYTES];
+        loop {
+            while let Ok(Some(request)) = take_message(&mut input) {
+                let Some(responses) = self.respond(request) else {
+                    return Ok(());
+                };
+                for response in responses {
+                    let bytes = rasn::ber::encode(&response).unwrap_or_default();
+                    self.stream.write_all(&bytes).await?;
                 }
-                _ => return Ok(()),
             }
-            for message in say {
-                let bytes = rasn::ber::encode(&message).unwrap_or_default();
-                stream.write_all(&bytes).await?;
+            match self.stream.read(&mut buffer).await? {
+                0 => return Ok(()),
+                count => input.extend_from_slice(&buffer[..count]),
             }
         }
-        match stream.read(&mut buffer).await? {
-            0 => return Ok(()),
-            n => input.extend_from_slice(&buffer[..n]),
+    }
+
+    /// The responses to a request; `None` if the connection is to be closed.
+    fn respond(&mut self, request: LdapMessage) -> Option<Vec<LdapMessage>> {
+        let id = request.message_id;
+        match request.protocol_op {
+            ProtocolOp::BindRequest(bind) => Some(vec![self.bind(id, &bind)?]),
+            ProtocolOp::SearchRequest(search) => {
+                let page = requested_page(request.controls.as_deref())?;
+                self.search(id, &search, &page)
+            }
+            _ => None,
         }
     }
+
+    fn bind(&mut self, id: u32, bind: &BindRequest) -> Option<LdapMessage> {
+        let AuthenticationChoice::Simple(password) = &bind.authentication else {
+            return None;
+        };
+        self.bound = password[..] == *self.content.password.borrow().as_bytes();
+        let code = if self.bound {
+            ResultCode::Success
+        } else {
+            ResultCode::InvalidCredentials
+        };
+        let response = BindResponse::new(code, "".into(), "".into(), None, None);
+        Some(LdapMessage::new(id, ProtocolOp::BindResponse(response)))
+    }
+
+    /// One page of the entries of an object class, and the result with the cookie for the next page.
+    fn search(
+        &self,
+        id: u32,
+        search: &SearchRequest,
+        page: &PagedResultsValue,
+    ) -> Option<Vec<LdapMessage>> {
+        let Filter::EqualityMatch(object_class) = &search.filter else {
+            return None;
+        };
+        let entries = self.content.entries.borrow();
+        let found: Vec<&Entry> = entries
+            .iter()
+            .filter(|entry| entry.object_class.as_bytes() == &object_class.assertion_value[..])
+            .collect();
+        let start = page_start(page);
+        let end = (start + page.size as usize).min(found.len());
+        let mut responses: Vec<LdapMessage> = found[start.min(end)..end]
+            .iter()
+            .map(|entry| entry_response(id, search, entry))
+            .collect();
+        self.content.pages.set(self.content.pages.get() + 1);
+        let cookie = if end < found.len() {
+            end.to_string()
+        } else {
+            String::new()
+        };
+        responses.push(self.search_result(id, found.len() as u32, cookie));
+        Some(responses)
+    }
+
+    fn search_result(&self, id: u32, size: u32, cookie: String) -> LdapMessage {
+        let code = match (self.bound, self.content.busy.get()) {
+            (true, false) => ResultCode::Success,
+            (true, true) => ResultCode::Busy,
+            (false, _) => ResultCode::InsufficientAccessRights,
+        };
+        let value = PagedResultsValue {
+            size,
+            cookie: cookie.into_bytes().into(),
+        };
+        let value = rasn::ber::encode(&value).unwrap_or_default();
+        let control = Control::new(PAGED_RESULTS_CONTROL.into(), false, Some(value.into()));
+        let done = SearchResultDone(LdapResult::new(code, "".into(), "".into()));
+        let mut message = LdapMessage::new(id, ProtocolOp::SearchResDone(done));
+        message.controls = Some(vec![control]);
+        message
+    }
+}
+
+/// The page that a search requests; `None` if it requests none.
+fn requested_page(controls: Option<&[Control]>) -> Option<PagedResultsValue> {
+    let value = controls?
+        .iter()
+        .filter(|control| *control.control_type == *PAGED_RESULTS_CONTROL)
+        .find_map(|control| control.control_value.as_ref())?;
+    rasn::ber::decode(value).ok()
+}
+
+/// The index of the first entry of a page: the cookie of the page before it.
+fn page_start(page: &PagedResultsValue) -> usize {
+    std::str::from_utf8(&page.cookie)
+        .ok()
+        .and_then(|cookie| cookie.parse().ok())
+        .unwrap_or(0)
+}
+
+/// An entry with the attributes that the search requests.
+fn entry_response(id: u32, search: &SearchRequest, entry: &Entry) -> LdapMessage {
+    let is_requested = |attribute: &&Attribute| {
+        search
+            .attributes
+            .iter()
+            .any(|requested| requested.0.eq_ignore_ascii_case(&attribute.name))
+    };
+    let attributes = entry
+        .attributes
+        .iter()
+        .filter(is_requested)
+        .map(Attribute::encode)
+        .collect();
+    let response = SearchResultEntry::new("cn=entry".into(), attributes);
+    LdapMessage::new(id, ProtocolOp::SearchResEntry(response))
 }
