--- a/src/testkit/audit.rs
+++ b/src/testkit/audit.rs
@@ -18,7 +18,7 @@
         Err("no answer in time".to_owned())
     };
     let call = async {
-        match clients::call(addr, "GET", path).await {
+        match clients::call_admin(addr, "GET", path).await {
             Some((200, body)) => Ok(body),
             Some((status, body)) => Err(format!("{status}: {}", body.trim())),
             None => Err("no answer".into()),
--- /dev/null
+++ b/src/testkit/clients/mod.rs
@@ -0,0 +1,106 @@
+//! Stand-in clients of the frontends and of the admin endpoint.
+mod http;
+mod persistent;
+mod rpc;
+
+pub use http::{PING, call_admin, http, http_request, http_with_disconnect, parse_http_response};
+pub use persistent::{PendingOutcome, PersistentClient};
+pub use rpc::{
+    RpcRequest, STATUS, is_ready, keyed_line, parse_rpc_response, rpc, rpc_line,
+    rpc_with_disconnect,
+};
+
+use async_io::Async;
+use futures_lite::{AsyncReadExt, AsyncWriteExt};
+use std::cell::Cell;
+use std::fmt;
+use std::net::{SocketAddr, TcpStream};
+
+/// The size of a read from a socket, in bytes.
+const READ_BYTES: usize = 8192;
+
+/// How a request ended, as its client saw it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ClientOutcome {
+    /// It completed, with these rows.
+    Served(String),
+    /// The pool had no capacity: when to retry in milliseconds, if that was said.
+    Refused(Option<u64>),
+    /// It failed at its deadline.
+    Deadline,
+    /// It failed with this code.
+    Failed(i64),
+    /// It was not authenticated or not valid: a code of JSON-RPC or a status of HTTP.
+    Rejected(i64),
+    /// The connection ended without a complete response.
+    Cut,
+}
+
+impl fmt::Display for ClientOutcome {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ClientOutcome::Served(rows) => {
+                write!(formatter, "served, {} rows", rows.lines().count())
+            }
+            ClientOutcome::Refused(Some(ms)) => {
+                write!(formatter, "refused, come back after {ms} ms")
+            }
+            ClientOutcome::Refused(None) => write!(formatter, "refused"),
+            ClientOutcome::Deadline => write!(formatter, "failed: its time was up"),
+            ClientOutcome::Failed(code) => write!(formatter, "failed: code {code}"),
+            ClientOutcome::Rejected(code) => write!(formatter, "rejected: {code}"),
+            ClientOutcome::Cut => write!(formatter, "cut off with no whole answer"),
+        }
+    }
+}
+
+/// Reads one line; `None` if the connection ends before its line feed.
+pub async fn read_line(stream: &Async<TcpStream>, input: &mut Vec<u8>) -> Option<Vec<u8>> {
+    let mut buffer = vec![0; READ_BYTES];
+    loop {
+        if let Some(end) = input.iter().position(|byte| *byte == b'\n') {
+            return Some(input.drain(..=end).collect());
+        }
+        match (&*stream).read(&mut buffer).await {
+            Ok(count) if count > 0 => input.extend_from_slice(&buffer[..count]),
+            _ => return None,
+        }
+    }
+}
+
+/// A new connection on which a request was sent and the first byte of the response awaited.
+struct StartedExchange {
+    stream: Async<TcpStream>,
+    /// What was received so far.
+    input: Vec<u8>,
+}
+
+/// Connects, sends, and waits for the first byte; `None` if the connection broke, or if the client
+/// is to disconnect by then.
+async fn start_exchange(
+    addr: SocketAddr,
+    request: &[u8],
+    disconnects: &Cell<bool>,
+) -> Option<StartedExchange> {
+    let mut stream = Async::<TcpStream>::connect(addr).await.ok()?;
+    stream.write_all(request).await.ok()?;
+    let mut first_byte = [0; 1];
+    let received = matches!(stream.read(&mut first_byte).await, Ok(1));
+    let input = if received {
+        first_byte.to_vec()
+    } else {
+        Vec::new()
+    };
+    (!disconnects.get()).then_some(StartedExchange { stream, input })
+}
+
+/// Connects, sends this and nothing more, and waits until the connection ends.
+pub async fn send_and_wait_for_close(addr: SocketAddr, bytes: &'static [u8]) {
+    let Ok(mut stream) = Async::<TcpStream>::connect(addr).await else {
+        return;
+    };
+    // A connection that has ended already shows at the read.
+    let _ = stream.write_all(bytes).await;
+    let mut buffer = [0; 256];
+    while matches!((&stream).read(&mut buffer).await, Ok(count) if count > 0) {}
+}
--- a/src/testkit/daemon.rs
+++ b/src/testkit/daemon.rs
@@ -162,7 +162,7 @@
             settings,
         };
         for _ in 0..2_000 {
-            if clients::green(listen).await {
+            if clients::is_ready(listen).await {
                 return Ok(daemon);
             }
             if daemon.child.try_wait().ok().flatten().is_some() {
@@ -198,7 +198,7 @@
         self.launch(program)?;
         let console = self.console.ok_or("no second address")?;
         for _ in 0..2_000 {
-            let said = clients::call(console, "GET", "/ready").await;
+            let said = clients::call_admin(console, "GET", "/ready").await;
             if said.is_some_and(|(status, _)| status == 200) {
                 return Ok(());
             }
--- a/src/testkit/fleet.rs
+++ b/src/testkit/fleet.rs
@@ -326,7 +326,12 @@
 
     /// Calls member `i`'s second address; nothing if it does not answer.
     pub fn call(&self, i: usize, path: &str) -> Option<(u16, String)> {
-        block_on(super::in_time(clients::call(self.consoles[i], "GET", path))).flatten()
+        block_on(super::in_time(clients::call_admin(
+            self.consoles[i],
+            "GET",
+            path,
+        )))
+        .flatten()
     }
 
     /// What member `i` says of the fleet; nothing if it does not answer.
--- a/src/testkit/scale/load.rs
+++ b/src/testkit/scale/load.rs
@@ -1,6 +1,6 @@
 //! The clients of a point: idle ones that say a little now and then, and a few busy ones that send
 //! statements at a steady rate.
-use crate::testkit::clients::{ClientOutcome, STATUS, read_line, rpc_got};
+use crate::testkit::clients::{ClientOutcome, STATUS, parse_rpc_response, read_line};
 use crate::testkit::{Executor, pause};
 use async_executor::Task;
 use async_io::{Async, Timer};
@@ -194,7 +194,7 @@
             let line = read_line(&stream, &mut input)
                 .await
                 .ok_or("a busy client's connection was closed")?;
-            add(match rpc_got(&line) {
+            add(match parse_rpc_response(&line) {
                 ClientOutcome::Served(_) => &tally.served,
                 ClientOutcome::Refused(_) => &tally.refused,
                 _ => &tally.failed,
--- a/src/testkit/scale/testbed.rs
+++ b/src/testkit/scale/testbed.rs
@@ -138,7 +138,7 @@
     /// One figure of the second address.
     async fn figure(&self, name: &str) -> Result<u64, String> {
         let console = self.daemon.console.ok_or("no second address")?;
-        let said = clients::call(console, "GET", "/metrics").await;
+        let said = clients::call_admin(console, "GET", "/metrics").await;
         let (_, text) = said
             .filter(|(status, _)| *status == 200)
             .ok_or("the second address does not answer")?;
--- a/src/testkit/scenario/mod.rs
+++ b/src/testkit/scenario/mod.rs
@@ -52,7 +52,7 @@
 //! | `counter NAME VALUE` | compares a counter, after `ended` |
 mod deployment;
 
-use super::clients::{self, ClientOutcome, PersistentClient};
+use super::clients::{self, ClientOutcome, PersistentClient, RpcRequest};
 use super::coordinator::{self, Coordinator};
 use super::daemon::{self, Daemon, KINDS, ZONES, free_addr};
 use super::directory::Directory;
@@ -306,7 +306,7 @@
                     .and_then(|d| d.console)
                     .ok_or("no second address")?;
                 let wanted = number(status)?;
-                while clients::call(console, method, path)
+                while clients::call_admin(console, method, path)
                     .await
                     .is_none_or(|(s, _)| u64::from(s) != wanted)
                 {
@@ -330,7 +330,7 @@
                     value.to_owned()
                 };
                 let wanted = format!("app.{name}:{value}|");
-                while clients::call(console, "GET", "/metrics")
+                while clients::call_admin(console, "GET", "/metrics")
                     .await
                     .is_none_or(|(_, text)| !text.lines().any(|line| line.starts_with(&wanted)))
                 {
@@ -356,14 +356,14 @@
                 let key = format!("{:016x}", self.queries.len() + 1);
                 let (kept, rest) = self.kept.get_mut(kept).ok_or("no such client")?;
                 let got = Rc::<RefCell<Option<ClientOutcome>>>::default();
-                let asked = (
+                let asked = RpcRequest {
                     class,
-                    key.as_str(),
+                    key: key.as_str(),
                     tenant,
-                    number(wait)?,
-                    statement.as_str(),
-                );
-                let left = kept.ask(asked, got.clone(), if how == "begin" { 2 } else { 1 });
+                    wait_ms: number(wait)?,
+                    statement: statement.as_str(),
+                };
+                let left = kept.request(&asked, got.clone(), if how == "begin" { 2 } else { 1 });
                 rest.extend(left);
                 self.queries.insert(
                     name.to_owned(),
@@ -445,7 +445,14 @@
                         }
                         let key = format!("{:016x}", 0x5000_0000 + at);
                         let statement = format!("SELECT 1 /* {name}{at} */");
-                        lane.ask((&class, &key, &tenant, wait, &statement), end, 1);
+                        let request = RpcRequest {
+                            class: &class,
+                            key: &key,
+                            tenant: &tenant,
+                            wait_ms: wait,
+                            statement: &statement,
+                        };
+                        lane.request(&request, end, 1);
                         pause(gap).await;
                     }
                     // They stay until the last answer.
@@ -485,7 +492,10 @@
                     (_, "http") => clients::PING,
                     _ => clients::STATUS,
                 };
-                let one = |_| self.executor.spawn(clients::mute(addr, hello));
+                let one = |_| {
+                    self.executor
+                        .spawn(clients::send_and_wait_for_close(addr, hello))
+                };
                 self.mute
                     .insert(name.to_owned(), (0..number(count)?).map(one).collect());
             }
@@ -648,7 +658,7 @@
                     _ => line,
                 };
                 self.executor.spawn(async move {
-                    let ended = clients::rpc_or_leave(listen, &line, &leave).await;
+                    let ended = clients::rpc_with_disconnect(listen, &line, &leave).await;
                     *end.borrow_mut() = Some(ended);
                 })
             }
@@ -659,7 +669,7 @@
                     clients::http_request(user, key, &params, &named(statement)),
                 );
                 self.executor.spawn(async move {
-                    let ended = clients::http_or_leave(addr, &request, &leave).await;
+                    let ended = clients::http_with_disconnect(addr, &request, &leave).await;
                     *end.borrow_mut() = Some(ended);
                 })
             }
--- a/tests/scale_fleet.rs
+++ b/tests/scale_fleet.rs
@@ -167,7 +167,7 @@
         .expect("no thread ended");
     assert_eq!((spread.hold, spread.asked), (8, 8));
     let alive = || {
-        let (status, body) = async_io::block_on(clients::call(console, "GET", "/fleet"))?;
+        let (status, body) = async_io::block_on(clients::call_admin(console, "GET", "/fleet"))?;
         let rows = body
             .lines()
             .filter_map(|line| serde_json::from_str::<Value>(line).ok());
