--- a/src/frontend/clickhouse/mod.rs
+++ b/src/frontend/clickhouse/mod.rs
@@ -3,11 +3,13 @@
 mod format;
 mod request;
 mod response;
+mod service;
+
+pub use service::ClickHouseShared;
 
 use super::input_buffer::InputBuffer;
 use super::{DisconnectReason, Frontend, FrontendEvent};
 use crate::clock::{Micros, SEC};
-use crate::config::clickhouse::{ClassRules, Users};
 use crate::dispatcher::termination::Termination;
 use crate::dispatcher::{Origin, Response};
 use crate::http::{self, Body, Head};
@@ -15,7 +17,6 @@
 use format::Format;
 use request::RequestHead;
 use response::Framing;
-use std::cell::RefCell;
 use std::rc::Rc;
 
 /// A longer statement is rejected; in bytes.
@@ -27,25 +28,6 @@
 /// The page at `/` and `/ping`.
 const PING_TEXT: &str = "Ok.\n";
 
-/// What all connections of this frontend share.
-pub struct ClickHouseShared {
-    /// Which statements belong to which class.
-    pub class_rules: RefCell<ClassRules>,
-    /// Which users belong to which tenant.
-    pub users: RefCell<Users>,
-    /// By class: how long its clients wait at most, over all attempts.
-    pub class_deadlines: RefCell<Vec<Micros>>,
-    /// By class: whether it is a load class, whose statements write.
-    pub load_classes: RefCell<Vec<bool>>,
-    /// Whether all engines of the pool know databases, and not qualified names only.
-    pub supports_databases: Box<dyn Fn() -> bool>,
-    /// Whether connections are being closed, so that each response announces the end of its
-    /// connection.
-    pub is_draining: Box<dyn Fn() -> bool>,
-    /// Makes an identifier for a request: 16 hex digits, unique.
-    pub new_request_id: Box<dyn Fn() -> String>,
-}
-
 /// A request whose body is being read.
 struct PartialRequest {
     head: Head,
--- a/src/frontend/clickhouse/request.rs
+++ b/src/frontend/clickhouse/request.rs
@@ -1,24 +1,13 @@
-//! From an HTTP request to a query: the parameters, the user's credentials, and the settings.
+//! The head of an HTTP request: the parameters, the user's credentials, and the settings in it.
 use super::error::QueryError;
 use super::format::Format;
-use super::{ClickHouseShared, MAX_STATEMENT_BYTES};
-use crate::clock::{MS, Micros, SEC};
-use crate::dispatcher::{ClientRequest, Origin, Session};
 use crate::http::Head;
-use crate::policy::api::{ClassId, TenantId};
 use base64::prelude::{BASE64_STANDARD, Engine as _};
-use std::rc::Rc;
 
 /// The user of a request that names none.
 const DEFAULT_USER: &str = "default";
 /// The database that counts as none.
 const DEFAULT_DATABASE: &str = "default";
-/// The deadline of a class that has none configured.
-const FALLBACK_DEADLINE: Micros = SEC;
-/// The limit on `max_execution_time`, in seconds; it keeps the conversion within range.
-const MAX_EXECUTION_SECONDS: f64 = 1e6;
-const BYTES_PER_MB: u32 = 1 << 20;
-
 /// The head of an HTTP request, and the parameters of its URL.
 pub(super) struct RequestHead<'a> {
     pub(super) head: &'a Head,
@@ -36,7 +25,7 @@
     }
 
     /// The URL parameter as a number; zero counts as not set, as in ClickHouse.
-    fn number(&self, name: &str) -> Result<Option<f64>, QueryError> {
+    pub(super) fn number(&self, name: &str) -> Result<Option<f64>, QueryError> {
         let Some(text) = self.parameter(name) else {
             return Ok(None);
         };
@@ -48,20 +37,20 @@
         }
     }
 
-    fn format(&self) -> Result<Format, QueryError> {
+    pub(super) fn format(&self) -> Result<Format, QueryError> {
         let name = self
             .parameter("default_format")
             .or(self.head.field("x-clickhouse-format"));
         Format::from_name(name.unwrap_or_default()).ok_or(QueryError::UnknownFormat)
     }
 
-    fn database(&self) -> Option<&'a str> {
+    pub(super) fn database(&self) -> Option<&'a str> {
         self.parameter("database")
             .or(self.head.field("x-clickhouse-database"))
             .filter(|database| !database.is_empty() && *database != DEFAULT_DATABASE)
     }
 
-    fn credentials(&self) -> Result<Credentials, QueryError> {
+    pub(super) fn credentials(&self) -> Result<Credentials, QueryError> {
         let header = |name: &str| self.head.field(name).map(str::to_owned);
         if let Some(user) = header("x-clickhouse-user") {
             let key = header("x-clickhouse-key").unwrap_or_default();
@@ -77,9 +66,10 @@
     }
 }
 
-struct Credentials {
-    user: String,
-    key: String,
+/// How a user authenticates.
+pub(super) struct Credentials {
+    pub(super) user: String,
+    pub(super) key: String,
 }
 
 impl Credentials {
@@ -98,121 +88,3 @@
         })
     }
 }
-
-/// A query, as the request for the dispatcher, and what its response depends on.
-pub(super) struct ParsedQuery {
-    pub(super) request: ClientRequest,
-    pub(super) query_id: String,
-    pub(super) format: Format,
-}
-
-impl ClickHouseShared {
-    /// Authenticates the user and validates the query of an HTTP request.
-    pub(super) fn parse_query(
-        &self,
-        now: Micros,
-        origin: Origin,
-        head: &RequestHead<'_>,
-        body: Vec<u8>,
-    ) -> Result<ParsedQuery, QueryError> {
-        let credentials = head.credentials()?;
-        let tenant = self.authenticate(&credentials)?;
-        let statement = statement(head, body)?;
-        let format = head.format()?;
-        let database = head.database();
-        if database.is_some() && !(self.supports_databases)() {
-            return Err(QueryError::DatabaseUnsupported);
-        }
-        let class = self
-            .class_rules
-            .borrow()
-            .class(&credentials.user, &statement);
-        // Any statement may come by POST. GET is for statements that only read, since caches and
-        // proxies treat it so.
-        if head.head.first[0] == "GET" && self.is_load_class(class) {
-            return Err(QueryError::WriteNeedsPost);
-        }
-        let give_up_at = now + self.time_limit(class, head)?;
-        let memory_mb = head
-            .number("max_memory_usage")?
-            .map(|bytes| bytes / f64::from(BYTES_PER_MB));
-        let client_request_id = (self.new_request_id)();
-        let query_id = head
-            .parameter("query_id")
-            .filter(|id| !id.is_empty())
-            .unwrap_or(&client_request_id)
-            .to_owned();
-        let session = Session {
-            database: database.map(Into::into),
-            query_id: Some(query_id.as_str().into()),
-        };
-        let request = ClientRequest {
-            origin,
-            client_request_id: client_request_id.into(),
-            class,
-            tenant,
-            give_up_at,
-            work_estimate: None,
-            memory_mb,
-            repeated: false,
-            statement: statement.into(),
-            session: Some(Rc::new(session)),
-            idempotency_key: None,
-        };
-        Ok(ParsedQuery {
-            request,
-            query_id,
-            format,
-        })
-    }
-
-    fn authenticate(&self, credentials: &Credentials) -> Result<TenantId, QueryError> {
-        self.users
-            .borrow()
-            .find(&credentials.user, &credentials.key)
-            .ok_or(QueryError::AuthenticationFailed)?
-            .ok_or(QueryError::UserWithoutTenant)
-    }
-
-    fn is_load_class(&self, class: ClassId) -> bool {
-        let load_classes = self.load_classes.borrow();
-        load_classes
-            .get(usize::from(class.0))
-            .copied()
-            .unwrap_or(false)
-    }
-
-    /// How long the client waits: the class's deadline, or less if the request says so.
-    fn time_limit(&self, class: ClassId, head: &RequestHead<'_>) -> Result<Micros, QueryError> {
-        let class_deadline = self
-            .class_deadlines
-            .borrow()
-            .get(usize::from(class.0))
-            .copied()
-            .unwrap_or(FALLBACK_DEADLINE);
-        let requested = head
-            .number("max_execution_time")?
-            .map(|seconds| (seconds.min(MAX_EXECUTION_SECONDS) * SEC as f64) as Micros);
-        Ok(requested
-            .unwrap_or(class_deadline)
-            .min(class_deadline)
-            .max(MS))
-    }
-}
-
-/// The statement: it begins in the URL and continues in the body.
-fn statement(head: &RequestHead<'_>, body: Vec<u8>) -> Result<Vec<u8>, QueryError> {
-    let in_url = head.parameter("query").unwrap_or_default();
-    let mut statement = in_url.as_bytes().to_vec();
-    if !statement.is_empty() && !body.is_empty() {
-        statement.push(b'\n');
-    }
-    statement.extend(body);
-    if statement.iter().all(u8::is_ascii_whitespace) {
-        return Err(QueryError::EmptyQuery);
-    }
-    if statement.len() > MAX_STATEMENT_BYTES {
-        return Err(QueryError::StatementTooLong);
-    }
-    Ok(statement)
-}
--- /dev/null
+++ b/src/frontend/clickhouse/service.rs
@@ -0,0 +1,155 @@
+//! What all connections of the ClickHouse interface share, and how it turns an HTTP request into a
+//! query: authentication, the class, and the limits.
+use super::MAX_STATEMENT_BYTES;
+use super::error::QueryError;
+use super::format::Format;
+use super::request::{Credentials, RequestHead};
+use crate::clock::{MS, Micros, SEC};
+use crate::config::clickhouse::{ClassRules, Users};
+use crate::dispatcher::{ClientRequest, Origin, Session};
+use crate::policy::api::{ClassId, TenantId};
+use std::cell::RefCell;
+use std::rc::Rc;
+
+/// The deadline of a class that has none configured.
+const FALLBACK_DEADLINE: Micros = SEC;
+/// The limit on `max_execution_time`, in seconds; it keeps the conversion within range.
+const MAX_EXECUTION_SECONDS: f64 = 1e6;
+const BYTES_PER_MB: u32 = 1 << 20;
+
+/// What all connections of this frontend share.
+pub struct ClickHouseShared {
+    /// Which statements belong to which class.
+    pub class_rules: RefCell<ClassRules>,
+    /// Which users belong to which tenant.
+    pub users: RefCell<Users>,
+    /// By class: how long its clients wait at most, over all attempts.
+    pub class_deadlines: RefCell<Vec<Micros>>,
+    /// By class: whether it is a load class, whose statements write.
+    pub load_classes: RefCell<Vec<bool>>,
+    /// Whether all engines of the pool know databases, and not qualified names only.
+    pub supports_databases: Box<dyn Fn() -> bool>,
+    /// Whether connections are being closed, so that each response announces the end of its
+    /// connection.
+    pub is_draining: Box<dyn Fn() -> bool>,
+    /// Makes an identifier for a request: 16 hex digits, unique.
+    pub new_request_id: Box<dyn Fn() -> String>,
+}
+
+/// A query, as the request for the dispatcher, and what its response depends on.
+pub(super) struct ParsedQuery {
+    pub(super) request: ClientRequest,
+    pub(super) query_id: String,
+    pub(super) format: Format,
+}
+
+impl ClickHouseShared {
+    /// Authenticates the user and validates the query of an HTTP request.
+    pub(super) fn parse_query(
+        &self,
+        now: Micros,
+        origin: Origin,
+        head: &RequestHead<'_>,
+        body: Vec<u8>,
+    ) -> Result<ParsedQuery, QueryError> {
+        let credentials = head.credentials()?;
+        let tenant = self.authenticate(&credentials)?;
+        let statement = statement(head, body)?;
+        let format = head.format()?;
+        let database = head.database();
+        if database.is_some() && !(self.supports_databases)() {
+            return Err(QueryError::DatabaseUnsupported);
+        }
+        let class = self
+            .class_rules
+            .borrow()
+            .class(&credentials.user, &statement);
+        // Any statement may come by POST. GET is for statements that only read, since caches and
+        // proxies treat it so.
+        if head.head.first[0] == "GET" && self.is_load_class(class) {
+            return Err(QueryError::WriteNeedsPost);
+        }
+        let give_up_at = now + self.time_limit(class, head)?;
+        let memory_mb = head
+            .number("max_memory_usage")?
+            .map(|bytes| bytes / f64::from(BYTES_PER_MB));
+        let client_request_id = (self.new_request_id)();
+        let query_id = head
+            .parameter("query_id")
+            .filter(|id| !id.is_empty())
+            .unwrap_or(&client_request_id)
+            .to_owned();
+        let session = Session {
+            database: database.map(Into::into),
+            query_id: Some(query_id.as_str().into()),
+        };
+        let request = ClientRequest {
+            origin,
+            client_request_id: client_request_id.into(),
+            class,
+            tenant,
+            give_up_at,
+            work_estimate: None,
+            memory_mb,
+            repeated: false,
+            statement: statement.into(),
+            session: Some(Rc::new(session)),
+            idempotency_key: None,
+        };
+        Ok(ParsedQuery {
+            request,
+            query_id,
+            format,
+        })
+    }
+
+    fn authenticate(&self, credentials: &Credentials) -> Result<TenantId, QueryError> {
+        self.users
+            .borrow()
+            .find(&credentials.user, &credentials.key)
+            .ok_or(QueryError::AuthenticationFailed)?
+            .ok_or(QueryError::UserWithoutTenant)
+    }
+
+    fn is_load_class(&self, class: ClassId) -> bool {
+        let load_classes = self.load_classes.borrow();
+        load_classes
+            .get(usize::from(class.0))
+            .copied()
+            .unwrap_or(false)
+    }
+
+    /// How long the client waits: the class's deadline, or less if the request says so.
+    fn time_limit(&self, class: ClassId, head: &RequestHead<'_>) -> Result<Micros, QueryError> {
+        let class_deadline = self
+            .class_deadlines
+            .borrow()
+            .get(usize::from(class.0))
+            .copied()
+            .unwrap_or(FALLBACK_DEADLINE);
+        let requested = head
+            .number("max_execution_time")?
+            .map(|seconds| (seconds.min(MAX_EXECUTION_SECONDS) * SEC as f64) as Micros);
+        Ok(requested
+            .unwrap_or(class_deadline)
+            .min(class_deadline)
+            .max(MS))
+    }
+}
+
+/// The statement: it begins in the URL and continues in the body.
+fn statement(head: &RequestHead<'_>, body: Vec<u8>) -> Result<Vec<u8>, QueryError> {
+    let in_url = head.parameter("query").unwrap_or_default();
+    let mut statement = in_url.as_bytes().to_vec();
+    if !statement.is_empty() && !body.is_empty() {
+        statement.push(b'\n');
+    }
+    statement.extend(body);
+    if statement.iter().all(u8::is_ascii_whitespace) {
+        return Err(QueryError::EmptyQuery);
+    }
+    if statement.len() > MAX_STATEMENT_BYTES {
+        return Err(QueryError::StatementTooLong);
+    }
+    Ok(statement)
+}
--- a/tests/unit/jsonrpc.rs
+++ b/tests/unit/jsonrpc.rs
@@ -52,6 +52,13 @@
     )
 }
 
+fn as_request(event: &FrontendEvent) -> Option<&ClientRequest> {
+    match event {
+        FrontendEvent::Request(request) => Some(request),
+        _ => None,
+    }
+}
+
 /// What came of one input.
 #[derive(Default)]
 struct Fed {
@@ -67,11 +74,7 @@
     }
 
     fn requests(&self) -> Vec<&ClientRequest> {
-        let request = |event| match event {
-            &FrontendEvent::Request(ref request) => Some(request),
-            _ => None,
-        };
-        self.events.iter().filter_map(request).collect()
+        self.events.iter().filter_map(as_request).collect()
     }
 
     fn error_codes(&self) -> Vec<i64> {
