--- a/src/frontend/clickhouse/error.rs
+++ b/src/frontend/clickhouse/error.rs
@@ -62,36 +62,45 @@
     pub(super) name: &'static str,
 }
 
+impl ErrorReport {
+    fn new(status: u16, code: u32, name: &'static str) -> ErrorReport {
+        ErrorReport { status, code, name }
+    }
+}
+
 impl QueryError {
     /// The status and ClickHouse's code. A query that failed may have run, so none of its statuses
     /// is one at which client libraries retry by themselves.
     pub(super) fn report(self) -> ErrorReport {
-        let (status, code, name) = match self {
+        match self {
             QueryError::Malformed | QueryError::InvalidNumber | QueryError::InvalidUrl => {
-                (400, 27, "CANNOT_PARSE_INPUT_ASSERTION_FAILED")
+                ErrorReport::new(400, 27, "CANNOT_PARSE_INPUT_ASSERTION_FAILED")
             }
-            QueryError::StatementTooLong => (413, 307, "TOO_MANY_BYTES"),
-            QueryError::HeadTooLong => (431, 307, "TOO_MANY_BYTES"),
-            QueryError::Incomplete => (408, 209, "SOCKET_TIMEOUT"),
+            QueryError::StatementTooLong => ErrorReport::new(413, 307, "TOO_MANY_BYTES"),
+            QueryError::HeadTooLong => ErrorReport::new(431, 307, "TOO_MANY_BYTES"),
+            QueryError::Incomplete => ErrorReport::new(408, 209, "SOCKET_TIMEOUT"),
             QueryError::OutOfMemory | QueryError::PoolFull => {
-                (503, 202, "TOO_MANY_SIMULTANEOUS_QUERIES")
+                ErrorReport::new(503, 202, "TOO_MANY_SIMULTANEOUS_QUERIES")
             }
-            QueryError::UnsupportedTransferCoding => (501, 48, "NOT_IMPLEMENTED"),
-            QueryError::UnknownPath => (404, 60, "UNKNOWN_TABLE"),
-            QueryError::MethodNotAllowed => (405, 48, "NOT_IMPLEMENTED"),
-            QueryError::EmptyQuery => (400, 62, "SYNTAX_ERROR"),
-            QueryError::UnknownFormat => (400, 73, "UNKNOWN_FORMAT"),
-            QueryError::DatabaseUnsupported => (400, 48, "NOT_IMPLEMENTED"),
-            QueryError::WriteNeedsPost => (405, 164, "READONLY"),
-            QueryError::AuthenticationFailed => (401, 516, "AUTHENTICATION_FAILED"),
-            QueryError::UserWithoutTenant => (403, 497, "ACCESS_DENIED"),
-            QueryError::DeadlineExceeded => (500, 159, "TIMEOUT_EXCEEDED"),
-            QueryError::QueryIdInUse => (500, 216, "QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING"),
-            QueryError::NotSent => (500, 439, "CANNOT_SCHEDULE_TASK"),
-            QueryError::EngineError => (500, 1002, "UNKNOWN_EXCEPTION"),
-            QueryError::EngineConnectionLost => (500, 279, "ALL_CONNECTION_TRIES_FAILED"),
-        };
-        ErrorReport { status, code, name }
+            QueryError::UnsupportedTransferCoding => ErrorReport::new(501, 48, "NOT_IMPLEMENTED"),
+            QueryError::UnknownPath => ErrorReport::new(404, 60, "UNKNOWN_TABLE"),
+            QueryError::MethodNotAllowed => ErrorReport::new(405, 48, "NOT_IMPLEMENTED"),
+            QueryError::EmptyQuery => ErrorReport::new(400, 62, "SYNTAX_ERROR"),
+            QueryError::UnknownFormat => ErrorReport::new(400, 73, "UNKNOWN_FORMAT"),
+            QueryError::DatabaseUnsupported => ErrorReport::new(400, 48, "NOT_IMPLEMENTED"),
+            QueryError::WriteNeedsPost => ErrorReport::new(405, 164, "READONLY"),
+            QueryError::AuthenticationFailed => ErrorReport::new(401, 516, "AUTHENTICATION_FAILED"),
+            QueryError::UserWithoutTenant => ErrorReport::new(403, 497, "ACCESS_DENIED"),
+            QueryError::DeadlineExceeded => ErrorReport::new(500, 159, "TIMEOUT_EXCEEDED"),
+            QueryError::QueryIdInUse => {
+                ErrorReport::new(500, 216, "QUERY_WITH_SAME_ID_IS_ALREADY_RUNNING")
+            }
+            QueryError::NotSent => ErrorReport::new(500, 439, "CANNOT_SCHEDULE_TASK"),
+            QueryError::EngineError => ErrorReport::new(500, 1002, "UNKNOWN_EXCEPTION"),
+            QueryError::EngineConnectionLost => {
+                ErrorReport::new(500, 279, "ALL_CONNECTION_TRIES_FAILED")
+            }
+        }
     }
 }
 
