--- a/src/startup/clickhouse.rs
+++ b/src/startup/clickhouse.rs
@@ -68,13 +68,15 @@
             file_users: file_users.clone(),
             has_directory: self.directory.is_some(),
         };
-        let reader = self.directory.map(|directory| tenant_directory::Reader {
-            line: directory,
-            file: file_users,
-            tenants: self.tenants,
-            service: service.clone(),
-            core: context.dispatcher.clone(),
-        });
+        let reader = self
+            .directory
+            .map(|directory| tenant_directory::DirectoryReader {
+                config: directory,
+                file_users,
+                tenants: self.tenants,
+                frontend: service.clone(),
+                dispatcher: context.dispatcher.clone(),
+            });
         let connection = move |conn| ClickHouse::new(conn, service.clone());
         let shared = context.shared.clone();
         let dispatcher = context.dispatcher.clone();
@@ -83,7 +85,7 @@
             // Clients that connect before the first read wait in the listen queue. Their users would
             // be unknown otherwise.
             if let Some(mut reader) = reader {
-                let pause_s = reader.once().await;
+                let pause_s = reader.refresh().await;
                 shared.spawn(reader.run(pause_s));
             }
             serving.wait_until_open().await;
--- a/src/testkit/daemon/mod.rs
+++ b/src/testkit/daemon/mod.rs
@@ -115,7 +115,7 @@
 
     async fn becomes_ready(&mut self) -> bool {
         for _ in 0..MAX_READINESS_POLLS {
-            if clients::green(self.listen).await {
+            if clients::is_ready(self.listen).await {
                 return true;
             }
             if self.has_exited() {
@@ -156,7 +156,7 @@
         self.launch(program)?;
         let console = self.console.ok_or(DaemonError::NoAdminEndpoint)?;
         for _ in 0..MAX_READINESS_POLLS {
-            let response = clients::call(console, "GET", "/ready").await;
+            let response = clients::call_admin(console, "GET", "/ready").await;
             if response.is_some_and(|(status, _)| status == 200) {
                 return Ok(());
             }
--- a/src/testkit/scale/testbed.rs
+++ b/src/testkit/scale/testbed.rs
@@ -149,7 +149,7 @@
     /// One of the metrics on the daemon's admin endpoint.
     async fn metric(&self, name: &str) -> Result<u64, String> {
         let admin_address = self.daemon.console.ok_or("no second address")?;
-        let response = clients::call(admin_address, "GET", "/metrics").await;
+        let response = clients::call_admin(admin_address, "GET", "/metrics").await;
         let (_, text) = response
             .filter(|(status, _)| *status == 200)
             .ok_or("the second address does not answer")?;
--- a/src/testkit/scenario/connections.rs
+++ b/src/testkit/scenario/connections.rs
@@ -3,7 +3,7 @@
 use super::error::{StepError, expect};
 use super::queries::named_statement;
 use super::{PersistentConnection, Query, Stage, count, number};
-use crate::testkit::clients::{self, ClientOutcome, PersistentClient};
+use crate::testkit::clients::{self, ClientOutcome, PersistentClient, RpcRequest};
 use crate::testkit::{Executor, eventually, pause};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -222,19 +222,21 @@
     ) -> Result<(), StepError> {
         let client_request_id = self.next_client_request_id();
         let connection = self.connection_mut(connection)?;
-        let outcome = clients::End::default();
-        let request = (
-            query.class,
-            client_request_id.as_str(),
-            query.tenant,
-            query.wait_millis,
-            query.statement.as_str(),
-        );
+        let outcome = clients::PendingOutcome::default();
+        let request = RpcRequest {
+            class: query.class,
+            key: &client_request_id,
+            tenant: query.tenant,
+            wait_ms: query.wait_millis,
+            statement: &query.statement,
+        };
         let portions = match portion {
             Portion::Whole => 1,
             Portion::FirstHalf => 2,
         };
-        let rest = connection.client.ask(request, outcome.clone(), portions);
+        let rest = connection
+            .client
+            .request(&request, outcome.clone(), portions);
         connection.unsent.extend(rest);
         let query_state = Query {
             task: None,
@@ -282,7 +284,10 @@
             (Greeting::Status, Listener::Http) => clients::PING,
             (Greeting::Status, Listener::JsonRpc | Listener::Admin) => clients::STATUS,
         };
-        let client = |_| self.executor.spawn(clients::mute(addr, greeting));
+        let client = |_| {
+            self.executor
+                .spawn(clients::send_and_wait_for_close(addr, greeting))
+        };
         let tasks = (0..clients).map(client).collect();
         self.idle_clients.insert(name.to_owned(), tasks);
         Ok(())
@@ -299,7 +304,8 @@
 
     fn start_stream(&mut self, stream: &QueryStream<'_>) -> Result<(), StepError> {
         let addr = self.daemon()?.listen;
-        let outcomes: Vec<clients::End> = (0..stream.queries).map(|_| Default::default()).collect();
+        let outcomes: Vec<clients::PendingOutcome> =
+            (0..stream.queries).map(|_| Default::default()).collect();
         self.streams
             .entry(stream.name.to_owned())
             .or_default()
@@ -353,7 +359,7 @@
     }
 
     /// Sends the queries in turn on its connections, which stay open until the last response.
-    async fn run(self, outcomes: Vec<clients::End>) {
+    async fn run(self, outcomes: Vec<clients::PendingOutcome>) {
         let mut connections: Vec<PersistentClient> =
             (0..STREAM_CONNECTIONS).map(|_| self.connect()).collect();
         for (index, outcome) in outcomes.into_iter().enumerate() {
@@ -364,14 +370,14 @@
             }
             let client_request_id = format!("{:016x}", FIRST_STREAM_REQUEST_ID + index);
             let statement = format!("SELECT 1 /* {}{index} */", self.name);
-            let request = (
-                self.class.as_str(),
-                client_request_id.as_str(),
-                self.tenant.as_str(),
-                self.wait_millis,
-                statement.as_str(),
-            );
-            connection.ask(request, outcome, 1);
+            let request = RpcRequest {
+                class: &self.class,
+                key: &client_request_id,
+                tenant: &self.tenant,
+                wait_ms: self.wait_millis,
+                statement: &statement,
+            };
+            connection.request(&request, outcome, 1);
             pause(self.gap_millis).await;
         }
         std::future::pending::<()>().await;
--- a/src/testkit/scenario/daemon.rs
+++ b/src/testkit/scenario/daemon.rs
@@ -176,7 +176,7 @@
     async fn call_admin(&self, method: &str, path: &str, status: u64) -> Result<(), StepError> {
         let addr = self.admin_addr()?;
         loop {
-            let response = clients::call(addr, method, path).await;
+            let response = clients::call_admin(addr, method, path).await;
             if response.is_some_and(|(found, _)| u64::from(found) == status) {
                 return Ok(());
             }
@@ -198,7 +198,7 @@
         };
         let expected = format!("app.{name}:{value}|");
         loop {
-            let response = clients::call(addr, "GET", "/metrics").await;
+            let response = clients::call_admin(addr, "GET", "/metrics").await;
             let has_value = |text: &str| text.lines().any(|line| line.starts_with(&expected));
             if response.is_some_and(|(_, text)| has_value(&text)) {
                 return Ok(());
--- a/src/testkit/scenario/mod.rs
+++ b/src/testkit/scenario/mod.rs
@@ -172,7 +172,7 @@
 struct Query {
     /// Its client, unless that is a connection of its own; dropped to disconnect it.
     task: Option<Task<()>>,
-    outcome: clients::End,
+    outcome: clients::PendingOutcome,
     /// Set to make its client disconnect once it has read a byte of the response.
     disconnects: Rc<Cell<bool>>,
     /// Whether its outcome was reported.
@@ -206,7 +206,7 @@
     occupied_port: Option<TcpListener>,
     queries: BTreeMap<String, Query>,
     persistent: BTreeMap<String, PersistentConnection>,
-    streams: BTreeMap<String, Vec<clients::End>>,
+    streams: BTreeMap<String, Vec<clients::PendingOutcome>>,
     idle_clients: BTreeMap<String, Vec<Task<()>>>,
     /// Clients that run until the end of the scenario.
     background: Vec<Task<()>>,
--- a/src/testkit/scenario/queries.rs
+++ b/src/testkit/scenario/queries.rs
@@ -221,10 +221,13 @@
 
     fn ask_json_rpc(&mut self, name: &str, line: Vec<u8>) -> Result<(), StepError> {
         let addr = self.daemon()?.listen;
-        let (outcome, disconnects) = (clients::End::default(), Rc::<Cell<bool>>::default());
+        let (outcome, disconnects) = (
+            clients::PendingOutcome::default(),
+            Rc::<Cell<bool>>::default(),
+        );
         let (result, leaves) = (outcome.clone(), disconnects.clone());
         let task = self.executor.spawn(async move {
-            let ended = clients::rpc_or_leave(addr, &line, &leaves).await;
+            let ended = clients::rpc_with_disconnect(addr, &line, &leaves).await;
             *result.borrow_mut() = Some(ended);
         });
         self.add_query(name, task, outcome, disconnects);
@@ -234,10 +237,13 @@
     fn ask_http(&mut self, name: &str, request: Vec<u8>) -> Result<(), StepError> {
         self.daemon()?;
         let addr = self.http_addr;
-        let (outcome, disconnects) = (clients::End::default(), Rc::<Cell<bool>>::default());
+        let (outcome, disconnects) = (
+            clients::PendingOutcome::default(),
+            Rc::<Cell<bool>>::default(),
+        );
         let (result, leaves) = (outcome.clone(), disconnects.clone());
         let task = self.executor.spawn(async move {
-            let ended = clients::http_or_leave(addr, &request, &leaves).await;
+            let ended = clients::http_with_disconnect(addr, &request, &leaves).await;
             *result.borrow_mut() = Some(ended);
         });
         self.add_query(name, task, outcome, disconnects);
@@ -248,7 +254,7 @@
         &mut self,
         name: &str,
         task: Task<()>,
-        outcome: clients::End,
+        outcome: clients::PendingOutcome,
         disconnects: Rc<Cell<bool>>,
     ) {
         let query = Query {
