--- a/src/class_registry/mod.rs
+++ b/src/class_registry/mod.rs
@@ -1,156 +1,195 @@
-//! Generations of settings: which slot each class has, across new configurations. Pure.
+//! The registry of request classes across configuration reloads. Pure.
 //!
-//! A slot is a [`ClassId`]: what the module, its queues and the connections to engines know a class
-//! by. It keeps its meaning for as long as anything open refers to it.
+//! Every class has a slot, whose number is its [`ClassId`]: the id by which the decision module, its
+//! queues and the connections to engines refer to the class. Each reload is a new generation of the
+//! registry. A slot keeps its class for as long as a request refers to it, also when a later
+//! generation no longer contains the class; only then is the slot reused.
 use crate::policy::api::{ClassId, ClassSpec};
 use std::rc::Rc;
 
-/// A class under its name.
+/// A class with its name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// What clients and engines call it.
+    /// The name by which clients and engines refer to it.
     pub name: Rc<str>,
-    /// Its rules.
+    /// Its settings.
     pub spec: ClassSpec,
 }
 
+/// The place of a class in the registry.
 struct Slot {
     class: Class,
-    /// The generation that dropped it, if one did.
-    dropped: Option<u64>,
-    open: usize,
+    /// The generation that retired the class; `None` while the class is in force.
+    retired_in: Option<u64>,
+    /// Requests of the class that have attempts in flight or no final response.
+    open_requests: usize,
 }
 
-/// The classes of all generations that still count.
+impl Slot {
+    fn new(class: Class) -> Slot {
+        Slot {
+            class,
+            retired_in: None,
+            open_requests: 0,
+        }
+    }
+
+    fn is_in_force(&self) -> bool {
+        self.retired_in.is_none()
+    }
+
+    /// Whether this class is in force, with the same name and the same settings.
+    fn has_in_force(&self, class: &Class) -> bool {
+        self.is_in_force() && self.class == *class
+    }
+
+    /// Whether the slot may get another class. A class that the current generation retired keeps
+    /// its slot, as a request that was already read may still refer to it.
+    fn is_free(&self, generation: u64) -> bool {
+        self.open_requests == 0 && self.retired_in.is_some_and(|retired| retired < generation)
+    }
+}
+
+/// The classes in force, and the retired ones that are still referred to.
 #[derive(Default)]
 pub struct ClassRegistry {
-    number: u64,
+    generation: u64,
     slots: Vec<Slot>,
 }
 
-/// A slot that a new generation fills, and the slot whose teachings pass to it.
+/// A slot that a new generation gave to a new or changed class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NewSlot {
     /// The slot.
     pub slot: ClassId,
-    /// Whose class it follows.
-    pub heir_of: Option<ClassId>,
+    /// The slot of the class whose learned estimates the new class starts with, if there is one.
+    pub predecessor: Option<ClassId>,
 }
 
 impl ClassRegistry {
-    /// The first generation: each class in its place.
+    /// The first generation: the id of each class is its position.
     pub fn new(classes: Vec<Class>) -> ClassRegistry {
-        let slot = |class| Slot {
-            class,
-            dropped: None,
-            open: 0,
-        };
         ClassRegistry {
-            number: 1,
-            slots: classes.into_iter().map(slot).collect(),
+            generation: 1,
+            slots: classes.into_iter().map(Slot::new).collect(),
         }
     }
 
-    /// How many there have been.
-    pub fn number(&self) -> u64 {
-        self.number
-    }
-
-    /// The class in a slot, whether it is in force or only still in use.
+    /// The class of this id, whether it is in force or retired.
     pub fn class(&self, id: ClassId) -> Option<&Class> {
         self.slots.get(usize::from(id.0)).map(|slot| &slot.class)
     }
 
-    /// All slots, in order, and whether each is in force.
+    /// The classes of all slots by their ids, each with whether it is in force.
     pub fn slots(&self) -> impl Iterator<Item = (&Class, bool)> {
         self.slots
             .iter()
-            .map(|slot| (&slot.class, slot.dropped.is_none()))
+            .map(|slot| (&slot.class, slot.is_in_force()))
     }
 
-    /// The slot of the class of that name that is in force.
+    /// The id of the class in force that has this name.
     pub fn find(&self, name: &str) -> Option<ClassId> {
-        let at = self
-            .slots
+        self.slots
             .iter()
-            .position(|s| s.dropped.is_none() && *s.class.name == *name)?;
-        Some(ClassId(at as u16))
+            .position(|slot| slot.is_in_force() && *slot.class.name == *name)
+            .map(class_id)
     }
 
-    /// A request of that class is open from now on.
-    pub fn opened(&mut self, id: ClassId) {
+    /// A request refers to this class from now on.
+    pub fn request_opened(&mut self, id: ClassId) {
         if let Some(slot) = self.slots.get_mut(usize::from(id.0)) {
-            slot.open += 1;
+            slot.open_requests += 1;
         }
     }
 
-    /// One of them is over, with all that was out for it.
-    pub fn closed(&mut self, id: ClassId) {
+    /// A request that referred to this class is finished, with all its attempts.
+    pub fn request_closed(&mut self, id: ClassId) {
         if let Some(slot) = self.slots.get_mut(usize::from(id.0)) {
-            slot.open = slot.open.saturating_sub(1);
+            slot.open_requests = slot.open_requests.saturating_sub(1);
         }
     }
 
-    /// A new generation, whose classes have different names. Tells which slots it fills.
-    pub fn next(&mut self, classes: Vec<Class>) -> Vec<NewSlot> {
-        self.number += 1;
-        let was: Vec<usize> = (0..self.slots.len())
-            .filter(|at| self.slots[*at].dropped.is_none())
-            .collect();
-        let same = |slot: &Slot, class: &Class| slot.dropped.is_none() && slot.class == *class;
-        for &at in &was {
-            if !classes.iter().any(|class| same(&self.slots[at], class)) {
-                self.slots[at].dropped = Some(self.number);
-            }
-        }
-        let mut fresh = Vec::new();
+    /// Begins a new generation with these classes, whose names must differ from one another.
+    /// Returns the slots of the classes that are new or changed; an unchanged class keeps its slot.
+    pub fn replace_classes(&mut self, classes: Vec<Class>) -> Vec<NewSlot> {
+        self.generation += 1;
+        let previous = self.slots_in_force();
+        self.retire_missing(&previous, &classes);
+        let mut new_slots = Vec::new();
         for class in classes {
-            if self.slots.iter().any(|slot| same(slot, &class)) {
+            if self.slots.iter().any(|slot| slot.has_in_force(&class)) {
                 continue;
             }
-            let heir_of = self.follows(&was, &class).map(|at| ClassId(at as u16));
-            // What this generation drops may still be named by a request on its way in.
-            let free = |s: &Slot| s.open == 0 && s.dropped.is_some_and(|at| at < self.number);
-            let slot = Slot {
-                class,
-                dropped: None,
-                open: 0,
-            };
-            let at = self.slots.iter().position(free).unwrap_or(self.slots.len());
-            if at < self.slots.len() {
-                self.slots[at] = slot;
-            } else {
+            let predecessor = self.predecessor(&previous, &class).map(class_id);
+            let slot = class_id(self.insert(class));
+            new_slots.push(NewSlot { slot, predecessor });
+        }
+        new_slots
+    }
+
+    fn slots_in_force(&self) -> Vec<usize> {
+        (0..self.slots.len())
+            .filter(|index| self.slots[*index].is_in_force())
+            .collect()
+    }
+
+    /// Retires the classes of the previous generation that the new one lacks or changes.
+    fn retire_missing(&mut self, previous: &[usize], classes: &[Class]) {
+        for &index in previous {
+            let slot = &mut self.slots[index];
+            if !classes.iter().any(|class| slot.has_in_force(class)) {
+                slot.retired_in = Some(self.generation);
+            }
+        }
+    }
+
+    /// Puts a class into the first free slot, or else into one more; returns the slot's index.
+    fn insert(&mut self, class: Class) -> usize {
+        let slot = Slot::new(class);
+        let free = self
+            .slots
+            .iter()
+            .position(|slot| slot.is_free(self.generation));
+        match free {
+            Some(index) => {
+                self.slots[index] = slot;
+                index
+            }
+            None => {
                 self.slots.push(slot);
+                self.slots.len() - 1
             }
-            fresh.push(NewSlot {
-                slot: ClassId(at as u16),
-                heir_of,
-            });
         }
-        fresh
     }
 
-    /// The class that a new one follows: the one of its name, else one whose work is alike.
-    fn follows(&self, was: &[usize], class: &Class) -> Option<usize> {
-        let alike = |at: &&usize| {
-            let (a, b) = (&self.slots[**at].class.spec, &class.spec);
-            let work = |s: &ClassSpec| {
-                (
-                    s.base_latency_objective,
-                    s.threads,
-                    s.is_load,
-                    s.waits_for_loads,
-                )
-            };
-            work(a) == work(b)
-        };
-        let named = was
+    /// The class of the previous generation that a new class resembles most: the one of the same
+    /// name, or else the first with the same kind of work.
+    fn predecessor(&self, previous: &[usize], class: &Class) -> Option<usize> {
+        let has_same_name = |index: &&usize| self.slots[**index].class.name == class.name;
+        let has_same_work =
+            |index: &&usize| same_work(&self.slots[**index].class.spec, &class.spec);
+        previous
             .iter()
-            .find(|at| self.slots[**at].class.name == class.name);
-        named.or_else(|| was.iter().find(alike)).copied()
+            .find(has_same_name)
+            .or_else(|| previous.iter().find(has_same_work))
+            .copied()
     }
 }
 
+/// Whether the queries of two classes are alike in their work, so that what was learned of one
+/// class is a good first estimate for the other.
+fn same_work(one: &ClassSpec, other: &ClassSpec) -> bool {
+    one.base_latency_objective == other.base_latency_objective
+        && one.threads == other.threads
+        && one.is_load == other.is_load
+        && one.waits_for_loads == other.waits_for_loads
+}
+
+/// The id of the class in the slot of this index.
+fn class_id(index: usize) -> ClassId {
+    ClassId(index as u16)
+}
+
 #[cfg(test)]
 #[path = "../../tests/unit/class_registry.rs"]
-mod model;
+mod tests;
--- a/src/dispatcher/attempts.rs
+++ b/src/dispatcher/attempts.rs
@@ -1,152 +1,282 @@
-//! Attempts of requests: sent past the ledger of the rules, given new terms, and given up.
-use super::*;
+//! Attempts: started within the invariants, given new options, cancelled, and ended.
+use super::in_flight::{InFlightAttempt, InFlightRequest, PossibleExecution};
+use super::termination::{Termination, never_ran, outcome};
+use super::{AttemptId, AttemptReply, AttemptResult, Command, Cost, Dispatcher, Response};
+use crate::audit::DecisionKind;
+use crate::clock::{Micros, nanos};
+use crate::policy::api::{
+    AttemptNo, Endpoint, EngineId, Event, LoadReport, Nanos, Outcome, OutcomeKind, Readiness,
+    RequestId,
+};
 
-/// What engines know by its key they may forget a little sooner than this side thinks.
-const WINDOW_MARGIN: Micros = 100 * MS;
+/// The highest priority that engines know.
+const MAX_PRIORITY: u8 = 3;
 
 impl Dispatcher {
-    /// The ledger of the rules on sends. What it stops comes back to the module as 'never sent'.
-    pub(super) fn send(
+    /// Starts an attempt if the invariants permit it. One that they do not permit is reported to
+    /// the decision module as never sent. `timeout` is that of the attempt, 0 for none.
+    pub(super) fn start_attempt(
         &mut self,
         now: Micros,
         id: RequestId,
         engine: EngineId,
         timeout: Nanos,
-        orders: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
-        let to = self
-            .engines
-            .get(&engine)
-            .copied()
-            .filter(|entry| entry.readiness == Readiness::Ready);
-        let Some(open) = self.open.get_mut(&id) else {
+        let ready_endpoint = self.ready_endpoint(engine);
+        let Some(request) = self.in_flight.get_mut(&id) else {
             return;
         };
-        let attempt = AttemptNo(open.attempts_started);
-        let may = to.filter(|to| open.may_send(now, to));
-        open.attempts_started = open.attempts_started.saturating_add(1);
-        let Some(Class { name, .. }) = self.generations.class(open.ask.class) else {
+        let attempt = AttemptId {
+            request: id,
+            attempt: AttemptNo(request.attempts_started),
+        };
+        let permitted = ready_endpoint.filter(|to| request.may_start_attempt(now, to));
+        request.attempts_started = request.attempts_started.saturating_add(1);
+        let Some(class) = self.class_registry.class(request.request.class) else {
             return;
         };
-        let until = match timeout {
-            0 => open.ask.deadline,
-            t => open.ask.deadline.min(now + micros(t)),
-        };
-        // Guards rule 2: a repeat that ran on past its key's window would be a second effect.
-        let until = open
-            .known_until()
-            .map_or(until, |at| until.min(at.saturating_sub(WINDOW_MARGIN)));
-        let Some(to) = may.filter(|_| until > now) else {
-            self.counters.stopped += 1;
-            let (kind, load, closed) = (OutcomeKind::NeverSent, LoadReport::default(), open.closed);
-            let none = Outcome {
-                id,
-                attempt,
-                engine,
-                kind,
-                latency: 0,
-                request_finished: closed,
-                work: None,
-                memory_mb: None,
-                load,
-            };
-            return self.tell(now, Event::Outcome(none), orders);
-        };
-        self.counters.attempts += 1;
-        self.counters.copies += u64::from(!open.outs.is_empty());
-        let late = open.outs.iter().filter(|out| out.stopping.is_none());
-        orders.extend(late.map(|out| Command::MarkSlow(out.to.id, id, out.attempt)));
-        open.outs.push(InFlightAttempt {
-            to,
-            attempt,
+        let deadline = request.attempt_deadline(now, timeout);
+        let Some(endpoint) = permitted.filter(|_| deadline > now) else {
+            let closed = request.closed;
+            return self.report_blocked_attempt(now, attempt, engine, closed, commands);
+        };
+        self.counters.attempts_started += 1;
+        self.counters.hedged_attempts += u64::from(!request.attempts.is_empty());
+        commands.extend(slow_attempts(id, request));
+        request.attempts.push(InFlightAttempt {
+            endpoint,
+            attempt: attempt.attempt,
             sent_at: now,
-            until,
-            stopping: None,
+            deadline,
+            cancel_reason: None,
         });
-        self.deadlines.insert((until, id));
-        let job = AttemptRequest {
-            id,
-            attempt,
-            client_connection: open.ask.origin.conn,
-            client_request_id: open.ask.client_request_id.clone(),
-            class: name.clone(),
-            statement: open.ask.statement.clone(),
-            session: open.ask.session.clone(),
-            must_not_repeat: open.idempotency == Idempotency::NonIdempotent,
-            idempotency_key: open
-                .ask
-                .idempotency_key
-                .clone()
-                .filter(|_| matches!(open.idempotency, Idempotency::WithKey { .. })),
-            deadline: until,
-            memory_mb: open.memory_mb,
-            priority: open.priority,
-        };
-        let of = open.ask.class;
-        self.note(
-            of,
-            &job.client_request_id,
-            DecisionKind::Dispatch(attempt.0, engine.0),
+        self.deadlines.insert((deadline, id));
+        let class_id = request.request.class;
+        let attempt_request = request.attempt_request(attempt, class.name.clone(), deadline);
+        self.record_decision(
+            class_id,
+            &attempt_request.client_request_id,
+            DecisionKind::Dispatch(attempt.attempt.0, engine.0),
         );
-        orders.push(Command::StartAttempt(engine, job));
+        commands.push(Command::StartAttempt {
+            engine,
+            request: attempt_request,
+        });
     }
 
-    /// Memory and priority of the next attempts, and at once the priority of those that are out.
-    /// What the settings do not heed is not sent.
-    pub(super) fn terms(
+    fn ready_endpoint(&self, engine: EngineId) -> Option<Endpoint> {
+        self.endpoints
+            .get(&engine)
+            .copied()
+            .filter(|endpoint| endpoint.readiness == Readiness::Ready)
+    }
+
+    fn report_blocked_attempt(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        engine: EngineId,
+        request_finished: bool,
+        commands: &mut Vec<Command>,
+    ) {
+        self.counters.blocked_actions += 1;
+        let outcome = Outcome {
+            id: attempt.request,
+            attempt: attempt.attempt,
+            engine,
+            kind: OutcomeKind::NeverSent,
+            latency: 0,
+            request_finished,
+            work: None,
+            memory_mb: None,
+            load: LoadReport::default(),
+        };
+        self.handle_event(now, Event::Outcome(outcome), commands);
+    }
+
+    /// Sets the memory and the priority of the request's next attempts, and changes the priority of
+    /// its active ones. Options that engines do not support are not sent.
+    pub(super) fn set_attempt_options(
         &mut self,
         id: RequestId,
         priority: u8,
         memory_mb: f64,
-        orders: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
-        let heeds = self.heeds;
-        let Some(open) = self.open.get_mut(&id) else {
+        let capabilities = self.capabilities;
+        let Some(request) = self.in_flight.get_mut(&id) else {
             return;
         };
-        open.memory_mb = if heeds.grants { memory_mb } else { 0.0 };
-        let urgency = Some(priority.min(MOST_URGENCY)).filter(|_| heeds.priorities);
-        if std::mem::replace(&mut open.priority, urgency) != urgency {
-            let out = open.outs.iter().filter(|out| out.stopping.is_none());
-            let bump = |out: &InFlightAttempt| {
-                urgency.map(|n| Command::Reprioritize(out.to.id, id, out.attempt, n))
-            };
-            orders.extend(out.filter_map(bump));
-        }
+        request.memory_mb = if capabilities.memory_grants {
+            memory_mb
+        } else {
+            0.0
+        };
+        let priority = Some(priority.min(MAX_PRIORITY)).filter(|_| capabilities.priorities);
+        let previous = std::mem::replace(&mut request.priority, priority);
+        let Some(priority) = priority.filter(|_| priority != previous) else {
+            return;
+        };
+        let active = request
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.is_active());
+        commands.extend(active.map(|attempt| Command::Reprioritize {
+            engine: attempt.endpoint.id,
+            attempt: AttemptId {
+                request: id,
+                attempt: attempt.attempt,
+            },
+            priority,
+        }));
     }
 
-    /// Gives up an attempt. Its end comes back from the engine's side, once it is surely given up
-    /// there: until then it counts as out.
-    pub(super) fn stop(
+    /// Cancels an attempt. It counts as in flight until the engine's side reports its end, since
+    /// until then it may still be executed.
+    pub(super) fn cancel_attempt(
         &mut self,
         id: RequestId,
         attempt: AttemptNo,
-        why: Termination,
-        orders: &mut Vec<Command>,
+        reason: Termination,
+        commands: &mut Vec<Command>,
     ) {
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(request) = self.in_flight.get_mut(&id) else {
             return;
         };
-        let out = open
-            .outs
+        let Some(in_flight) = request
+            .attempts
             .iter_mut()
-            .find(|out| out.attempt == attempt && out.stopping.is_none());
-        let Some(out) = out else { return };
-        out.stopping = Some(why);
-        let (engine, until) = (out.to.id, out.until);
-        if !open.due_at(until) {
-            self.deadlines.remove(&(until, id));
+            .find(|in_flight| in_flight.attempt == attempt && in_flight.is_active())
+        else {
+            return;
+        };
+        in_flight.cancel_reason = Some(reason);
+        let engine = in_flight.endpoint.id;
+        let deadline = in_flight.deadline;
+        if !request.has_attempt_deadline(deadline) {
+            self.deadlines.remove(&(deadline, id));
         }
-        orders.push(Command::CancelAttempt(engine, id, attempt));
+        commands.push(Command::CancelAttempt {
+            engine,
+            attempt: AttemptId {
+                request: id,
+                attempt,
+            },
+        });
     }
 
-    /// Gives up all that is out for a request.
-    pub(super) fn stop_all(&mut self, id: RequestId, why: Termination, orders: &mut Vec<Command>) {
-        let Some(open) = self.open.get(&id) else {
+    /// Cancels all attempts of a request.
+    pub(super) fn cancel_all_attempts(
+        &mut self,
+        id: RequestId,
+        reason: Termination,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(request) = self.in_flight.get(&id) else {
+            return;
+        };
+        let attempts: Vec<AttemptNo> = request
+            .attempts
+            .iter()
+            .map(|in_flight| in_flight.attempt)
+            .collect();
+        for attempt in attempts {
+            self.cancel_attempt(id, attempt, reason, commands);
+        }
+    }
+
+    /// An attempt ended. Only the first result of an attempt counts: a second one arrives if, for
+    /// instance, a timeout and the engine's reply cross.
+    pub fn attempt_finished(
+        &mut self,
+        now: Micros,
+        result: AttemptResult,
+        commands: &mut Vec<Command>,
+    ) {
+        let AttemptId {
+            request: id,
+            attempt,
+        } = result.attempt_id();
+        let Some(request) = self.in_flight.get_mut(&id) else {
+            self.counters.stray_results += 1;
             return;
         };
-        let all: Vec<AttemptNo> = open.outs.iter().map(|out| out.attempt).collect();
-        all.into_iter()
-            .for_each(|attempt| self.stop(id, attempt, why, orders));
+        let Some(ended) = request.remove_attempt(attempt) else {
+            self.counters.stray_results += 1;
+            return;
+        };
+        if !request.has_attempt_deadline(ended.deadline) {
+            self.deadlines.remove(&(ended.deadline, id));
+        }
+        // An attempt that this side cancelled ended for the reason of the cancellation.
+        let termination = match (result.termination, ended.cancel_reason) {
+            (Termination::Cancelled, Some(reason)) => reason,
+            (termination, _) => termination,
+        };
+        let kind = outcome(termination, result.progress);
+        *self
+            .counters
+            .attempts_by_termination
+            .entry(termination)
+            .or_default() += 1;
+        if !never_ran(kind) {
+            request.record_possible_execution(PossibleExecution {
+                endpoint: ended.endpoint,
+                sent_at: ended.sent_at,
+            });
+        }
+        request.last_termination = Some(termination);
+        self.report_outcome(now, id, &ended, kind, result.reply, commands);
+    }
+
+    /// Completes the request if the attempt succeeded, and informs the decision module.
+    fn report_outcome(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        ended: &InFlightAttempt,
+        kind: OutcomeKind,
+        reply: AttemptReply,
+        commands: &mut Vec<Command>,
+    ) {
+        let was_closed = self.in_flight.get(&id).is_none_or(|request| request.closed);
+        let succeeded = kind == OutcomeKind::Ok;
+        if succeeded && !was_closed {
+            self.close_request(id, Response::Completed(reply.rows), commands);
+        }
+        let cost = if self.capabilities.cost_reports && succeeded {
+            reply.cost
+        } else {
+            Cost::default()
+        };
+        let outcome = Outcome {
+            id,
+            attempt: ended.attempt,
+            engine: ended.endpoint.id,
+            kind,
+            latency: nanos(now.saturating_sub(ended.sent_at)),
+            request_finished: was_closed || succeeded,
+            work: cost.work.map(nanos),
+            memory_mb: cost.memory_mb,
+            load: reply.load,
+        };
+        self.handle_event(now, Event::Outcome(outcome), commands);
+        self.remove_if_finished(id);
     }
 }
+
+/// The messages to engines about active attempts beside which a hedged attempt is started.
+fn slow_attempts(id: RequestId, request: &InFlightRequest) -> impl Iterator<Item = Command> {
+    let active = request
+        .attempts
+        .iter()
+        .filter(|attempt| attempt.is_active());
+    active.map(move |attempt| Command::MarkSlow {
+        engine: attempt.endpoint.id,
+        attempt: AttemptId {
+            request: id,
+            attempt: attempt.attempt,
+        },
+    })
+}
--- /dev/null
+++ b/src/dispatcher/client_requests.rs
@@ -0,0 +1,173 @@
+//! Requests from clients: admission to the in-flight table, and cancellation.
+use super::in_flight::InFlightRequest;
+use super::termination::Termination;
+use super::timers::DEADLINE_GRACE;
+use super::{ClientRequest, Command, Dispatcher, Failure, Origin, Response};
+use crate::clock::{Micros, nanos};
+use crate::policy::api::{Event, Idempotency, Request, RequestId};
+use crate::statement;
+
+/// The `Retry-After` of a request that is rejected since the statements in flight have reached
+/// their limit.
+const RETRY_AFTER_STATEMENT_LIMIT: Micros = 500_000;
+
+/// How many attempts of an idempotent request may be in flight at the same time if hedging is
+/// enabled.
+const MAX_CONCURRENT_ATTEMPTS: usize = 2;
+
+impl Dispatcher {
+    /// A client sent a request. It is either admitted to the in-flight table or gets its final
+    /// response at once.
+    pub fn handle_request(
+        &mut self,
+        now: Micros,
+        request: ClientRequest,
+        commands: &mut Vec<Command>,
+    ) {
+        self.counters.received += 1;
+        match self.check_admission(&request) {
+            Ok(idempotency) => self.admit_request(now, request, idempotency, commands),
+            Err(response) => self.respond_without_admission(&request, response, commands),
+        }
+    }
+
+    /// Whether the request may be admitted: how it may be repeated, or else its final response.
+    fn check_admission(&self, request: &ClientRequest) -> Result<Idempotency, Response> {
+        // A second request from an origin that still waits would receive the first one's response.
+        let is_waiting = self.requests_by_origin.contains_key(&request.origin);
+        let Some(class) = self
+            .class_registry
+            .class(request.class)
+            .filter(|_| !is_waiting)
+        else {
+            return Err(Response::Failed(Failure::NotSent));
+        };
+        // Engines and clients tell requests apart by the client request id: a second request with
+        // the id of the first would pass for its next attempt, or take its response.
+        if self.known_request_ids.contains(&request.client_request_id) {
+            return Err(Response::Failed(Failure::InUse));
+        }
+        // The decision module does not know the length of statements, so this limit is applied
+        // here.
+        if self.statement_bytes + request.statement.len() > self.max_statement_bytes {
+            return Err(Response::Rejected(Some(RETRY_AFTER_STATEMENT_LIMIT)));
+        }
+        Ok(effective_idempotency(class.spec.idempotency, request))
+    }
+
+    fn admit_request(
+        &mut self,
+        now: Micros,
+        request: ClientRequest,
+        idempotency: Idempotency,
+        commands: &mut Vec<Command>,
+    ) {
+        self.last_request_id = self.last_request_id.wrapping_add(1);
+        let id = RequestId(self.last_request_id);
+        let event = Event::Request(policy_request(id, &request, idempotency));
+        self.known_request_ids
+            .insert(request.client_request_id.clone());
+        self.statement_bytes += request.statement.len();
+        self.class_registry.request_opened(request.class);
+        self.requests_by_origin.insert(request.origin, id);
+        self.deadlines
+            .insert((request.deadline + DEADLINE_GRACE, id));
+        let may_hedge = self.capabilities.hedging && idempotency != Idempotency::NonIdempotent;
+        let max_concurrent_attempts = if may_hedge {
+            MAX_CONCURRENT_ATTEMPTS
+        } else {
+            1
+        };
+        let in_flight = InFlightRequest::new(
+            request,
+            idempotency,
+            self.max_attempts,
+            max_concurrent_attempts,
+        );
+        self.in_flight.insert(id, in_flight);
+        self.handle_event(now, event, commands);
+    }
+
+    fn respond_without_admission(
+        &mut self,
+        request: &ClientRequest,
+        response: Response,
+        commands: &mut Vec<Command>,
+    ) {
+        self.count_response(request.class, &response);
+        self.record_response(request.class, &request.client_request_id, &response);
+        commands.push(Command::Respond {
+            origin: request.origin,
+            response,
+        });
+    }
+
+    /// The client stopped waiting for one request.
+    pub fn cancel_request(&mut self, now: Micros, origin: Origin, commands: &mut Vec<Command>) {
+        if let Some(id) = self.requests_by_origin.remove(&origin) {
+            self.counters.abandoned += 1;
+            self.abandon_request(now, id, commands);
+        }
+    }
+
+    /// A client connection closed, so that nobody waits for its requests any more.
+    pub fn client_disconnected(&mut self, now: Micros, conn: u64, commands: &mut Vec<Command>) {
+        let first = Origin { conn, tag: 0 };
+        let last = Origin {
+            conn,
+            tag: u64::MAX,
+        };
+        let origins: Vec<Origin> = self
+            .requests_by_origin
+            .range(first..=last)
+            .map(|(origin, _)| *origin)
+            .collect();
+        for origin in origins {
+            self.cancel_request(now, origin, commands);
+        }
+    }
+
+    fn abandon_request(&mut self, now: Micros, id: RequestId, commands: &mut Vec<Command>) {
+        let Some(request) = self.in_flight.get_mut(&id) else {
+            return;
+        };
+        request.closed = true;
+        self.deadlines
+            .remove(&(request.request.deadline + DEADLINE_GRACE, id));
+        self.handle_event(now, Event::ClientGone(id), commands);
+        self.cancel_all_attempts(id, Termination::Cancelled, commands);
+        self.remove_if_finished(id);
+    }
+}
+
+/// How a request may be repeated. Engines detect a duplicate by its idempotency key alone, so a
+/// request without a key must not be repeated where its class relies on one.
+fn effective_idempotency(of_class: Idempotency, request: &ClientRequest) -> Idempotency {
+    let needs_key = matches!(of_class, Idempotency::WithKey { .. });
+    if needs_key && request.idempotency_key.is_none() {
+        Idempotency::NonIdempotent
+    } else {
+        of_class
+    }
+}
+
+/// What the decision module learns of a request.
+fn policy_request(id: RequestId, request: &ClientRequest, idempotency: Idempotency) -> Request {
+    let session = request.session.as_ref();
+    let database = session.and_then(|session| session.database.as_deref());
+    // 0 stands for an unknown data set.
+    let data_set =
+        statement::group(&request.statement, database).map_or(0, |group| group.wrapping_add(1));
+    Request {
+        id,
+        class: request.class,
+        tenant: request.tenant,
+        key: None,
+        deadline: nanos(request.deadline),
+        work_hint: request.work_estimate.map(nanos),
+        memory_hint: request.memory_mb,
+        data_set,
+        is_retry: request.is_retry,
+        must_not_repeat: idempotency == Idempotency::NonIdempotent,
+    }
+}
--- a/src/dispatcher/in_flight.rs
+++ b/src/dispatcher/in_flight.rs
@@ -1,146 +1,219 @@
-//! The ledger of one request: what is out for it, what may have run, and what the rules then allow.
-//! Pure.
-use super::message::ClientRequest;
+//! The in-flight table's entry for one request: its attempts, which of them may have been executed,
+//! and which further attempts are therefore permitted. Pure: no input or output, no clock.
+use super::message::{AttemptId, AttemptRequest, ClientRequest};
 use super::termination::Termination;
-use crate::clock::{Micros, micros, nanos};
-use crate::policy::api::{AttemptNo, Endpoint, Idempotency};
+use crate::clock::{MS, Micros, micros, nanos};
+use crate::policy::api::{AttemptNo, Endpoint, Idempotency, Nanos};
 use crate::policy::state::{may_refuse, may_repeat};
+use std::rc::Rc;
 
-/// An attempt that is out.
-pub struct InFlightAttempt {
-    /// Where it went, as the list had that engine.
-    pub to: Endpoint,
-    /// Its number.
-    pub attempt: AttemptNo,
-    /// When it went.
-    pub sent_at: Micros,
-    /// When its time is up.
-    pub until: Micros,
-    /// Asked to stop: by the module, since another one was answered, or since its time was up.
-    pub stopping: Option<Termination>,
+/// Attempts under an idempotency key have to end this long before the key's window does, since an
+/// engine's clock may be ahead of ours and the engine then discards the key earlier.
+const IDEMPOTENCY_WINDOW_MARGIN: Micros = 100 * MS;
+
+/// An attempt that was started and whose result has not arrived.
+pub(super) struct InFlightAttempt {
+    /// The engine, as the endpoint list described it at the start.
+    pub(super) endpoint: Endpoint,
+    /// Its number within the request.
+    pub(super) attempt: AttemptNo,
+    /// When it was started.
+    pub(super) sent_at: Micros,
+    /// When it is cancelled if its result has not arrived.
+    pub(super) deadline: Micros,
+    /// Why it was cancelled, if it was. It still counts as in flight until the engine's side
+    /// confirms the cancellation with a result.
+    pub(super) cancel_reason: Option<Termination>,
 }
 
-/// The first attempt that may have run.
+impl InFlightAttempt {
+    /// Whether its result is still wanted.
+    pub(super) fn is_active(&self) -> bool {
+        self.cancel_reason.is_none()
+    }
+}
+
+/// An attempt that an engine may have executed.
 #[derive(Clone, Copy)]
-pub struct PossibleExecution {
-    /// Where it went.
-    pub on: Endpoint,
-    /// When it was sent.
-    pub sent_at: Micros,
+pub(super) struct PossibleExecution {
+    /// The engine, as the endpoint list described it at the start.
+    pub(super) endpoint: Endpoint,
+    /// When the attempt was started.
+    pub(super) sent_at: Micros,
 }
 
-/// A request that is open, or closed with something out.
-pub struct InFlightRequest {
-    /// As its front handed it in.
-    pub ask: ClientRequest,
-    /// What repeating this one may do: a request of a keyed class without a key must never run
-    /// twice.
-    pub idempotency: Idempotency,
-    /// Attempts so far.
-    pub attempts_started: u16,
-    /// Attempts that it may have.
-    pub max_attempts: u16,
-    /// Attempts that may be out together.
-    pub copies: usize,
-    /// What is out.
-    pub outs: Vec<InFlightAttempt>,
-    /// The first attempt that ended and may have run.
-    pub ran: Option<PossibleExecution>,
-    /// Memory to grant with the next attempt.
-    pub memory_mb: f64,
-    /// Its priority, where one was set.
-    pub priority: Option<u8>,
-    /// How its last attempt ended.
-    pub last_end: Option<Termination>,
-    /// The final answer was given, or the client left.
-    pub closed: bool,
+/// A request without its final response, or with a final response and attempts that have not ended.
+pub(super) struct InFlightRequest {
+    /// The request, as its frontend passed it on.
+    pub(super) request: ClientRequest,
+    /// Whether it may be executed more than once. A request without an idempotency key is
+    /// non-idempotent even if its class is idempotent by key.
+    pub(super) idempotency: Idempotency,
+    /// The number of attempts so far, those that were blocked included.
+    pub(super) attempts_started: u16,
+    /// The greatest permitted value of `attempts_started`.
+    pub(super) max_attempts: u16,
+    /// How many attempts may be in flight at the same time.
+    pub(super) max_concurrent_attempts: usize,
+    /// The attempts that have not ended.
+    pub(super) attempts: Vec<InFlightAttempt>,
+    /// Of the attempts that have ended and may have been executed, the one that was started first.
+    pub(super) first_execution: Option<PossibleExecution>,
+    /// Memory in MB to grant to the next attempt; 0 leaves it to the engine.
+    pub(super) memory_mb: f64,
+    /// The priority of its attempts, if the decision module set one.
+    pub(super) priority: Option<u8>,
+    /// How the attempt that ended last did so.
+    pub(super) last_termination: Option<Termination>,
+    /// The final response was given, or the client stopped waiting.
+    pub(super) closed: bool,
 }
 
 impl InFlightRequest {
-    /// A request that has just come.
-    pub fn new(
-        ask: ClientRequest,
+    /// A request that has just been admitted.
+    pub(super) fn new(
+        request: ClientRequest,
         idempotency: Idempotency,
         max_attempts: u16,
-        copies: usize,
+        max_concurrent_attempts: usize,
     ) -> InFlightRequest {
-        let (outs, ran, memory_mb, urgency) = (Vec::new(), None, 0.0, None);
-        let (sends, last_end, closed) = (0, None, false);
         InFlightRequest {
-            ask,
+            request,
             idempotency,
-            attempts_started: sends,
+            attempts_started: 0,
             max_attempts,
-            copies,
-            outs,
-            ran,
-            memory_mb,
-            priority: urgency,
-            last_end,
-            closed,
+            max_concurrent_attempts,
+            attempts: Vec::new(),
+            first_execution: None,
+            memory_mb: 0.0,
+            priority: None,
+            last_termination: None,
+            closed: false,
         }
     }
 
-    /// The first attempt that may have run, or is out.
-    fn first(&self) -> Option<PossibleExecution> {
-        let out = self.outs.iter().map(|out| PossibleExecution {
-            on: out.to,
-            sent_at: out.sent_at,
+    /// The earliest attempt that may have been executed; an attempt in flight may have been.
+    fn earliest_possible_execution(&self) -> Option<PossibleExecution> {
+        let in_flight = self.attempts.iter().map(|attempt| PossibleExecution {
+            endpoint: attempt.endpoint,
+            sent_at: attempt.sent_at,
         });
-        out.chain(self.ran).min_by_key(|ran| ran.sent_at)
+        in_flight
+            .chain(self.first_execution)
+            .min_by_key(|execution| execution.sent_at)
+    }
+
+    /// Notes that an attempt which has ended may have been executed.
+    pub(super) fn record_possible_execution(&mut self, execution: PossibleExecution) {
+        let is_first = self
+            .first_execution
+            .is_none_or(|first| execution.sent_at < first.sent_at);
+        if is_first {
+            self.first_execution = Some(execution);
+        }
+    }
+
+    /// Whether an attempt may be started at this engine now. Two attempts of a request are never
+    /// at the same engine: the protocols tell queries apart by the request's id, so a message about
+    /// one attempt would be taken for a message about the other.
+    pub(super) fn may_start_attempt(&self, now: Micros, endpoint: &Endpoint) -> bool {
+        let is_elsewhere = |attempt: &InFlightAttempt| attempt.endpoint.id != endpoint.id;
+        !self.closed
+            && self.attempts.len() < self.max_concurrent_attempts
+            && self.attempts.iter().all(is_elsewhere)
+            && self.attempts_started < self.max_attempts
+            && self.may_repeat_at(now, endpoint)
     }
 
-    /// Whether an attempt may go to that engine now: the rules on effects and on attempts out. Two
-    /// never go to one engine, which would take the word about one of them for the other.
-    pub fn may_send(&self, now: Micros, to: &Endpoint) -> bool {
-        let place = self.outs.len() < self.copies && self.outs.iter().all(|out| out.to.id != to.id);
-        !self.closed && place && self.attempts_started < self.max_attempts && self.repeats(now, to)
+    /// Whether executing the request at this engine cannot cause a second effect.
+    fn may_repeat_at(&self, now: Micros, endpoint: &Endpoint) -> bool {
+        self.earliest_possible_execution().is_none_or(|execution| {
+            may_repeat(
+                self.idempotency,
+                nanos(execution.sent_at),
+                Some((execution.endpoint, *endpoint)),
+                nanos(now),
+            )
+        })
     }
 
-    fn repeats(&self, now: Micros, to: &Endpoint) -> bool {
-        let Some(PossibleExecution { on, sent_at }) = self.first() else {
-            return true;
+    /// When engines may discard the idempotency key of the earliest possible execution, and with it
+    /// the ability to detect a duplicate. `None` if the request has no key or nothing was executed.
+    pub(super) fn idempotency_window_end(&self) -> Option<Micros> {
+        let Idempotency::WithKey { window, .. } = self.idempotency else {
+            return None;
         };
-        may_repeat(
-            self.idempotency,
-            nanos(sent_at),
-            Some((on, *to)),
-            nanos(now),
-        )
+        self.earliest_possible_execution()
+            .map(|execution| execution.sent_at.saturating_add(micros(window)))
+    }
+
+    /// The deadline of an attempt that starts now: that of the client, shortened by the timeout of
+    /// the attempt (0 for none) and by the window of the idempotency key. A repeat that were still
+    /// running when the window ends could cause a second effect.
+    pub(super) fn attempt_deadline(&self, now: Micros, timeout: Nanos) -> Micros {
+        let deadline = match timeout {
+            0 => self.request.deadline,
+            timeout => self.request.deadline.min(now + micros(timeout)),
+        };
+        self.idempotency_window_end().map_or(deadline, |end| {
+            deadline.min(end.saturating_sub(IDEMPOTENCY_WINDOW_MARGIN))
+        })
     }
 
-    /// Until when engines know a further attempt by its key as a repeat, if there was one that may
-    /// have run.
-    pub fn known_until(&self) -> Option<Micros> {
-        match (self.idempotency, self.first()) {
-            (Idempotency::WithKey { window, .. }, Some(ran)) => {
-                Some(ran.sent_at.saturating_add(micros(window)))
-            }
-            _ => None,
+    /// The message that starts an attempt. Only classes that are idempotent by key pass a key on.
+    pub(super) fn attempt_request(
+        &self,
+        attempt: AttemptId,
+        class: Rc<str>,
+        deadline: Micros,
+    ) -> AttemptRequest {
+        let uses_key = matches!(self.idempotency, Idempotency::WithKey { .. });
+        let key = self.request.idempotency_key.clone();
+        AttemptRequest {
+            id: attempt.request,
+            attempt: attempt.attempt,
+            client_connection: self.request.origin.conn,
+            client_request_id: self.request.client_request_id.clone(),
+            class,
+            statement: self.request.statement.clone(),
+            session: self.request.session.clone(),
+            must_not_repeat: self.idempotency == Idempotency::NonIdempotent,
+            idempotency_key: key.filter(|_| uses_key),
+            deadline,
+            memory_mb: self.memory_mb,
+            priority: self.priority,
         }
     }
 
-    /// Whether a refusal is honest.
-    pub fn may_refuse(&self) -> bool {
-        may_refuse(self.idempotency, self.first().is_some())
+    /// Whether the client may be told that the request was not executed and can be repeated.
+    pub(super) fn may_reject(&self) -> bool {
+        may_refuse(
+            self.idempotency,
+            self.earliest_possible_execution().is_some(),
+        )
     }
 
-    /// The attempt of that number, if it is out.
-    pub fn out(&self, attempt: AttemptNo) -> Option<&InFlightAttempt> {
-        self.outs.iter().find(|out| out.attempt == attempt)
+    /// The attempt of this number, if it is in flight.
+    pub(super) fn find_attempt(&self, attempt: AttemptNo) -> Option<&InFlightAttempt> {
+        self.attempts
+            .iter()
+            .find(|in_flight| in_flight.attempt == attempt)
     }
 
-    /// Takes that attempt off the book.
-    pub fn take_out(&mut self, attempt: AttemptNo) -> Option<InFlightAttempt> {
-        let at = self.outs.iter().position(|out| out.attempt == attempt)?;
-        Some(self.outs.remove(at))
+    /// Removes the attempt of this number, if it is in flight.
+    pub(super) fn remove_attempt(&mut self, attempt: AttemptNo) -> Option<InFlightAttempt> {
+        let position = self
+            .attempts
+            .iter()
+            .position(|in_flight| in_flight.attempt == attempt)?;
+        Some(self.attempts.remove(position))
     }
 
-    /// Whether another attempt has its time up at that moment.
-    pub fn due_at(&self, until: Micros) -> bool {
-        self.outs
+    /// Whether an active attempt has exactly this deadline.
+    pub(super) fn has_attempt_deadline(&self, deadline: Micros) -> bool {
+        self.attempts
             .iter()
-            .any(|out| out.until == until && out.stopping.is_none())
+            .any(|attempt| attempt.deadline == deadline && attempt.is_active())
     }
 }
 
--- a/src/dispatcher/message.rs
+++ b/src/dispatcher/message.rs
@@ -1,33 +1,45 @@
-//! What fronts, engines and the core tell one another, in no wire's terms.
+//! The messages between frontends, the dispatcher and engine connections, independent of any wire
+//! protocol.
 use super::termination::{Termination, TransmitProgress};
 use crate::clock::{MS, Micros};
-use crate::policy::api::{AttemptNo, ClassId, EngineId, LoadReport, RequestId, TenantId};
+use crate::policy::api::{
+    AttemptNo, ClassId, EngineId, LoadReport, OutcomeKind, RequestId, TenantId,
+};
 use std::rc::Rc;
 
-/// Which connection of which front a request came from, and the front's own mark for it there.
+/// Which client connection a request came from, and the frontend's tag for the request there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Origin {
-    /// The connection.
+    /// The number of the client connection.
     pub conn: u64,
-    /// The request on it.
+    /// Identifies the request on that connection.
     pub tag: u64,
 }
 
-/// What a client's session adds to a statement; not every engine knows of it.
+/// Identifies one attempt of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct AttemptId {
+    /// The request.
+    pub request: RequestId,
+    /// The number of the attempt within the request, from 0.
+    pub attempt: AttemptNo,
+}
+
+/// The client's session settings for a statement. Not every engine protocol can express them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Session {
-    /// Where names without a schema are looked up.
+    /// The database in which unqualified table names are resolved.
     pub database: Option<Rc<str>>,
-    /// The client's own name for the query.
+    /// The client's own identifier of the query.
     pub query_id: Option<Rc<str>>,
 }
 
-/// A request, as a front hands it in.
+/// A request, as a frontend passes it on.
 #[derive(Clone, Debug, Default)]
 pub struct ClientRequest {
-    /// Where the answer goes.
+    /// Where the response goes.
     pub origin: Origin,
-    /// The client's name for the request, passed on unchanged.
+    /// The client's identifier of the request, passed to engines unchanged.
     pub client_request_id: Rc<str>,
     /// Its class.
     pub class: ClassId,
@@ -35,111 +47,151 @@
     pub tenant: TenantId,
     /// When the client stops waiting.
     pub deadline: Micros,
-    /// The estimate of its work.
+    /// The client's estimate of its work: the time on one thread.
     pub work_estimate: Option<Micros>,
-    /// The estimate of its memory.
+    /// The client's estimate of its memory, in MB.
     pub memory_mb: Option<f64>,
-    /// The client said that it tried before.
+    /// The client declares this to be a retry of an earlier request.
     pub is_retry: bool,
-    /// What to run.
+    /// The statement to execute.
     pub statement: Rc<[u8]>,
-    /// What its session adds.
+    /// The session settings.
     pub session: Option<Rc<Session>>,
-    /// The key that all tries of one request carry, where its client gave one.
+    /// The idempotency key that all attempts and retries of the request carry, if the client sent
+    /// one.
     pub idempotency_key: Option<Rc<str>>,
 }
 
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Its time was up.
+    /// Its deadline passed.
     Deadline,
-    /// Its last attempt ended so.
+    /// Its last attempt ended like this.
     Attempt(Termination),
-    /// It was never sent.
+    /// No attempt was started.
     NotSent,
-    /// Its name is that of another request.
+    /// Another request with the same client request id is in flight, or ended a short while ago.
     InUse,
 }
 
-/// A final answer.
+/// A final response. Each request gets exactly one unless its client stopped waiting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
     /// All rows, as text with tabs and line feeds.
     Completed(Vec<u8>),
-    /// Trying again is harmless; after so long, if advice is given.
+    /// The request was not executed, so that it can safely be retried; after this time, if given.
     Rejected(Option<Micros>),
-    /// Nothing is promised.
+    /// The request may or may not have been executed.
     Failed(Failure),
-    /// One that another process gave and worded, on a connection that was passed to this one.
+    /// The bytes of a response that another process of this gateway formatted, for a connection
+    /// that was transferred to this one in a hot restart.
     Preformatted(Vec<u8>),
 }
 
-/// An attempt to start.
+/// An attempt to start at an engine.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptRequest {
     /// The request.
     pub id: RequestId,
-    /// The attempt.
+    /// The number of the attempt within the request.
     pub attempt: AttemptNo,
-    /// The client's connection, which is looked at once more before the first byte goes out.
+    /// The client's connection: if it closed before the first byte is written, the attempt is
+    /// cancelled instead.
     pub client_connection: u64,
-    /// The client's name for the request.
+    /// The client's identifier of the request.
     pub client_request_id: Rc<str>,
-    /// The name of its class.
+    /// The name of the request's class.
     pub class: Rc<str>,
-    /// What to run.
+    /// The statement to execute.
     pub statement: Rc<[u8]>,
-    /// What its session adds.
+    /// The session settings.
     pub session: Option<Rc<Session>>,
-    /// It must never run twice.
+    /// The request must not be executed twice.
     pub must_not_repeat: bool,
-    /// The key by which engines know a repeat of it.
+    /// The idempotency key by which engines detect a duplicate.
     pub idempotency_key: Option<Rc<str>>,
-    /// Its priority, where one was set and is heeded: 0 to 3.
+    /// The priority, 0 to 3, if one was set and engines support priorities.
     pub priority: Option<u8>,
-    /// When nobody waits for it any more.
+    /// When the attempt is cancelled if it has not ended.
     pub deadline: Micros,
     /// Memory to grant in MB; 0 leaves it to the engine.
     pub memory_mb: f64,
 }
 
-/// What the core wants done.
+/// What the dispatcher wants its caller to do, in this order.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Start an attempt.
-    StartAttempt(EngineId, AttemptRequest),
-    /// Give up an attempt; its end comes back.
-    CancelAttempt(EngineId, RequestId, AttemptNo),
-    /// Another attempt goes beside this one, which takes longer than it should.
-    MarkSlow(EngineId, RequestId, AttemptNo),
-    /// A new priority for an attempt that is out.
-    Reprioritize(EngineId, RequestId, AttemptNo, u8),
-    /// Probe an engine.
+    /// Start an attempt. Its end is reported by an [`AttemptResult`].
+    StartAttempt {
+        /// The engine.
+        engine: EngineId,
+        /// The attempt.
+        request: AttemptRequest,
+    },
+    /// Cancel an attempt. Its end is still reported by an [`AttemptResult`].
+    CancelAttempt {
+        /// The engine.
+        engine: EngineId,
+        /// The attempt.
+        attempt: AttemptId,
+    },
+    /// An attempt takes longer than expected, and a hedged attempt is about to be started.
+    MarkSlow {
+        /// The engine.
+        engine: EngineId,
+        /// The attempt that is slow.
+        attempt: AttemptId,
+    },
+    /// Change the priority of an attempt in flight.
+    Reprioritize {
+        /// The engine.
+        engine: EngineId,
+        /// The attempt.
+        attempt: AttemptId,
+        /// The new priority, 0 to 3.
+        priority: u8,
+    },
+    /// Send a load probe to an engine.
     Probe(EngineId),
     /// Close idle connections to an engine.
     CloseIdle(EngineId),
-    /// Give a final answer.
-    Respond(Origin, Response),
-    /// A line of the module for the log.
+    /// Send a final response to a client.
+    Respond {
+        /// The request.
+        origin: Origin,
+        /// The response.
+        response: Response,
+    },
+    /// Write a message of the decision module to the log.
     Log(String),
 }
 
-/// An attempt that ended.
+/// How an attempt ended.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
     /// The request.
     pub id: RequestId,
-    /// The attempt.
+    /// The number of the attempt within the request.
     pub attempt: AttemptNo,
-    /// How.
+    /// How it ended.
     pub termination: Termination,
-    /// How much of it went out.
+    /// How much of it had been written to the engine.
     pub progress: TransmitProgress,
-    /// What the engine replied; empty where it did not.
+    /// What the engine replied; the default if it did not.
     pub reply: AttemptReply,
 }
 
+impl AttemptResult {
+    /// The attempt that ended.
+    pub fn attempt_id(&self) -> AttemptId {
+        AttemptId {
+            request: self.id,
+            attempt: self.attempt,
+        }
+    }
+}
+
 /// The contents of an engine's reply to an attempt.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptReply {
@@ -151,29 +203,42 @@
     pub cost: Cost,
 }
 
-/// What an answer tells of the query's cost.
+/// How a load probe of an engine ended.
+#[derive(Clone, Copy, Debug)]
+pub struct ProbeOutcome {
+    /// The engine.
+    pub engine: EngineId,
+    /// Whether and how it failed.
+    pub kind: OutcomeKind,
+    /// From the request to the reply.
+    pub latency: Micros,
+    /// The load that the engine reported.
+    pub load: LoadReport,
+}
+
+/// The cost of one query, as its engine reported it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Work of all its threads.
+    /// The CPU time of all its threads.
     pub work: Option<Micros>,
-    /// Memory that it needed, in MB.
+    /// Its peak memory, in MB.
     pub memory_mb: Option<f64>,
 }
 
-/// Waits and costs in milliseconds, and memory in MB, are figures of one query: beyond this they
-/// are mistakes.
+/// The greatest credible figure of one query, whether milliseconds or MB: a day, or 86 TB. Greater
+/// figures are taken for errors of whoever reported them.
 pub const MAX_REPORTED_FIGURE: f64 = 86_400_000.0;
 
 impl Cost {
-    /// What an engine said: milliseconds of work, and MB. A figure that is missing, not positive,
-    /// not finite or absurd is as none.
+    /// The cost from an engine's report in milliseconds of work and MB of memory. A figure that is
+    /// not finite, not positive or above [`MAX_REPORTED_FIGURE`] is ignored.
     pub fn from_report(work_ms: Option<f64>, memory_mb: Option<f64>) -> Cost {
-        let sound =
+        let is_credible =
             |figure: &f64| figure.is_finite() && *figure > 0.0 && *figure <= MAX_REPORTED_FIGURE;
-        let work = work_ms.filter(sound).map(|ms| (ms * MS as f64) as Micros);
+        let to_micros = |work_ms: f64| (work_ms * MS as f64) as Micros;
         Cost {
-            work,
-            memory_mb: memory_mb.filter(sound),
+            work: work_ms.filter(is_credible).map(to_micros),
+            memory_mb: memory_mb.filter(is_credible),
         }
     }
 }
--- a/src/dispatcher/metrics.rs
+++ b/src/dispatcher/metrics.rs
@@ -1,125 +1,147 @@
-//! What the program has taken in, sent and answered. Printed on SIGUSR1 and at exit.
+//! Counters of requests, responses and attempts. Printed on SIGUSR1 and at exit, and published by
+//! the admin endpoint.
+use super::message::Response;
 use super::termination::Termination;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::rc::Rc;
 
-/// Final answers of one class.
+/// Final responses to requests of one class. The names are those of the admin endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassMetrics {
-    /// Served.
+    /// Completed.
     pub success: u64,
-    /// Refused.
+    /// Rejected.
     pub overload: u64,
     /// Failed.
     pub error: u64,
 }
 
-/// What operators are told, as of one moment.
+/// What the admin endpoint publishes, as of one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MetricsSnapshot {
-    /// Answers by the name of the class, also of classes that are no more.
+    /// Responses by the name of the class, including classes that are no longer configured.
     pub classes: BTreeMap<Rc<str>, ClassMetrics>,
-    /// Attempts written whole to engines.
+    /// Attempts completely written to engines.
     pub dispatches: u64,
-    /// Requests taken and not ended.
+    /// Requests received that have neither a response nor been abandoned.
     pub concurrent: u64,
-    /// Engines in the list.
+    /// Engines in the endpoint list.
     pub targets: u64,
-    /// Those of them that are avoided.
+    /// Those of them that are ejected or otherwise avoided.
     pub targets_disabled: u64,
-    /// New configurations taken.
+    /// Configurations that were reloaded.
     pub reload_success: u64,
-    /// Those turned down.
+    /// Configurations that were not valid.
     pub reload_failure: u64,
 }
 
-/// Counters of the core; the same for every front and every kind of engine.
+/// Counters of the dispatcher, the same for every frontend and every kind of engine.
+///
+/// [`fmt::Display`] prints the counters line, whose words are part of the operators' interface and
+/// differ from the names here.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests taken.
-    pub taken: u64,
-    /// Final answers 'served'.
-    pub served: u64,
-    /// Final answers 'refused'.
-    pub refused: u64,
-    /// Final answers 'failed'.
+    /// Requests received.
+    pub received: u64,
+    /// Final responses `Completed`.
+    pub completed: u64,
+    /// Final responses `Rejected`.
+    pub rejected: u64,
+    /// Final responses `Failed`.
     pub failed: u64,
-    /// Requests whose client left or withdrew before their answer.
-    pub gone: u64,
-    /// Attempts ordered.
-    pub attempts: u64,
-    /// Those of them that went while another one of their request was out.
-    pub copies: u64,
-    /// Attempts withdrawn.
-    pub withdrawn: u64,
-    /// Probes sent.
+    /// Requests whose client disconnected or cancelled before the response.
+    pub abandoned: u64,
+    /// Attempts started.
+    pub attempts_started: u64,
+    /// Those of them that were started while another attempt of the request was in flight.
+    pub hedged_attempts: u64,
+    /// Attempts that the decision module cancelled.
+    pub attempts_cancelled: u64,
+    /// Load probes that the decision module asked for.
     pub probes: u64,
-    /// Orders of the module that the ledger of the rules did not let pass.
-    pub stopped: u64,
-    /// Answers that came too late, or to nothing: dropped.
-    pub stray: u64,
-    /// Updates of the list of engines.
-    pub lists: u64,
-    /// Readings of the directory that succeeded.
-    pub directory_readings: u64,
-    /// Those that failed.
-    pub directory_failures: u64,
-    /// Readings of a new configuration that could be used.
+    /// Actions of the decision module that the invariants did not permit, and deadlines that it
+    /// missed.
+    pub blocked_actions: u64,
+    /// Results of attempts that are not in flight, which are dropped.
+    pub stray_results: u64,
+    /// Updates of the endpoint list.
+    pub endpoint_list_updates: u64,
+    /// Successful reads of the tenant directory.
+    pub directory_reads: u64,
+    /// Failed reads of the tenant directory.
+    pub directory_read_failures: u64,
+    /// Configurations that were reloaded.
     pub reloads: u64,
-    /// Those that could not, and left the old one in force.
+    /// Configurations that were not valid and left the previous one in force.
     pub reload_failures: u64,
-    /// Final answers by the name of the class, with those that a front gave without the core.
-    pub classes: BTreeMap<Rc<str>, ClassMetrics>,
-    /// How attempts ended.
-    pub ends: BTreeMap<Termination, u64>,
+    /// Final responses by the name of the class, including those that a frontend sent by itself.
+    pub responses_by_class: BTreeMap<Rc<str>, ClassMetrics>,
+    /// Attempts by how they ended.
+    pub attempts_by_termination: BTreeMap<Termination, u64>,
 }
 
 impl Counters {
-    /// Requests that wait for their answer.
+    /// Requests that wait for their response.
     pub fn open(&self) -> u64 {
-        self.taken - self.served - self.refused - self.failed - self.gone
+        self.received - self.completed - self.rejected - self.failed - self.abandoned
+    }
+
+    /// Lists classes with zero responses, so that their metrics exist before the first request.
+    pub(super) fn add_classes(&mut self, names: &[String]) {
+        for name in names {
+            let name = Rc::from(name.as_str());
+            self.responses_by_class.entry(name).or_default();
+        }
+    }
+
+    /// Counts a response to a request of this class.
+    pub(super) fn count_class_response(&mut self, class_name: &Rc<str>, response: &Response) {
+        let class = self
+            .responses_by_class
+            .entry(class_name.clone())
+            .or_default();
+        match response {
+            Response::Completed(_) => class.success += 1,
+            Response::Rejected(_) => class.overload += 1,
+            Response::Failed(_) => class.error += 1,
+            Response::Preformatted(_) => {}
+        }
+    }
+
+    /// The words of the counters line with their figures, in order.
+    fn line(&self) -> [(&'static str, u64); 17] {
+        [
+            ("taken", self.received),
+            ("served", self.completed),
+            ("refused", self.rejected),
+            ("failed", self.failed),
+            ("gone", self.abandoned),
+            ("open", self.open()),
+            ("attempts", self.attempts_started),
+            ("copies", self.hedged_attempts),
+            ("withdrawn", self.attempts_cancelled),
+            ("probes", self.probes),
+            ("stopped", self.blocked_actions),
+            ("stray", self.stray_results),
+            ("lists", self.endpoint_list_updates),
+            ("directory-readings", self.directory_reads),
+            ("directory-failures", self.directory_read_failures),
+            ("reloads", self.reloads),
+            ("reload-failures", self.reload_failures),
+        ]
     }
 }
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Counters {
-            taken,
-            served,
-            refused,
-            failed,
-            gone,
-            attempts,
-            copies,
-            withdrawn,
-            probes,
-            ..
-        } = self;
-        write!(
-            f,
-            "taken {taken} served {served} refused {refused} failed {failed} gone {gone} "
-        )?;
-        write!(
-            f,
-            "open {} attempts {attempts} copies {copies} ",
-            self.open()
-        )?;
-        write!(f, "withdrawn {withdrawn} probes {probes} ")?;
-        write!(f, "stopped {} stray {} ", self.stopped, self.stray)?;
-        write!(
-            f,
-            "lists {} directory-readings {} ",
-            self.lists, self.directory_readings
-        )?;
-        write!(
-            f,
-            "directory-failures {} reloads {} ",
-            self.directory_failures, self.reloads
-        )?;
-        write!(f, "reload-failures {} ends", self.reload_failures)?;
-        self.ends
-            .iter()
-            .try_for_each(|(end, n)| write!(f, " {end}:{n}"))
+        for (word, figure) in self.line() {
+            write!(f, "{word} {figure} ")?;
+        }
+        write!(f, "ends")?;
+        for (termination, count) in &self.attempts_by_termination {
+            write!(f, " {termination}:{count}")?;
+        }
+        Ok(())
     }
 }
--- a/src/dispatcher/responses.rs
+++ b/src/dispatcher/responses.rs
@@ -1,62 +1,116 @@
-//! Final answers: one each, and what is forgotten with them.
-use super::*;
+//! Final responses: exactly one a request, and the removal of requests that are finished.
+use super::termination::Termination;
+use super::timers::DEADLINE_GRACE;
+use super::{Command, Dispatcher, Failure, Response};
+use crate::clock::Micros;
+use crate::policy::api::{Event, RequestId};
+use std::rc::Rc;
+
+/// How many client request ids of finished requests are remembered, so that a new request cannot
+/// take the id of one about which engines may still send messages.
+const MAX_FINISHED_REQUEST_IDS: usize = 4_096;
+
+/// The `Retry-After` of requests that are rejected at shutdown: another gateway can serve them.
+const RETRY_AFTER_SHUTDOWN: Micros = 50_000;
 
 impl Dispatcher {
-    pub(super) fn refuse(&mut self, id: RequestId, after: Micros, orders: &mut Vec<Command>) {
-        let Some(open) = self.open.get(&id).filter(|open| !open.closed) else {
+    /// Rejects a request, with a `Retry-After` unless `retry_after` is 0. A rejection guarantees
+    /// that a retry is harmless, so a request that may have been executed fails instead.
+    pub(super) fn reject_request(
+        &mut self,
+        id: RequestId,
+        retry_after: Micros,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(request) = self.in_flight.get(&id).filter(|request| !request.closed) else {
             return;
         };
-        // Guards rule 2: a refusal promises that trying again is harmless.
-        if !open.may_refuse() {
-            self.counters.stopped += 1;
-            return self.fail(id, Failure::NotSent, orders);
+        if !request.may_reject() {
+            self.counters.blocked_actions += 1;
+            return self.fail_request(id, Failure::NotSent, commands);
+        }
+        let retry_after = Some(retry_after).filter(|after| *after > 0);
+        self.close_request(id, Response::Rejected(retry_after), commands);
+    }
+
+    /// Fails a request unless it has its final response.
+    pub(super) fn fail_request(
+        &mut self,
+        id: RequestId,
+        reason: Failure,
+        commands: &mut Vec<Command>,
+    ) {
+        let is_open = self
+            .in_flight
+            .get(&id)
+            .is_some_and(|request| !request.closed);
+        if is_open {
+            self.close_request(id, Response::Failed(reason), commands);
         }
-        self.close(
-            id,
-            Response::Rejected(Some(after).filter(|t| *t > 0)),
-            orders,
-        );
     }
 
-    pub(super) fn fail(&mut self, id: RequestId, why: Failure, orders: &mut Vec<Command>) {
-        if self.open.get(&id).is_some_and(|open| !open.closed) {
-            self.close(id, Response::Failed(why), orders);
+    /// Ends all requests, since the process is about to be killed: rejects those that another
+    /// gateway can serve, and fails the others.
+    pub fn fail_all(&mut self, now: Micros, commands: &mut Vec<Command>) {
+        let open: Vec<RequestId> = self
+            .in_flight
+            .iter()
+            .filter(|(_, request)| !request.closed)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in open {
+            self.reject_request(id, RETRY_AFTER_SHUTDOWN, commands);
+            self.handle_event(now, Event::ClientGone(id), commands);
         }
     }
 
-    pub(super) fn close(&mut self, id: RequestId, answer: Response, orders: &mut Vec<Command>) {
-        let Some(open) = self.open.get_mut(&id) else {
+    /// Sends the final response and cancels the attempts that are left.
+    pub(super) fn close_request(
+        &mut self,
+        id: RequestId,
+        response: Response,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(request) = self.in_flight.get_mut(&id) else {
             return;
         };
-        open.closed = true;
-        let (origin, class, at) = (open.ask.origin, open.ask.class, open.ask.deadline + GUARD);
-        let key = open.ask.client_request_id.clone();
-        self.count(class, &answer);
-        self.note_answer(class, &key, &answer);
-        self.origins.remove(&origin);
-        self.deadlines.remove(&(at, id));
-        orders.push(Command::Respond(origin, answer));
-        self.stop_all(id, Termination::Cancelled, orders);
-        self.forget(id);
+        request.closed = true;
+        let origin = request.request.origin;
+        let class = request.request.class;
+        let client_request_id = request.request.client_request_id.clone();
+        self.deadlines
+            .remove(&(request.request.deadline + DEADLINE_GRACE, id));
+        self.requests_by_origin.remove(&origin);
+        self.count_response(class, &response);
+        self.record_response(class, &client_request_id, &response);
+        commands.push(Command::Respond { origin, response });
+        self.cancel_all_attempts(id, Termination::Cancelled, commands);
+        self.remove_if_finished(id);
     }
 
-    /// Drops a request that is over and has nothing out.
-    pub(super) fn forget(&mut self, id: RequestId) {
-        if !self
-            .open
+    /// Removes a request that is closed and has no attempts in flight.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
+        let is_finished = self
+            .in_flight
             .get(&id)
-            .is_some_and(|open| open.closed && open.outs.is_empty())
-        {
+            .is_some_and(|request| request.closed && request.attempts.is_empty());
+        if !is_finished {
             return;
         }
-        let Some(open) = self.open.remove(&id) else {
+        let Some(finished) = self.in_flight.remove(&id) else {
             return;
         };
-        self.generations.closed(open.ask.class);
-        self.statements -= open.ask.statement.len();
-        self.past_keys.push_back(open.ask.client_request_id);
-        if self.past_keys.len() > MOST_PAST_KEYS {
-            self.past_keys.pop_front().map(|key| self.keys.remove(&key));
+        self.class_registry.request_closed(finished.request.class);
+        self.statement_bytes -= finished.request.statement.len();
+        self.remember_finished(finished.request.client_request_id);
+    }
+
+    fn remember_finished(&mut self, client_request_id: Rc<str>) {
+        self.finished_request_ids.push_back(client_request_id);
+        if self.finished_request_ids.len() > MAX_FINISHED_REQUEST_IDS
+            && let Some(oldest) = self.finished_request_ids.pop_front()
+        {
+            self.known_request_ids.remove(&oldest);
         }
     }
 }
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -5,7 +5,7 @@
 use crate::clock::{Micros, SEC, micros};
 use crate::config::process::Names;
 use crate::net::Shared;
-use crate::net::dispatcher::DispatcherEvent;
+use crate::net::dispatcher::{DispatcherEvent, EndpointListUpdate};
 use crate::net::engine::{EndpointHandle, Start, spawn};
 use crate::policy::api::{
     CellId, Endpoint, EndpointListKind, EngineId, KindId, Nanos, Readiness, ZoneId,
@@ -168,12 +168,12 @@
         first = false;
         let entries = update.engines.iter().map(|l| l.entry).collect();
         let _ = core
-            .send(DispatcherEvent::EndpointList {
+            .send(DispatcherEvent::EndpointList(EndpointListUpdate {
                 kind,
                 entries,
                 new_endpoints: made,
                 version: update.index,
-            })
+            }))
             .await;
     }
 }
--- /dev/null
+++ b/src/net/dispatcher/commands.rs
@@ -0,0 +1,139 @@
+//! The execution of the dispatcher's commands.
+use super::DispatcherActor;
+use crate::clock::Micros;
+use crate::dispatcher::termination::{Termination, TransmitProgress};
+use crate::dispatcher::{
+    AttemptId, AttemptReply, AttemptRequest, AttemptResult, Command, Origin, ProbeOutcome, Response,
+};
+use crate::log;
+use crate::net::engine::EngineCommand;
+use crate::net::fleet::lease::ProbeRequest;
+use crate::policy::api::{EngineId, LoadReport, OutcomeKind};
+
+impl DispatcherActor {
+    /// Executes the commands, and those that follow from the execution of one.
+    pub(super) fn execute_commands(&mut self, now: Micros) {
+        while !self.commands.is_empty() {
+            for command in std::mem::take(&mut self.commands) {
+                self.execute(now, command);
+            }
+        }
+    }
+
+    fn execute(&mut self, now: Micros, command: Command) {
+        match command {
+            Command::StartAttempt { engine, request } => self.start_attempt(now, engine, request),
+            Command::CancelAttempt { engine, attempt } => self.cancel_attempt(engine, attempt),
+            Command::MarkSlow { engine, attempt } => {
+                let AttemptId { request, attempt } = attempt;
+                let _ = self.send_to_engine(engine, EngineCommand::Doubt(request, attempt));
+            }
+            Command::Reprioritize {
+                engine,
+                attempt,
+                priority,
+            } => {
+                let AttemptId { request, attempt } = attempt;
+                let command = EngineCommand::Bump(request, attempt, priority);
+                let _ = self.send_to_engine(engine, command);
+            }
+            Command::Probe(engine) => self.request_probe(now, engine),
+            Command::CloseIdle(engine) => {
+                let _ = self.send_to_engine(engine, EngineCommand::CloseIdle);
+            }
+            Command::Respond { origin, response } => self.respond(origin, response),
+            Command::Log(line) => log!("module: {line}"),
+        }
+    }
+
+    /// Starts an attempt; one that the engine's actor cannot take ends at once.
+    fn start_attempt(&mut self, now: Micros, engine: EngineId, request: AttemptRequest) {
+        let id = request.id;
+        let attempt = request.attempt;
+        if let Err(termination) = self.send_to_engine(engine, EngineCommand::Start(request)) {
+            let result = AttemptResult {
+                id,
+                attempt,
+                termination,
+                progress: TransmitProgress::Unsent,
+                reply: AttemptReply::default(),
+            };
+            self.dispatcher
+                .attempt_finished(now, result, &mut self.commands);
+        }
+    }
+
+    /// Cancels an attempt. A cancellation must not be lost, so an engine whose mailbox is full loses
+    /// its connections instead, and with them all its attempts.
+    fn cancel_attempt(&self, engine: EngineId, attempt: AttemptId) {
+        let AttemptId { request, attempt } = attempt;
+        let sent = self.send_to_engine(engine, EngineCommand::Stop(request, attempt));
+        if sent.is_err() {
+            if let Some(endpoint) = self.engines.get(&engine) {
+                endpoint.cut();
+            }
+            log!(
+                "engine {}: the mailbox is full, closing all connections",
+                engine.0
+            );
+        }
+    }
+
+    /// Sends a final response to its client's actor. If the actor has ended or does not take its
+    /// responses, its mailbox is closed, which ends the connection.
+    fn respond(&mut self, origin: Origin, response: Response) {
+        let sent = self
+            .clients
+            .get(&origin.conn)
+            .is_some_and(|client| client.try_send((origin.tag, response)).is_ok());
+        if !sent && let Some(client) = self.clients.remove(&origin.conn) {
+            client.close();
+        }
+    }
+
+    /// Has an engine probed: by the gateway that holds the lease, if probes are shared. If the
+    /// lease service is not enabled or does not take the request, this process probes by itself.
+    fn request_probe(&mut self, now: Micros, engine: EngineId) {
+        let is_delegated = self.lease_requests.as_ref().is_some_and(|lease_requests| {
+            lease_requests
+                .try_send(ProbeRequest::Wanted(engine.0))
+                .is_ok()
+        });
+        if !is_delegated {
+            self.probe(now, engine, None);
+        }
+    }
+
+    /// Probes an engine: for the decision module, or, with a deadline, for other gateways, to whom
+    /// the result is of no use after it.
+    pub(super) fn probe(&mut self, now: Micros, engine: EngineId, deadline: Option<Micros>) {
+        let is_late = deadline.is_some_and(|deadline| now >= deadline);
+        let command = EngineCommand::Probe(deadline.unwrap_or(Micros::MAX));
+        if !is_late && self.send_to_engine(engine, command).is_ok() {
+            return;
+        }
+        if deadline.is_some() {
+            if let Some(lease_requests) = &self.lease_requests {
+                let _ = lease_requests.try_send(ProbeRequest::Answered(engine.0, None));
+            }
+        } else {
+            let probe = ProbeOutcome {
+                engine,
+                kind: OutcomeKind::NeverSent,
+                latency: 0,
+                load: LoadReport::default(),
+            };
+            self.dispatcher
+                .probe_completed(now, probe, &mut self.commands);
+        }
+    }
+
+    /// Sends a command to an engine's actor. The error is how an attempt ends that could not be
+    /// started because of it.
+    fn send_to_engine(&self, engine: EngineId, command: EngineCommand) -> Result<(), Termination> {
+        self.engines
+            .get(&engine)
+            .ok_or(Termination::LocalLimit)
+            .and_then(|endpoint| endpoint.tell(command))
+    }
+}
--- a/src/net/dispatcher/event.rs
+++ b/src/net/dispatcher/event.rs
@@ -1,16 +1,38 @@
 //! The messages that other actors send to the dispatcher's actor.
 use crate::class_registry::Class;
 use crate::clock::Micros;
-use crate::dispatcher::{AttemptResult, ClientRequest, Origin, Response};
+use crate::dispatcher::{AttemptResult, ClientRequest, Origin, ProbeOutcome, Response};
 use crate::lease::shared_probe::ProbeResult;
 use crate::lease::{FencingToken, Resource};
 use crate::net::engine::EndpointHandle;
-use crate::policy::api::{
-    ClassId, Endpoint, EndpointListKind, EngineId, LoadReport, OutcomeKind, Settings, TenantSpec,
-};
+use crate::policy::api::{ClassId, Endpoint, EndpointListKind, EngineId, Settings, TenantSpec};
 use async_channel::Sender;
 use std::rc::Rc;
 
+/// A change of the endpoint list.
+pub struct EndpointListUpdate {
+    /// Whether `entries` is the full list, a cached one, or only the changes.
+    pub kind: EndpointListKind,
+    /// The endpoints.
+    pub entries: Vec<Endpoint>,
+    /// Handles of the endpoints that appear for the first time.
+    pub new_endpoints: Vec<(EngineId, Rc<EndpointHandle>)>,
+    /// The index of the watch event that brought the change.
+    pub version: u64,
+}
+
+/// Settings that replace the previous ones.
+pub struct Reconfiguration {
+    /// The settings.
+    pub settings: Box<Settings>,
+    /// The names of `settings.classes`, in the same order.
+    pub class_names: Vec<String>,
+    /// A hash of the configuration's text, for the audit.
+    pub settings_hash: u64,
+    /// Receives all classes by their ids, each with whether it is in force.
+    pub applied: Sender<Vec<(Class, bool)>>,
+}
+
 /// An event that the dispatcher's actor handles, from whichever actor observed it.
 pub enum DispatcherEvent {
     /// A client connected.
@@ -36,38 +58,11 @@
     /// An attempt ended.
     AttemptFinished(AttemptResult),
     /// A load probe of an engine ended.
-    ProbeCompleted {
-        /// The engine.
-        engine: EngineId,
-        /// Whether and how it failed.
-        kind: OutcomeKind,
-        /// From the request to the reply.
-        latency: Micros,
-        /// The load that the engine reported.
-        load: LoadReport,
-    },
+    ProbeCompleted(ProbeOutcome),
     /// The endpoint list changed.
-    EndpointList {
-        /// Whether `entries` is the full list, a cached one, or only the changes.
-        kind: EndpointListKind,
-        /// The endpoints.
-        entries: Vec<Endpoint>,
-        /// Handles of the endpoints that appear for the first time.
-        new_endpoints: Vec<(EngineId, Rc<EndpointHandle>)>,
-        /// The index of the watch event that brought the change.
-        version: u64,
-    },
+    EndpointList(EndpointListUpdate),
     /// New settings take effect for requests that arrive from now on.
-    Reconfigure {
-        /// The settings.
-        settings: Box<Settings>,
-        /// The names of `settings.classes`, in the same order.
-        class_names: Vec<String>,
-        /// A hash of the configuration's text, for the audit.
-        settings_hash: u64,
-        /// Receives all classes by their ids, each with whether it is in force.
-        applied: Sender<Vec<(Class, bool)>>,
-    },
+    Reconfigure(Reconfiguration),
     /// The tenants and their quotas, from a new configuration or from the directory.
     Tenants(Vec<TenantSpec>),
     /// The tenant directory was read successfully.
--- /dev/null
+++ b/src/net/dispatcher/shutdown.rs
@@ -0,0 +1,102 @@
+//! The phases of a shutdown.
+use super::{DispatcherActor, Schedule};
+use crate::clock::{self, MS, Micros};
+use crate::net::client;
+use async_channel::Sender;
+
+/// How long connections have for a graceful close once every request has its response.
+const GRACEFUL_CLOSE_TIMEOUT: Micros = 300 * MS;
+
+/// The same if the requests in flight had to be ended, as then the process is about to be killed.
+const FORCED_CLOSE_TIMEOUT: Micros = 150 * MS;
+
+/// The time between two looks at whether a shutdown can proceed.
+const CHECK_INTERVAL: Micros = 5 * MS;
+
+/// How far a shutdown has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ShutdownPhase {
+    /// No shutdown, or one that waits for the responses to the requests in flight.
+    Serving,
+    /// Every request has its response; listeners and client connections are being closed.
+    ClosingConnections {
+        /// When the process exits at the latest.
+        deadline: Micros,
+    },
+    /// The process can exit.
+    Finished,
+}
+
+impl DispatcherActor {
+    /// When the shutdown may proceed, if there is one.
+    pub(super) fn next_shutdown_check(&self, accepts_until: Option<Micros>) -> Option<Micros> {
+        let soon = clock::now() + CHECK_INTERVAL;
+        match self.shutdown_phase {
+            ShutdownPhase::Serving => accepts_until.map(|at| at.max(soon)),
+            ShutdownPhase::ClosingConnections { .. } | ShutdownPhase::Finished => Some(soon),
+        }
+    }
+
+    /// Enters the next phases of the shutdown if their conditions are met.
+    pub(super) fn advance_shutdown(&mut self, now: Micros, schedule: &Schedule) {
+        let is_serving = self.shutdown_phase == ShutdownPhase::Serving;
+        // Every turn comes by here, and the conditions below look at all clients.
+        if is_serving && schedule.accepts_until.is_none() {
+            return;
+        }
+        let responses_delivered = self.all_responses_delivered();
+        let accepts_no_more = schedule.accepts_until.is_some_and(|at| at <= now);
+        if is_serving && accepts_no_more && responses_delivered && !self.keeps_client_connections()
+        {
+            self.begin_closing(now);
+        }
+        if let ShutdownPhase::ClosingConnections { deadline } = self.shutdown_phase {
+            let all_closed = responses_delivered && self.all_connections_closed();
+            if all_closed || deadline <= now {
+                self.shutdown_phase = ShutdownPhase::Finished;
+            }
+        }
+    }
+
+    /// Whether no request waits for its response, and no response waits in a client's mailbox or
+    /// output buffer: the process must not exit with a response that was given but not written.
+    fn all_responses_delivered(&self) -> bool {
+        self.dispatcher.counters.open() == 0
+            && self.mailbox.is_empty()
+            && self.shared.connections_with_unwritten_output.get() == 0
+            && self.clients.values().all(Sender::is_empty)
+    }
+
+    /// Whether clients may go on to use their connections to this process, although a successor
+    /// accepts the new ones.
+    fn keeps_client_connections(&self) -> bool {
+        self.shared.lifecycle.borrow().successor_took_over()
+            && self.shared.client_sockets.get() > 0
+            && !self.requests_ended
+    }
+
+    /// Closes the listeners and all client connections. Requests that are still in the listeners'
+    /// queues and the sockets' buffers are rejected, or their connections closed gracefully.
+    fn begin_closing(&mut self, now: Micros) {
+        self.shared.lifecycle.borrow_mut().begin_closing();
+        self.shared.accepting.0.close();
+        client::send_away(&self.shared);
+        let timeout = if self.requests_ended {
+            FORCED_CLOSE_TIMEOUT
+        } else {
+            GRACEFUL_CLOSE_TIMEOUT
+        };
+        self.shutdown_phase = ShutdownPhase::ClosingConnections {
+            deadline: now + timeout,
+        };
+    }
+
+    fn all_connections_closed(&self) -> bool {
+        let counts = [
+            &self.shared.listening,
+            &self.shared.client_sockets,
+            &self.shared.closing_sockets,
+        ];
+        counts.iter().all(|count| count.get() == 0)
+    }
+}
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -3,6 +3,7 @@
 use crate::backend::Protocol;
 use crate::backend::connection_state::{ConnectionState, Event};
 use crate::clock::{self, Micros, SEC};
+use crate::dispatcher::ProbeOutcome;
 use crate::dispatcher::termination::Termination;
 use crate::net::dispatcher::DispatcherEvent;
 use crate::net::mailbox::Sender as Post;
@@ -220,12 +221,12 @@
                     kind,
                     latency,
                     load,
-                } => DispatcherEvent::ProbeCompleted {
+                } => DispatcherEvent::ProbeCompleted(ProbeOutcome {
                     engine: self.peer.id,
                     kind,
                     latency,
                     load,
-                },
+                }),
             };
             let _ = self.core.send(input).await;
         }
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -12,7 +12,7 @@
 use crate::backend::connection_state::ConnectionState;
 use crate::clock::{self, Micros, SEC};
 use crate::dispatcher::termination::{Termination, TransmitProgress};
-use crate::dispatcher::{AttemptReply, AttemptRequest, AttemptResult};
+use crate::dispatcher::{AttemptReply, AttemptRequest, AttemptResult, ProbeOutcome};
 use crate::policy::api::{AttemptNo, EngineId, LoadReport, OutcomeKind, RequestId};
 use async_channel::{Receiver, Sender};
 use connection::Connection;
@@ -200,12 +200,12 @@
                 };
                 if c.orders.try_send(order).is_err() {
                     let (engine, kind) = (peer.id, OutcomeKind::NeverSent);
-                    let input = DispatcherEvent::ProbeCompleted {
+                    let input = DispatcherEvent::ProbeCompleted(ProbeOutcome {
                         engine,
                         kind,
                         latency: 0,
                         load: LoadReport::default(),
-                    };
+                    });
                     let _ = core.send(input).await;
                 }
             }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -4,7 +4,7 @@
 use super::Shared;
 use super::discovery::coordinator::CoordinatorMigration;
 use super::discovery::endpoint_list::parse_known;
-use super::dispatcher::DispatcherEvent;
+use super::dispatcher::{DispatcherEvent, Reconfiguration};
 use super::fleet::membership::settings_hash;
 use crate::class_registry::Class;
 use crate::clock::micros;
@@ -151,12 +151,12 @@
         let hash = settings_hash(&config.text);
         let _ = self
             .core
-            .send(DispatcherEvent::Reconfigure {
+            .send(DispatcherEvent::Reconfigure(Reconfiguration {
                 settings: Box::new(settings),
                 class_names: names,
                 settings_hash: hash,
                 applied: done,
-            })
+            }))
             .await;
         told.recv().await.unwrap_or_default()
     }
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -69,20 +69,14 @@
     let executor = shared.executor.clone();
     let rows = async_io::block_on(executor.run(async {
         updates.send(update).await.expect("the list's actor");
-        let Ok(DispatcherEvent::EndpointList {
-            kind,
-            entries,
-            new_endpoints,
-            ..
-        }) = news.recv().await
-        else {
+        let Ok(DispatcherEvent::EndpointList(update)) = news.recv().await else {
             panic!("no news")
         };
-        manager.update_endpoints(1, kind, entries, &mut orders);
+        manager.update_endpoints(1, update.kind, update.entries, &mut orders);
         orders.clear();
         // A turn for whatever was started with the rows.
         sleep_until(Some(yokelift::clock::now() + 1)).await;
-        new_endpoints
+        update.new_endpoints
     }));
     assert_eq!(
         (rows.len(), shared.engine_actors.get()),
--- a/tests/unit/class_registry.rs
+++ b/tests/unit/class_registry.rs
@@ -1,11 +1,12 @@
-//! Generations of settings against a model under random steps.
+//! The class registry, against a model under random steps, and the choice of predecessors.
 use super::*;
 use crate::policy::api::Idempotency;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 
-fn class(name: u8, kind: u8) -> Class {
-    let effect = if kind.is_multiple_of(2) {
+/// The class of this name; classes of different variants differ in their settings.
+fn class(name: u8, variant: u8) -> Class {
+    let idempotency = if variant.is_multiple_of(2) {
         Idempotency::Idempotent
     } else {
         Idempotency::NonIdempotent
@@ -16,7 +17,7 @@
         base_latency_objective: 1 + u64::from(name % 3),
         objective_slowdown: 1.0,
         deadline: 9,
-        idempotency: effect,
+        idempotency,
         in_order: false,
         threads: 1.0,
         is_load: false,
@@ -26,16 +27,33 @@
         only_kinds: None,
     };
     Class {
-        name: format!("class-{name}").as_str().into(),
+        name: class_name(name),
         spec,
     }
 }
 
+fn class_name(name: u8) -> Rc<str> {
+    format!("class-{name}").into()
+}
+
+/// The variants of the classes in force, by their names.
+type Variants = BTreeMap<u8, u8>;
+
+fn classes(variants: &Variants) -> Vec<Class> {
+    variants
+        .iter()
+        .map(|(name, variant)| class(*name, *variant))
+        .collect()
+}
+
 #[derive(Clone, Debug)]
 enum Step {
-    Next(BTreeMap<u8, u8>),
-    Open(u8),
-    Close(u8),
+    /// The classes are replaced.
+    Replace(Variants),
+    /// A request of the class of this name begins.
+    OpenRequest(u8),
+    /// One of the open requests ends.
+    CloseRequest(u8),
 }
 
 impl Arbitrary for Step {
@@ -43,116 +61,172 @@
         match u8::arbitrary(g) % 4 {
             0 => {
                 let count = u8::arbitrary(g) % 5 + 1;
-                Step::Next(
-                    (0..count)
-                        .map(|_| (u8::arbitrary(g) % 6, u8::arbitrary(g) % 2))
-                        .collect(),
-                )
+                let any_class = |_| (u8::arbitrary(g) % 6, u8::arbitrary(g) % 2);
+                Step::Replace((0..count).map(any_class).collect())
             }
-            1 => Step::Close(u8::arbitrary(g)),
-            _ => Step::Open(u8::arbitrary(g) % 6),
+            1 => Step::CloseRequest(u8::arbitrary(g)),
+            _ => Step::OpenRequest(u8::arbitrary(g) % 6),
         }
     }
 }
 
-/// Guards the rules of open requests: whatever is configured meanwhile, the slot that a request was
-/// taken under says what it said then; what is in force is exactly the last file; and slots do not
-/// pile up.
-#[test]
-fn a_slot_keeps_its_meaning_while_anything_open_refers_to_it() {
-    fn play(steps: Vec<Step>) -> bool {
-        let mut now: BTreeMap<u8, u8> = [(0, 0), (1, 0), (2, 1)].into();
-        let all =
-            |now: &BTreeMap<u8, u8>| now.iter().map(|(n, k)| class(*n, *k)).collect::<Vec<_>>();
-        let mut generations = ClassRegistry::new(all(&now));
-        let mut open: Vec<(ClassId, Class)> = Vec::new();
-        let mut most = now.len();
-        for step in steps {
-            match step {
-                Step::Next(next) => {
-                    let before: Vec<Class> = generations.slots().map(|(c, _)| c.clone()).collect();
-                    let fresh = generations.next(all(&next));
-                    let unchanged = next.iter().filter(|(n, k)| now.get(n) == Some(k)).count();
-                    if fresh.len() != next.len() - unchanged {
-                        return false;
-                    }
-                    // What it inherits from was in force, and of its name if there was one.
-                    for NewSlot { slot, heir_of } in fresh {
-                        let class = generations.class(slot).cloned();
-                        let Some(class) = class else { return false };
-                        let named = now
-                            .iter()
-                            .any(|(n, k)| self::class(*n, *k).name == class.name);
-                        let from = heir_of.map(|at| &before[usize::from(at.0)]);
-                        if named && from.is_none_or(|from| from.name != class.name) {
-                            return false;
-                        }
-                    }
-                    now = next;
-                }
-                Step::Open(name) => {
-                    let name = format!("class-{name}");
-                    if let Some(id) = generations.find(&name) {
-                        generations.opened(id);
-                        let Some(class) = generations.class(id).cloned() else {
-                            return false;
-                        };
-                        open.push((id, class));
-                    }
-                }
-                Step::Close(at) if !open.is_empty() => {
-                    let (id, _) = open.swap_remove(usize::from(at) % open.len());
-                    generations.closed(id);
-                }
-                Step::Close(_) => {}
+/// An open request, with its class as of the request's begin.
+struct OpenRequest {
+    id: ClassId,
+    class: Class,
+}
+
+struct Model {
+    registry: ClassRegistry,
+    in_force: Variants,
+    open_requests: Vec<OpenRequest>,
+    /// The greatest sum so far of classes in force and open requests.
+    max_references: usize,
+}
+
+impl Model {
+    fn new() -> Model {
+        let in_force: Variants = [(0, 0), (1, 0), (2, 1)].into();
+        Model {
+            registry: ClassRegistry::new(classes(&in_force)),
+            max_references: in_force.len(),
+            in_force,
+            open_requests: Vec::new(),
+        }
+    }
+
+    /// Whether the registry behaves as it should.
+    fn step(&mut self, step: Step) -> bool {
+        let is_right = match step {
+            Step::Replace(next) => self.replace(next),
+            Step::OpenRequest(name) => self.open_request(name),
+            Step::CloseRequest(index) => {
+                self.close_request(index);
+                true
             }
-            most = most.max(now.len() + open.len());
-            let kept = open
+        };
+        let references = self.in_force.len() + self.open_requests.len();
+        self.max_references = self.max_references.max(references);
+        is_right && self.open_requests_keep_their_class() && self.in_force_is_the_last_generation()
+            // Beside the references: the classes that the latest two generations retired.
+            && self.registry.slots().count() <= self.max_references + 2 * 6
+    }
+
+    fn replace(&mut self, next: Variants) -> bool {
+        let before: Vec<Class> = self
+            .registry
+            .slots()
+            .map(|(class, _)| class.clone())
+            .collect();
+        let new_slots = self.registry.replace_classes(classes(&next));
+        let unchanged = next
+            .iter()
+            .filter(|(name, variant)| self.in_force.get(name) == Some(variant))
+            .count();
+        let is_right = new_slots.len() == next.len() - unchanged
+            && new_slots
                 .iter()
-                .all(|(id, class)| generations.class(*id) == Some(class));
-            let in_force: BTreeMap<&str, &Class> = generations
-                .slots()
-                .filter(|(_, on)| *on)
-                .map(|(c, _)| (&*c.name, c))
-                .collect();
-            let wanted = all(&now);
-            let right = in_force.len() == wanted.len()
-                && wanted
-                    .iter()
-                    .all(|class| in_force.get(&*class.name) == Some(&class));
-            // At most the two latest files and what is open.
-            if !kept || !right || generations.slots().count() > most + 2 * 6 {
-                return false;
-            }
-        }
+                .all(|new| self.has_right_predecessor(new, &before));
+        self.in_force = next;
+        is_right
+    }
+
+    /// Whether a class whose name was in force follows the class of that name.
+    fn has_right_predecessor(&self, new: &NewSlot, before: &[Class]) -> bool {
+        let Some(class) = self.registry.class(new.slot) else {
+            return false;
+        };
+        let mut names_in_force = self.in_force.keys().map(|name| class_name(*name));
+        let was_in_force = names_in_force.any(|name| name == class.name);
+        let predecessor = new.predecessor.map(|id| &before[usize::from(id.0)]);
+        !was_in_force || predecessor.is_some_and(|predecessor| predecessor.name == class.name)
+    }
+
+    fn open_request(&mut self, name: u8) -> bool {
+        let Some(id) = self.registry.find(&class_name(name)) else {
+            return true;
+        };
+        self.registry.request_opened(id);
+        let Some(class) = self.registry.class(id).cloned() else {
+            return false;
+        };
+        self.open_requests.push(OpenRequest { id, class });
         true
     }
+
+    fn close_request(&mut self, index: u8) {
+        if !self.open_requests.is_empty() {
+            let index = usize::from(index) % self.open_requests.len();
+            let closed = self.open_requests.swap_remove(index);
+            self.registry.request_closed(closed.id);
+        }
+    }
+
+    fn open_requests_keep_their_class(&self) -> bool {
+        self.open_requests
+            .iter()
+            .all(|open| self.registry.class(open.id) == Some(&open.class))
+    }
+
+    fn in_force_is_the_last_generation(&self) -> bool {
+        let in_force: BTreeMap<&str, &Class> = self
+            .registry
+            .slots()
+            .filter(|(_, is_in_force)| *is_in_force)
+            .map(|(class, _)| (&*class.name, class))
+            .collect();
+        let expected = classes(&self.in_force);
+        in_force.len() == expected.len()
+            && expected
+                .iter()
+                .all(|class| in_force.get(&*class.name) == Some(&class))
+    }
+}
+
+/// Whatever is configured meanwhile, the slot of an open request keeps its class, exactly the
+/// classes of the last generation are in force, and slots are reused.
+#[test]
+fn a_slot_keeps_its_class_while_a_request_refers_to_it() {
+    fn run(steps: Vec<Step>) -> bool {
+        let mut model = Model::new();
+        steps.into_iter().all(|step| model.step(step))
+    }
     let mut check = QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 23))
         .tests(2_000);
-    check.quickcheck(play as fn(Vec<Step>) -> bool);
+    check.quickcheck(run as fn(Vec<Step>) -> bool);
 }
 
-/// Guards against a class that starts from nothing since it got another name or another effect.
+/// A class that only gets another name or another idempotency does not lose what was learned of it.
 #[test]
-fn a_class_inherits_from_its_name_or_its_like() {
-    let mut generations = ClassRegistry::new(vec![class(0, 0), class(1, 0)]);
-    let fresh = generations.next(vec![class(0, 1), class(4, 0)]);
-    let expected = [(2, Some(ClassId(0))), (3, Some(ClassId(1)))];
-    assert_eq!(
-        fresh
-            .iter()
-            .map(|f| (f.slot.0, f.heir_of))
-            .collect::<Vec<_>>(),
-        expected
-    );
-    // The slots that were dropped then are free now.
-    let fresh = generations.next(vec![class(0, 0)]);
-    assert_eq!(
-        fresh,
-        [NewSlot {
-            slot: ClassId(0),
-            heir_of: Some(ClassId(2))
-        }]
-    );
+fn a_new_class_follows_the_one_of_its_name_or_else_of_its_work() {
+    let mut registry = ClassRegistry::new(vec![class(0, 0), class(1, 0)]);
+
+    let new_slots = registry.replace_classes(vec![class(0, 1), class(4, 0)]);
+
+    let expected = [
+        NewSlot {
+            slot: ClassId(2),
+            predecessor: Some(ClassId(0)),
+        },
+        NewSlot {
+            slot: ClassId(3),
+            predecessor: Some(ClassId(1)),
+        },
+    ];
+    assert_eq!(new_slots, expected);
+}
+
+#[test]
+fn a_slot_is_reused_one_generation_after_its_class_was_retired() {
+    let mut registry = ClassRegistry::new(vec![class(0, 0), class(1, 0)]);
+    registry.replace_classes(vec![class(0, 1), class(4, 0)]);
+
+    let new_slots = registry.replace_classes(vec![class(0, 0)]);
+
+    let expected = [NewSlot {
+        slot: ClassId(0),
+        predecessor: Some(ClassId(2)),
+    }];
+    assert_eq!(new_slots, expected);
 }
--- a/tests/unit/endpoint_list.rs
+++ b/tests/unit/endpoint_list.rs
@@ -48,11 +48,12 @@
                     engines,
                 })
                 .await;
-            let Ok(DispatcherEvent::EndpointList { entries, .. }) = news.recv().await else {
+            let Ok(DispatcherEvent::EndpointList(update)) = news.recv().await else {
                 panic!("no news")
             };
             told.extend(
-                entries
+                update
+                    .entries
                     .iter()
                     .filter(|e| e.readiness == Readiness::Gone)
                     .map(|e| e.id.0),
--- a/tests/unit/in_flight.rs
+++ b/tests/unit/in_flight.rs
@@ -1,18 +1,19 @@
-//! What the ledger allows next, by what a request's attempts have done so far.
+//! Which attempts of a request are permitted, by what its earlier ones may have caused.
+use super::super::test_builders::in_flight_request;
 use super::*;
-use crate::clock::{MS, SEC};
+use crate::clock::SEC;
 use crate::policy::api::{CellId, EngineId, Scope, ZoneId};
 
 const WINDOW: Micros = 20 * SEC;
 
-fn keyed(scope: Scope) -> Idempotency {
+fn with_key(scope: Scope) -> Idempotency {
     Idempotency::WithKey {
         scope,
         window: nanos(WINDOW),
     }
 }
 
-fn engine(id: u64, zone: u16, cell: u16) -> Endpoint {
+fn endpoint(id: u64, zone: u16, cell: u16) -> Endpoint {
     Endpoint {
         id: EngineId(id),
         zone: ZoneId(zone),
@@ -21,154 +22,162 @@
     }
 }
 
-fn open(effect: Idempotency, copies: usize) -> InFlightRequest {
-    InFlightRequest::new(ClientRequest::default(), effect, 5, copies)
-}
-
-fn out(to: Endpoint, attempt: u16, sent_at: Micros) -> InFlightAttempt {
+fn attempt_at(endpoint: Endpoint, attempt: u16) -> InFlightAttempt {
     InFlightAttempt {
-        to,
+        endpoint,
         attempt: AttemptNo(attempt),
-        sent_at,
-        until: SEC,
-        stopping: None,
+        sent_at: SEC,
+        deadline: SEC,
+        cancel_reason: None,
     }
 }
 
-/// Guards rule 2: what may have run goes only where a repeat is known, and while it is.
-#[test]
-fn a_repeat_goes_only_where_engines_know_it() {
-    let (here, cell, zone, far) = (
-        engine(1, 0, 0),
-        engine(2, 0, 0),
-        engine(3, 0, 1),
-        engine(4, 1, 2),
-    );
-    let goes = |effect, now| {
-        let open = InFlightRequest {
-            ran: Some(PossibleExecution {
-                on: here,
-                sent_at: SEC,
-            }),
-            attempts_started: 1,
-            ..open(effect, 1)
-        };
-        [here, cell, zone, far].map(|to| open.may_send(now, &to))
-    };
-    let (within, past) = (SEC + WINDOW - MS, SEC + WINDOW);
-    assert_eq!(goes(keyed(Scope::All), within), [true; 4]);
-    assert_eq!(goes(keyed(Scope::Zone), within), [true, true, true, false]);
-    assert_eq!(goes(keyed(Scope::Cell), within), [true, true, false, false]);
-    assert_eq!(goes(keyed(Scope::All), past), [false; 4]);
-    assert_eq!(goes(Idempotency::NonIdempotent, within), [false; 4]);
-    assert_eq!(goes(Idempotency::Idempotent, past), [true; 4]);
+/// A request with an attempt in flight at this endpoint.
+fn in_flight_at(
+    endpoint: Endpoint,
+    idempotency: Idempotency,
+    max_concurrent_attempts: usize,
+) -> InFlightRequest {
+    InFlightRequest {
+        attempts: vec![attempt_at(endpoint, 0)],
+        attempts_started: 1,
+        ..in_flight_request(idempotency, max_concurrent_attempts)
+    }
 }
 
-/// Guards rule 2 and the limits on attempts out: a copy counts like any attempt, and goes to
-/// another engine.
-#[test]
-fn copies_go_to_another_engine_within_the_rules() {
-    let (here, there, further) = (engine(1, 0, 0), engine(2, 0, 0), engine(3, 0, 0));
-    let with = |effect, copies| InFlightRequest {
-        outs: vec![out(here, 0, SEC)],
+/// A request whose only attempt ended and may have been executed at this endpoint.
+fn possibly_executed_at(endpoint: Endpoint, idempotency: Idempotency) -> InFlightRequest {
+    InFlightRequest {
+        first_execution: Some(PossibleExecution {
+            endpoint,
+            sent_at: SEC,
+        }),
         attempts_started: 1,
-        ..open(effect, copies)
+        ..in_flight_request(idempotency, 1)
+    }
+}
+
+/// What may have been executed is repeated only where engines detect the duplicate, and while they
+/// remember its key.
+#[test]
+fn a_repeat_is_permitted_only_within_the_scope_and_window_of_its_key() {
+    let same = endpoint(1, 0, 0);
+    let same_cell = endpoint(2, 0, 0);
+    let same_zone = endpoint(3, 0, 1);
+    let other_zone = endpoint(4, 1, 2);
+    let permitted = |idempotency, now| {
+        let request = possibly_executed_at(same, idempotency);
+        [same, same_cell, same_zone, other_zone].map(|to| request.may_start_attempt(now, &to))
     };
-    assert!(
-        with(Idempotency::Idempotent, 2).may_send(SEC, &there)
-            && !with(Idempotency::Idempotent, 2).may_send(SEC, &here)
+    let within_window = SEC + WINDOW - MS;
+    let after_window = SEC + WINDOW;
+
+    assert_eq!(permitted(with_key(Scope::All), within_window), [true; 4]);
+    assert_eq!(
+        permitted(with_key(Scope::Zone), within_window),
+        [true, true, true, false]
     );
-    assert!(with(keyed(Scope::All), 2).may_send(SEC, &there));
-    assert!(
-        !with(keyed(Scope::All), 2).may_send(SEC + WINDOW, &there),
-        "what is out may have run"
+    assert_eq!(
+        permitted(with_key(Scope::Cell), within_window),
+        [true, true, false, false]
     );
+    assert_eq!(permitted(with_key(Scope::All), after_window), [false; 4]);
+    assert_eq!(
+        permitted(Idempotency::NonIdempotent, within_window),
+        [false; 4]
+    );
+    assert_eq!(permitted(Idempotency::Idempotent, after_window), [true; 4]);
+}
+
+#[test]
+fn a_hedged_attempt_is_started_at_another_engine() {
+    let first = endpoint(1, 0, 0);
+    let second = endpoint(2, 0, 0);
+
+    let idempotent = in_flight_at(first, Idempotency::Idempotent, 2);
+    assert!(idempotent.may_start_attempt(SEC, &second));
+    assert!(!idempotent.may_start_attempt(SEC, &first));
+    let keyed = in_flight_at(first, with_key(Scope::All), 2);
+    assert!(keyed.may_start_attempt(SEC, &second));
     assert!(
-        !with(Idempotency::NonIdempotent, 2).may_send(SEC, &there)
-            && !with(Idempotency::Idempotent, 1).may_send(SEC, &there)
+        !keyed.may_start_attempt(SEC + WINDOW, &second),
+        "an attempt in flight may have been executed"
     );
-    let mut two = with(Idempotency::Idempotent, 2);
-    two.outs.push(out(there, 1, SEC));
-    assert!(!two.may_send(SEC, &further));
-    // One that is being given up is still out.
-    two.outs[0].stopping = Some(Termination::Cancelled);
-    assert!(!two.may_send(SEC, &further) && two.due_at(SEC));
-    assert!(two.take_out(AttemptNo(0)).is_some() && two.take_out(AttemptNo(0)).is_none());
-    assert!(two.may_send(SEC, &further) && !two.may_send(SEC, &there));
-    let spent = InFlightRequest {
+    let non_idempotent = in_flight_at(first, Idempotency::NonIdempotent, 2);
+    assert!(!non_idempotent.may_start_attempt(SEC, &second));
+    let without_hedging = in_flight_at(first, Idempotency::Idempotent, 1);
+    assert!(!without_hedging.may_start_attempt(SEC, &second));
+}
+
+#[test]
+fn a_cancelled_attempt_counts_until_its_result_arrives() {
+    let first = endpoint(1, 0, 0);
+    let second = endpoint(2, 0, 0);
+    let third = endpoint(3, 0, 0);
+    let mut request = in_flight_at(first, Idempotency::Idempotent, 2);
+    request.attempts.push(attempt_at(second, 1));
+    assert!(!request.may_start_attempt(SEC, &third));
+
+    request.attempts[0].cancel_reason = Some(Termination::Cancelled);
+    assert!(!request.may_start_attempt(SEC, &third));
+    assert!(request.has_attempt_deadline(SEC));
+
+    assert!(request.remove_attempt(AttemptNo(0)).is_some());
+    assert!(request.remove_attempt(AttemptNo(0)).is_none());
+    assert!(request.may_start_attempt(SEC, &third));
+    assert!(!request.may_start_attempt(SEC, &second));
+}
+
+#[test]
+fn no_attempt_follows_the_last_one_or_the_final_response() {
+    let to = endpoint(1, 0, 0);
+    let exhausted = InFlightRequest {
         attempts_started: 5,
-        ..open(Idempotency::Idempotent, 2)
+        ..in_flight_request(Idempotency::Idempotent, 2)
     };
-    assert!(
-        !spent.may_send(SEC, &here)
-            && !InFlightRequest {
-                closed: true,
-                ..open(Idempotency::Idempotent, 2)
-            }
-            .may_send(SEC, &here)
-    );
+    let closed = InFlightRequest {
+        closed: true,
+        ..in_flight_request(Idempotency::Idempotent, 2)
+    };
+
+    assert!(!exhausted.may_start_attempt(SEC, &to));
+    assert!(!closed.may_start_attempt(SEC, &to));
 }
 
-/// Guards rule 2: a refusal says that trying again does no harm.
+/// A rejection guarantees that a retry by the client does no harm.
 #[test]
-fn a_refusal_is_honest() {
-    let here = engine(1, 0, 0);
-    for (effect, ran, is_out) in [
-        (Idempotency::Idempotent, true, true),
-        (keyed(Scope::All), true, true),
-        (keyed(Scope::Zone), false, false),
-        (keyed(Scope::Cell), false, false),
-        (Idempotency::NonIdempotent, false, false),
+fn a_request_that_may_have_been_executed_is_rejected_only_if_a_retry_is_harmless() {
+    let at = endpoint(1, 0, 0);
+    for (idempotency, retry_is_harmless) in [
+        (Idempotency::Idempotent, true),
+        (with_key(Scope::All), true),
+        (with_key(Scope::Zone), false),
+        (with_key(Scope::Cell), false),
+        (Idempotency::NonIdempotent, false),
     ] {
-        let fresh = open(effect, 2);
-        assert!(fresh.may_refuse());
-        assert_eq!(
-            InFlightRequest {
-                ran: Some(PossibleExecution {
-                    on: here,
-                    sent_at: SEC
-                }),
-                ..open(effect, 2)
-            }
-            .may_refuse(),
-            ran
-        );
+        let not_executed = in_flight_request(idempotency, 2);
+        let possibly_executed = possibly_executed_at(at, idempotency);
+        let in_flight = in_flight_at(at, idempotency, 2);
+
+        assert!(not_executed.may_reject(), "{idempotency:?}");
         assert_eq!(
-            InFlightRequest {
-                outs: vec![out(here, 0, SEC)],
-                ..open(effect, 2)
-            }
-            .may_refuse(),
-            is_out
+            possibly_executed.may_reject(),
+            retry_is_harmless,
+            "{idempotency:?}"
         );
+        assert_eq!(in_flight.may_reject(), retry_is_harmless, "{idempotency:?}");
     }
 }
 
-/// Guards rule 2 for a window however short: what is sent again has to be over while engines still
-/// know its key.
+/// A repeat has to end while engines still remember its key.
 #[test]
-fn a_repeat_is_over_before_its_keys_window_is() {
-    let here = engine(1, 0, 0);
-    let ran = |effect| InFlightRequest {
-        ran: Some(PossibleExecution {
-            on: here,
-            sent_at: SEC,
-        }),
-        attempts_started: 1,
-        ..open(effect, 1)
-    };
-    assert_eq!(ran(keyed(Scope::All)).known_until(), Some(SEC + WINDOW));
-    assert_eq!(
-        [
-            ran(Idempotency::Idempotent),
-            ran(Idempotency::NonIdempotent)
-        ]
-        .map(|open| open.known_until()),
-        [None; 2]
-    );
-    assert_eq!(
-        open(keyed(Scope::All), 1).known_until(),
-        None,
-        "nothing ran: no window"
-    );
+fn the_idempotency_window_begins_with_the_first_possible_execution() {
+    let at = endpoint(1, 0, 0);
+    let window_end = |idempotency| possibly_executed_at(at, idempotency).idempotency_window_end();
+
+    assert_eq!(window_end(with_key(Scope::All)), Some(SEC + WINDOW));
+    assert_eq!(window_end(Idempotency::Idempotent), None);
+    assert_eq!(window_end(Idempotency::NonIdempotent), None);
+    let not_executed = in_flight_request(with_key(Scope::All), 1);
+    assert_eq!(not_executed.idempotency_window_end(), None);
 }
--- a/tests/unit/net_engine_endpoint.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -108,7 +108,7 @@
                     self.ended
                         .push((ended.id, ended.termination, ended.progress))
                 }
-                DispatcherEvent::ProbeCompleted { kind, .. } => self.probed.push(kind),
+                DispatcherEvent::ProbeCompleted(probe) => self.probed.push(probe.kind),
                 _ => {}
             }
         }
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -363,24 +363,24 @@
 fn the_counters_line_is_as_before() {
     let ends = ALL_ENDS.into_iter().zip(1..).collect();
     let counters = Counters {
-        taken: 100,
-        served: 90,
-        refused: 4,
+        received: 100,
+        completed: 90,
+        rejected: 4,
         failed: 3,
-        gone: 2,
-        attempts: 110,
-        copies: 5,
-        withdrawn: 6,
+        abandoned: 2,
+        attempts_started: 110,
+        hedged_attempts: 5,
+        attempts_cancelled: 6,
         probes: 7,
-        stopped: 8,
-        stray: 9,
-        lists: 10,
-        directory_readings: 11,
-        directory_failures: 12,
+        blocked_actions: 8,
+        stray_results: 9,
+        endpoint_list_updates: 10,
+        directory_reads: 11,
+        directory_read_failures: 12,
         reloads: 13,
         reload_failures: 14,
-        classes: BTreeMap::new(),
-        ends,
+        responses_by_class: BTreeMap::new(),
+        attempts_by_termination: ends,
     };
     assert_text("counters.txt", &format!("{counters}\n"));
 }
