--- a/src/dispatcher/termination.rs
+++ b/src/dispatcher/termination.rs
@@ -1,52 +1,61 @@
-//! Every way in which a connection to an engine, or an attempt on it, can end, and what each
-//! proves.
+//! How an attempt or a connection to an engine can end, and what each end proves about the execution
+//! of the attempt.
+//!
+//! Whether an attempt may have been executed decides whether the request may be repeated, so it must
+//! be known exactly. Two facts determine it: the [`Termination`], and the [`TransmitProgress`], how
+//! much of the attempt had been written by then. [`outcome`] is the only function that combines
+//! them.
 use crate::policy::api::OutcomeKind;
 use rustix::io::Errno;
 use std::fmt;
 use std::io;
 
-/// How it ended. What it means for an attempt also depends on [`TransmitProgress`].
+/// How an attempt or a connection to an engine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Termination {
-    /// The engine answered, and the answer is whole.
+    /// The engine sent its complete reply. Proves that the attempt was executed.
     Done,
-    /// The engine turned the attempt away: too many sessions, or draining.
+    /// The engine rejected the attempt, since it has too many sessions or is draining. Proves that
+    /// the attempt was not executed.
     Rejected,
-    /// The engine says that the request was over already.
+    /// The engine replied that the request had already finished: it detected a duplicate. Proves
+    /// that this attempt was not executed; an earlier one was.
     AlreadyFinished,
-    /// The engine answered with an error.
+    /// The engine replied with an error. The attempt may have been executed in part.
     EngineError,
-    /// The connection was refused.
+    /// The engine's host refused the connection. Proves that nothing was written, thus that the
+    /// attempt was not executed.
     Refused,
-    /// The connection was not made in time.
+    /// The connection was not established in time. Proves that nothing was written.
     ConnectTimeout,
-    /// The connection could not be made for another reason.
+    /// The connection could not be established for another reason. Proves that nothing was written.
     Unreachable,
-    /// All sockets that engines may have are in use, or a mailbox is full: this side's limits.
+    /// A limit of this process: its sockets for engines are in use, the system has no descriptor or
+    /// memory left, or a mailbox is full. Proves nothing about the engine.
     LocalLimit,
     /// The engine closed the connection.
     Closed,
     /// The connection was reset or failed.
     Reset,
-    /// The peer wrote what is not its protocol.
+    /// The peer violated the protocol, so that nothing it sends can be relied on.
     ProtocolViolation,
-    /// Nothing came although something was due.
+    /// The peer sent nothing although a message was due.
     Unresponsive,
-    /// This side closed the connection since nothing was open on it.
+    /// This process closed the connection, on which nothing was in flight.
     Idle,
-    /// The engine drains or is gone, so nothing new goes to it.
+    /// The engine is draining or gone, so no new attempt is sent to it.
     Drained,
-    /// This side gave up the attempt.
+    /// This process cancelled the attempt.
     Cancelled,
-    /// The attempt's time was up.
+    /// The deadline of the attempt passed.
     Deadline,
-    /// This side dropped the connection with all that was on it.
+    /// This process closed the connection with all attempts on it.
     Dropped,
 }
 
 impl fmt::Display for Termination {
-    /// The word by which clients and operators know it: in answers that failed and in the counters
-    /// line.
+    /// The name in failure responses and in the counters line. It is part of the interface to clients
+    /// and operators, and differs from that of the variant for some.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             Termination::Done => "Done",
@@ -71,98 +80,82 @@
 }
 
 impl Termination {
-    /// How a connection that was not made ended. What this side lacks says nothing of the peer.
-    pub fn of_connect(e: &io::Error) -> Termination {
-        match (e.kind(), e.raw_os_error().map(Errno::from_raw_os_error)) {
-            (io::ErrorKind::ConnectionRefused, _) => Termination::Refused,
-            (
-                _,
-                Some(
-                    Errno::MFILE
-                    | Errno::NFILE
-                    | Errno::NOBUFS
-                    | Errno::NOMEM
-                    | Errno::ADDRNOTAVAIL,
-                ),
+    /// The termination that corresponds to an error of `connect`. Errors that are caused by a lack
+    /// of local resources prove nothing about the peer.
+    pub fn of_connect(error: &io::Error) -> Termination {
+        if error.kind() == io::ErrorKind::ConnectionRefused {
+            return Termination::Refused;
+        }
+        match error.raw_os_error().map(Errno::from_raw_os_error) {
+            Some(
+                Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM | Errno::ADDRNOTAVAIL,
             ) => Termination::LocalLimit,
             _ => Termination::Unreachable,
         }
     }
 }
 
-/// How much of an attempt went out.
+/// How much of an attempt had been written to the engine when it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransmitProgress {
-    /// Not a byte: it never ran.
+    /// Nothing. Proves that the attempt was not executed.
     Unsent,
-    /// Some of it, but not the end, which was held back: the engine never had it whole, so it never
-    /// ran, unless the end goes out yet.
+    /// A part without the end of the message, which this process withheld. The engine cannot have
+    /// executed it, unless the end is written after all: a cancelled attempt is completed first and
+    /// its cancellation sent behind it.
     Partial,
-    /// All of it, or no telling how much: it may have run, whatever the connection did next.
+    /// All of it, or an unknown part. The attempt may have been executed, whatever happened to the
+    /// connection afterwards.
     Complete,
 }
 
-/// The one place where an end becomes the module's outcome.
+/// What the decision module is told about an attempt with this end. This is the only mapping from
+/// [`Termination`] and [`TransmitProgress`] to [`OutcomeKind`].
 ///
-/// Guards rule 2: no end after the first byte may pass for 'never ran' but the engine's own word
-/// for it, and no end before the first byte may pass for 'may have run', which would fail a load
-/// that could be sent again.
-pub fn outcome(end: Termination, reach: TransmitProgress) -> OutcomeKind {
-    match (end, reach) {
-        (Termination::Done, _) => OutcomeKind::Ok,
-        (Termination::Rejected, _) => OutcomeKind::Rejected,
-        // Also a repeat that the engine knew by its key: what ran under it is on the book of the
-        // attempt that ran.
-        (Termination::AlreadyFinished, _) => OutcomeKind::NeverSent,
-        (Termination::EngineError, _) => OutcomeKind::Error,
-        // Reported by the kernel before anything could be written.
-        (Termination::Refused | Termination::ConnectTimeout | Termination::Unreachable, _) => {
+/// After the first byte was written, only the engine's own statement, or a withheld end of the
+/// message, may lead to an outcome for which [`never_ran`] holds: otherwise a non-idempotent request
+/// could be executed twice. Before the first byte, every outcome but those of a reply has to be one
+/// for which it holds: otherwise a load that could be repeated would fail.
+pub fn outcome(termination: Termination, progress: TransmitProgress) -> OutcomeKind {
+    match termination {
+        Termination::Done => OutcomeKind::Ok,
+        Termination::Rejected => OutcomeKind::Rejected,
+        // The earlier attempt that was executed has an outcome of its own.
+        Termination::AlreadyFinished => OutcomeKind::NeverSent,
+        Termination::EngineError => OutcomeKind::Error,
+        // The operating system reports these before anything can be written.
+        Termination::Refused | Termination::ConnectTimeout | Termination::Unreachable => {
             OutcomeKind::ConnectFailed
         }
-        (Termination::Drained, TransmitProgress::Unsent) => OutcomeKind::Rejected,
-        (
-            Termination::LocalLimit | Termination::Cancelled | Termination::Deadline,
-            TransmitProgress::Unsent,
-        ) => OutcomeKind::NeverSent,
-        (
-            Termination::Closed
-            | Termination::Reset
-            | Termination::ProtocolViolation
-            | Termination::Unresponsive,
-            TransmitProgress::Unsent | TransmitProgress::Partial,
-        ) => OutcomeKind::ConnectFailed,
-        (
-            Termination::Idle | Termination::Dropped,
-            TransmitProgress::Unsent | TransmitProgress::Partial,
-        ) => OutcomeKind::ConnectFailed,
-        // The end that was held back follows, and the word that gives it up behind it.
-        (Termination::Cancelled, TransmitProgress::Complete | TransmitProgress::Partial) => {
-            OutcomeKind::Cancelled
-        }
-        (Termination::Deadline, TransmitProgress::Complete | TransmitProgress::Partial) => {
-            OutcomeKind::Timeout
-        }
-        (Termination::LocalLimit | Termination::Drained, TransmitProgress::Partial) => {
-            OutcomeKind::Reset
-        }
-        (
-            Termination::LocalLimit
-            | Termination::Drained
-            | Termination::Idle
-            | Termination::Dropped,
-            TransmitProgress::Complete,
-        ) => OutcomeKind::Reset,
-        (
-            Termination::Closed
-            | Termination::Reset
-            | Termination::ProtocolViolation
-            | Termination::Unresponsive,
-            TransmitProgress::Complete,
-        ) => OutcomeKind::Reset,
+        Termination::Closed
+        | Termination::Reset
+        | Termination::ProtocolViolation
+        | Termination::Unresponsive
+        | Termination::Idle
+        | Termination::Dropped => match progress {
+            TransmitProgress::Unsent | TransmitProgress::Partial => OutcomeKind::ConnectFailed,
+            TransmitProgress::Complete => OutcomeKind::Reset,
+        },
+        Termination::LocalLimit => match progress {
+            TransmitProgress::Unsent => OutcomeKind::NeverSent,
+            TransmitProgress::Partial | TransmitProgress::Complete => OutcomeKind::Reset,
+        },
+        Termination::Drained => match progress {
+            TransmitProgress::Unsent => OutcomeKind::Rejected,
+            TransmitProgress::Partial | TransmitProgress::Complete => OutcomeKind::Reset,
+        },
+        Termination::Cancelled => match progress {
+            TransmitProgress::Unsent => OutcomeKind::NeverSent,
+            TransmitProgress::Partial | TransmitProgress::Complete => OutcomeKind::Cancelled,
+        },
+        Termination::Deadline => match progress {
+            TransmitProgress::Unsent => OutcomeKind::NeverSent,
+            TransmitProgress::Partial | TransmitProgress::Complete => OutcomeKind::Timeout,
+        },
     }
 }
 
-/// Whether an outcome proves that the attempt never ran.
+/// Whether an outcome proves that the attempt was not executed.
 pub fn never_ran(kind: OutcomeKind) -> bool {
     matches!(
         kind,
--- a/src/net/mailbox.rs
+++ b/src/net/mailbox.rs
@@ -1,61 +1,64 @@
-//! Mailboxes that hold at most so many messages, and take memory for what is in them: a thousand
-//! peers that say nothing cost next to none. All on one thread, so that a look at the length holds
-//! until the next wait.
+//! Bounded mailboxes whose memory grows with the messages in them, not with their capacity: an idle
+//! peer costs next to nothing. (The channels of `async_channel::bounded` allocate their capacity.)
+//!
+//! All actors run on one thread, so that nothing is sent between a look at the length and the next
+//! `await`.
 use async_channel::{Receiver, TrySendError};
 
-/// Where messages for an actor go.
+/// The sending half of a mailbox.
 #[derive(Debug)]
 pub struct Sender<T> {
-    line: async_channel::Sender<T>,
-    most: usize,
+    channel: async_channel::Sender<T>,
+    capacity: usize,
 }
 
 impl<T> Clone for Sender<T> {
     fn clone(&self) -> Sender<T> {
         Sender {
-            line: self.line.clone(),
-            most: self.most,
+            channel: self.channel.clone(),
+            capacity: self.capacity,
         }
     }
 }
 
-/// A mailbox of at most `most` messages.
-pub fn bounded<T>(most: usize) -> (Sender<T>, Receiver<T>) {
-    let (line, mailbox) = async_channel::unbounded();
-    (Sender { line, most }, mailbox)
+/// Creates a mailbox for at most `capacity` messages.
+pub fn bounded<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
+    let (channel, receiver) = async_channel::unbounded();
+    (Sender { channel, capacity }, receiver)
 }
 
 impl<T> Sender<T> {
-    /// Puts a message in.
+    /// Puts a message into the mailbox.
     ///
     /// # Errors
     ///
-    /// Gives the message back where there is no room or the mailbox is closed.
+    /// Returns the message if the mailbox is full or closed.
     pub fn try_send(&self, message: T) -> Result<(), TrySendError<T>> {
-        if self.line.len() >= self.most && !self.line.is_closed() {
+        if self.channel.len() >= self.capacity && !self.channel.is_closed() {
             return Err(TrySendError::Full(message));
         }
-        self.line.try_send(message)
+        self.channel.try_send(message)
     }
 
-    /// Messages that wait.
+    /// The number of messages in the mailbox.
     pub fn len(&self) -> usize {
-        self.line.len()
+        self.channel.len()
     }
 
-    /// Whether none waits.
+    /// Whether the mailbox has no messages.
     pub fn is_empty(&self) -> bool {
-        self.line.is_empty()
+        self.channel.is_empty()
     }
 
-    /// Nothing more goes in; what is in can still be taken. Whether it was open.
+    /// Closes the mailbox: nothing can be sent any more, but the messages in it can still be
+    /// received. Returns whether it was open.
     pub fn close(&self) -> bool {
-        self.line.close()
+        self.channel.close()
     }
 
-    /// Whether nothing more goes in.
+    /// Whether the mailbox is closed.
     pub fn is_closed(&self) -> bool {
-        self.line.is_closed()
+        self.channel.is_closed()
     }
 }
 
--- a/tests/unit/mailbox.rs
+++ b/tests/unit/mailbox.rs
@@ -1,21 +1,35 @@
-//! Mailboxes are bounded by count and take memory for what is in them.
+//! The bounds of mailboxes, and what closing one does.
 use super::bounded;
 use async_channel::TrySendError;
 
-/// Guards memory: a full mailbox gives the message back, and has room again once one is taken.
 #[test]
-fn a_mailbox_is_bounded() {
-    let (sender, mailbox) = bounded(3);
-    (0..3).for_each(|i| sender.try_send(i).expect("room"));
+fn a_full_mailbox_returns_the_message_until_one_is_received() {
+    let (sender, receiver) = bounded(3);
+    (0..3).for_each(|message| sender.try_send(message).expect("capacity"));
+
     assert!(matches!(sender.try_send(3), Err(TrySendError::Full(3))));
-    assert_eq!((sender.len(), mailbox.try_recv()), (3, Ok(0)));
-    sender.try_send(4).expect("room again");
-    assert!(sender.close() && sender.is_closed() && !sender.close());
+    assert_eq!(sender.len(), 3);
+
+    assert_eq!(receiver.try_recv(), Ok(0));
+    sender.try_send(4).expect("capacity again");
+}
+
+#[test]
+fn a_closed_mailbox_takes_no_message_but_delivers_those_in_it() {
+    let (sender, receiver) = bounded(3);
+    [1, 2, 4]
+        .into_iter()
+        .for_each(|message| sender.try_send(message).expect("capacity"));
+
+    assert!(sender.close());
+    assert!(sender.is_closed());
+    assert!(!sender.close(), "it was closed before");
     assert!(matches!(
         sender.clone().try_send(5),
         Err(TrySendError::Closed(5))
     ));
-    let left: Vec<i32> = std::iter::from_fn(|| mailbox.try_recv().ok()).collect();
-    assert_eq!(left, [1, 2, 4], "what was in it can still be taken");
+
+    let delivered: Vec<i32> = std::iter::from_fn(|| receiver.try_recv().ok()).collect();
+    assert_eq!(delivered, [1, 2, 4]);
     assert!(sender.is_empty());
 }
--- a/tests/unit/termination.rs
+++ b/tests/unit/termination.rs
@@ -1,4 +1,4 @@
-//! What each end proves.
+//! What each end of an attempt proves about its execution.
 use super::*;
 
 const ALL: [Termination; 17] = [
@@ -21,12 +21,20 @@
     Termination::Dropped,
 ];
 
-/// Guards rule 2: after a byte went out only the engine's word, or a connection that never was,
-/// clears it.
+/// Whether this end proves that the attempt was not executed.
+fn proves_never_ran(termination: Termination, progress: TransmitProgress) -> bool {
+    never_ran(outcome(termination, progress))
+}
+
+/// After the whole attempt was written, only the engine's own statement, or a connection that never
+/// existed, proves that it was not executed.
 #[test]
-fn only_the_engine_says_that_what_went_out_never_ran() {
-    let clears = |end: &Termination| never_ran(outcome(*end, TransmitProgress::Complete));
-    let cleared: Vec<Termination> = ALL.into_iter().filter(clears).collect();
+fn a_complete_attempt_is_cleared_only_by_the_engine_or_a_failed_connect() {
+    let cleared: Vec<Termination> = ALL
+        .into_iter()
+        .filter(|termination| proves_never_ran(*termination, TransmitProgress::Complete))
+        .collect();
+
     assert_eq!(
         cleared,
         [
@@ -37,44 +45,58 @@
             Termination::Unreachable
         ]
     );
-    // With its end held back nothing can run, whatever breaks; but what this side gives up may
-    // still go out.
-    let breaks = [
+}
+
+#[test]
+fn a_failed_connection_clears_an_attempt_whose_end_was_withheld() {
+    let failures = [
         Termination::Closed,
         Termination::Reset,
         Termination::ProtocolViolation,
         Termination::Unresponsive,
         Termination::Dropped,
     ];
+
     assert!(
-        breaks
+        failures
             .into_iter()
-            .all(|end| never_ran(outcome(end, TransmitProgress::Partial)))
+            .all(|failure| proves_never_ran(failure, TransmitProgress::Partial))
     );
+}
+
+/// The withheld end of a cancelled attempt is written before its cancellation.
+#[test]
+fn a_cancellation_does_not_clear_an_attempt_whose_end_was_withheld() {
+    let cancellations = [Termination::Cancelled, Termination::Deadline];
+
     assert!(
-        [Termination::Cancelled, Termination::Deadline]
+        cancellations
             .into_iter()
-            .all(|end| !never_ran(outcome(end, TransmitProgress::Partial)))
+            .all(|cancellation| !proves_never_ran(cancellation, TransmitProgress::Partial))
     );
-    let stuck: Vec<Termination> = ALL
+}
+
+#[test]
+fn an_unsent_attempt_may_have_run_only_if_the_engine_replied() {
+    let may_have_run: Vec<Termination> = ALL
         .into_iter()
-        .filter(|e| !never_ran(outcome(*e, TransmitProgress::Unsent)))
+        .filter(|termination| !proves_never_ran(*termination, TransmitProgress::Unsent))
         .collect();
-    assert_eq!(stuck, [Termination::Done, Termination::EngineError]);
+
+    assert_eq!(may_have_run, [Termination::Done, Termination::EngineError]);
 }
 
-/// Guards an engine's good name against this side's own want of descriptors.
+/// A lack of local descriptors must not count as a fault of the engine.
 #[test]
-fn want_of_descriptors_says_nothing_of_the_engine() {
-    let of = |errno: Errno| Termination::of_connect(&io::Error::from(errno));
-    assert_eq!(
-        [of(Errno::MFILE), of(Errno::NFILE)],
-        [Termination::LocalLimit; 2]
-    );
+fn a_lack_of_descriptors_is_a_local_limit() {
+    let of_connect = |errno: Errno| Termination::of_connect(&io::Error::from(errno));
+
+    assert_eq!(of_connect(Errno::MFILE), Termination::LocalLimit);
+    assert_eq!(of_connect(Errno::NFILE), Termination::LocalLimit);
     assert_eq!(
-        outcome(of(Errno::MFILE), TransmitProgress::Unsent),
+        outcome(of_connect(Errno::MFILE), TransmitProgress::Unsent),
         OutcomeKind::NeverSent
     );
-    assert_eq!(of(Errno::CONNREFUSED), Termination::Refused);
-    assert_eq!(of(Errno::HOSTUNREACH), Termination::Unreachable);
+    assert_eq!(of_connect(Errno::CONNREFUSED), Termination::Refused);
+    assert_eq!(of_connect(Errno::HOSTUNREACH), Termination::Unreachable);
 }
