--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -40,7 +40,7 @@
                 continue;
             }
         };
-        let most = (shared.limits.get().0 / PART).clamp(2, CALLERS);
+        let most = (shared.limits.get().descriptors / PART).clamp(2, CALLERS);
         if places.borrow().len() >= most {
             places
                 .borrow_mut()
--- a/src/net/dispatcher/shutdown.rs
+++ b/src/net/dispatcher/shutdown.rs
@@ -79,7 +79,7 @@
     /// queues and the sockets' buffers are rejected, or their connections closed gracefully.
     fn begin_closing(&mut self, now: Micros) {
         self.shared.lifecycle.borrow_mut().begin_closing();
-        self.shared.accepting.0.close();
+        self.shared.stop_accepting();
         client::send_away(&self.shared);
         let timeout = if self.requests_ended {
             FORCED_CLOSE_TIMEOUT
