--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -1,6 +1,6 @@
-//! What a listed engine costs in memory, counted byte by byte at two sizes of the fleet: a row and
-//! what the module knows of it. Fails if an engine that nobody uses has a mailbox or a task of its
-//! own again.
+//! The memory that an endpoint in the list costs, measured by a counting allocator at several sizes of
+//! the fleet: a handle, and what the decision module stores about it. Fails if an engine that nothing
+//! is sent to has a mailbox or a task of its own.
 mod common;
 use async_channel::{bounded, unbounded};
 use common::settings;
@@ -10,94 +10,108 @@
 use std::sync::atomic::{AtomicIsize, Ordering};
 use yokelift::config::process::Names;
 use yokelift::dispatcher::Dispatcher;
-use yokelift::net::discovery::endpoint_list::{self, Http, Update, listed};
+use yokelift::net::discovery::endpoint_list::{self, Http, ListedEndpoint, Update, listed};
 use yokelift::net::dispatcher::DispatcherEvent;
 use yokelift::net::{Shared, sleep_until};
 use yokelift::policy::api::Readiness;
 
-static HELD: AtomicIsize = AtomicIsize::new(0);
+/// Bytes that are allocated now.
+static ALLOCATED: AtomicIsize = AtomicIsize::new(0);
 
-/// Counts the bytes that are held.
-struct Counting;
+/// The system's allocator, with a count of the bytes.
+struct CountingAllocator;
 
-// SAFETY: all is passed on to the system's allocator unchanged.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is passed on to the system's allocator unchanged.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size() as isize, Ordering::Relaxed);
+        ALLOCATED.fetch_add(layout.size() as isize, Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size() as isize, Ordering::Relaxed);
+        ALLOCATED.fetch_sub(layout.size() as isize, Ordering::Relaxed);
         unsafe { System.dealloc(at, layout) }
     }
 }
 
 #[global_allocator]
-static COUNTING: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// Bytes that a manager holds once it has taken a whole list of so many engines, over what it held
-/// before.
-fn held_with(engines: u32) -> isize {
+fn allocated() -> isize {
+    ALLOCATED.load(Ordering::Relaxed)
+}
+
+fn ready_endpoint(id: u32) -> ListedEndpoint {
+    let address = SocketAddr::from(([127, 0, (id >> 8) as u8, id as u8], 9_000));
+    listed(id, address, Readiness::Ready, (0, 0, 0), 1.0, 0)
+}
+
+/// The bytes that a gateway allocates for a full endpoint list of this many engines.
+fn allocated_for(engines: u32) -> isize {
     let shared = Shared::new(4_096, 1_024);
-    let (core, news) = unbounded();
+    let (dispatcher_events, received_events) = unbounded();
     let (updates, mailbox) = bounded(endpoint_list::MAILBOX);
     let names = Rc::new(Names {
         streams: 4,
         ..Names::default()
     });
-    let make = endpoint_list::engines(shared.clone(), core.clone(), names, Http::default());
+    let make = endpoint_list::engines(
+        shared.clone(),
+        dispatcher_events.clone(),
+        names,
+        Http::default(),
+    );
     shared.spawn(endpoint_list::run(
         shared.clone(),
-        core,
+        dispatcher_events,
         mailbox,
         make,
         Http::default(),
     ));
-    let mut manager = Dispatcher::new(0, settings(), &["a", "b", "c", "d"].map(String::from), 1);
-    let mut orders = Vec::new();
-    let before = HELD.load(Ordering::Relaxed);
-    let one = |id: u32| {
-        let at = SocketAddr::from(([127, 0, (id >> 8) as u8, id as u8], 9_000));
-        listed(id, at, Readiness::Ready, (0, 0, 0), 1.0, 0)
-    };
+    let class_names = ["a", "b", "c", "d"].map(String::from);
+    let mut dispatcher = Dispatcher::new(0, settings(), &class_names, 1);
+    let mut commands = Vec::new();
+    let before = allocated();
     let update = Update {
         index: 1,
         whole: true,
-        engines: (1..=engines).map(one).collect(),
+        engines: (1..=engines).map(ready_endpoint).collect(),
     };
     let executor = shared.executor.clone();
-    let rows = async_io::block_on(executor.run(async {
+    let handles = async_io::block_on(executor.run(async {
         updates.send(update).await.expect("the list's actor");
-        let Ok(DispatcherEvent::EndpointList(update)) = news.recv().await else {
-            panic!("no news")
+        let Ok(DispatcherEvent::EndpointList(update)) = received_events.recv().await else {
+            panic!("no endpoint list")
         };
-        manager.update_endpoints(1, update.kind, update.entries, &mut orders);
-        orders.clear();
-        // A turn for whatever was started with the rows.
+        dispatcher.update_endpoints(1, update.kind, update.entries, &mut commands);
+        commands.clear();
+        // A turn for actors that were started with the handles, if there are any.
         sleep_until(Some(yokelift::clock::now() + 1)).await;
         update.new_endpoints
     }));
-    assert_eq!(
-        (rows.len(), shared.engine_actors.get()),
-        (engines as usize, 0)
-    );
-    let held = HELD.load(Ordering::Relaxed) - before;
-    drop(rows);
-    held
+    assert_eq!(handles.len(), engines as usize);
+    assert_eq!(shared.engine_actors.get(), 0, "no engine has an actor");
+    let allocated = allocated() - before;
+    drop(handles);
+    allocated
 }
 
-/// Guards the budget of 64 MB at 910 engines: under 8 KB an engine, at whatever size of the list.
+/// 64 MB have to suffice for 910 engines: less than 8 KB an engine, whatever the size of the list.
 #[test]
-fn an_engine_in_the_list_costs_a_row() {
-    let (few, some, many) = (held_with(100), held_with(500), held_with(900));
-    let slopes = [(some - few) / 400, (many - some) / 400];
+fn an_endpoint_without_traffic_costs_less_than_8_kb() {
+    let at_100 = allocated_for(100);
+    let at_500 = allocated_for(500);
+    let at_900 = allocated_for(900);
+
+    let bytes_per_engine = [(at_500 - at_100) / 400, (at_900 - at_500) / 400];
     assert!(
-        slopes.iter().all(|slope| (1..8 * 1024).contains(slope)),
-        "{few} {some} {many}: {slopes:?} an engine"
+        bytes_per_engine
+            .iter()
+            .all(|bytes| (1..8 * 1024).contains(bytes)),
+        "{at_100} {at_500} {at_900}: {bytes_per_engine:?} bytes an engine"
     );
     assert!(
-        slopes[1] <= slopes[0] * 5 / 4,
-        "grows with the fleet: {slopes:?}"
+        bytes_per_engine[1] <= bytes_per_engine[0] * 5 / 4,
+        "grows with the fleet: {bytes_per_engine:?} bytes an engine"
     );
 }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,9 +1,9 @@
-//! The system has no descriptor left at the first use of an engine: alone in its process, as the
-//! limit is the process's.
-use async_channel::bounded;
+//! The system has no file descriptor left when an engine is first used. The limit is that of the
+//! process, so this test is alone in its file.
+use async_channel::{Receiver, bounded};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::fs::File;
-use std::net::TcpListener;
+use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use yokelift::config::process::Names;
 use yokelift::dispatcher::AttemptRequest;
@@ -11,94 +11,146 @@
 use yokelift::net::Shared;
 use yokelift::net::discovery::endpoint_list::{Http, engines, listed};
 use yokelift::net::dispatcher::DispatcherEvent;
-use yokelift::net::engine::EngineCommand;
+use yokelift::net::engine::{EndpointHandle, EngineCommand};
 use yokelift::policy::api::{EngineId, Readiness, RequestId};
 use yokelift::testkit::eventually;
 
-/// Guards an engine's good name and the request: the attempt ends as never sent, for want of room
-/// here, the actor goes, and the next use finds a descriptor again.
-#[test]
-fn no_descriptor_of_the_system_is_left_at_the_first_use() {
-    let line = TcpListener::bind("127.0.0.1:0").expect("a port");
-    line.set_nonblocking(true).expect("a socket");
-    let shared = Shared::new(4_096, 64);
-    let (core, inputs) = bounded(100);
-    let names = Names {
-        streams: 4,
-        connect_timeout: 5_000_000_000,
-        ..Names::default()
-    };
-    let make = engines(shared.clone(), core, Rc::new(names), Http::default());
-    let row = make(&listed(
-        1,
-        line.local_addr().expect("its address"),
-        Readiness::Ready,
-        (0, 0, 0),
-        1.0,
-        0,
-    ));
-    assert_eq!(row.id, EngineId(1));
-    let executor = shared.executor.clone();
-    let run = |holds: &mut dyn FnMut() -> bool| async_io::block_on(executor.run(eventually(holds)));
-    let mut looks = 0;
-    let again = run(&mut || {
-        looks += 1;
-        looks > 1
-    });
-    assert!(again, "after a pause the reactor has its own descriptors");
-    let start = |id| {
-        EngineCommand::Start(AttemptRequest {
+/// How an attempt ended.
+#[derive(Debug, PartialEq)]
+struct AttemptEnd {
+    id: RequestId,
+    termination: Termination,
+    progress: TransmitProgress,
+}
+
+/// An engine's actor, with the events that it sends to the dispatcher.
+struct Testbed {
+    shared: Rc<Shared>,
+    endpoint: Rc<EndpointHandle>,
+    events: Receiver<DispatcherEvent>,
+    ends: Vec<AttemptEnd>,
+}
+
+impl Testbed {
+    fn new(engine: SocketAddr) -> Testbed {
+        let shared = Shared::new(4_096, 64);
+        let (dispatcher, events) = bounded(100);
+        let names = Names {
+            streams: 4,
+            connect_timeout: 5_000_000_000,
+            ..Names::default()
+        };
+        let make = engines(shared.clone(), dispatcher, Rc::new(names), Http::default());
+        let endpoint = make(&listed(1, engine, Readiness::Ready, (0, 0, 0), 1.0, 0));
+        Testbed {
+            shared,
+            endpoint,
+            events,
+            ends: Vec::new(),
+        }
+    }
+
+    /// Runs the actors until the condition holds; whether it did in time.
+    fn run_until(&mut self, condition: &mut dyn FnMut(&mut Testbed) -> bool) -> bool {
+        let executor = self.shared.executor.clone();
+        async_io::block_on(executor.run(eventually(&mut || {
+            self.receive_ends();
+            condition(self)
+        })))
+    }
+
+    fn receive_ends(&mut self) {
+        while let Ok(event) = self.events.try_recv() {
+            if let DispatcherEvent::AttemptFinished(result) = event {
+                self.ends.push(AttemptEnd {
+                    id: result.id,
+                    termination: result.termination,
+                    progress: result.progress,
+                });
+            }
+        }
+    }
+
+    fn start_attempt(&self, id: u32) {
+        let attempt = AttemptRequest {
             id: RequestId(id),
             ..AttemptRequest::default()
-        })
-    };
-    // Every place up to the limit is taken.
-    let before = getrlimit(Resource::Nofile);
-    let few = Rlimit {
-        current: Some(64),
-        ..before
-    };
-    setrlimit(Resource::Nofile, few).expect("a lower limit");
-    let taken: Vec<File> = std::iter::from_fn(|| File::open("/dev/null").ok()).collect();
-    assert_eq!(row.tell(start(1)), Ok(()));
-    let mut ended = Vec::new();
-    let look = |ended: &mut Vec<(RequestId, Termination, TransmitProgress)>| {
-        while let Ok(input) = inputs.try_recv() {
-            if let DispatcherEvent::AttemptFinished(e) = input {
-                ended.push((e.id, e.termination, e.progress));
-            }
+        };
+        assert_eq!(self.endpoint.tell(EngineCommand::Start(attempt)), Ok(()));
+    }
+}
+
+/// All descriptors that a process may have, until drop.
+struct ExhaustedDescriptors {
+    files: Vec<File>,
+    previous: Rlimit,
+}
+
+impl ExhaustedDescriptors {
+    fn new() -> ExhaustedDescriptors {
+        let previous = getrlimit(Resource::Nofile);
+        let low = Rlimit {
+            current: Some(64),
+            ..previous
+        };
+        setrlimit(Resource::Nofile, low).expect("a lower limit");
+        ExhaustedDescriptors {
+            files: std::iter::from_fn(|| File::open("/dev/null").ok()).collect(),
+            previous,
         }
-    };
-    let one = run(&mut || {
-        look(&mut ended);
-        ended.len() == 1 && shared.engine_actors.get() == 0
+    }
+}
+
+impl Drop for ExhaustedDescriptors {
+    fn drop(&mut self) {
+        self.files.clear();
+        setrlimit(Resource::Nofile, self.previous).expect("the previous limit");
+    }
+}
+
+/// The attempt ends as never sent because of a local limit, which does not count against the engine;
+/// its actor ends, and the next attempt finds a descriptor again.
+#[test]
+fn an_attempt_without_a_free_descriptor_ends_unsent_by_a_local_limit() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    listener.set_nonblocking(true).expect("a socket");
+    let mut testbed = Testbed::new(listener.local_addr().expect("its address"));
+    assert_eq!(testbed.endpoint.id, EngineId(1));
+    let mut polls = 0;
+    let is_running = testbed.run_until(&mut |_| {
+        polls += 1;
+        polls > 1
     });
-    assert!(one && !row.is_active() && !row.is_closed(), "{ended:?}");
-    assert_eq!(
-        ended,
-        [(
-            RequestId(1),
-            Termination::LocalLimit,
-            TransmitProgress::Unsent
-        )]
-    );
-    drop(taken);
-    setrlimit(Resource::Nofile, before).expect("the limit of before");
-    assert_eq!(row.tell(start(2)), Ok(()));
-    // Its client is not there, so that it is taken back unsent, on a connection that was made.
-    let mut came = Vec::new();
-    let two = run(&mut || {
-        look(&mut ended);
-        came.extend(line.accept().ok());
-        ended.len() == 2 && !came.is_empty()
+    assert!(is_running, "the reactor opens its own descriptors before");
+
+    let exhausted = ExhaustedDescriptors::new();
+    testbed.start_attempt(1);
+    let has_ended = testbed.run_until(&mut |testbed| {
+        testbed.ends.len() == 1 && testbed.shared.engine_actors.get() == 0
     });
-    assert!(
-        two && ended[1]
-            == (
-                RequestId(2),
-                Termination::Cancelled,
-                TransmitProgress::Unsent
-            ),
-        "{ended:?}"
-    );
+    assert!(has_ended, "{:?}", testbed.ends);
+    assert!(!testbed.endpoint.is_active());
+    assert!(!testbed.endpoint.is_closed());
+    let first_end = AttemptEnd {
+        id: RequestId(1),
+        termination: Termination::LocalLimit,
+        progress: TransmitProgress::Unsent,
+    };
+    assert_eq!(testbed.ends, [first_end]);
+    drop(exhausted);
+
+    // The attempt has no client connection, so it is cancelled once there is a connection.
+    testbed.start_attempt(2);
+    let mut accepted = Vec::new();
+    let has_ended = testbed.run_until(&mut |testbed| {
+        accepted.extend(listener.accept().ok());
+        testbed.ends.len() == 2 && !accepted.is_empty()
+    });
+    assert!(has_ended, "{:?}", testbed.ends);
+    let second_end = AttemptEnd {
+        id: RequestId(2),
+        termination: Termination::Cancelled,
+        progress: TransmitProgress::Unsent,
+    };
+    assert_eq!(testbed.ends[1], second_end);
 }
--- a/tests/unit/mutation.rs
+++ b/tests/unit/mutation.rs
@@ -1,253 +1,317 @@
-//! Mutation of one message at a time over recorded exchanges, on the wires of clients, engines and
-//! the coordinator: a message dropped, doubled, cut short, held past its deadline, a byte flipped,
-//! each figure at its extremes. After each: one end or answer at most, and whatever else was open
-//! is not harmed by more than the wire's end.
+//! Recorded exchanges with one message mutated at a time, on the protocols of clients, engines and
+//! the coordinator: a message is dropped, duplicated, truncated, delayed beyond its deadline, has a
+//! bit flipped, or a number replaced by an extreme one. After each mutation, every attempt and every
+//! request ends at most once, and what else is open suffers at most the end of the connection.
 use crate::backend::connection_state::{ConnectionState, Event};
 use crate::backend::platform::Platform;
 use crate::clock::{MS, Micros, SEC};
 use crate::config::process::Names;
 use crate::dispatcher::termination::{Termination, TransmitProgress, never_ran, outcome};
-use crate::dispatcher::{AttemptRequest, Response};
+use crate::dispatcher::{AttemptRequest, AttemptResult, Response};
 use crate::frontend::jsonrpc::JsonRpc;
 use crate::frontend::{Front, FrontendEvent};
 use crate::net::discovery::coordinator::{Follower, WatchPosition};
 use crate::policy::api::{AttemptNo, RequestId};
 use crate::testkit::clients::rpc_line;
+use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Each wire's messages after one change, with how long is waited before each.
-fn mutants(messages: &[Vec<u8>]) -> Vec<Vec<(Micros, Vec<u8>)>> {
-    let plain: Vec<(Micros, Vec<u8>)> = messages.iter().map(|m| (MS, m.clone())).collect();
-    let mut all = vec![plain.clone()];
-    for (at, message) in messages.iter().enumerate() {
-        let with = |new: Vec<(Micros, Vec<u8>)>| {
-            let mut changed = plain.clone();
-            changed.splice(at..=at, new);
-            changed
-        };
-        all.push(with(vec![]));
-        all.push(with(vec![(MS, message.clone()), (MS, message.clone())]));
-        all.push(with(vec![(20 * SEC, message.clone())]));
-        all.extend((0..message.len()).map(|cut| with(vec![(MS, message[..cut].to_vec())])));
-        for (byte, bit) in (0..message.len()).flat_map(|byte| [0, 5, 7].map(|bit| (byte, bit))) {
-            let mut flipped = message.clone();
-            flipped[byte] ^= 1 << bit;
-            all.push(with(vec![(MS, flipped)]));
+/// A message that arrives after a delay.
+#[derive(Clone)]
+struct Delivery {
+    delay: Micros,
+    message: Vec<u8>,
+}
+
+impl Delivery {
+    fn prompt(message: Vec<u8>) -> Delivery {
+        Delivery { delay: MS, message }
+    }
+
+    fn late(message: Vec<u8>) -> Delivery {
+        Delivery {
+            delay: 20 * SEC,
+            message,
         }
-        // Each run of digits at its extremes.
-        let digits: Vec<usize> = (0..message.len())
-            .filter(|i| message[*i].is_ascii_digit())
-            .collect();
-        for start in digits
-            .iter()
-            .filter(|i| **i == 0 || !message[**i - 1].is_ascii_digit())
-        {
-            let end = (*start..message.len())
-                .find(|i| !message[*i].is_ascii_digit())
-                .unwrap_or(message.len());
-            for extreme in ["", "0", "-1", "1e308", "NaN", "18446744073709551616"] {
-                let new = [&message[..*start], extreme.as_bytes(), &message[end..]].concat();
-                all.push(with(vec![(MS, new)]));
-            }
+    }
+}
+
+/// The original exchange, and the exchange with each mutation of each message.
+fn mutated_exchanges(messages: &[Vec<u8>]) -> Vec<Vec<Delivery>> {
+    let original: Vec<Delivery> = messages.iter().cloned().map(Delivery::prompt).collect();
+    let mut exchanges = vec![original.clone()];
+    for (index, message) in messages.iter().enumerate() {
+        for replacement in mutations(message) {
+            let mut exchange = original.clone();
+            exchange.splice(index..=index, replacement);
+            exchanges.push(exchange);
+        }
+    }
+    exchanges
+}
+
+/// What may arrive in place of a message.
+fn mutations(message: &[u8]) -> Vec<Vec<Delivery>> {
+    let whole = Delivery::prompt(message.to_vec());
+    let dropped = vec![];
+    let duplicated = vec![whole.clone(), whole];
+    let delayed = vec![Delivery::late(message.to_vec())];
+    let mut mutations = vec![dropped, duplicated, delayed];
+    let changed = truncations(message)
+        .into_iter()
+        .chain(bit_flips(message))
+        .chain(extreme_numbers(message));
+    mutations.extend(changed.map(|message| vec![Delivery::prompt(message)]));
+    mutations
+}
+
+fn truncations(message: &[u8]) -> Vec<Vec<u8>> {
+    (0..message.len())
+        .map(|length| message[..length].to_vec())
+        .collect()
+}
+
+fn bit_flips(message: &[u8]) -> Vec<Vec<u8>> {
+    let flip = |byte: usize, bit: u8| {
+        let mut flipped = message.to_vec();
+        flipped[byte] ^= 1 << bit;
+        flipped
+    };
+    (0..message.len())
+        .flat_map(|byte| [0, 5, 7].map(|bit| flip(byte, bit)))
+        .collect()
+}
+
+/// The message with each of its runs of digits replaced by each of the extremes.
+fn extreme_numbers(message: &[u8]) -> Vec<Vec<u8>> {
+    let is_digit = |index: usize| message[index].is_ascii_digit();
+    let starts =
+        (0..message.len()).filter(|&start| is_digit(start) && (start == 0 || !is_digit(start - 1)));
+    let mut changed = Vec::new();
+    for start in starts {
+        let end = (start..message.len())
+            .find(|&index| !is_digit(index))
+            .unwrap_or(message.len());
+        for extreme in ["", "0", "-1", "1e308", "NaN", "18446744073709551616"] {
+            changed.push([&message[..start], extreme.as_bytes(), &message[end..]].concat());
+        }
+    }
+    changed
+}
+
+/// An engine connection that has sent the attempts 0 to 3 and a probe.
+fn connection_with_attempts(now: Micros) -> ConnectionState<Platform> {
+    let names = Names {
+        streams: 8,
+        load_fields: vec!["queue".into()],
+        ..Names::default()
+    };
+    let mut connection = ConnectionState::new(now, Platform::new(Rc::new(names)));
+    connection.probe(now);
+    for id in 0..4u32 {
+        let attempt = AttemptRequest {
+            id: RequestId(id),
+            client_request_id: format!("a{id}").into(),
+            statement: Rc::from(&b"SELECT 1"[..]),
+            deadline: now + 9 * SEC,
+            class: "lookup".into(),
+            ..AttemptRequest::default()
+        };
+        connection.start(now, &attempt);
+    }
+    write_all(&mut connection, now);
+    connection
+}
+
+fn write_all(connection: &mut ConnectionState<Platform>, now: Micros) {
+    while let Some(length) = connection.to_write().map(<[u8]>::len) {
+        connection.wrote(now, length);
+    }
+}
+
+/// Delivers an exchange to the connection, lets deadlines pass, and closes it.
+fn engine_events(exchange: &[Delivery]) -> Vec<Event> {
+    let mut now = SEC;
+    let mut connection = connection_with_attempts(now);
+    let mut events = Vec::new();
+    for Delivery { delay, message } in exchange {
+        now += delay;
+        connection.due(now, &mut events);
+        if connection.over().is_none() && !message.is_empty() {
+            connection.read(now, message, &mut events);
+            write_all(&mut connection, now);
         }
     }
-    all
+    let end = now + 5 * SEC;
+    connection.due(end, &mut events);
+    let termination = connection.over().unwrap_or(Termination::Reset);
+    connection.close(end, termination, &mut events);
+    events
 }
 
-/// Guards rule 2 and the one answer: however one message of an engine is spoilt, each attempt ends
-/// once, and none that went out is taken for one that never ran but by the engine's own word.
+/// Only the engine's own statement clears an attempt that was written.
 #[test]
-fn an_engines_spoilt_message_ends_each_attempt_once() {
-    let messages: Vec<Vec<u8>> = [
+fn a_mutated_engine_message_ends_each_attempt_once() {
+    let messages = [
         "a0 DONE sheets=2,toil=12.5,room=8 6\r\na\tb\tc\n\r\n",
         "p1 FIT meter=queue:0;util:0.25 0\r\n\r\n",
         "a1 WAIT - 0\r\n\r\n",
         "a0 MORE sheet=1 6\r\nd\te\tf\n\r\n",
         "a2 DONE sheets=1 0\r\n\r\n",
     ]
-    .map(|m| m.as_bytes().to_vec())
-    .into();
-    let words = |m: &[u8], word: &str| String::from_utf8_lossy(m).contains(word);
-    for (number, mutant) in mutants(&messages).into_iter().enumerate() {
-        let names = Names {
-            streams: 8,
-            load_fields: vec!["queue".into()],
-            ..Names::default()
-        };
-        let (mut now, mut events) = (SEC, Vec::new());
-        let mut link = ConnectionState::new(now, Platform::new(Rc::new(names)));
-        link.probe(now);
-        for id in 0..4u32 {
-            let key: Rc<str> = format!("a{id}").into();
-            let statement = Rc::from(&b"SELECT 1"[..]);
-            let (id, until) = (RequestId(id), now + 9 * SEC);
-            link.start(
-                now,
-                &AttemptRequest {
-                    id,
-                    client_request_id: key,
-                    statement,
-                    deadline: until,
-                    class: "lookup".into(),
-                    ..AttemptRequest::default()
-                },
-            );
-        }
-        let write = |link: &mut ConnectionState<Platform>, now| {
-            while let Some(n) = link.to_write().map(<[u8]>::len) {
-                link.wrote(now, n);
-            }
-        };
-        write(&mut link, now);
-        let told_full = mutant
-            .iter()
-            .any(|(_, m)| words(m, "WAIT") || words(m, "PAST"));
-        for (wait, message) in mutant {
-            now += wait;
-            link.due(now, &mut events);
-            if link.over().is_none() && !message.is_empty() {
-                link.read(now, &message, &mut events);
-                write(&mut link, now);
-            }
-        }
-        link.due(now + 5 * SEC, &mut events);
-        link.close(
-            now + 5 * SEC,
-            link.over().unwrap_or(Termination::Reset),
-            &mut events,
-        );
+    .map(|message| message.as_bytes().to_vec());
+    for (number, exchange) in mutated_exchanges(&messages).iter().enumerate() {
+        let may_clear = exchange.iter().any(|delivery| {
+            let text = String::from_utf8_lossy(&delivery.message);
+            text.contains("WAIT") || text.contains("PAST")
+        });
+
+        let events = engine_events(exchange);
+
         let mut ends: BTreeMap<RequestId, usize> = BTreeMap::new();
         let mut probes = 0;
         for event in events {
             match event {
-                Event::Ended(ended) => {
-                    assert_eq!(
-                        (ended.attempt, ended.progress),
-                        (AttemptNo(0), TransmitProgress::Complete),
-                        "{number}"
-                    );
-                    let cleared = never_ran(outcome(ended.termination, ended.progress));
-                    assert!(
-                        !cleared || (told_full && ended.id != RequestId(3)),
-                        "{number}: {ended:?}"
-                    );
-                    *ends.entry(ended.id).or_default() += 1;
+                Event::Ended(result) => {
+                    check_end(number, &result, may_clear);
+                    *ends.entry(result.id).or_default() += 1;
                 }
                 Event::Probed { .. } => probes += 1,
             }
         }
-        assert_eq!(
-            ends,
-            (0..4).map(|id| (RequestId(id), 1)).collect(),
-            "{number}"
-        );
+        let once_each = (0..4).map(|id| (RequestId(id), 1)).collect();
+        assert_eq!(ends, once_each, "{number}");
         assert_eq!(probes, 1, "{number}");
     }
 }
 
-/// Guards the one answer: however one message of a client is spoilt, what it asked is answered once
-/// at most, in lines that can be read, and nothing of what it withdrew is.
+/// Checks an attempt's end; attempt 3 is in none of the messages, so nothing clears it.
+fn check_end(number: usize, result: &AttemptResult, may_clear: bool) {
+    assert_eq!(
+        (result.attempt, result.progress),
+        (AttemptNo(0), TransmitProgress::Complete),
+        "{number}"
+    );
+    let is_cleared = never_ran(outcome(result.termination, result.progress));
+    assert!(
+        !is_cleared || (may_clear && result.id != RequestId(3)),
+        "{number}: {result:?}"
+    );
+}
+
+fn json_rpc_frontend() -> JsonRpc {
+    let names = Names {
+        classes: vec!["lookup".to_owned()],
+        tenants: vec!["acme".to_owned()],
+        ..Names::default()
+    };
+    let names = Rc::new(RefCell::new(Rc::new(names)));
+    JsonRpc::new(1, names, Rc::new(|| true))
+}
+
+/// How often each id was answered in these lines, without the answers to readiness queries, which
+/// may come under any id.
+fn answers_by_id(lines: &str) -> BTreeMap<u64, usize> {
+    let mut answers = BTreeMap::new();
+    for line in lines.lines() {
+        let answer: serde_json::Value = serde_json::from_str(line).expect("a JSON message");
+        let is_readiness = !answer["result"]["green"].is_null();
+        if let Some(id) = answer["id"].as_u64()
+            && !is_readiness
+        {
+            *answers.entry(id).or_default() += 1;
+        }
+    }
+    answers
+}
+
+/// The lines to the client are valid JSON, and no request stays open.
 #[test]
-fn a_clients_spoilt_message_brings_one_answer_at_most() {
-    let messages = vec![
+fn a_mutated_client_message_is_answered_at_most_once() {
+    let messages = [
         rpc_line(1, "lookup", "9b1f03aa5c7e2d41", "acme", 1_500, "SELECT 1"),
         b"{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"status\"}\n".to_vec(),
         rpc_line(3, "lookup", "9b1f03aa5c7e2d42", "acme", 1_500, "SELECT 2"),
         b"{\"jsonrpc\":\"2.0\",\"method\":\"withdraw\",\"params\":{\"id\":1}}\n".to_vec(),
         rpc_line(4, "lookup", "9b1f03aa5c7e2d43", "acme", 1_500, "SELECT 3"),
     ];
-    for (number, mutant) in mutants(&messages).into_iter().enumerate() {
-        let named = |name: &str| vec![name.to_owned()];
-        let names = Names {
-            classes: named("lookup"),
-            tenants: named("acme"),
-            ..Names::default()
-        };
-        let names = Rc::new(std::cell::RefCell::new(Rc::new(names)));
-        let mut front = JsonRpc::new(1, names, Rc::new(|| true));
-        let (mut now, mut said, mut replies) = (SEC, Vec::new(), Vec::new());
-        for (wait, message) in mutant {
-            now += wait;
-            // It may be read slowly: what is skimmed is found again, and counts once.
-            front.skim(&message, 0, &mut said);
-            let _ = front.feed(now, &message, &mut said, &mut replies);
+    for (number, exchange) in mutated_exchanges(&messages).into_iter().enumerate() {
+        let mut front = json_rpc_frontend();
+        let mut now = SEC;
+        let mut events = Vec::new();
+        let mut output = Vec::new();
+        for Delivery { delay, message } in exchange {
+            now += delay;
+            // Input that is deferred is scanned first; what the scan finds must not count twice.
+            front.skim(&message, 0, &mut events);
+            let _ = front.feed(now, &message, &mut events, &mut output);
         }
-        let asked: Vec<u64> = said
+        let tags: Vec<u64> = events
             .iter()
-            .filter_map(|s| {
-                if let FrontendEvent::Ask(a) = s {
-                    Some(a.origin.tag)
-                } else {
-                    None
-                }
+            .filter_map(|event| match event {
+                FrontendEvent::Ask(request) => Some(request.origin.tag),
+                _ => None,
             })
             .collect();
-        for tag in asked.iter().chain(&asked) {
-            front.answer(
-                now,
-                *tag,
-                Response::Rejected(Some(MS)),
-                &mut Vec::new(),
-                &mut replies,
-            );
-        }
-        let text = String::from_utf8(replies).expect("text");
-        let mut answers: BTreeMap<u64, usize> = BTreeMap::new();
-        for line in text.lines() {
-            let answer: serde_json::Value = serde_json::from_str(line).expect("a message");
-            // The question whether it is ready may come under any number.
-            let asked = answer["result"]["green"].is_null();
-            answer["id"]
-                .as_u64()
-                .filter(|_| asked)
-                .into_iter()
-                .for_each(|id| *answers.entry(id).or_default() += 1);
+
+        // Each request is answered twice, and the second answer must not be written.
+        for tag in tags.iter().chain(&tags) {
+            let response = Response::Rejected(Some(MS));
+            front.answer(now, *tag, response, &mut Vec::new(), &mut output);
         }
+
+        let text = String::from_utf8(output).expect("text");
+        let answers = answers_by_id(&text);
         assert!(
-            asked
-                .iter()
-                .all(|tag| answers.get(tag).is_none_or(|n| *n == 1)),
+            tags.iter()
+                .all(|tag| answers.get(tag).is_none_or(|count| *count == 1)),
             "{number}: {text}"
         );
-        let withdrawn = said
+        let cancellations = events
             .iter()
-            .filter(|s| matches!(s, FrontendEvent::Withdraw(_)))
+            .filter(|event| matches!(event, FrontendEvent::Withdraw(_)))
             .count();
-        assert!(withdrawn <= 1 && front.open() == 0, "{number}");
+        assert!(cancellations <= 1 && front.open() == 0, "{number}");
     }
 }
 
-/// Guards the list: however one frame of the coordinator is spoilt, numbers only grow, and a reader
-/// that was thrown off asks again from the last event it has.
+/// A frame of the coordinator: its length, the index of the event, the kind, and records.
+fn coordinator_frame(index: u64, kind: u8, records: usize) -> Vec<u8> {
+    const RECORD_BYTES: usize = 27;
+    let length = 9 + (RECORD_BYTES * records) as u32;
+    let mut frame = length.to_be_bytes().to_vec();
+    frame.extend(index.to_be_bytes());
+    frame.push(kind);
+    frame.extend((0..RECORD_BYTES * records).map(|i| (i % 7) as u8));
+    frame
+}
+
+/// After an error the watch resumes from the last event received.
 #[test]
-fn a_coordinators_spoilt_frame_never_turns_its_numbers_back() {
-    let frame = |number: u64, kind: u8, records: usize| {
-        let mut out = (9 + 27 * records as u32).to_be_bytes().to_vec();
-        out.extend(number.to_be_bytes());
-        out.push(kind);
-        out.extend((0..27 * records).map(|i| (i % 7) as u8));
-        out
-    };
-    let messages = vec![
-        frame(4, 2, 1),
-        frame(4, 0, 0),
-        frame(5, 2, 2),
-        frame(6, 1, 2),
-        frame(7, 2, 1),
+fn a_mutated_coordinator_frame_never_decreases_the_watch_position() {
+    let messages = [
+        coordinator_frame(4, 2, 1),
+        coordinator_frame(4, 0, 0),
+        coordinator_frame(5, 2, 2),
+        coordinator_frame(6, 1, 2),
+        coordinator_frame(7, 2, 1),
     ];
-    for (number, mutant) in mutants(&messages).into_iter().enumerate() {
+    for (number, exchange) in mutated_exchanges(&messages).into_iter().enumerate() {
         let mut follower = Follower::new(Rc::new(WatchPosition::at(3)));
-        let mut told = vec![u64::from_be_bytes(follower.hello())];
-        for (_, message) in mutant {
-            match follower.feed(&message) {
-                Ok(updates) => told.extend(updates.into_iter().map(|u| u.index)),
+        let mut positions = vec![u64::from_be_bytes(follower.hello())];
+        for delivery in exchange {
+            match follower.feed(&delivery.message) {
+                Ok(updates) => positions.extend(updates.into_iter().map(|update| update.index)),
                 Err(_) => {
-                    let from = u64::from_be_bytes(follower.hello());
-                    assert_eq!(Some(&from), told.last(), "{number}");
+                    let resumed_from = u64::from_be_bytes(follower.hello());
+                    assert_eq!(Some(&resumed_from), positions.last(), "{number}");
                 }
             }
         }
-        assert!(told.is_sorted_by(|a, b| a < b), "{number}: {told:?}");
+        assert!(
+            positions.is_sorted_by(|earlier, later| earlier < later),
+            "{number}: {positions:?}"
+        );
     }
 }
