--- a/src/dispatcher/attempts.rs
+++ b/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: started within the invariants, given new options, cancelled, and ended.
+//! Attempts: started within the invariants, given new options, cancelled, and finished.
 use super::in_flight::{InFlightAttempt, InFlightRequest, PossibleExecution};
 use super::termination::{Termination, never_ran, outcome};
 use super::{AttemptId, AttemptReply, AttemptResult, Command, Cost, Dispatcher, Response};
@@ -186,7 +186,7 @@
         }
     }
 
-    /// An attempt ended. Only the first result of an attempt counts: a second one arrives if, for
+    /// An attempt finished. Only the first result of an attempt counts: a second one arrives if, for
     /// instance, a timeout and the engine's reply cross.
     pub fn attempt_finished(
         &mut self,
@@ -202,15 +202,15 @@
             self.counters.stray_results += 1;
             return;
         };
-        let Some(ended) = request.remove_attempt(attempt) else {
+        let Some(finished) = request.remove_attempt(attempt) else {
             self.counters.stray_results += 1;
             return;
         };
-        if !request.has_attempt_deadline(ended.deadline) {
-            self.deadlines.remove(&(ended.deadline, id));
+        if !request.has_attempt_deadline(finished.deadline) {
+            self.deadlines.remove(&(finished.deadline, id));
         }
         // An attempt that this side cancelled ended for the reason of the cancellation.
-        let termination = match (result.termination, ended.cancel_reason) {
+        let termination = match (result.termination, finished.cancel_reason) {
             (Termination::Cancelled, Some(reason)) => reason,
             (termination, _) => termination,
         };
@@ -222,12 +222,12 @@
             .or_default() += 1;
         if !never_ran(kind) {
             request.record_possible_execution(PossibleExecution {
-                endpoint: ended.endpoint,
-                sent_at: ended.sent_at,
+                endpoint: finished.endpoint,
+                sent_at: finished.sent_at,
             });
         }
         request.last_termination = Some(termination);
-        self.report_outcome(now, id, &ended, kind, result.reply, commands);
+        self.report_outcome(now, id, &finished, kind, result.reply, commands);
     }
 
     /// Completes the request if the attempt succeeded, and informs the decision module.
@@ -235,7 +235,7 @@
         &mut self,
         now: Micros,
         id: RequestId,
-        ended: &InFlightAttempt,
+        finished: &InFlightAttempt,
         kind: OutcomeKind,
         reply: AttemptReply,
         commands: &mut Vec<Command>,
@@ -252,10 +252,10 @@
         };
         let outcome = Outcome {
             id,
-            attempt: ended.attempt,
-            engine: ended.endpoint.id,
+            attempt: finished.attempt,
+            engine: finished.endpoint.id,
             kind,
-            latency: nanos(now.saturating_sub(ended.sent_at)),
+            latency: nanos(now.saturating_sub(finished.sent_at)),
             request_finished: was_closed || succeeded,
             work: cost.work.map(nanos),
             memory_mb: cost.memory_mb,
--- a/src/dispatcher/in_flight.rs
+++ b/src/dispatcher/in_flight.rs
@@ -103,7 +103,7 @@
             .min_by_key(|execution| execution.sent_at)
     }
 
-    /// Notes that an attempt which has ended may have been executed.
+    /// Records that an attempt which has ended may have been executed.
     pub(super) fn record_possible_execution(&mut self, execution: PossibleExecution) {
         let is_first = self
             .first_execution
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Whether the client may be told that the request was not executed and can be repeated.
+    /// Whether a rejection is permitted, which promises the client that a retry is harmless.
     pub(super) fn may_reject(&self) -> bool {
         may_refuse(
             self.idempotency,
--- a/src/dispatcher/message.rs
+++ b/src/dispatcher/message.rs
@@ -37,7 +37,7 @@
 /// A request, as a frontend passes it on.
 #[derive(Clone, Debug, Default)]
 pub struct ClientRequest {
-    /// Where the response goes.
+    /// Where the response is sent.
     pub origin: Origin,
     /// The client's identifier of the request, passed to engines unchanged.
     pub client_request_id: Rc<str>,
--- a/src/dispatcher/metrics.rs
+++ b/src/dispatcher/metrics.rs
@@ -38,7 +38,7 @@
 
 /// Counters of the dispatcher, the same for every frontend and every kind of engine.
 ///
-/// [`fmt::Display`] prints the counters line, whose words are part of the operators' interface and
+/// [`fmt::Display`] prints the counters line, whose labels are part of the operators' interface and
 /// differ from the names here.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The words of the counters line with their figures, in order.
+    /// The labels of the counters line with their values, in order.
     fn line(&self) -> [(&'static str, u64); 17] {
         [
             ("taken", self.received),
@@ -135,8 +135,8 @@
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for (word, figure) in self.line() {
-            write!(f, "{word} {figure} ")?;
+        for (label, value) in self.line() {
+            write!(f, "{label} {value} ")?;
         }
         write!(f, "ends")?;
         for (termination, count) in &self.attempts_by_termination {
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -59,7 +59,7 @@
     capabilities: EngineCapabilities,
     /// The in-flight table.
     in_flight: BTreeMap<RequestId, InFlightRequest>,
-    /// The requests that wait for their response, by where the response goes.
+    /// The requests that wait for their response, by where the response is sent.
     requests_by_origin: BTreeMap<Origin, RequestId>,
     /// Deadlines of attempts, and those of requests plus [`timers::DEADLINE_GRACE`].
     deadlines: BTreeSet<(Micros, RequestId)>,
--- a/src/dispatcher/termination.rs
+++ b/src/dispatcher/termination.rs
@@ -109,13 +109,13 @@
     Complete,
 }
 
-/// What the decision module is told about an attempt with this end. This is the only mapping from
+/// The outcome of an attempt that is reported to the decision module. This is the only mapping from
 /// [`Termination`] and [`TransmitProgress`] to [`OutcomeKind`].
 ///
 /// After the first byte was written, only the engine's own statement, or a withheld end of the
-/// message, may lead to an outcome for which [`never_ran`] holds: otherwise a non-idempotent request
-/// could be executed twice. Before the first byte, every outcome but those of a reply has to be one
-/// for which it holds: otherwise a load that could be repeated would fail.
+/// message, may lead to an outcome that counts as [`never_ran`]: otherwise a non-idempotent request
+/// could be executed twice. Before the first byte, every outcome without a reply has to count as
+/// `never_ran`: otherwise a load that could safely be repeated would fail.
 pub fn outcome(termination: Termination, progress: TransmitProgress) -> OutcomeKind {
     match termination {
         Termination::Done => OutcomeKind::Ok,
--- a/src/net/dispatcher/shutdown.rs
+++ b/src/net/dispatcher/shutdown.rs
@@ -10,7 +10,7 @@
 /// The same if the requests in flight had to be ended, as then the process is about to be killed.
 const FORCED_CLOSE_TIMEOUT: Micros = 150 * MS;
 
-/// The time between two looks at whether a shutdown can proceed.
+/// The time between two checks whether a shutdown can proceed.
 const CHECK_INTERVAL: Micros = 5 * MS;
 
 /// How far a shutdown has come.
@@ -40,7 +40,7 @@
     /// Enters the next phases of the shutdown if their conditions are met.
     pub(super) fn advance_shutdown(&mut self, now: Micros, schedule: &Schedule) {
         let is_serving = self.shutdown_phase == ShutdownPhase::Serving;
-        // Every turn comes by here, and the conditions below look at all clients.
+        // This runs in every turn, and the conditions below iterate over all clients.
         if is_serving && schedule.accepts_until.is_none() {
             return;
         }
--- a/src/net/mailbox.rs
+++ b/src/net/mailbox.rs
@@ -1,8 +1,8 @@
 //! Bounded mailboxes whose memory grows with the messages in them, not with their capacity: an idle
 //! peer costs next to nothing. (The channels of `async_channel::bounded` allocate their capacity.)
 //!
-//! All actors run on one thread, so that nothing is sent between a look at the length and the next
-//! `await`.
+//! All actors run on one thread, so that the length cannot change between a check of it and the
+//! next `await`.
 use async_channel::{Receiver, TrySendError};
 
 /// The sending half of a mailbox.
