--- a/tests/unit/dispatcher_model.rs
+++ b/tests/unit/dispatcher_model.rs
@@ -2,7 +2,12 @@
 //! more attempts than the settings allow, what may have been executed repeated only as its class
 //! and its key permit, and counters that add up, whatever is configured meanwhile and whatever the
 //! decision module asks for.
-use super::termination::{Termination, TransmitProgress, never_ran, outcome};
+#[path = "dispatcher_observed_request.rs"]
+mod observed_request;
+#[path = "dispatcher_step.rs"]
+mod step;
+
+use super::termination::{Termination, TransmitProgress};
 use super::test_builders::{
     Configuration, ConfiguredClass, Repetition, dispatcher, endpoint, parse, result_without_reply,
 };
@@ -13,105 +18,11 @@
 use crate::audit::{Decision, DecisionKind};
 use crate::clock::{MS, Micros, SEC};
 use crate::policy::api::{AttemptNo, EndpointListKind, EngineId, Readiness, RequestId, TenantId};
-use quickcheck::{Arbitrary, Gen, QuickCheck};
+use observed_request::ObservedRequest;
+use quickcheck::{Gen, QuickCheck};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
-
-#[derive(Clone, Debug)]
-enum Step {
-    /// A client sends a request.
-    Request(u8),
-    /// An attempt ends like this, written to its engine or not.
-    EndAttempt(u8, Termination, bool),
-    /// A client disconnects.
-    Disconnect(u8),
-    /// An endpoint becomes ready or draining.
-    ChangeEndpoint(u8),
-    /// The configuration is replaced.
-    Reconfigure(u8),
-    /// An attempt is started that the decision module did not ask for.
-    UnexpectedAttempt(u8),
-    /// Time passes, in milliseconds.
-    Wait(u16),
-}
-
-impl Arbitrary for Step {
-    fn arbitrary(g: &mut Gen) -> Step {
-        let terminations = [
-            Termination::Done,
-            Termination::Rejected,
-            Termination::EngineError,
-            Termination::Refused,
-            Termination::Reset,
-            Termination::Closed,
-            Termination::Drained,
-        ];
-        let n = u8::arbitrary(g);
-        match u8::arbitrary(g) % 12 {
-            0..=3 => Step::Request(n),
-            4..=6 => {
-                let termination = *g.choose(&terminations).expect("a termination");
-                Step::EndAttempt(n, termination, bool::arbitrary(g))
-            }
-            7 => Step::Disconnect(n),
-            8 => Step::ChangeEndpoint(n),
-            9 => Step::Reconfigure(n),
-            10 => Step::UnexpectedAttempt(n),
-            _ => Step::Wait(u16::arbitrary(g) % 4_000),
-        }
-    }
-}
-
-/// An attempt, as the model saw it start.
-struct ObservedAttempt {
-    engine: EngineId,
-    sent_at: Micros,
-}
-
-/// A request, as the model saw it.
-#[derive(Default)]
-struct ObservedRequest {
-    repetition: Repetition,
-    class: String,
-    max_attempts: u32,
-    max_concurrent_attempts: usize,
-    in_flight: BTreeMap<AttemptNo, ObservedAttempt>,
-    /// When the first attempt was sent that ended and may have been executed.
-    first_execution: Option<Micros>,
-    attempts_started: u32,
-    responses: u32,
-    response: Option<Response>,
-    abandoned: bool,
-}
-
-impl ObservedRequest {
-    fn earliest_possible_execution(&self) -> Option<Micros> {
-        let in_flight = self.in_flight.values().map(|attempt| attempt.sent_at);
-        in_flight.chain(self.first_execution).min()
-    }
-
-    fn may_be_executed_at(&self, now: Micros) -> bool {
-        self.earliest_possible_execution()
-            .is_none_or(|first| match self.repetition {
-                Repetition::Unlimited => true,
-                Repetition::WithKey(window) => now < first + window,
-                Repetition::Never => false,
-            })
-    }
-
-    fn may_start_attempt(&self, now: Micros, engine: EngineId) -> bool {
-        let uses_engine = self
-            .in_flight
-            .values()
-            .any(|attempt| attempt.engine == engine);
-        self.in_flight.len() < self.max_concurrent_attempts
-            && !uses_engine
-            && self.may_be_executed_at(now)
-            && self.responses == 0
-            && !self.abandoned
-            && self.attempts_started < self.max_attempts
-    }
-}
+use step::Step;
 
 struct Model {
     dispatcher: Dispatcher,
@@ -222,8 +133,8 @@
             .tags
             .iter()
             .flat_map(|(id, tag)| {
-                let attempts = self.requests[tag].in_flight.keys();
-                attempts.map(|attempt| (*id, *attempt))
+                let attempts = self.requests[tag].attempts_in_flight();
+                attempts.map(|attempt| (*id, attempt))
             })
             .collect();
         let Some(&(id, attempt)) = in_flight.get(usize::from(n) % in_flight.len().max(1)) else {
@@ -256,12 +167,7 @@
         else {
             return Ok(());
         };
-        if let Some(attempt) = request.in_flight.remove(&result.attempt)
-            && !never_ran(outcome(result.termination, result.progress))
-        {
-            let first = request.first_execution.unwrap_or(attempt.sent_at);
-            request.first_execution = Some(first.min(attempt.sent_at));
-        }
+        request.end_attempt(&result);
         let mut commands = Vec::new();
         self.dispatcher
             .attempt_finished(self.now, result, &mut commands);
@@ -364,25 +270,12 @@
             .requests
             .get_mut(&tag)
             .ok_or("an attempt of an unknown request")?;
-        let needs_key = matches!(request.repetition, Repetition::WithKey(_));
-        if attempt.idempotency_key.is_some() != needs_key
-            || attempt.must_not_repeat != (request.repetition == Repetition::Never)
-        {
-            let key = &attempt.idempotency_key;
-            return Err(format!("{tag} was sent with the key {key:?}"));
-        }
-        if !request.may_start_attempt(self.now, engine) {
-            return Err(format!("{tag} must not be sent"));
-        }
+        request
+            .start_attempt(self.now, engine, attempt)
+            .map_err(|e| format!("request {tag}: {e}"))?;
         if !self.ready_engines.contains(&engine) {
             return Err("sent to an engine that is not ready".into());
         }
-        let observed = ObservedAttempt {
-            engine,
-            sent_at: self.now,
-        };
-        request.in_flight.insert(attempt.attempt, observed);
-        request.attempts_started += 1;
         self.tags.insert(attempt.id, tag);
         Ok(())
     }
@@ -392,17 +285,9 @@
             .requests
             .get_mut(&origin.tag)
             .ok_or("a response to an unknown request")?;
-        request.responses += 1;
-        request.response = Some(response.clone());
-        if request.responses > 1 || request.abandoned {
-            return Err(format!("{origin:?} got one response too many"));
-        }
-        let may_have_run = request.earliest_possible_execution().is_some();
-        let is_unsafe = request.repetition == Repetition::Never && may_have_run;
-        if is_unsafe && matches!(response, Response::Rejected(_)) {
-            return Err("a request that must not run twice and may have run was rejected".into());
-        }
-        Ok(())
+        request
+            .respond(response)
+            .map_err(|e| format!("request {}: {e}", origin.tag))
     }
 
     /// Checks that all requests have ended, once the last deadline has passed.
