--- a/tests/unit/dispatcher.rs
+++ b/tests/unit/dispatcher.rs
@@ -247,3 +247,44 @@
     let distance = distance_from_reported_work(&dispatcher);
     assert!(distance > 1e-3, "{distance}");
 }
+
+/// Another gateway may serve what was not executed; a rejection of what may have been executed would
+/// invite a second execution.
+#[test]
+fn at_a_forced_end_only_requests_that_can_be_repeated_are_rejected() {
+    let mut dispatcher = dispatcher_with_keyed_loads(20 * SEC);
+    let request = |tag: u64, class: ClassId| ClientRequest {
+        origin: Origin { conn: 1, tag },
+        client_request_id: format!("{tag:016x}").into(),
+        class,
+        deadline: LOAD_DEADLINE,
+        work_estimate: Some(50 * MS),
+        ..ClientRequest::default()
+    };
+    let lookup = request(1, ClassId(0));
+    let load_without_key = request(2, LOAD);
+    let mut commands = Vec::new();
+    dispatcher.handle_request(SEC, lookup, &mut commands);
+    dispatcher.handle_request(SEC, load_without_key, &mut commands);
+    let started = commands
+        .drain(..)
+        .filter(|command| matches!(command, Command::StartAttempt { .. }));
+    assert_eq!(started.count(), 2);
+
+    dispatcher.fail_all(SEC, &mut commands);
+
+    let responses: Vec<(u64, Response)> = commands
+        .into_iter()
+        .filter_map(|command| match command {
+            Command::Respond { origin, response } => Some((origin.tag, response)),
+            _ => None,
+        })
+        .collect();
+    assert_eq!(
+        responses,
+        [
+            (1, Response::Rejected(Some(50 * MS))),
+            (2, Response::Failed(Failure::NotSent)),
+        ]
+    );
+}
