--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -75,7 +75,7 @@
 }
 
 fn max_connections(shared: &Shared) -> usize {
-    let descriptors = shared.limits.get().0;
+    let descriptors = shared.limits.get().descriptors;
     (descriptors / DESCRIPTORS_PER_CONNECTION).clamp(MIN_CONNECTIONS, MAX_CONNECTIONS)
 }
 
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -3,7 +3,7 @@
 use super::endpoint_factory::{ClickHouseEngines, EndpointFactory};
 use super::{ListedEndpoint, WatchEvent};
 use crate::net::Shared;
-use crate::net::dispatcher::DispatcherEvent;
+use crate::net::dispatcher::{DispatcherEvent, EndpointListUpdate};
 use crate::net::engine::EndpointHandle;
 use crate::policy::api::{EndpointListKind, EngineId, Readiness};
 use async_channel::{Receiver, Sender};
@@ -60,12 +60,12 @@
         let kind = list_kind(event.full, is_first);
         is_first = false;
         let endpoints = event.endpoints.iter().map(|listed| listed.endpoint);
-        let update = DispatcherEvent::EndpointList {
+        let update = DispatcherEvent::EndpointList(EndpointListUpdate {
             kind,
             entries: endpoints.collect(),
             new_endpoints: handles,
             version: event.index,
-        };
+        });
         let _ = dispatcher.send(update).await;
     }
 }
--- a/src/net/engine/actor.rs
+++ b/src/net/engine/actor.rs
@@ -5,8 +5,8 @@
 use crate::backend::Protocol;
 use crate::backend::connection_state::ConnectionState;
 use crate::clock::{self, Micros, SEC};
-use crate::dispatcher::AttemptRequest;
 use crate::dispatcher::termination::Termination;
+use crate::dispatcher::{AttemptRequest, ProbeOutcome};
 use crate::net::dispatcher::DispatcherEvent;
 use crate::net::{Shared, sleep_until};
 use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
@@ -178,12 +178,12 @@
             None => self.open_connection(),
         };
         if connection.commands.try_send(command).is_err() {
-            let event = DispatcherEvent::ProbeCompleted {
+            let event = DispatcherEvent::ProbeCompleted(ProbeOutcome {
                 engine: self.peer.id,
                 kind: OutcomeKind::NeverSent,
                 latency: 0,
                 load: LoadReport::default(),
-            };
+            });
             let _ = self.dispatcher.send(event).await;
         }
     }
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -5,6 +5,7 @@
 use crate::backend::Protocol;
 use crate::backend::connection_state::{ConnectionEvent, ConnectionState, StartingAttempt};
 use crate::clock::{self, Micros, SEC};
+use crate::dispatcher::ProbeOutcome;
 use crate::dispatcher::termination::Termination;
 use crate::net::dispatcher::DispatcherEvent;
 use crate::net::{CountGuard, Shared, sleep_until};
@@ -329,12 +330,12 @@
                 kind,
                 latency,
                 load,
-            } => DispatcherEvent::ProbeCompleted {
+            } => DispatcherEvent::ProbeCompleted(ProbeOutcome {
                 engine: self.peer.id,
                 kind,
                 latency,
                 load,
-            },
+            }),
         }
     }
 }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -5,7 +5,7 @@
 use super::discovery::WatchEvent;
 use super::discovery::coordinator::CoordinatorMigration;
 use super::discovery::known_events::{KnownEventsError, parse_known};
-use super::dispatcher::DispatcherEvent;
+use super::dispatcher::{DispatcherEvent, Reconfiguration};
 use super::fleet::membership::settings_hash;
 use crate::class_registry::Class;
 use crate::clock::micros;
@@ -194,12 +194,12 @@
         };
         *self.settings.borrow_mut() = settings.clone();
         let (applied, classes) = bounded(1);
-        let reconfigure = DispatcherEvent::Reconfigure {
+        let reconfigure = DispatcherEvent::Reconfigure(Reconfiguration {
             settings: Box::new(settings),
             class_names: config.names.classes.clone(),
             settings_hash: settings_hash(&config.json),
             applied,
-        };
+        });
         let _ = self.dispatcher.send(reconfigure).await;
         classes.recv().await.unwrap_or_default()
     }
--- a/tests/scale_fleet.rs
+++ b/tests/scale_fleet.rs
@@ -156,7 +156,7 @@
 
 /// How many members a daemon's admin endpoint shows as alive.
 fn alive_members(admin_address: SocketAddr) -> Option<usize> {
-    let (status, body) = async_io::block_on(clients::call(admin_address, "GET", "/fleet"))?;
+    let (status, body) = async_io::block_on(clients::call_admin(admin_address, "GET", "/fleet"))?;
     let rows = body
         .lines()
         .filter_map(|line| serde_json::from_str::<Value>(line).ok());
--- a/tests/unit/endpoint_list.rs
+++ b/tests/unit/endpoint_list.rs
@@ -80,13 +80,11 @@
         let mut reported_gone = Vec::new();
         for id in 1..=ENGINES {
             let _ = events.send(replacement(id)).await;
-            let Ok(DispatcherEvent::EndpointList {
-                entries: endpoints, ..
-            }) = updates.recv().await
-            else {
+            let Ok(DispatcherEvent::EndpointList(update)) = updates.recv().await else {
                 panic!("no update")
             };
-            let gone = endpoints
+            let gone = update
+                .entries
                 .iter()
                 .filter(|endpoint| endpoint.readiness == Readiness::Removed);
             reported_gone.extend(gone.map(|endpoint| endpoint.id.0));
--- a/tests/unit/net_engine_endpoint.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -131,7 +131,7 @@
                     termination: result.termination,
                     progress: result.progress,
                 }),
-                DispatcherEvent::ProbeCompleted { kind, .. } => self.probes.push(kind),
+                DispatcherEvent::ProbeCompleted(probe) => self.probes.push(probe.kind),
                 _ => {}
             }
         }
