--- a/src/dispatcher/in_flight.rs
+++ b/src/dispatcher/in_flight.rs
@@ -4,7 +4,7 @@
 use super::termination::Termination;
 use crate::clock::{Micros, micros, nanos};
 use crate::policy::api::{AttemptNo, Endpoint, Idempotency};
-use crate::policy::state::{may_refuse, may_repeat};
+use crate::policy::state::{RepeatTargets, may_reject, may_repeat};
 
 /// An attempt that is out.
 pub struct InFlightAttempt {
@@ -104,7 +104,10 @@
         may_repeat(
             self.idempotency,
             nanos(sent_at),
-            Some((on, *to)),
+            Some(RepeatTargets {
+                first: on,
+                next: *to,
+            }),
             nanos(now),
         )
     }
@@ -122,7 +125,7 @@
 
     /// Whether a refusal is honest.
     pub fn may_refuse(&self) -> bool {
-        may_refuse(self.idempotency, self.first().is_some())
+        may_reject(self.idempotency, self.first().is_some())
     }
 
     /// The attempt of that number, if it is out.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -31,6 +31,10 @@
 pub mod tenant_directory;
 pub mod testkit;
 
+#[cfg(test)]
+#[path = "../tests/unit/policy_builders.rs"]
+mod policy_builders;
+
 #[cfg(test)]
 #[path = "../tests/unit/concurrency_limit.rs"]
 mod concurrency_limit_tests;
--- a/src/policy/admission_queue.rs
+++ b/src/policy/admission_queue.rs
@@ -1,107 +1,130 @@
-//! Held queries: their order, when they leave, and when they are refused.
-use super::*;
+//! Requests that wait for capacity: their order, when they are sent, and when they are rejected.
+use super::Gateway;
+use super::state::admission_queue::QueuedRequest;
+use super::state::class_estimates::latency_objective;
+use super::state::request::PendingRequest;
+use super::state::units::nanos;
+use super::tuning::{MIN_TIME_LEFT_SHARE, SWEEP_INTERVAL, USUAL_UTILIZATION};
+use crate::policy::api::{Action, Nanos, RequestId};
 
-// Held queries tried at one outcome: its cost must not grow with the queue.
-const PUMP_MOST: usize = 32;
+/// Queued requests tried after one event: its cost must not grow with the queue.
+const MAX_DISPATCH_TRIES: usize = 32;
+
+/// Least advice of a rejection from the queue, in seconds.
+const MIN_RETRY_AFTER_SECONDS: f64 = 0.1;
+
+/// Least weight of a late answer in the rank, so that late requests keep an order.
+const MIN_LATE_WEIGHT: f64 = 0.01;
+
+/// Least priority weight of a class in the rank.
+const MIN_PRIORITY_WEIGHT: f64 = 1e-6;
+
+/// Least work in the rank, in seconds.
+const MIN_RANKED_WORK: f64 = 1e-3;
 
 impl Gateway {
-    /// Whether it may be in time. Most queries are smaller than the mean, and so are the aims to be
-    /// missed.
-    pub(super) fn in_aim(&self, now: Nanos, r: &PendingRequest) -> bool {
-        let small = DOUBT * self.work(r);
-        let runs = small / self.threads(r) * self.fleet.median_stretch.max(1.0);
-        now + nanos(runs) <= r.arrived_at + nanos(aim(self.class(r), small))
+    /// Whether the request can still meet its latency objective, taken that it is smaller than the
+    /// mean of its class, as most are.
+    pub(super) fn can_meet_objective(&self, now: Nanos, request: &PendingRequest) -> bool {
+        let work = MIN_TIME_LEFT_SHARE * self.expected_work(request);
+        let slowdown = self.fleet.median_slowdown.max(1.0);
+        let run_time = work / self.query_threads(request) * slowdown;
+        let objective = latency_objective(self.class(request), work);
+        now + nanos(run_time) <= request.arrived_at + nanos(objective)
     }
 
-    /// Worth per second of work, less where late or beyond the tenant's share.
-    fn rank(&self, now: Nanos, r: &PendingRequest) -> f64 {
-        let c = self.class(r);
-        let share = if r.over_quota {
+    /// Priority weight per second of work, less where the request is late or exceeds its tenant's
+    /// quota.
+    fn rank(&self, now: Nanos, request: &PendingRequest) -> f64 {
+        let class = self.class(request);
+        let quota_weight = if request.over_quota {
             self.settings.over_quota_weight
         } else {
             1.0
         };
-        let late = if self.in_aim(now, r) && !r.request.is_retry {
+        let late_weight = if self.can_meet_objective(now, request) && !request.request.is_retry {
             1.0
         } else {
-            c.late_priority_weight.max(0.01)
+            class.late_priority_weight.max(MIN_LATE_WEIGHT)
         };
-        c.priority_weight.max(1e-6) * share * late / self.work(r).max(1e-3)
+        let work = self.expected_work(request).max(MIN_RANKED_WORK);
+        class.priority_weight.max(MIN_PRIORITY_WEIGHT) * quota_weight * late_weight / work
     }
 
-    pub(super) fn hold(&mut self, now: Nanos, id: RequestId) {
-        let Some(r) = self.requests.get(&id) else {
+    /// Adds a request that found no capacity.
+    pub(super) fn enqueue(&mut self, now: Nanos, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else {
             return;
         };
-        self.held.push((self.rank(now, r), id, r.request.class));
+        self.queue.push(QueuedRequest {
+            rank: self.rank(now, request),
+            id,
+            class: request.request.class,
+        });
     }
 
-    /// Sends held queries that have room, best rank first. Where a fresh query of a class found no
-    /// room, so will the next one; those in order or tried before say nothing of others.
-    pub(super) fn pump(&mut self, now: Nanos, acts: &mut Vec<Action>) {
-        let mut no_room = vec![false; self.settings.classes.len()];
-        let (mut at, mut tries) = (0, 0);
-        while at < self.held.len() && tries < PUMP_MOST && no_room.contains(&false) {
-            let (_, id, class) = self.held[at];
-            let full = &mut no_room[usize::from(class.0)];
-            let Some(r) = self
-                .requests
-                .get(&id)
-                .filter(|r| !r.finished && r.attempts.is_empty())
-            else {
-                self.held.remove(at);
+    /// Sends queued requests that now have capacity, highest rank first. Where a first attempt of
+    /// a class finds none, the next one of the class will not either; retries and requests in
+    /// order say nothing of others.
+    pub(super) fn dispatch_queued(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        let mut class_is_full = vec![false; self.settings.classes.len()];
+        let mut position = 0;
+        let mut tries = 0;
+        while tries < MAX_DISPATCH_TRIES && class_is_full.contains(&false) {
+            let Some(&QueuedRequest { id, class, .. }) = self.queue.get(position) else {
+                return;
+            };
+            let class = usize::from(class.0);
+            let pending = self.requests.get(&id);
+            let Some(request) = pending.filter(|request| request.is_waiting()) else {
+                self.queue.remove(position);
                 continue;
             };
-            let plain = r.attempts_started == 0 && !self.class(r).in_order;
-            tries += usize::from(!(plain && *full));
-            match if plain && *full {
-                None
+            let is_plain = request.attempts_started == 0 && !self.class(request).in_order;
+            if is_plain && class_is_full[class] {
+                position += 1;
+                continue;
+            }
+            tries += 1;
+            if let Some(engine) = self.select_engine(now, id) {
+                self.queue.remove(position);
+                self.send(now, id, engine, actions);
             } else {
-                self.choose(now, id)
-            } {
-                Some(engine) => {
-                    self.held.remove(at);
-                    self.send(now, id, engine, acts);
-                }
-                None => {
-                    *full |= plain;
-                    at += 1;
-                }
+                class_is_full[class] |= is_plain;
+                position += 1;
             }
         }
     }
 
-    /// Orders the held queries and refuses at once those that the work ahead of them leaves no
+    /// Ranks the queued requests anew, and rejects those that the work ahead of them leaves no
     /// time.
-    pub(super) fn review(&mut self, now: Nanos, acts: &mut Vec<Action>) {
-        let held = std::mem::take(&mut self.held);
-        held.iter().for_each(|(_, id, _)| self.hold(now, *id));
-        self.held
-            .sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-        let rate = self.fleet.cores * USUAL_BUSY / self.active_gateways;
-        let margin = 2 * SWEEP_EVERY.max(self.settings.tick);
-        let mut ahead = 0.0;
-        for entry in std::mem::take(&mut self.held) {
-            let id = entry.1;
-            let Some(r) = self
-                .requests
-                .get(&id)
-                .filter(|r| !r.finished && r.attempts.is_empty())
-            else {
+    pub(super) fn review_queue(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        for entry in self.queue.take() {
+            self.enqueue(now, entry.id);
+        }
+        self.queue.sort();
+        // Seconds of work a second that this gateway's share of the fleet completes.
+        let rate = self.fleet.cores * USUAL_UTILIZATION / self.active_gateways;
+        let wait_for = |work: f64| if rate > 0.0 { work / rate } else { 0.0 };
+        let deadline_margin = 2 * SWEEP_INTERVAL.max(self.settings.tick);
+        let mut work_ahead = 0.0;
+        for entry in self.queue.take() {
+            let pending = self.requests.get(&entry.id);
+            let Some(request) = pending.filter(|request| request.is_waiting()) else {
                 continue;
             };
-            let wait = if rate > 0.0 { ahead / rate } else { 0.0 };
-            let late = rate > 0.0 && now + nanos(wait + self.alone(r)) > self.useful_end(r);
-            if late
-                || now + margin >= r.request.deadline
-                || r.attempts_started >= r.max_attempts.max(1)
-            {
-                self.give_up(id, nanos(wait.max(0.1)), acts);
+            let wait = wait_for(work_ahead);
+            let done_at = now + nanos(wait + self.unloaded_seconds(request));
+            let is_too_late = rate > 0.0 && done_at > self.useful_until(request);
+            let is_past_deadline = now + deadline_margin >= request.request.deadline;
+            if is_too_late || is_past_deadline || !request.may_start_attempt() {
+                let retry_after = nanos(wait.max(MIN_RETRY_AFTER_SECONDS));
+                self.reject_or_fail(entry.id, retry_after, actions);
             } else {
-                ahead += self.work(r);
-                self.held.push(entry);
+                work_ahead += self.expected_work(request);
+                self.queue.push(entry);
             }
         }
-        self.fleet.backlog = if rate > 0.0 { ahead / rate } else { 0.0 };
+        self.queue.set_backlog_seconds(wait_for(work_ahead));
     }
 }
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,188 +1,269 @@
-//! Bounds: the ECC09 update of each engine's bound on running threads, and whether a query has room
-//! under it.
-use super::*;
-
-// Upper clamp, same share: beyond, engines lose work; parts are used in full.
-const CEILING: f64 = 1.0;
-// Gain of formula (5), queries a second: an engine's imbalance a tenth over demand.
-const GAIN: f64 = 1.0;
-// Least |Ti - To|, queries a second: below it bounds leap on noise.
-const LEAST_IMBALANCE: f64 = 1.0;
-const STEP: f64 = 0.2; // Most that one update moves the bound: latency answers only a period later.
-// Pressure: smoothed latency over time alone stands this far above the best seen.
-const PRESSURE: f64 = 2.0;
-// Own threads past their part while engines tell that they stand idle, at most.
-const SPARE_MOST: f64 = 3.0;
-// Part of each bound that short queries have even when long ones borrowed it.
-const SHORT_PART: f64 = 0.5;
-// Part of a gateway's share that queries may fill which miss their aim anyway.
-const LATE_PART: f64 = 0.25;
-// Part by which slowness without news fades a period: forgotten in about ten seconds.
-const FADE: f64 = 0.2;
-
-impl Running {
-    /// The split of a bound: short queries have their part, long ones the rest and what is idle.
-    fn fits(&self, k: f64, long: bool, limit: f64) -> bool {
-        let long_threads = self.threads - self.short + k;
-        let all = self.threads + k <= limit;
-        if long {
-            long_threads <= limit * (1.0 - SHORT_PART)
-                || (all && long_threads <= limit * LONG_BORROW)
-        } else {
-            all || self.short + k <= limit * SHORT_PART
-        }
-    }
-}
+//! Concurrency limits: the control law ECC09 moves the limit of each engine, and a query is sent
+//! only where it has capacity under that limit.
+use super::Gateway;
+use super::state::class_estimates::{MIN_SAMPLES, latency_objective};
+use super::state::control_window::MIN_LIMIT_SHARE;
+use super::state::engine::Engine;
+use super::state::request::PendingRequest;
+use super::state::running::LONG_QUERY_SHARE;
+use super::state::turns::Turn;
+use super::state::units::seconds;
+use super::tuning::{
+    BURST_SHARE, CONTROL_PERIOD, INITIAL_THREADS_PER_CORE, JAM_SLOWDOWN, MAX_SAMPLE_RATIO,
+    TURN_DURATION,
+};
+use crate::policy::api::{LoadField, Nanos};
 
-impl ControlWindow {
-    /// Formula (5), MPL = Ne / (1 + gain (L' - 1) / (Ti - To)), in threads.
-    fn law(&self, period: f64) -> f64 {
-        let lateness = self.lateness / self.samples.max(1.0);
-        let gap = (self.wanted - self.finished) / period;
-        let gap = gap.abs().max(LEAST_IMBALANCE).copysign(gap);
-        let below = (1.0 + GAIN * (lateness - 1.0) / gap).clamp(FLOOR, 1.0 / FLOOR);
-        self.threads / period / below
-    }
+/// Slowdown relative to the best one seen from which an engine is under pressure.
+const PRESSURE_RATIO: f64 = 2.0;
 
-    /// The level falls only while answers are late and more comes in than goes out.
-    fn falls(&self) -> bool {
-        self.lateness > self.samples && self.wanted > self.finished
-    }
-}
+/// Largest best slowdown that pressure is measured against: a fleet that was never seen fast must
+/// not make every slowdown look usual.
+const MAX_BEST_SLOWDOWN: f64 = 2.0;
 
-impl Engine {
-    /// Moves the bound toward what the law asks for, one step at most, within its clamps.
-    fn steer(&mut self, wanted: f64, falls: bool) {
-        let low = if falls {
-            self.bound * (1.0 - STEP)
-        } else {
-            self.bound
-        };
-        let next = wanted.clamp(low, self.bound * (1.0 + STEP));
-        self.bound = next.clamp(self.initial_bound * FLOOR, self.initial_bound * CEILING);
-    }
-}
+/// Least best slowdown: answers faster than expected by more than this are underestimated work.
+const MIN_BEST_SLOWDOWN: f64 = 0.5;
+
+/// Factor by which the best slowdown may rise with each update while no engine reaches it.
+const BEST_SLOWDOWN_GROWTH: f64 = 1.01;
+
+/// Most by which own threads may exceed this gateway's share of the fleet while engines report
+/// idle capacity.
+const MAX_IDLE_CAPACITY_FACTOR: f64 = 3.0;
+
+/// Part of this gateway's share of the fleet that queries may fill which miss their objective
+/// anyway.
+const LATE_QUERY_SHARE: f64 = 0.25;
+
+/// Part by which the slowdown of an engine without answers moves toward its peers' in a period: it
+/// is forgotten in about ten seconds.
+const SLOWDOWN_DECAY: f64 = 0.2;
+
+/// Times the mean over a period that own threads may reach for a moment.
+const PEAK_FACTOR: f64 = 2.0;
 
 impl Gateway {
-    /// Formula (5) for every engine. Exception: where the share of an engine is under one thread,
-    /// its window would hold no sample; the windows of all engines together then stand in, open
-    /// until they hold enough.
-    pub(super) fn update_bounds(&mut self, now: Nanos) {
-        let period = secs(now.saturating_sub(self.updated_at)).max(1e-3);
-        self.updated_at = now;
-        for r in self.requests.values() {
-            for o in &r.attempts {
-                let age = secs(now.saturating_sub(o.sent)) / aim(self.class(r), self.work(r));
-                if let Some(e) = self.engines.get_mut(&o.engine).filter(|_| age > 1.0) {
-                    e.window.lateness += age.min(CLIP);
-                    e.window.samples += 1.0;
+    /// Applies formula (5) to every engine. Where this gateway's share of an engine is under one
+    /// thread, the window of that engine would hold no sample; the windows of all engines together
+    /// then stand in, open until they hold enough.
+    pub(super) fn update_limits(&mut self, now: Nanos) {
+        let period = seconds(now.saturating_sub(self.limits_updated_at)).max(1e-3);
+        self.limits_updated_at = now;
+        self.record_overdue_attempts(now);
+        self.update_engine_limits(now, period);
+        if self.fleet.window.samples >= f64::from(MIN_SAMPLES) {
+            self.update_limits_by_fleet_window(now);
+        }
+        self.update_best_slowdown();
+        self.fleet.mark_changed();
+    }
+
+    /// Adds the attempts that already run past their objective to the windows of their engines:
+    /// waiting for their answers would show overload too late.
+    fn record_overdue_attempts(&mut self, now: Nanos) {
+        for request in self.requests.values() {
+            for attempt in &request.attempts {
+                let age = seconds(now.saturating_sub(attempt.sent_at));
+                let work = self.expected_work(request);
+                let lateness = age / latency_objective(self.class(request), work);
+                if lateness <= 1.0 {
+                    continue;
+                }
+                if let Some(engine) = self.engines.get_mut(&attempt.engine) {
+                    engine
+                        .window
+                        .record_lateness(lateness.min(MAX_SAMPLE_RATIO));
                 }
             }
         }
-        let (sharers, count) = (self.active_gateways, self.fleet.ready.len().max(1) as f64);
-        let thin = |e: &Engine| e.initial_bound * LONG_BORROW / sharers < 1.0;
-        for e in self.engines.values_mut() {
-            e.count(now);
-            let w = std::mem::take(&mut e.window);
-            self.fleet.window.add(&w, sharers / count);
-            if thin(e) || w.queries <= 0.0 || w.samples == 0.0 {
-                let usual = if thin(e) {
-                    self.fleet.stretch
+    }
+
+    /// Moves the limit of each engine by its own window, and adds the windows to that of the fleet.
+    fn update_engine_limits(&mut self, now: Nanos, period_seconds: f64) {
+        let active_gateways = self.active_gateways;
+        let engine_count = self.fleet.ready.len().max(1) as f64;
+        for engine in self.engines.values_mut() {
+            engine.integrate_window(now);
+            let window = std::mem::take(&mut engine.window);
+            self.fleet
+                .window
+                .add_scaled(&window, active_gateways / engine_count);
+            let has_small_share = engine.has_share_below(1.0, active_gateways);
+            if has_small_share || window.query_seconds <= 0.0 || window.samples == 0.0 {
+                let usual = if has_small_share {
+                    self.fleet.slowdown
                 } else {
-                    self.fleet.median_stretch
+                    self.fleet.median_slowdown
                 };
-                e.slowdown += FADE * (usual - e.slowdown);
+                engine.slowdown += SLOWDOWN_DECAY * (usual - engine.slowdown);
             } else {
-                e.steer(w.law(period) * sharers, w.falls());
+                let target = window.target_threads(period_seconds) * active_gateways;
+                engine.move_limit_toward(target, window.allows_decrease());
             }
         }
-        if self.fleet.window.samples >= f64::from(ENOUGH) {
-            let all = std::mem::take(&mut self.fleet.window);
-            let span = secs(now.saturating_sub(self.fleet.window_since)).max(1e-3);
-            let per_core = all.law(span) * count / self.fleet.cores.max(1.0);
-            self.engines
-                .values_mut()
-                .filter(|e| thin(e))
-                .for_each(|e| e.steer(per_core * e.cores, all.falls()));
-            self.fleet.window_since = now;
+    }
+
+    /// Moves the limits of the engines of which this gateway has less than one thread, by the
+    /// window of the whole fleet.
+    fn update_limits_by_fleet_window(&mut self, now: Nanos) {
+        let active_gateways = self.active_gateways;
+        let engine_count = self.fleet.ready.len().max(1) as f64;
+        let window = std::mem::take(&mut self.fleet.window);
+        let started_at = self.fleet.window_started_at;
+        let period_seconds = seconds(now.saturating_sub(started_at)).max(1e-3);
+        let target = window.target_threads(period_seconds) * engine_count;
+        let target_per_core = target / self.fleet.cores.max(1.0);
+        for engine in self.engines.values_mut() {
+            if engine.has_share_below(1.0, active_gateways) {
+                let target = target_per_core * engine.cores;
+                engine.move_limit_toward(target, window.allows_decrease());
+            }
         }
-        let best = self
-            .engines
-            .values()
-            .filter(|e| e.ready())
-            .map(|e| e.slowdown)
-            .min_by(f64::total_cmp);
-        self.fleet.best_stretch = best
-            .unwrap_or(1.0)
-            .min(self.fleet.best_stretch * 1.01)
-            .max(0.5);
-        self.fleet.changed();
+        self.fleet.window_started_at = now;
     }
 
-    /// Latency far above the best. A gateway just started does not know and takes it for pressure.
-    fn pressed(&self, now: Nanos, stretch: f64) -> bool {
-        let fresh = now.saturating_sub(self.created_at) < PERIOD;
-        fresh || stretch > PRESSURE * self.fleet.best_stretch.min(2.0)
+    fn update_best_slowdown(&mut self) {
+        let ready = self.engines.values().filter(|engine| engine.is_ready());
+        let lowest = ready
+            .map(|engine| engine.slowdown)
+            .min_by(f64::total_cmp)
+            .unwrap_or(1.0);
+        let ceiling = self.fleet.best_slowdown * BEST_SLOWDOWN_GROWTH;
+        self.fleet.best_slowdown = lowest.min(ceiling).max(MIN_BEST_SLOWDOWN);
     }
 
-    /// Room under the bound. Short queries keep their part; long ones keep the rest and borrow what
-    /// is idle. The bound binds under pressure; before that, a burst may fill some more.
-    pub(super) fn has_room(&self, now: Nanos, r: &PendingRequest, e: &Engine) -> bool {
-        let (k, long) = (self.threads(r), self.is_long(r));
-        // Far slower than its peers: less, to clear it. Harms after underestimates.
-        let jam = (JAM * self.fleet.median_stretch / e.slowdown).min(1.0);
-        let able = jam * e.warmth(now, &self.settings.invariants);
-        if !self.thin(e, k) {
-            let pressed = now < e.rejecting_until || self.pressed(now, e.slowdown);
-            let limit =
-                able * if pressed {
-                    e.bound
-                } else {
-                    e.initial_bound * SURGE
-                } / self.active_gateways;
-            return e.running.fits(k, long, limit);
+    /// Whether `slowdown` is far above the best one seen. A gateway that just started cannot know,
+    /// and assumes pressure.
+    fn is_under_pressure(&self, now: Nanos, slowdown: f64) -> bool {
+        let just_started = now.saturating_sub(self.created_at) < CONTROL_PERIOD;
+        let best = self.fleet.best_slowdown.min(MAX_BEST_SLOWDOWN);
+        just_started || slowdown > PRESSURE_RATIO * best
+    }
+
+    /// Whether the query has capacity under the engine's limit. Short queries keep their part of
+    /// it; long ones keep the rest and borrow what is idle. The limit itself applies under
+    /// pressure; before that, a burst may exceed it.
+    pub(super) fn has_capacity(
+        &self,
+        now: Nanos,
+        request: &PendingRequest,
+        engine: &Engine,
+    ) -> bool {
+        // An engine far slower than its peers gets less, to clear its jam. This is wrong for a
+        // while after work was underestimated.
+        let jam = (JAM_SLOWDOWN * self.fleet.median_slowdown / engine.slowdown).min(1.0);
+        let usable_share = jam * engine.warmth(now, &self.settings.invariants);
+        let threads = self.query_threads(request);
+        if self.has_share_below(engine, threads) {
+            return self.has_shared_capacity(now, request, engine, usable_share);
+        }
+        let is_pressed =
+            now < engine.saturated_until || self.is_under_pressure(now, engine.slowdown);
+        let limit = if is_pressed {
+            engine.limit
+        } else {
+            engine.initial_limit * BURST_SHARE
+        };
+        let own_limit = usable_share * limit / self.active_gateways;
+        engine
+            .running
+            .fits(threads, self.is_long(request), own_limit)
+    }
+
+    /// The same where this gateway's share of the engine is less than one query: its shares of all
+    /// engines together bound its own threads, load reports show where capacity is free, and under
+    /// pressure a turn admits as many gateways as the whole limit holds queries.
+    fn has_shared_capacity(
+        &self,
+        now: Nanos,
+        request: &PendingRequest,
+        engine: &Engine,
+        usable_share: f64,
+    ) -> bool {
+        let is_pressed = self.is_under_pressure(now, self.fleet.slowdown);
+        if !self.has_own_capacity(now, request, engine, is_pressed) {
+            return false;
         }
-        // Exception: a share under one query. All shares bound own threads, reports tell where room
-        // is, and under pressure a turn lets in as many gateways as the whole bound holds queries.
-        let pressed = self.pressed(now, self.fleet.stretch);
-        // What misses its aim anyway earns little: it may fill idle room, not slow what can still
-        // be in time.
-        let part = if self.asks() || self.in_aim(now, r) {
+        let threads = self.query_threads(request);
+        let limit_share = if self.is_long(request) {
+            LONG_QUERY_SHARE
+        } else {
+            BURST_SHARE
+        };
+        let whole_limit = usable_share * engine.limit * limit_share;
+        let load = self.estimated_load(now, engine);
+        if load + threads > whole_limit {
+            return false;
+        }
+        let is_crowded = now < engine.saturated_until
+            || load >= engine.initial_limit
+            || (is_pressed && load > MIN_LIMIT_SHARE * engine.initial_limit);
+        let gateway_count = f64::from(self.gateway_count());
+        let turn = Turn {
+            duration: TURN_DURATION,
+            holders: whole_limit / threads * gateway_count / self.active_gateways,
+            offset: 0.0,
+        };
+        !is_crowded || self.has_unused_turn(now, engine, &turn)
+    }
+
+    /// Whether the query fits into this gateway's share of the whole fleet. The share is kept in
+    /// the mean over a period, like Ne of the control law, lest a good part of a share of a few
+    /// queries be unused: for a moment it may be exceeded, and a gateway without running queries
+    /// may send one.
+    fn has_own_capacity(
+        &self,
+        now: Nanos,
+        request: &PendingRequest,
+        engine: &Engine,
+        is_pressed: bool,
+    ) -> bool {
+        let rules = &self.settings.invariants;
+        // A turn on an engine that warms up does not wait for own queries that are stuck on the
+        // warm engines beside it.
+        if !self.probes_engines() && engine.is_warming_up(now, rules) {
+            return true;
+        }
+        // A query that misses its objective anyway earns little: it may use idle capacity, but not
+        // slow down queries that can still meet theirs.
+        let late_share = if self.probes_engines() || self.can_meet_objective(now, request) {
             1.0
         } else {
-            LATE_PART
+            LATE_QUERY_SHARE
         };
-        let share = self.fleet.bound / self.active_gateways * self.spare(pressed) * part;
-        // A share of a few queries is kept in the mean over a period, like Ne of the law, lest a
-        // good part of it be unused. At a moment it may be twice as much, and one with nothing out
-        // may send one. A turn on a cold engine does not wait for own queries that are stuck on the
-        // warm ones beside it.
-        let own = (!self.asks() && e.warmth(now, &self.settings.invariants) < 1.0)
-            || ((self.fleet.running.queries < 1.0 || self.fleet.mean.fits(0.0, long, share))
-                && self
-                    .fleet
-                    .running
-                    .fits(k, long, (2.0 * share).max(k / LONG_BORROW)));
-        let whole = able * e.bound * if long { LONG_BORROW } else { SURGE };
-        let load = self.load(now, e);
-        let crowded = now < e.rejecting_until
-            || load >= e.initial_bound
-            || (pressed && load > FLOOR * e.initial_bound);
-        let holders = whole / k * f64::from(self.settings.gateways.max(1)) / self.active_gateways;
-        own && load + k <= whole && (!crowded || self.has_slot(now, e, TURN, holders, 0.0))
+        let share = self.fleet.limit / self.active_gateways
+            * self.idle_capacity_factor(is_pressed)
+            * late_share;
+        let threads = self.query_threads(request);
+        let is_long = self.is_long(request);
+        let fits_in_mean =
+            self.fleet.running.queries < 1.0 || self.fleet.mean_running.fits(0.0, is_long, share);
+        let peak_limit = (PEAK_FACTOR * share).max(threads / LONG_QUERY_SHARE);
+        fits_in_mean && self.fleet.running.fits(threads, is_long, peak_limit)
     }
 
-    /// How far own threads may go past their part: while engines tell that what they have is not in
-    /// use, parts that others leave idle may be used. Only reports that tell of all that queries
-    /// wait for are believed: counts of queries, or disks beside cores. Harms where reports lag
-    /// behind a surge.
-    pub(super) fn spare(&self, pressed: bool) -> f64 {
-        let tells = |field| self.settings.load_fields.contains(&field);
-        let share = if pressed { 1.0 } else { SURGE };
-        let full = match (tells(LoadField::Inflight), tells(LoadField::DisksBusy)) {
-            (true, _) => START_THREADS_PER_CORE,
-            (false, told) => share * f64::from(u8::from(told)),
+    /// Factor by which own threads may exceed this gateway's share: while engines report that part
+    /// of their capacity is idle, shares that other gateways leave unused may be used. Only reports
+    /// of all that queries wait for are believed: counts of queries, or disks beside cores. It does
+    /// harm where reports lag behind a surge.
+    fn idle_capacity_factor(&self, is_pressed: bool) -> f64 {
+        let fields = &self.settings.load_fields;
+        let full_threads_per_core = if fields.contains(&LoadField::Inflight) {
+            INITIAL_THREADS_PER_CORE
+        } else if fields.contains(&LoadField::DisksBusy) {
+            if is_pressed { 1.0 } else { BURST_SHARE }
+        } else {
+            0.0
         };
-        (full / self.fleet.crowd.max(0.1)).clamp(1.0, SPARE_MOST)
+        let reported = self.load_reports.threads_per_core().max(0.1);
+        (full_threads_per_core / reported).clamp(1.0, MAX_IDLE_CAPACITY_FACTOR)
+    }
+
+    /// Whether this gateway has the turn on the engine now, and has not used it.
+    pub(super) fn has_unused_turn(&self, now: Nanos, engine: &Engine, turn: &Turn) -> bool {
+        let sent_at = engine.last_sent_at;
+        let is_used = sent_at > 0 && turn.index(sent_at) == turn.index(now);
+        let index = self.settings.gateway_index;
+        !is_used && turn.belongs_to(now, index, self.gateway_count(), engine.id())
     }
 }
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -1,126 +1,124 @@
-//! The list of engines, and the sweep over all that is known of the fleet.
-use super::*;
+//! The endpoint list, and the periodic sweep.
+use super::Gateway;
+use super::state::engine::Engine;
+use super::state::units::seconds;
+use super::sweep_timer;
+use super::tuning::{CONTROL_PERIOD, INITIAL_THREADS_PER_CORE, SWEEP_INTERVAL, TURN_DURATION};
+use crate::policy::api::{Action, Endpoint, EndpointListKind, EngineId, Nanos, Readiness};
+use std::collections::BTreeSet;
+
+/// Interval at which the first queued request has engines probed again: half a turn, as their last
+/// reports are out of date by then.
+const QUEUE_PROBE_INTERVAL: Nanos = TURN_DURATION / 2;
 
 impl Gateway {
-    pub(super) fn on_list(
+    /// The endpoint list changed, or its watch failed.
+    pub(super) fn on_endpoint_list(
         &mut self,
         now: Nanos,
         kind: EndpointListKind,
         entries: &[Endpoint],
-        acts: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if kind == EndpointListKind::Failed {
-            return acts.push(Action::Watch(true));
+            actions.push(Action::Watch(true));
+            return;
+        }
+        if kind != EndpointListKind::Changes {
+            self.mark_unlisted_engines_gone(entries);
+        }
+        for endpoint in entries {
+            self.merge_endpoint(now, endpoint);
         }
-        // No faster and no slower than the rest: else, as the rest slows, all gateways take the new
-        // one.
-        self.merge(
-            now,
-            kind,
-            entries,
-            START_THREADS_PER_CORE,
-            self.fleet.median_stretch,
-        );
-        self.look(now);
+        let ready = self.engines.values().filter(|engine| engine.is_ready());
+        self.fleet.ready = ready.map(Engine::id).collect();
+        self.forget_gone_engines();
+        self.fleet.mark_changed();
+        self.refresh_fleet(now);
     }
 
-    pub(super) fn on_sweep(&mut self, now: Nanos, acts: &mut Vec<Action>) {
-        acts.push(Action::Timer {
-            after: SWEEP_EVERY,
-            token: SWEEP,
-        });
-        if now.saturating_sub(self.updated_at) >= PERIOD {
-            self.update_bounds(now);
+    fn mark_unlisted_engines_gone(&mut self, entries: &[Endpoint]) {
+        let listed: BTreeSet<EngineId> = entries.iter().map(|endpoint| endpoint.id).collect();
+        for engine in self.engines.values_mut() {
+            if !listed.contains(&engine.id()) {
+                engine.endpoint.readiness = Readiness::Gone;
+            }
         }
-        let span = self
-            .settings
-            .invariants
-            .retry_budget
-            .map_or(0, |b| b.window);
-        let from = now.saturating_sub(span + SWEEP_EVERY);
-        self.taken
-            .drain(..self.taken.partition_point(|t| *t < from));
-        self.extras
-            .drain(..self.extras.partition_point(|t| *t < from));
-        self.keys
-            .retain(|_, k| !k.line.is_empty() || k.rest_until > now);
-        let (mean, part) = (
-            self.fleet.mean,
-            (secs(now.saturating_sub(self.swept_at)) / secs(PERIOD)).min(1.0),
-        );
-        self.swept_at = now;
-        self.fleet.mean.add(mean, -part);
-        self.fleet.mean.add(self.fleet.running, part);
-        self.look(now);
+    }
+
+    /// Adds or updates one engine. A new one is assumed as slow as the median: if it looked faster
+    /// while the others slow down, all gateways would turn to it.
+    fn merge_endpoint(&mut self, now: Nanos, endpoint: &Endpoint) {
+        let kind = self.settings.kinds.get(usize::from(endpoint.kind.0));
+        let cores = kind.map_or(1.0, |kind| kind.cores).max(1.0);
+        let initial_limit = INITIAL_THREADS_PER_CORE * cores;
+        let slowdown = self.fleet.median_slowdown;
+        let without_history = || Engine::new(now, *endpoint, cores, initial_limit, slowdown);
+        let engine = self
+            .engines
+            .entry(endpoint.id)
+            .or_insert_with(without_history);
+        if engine.endpoint.started_at != endpoint.started_at {
+            // A restart under the same id: nothing is known of the new process, but attempts that
+            // are in flight still count.
+            let before = std::mem::replace(engine, without_history());
+            engine.running = before.running;
+            engine.loading_data_sets = before.loading_data_sets;
+        }
+        engine.endpoint = *endpoint;
+    }
+
+    /// Drops engines that are gone, unless a request still refers to them: memory must not grow.
+    fn forget_gone_engines(&mut self) {
+        let requests = self.requests.values();
+        let referenced: BTreeSet<EngineId> = requests
+            .flat_map(|request| {
+                let in_flight = request.attempts.iter().map(|attempt| attempt.engine);
+                let executed = request.possible_execution;
+                in_flight.chain(executed.map(|execution| execution.engine))
+            })
+            .collect();
+        self.engines
+            .retain(|id, engine| !engine.is_gone() || referenced.contains(id));
+        let engines = &self.engines;
+        self.load_reports
+            .retain(|id| engines.get(&id).is_some_and(Engine::is_ready));
+    }
+
+    /// The periodic work: control law, expiry, totals, lost attempts, and the queue.
+    pub(super) fn on_sweep(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        actions.push(sweep_timer());
+        if now.saturating_sub(self.limits_updated_at) >= CONTROL_PERIOD {
+            self.update_limits(now);
+        }
+        self.forget_expired(now);
+        self.update_mean_running(now);
+        self.refresh_fleet(now);
         if self.resumed_at != now {
-            self.find_silent(now, acts);
+            self.detect_blocked_queries(now, actions);
+            self.detect_unresponsive_attempts(now, actions);
         }
-        // The first held query asks again: what its engines told may be old news.
-        if let Some(&(_, id, _)) = self
-            .held
-            .first()
-            .filter(|_| now >= self.fleet.probed_at + TURN / 2)
-        {
-            self.probe(now, id, acts);
+        let may_probe = now >= self.load_reports.last_probe_at() + QUEUE_PROBE_INTERVAL;
+        if let Some(first) = self.queue.first().filter(|_| may_probe) {
+            self.probe_candidates(now, first.id, actions);
         }
-        self.review(now, acts);
-        self.pump(now, acts);
+        self.review_queue(now, actions);
+        self.dispatch_queued(now, actions);
     }
 
-    /// Medians, capacity, turns, and ejections that are over: by a walk over the whole fleet where
-    /// something it reads changed or is due, else by the few engines that moved.
-    pub(crate) fn look(&mut self, now: Nanos) {
-        if now >= self.fleet.walk_due {
-            self.engines
-                .values_mut()
-                .for_each(|e| e.settle(now, &self.settings.invariants));
-            let tally = self.tally(now);
-            self.fleet.take_tally(tally, self.engines.len());
-        }
-        // Where none is asked, own queries go to warm engines, and to cold ones only in turns
-        // beside that.
-        self.follow(now, self.asks());
+    fn forget_expired(&mut self, now: Nanos) {
+        let budget = self.settings.invariants.retry_budget;
+        let window = budget.map_or(0, |budget| budget.window);
+        let start = now.saturating_sub(window + SWEEP_INTERVAL);
+        self.retries.forget_before(start);
+        self.ordered_queues.forget_idle(now);
     }
 
-    /// The walk over the whole fleet. What it reads beside the time calls `Fleet::changed` when it
-    /// changes.
-    pub(crate) fn tally(&self, now: Nanos) -> FleetScan {
-        let (rules, cold_slot) = (
-            &self.settings.invariants,
-            self.settings.invariants.overload_window / COLD_SLOTS,
-        );
-        let next = |slot: Nanos| (now / slot.max(1) + 1) * slot.max(1);
-        let mut t = FleetScan {
-            due: next(TURN),
-            ..FleetScan::default()
-        };
-        for e in self.engines.values() {
-            t.due = if let CircuitState::Open(until) = e.circuit {
-                t.due.min(until)
-            } else {
-                t.due
-            };
-            if !e.ready() {
-                continue;
-            }
-            let (cold, closed) = (
-                e.warmth(now, rules) < 1.0,
-                e.circuit == CircuitState::Closed,
-            );
-            let slot = if cold { cold_slot } else { TURN };
-            let holds = |across| self.has_slot(now, e, slot, e.bound * self.capacity_share, across);
-            t.turns
-                .extend((holds(0.0) || (cold && holds(0.5))).then_some(e.endpoint.id));
-            t.due = if cold {
-                t.due.min(next(slot)).min(e.warm_at(rules))
-            } else {
-                t.due
-            };
-            t.stretches.push(e.slowdown);
-            t.cores += if closed { e.cores } else { 0.0 };
-            t.warm_bound += if closed && !cold { e.bound } else { 0.0 };
-            t.cold.extend((closed && cold).then_some(e.endpoint.id));
-        }
-        t
+    fn update_mean_running(&mut self, now: Nanos) {
+        let elapsed = seconds(now.saturating_sub(self.swept_at));
+        let weight = (elapsed / seconds(CONTROL_PERIOD)).min(1.0);
+        self.swept_at = now;
+        let running = self.fleet.running;
+        self.fleet.mean_running.smooth_toward(running, weight);
     }
 }
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -1,175 +1,297 @@
-//! Choice of an engine: which are compared, at what cost, and which is best.
-use super::*;
-
-// Engines that a gateway prefers where it can't ask: fewer handshakes, more news...
-const NEAR: usize = 8;
-const FAR: f64 = 0.2; // ...until others cost less by so much of a full bound.
-// Costs in the choice of an engine, in full bounds of threads: zones apart, data set held by a
-// load...
-const CROSS: f64 = 0.03;
-const GROUP_HELD: f64 = 1.5;
-// ...engine that is not its data set's own, which reads that from its disks...
-const HOME: f64 = 0.85;
-const TRIED: f64 = 1.0; // ...engine tried before; a half-open one comes first.
-const TRIAL: f64 = 10.0;
+//! Selection of the engine for a query: which engines are compared, which may be used, and which
+//! costs least.
+use super::Gateway;
+use super::state::circuit_breaker::CircuitState;
+use super::state::engine::{Engine, affinity_distance};
+use super::state::fleet_totals::GatewayPosition;
+use super::state::request::{PendingRequest, is_placement_allowed};
+use super::state::units::nanos;
+use super::state::{RepeatTargets, may_repeat};
+use super::tuning::{CONTROL_PERIOD, MAX_CANDIDATES, MIN_TIME_LEFT_SHARE};
+use crate::policy::api::{EngineId, Idempotency, Nanos, RequestId};
+use rand_core::Rng;
+
+/// Engines that a gateway prefers where it cannot probe: fewer handshakes, and more recent reports
+/// of each.
+const PREFERRED_ENGINES: usize = 8;
+
+/// Candidates taken from the engines with a turn or a recent report, and as many at random.
+pub(super) const HALF_OF_CANDIDATES: usize = MAX_CANDIDATES / 2;
+
+/// Cost of an engine outside the preferred ones. Costs are in full limits of threads.
+const NOT_PREFERRED_COST: f64 = 0.2;
+
+/// Cost of an engine in another zone, where crossing zones costs something.
+const CROSS_ZONE_COST: f64 = 0.03;
+
+/// Cost of an engine where the query would wait for a load on its data set: more than a full
+/// engine.
+const BLOCKED_COST: f64 = 1.5;
+
+/// Cost of the engine farthest from the one preferred for the data set, which would have to read
+/// it from its disks.
+const AFFINITY_COST: f64 = 0.85;
+
+/// Cost of an engine that the request was tried on before; also the discount of a turn on an
+/// engine that warms up.
+const TRIED_COST: f64 = 1.0;
+
+/// Discount of an engine that awaits a trial: it comes before all others.
+const TRIAL_DISCOUNT: f64 = 10.0;
+
+/// Least slowdown relative to the median that scales the cost: differences below it are noise.
+const MIN_RELATIVE_SLOWDOWN: f64 = 0.7;
 
 impl Gateway {
     /// Engines to compare: all of a small fleet; of a large one those where this gateway has a
-    /// turn, those with the newest reports, and some at random, lest all herd. The cost does not
-    /// grow with the fleet.
+    /// turn, those with the newest reports, and some at random, lest all gateways choose the same.
+    /// The cost does not grow with the fleet.
     pub(super) fn candidates(&mut self) -> Vec<EngineId> {
-        let f = &self.fleet;
-        let n = f.ready.len().max(1);
-        let any = self.rng.next_u32() as usize;
-        if n <= CANDIDATES {
-            return f
-                .ready
-                .iter()
-                .cycle()
-                .skip(any % n)
-                .take(f.ready.len())
-                .copied()
-                .collect();
+        let draw = self.rng.next_u32() as usize;
+        let ready = &self.fleet.ready;
+        if ready.len() <= MAX_CANDIDATES {
+            let start = draw % ready.len().max(1);
+            return [&ready[start..], &ready[..start]].concat();
         }
-        if !self.asks() {
-            let others = [any / NEAR, any / NEAR + n / 2].map(|at| f.ready[at % n]);
-            return f
-                .turns
-                .iter()
-                .copied()
-                .chain(self.near(any))
-                .chain(others)
-                .collect();
+        if self.probes_engines() {
+            self.probed_candidates(draw)
+        } else {
+            self.preferred_candidates(draw)
         }
-        let known = f.turns.iter().take(CANDIDATES / 2).chain(&f.recent);
-        let others = (0..CANDIDATES / 2).map(|i| &f.ready[(any % n + i * (n / CANDIDATES)) % n]);
-        known.chain(others).copied().collect()
-    }
-
-    /// The engines that a gateway prefers, from some place among them.
-    fn near(&self, place: usize) -> impl Iterator<Item = EngineId> {
-        self.fleet.arc(
-            self.settings.gateway_index as usize,
-            self.settings.gateways.max(1) as usize,
-            NEAR,
-            place,
-        )
-    }
-
-    /// The gate of every send: one out, time left, drain, placement, cold, attempts, effects, key
-    /// turn.
-    pub(super) fn gate(&self, now: Nanos, id: RequestId, r: &PendingRequest, e: &Engine) -> bool {
-        let open = !r.finished && now + nanos(DOUBT * self.alone(r)) < r.request.deadline;
-        let beside = self.settings.limits.hedging && r.attempts.len() < 2;
-        let open = open
-            && (r.attempts.is_empty()
-                || (beside && r.attempts.iter().all(|o| o.engine != e.endpoint.id)));
-        let engine = e.ready() && placed(self.class(r), &e.endpoint) && self.cold_allows(now, r, e);
-        let further = r.attempts_started == 0
-            || (r.attempts_started < r.max_attempts && self.budget_allows(now));
-        open && engine
-            && further
-            && self.effect_allows(now, r, Some(e))
-            && self.has_turn(now, id, r)
-    }
-
-    /// Rule 2: whether the request may go out again at all, and to this engine.
-    pub(super) fn effect_allows(&self, now: Nanos, r: &PendingRequest, e: Option<&Engine>) -> bool {
-        let Some((first, sent)) = r.first() else {
-            return true;
-        };
-        let pair = self
-            .engines
-            .get(&first)
-            .map(|f| f.endpoint)
-            .zip(e.map(|e| e.endpoint));
-        // A repeat has to end while engines know its key, not only to begin.
-        may_repeat(self.effect(r), sent, pair, now + nanos(self.alone(r)))
-    }
-
-    /// Whether it would stand still there for a load: an own one, or one that others were seen to
-    /// wait for.
-    pub(super) fn stands(&self, now: Nanos, r: &PendingRequest, e: &Engine) -> bool {
-        let (c, group) = (self.class(r), &r.request.data_set);
-        let seen = || {
-            e.blocked_data_sets
-                .get(group)
-                .is_some_and(|until| *until > now)
-        };
-        (c.is_load || c.waits_for_loads) && (e.loading_data_sets.contains_key(group) || seen())
     }
 
-    /// Lower is better: threads in use under the bound, scaled by slowness against peers.
-    fn cost(&self, now: Nanos, r: &PendingRequest, e: &Engine) -> f64 {
-        let k = self.threads(r);
-        let slow = (e.slowdown / self.fleet.median_stretch.max(0.1)).max(0.7);
-        let whole = e.bound * e.warmth(now, &self.settings.invariants);
-        let thin = self.thin(e, k);
-        let (load, limit) = if thin {
-            (self.load(now, e), whole)
-        } else {
-            (e.running.threads, whole / self.active_gateways)
+    /// Candidates of a large fleet where engines are probed.
+    fn probed_candidates(&self, draw: usize) -> Vec<EngineId> {
+        let ready = &self.fleet.ready;
+        let turns = self.fleet.turns.iter().take(HALF_OF_CANDIDATES);
+        let known = turns.chain(self.load_reports.recent());
+        let start = draw % ready.len();
+        let spacing = ready.len() / MAX_CANDIDATES;
+        let random =
+            (0..HALF_OF_CANDIDATES).map(|step| &ready[(start + step * spacing) % ready.len()]);
+        known.chain(random).copied().collect()
+    }
+
+    /// Candidates of a large fleet where engines are not probed.
+    fn preferred_candidates(&self, draw: usize) -> Vec<EngineId> {
+        let ready = &self.fleet.ready;
+        let first = draw / PREFERRED_ENGINES;
+        let second = first + ready.len() / 2;
+        let random = [first, second].map(|position| ready[position % ready.len()]);
+        let turns = self.fleet.turns.iter().copied();
+        turns
+            .chain(self.preferred_engines(draw))
+            .chain(random)
+            .collect()
+    }
+
+    /// The engines that this gateway prefers, from `offset` among them.
+    fn preferred_engines(&self, offset: usize) -> impl Iterator<Item = EngineId> {
+        let gateway = GatewayPosition {
+            index: self.settings.gateway_index as usize,
+            count: self.gateway_count() as usize,
         };
-        let on = |applies: bool, cost: f64| if applies { cost } else { 0.0 };
-        let data = on(self.stands(now, r, e), GROUP_HELD);
-        let place = on(
-            self.settings.cross_zone_costs && e.endpoint.zone != self.settings.zone,
-            CROSS,
-        );
-        let (blind, cold) = (
-            thin && !self.asks(),
-            e.warmth(now, &self.settings.invariants) < 1.0,
-        );
-        // A turn on a cold engine is rare, and lost if it is not used.
-        let far = on(blind && !self.near(0).any(|id| id == e.endpoint.id), FAR)
-            - on(blind && cold, TRIED);
-        let past = on(r.tried_engines.contains(&e.endpoint.id), TRIED)
-            - on(e.circuit == CircuitState::HalfOpen(None), TRIAL);
-        let few = self.fleet.ready.len() <= CANDIDATES;
-        // Guards against a home that may be down: all that belongs there would pile up. Forgotten
-        // after a period, as an engine that gets nothing can't speak; a small share hears too
-        // little to tell.
-        let silent = e.unresponsive_at > e.last_activity_at && now < e.unresponsive_at + PERIOD;
-        let quiet = silent && e.initial_bound >= self.active_gateways;
-        let known = few && r.request.data_set > 0 && !quiet && self.settings.reports_cost;
-        let home = on(known, HOME * strangeness(r.request.data_set, e.endpoint.id))
-            + on(quiet, HOME + TRIED);
-        (load + k) / limit.max(0.5) * slow + data + place + far + past + home
-    }
-
-    /// Where the query may go now: the best of the candidates with room that passes the gate.
-    pub(super) fn choose(&mut self, now: Nanos, id: RequestId) -> Option<EngineId> {
-        let some = self.candidates();
-        let r = self.requests.get(&id)?;
-        if self.fleet.probes_out > 0 && now < r.awaiting_probes_until {
+        self.fleet
+            .preferred_engines(gateway, PREFERRED_ENGINES, offset)
+    }
+
+    /// The engine for the request now: the candidate of least cost among those that have capacity
+    /// and may be used.
+    pub(super) fn select_engine(&mut self, now: Nanos, id: RequestId) -> Option<EngineId> {
+        let candidates = self.candidates();
+        let request = self.requests.get(&id)?;
+        if self.load_reports.are_probes_in_flight() && now < request.awaiting_probes_until {
             return None;
         }
-        let class = self.class(r);
-        let mine = |e: &&Engine| e.ready() && placed(class, &e.endpoint);
-        // Never eject the last engines a class may use: with none closed, all count as closed.
+        let usable = self.usable_engines(request, &candidates);
+        // Where its data set is loaded the query would wait and keep a thread from others: it
+        // rather takes capacity elsewhere, if there is an engine without the load.
+        let any_unblocked = usable
+            .iter()
+            .any(|engine| !self.is_blocked_by_load(now, request, engine));
+        let mut best: Option<(f64, EngineId)> = None;
+        for engine in usable {
+            if any_unblocked && self.is_blocked_by_load(now, request, engine) {
+                continue;
+            }
+            if !self.has_capacity(now, request, engine) || !self.may_send(now, request, engine) {
+                continue;
+            }
+            let cost = self.cost(now, request, engine);
+            if best.is_none_or(|(lowest, _)| cost.total_cmp(&lowest).is_lt()) {
+                best = Some((cost, engine.id()));
+            }
+        }
+        best.map(|(_, engine)| engine)
+    }
+
+    /// The candidates that the class of the request may use, by placement and circuit breaker. The
+    /// last engines of a class are never left out: with no circuit closed, all count as closed.
+    fn usable_engines(&self, request: &PendingRequest, candidates: &[EngineId]) -> Vec<&Engine> {
+        let class = self.class(request);
+        let serves_class =
+            |engine: &Engine| engine.is_ready() && is_placement_allowed(class, &engine.endpoint);
         let any_closed = self
             .engines
             .values()
-            .filter(mine)
-            .any(|e| e.circuit == CircuitState::Closed);
-        let first_safe = class.idempotency == Idempotency::Idempotent && r.attempts_started == 0;
-        let healthy = |e: &&Engine| match e.circuit {
+            .any(|engine| engine.circuit.is_closed() && serves_class(engine));
+        let may_be_trial =
+            class.idempotency == Idempotency::Idempotent && request.attempts_started == 0;
+        let is_circuit_usable = |engine: &Engine| match engine.circuit.state() {
             CircuitState::Closed => true,
-            CircuitState::HalfOpen(None) => first_safe || !any_closed,
-            CircuitState::HalfOpen(Some(_)) | CircuitState::Open(_) => !any_closed,
+            CircuitState::HalfOpen { trial: None } => may_be_trial || !any_closed,
+            CircuitState::HalfOpen { trial: Some(_) } | CircuitState::Open { .. } => !any_closed,
         };
-        let fits = some
-            .iter()
-            .filter_map(|id| self.engines.get(id))
-            .filter(mine)
-            .filter(healthy);
-        // Where its data is held it would wait and keep a thread from others: rather for room
-        // elsewhere.
-        let free = |e: &&Engine| !self.stands(now, r, e);
-        let any_free = fits.clone().any(|e| free(&e));
-        let fits = fits.filter(|e| !any_free || free(e));
-        let fits = fits.filter(|e| self.has_room(now, r, e) && self.gate(now, id, r, e));
-        let priced = fits.map(|e| (self.cost(now, r, e), e.endpoint.id));
-        priced.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, e)| e)
+        let engines = candidates.iter().filter_map(|id| self.engines.get(id));
+        engines
+            .filter(|engine| serves_class(engine) && is_circuit_usable(engine))
+            .collect()
     }
+
+    /// Whether the request may be sent to the engine: attempts in flight, time left, readiness,
+    /// placement, slow start, attempts and retry budget, idempotency, and order.
+    pub(super) fn may_send(&self, now: Nanos, request: &PendingRequest, engine: &Engine) -> bool {
+        let run_time = nanos(MIN_TIME_LEFT_SHARE * self.unloaded_seconds(request));
+        let is_open = !request.finished && now + run_time < request.request.deadline;
+        is_open
+            && self.may_run_beside(request, engine)
+            && engine.is_ready()
+            && is_placement_allowed(self.class(request), &engine.endpoint)
+            && self.slow_start_allows(now, request, engine)
+            && (request.attempts_started == 0 || self.may_retry(now, request))
+            && self.idempotency_allows(now, request, Some(engine))
+            && self.is_next_in_order(now, request)
+    }
+
+    /// Whether an attempt on the engine may run beside those in flight: one hedged request, on
+    /// another engine.
+    fn may_run_beside(&self, request: &PendingRequest, engine: &Engine) -> bool {
+        let may_hedge = self.settings.limits.hedging && request.attempts.len() < 2;
+        let mut attempts = request.attempts.iter();
+        request.attempts.is_empty()
+            || (may_hedge && attempts.all(|attempt| attempt.engine != engine.id()))
+    }
+
+    /// Whether the attempts and the retry budget (rule 7) leave one more attempt.
+    pub(super) fn may_retry(&self, now: Nanos, request: &PendingRequest) -> bool {
+        let budget = self.settings.invariants.retry_budget;
+        request.attempts_started < request.max_attempts && self.retries.allows_retry(now, budget)
+    }
+
+    /// Rule 2: whether the request may be sent again at all, and to `engine` if one is given.
+    pub(super) fn idempotency_allows(
+        &self,
+        now: Nanos,
+        request: &PendingRequest,
+        engine: Option<&Engine>,
+    ) -> bool {
+        let Some(execution) = request.earliest_execution() else {
+            return true;
+        };
+        let first = self.engines.get(&execution.engine);
+        let targets = first.zip(engine).map(|(first, next)| RepeatTargets {
+            first: first.endpoint,
+            next: next.endpoint,
+        });
+        // Engines have to know the key until the repeat ends, not only when it begins.
+        let repeat_end = now + nanos(self.unloaded_seconds(request));
+        let idempotency = self.idempotency(request);
+        may_repeat(idempotency, execution.sent_at, targets, repeat_end)
+    }
+
+    /// Rule 5: whether the request is the next of its key, where its class runs in order.
+    fn is_next_in_order(&self, now: Nanos, request: &PendingRequest) -> bool {
+        match request.request.key {
+            Some(key) if self.class(request).in_order => {
+                self.ordered_queues.is_next(now, key, request.id())
+            }
+            Some(_) | None => true,
+        }
+    }
+
+    /// Whether the query would wait on the engine for a load of its data set.
+    pub(super) fn is_blocked_by_load(
+        &self,
+        now: Nanos,
+        request: &PendingRequest,
+        engine: &Engine,
+    ) -> bool {
+        let class = self.class(request);
+        (class.is_load || class.waits_for_loads) && engine.is_blocked(request.request.data_set, now)
+    }
+
+    /// Cost of the engine for the query, in full limits: threads in use under the limit, scaled by
+    /// slowness against peers, and what else speaks for or against it. Lower is better.
+    fn cost(&self, now: Nanos, request: &PendingRequest, engine: &Engine) -> f64 {
+        let blocked = cost_if(self.is_blocked_by_load(now, request, engine), BLOCKED_COST);
+        let crosses_zone = engine.endpoint.zone != self.settings.zone;
+        let zone = cost_if(
+            self.settings.cross_zone_costs && crosses_zone,
+            CROSS_ZONE_COST,
+        );
+        self.usage_cost(now, request, engine)
+            + blocked
+            + zone
+            + self.preference_cost(now, request, engine)
+            + history_cost(request, engine)
+            + self.affinity_cost(now, request, engine)
+    }
+
+    /// Share of the limit in use with this query, scaled by slowness against peers.
+    fn usage_cost(&self, now: Nanos, request: &PendingRequest, engine: &Engine) -> f64 {
+        let threads = self.query_threads(request);
+        let median = self.fleet.median_slowdown.max(0.1);
+        let relative_slowdown = (engine.slowdown / median).max(MIN_RELATIVE_SLOWDOWN);
+        let whole_limit = engine.limit * engine.warmth(now, &self.settings.invariants);
+        let (load, limit) = if self.has_share_below(engine, threads) {
+            (self.estimated_load(now, engine), whole_limit)
+        } else {
+            let own_limit = whole_limit / self.active_gateways;
+            (engine.running.threads, own_limit)
+        };
+        (load + threads) / limit.max(0.5) * relative_slowdown
+    }
+
+    /// Where engines are not probed: the cost of an engine that is not preferred, less the
+    /// discount of a turn on one that warms up, which is rare, and lost if it is not used.
+    fn preference_cost(&self, now: Nanos, request: &PendingRequest, engine: &Engine) -> f64 {
+        let threads = self.query_threads(request);
+        if self.probes_engines() || !self.has_share_below(engine, threads) {
+            return 0.0;
+        }
+        let mut preferred = self.preferred_engines(0);
+        let is_preferred = preferred.any(|id| id == engine.id());
+        let is_warming_up = engine.is_warming_up(now, &self.settings.invariants);
+        cost_if(!is_preferred, NOT_PREFERRED_COST) - cost_if(is_warming_up, TRIED_COST)
+    }
+
+    /// Cost of distance from the engine preferred for the data set, and of an engine that does not
+    /// respond: otherwise all queries of its data sets would pile up there. That is forgotten after
+    /// a period, as an engine without work cannot respond; a gateway with a small share sees too
+    /// little of an engine to judge.
+    fn affinity_cost(&self, now: Nanos, request: &PendingRequest, engine: &Engine) -> f64 {
+        let unresponsive_at = engine.unresponsive_at;
+        let is_unresponsive = unresponsive_at > engine.last_activity_at
+            && now < unresponsive_at + CONTROL_PERIOD
+            && engine.initial_limit >= self.active_gateways;
+        if is_unresponsive {
+            return AFFINITY_COST + TRIED_COST;
+        }
+        let data_set = request.request.data_set;
+        let is_small_fleet = self.fleet.ready.len() <= MAX_CANDIDATES;
+        if !is_small_fleet || data_set == 0 || !self.settings.reports_cost {
+            return 0.0;
+        }
+        AFFINITY_COST * affinity_distance(data_set, engine.id())
+    }
+}
+
+/// Cost of an engine tried before, less the discount of one that awaits a trial.
+fn history_cost(request: &PendingRequest, engine: &Engine) -> f64 {
+    let was_tried = request.tried_engines.contains(&engine.id());
+    cost_if(was_tried, TRIED_COST) - cost_if(engine.circuit.awaits_trial(), TRIAL_DISCOUNT)
+}
+
+fn cost_if(applies: bool, cost: f64) -> f64 {
+    if applies { cost } else { 0.0 }
 }
--- /dev/null
+++ b/src/policy/hedging.rs
@@ -0,0 +1,209 @@
+//! Cancellation of attempts, and retries or hedged requests in their place.
+use super::Gateway;
+use super::state::request::PendingRequest;
+use super::state::units::{nanos, seconds};
+use super::tuning::{MIN_TIME_LEFT_SHARE, SWEEP_INTERVAL, USUAL_UTILIZATION};
+use crate::policy::api::{
+    Action, AttemptNo, EngineId, Idempotency, Nanos, ProgressUpdate, RequestId,
+};
+
+/// A query plan is bad if its progress points to this many times the tail of its class.
+const BAD_PLAN_RATIO: f64 = 1.5;
+
+/// Times its expected time that a bad plan must have left: a retry costs that time again.
+const MIN_REMAINING_RATIO: f64 = 2.0;
+
+/// Cancellations of one request for bad plans: if a retry is as slow, the query is simply larger
+/// than estimated.
+const MAX_PLAN_CANCELLATIONS: u32 = 2;
+
+/// Least progress that a run time is extrapolated from.
+const MIN_PROGRESS: f64 = 1e-3;
+
+/// What the progress of an attempt calls for.
+#[derive(Clone, Copy, PartialEq)]
+enum PlanVerdict {
+    Continue,
+    /// The plan is bad, and another attempt can still be in time.
+    Retry,
+    /// It cannot end before the deadline, nor can another attempt.
+    Abandon,
+}
+
+impl Gateway {
+    /// A running attempt reported progress, or what it waits for.
+    pub(super) fn on_progress(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        number: AttemptNo,
+        update: ProgressUpdate,
+        actions: &mut Vec<Action>,
+    ) {
+        let request = self.requests.get_mut(&id);
+        let Some(attempt) = request.and_then(|request| request.attempt_mut(number)) else {
+            return;
+        };
+        attempt.last_activity_at = now;
+        let engine = attempt.engine;
+        self.record_activity(now, engine);
+        match update {
+            ProgressUpdate::WaitsForLoad => {
+                self.record_blocked_query(now, id, engine);
+                self.cancel_and_retry(now, id, number, actions);
+            }
+            ProgressUpdate::Progress(progress) => {
+                self.check_plan(now, id, number, progress.min(1.0), actions);
+            }
+            ProgressUpdate::Spill(_) | ProgressUpdate::WaitsForMemory => {}
+        }
+    }
+
+    fn record_activity(&mut self, now: Nanos, id: EngineId) {
+        if let Some(engine) = self.engines.get_mut(&id) {
+            engine.last_activity_at = now;
+            engine.blocked_data_sets.retain(|_, until| *until > now);
+        }
+    }
+
+    /// Cancels an attempt whose progress shows a bad plan.
+    fn check_plan(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        number: AttemptNo,
+        progress: f64,
+        actions: &mut Vec<Action>,
+    ) {
+        let verdict = self.judge_plan(now, id, number, progress);
+        if verdict == PlanVerdict::Continue {
+            return;
+        }
+        self.cancel_budget.spend();
+        self.cancel(id, number, actions);
+        if verdict == PlanVerdict::Abandon {
+            self.reject_or_fail(id, SWEEP_INTERVAL, actions);
+        }
+    }
+
+    fn judge_plan(
+        &self,
+        now: Nanos,
+        id: RequestId,
+        number: AttemptNo,
+        progress: f64,
+    ) -> PlanVerdict {
+        let Some(request) = self.requests.get(&id) else {
+            return PlanVerdict::Continue;
+        };
+        let mut attempts = request.attempts.iter();
+        let Some(attempt) = attempts.find(|attempt| attempt.number == number) else {
+            return PlanVerdict::Continue;
+        };
+        let may_cancel = !attempt.cancelling
+            && !request.finished
+            && self.cancel_budget.is_available()
+            && self.class(request).idempotency == Idempotency::Idempotent;
+        if !may_cancel {
+            return PlanVerdict::Continue;
+        }
+        let age = seconds(now.saturating_sub(attempt.sent_at));
+        let run_time = age / progress.max(MIN_PROGRESS);
+        let remaining = run_time - age;
+        let engine = self.engines.get(&attempt.engine);
+        let slowdown = engine.map_or(1.0, |engine| engine.slowdown.max(1.0));
+        let retry_time = self.unloaded_seconds(request) * slowdown;
+        let tail = self.estimates(request).tail_factor * attempt.unloaded_seconds;
+        let is_bad =
+            run_time > BAD_PLAN_RATIO * tail && remaining > MIN_REMAINING_RATIO * retry_time;
+        let can_retry_in_time = now + nanos(retry_time) <= self.useful_until(request)
+            && request.cancellations < MAX_PLAN_CANCELLATIONS
+            && self.may_cancel_and_retry(now, request);
+        if is_bad && can_retry_in_time {
+            return PlanVerdict::Retry;
+        }
+        let earliest_end = now + nanos(MIN_TIME_LEFT_SHARE * remaining);
+        if earliest_end > request.request.deadline {
+            PlanVerdict::Abandon
+        } else {
+            PlanVerdict::Continue
+        }
+    }
+
+    /// Whether a cancelled attempt could be followed by another one.
+    fn may_cancel_and_retry(&self, now: Nanos, request: &PendingRequest) -> bool {
+        self.settings.limits.may_cancel
+            && !request.finished
+            && self.idempotency_allows(now, request, None)
+            && self.may_retry(now, request)
+    }
+
+    /// Replaces an attempt, if another one can still be in time and the budget of cancellations
+    /// allows it: by a hedged request beside it while capacity is free, else by a retry after its
+    /// cancellation. An attempt with an idempotency key is never cancelled.
+    pub(super) fn cancel_and_retry(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        number: AttemptNo,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let retry_end = now + nanos(self.unloaded_seconds(request));
+        let is_in_time = retry_end < self.useful_until(request);
+        let has_budget = self.cancel_budget.is_available();
+        if !has_budget || !is_in_time || !self.may_cancel_and_retry(now, request) {
+            return;
+        }
+        let may_hedge = self.settings.limits.hedging && self.has_idle_capacity();
+        if !may_hedge && self.idempotency(request) == Idempotency::Idempotent {
+            self.cancel_budget.spend();
+            self.cancel(id, number, actions);
+            return;
+        }
+        // The selection draws random numbers: it has to be made even where its result is not used,
+        // for runs with the same seed to stay the same.
+        let selected = self.select_engine(now, id);
+        if let Some(engine) = selected.filter(|_| may_hedge) {
+            self.cancel_budget.spend();
+            self.send(now, id, engine, actions);
+        }
+    }
+
+    /// Whether this gateway's share of the fleet has capacity for requests that run twice.
+    pub(super) fn has_idle_capacity(&self) -> bool {
+        let usual = USUAL_UTILIZATION * self.fleet.limit / self.active_gateways;
+        self.fleet.mean_running.threads <= usual
+    }
+
+    /// Cancels all attempts of a request that are in flight.
+    pub(super) fn cancel_all_attempts(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let attempts = request.attempts.iter();
+        let numbers: Vec<AttemptNo> = attempts.map(|attempt| attempt.number).collect();
+        for number in numbers {
+            self.cancel(id, number, actions);
+        }
+    }
+
+    /// Cancels one attempt, where cancellation is permitted and not on its way yet.
+    fn cancel(&mut self, id: RequestId, attempt: AttemptNo, actions: &mut Vec<Action>) {
+        if !self.settings.limits.may_cancel {
+            return;
+        }
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let in_flight = request.attempt_mut(attempt);
+        let Some(in_flight) = in_flight.filter(|in_flight| !in_flight.cancelling) else {
+            return;
+        };
+        in_flight.cancelling = true;
+        request.cancellations += 1;
+        actions.push(Action::Cancel { id, attempt });
+    }
+}
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -1,153 +1,218 @@
-//! Load: what engines tell of it in answers and probes, and when they are asked.
-use super::*;
+//! Load of engines: what they report in answers and probes, and when they are probed.
+use super::Gateway;
+use super::endpoint_selection::HALF_OF_CANDIDATES;
+use super::state::control_window::MIN_LIMIT_SHARE;
+use super::state::engine::{Engine, ReportedLoad};
+use super::state::probe_stats::ProbeRoute;
+use super::state::request::{PendingRequest, is_placement_allowed};
+use super::state::units::seconds;
+use super::tuning::{BURST_SHARE, JAM_SLOWDOWN};
+use crate::policy::api::{Action, EngineId, LoadField, LoadReport, Nanos, OutcomeKind, RequestId};
 
-const FRESH: Nanos = 250_000_000; // A report younger than this needs no probe...
-const NEWS: Nanos = 1_000_000_000; // ...and one older than this tells nothing.
-const PROBES: usize = 1; // Engines probed for a query whose share of an engine is under one.
-// Price of a probe, in parts of a usual query, that a choice is not worth.
-const PROBE_DEAR: f64 = 0.03;
-const PROBE_WAIT: Nanos = 30_000_000; // Longest wait of a query for its probes.
+/// Age under which a report needs no probe: 250 ms.
+const FRESH_REPORT_AGE: Nanos = 250_000_000;
+
+/// Age from which a report says nothing any more: 1 s.
+const MAX_REPORT_AGE: Nanos = 1_000_000_000;
+
+/// Engines probed for one query.
+const PROBES_PER_QUERY: usize = 1;
+
+/// Price of a probe, in parts of a usual query, above which probing costs more than it improves the
+/// selection.
+const MAX_PROBE_PRICE: f64 = 0.03;
+
+/// Longest time that a query waits for its probes: 30 ms.
+const PROBE_TIMEOUT: Nanos = 30_000_000;
+
+/// Exponent on the share of memory granted: most of the memory is granted in normal work, and only
+/// the last part of it is scarce.
+const MEMORY_EXPONENT: i32 = 4;
 
 impl Gateway {
-    /// Threads of all gateways that an engine is taken to run: its report and own sends since.
-    /// Where others tell, one that has told nothing of late is taken to be full, as it may be in a
-    /// jam and can be asked. Where asking is not allowed it is taken to be as busy as those that
-    /// told: else what is not used is never heard of again. Harms where an engine that others know
-    /// to be jammed is new to this gateway.
-    pub(super) fn load(&self, now: Nanos, e: &Engine) -> f64 {
-        match e.report {
-            Some((at, threads)) if now.saturating_sub(at) < NEWS => {
-                threads + e.threads_sent_since_report
-            }
-            Some(_) | None
-                if self.fleet.recent.is_empty()
-                    || e.warmth(now, &self.settings.invariants) < 1.0 =>
-            {
-                e.threads_sent_since_report
-            }
-            Some(_) | None if self.asks() => f64::INFINITY,
-            Some(_) | None => self.fleet.crowd * e.cores + e.threads_sent_since_report,
+    /// Threads of all gateways that an engine is estimated to run: its report, and own sends since.
+    /// While other engines report, one without a recent report counts as full where it can be
+    /// probed, as it may be jammed; where it cannot, as busy as those that reported, else an engine
+    /// that is not used would never report again. That is wrong for a jammed engine which is new to
+    /// this gateway.
+    pub(super) fn estimated_load(&self, now: Nanos, engine: &Engine) -> f64 {
+        let sent_since = engine.threads_sent_since_report;
+        if let Some(report) = engine.report
+            && now.saturating_sub(report.at) < MAX_REPORT_AGE
+        {
+            return report.threads + sent_since;
+        }
+        let is_warming_up = engine.is_warming_up(now, &self.settings.invariants);
+        if self.load_reports.recent().is_empty() || is_warming_up {
+            sent_since
+        } else if self.probes_engines() {
+            f64::INFINITY
+        } else {
+            self.load_reports.threads_per_core() * engine.cores + sent_since
         }
     }
 
-    /// What an engine says of its load, in answers and probes: queries in hand at the threads of a
-    /// usual one, the use of its cores, or its memory, where all of it counts as a full bound;
-    /// whichever says most.
-    pub(super) fn on_report(&mut self, now: Nanos, engine: EngineId, load: &LoadReport) {
-        let mix = self.fleet.mix;
-        let Some(e) = self.engines.get_mut(&engine).filter(|_| load.len > 0) else {
+    /// Takes in the load that an engine reported in an answer or to a probe.
+    pub(super) fn record_load_report(&mut self, now: Nanos, id: EngineId, load: &LoadReport) {
+        if load.len == 0 {
+            return;
+        }
+        let sent_mix = self.fleet.sent_mix;
+        let threads_per_query = (sent_mix.threads / sent_mix.queries.max(1e-9)).max(1.0);
+        let Some(engine) = self.engines.get_mut(&id) else {
             return;
         };
+        let fields = self.settings.load_fields.iter();
         let mut threads: f64 = 0.0;
-        for (field, value) in self
-            .settings
-            .load_fields
-            .iter()
-            .zip(load.values)
-            .take(load.len)
-        {
-            let value = f64::from(value);
-            let says = match field {
-                LoadField::Inflight => value * (mix.threads / mix.queries.max(1e-9)).max(1.0),
-                LoadField::Util | LoadField::DisksBusy => value * e.cores,
-                // Most of the memory is granted in normal work; only the last part of it is scarce.
-                LoadField::MemoryGranted => value.powi(4) * e.initial_bound,
-                LoadField::Queue => value * e.initial_bound,
-                LoadField::RecentMs | LoadField::Rate | LoadField::Errors | LoadField::Unknown => {
-                    0.0
-                }
-            };
-            threads = threads.max(if says.is_finite() { says } else { 0.0 });
+        for (field, value) in fields.zip(load.values).take(load.len) {
+            let shown = threads_shown(*field, f64::from(value), engine, threads_per_query);
+            threads = threads.max(if shown.is_finite() { shown } else { 0.0 });
         }
-        (e.report, e.threads_sent_since_report) = (Some((now, threads)), 0.0);
-        smooth(&mut self.fleet.crowd, threads / e.cores);
-        self.fleet.recent.retain(|id| *id != engine);
-        self.fleet.recent.push_front(engine);
-        self.fleet.recent.truncate(CANDIDATES / 2);
+        engine.report = Some(ReportedLoad { at: now, threads });
+        engine.threads_sent_since_report = 0.0;
+        let threads_per_core = threads / engine.cores;
+        self.load_reports
+            .record(id, threads_per_core, HALF_OF_CANDIDATES);
     }
 
-    /// A jammed engine may report idle cores, as its queries wait for disks: the delay of its probe
-    /// beyond the best seen, against its peers, raises the report. One that does not answer is full
-    /// or worse.
-    pub(super) fn on_probe(&mut self, now: Nanos, engine: EngineId, kind: OutcomeKind, took: f64) {
-        let f = &mut self.fleet;
-        f.probes_out = f.probes_out.saturating_sub(1);
-        let Some(e) = self.engines.get_mut(&engine) else {
+    /// A probe came back, or failed. The delay of the probe raises the reported load, as a jammed
+    /// engine may report idle cores while its queries wait for disks; an engine that does not
+    /// answer counts as full or worse.
+    pub(super) fn record_probe(
+        &mut self,
+        now: Nanos,
+        engine: EngineId,
+        kind: OutcomeKind,
+        latency: Nanos,
+    ) {
+        self.load_reports.finish_probe();
+        let Some(engine) = self.engines.get_mut(&engine) else {
             return;
         };
-        let base = &mut f.probe_base[usize::from(e.endpoint.zone != self.settings.zone)];
-        *base = (*base * 1.001).min(took);
-        let delay = took - *base;
-        let slow = delay / f.probe_delay.max(0.25 * *base).max(1e-6);
-        let clipped = delay.min(CLIP * (f.probe_delay + *base));
-        smooth(&mut f.probe_delay, clipped);
-        let told = e.report.map_or(0.0, |(_, threads)| threads);
-        let full = match kind {
-            OutcomeKind::Ok => (slow / JAM).powi(2),
+        let route = if engine.endpoint.zone == self.settings.zone {
+            ProbeRoute::SameZone
+        } else {
+            ProbeRoute::CrossZone
+        };
+        let stats = &mut self.load_reports.probe_stats;
+        let relative_delay = stats.record(route, seconds(latency));
+        let load_share = match kind {
+            OutcomeKind::Ok => (relative_delay / JAM_SLOWDOWN).powi(2),
             OutcomeKind::ConnectFailed => f64::INFINITY,
-            OutcomeKind::Error | OutcomeKind::Rejected | OutcomeKind::Timeout => SURGE,
-            OutcomeKind::Reset | OutcomeKind::Cancelled | OutcomeKind::NeverSent => SURGE,
+            OutcomeKind::Error
+            | OutcomeKind::Rejected
+            | OutcomeKind::Timeout
+            | OutcomeKind::Reset
+            | OutcomeKind::Cancelled
+            | OutcomeKind::NeverSent => BURST_SHARE,
         };
-        e.report = Some((now, told.max(e.initial_bound * full)));
+        let reported = engine.report.map_or(0.0, |report| report.threads);
+        let threads = reported.max(engine.initial_limit * load_share);
+        engine.report = Some(ReportedLoad { at: now, threads });
     }
 
-    /// Whether engines are asked for their load: not where all probes together cost more than they
-    /// help.
-    pub(super) fn asks(&self) -> bool {
-        self.settings.limits.may_probe && self.settings.probe_price <= PROBE_DEAR
+    /// Whether engines are probed for their load: not where that is forbidden, or costs more than
+    /// it helps.
+    pub(super) fn probes_engines(&self) -> bool {
+        self.settings.limits.may_probe && self.settings.probe_price <= MAX_PROBE_PRICE
     }
 
-    /// Where own answers tell too little, a few engines at random are asked for their load.
-    pub(super) fn probe(&mut self, now: Nanos, id: RequestId, acts: &mut Vec<Action>) {
-        let some = self.candidates();
-        let Some(r) = self.requests.get(&id).filter(|_| self.asks()) else {
+    /// Probes a candidate of the request, where own answers show too little of the engines.
+    pub(super) fn probe_candidates(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) {
+        let candidates = self.candidates();
+        if !self.probes_engines() {
+            return;
+        }
+        let Some(request) = self.requests.get(&id) else {
             return;
         };
-        // Where one that counts its queries is half empty and would take this one, a probe tells
-        // nothing.
-        let (class, threads) = (self.class(r), self.threads(r));
-        let open = |e: &&Engine| {
-            placed(class, &e.endpoint)
-                && e.circuit == CircuitState::Closed
-                && self.gate(now, id, r, e)
-        };
-        let idle = |e: &&Engine| {
-            self.load(now, e) + threads <= FLOOR * e.initial_bound && self.has_room(now, r, e)
-        };
-        let known = some
-            .iter()
-            .filter_map(|id| self.engines.get(id))
-            .filter(|e| e.report.is_some());
-        let counts = self.settings.load_fields.contains(&LoadField::Inflight);
-        if counts && known.filter(open).any(|e| idle(&e)) {
+        if self.knows_idle_candidate(now, request, &candidates) {
             return;
         }
-        let old = |e: &&Engine| {
-            e.report
-                .is_none_or(|(at, _)| now.saturating_sub(at) >= FRESH)
-        };
-        // First where this gateway has a turn on a cold engine: what it knows of others does not
-        // fill that.
-        let cold = |id: &&EngineId| {
-            self.engines
-                .get(id)
-                .is_some_and(|e| e.warmth(now, &self.settings.invariants) < 1.0)
-        };
-        let turns = some
-            .iter()
-            .take(self.fleet.turns.len().min(CANDIDATES / 2))
-            .filter(cold);
-        let asked = turns
-            .chain(some.iter().rev())
-            .filter_map(|id| self.engines.get(id));
-        let useful = asked.filter(|e| self.thin(e, threads));
-        let asked = useful.filter(open).filter(old);
-        let asked: Vec<EngineId> = asked.map(|e| e.endpoint.id).take(PROBES).collect();
-        self.fleet.probes_out += asked.len();
-        self.fleet.probed_at = now;
-        if let Some(r) = self.requests.get_mut(&id).filter(|_| !asked.is_empty()) {
-            r.awaiting_probes_until = now + PROBE_WAIT;
+        let targets = self.probe_targets(now, request, &candidates);
+        self.load_reports.start_probes(now, targets.len());
+        if let Some(request) = self.requests.get_mut(&id).filter(|_| !targets.is_empty()) {
+            request.awaiting_probes_until = now + PROBE_TIMEOUT;
+        }
+        let probes = targets.into_iter().map(|engine| Action::Probe { engine });
+        actions.extend(probes);
+    }
+
+    /// Whether a candidate that counts its queries is known to be half empty and would take the
+    /// query: then a probe adds nothing.
+    fn knows_idle_candidate(
+        &self,
+        now: Nanos,
+        request: &PendingRequest,
+        candidates: &[EngineId],
+    ) -> bool {
+        if !self.settings.load_fields.contains(&LoadField::Inflight) {
+            return false;
         }
-        acts.extend(asked.into_iter().map(|engine| Action::Probe { engine }));
+        let threads = self.query_threads(request);
+        let engines = candidates.iter().filter_map(|id| self.engines.get(id));
+        let mut reported = engines.filter(|engine| engine.report.is_some());
+        reported.any(|engine| {
+            let idle_limit = MIN_LIMIT_SHARE * engine.initial_limit;
+            self.is_probe_useful(now, request, engine)
+                && self.estimated_load(now, engine) + threads <= idle_limit
+                && self.has_capacity(now, request, engine)
+        })
+    }
+
+    /// The engines to probe for the request: candidates without a fresh report. Those come first
+    /// that warm up and where this gateway has a turn: what it knows of other engines does not help
+    /// to use such a turn.
+    fn probe_targets(
+        &self,
+        now: Nanos,
+        request: &PendingRequest,
+        candidates: &[EngineId],
+    ) -> Vec<EngineId> {
+        let rules = &self.settings.invariants;
+        let threads = self.query_threads(request);
+        let turns = self.fleet.turns.len().min(HALF_OF_CANDIDATES);
+        let with_turn = candidates.iter().take(turns).filter(|id| {
+            let engine = self.engines.get(id);
+            engine.is_some_and(|engine| engine.is_warming_up(now, rules))
+        });
+        let is_fresh = |engine: &Engine| {
+            let report = engine.report;
+            report.is_some_and(|report| now.saturating_sub(report.at) < FRESH_REPORT_AGE)
+        };
+        let in_order = with_turn.chain(candidates.iter().rev());
+        in_order
+            .filter_map(|id| self.engines.get(id))
+            .filter(|engine| self.has_share_below(engine, threads))
+            .filter(|engine| self.is_probe_useful(now, request, engine))
+            .filter(|engine| !is_fresh(engine))
+            .map(Engine::id)
+            .take(PROBES_PER_QUERY)
+            .collect()
+    }
+
+    /// Whether the request could be sent to the engine if it had capacity.
+    fn is_probe_useful(&self, now: Nanos, request: &PendingRequest, engine: &Engine) -> bool {
+        is_placement_allowed(self.class(request), &engine.endpoint)
+            && engine.circuit.is_closed()
+            && self.may_send(now, request, engine)
+    }
+}
+
+/// Threads that one figure of a load report shows: queries in flight at `threads_per_query`, the
+/// use of the cores, or the use of the memory, where all of it counts as a full limit. A report
+/// shows the largest of them.
+fn threads_shown(field: LoadField, value: f64, engine: &Engine, threads_per_query: f64) -> f64 {
+    match field {
+        LoadField::Inflight => value * threads_per_query,
+        LoadField::Util | LoadField::DisksBusy => value * engine.cores,
+        LoadField::MemoryGranted => value.powi(MEMORY_EXPONENT) * engine.initial_limit,
+        LoadField::Queue => value * engine.initial_limit,
+        LoadField::RecentMs | LoadField::Rate | LoadField::Errors | LoadField::Unknown => 0.0,
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,152 +1,245 @@
-//! Every decision of a gateway; its types, events and actions are those of `src/interface.rs`, what
-//! it remembers those of `src/state/`. Ordinary path: each engine has a bound on running threads,
-//! moved by formula (5); a gateway keeps to its share of it, sends where most threads are free, and
-//! holds or refuses the rest. One file a concern.
+//! The decisions of one gateway, as a state machine without I/O.
+//!
+//! Each engine has a limit on running threads, moved by the control law ECC09, formula (5). A
+//! gateway uses its share of each limit, sends a query to the engine with most capacity free, and
+//! queues or rejects what does not fit. The types of the interface are in [`api`], the state in
+//! `state`; each file here decides one matter on it:
+//!
+//! * `request_lifecycle`, `dispatch`: arrival of a request, its attempts and its final answer;
+//! * `concurrency_limit`: the control law, and whether a query has capacity under the limit;
+//! * `endpoint_selection`: the engine for a query;
+//! * `admission_queue`: requests that wait for capacity;
+//! * `outlier_detection`, `learning`: what outcomes show of engines and of classes;
+//! * `slow_start`: engines that warm up;
+//! * `hedging`, `stall_detection`: attempts that are cancelled or doubled;
+//! * `load_reports`: reported loads and probes;
+//! * `endpoint_list`, `fleet_scan`: the engines, the sweep, and totals over all engines.
 mod admission_queue;
 pub mod api;
-mod attempts;
 mod concurrency_limit;
+mod dispatch;
 mod endpoint_list;
 mod endpoint_selection;
+mod fleet_scan;
+mod hedging;
+mod learning;
 mod load_reports;
 mod outlier_detection;
+mod request_estimates;
+mod request_lifecycle;
 mod slow_start;
 mod stall_detection;
 pub(crate) mod state;
+mod tuning;
 
-use crate::policy::api::*;
-pub use crate::policy::state::Gateway;
-use crate::policy::state::*;
-use rand_core::Rng;
-
-const SWEEP: u64 = 1; // Timer token of the sweep; the module has no other timer.
-// Between looks at what waits: within the usual answer slack.
-const SWEEP_EVERY: Nanos = 20_000_000;
-const PERIOD: Nanos = 2_000_000_000; // Period of the ECC09 update, from the design.
-const START_THREADS_PER_CORE: f64 = 2.0; // Bound at start, from the design.
-const FLOOR: f64 = 0.5; // Floor of the bound as a share of its start, from the design.
-// Times the usual that a sample counts at most: one costly query must not decide.
-const CLIP: f64 = 3.0;
-// Without pressure a burst fills this many start bounds before latency can tell.
-const SURGE: f64 = 1.4;
-const LONG_BORROW: f64 = 0.9; // Long queries may borrow idle room up to this part of the bound.
-const JAM: f64 = 2.0; // An engine this many times slower than its peers is in a jam.
-const TURN: Nanos = 500_000_000; // Length of a turn of gateways whose share is under one query.
-// Turns on a cold engine in a fall window: a window cuts one more than these.
-const COLD_SLOTS: u64 = 4;
-// Engines compared for a query: all of a small fleet, few of a large one.
-const CANDIDATES: usize = 12;
-const SMOOTH: f64 = 0.1; // Weight of a new sample in smoothed figures: about the last ten samples.
-// Least weight of a sample in what a class has taught: about the last fifty.
-const LEARN: f64 = 0.02;
-const ENOUGH: u32 = 5; // Samples that are believed: of a class's work, of a window of all engines.
-const STALL: Nanos = 3 * SWEEP_EVERY; // A gateway that had no turn for so long stood still itself.
-// ...which is this at first and never less: what is sent anew runs twice.
-const TAIL_FIRST: f64 = 4.0;
-const CANCEL_SPARE: f64 = 6.0; // Cancels that may be saved up.
-const USUAL_BUSY: f64 = 0.8; // Share of a core's time that usual capacity means.
-// ...and queries at least: a small part of a rate comes in whole queries.
-const QUOTA_LEAST: f64 = 6.0;
-// Part of the expected time that must be left at a send: estimates lie too high.
-const DOUBT: f64 = 0.5;
-
-fn smooth(old: &mut f64, sample: f64) {
-    *old += SMOOTH * (sample - *old);
+use crate::policy::api::{
+    Action, ClassId, EngineId, Event, Nanos, RequestId, Settings, TenantSpec,
+};
+use rand_core::SeedableRng;
+use rand_pcg::Pcg32;
+use state::admission_queue::AdmissionQueue;
+use state::cancel_budget::CancelBudget;
+use state::class_estimates::ClassEstimates;
+use state::engine::Engine;
+use state::fleet_totals::FleetTotals;
+use state::load_reports::LoadReports;
+use state::ordered_queues::OrderedQueues;
+use state::request::PendingRequest;
+use state::retry_window::RetryWindow;
+use state::running::Running;
+use state::tenant_quotas::TenantQuotas;
+use std::collections::BTreeMap;
+use tuning::{STALL_THRESHOLD, SWEEP_INTERVAL};
+
+/// Token of the sweep's timer, the only timer of the module.
+const SWEEP_TIMER: u64 = 1;
+
+/// Least capacity share of one process: two processes stand for one gateway only during a hot
+/// restart, and each still has to finish what it took.
+const MIN_CAPACITY_SHARE: f64 = 0.05;
+
+/// The decisions of one gateway.
+pub struct Gateway {
+    pub(crate) settings: Settings,
+    rng: Pcg32,
+    created_at: Nanos,
+    /// The first event was handled, and the timer and the watch were ordered.
+    started: bool,
+    pub(crate) engines: BTreeMap<EngineId, Engine>,
+    pub(crate) fleet: FleetTotals,
+    pub(crate) requests: BTreeMap<RequestId, PendingRequest>,
+    queue: AdmissionQueue,
+    ordered_queues: OrderedQueues,
+    /// Estimates for each class, by [`ClassId`].
+    pub(crate) class_estimates: Vec<ClassEstimates>,
+    tenant_quotas: TenantQuotas,
+    retries: RetryWindow,
+    cancel_budget: CancelBudget,
+    load_reports: LoadReports,
+    /// Gateways that share the engines now, over the capacity share of this process.
+    active_gateways: f64,
+    /// Part of this gateway's capacity that this process may use, while another process stands
+    /// for the same gateway.
+    capacity_share: f64,
+    limits_updated_at: Nanos,
+    last_event_at: Nanos,
+    /// Time of the last event that followed a stall of this gateway itself.
+    resumed_at: Nanos,
+    swept_at: Nanos,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing but its settings.
+    /// A gateway without history. `seed` determines its random choices.
     pub fn new(now: Nanos, settings: Settings, seed: u64) -> Gateway {
-        let mut g = Gateway::blank(now, settings, seed);
-        g.class_estimates = g
-            .settings
-            .classes
-            .iter()
-            .map(|c| ClassEstimates::first(c, TAIL_FIRST))
-            .collect();
-        g.tenants.iter_mut().for_each(|t| t.tokens = QUOTA_LEAST);
-        g.cancels = CANCEL_SPARE;
-        g
+        let classes = settings.classes.iter();
+        Gateway {
+            rng: Pcg32::seed_from_u64(seed),
+            created_at: now,
+            started: false,
+            engines: BTreeMap::new(),
+            fleet: FleetTotals::new(now),
+            requests: BTreeMap::new(),
+            queue: AdmissionQueue::default(),
+            ordered_queues: OrderedQueues::default(),
+            class_estimates: classes.map(ClassEstimates::initial).collect(),
+            tenant_quotas: TenantQuotas::new(now, &settings.tenants),
+            retries: RetryWindow::default(),
+            cancel_budget: CancelBudget::new(),
+            load_reports: LoadReports::new(),
+            active_gateways: f64::from(settings.gateways.max(1)),
+            capacity_share: 1.0,
+            limits_updated_at: now,
+            last_event_at: now,
+            resumed_at: 0,
+            swept_at: now,
+            settings,
+        }
     }
 
-    /// The tenants' shares changed, or tenants came: what each has saved up of its quota stays.
+    /// Takes over changed quotas and new tenants. Known tenants keep what they saved up.
     pub fn set_tenants(&mut self, tenants: &[TenantSpec]) {
-        for (at, t) in tenants.iter().enumerate() {
-            match self.tenants.get_mut(at) {
-                Some(known) => known.quota = t.quota_per_s,
-                None => {
-                    let (tokens, filled_at) = (QUOTA_LEAST, self.last_event_at);
-                    self.tenants.push(Tenant {
-                        quota: t.quota_per_s,
-                        tokens,
-                        filled_at,
-                    });
-                }
-            }
-        }
+        self.tenant_quotas.update(self.last_event_at, tenants);
     }
 
-    /// New settings for what comes from now on. Fresh classes start from what those they follow
-    /// have taught.
-    pub fn reconfigure(&mut self, s: Settings, fresh: &[(ClassId, Option<ClassId>)]) {
-        self.class_estimates.resize_with(s.classes.len(), || {
-            ClassEstimates::first(&s.classes[0], TAIL_FIRST)
-        });
-        for (class, heir_of) in fresh.iter().map(|(class, of)| (usize::from(class.0), of)) {
-            let first = ClassEstimates::first(&s.classes[class], TAIL_FIRST);
-            self.class_estimates[class] =
-                heir_of.map_or(first, |of| self.class_estimates[usize::from(of.0)]);
+    /// Replaces the settings for all later events. `new_classes` names the classes without
+    /// estimates and, where there is one, the class whose estimates each starts from.
+    ///
+    /// # Panics
+    ///
+    /// If `settings` has no class, or `new_classes` names one that it does not have.
+    pub fn reconfigure(&mut self, settings: Settings, new_classes: &[(ClassId, Option<ClassId>)]) {
+        let default_class = &settings.classes[0];
+        self.class_estimates
+            .resize_with(settings.classes.len(), || {
+                ClassEstimates::initial(default_class)
+            });
+        for (class, predecessor) in new_classes {
+            let class = usize::from(class.0);
+            self.class_estimates[class] = match predecessor {
+                Some(predecessor) => self.class_estimates[usize::from(predecessor.0)],
+                None => ClassEstimates::initial(&settings.classes[class]),
+            };
         }
-        self.settings = s;
-        self.fleet.changed();
+        self.settings = settings;
+        self.fleet.mark_changed();
     }
 
-    /// Takes in one event and appends what to do about it.
-    pub fn handle(&mut self, now: Nanos, event: Event, acts: &mut Vec<Action>) {
+    /// Handles one event and appends the actions it calls for.
+    pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         if !self.started {
-            self.started = true;
-            acts.push(Action::Timer {
-                after: SWEEP_EVERY,
-                token: SWEEP,
-            });
-            if self.settings.poll_endpoint_list {
-                acts.push(Action::Watch(true));
-            }
+            self.start(actions);
         }
-        // Guards against this gateway's own stalls: ages and times taken across one say nothing of
-        // engines.
-        if now.saturating_sub(self.last_event_at) > STALL {
+        if now.saturating_sub(self.last_event_at) > STALL_THRESHOLD {
             self.resumed_at = now;
         }
         self.last_event_at = now;
         match event {
-            Event::EndpointList { kind, entries } => self.on_list(now, kind, &entries, acts),
-            Event::Request(ask) => self.on_request(now, ask, acts),
-            Event::Outcome(o) => self.on_outcome(now, &o, acts),
+            Event::EndpointList { kind, entries } => {
+                self.on_endpoint_list(now, kind, &entries, actions);
+            }
+            Event::Request(request) => self.on_request(now, request, actions),
+            Event::Outcome(outcome) => self.on_outcome(now, &outcome, actions),
             Event::Progress {
                 id,
                 attempt,
-                update: note,
-            } => self.on_note(now, id, attempt, note, acts),
-            Event::ClientGone(id) => self.on_gone(id, acts),
-            Event::Timer(SWEEP) => self.on_sweep(now, acts),
+                update,
+            } => self.on_progress(now, id, attempt, update, actions),
+            Event::ClientGone(id) => self.on_client_gone(id, actions),
+            Event::Timer(SWEEP_TIMER) => self.on_sweep(now, actions),
             Event::ProbeCompleted {
                 engine,
                 kind,
                 latency,
                 load,
             } => {
-                self.on_report(now, engine, &load);
-                self.on_probe(now, engine, kind, secs(latency));
-                self.pump(now, acts);
+                self.record_load_report(now, engine, &load);
+                self.record_probe(now, engine, kind, latency);
+                self.dispatch_queued(now, actions);
             }
-            // What gateways may tell one another is the fleet's membership's, not the module's.
+            // Gateways exchange messages through the fleet's membership, not through this module.
             Event::Timer(_) | Event::FirstByte { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
-    /// Whether this gateway's share of an engine is under that many threads.
-    fn thin(&self, e: &Engine, threads: f64) -> bool {
-        e.initial_bound * LONG_BORROW / self.active_gateways < threads
+    /// Number of listed engines that get no ordinary work now: those that drain, and outliers.
+    pub fn unavailable_engines(&self) -> usize {
+        let engines = self.engines.values();
+        let listed = engines.filter(|engine| !engine.is_gone());
+        listed
+            .filter(|engine| !engine.is_ready() || !engine.circuit.is_closed())
+            .count()
+    }
+
+    /// Sets the part of this gateway's capacity that this process may use, while another process
+    /// stands for the same gateway.
+    pub fn set_capacity_share(&mut self, capacity_share: f64) {
+        let capacity_share = capacity_share.clamp(MIN_CAPACITY_SHARE, 1.0);
+        self.active_gateways *= self.capacity_share / capacity_share;
+        self.capacity_share = capacity_share;
+        self.fleet.mark_changed();
+    }
+
+    /// Sets the number of gateways that serve now and share the warm engines. The budgets of
+    /// engines that warm up stay shares of all gateways.
+    pub fn set_active_gateways(&mut self, gateways: u32) {
+        let gateways = gateways.clamp(1, self.settings.gateways.max(1));
+        self.active_gateways = f64::from(gateways) / self.capacity_share;
+    }
+
+    fn start(&mut self, actions: &mut Vec<Action>) {
+        self.started = true;
+        actions.push(sweep_timer());
+        if self.settings.poll_endpoint_list {
+            actions.push(Action::Watch(true));
+        }
+    }
+
+    /// Number of all gateways, active or not; at least 1.
+    fn gateway_count(&self) -> u32 {
+        self.settings.gateways.max(1)
+    }
+
+    /// Whether this gateway's share of an engine is under `threads`. Then a bound on own threads
+    /// would round to nothing, and the gateway relies on load reports and turns instead.
+    fn has_share_below(&self, engine: &Engine, threads: f64) -> bool {
+        engine.has_share_below(threads, self.active_gateways)
+    }
+
+    /// Adds `factor` times `running` to the own queries on `engine`, after bringing the integrals
+    /// of its window up to `now`.
+    fn record_running(&mut self, now: Nanos, engine: EngineId, running: Running, factor: f64) {
+        if let Some(engine) = self.engines.get_mut(&engine) {
+            engine.integrate_window(now);
+            engine.running.add_scaled(running, factor);
+            self.fleet.running.add_scaled(running, factor);
+        }
+    }
+}
+
+/// Orders the next sweep.
+fn sweep_timer() -> Action {
+    Action::Timer {
+        after: SWEEP_INTERVAL,
+        token: SWEEP_TIMER,
     }
 }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,155 +1,137 @@
-//! Health of engines, and what their answers teach.
-use super::*;
+//! Outlier detection: engines that fail while their peers do not are ejected for a while.
+use super::Gateway;
+use super::state::control_window::MIN_LIMIT_SHARE;
+use super::state::request::Attempt;
+use super::tuning::{CONTROL_PERIOD, SWEEP_INTERVAL};
+use crate::policy::api::{EngineId, Nanos, Outcome, OutcomeKind};
 
-const CALM: f64 = 1.25; // Answers at most this many times slower than the best seen.
-// Smoothed share of failures that ejects: three in a row do, at this weight,
-const FAIL_SHARE: f64 = 0.4;
-const FAIL_WEIGHT: f64 = 0.2; // ...and one where the share of an engine is under one query.
-const EJECT: Nanos = 1_500_000_000; // First ejection; doubled each time up to eight times.
-// Most of the ready engines ejected: when more look bad the cause is shared.
-const EJECT_MOST: f64 = 0.5;
-// Part of a class's answers that take longer than its tail, in expected times...
-const TAIL: f64 = 0.05;
-const TAIL_STEP: f64 = 0.2; // Weight of one answer in it: a fifth up, a hundredth down.
+/// Weight of one outcome in the smoothed share of failures.
+const OUTCOME_WEIGHT: f64 = 0.2;
 
-impl Engine {
-    pub(super) fn eject(&mut self, now: Nanos, fleet: &mut Fleet) {
-        fleet.changed();
-        self.circuit = CircuitState::Open(now + (EJECT << self.ejections.min(3)));
-        self.ejections += 1;
-        self.failure_rate = 0.0;
-    }
+/// The same where this gateway's share of the engine is under one thread: it sees few outcomes,
+/// and one failure has to suffice.
+const SMALL_SHARE_OUTCOME_WEIGHT: f64 = 0.5;
+
+/// Largest part of the ready engines that may be ejected. Where more look bad, the cause is likely
+/// shared, and ejection would only overload the rest.
+const MAX_EJECTED_SHARE: f64 = 0.5;
+
+/// What the end of an attempt says of its engine.
+#[derive(Clone, Copy, PartialEq)]
+enum Verdict {
+    Success,
+    Failure,
+    /// Nothing: the cause may lie elsewhere.
+    Inconclusive,
 }
 
 impl Gateway {
-    /// Outlier ejection: fast failures, resets, failed connects, time-outs without life, against
-    /// peers.
-    pub(super) fn judge(&mut self, now: Nanos, o: &Outcome, out: &Attempt) {
-        let Some(e) = self.engines.get_mut(&o.engine) else {
+    /// Counts the end of an attempt for or against its engine, and ejects an outlier.
+    pub(super) fn record_engine_outcome(
+        &mut self,
+        now: Nanos,
+        outcome: &Outcome,
+        attempt: &Attempt,
+    ) {
+        let verdict = self.verdict(outcome, attempt);
+        let Some(engine) = self.engines.get_mut(&outcome.engine) else {
             return;
         };
-        let trial = e.circuit == CircuitState::HalfOpen(Some(o.id));
-        let silent = out.life_at.max(e.last_activity_at) <= out.sent;
-        let failed = match o.kind {
-            OutcomeKind::Error | OutcomeKind::ConnectFailed | OutcomeKind::Reset => true,
-            OutcomeKind::Ok | OutcomeKind::Rejected => false,
-            // Nothing since from its engine, on this attempt or another. Guards against ejecting
-            // the busiest, where much of what waits in a full line runs out of time.
-            OutcomeKind::Timeout if silent => true,
-            // Its copy answered sooner. Where a gateway's share is small it hears too little to
-            // tell.
-            OutcomeKind::Cancelled
-                if silent && o.request_finished && e.initial_bound >= self.active_gateways =>
-            {
-                true
-            }
-            OutcomeKind::Timeout | OutcomeKind::Cancelled | OutcomeKind::NeverSent => {
-                e.circuit = if trial {
-                    CircuitState::HalfOpen(None)
-                } else {
-                    e.circuit
-                };
-                return;
+        let is_trial = engine.circuit.is_trial(outcome.id);
+        if verdict == Verdict::Inconclusive {
+            if is_trial {
+                engine.circuit.retry_trial();
             }
-        };
-        // A connection that breaks ends all on it, and is one failure: no engine is ejected for
-        // that alone.
-        if o.kind == OutcomeKind::Reset && !trial && now < e.last_reset_at + SWEEP_EVERY {
             return;
         }
-        e.last_reset_at = if o.kind == OutcomeKind::Reset {
-            now
-        } else {
-            e.last_reset_at
-        };
-        let weight = if e.initial_bound < self.active_gateways {
-            0.5
-        } else {
-            FAIL_WEIGHT
-        };
-        e.failure_rate += weight * (f64::from(u8::from(failed)) - e.failure_rate);
-        let bad = failed && (trial || e.failure_rate > FAIL_SHARE);
-        // Walks over the fleet: asked last.
-        let ejects = bad && (trial || self.may_eject(o.engine));
-        let Some(e) = self.engines.get_mut(&o.engine) else {
+        let is_reset = outcome.kind == OutcomeKind::Reset;
+        // A connection that breaks ends all attempts on it. That counts as one failure: no engine
+        // is ejected for one broken connection.
+        let is_repeated = engine.circuit.is_repeated_reset(now, SWEEP_INTERVAL);
+        if is_reset && !is_trial && is_repeated {
             return;
+        }
+        if is_reset {
+            engine.circuit.record_reset(now);
+        }
+        let has_failed = verdict == Verdict::Failure;
+        let weight = if engine.initial_limit < self.active_gateways {
+            SMALL_SHARE_OUTCOME_WEIGHT
+        } else {
+            OUTCOME_WEIGHT
         };
-        if ejects {
-            e.eject(now, &mut self.fleet);
-        } else if !failed {
-            e.rejecting_until = if o.kind == OutcomeKind::Rejected {
-                now + PERIOD
-            } else {
-                e.rejecting_until
-            };
-            e.last_activity_at = now;
-            if trial {
-                // Slow start: back with the least bound.
-                (e.circuit, e.bound) = (CircuitState::Closed, e.initial_bound * FLOOR);
-                self.fleet.changed();
+        engine.circuit.record_outcome(has_failed, weight);
+        if has_failed {
+            let is_outlier = engine.circuit.is_failing();
+            if is_trial || (is_outlier && self.may_eject(outcome.engine)) {
+                self.eject(now, outcome.engine);
             }
+        } else {
+            self.record_success(now, outcome, is_trial);
         }
     }
 
-    /// Judged against peers: with most engines bad already nobody is ejected.
-    pub(super) fn may_eject(&self, engine: EngineId) -> bool {
-        let out =
-            |e: &&Engine| e.ready() && e.circuit != CircuitState::Closed && e.endpoint.id != engine;
-        (self.engines.values().filter(out).count() + 1) as f64
-            <= EJECT_MOST * self.fleet.ready.len() as f64
+    /// What the end of an attempt says of its engine.
+    fn verdict(&self, outcome: &Outcome, attempt: &Attempt) -> Verdict {
+        let Some(engine) = self.engines.get(&outcome.engine) else {
+            return Verdict::Inconclusive;
+        };
+        let last_activity_at = attempt.last_activity_at.max(engine.last_activity_at);
+        let was_silent = last_activity_at <= attempt.sent_at;
+        match outcome.kind {
+            OutcomeKind::Error | OutcomeKind::ConnectFailed | OutcomeKind::Reset => {
+                Verdict::Failure
+            }
+            OutcomeKind::Ok | OutcomeKind::Rejected => Verdict::Success,
+            // No activity of the engine since the send, on this attempt or another. Engines that
+            // are merely busy are not ejected, though much of what queues there times out.
+            OutcomeKind::Timeout if was_silent => Verdict::Failure,
+            // A hedged request was answered earlier. With a small share of the engine this gateway
+            // sees too little of it to judge.
+            OutcomeKind::Cancelled
+                if was_silent
+                    && outcome.request_finished
+                    && engine.initial_limit >= self.active_gateways =>
+            {
+                Verdict::Failure
+            }
+            OutcomeKind::Timeout | OutcomeKind::Cancelled | OutcomeKind::NeverSent => {
+                Verdict::Inconclusive
+            }
+        }
     }
 
-    /// What an answer teaches of its engine and its class.
-    pub(super) fn learn(&mut self, ask: &Request, o: &Outcome, out: &Attempt) {
-        let class = usize::from(ask.class.0);
-        let threads = self.settings.classes[class].threads.max(1.0);
-        // Where none is asked nothing tells a crowd from work: only answers as fast as the best
-        // teach it.
-        let calm = self.asks() || self.fleet.stretch <= CALM * self.fleet.best_stretch;
-        let calm = calm || self.class_estimates[class].samples < 4 * ENOUGH;
-        let (took, l) = (secs(o.latency), &mut self.class_estimates[class]);
-        let work = o
-            .work
-            .map_or(ask.work_hint.map_or(l.work, |h| secs(h) * l.bias), secs);
-        let Some(e) = self.engines.get_mut(&o.engine) else {
+    /// The engine answered, or rejected the attempt for lack of capacity.
+    fn record_success(&mut self, now: Nanos, outcome: &Outcome, is_trial: bool) {
+        let Some(engine) = self.engines.get_mut(&outcome.engine) else {
             return;
         };
-        if self.settings.classes[class].waits_for_loads {
-            e.blocked_data_sets.remove(&ask.data_set);
+        if outcome.kind == OutcomeKind::Rejected {
+            engine.saturated_until = now + CONTROL_PERIOD;
         }
-        e.window.finished += 1.0;
-        e.window.samples += 1.0;
-        e.window.lateness += (took / aim(&self.settings.classes[class], work)).min(CLIP);
-        let stretch = took / (work / threads).max(1e-3);
-        let old = e.slowdown;
-        for usual in [&mut self.fleet.stretch, &mut e.slowdown] {
-            let clipped = stretch.min(CLIP * *usual);
-            smooth(usual, clipped);
+        engine.last_activity_at = now;
+        if is_trial {
+            // It comes back with the lowest limit, and recovers by the control law.
+            engine.circuit.close();
+            engine.limit = engine.initial_limit * MIN_LIMIT_SHARE;
+            self.fleet.mark_changed();
         }
-        if e.ready() {
-            self.fleet.stretches.replace(old, e.slowdown);
-        }
-        // Where answers tell no cost, work is guessed from the time taken, over how crowded the
-        // engine was at the send: else time under overload passes for work. Not over slowness, as
-        // both would drift apart.
-        let sample = o.work.map_or(
-            took * threads / out.crowd.max(self.fleet.crowd).max(1.0),
-            secs,
-        );
-        l.samples += 1;
-        let weight = (1.0 / f64::from(l.samples)).max(LEARN);
-        // The tail moves up by much for each answer beyond it, down by little for each within, and
-        // settles.
-        let beyond = took > l.tail * out.alone;
-        l.tail *= 1.0 + TAIL_STEP * (f64::from(u8::from(beyond)) - TAIL);
-        l.tail = l.tail.clamp(1.0, 1.0 / TAIL);
-        l.work += if calm {
-            weight * (sample.min(l.work * 10.0) - l.work)
-        } else {
-            0.0
-        };
-        if let (Some(h), Some(_)) = (ask.work_hint, o.work) {
-            l.bias += weight * ((sample / secs(h).max(1e-4)).clamp(0.1, 10.0) - l.bias);
+    }
+
+    /// Ejects the engine, which changes the totals of the fleet.
+    pub(super) fn eject(&mut self, now: Nanos, id: EngineId) {
+        if let Some(engine) = self.engines.get_mut(&id) {
+            engine.circuit.eject(now);
+            self.fleet.mark_changed();
         }
     }
+
+    /// Whether one more engine may be ejected: an outlier is one against its peers, so with most
+    /// engines bad already none is.
+    pub(super) fn may_eject(&self, id: EngineId) -> bool {
+        let others = self.engines.values().filter(|engine| engine.id() != id);
+        let ejected = others.filter(|engine| engine.is_ready() && !engine.circuit.is_closed());
+        let ready = self.fleet.ready.len() as f64;
+        (ejected.count() + 1) as f64 <= MAX_EJECTED_SHARE * ready
+    }
 }
--- /dev/null
+++ b/src/policy/request_estimates.rs
@@ -0,0 +1,59 @@
+//! What the gateway expects of one request: its class, work and time, and until when an answer is
+//! of use.
+use super::Gateway;
+use super::state::class_estimates::{ClassEstimates, latency_objective};
+use super::state::request::PendingRequest;
+use super::state::units::nanos;
+use crate::policy::api::{ClassSpec, Idempotency, Nanos};
+
+impl Gateway {
+    pub(super) fn class(&self, request: &PendingRequest) -> &ClassSpec {
+        &self.settings.classes[usize::from(request.request.class.0)]
+    }
+
+    pub(super) fn estimates(&self, request: &PendingRequest) -> &ClassEstimates {
+        &self.class_estimates[usize::from(request.request.class.0)]
+    }
+
+    pub(super) fn idempotency(&self, request: &PendingRequest) -> Idempotency {
+        request.idempotency(self.class(request))
+    }
+
+    /// Whether the query is long: it runs on more than one thread, or loads data.
+    pub(super) fn is_long(&self, request: &PendingRequest) -> bool {
+        self.query_threads(request) > 1.0 || self.class(request).is_load
+    }
+
+    /// Threads that the query runs on, at least one.
+    pub(super) fn query_threads(&self, request: &PendingRequest) -> f64 {
+        self.class(request).threads.max(1.0)
+    }
+
+    /// Expected work in seconds on one core.
+    pub(super) fn expected_work(&self, request: &PendingRequest) -> f64 {
+        let work_hint = request.request.work_hint;
+        self.estimates(request).expected_work(work_hint)
+    }
+
+    /// Expected time in seconds on an idle engine.
+    pub(super) fn unloaded_seconds(&self, request: &PendingRequest) -> f64 {
+        self.expected_work(request) / self.query_threads(request)
+    }
+
+    /// End of the latency objective, or the deadline if that is earlier.
+    pub(super) fn objective_end(&self, request: &PendingRequest) -> Nanos {
+        let objective = latency_objective(self.class(request), self.expected_work(request));
+        let end = request.arrived_at + nanos(objective);
+        end.min(request.request.deadline)
+    }
+
+    /// The time after which an answer earns nothing: the deadline, or the end of the objective
+    /// where late answers have no weight.
+    pub(super) fn useful_until(&self, request: &PendingRequest) -> Nanos {
+        if self.class(request).late_priority_weight > 0.0 {
+            request.request.deadline
+        } else {
+            self.objective_end(request)
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/request_lifecycle.rs
@@ -0,0 +1,220 @@
+//! A request from its arrival to its final answer.
+use super::Gateway;
+use super::state::may_reject;
+use super::state::request::{PendingRequest, PossibleExecution, is_placement_allowed};
+use super::state::units::{nanos, seconds};
+use super::tuning::SWEEP_INTERVAL;
+use crate::policy::api::{Action, EngineId, Nanos, Outcome, OutcomeKind, Request, RequestId};
+use rand_core::Rng;
+
+/// Least factor on the wait that a rejection advises; the factor is spread over a width of 1, lest
+/// all clients come back at once.
+const MIN_RETRY_AFTER_FACTOR: f64 = 0.5;
+
+impl Gateway {
+    pub(super) fn on_request(&mut self, now: Nanos, request: Request, actions: &mut Vec<Action>) {
+        let is_class_known = usize::from(request.class.0) < self.settings.classes.len();
+        if !is_class_known || self.requests.contains_key(&request.id) {
+            return;
+        }
+        let id = request.id;
+        self.retries.record_arrival(now);
+        let over_quota =
+            self.tenant_quotas
+                .charge(now, request.tenant, self.active_gateways, request.is_retry);
+        let pending = PendingRequest {
+            request,
+            arrived_at: now,
+            over_quota,
+            max_attempts: self.settings.limits.max_attempts,
+            ..PendingRequest::default()
+        };
+        if let (true, Some(key)) = (self.class(&pending).in_order, request.key) {
+            self.ordered_queues.push(key, id);
+        }
+        self.cancel_budget.record_request();
+        self.record_arrival(&pending);
+        self.requests.insert(id, pending);
+        self.probe_candidates(now, id, actions);
+        match self.select_engine(now, id) {
+            Some(engine) => self.send(now, id, engine, actions),
+            None => self.enqueue(now, id),
+        }
+    }
+
+    /// Counts an arrival for the control law (Ti): once, at the candidate with most capacity free.
+    fn record_arrival(&mut self, request: &PendingRequest) {
+        let candidates = self.candidates();
+        let class = self.class(request);
+        let mut best: Option<(EngineId, f64)> = None;
+        for id in candidates {
+            let Some(engine) = self.engines.get(&id) else {
+                continue;
+            };
+            if !is_placement_allowed(class, &engine.endpoint) {
+                continue;
+            }
+            let free = engine.limit / self.active_gateways - engine.running.threads;
+            if best.is_none_or(|(_, most)| free.total_cmp(&most).is_ge()) {
+                best = Some((id, free));
+            }
+        }
+        if let Some(engine) = best.and_then(|(id, _)| self.engines.get_mut(&id)) {
+            engine.window.arrived += 1.0;
+        }
+    }
+
+    /// The client disconnected: its attempts are cancelled.
+    pub(super) fn on_client_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        request.finished = true;
+        self.cancel_all_attempts(id, actions);
+        self.forget_if_over(id);
+    }
+
+    /// An attempt ended.
+    pub(super) fn on_outcome(&mut self, now: Nanos, outcome: &Outcome, actions: &mut Vec<Action>) {
+        let id = outcome.id;
+        let Some(pending) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = pending.take_attempt(outcome.attempt) else {
+            return;
+        };
+        pending.finished |= outcome.request_finished;
+        if may_have_run(outcome.kind) {
+            pending.record_possible_execution(PossibleExecution {
+                engine: outcome.engine,
+                sent_at: attempt.sent_at,
+            });
+        }
+        let request = pending.request;
+        self.record_running(now, attempt.engine, attempt.running, -1.0);
+        let is_load = self.settings.classes[usize::from(request.class.0)].is_load;
+        let Some(engine) = self.engines.get_mut(&attempt.engine) else {
+            return;
+        };
+        let is_in_report = engine
+            .report
+            .is_some_and(|report| report.at > attempt.sent_at);
+        if !is_in_report {
+            engine.forget_sent_threads(attempt.running.threads);
+        }
+        if is_load {
+            engine.finish_load(request.data_set);
+        }
+        let succeeded = outcome.kind == OutcomeKind::Ok;
+        if succeeded && outcome.attempt.0 > 0 {
+            self.cancel_budget.refund();
+        }
+        // A latency measured across a stall of this gateway says nothing of the engine.
+        if succeeded && self.resumed_at != now {
+            self.learn_from_answer(&request, outcome, &attempt);
+        }
+        self.record_load_report(now, attempt.engine, &outcome.load);
+        self.record_engine_outcome(now, outcome, &attempt);
+        if let Some(key) = request.key.filter(|_| may_still_run(outcome.kind)) {
+            let cooldown = self.settings.invariants.key_cooldown;
+            let until = now + cooldown + self.settings.tick;
+            self.ordered_queues.start_cooldown(key, until);
+        }
+        self.retry_or_finish(now, id, actions);
+        self.dispatch_queued(now, actions);
+    }
+
+    /// After the end of an attempt: queues the request for another one, or ends it.
+    fn retry_or_finish(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        if request.finished {
+            // The client has its answer: a hedged request beside it has no use any more.
+            self.cancel_all_attempts(id, actions);
+            self.forget_if_over(id);
+            return;
+        }
+        if !request.attempts.is_empty() {
+            return;
+        }
+        let has_time = now + nanos(self.unloaded_seconds(request)) < request.request.deadline;
+        if has_time && self.idempotency_allows(now, request, None) && request.may_start_attempt() {
+            self.enqueue(now, id);
+        } else {
+            self.reject_or_fail(id, SWEEP_INTERVAL, actions);
+        }
+    }
+
+    /// The final answer of a request that will not be served: a rejection where trying again is
+    /// harmless, else a failure. A rejection advises to wait for `retry_after`, or the backlog if
+    /// that is longer.
+    pub(super) fn reject_or_fail(
+        &mut self,
+        id: RequestId,
+        retry_after: Nanos,
+        actions: &mut Vec<Action>,
+    ) {
+        let pending = self.requests.get(&id);
+        let Some(request) = pending.filter(|request| !request.finished) else {
+            return;
+        };
+        let may_have_run = request.earliest_execution().is_some();
+        let may_reject = may_reject(self.idempotency(request), may_have_run);
+        let tenant = request.request.tenant;
+        let over_quota = request.over_quota;
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.finished = true;
+        }
+        if may_reject {
+            if !over_quota {
+                self.tenant_quotas.refund(tenant);
+            }
+            let retry_after = self.spread_retry_after(retry_after);
+            actions.push(Action::Reject { id, retry_after });
+        } else {
+            actions.push(Action::Fail { id });
+        }
+        self.forget_if_over(id);
+    }
+
+    /// A wait of at least `retry_after` and the backlog, spread at random, within what clients
+    /// heed.
+    fn spread_retry_after(&mut self, retry_after: Nanos) -> Nanos {
+        let draw = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
+        let factor = MIN_RETRY_AFTER_FACTOR + draw;
+        let wait = seconds(retry_after).max(self.queue.backlog_seconds()) * factor;
+        nanos(wait).min(self.settings.limits.max_retry_after)
+    }
+
+    /// Drops a request that is answered and has no attempt in flight; the next one of its key may
+    /// start.
+    fn forget_if_over(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        if !request.finished || !request.attempts.is_empty() {
+            return;
+        }
+        if let Some(key) = request.request.key {
+            self.ordered_queues.remove(key, id);
+        }
+        self.requests.remove(&id);
+    }
+}
+
+/// Whether an engine may have executed an attempt that ended so.
+fn may_have_run(kind: OutcomeKind) -> bool {
+    !matches!(
+        kind,
+        OutcomeKind::Rejected | OutcomeKind::ConnectFailed | OutcomeKind::NeverSent
+    )
+}
+
+/// Whether an engine may still execute an attempt that ended so.
+fn may_still_run(kind: OutcomeKind) -> bool {
+    matches!(
+        kind,
+        OutcomeKind::Timeout | OutcomeKind::Reset | OutcomeKind::Cancelled
+    )
+}
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,50 +1,77 @@
-//! Cold engines: what a gateway may send to one that started a while ago.
-use super::*;
+//! Slow start: what a gateway may send to an engine that started a while ago (rule 4).
+use super::Gateway;
+use super::fleet_scan::LONG_QUERY_TURN_OFFSET;
+use super::state::class_estimates::MIN_SAMPLES;
+use super::state::engine::Engine;
+use super::state::request::PendingRequest;
+use super::state::turns::Turn;
+use super::state::units::seconds;
+use super::tuning::{USUAL_UTILIZATION, WARM_UP_TURNS};
+use crate::policy::api::Nanos;
 
-// Margin on the cold budget: clocks, slow machines, work not known ahead.
-const COLD_MARGIN: f64 = 0.55;
+/// Part of the overload budget that gateways use together. The margin covers clocks that differ,
+/// slow machines, and work that is not known ahead.
+const BUDGET_MARGIN: f64 = 0.55;
+
+/// Divisions of the turns on an engine that warms up: one for short and one for long queries, each
+/// with an equal part of the budget.
+const TURN_DIVISIONS: f64 = 2.0;
 
 impl Gateway {
-    /// Rule 4: work sent to a cold engine by all gateways in the stated window stays in the budget.
-    /// A part that holds the query is kept by counting; below that, whole queries go out in turns.
-    /// Bound of the sum: the margin, 1.5 times it with counts and turns beside each other, and the
-    /// part that restarts forget.
-    pub(super) fn cold_allows(&self, now: Nanos, r: &PendingRequest, e: &Engine) -> bool {
-        let (rules, warmth) = (
-            &self.settings.invariants,
-            e.warmth(now, &self.settings.invariants),
-        );
-        let rate = rules.overload_multiple * warmth * e.cores * USUAL_BUSY * COLD_MARGIN;
-        let budget = self.capacity_share * rate * secs(rules.overload_window);
-        let part = budget / f64::from(self.settings.gateways.max(1));
-        let from = now.saturating_sub(rules.overload_window);
-        let weight = self.cold_weight(r);
-        let sent: f64 = e
-            .warm_up_sends
-            .iter()
-            .filter(|(t, _)| *t >= from)
-            .map(|(_, w)| w)
-            .sum();
-        // Half for each of short and long, whose turns lie across the circle lest short ones use up
-        // both.
-        let holders = budget / (2.0 * (COLD_SLOTS + 1) as f64 * weight.max(1e-3));
-        let (slot, across) = (
-            rules.overload_window / COLD_SLOTS,
-            if self.is_long(r) { 0.5 } else { 0.0 },
-        );
-        let in_turn =
-            || weight > part && sent <= 0.0 && self.has_slot(now, e, slot, holders, across);
-        warmth >= 1.0 || sent + weight <= part || in_turn()
+    /// Whether the request fits the budget of an engine that warms up, so that the work which all
+    /// gateways send in the stated window stays under the stated multiple of its capacity.
+    ///
+    /// A gateway whose share of the budget holds the query counts what it sent. One whose share is
+    /// smaller sends whole queries in turns. The sum over all gateways is at most the margin, or
+    /// 1.5 times it with counting and turns side by side, and what gateways forget when they
+    /// restart.
+    pub(super) fn slow_start_allows(
+        &self,
+        now: Nanos,
+        request: &PendingRequest,
+        engine: &Engine,
+    ) -> bool {
+        let rules = &self.settings.invariants;
+        let warmth = engine.warmth(now, rules);
+        if warmth >= 1.0 {
+            return true;
+        }
+        let rate =
+            rules.overload_multiple * warmth * engine.cores * USUAL_UTILIZATION * BUDGET_MARGIN;
+        let budget = self.capacity_share * rate * seconds(rules.overload_window);
+        let share = budget / f64::from(self.gateway_count());
+        let work = self.warm_up_work(request);
+        let window_start = now.saturating_sub(rules.overload_window);
+        let sent = engine.warm_up.work_since(window_start);
+        if sent + work <= share {
+            return true;
+        }
+        if work <= share || sent > 0.0 {
+            return false;
+        }
+        let turns_per_window = (WARM_UP_TURNS + 1) as f64;
+        let turn = Turn {
+            duration: self.warm_up_turn_duration(),
+            holders: budget / (TURN_DIVISIONS * turns_per_window * work.max(1e-3)),
+            offset: if self.is_long(request) {
+                LONG_QUERY_TURN_OFFSET
+            } else {
+                0.0
+            },
+        };
+        self.has_unused_turn(now, engine, &turn)
     }
 
-    /// Weighs a query for that budget by its class and its hint, whichever says more.
-    pub(super) fn cold_weight(&self, r: &PendingRequest) -> f64 {
-        let l = self.learned(r);
-        let guess = if l.samples < ENOUGH {
-            secs(self.class(r).base_latency_objective) * self.threads(r)
+    /// Work of a request that counts against that budget, in seconds on one core: by its class or
+    /// its hint, whichever is more.
+    pub(super) fn warm_up_work(&self, request: &PendingRequest) -> f64 {
+        let estimates = self.estimates(request);
+        let prior = if estimates.samples < MIN_SAMPLES {
+            let objective = self.class(request).base_latency_objective;
+            seconds(objective) * self.query_threads(request)
         } else {
             0.0
         };
-        guess.max(l.work).max(self.work(r))
+        prior.max(estimates.work).max(self.expected_work(request))
     }
 }
--- a/src/policy/stall_detection.rs
+++ b/src/policy/stall_detection.rs
@@ -1,260 +1,268 @@
-//! Attempts withdrawn to be sent anew: bad plans, queries that stand still, and what got lost.
-use super::*;
+//! Attempts that make no progress: queries that wait for a load of their data, and attempts whose
+//! answer or engine is lost.
+use super::Gateway;
+use super::state::class_estimates::INITIAL_TAIL_FACTOR;
+use super::state::engine::Engine;
+use super::state::request::{Attempt, PendingRequest, is_placement_allowed};
+use super::state::units::{nanos, seconds};
+use super::tuning::STALL_THRESHOLD;
+use crate::policy::api::{Action, AttemptNo, EngineId, Nanos, RequestId};
 
-const SILENT_TIMES: f64 = 3.0; // Silence: attempts this many times past their expected time...
-// ...and this old, with no sign of life of the engine since.
-const SILENT_LEAST: Nanos = 1_200_000_000;
-// An attempt is lost without so many notes that were due: it runs no more.
-const SILENT_NOTES: f64 = 1.5;
-// A query is taken to stand still for a load no sooner than this...
-const STANDS_LEAST: Nanos = 200_000_000;
-// ...and others on its data there to do so for so long after it was seen.
-const STANDS: Nanos = 500_000_000;
-const SILENT_COUNT: usize = 2; // How many such attempts make an engine silent.
-// Where much room is free it is sent anew after so many expected times.
-const TAIL_LEAST: f64 = 1.5;
-const BAD_PLAN: f64 = 1.5; // A plan is bad if its progress points to this many times the tail.
+/// Times its expected time after which an attempt counts as stalled: as waiting for a load, or,
+/// without any activity of its engine, as a sign that the engine does not respond.
+const STALL_RATIO: f64 = 3.0;
 
-impl Gateway {
-    /// Whether withdrawing its attempt could be followed by another.
-    fn may_try_again(&self, now: Nanos, r: &PendingRequest) -> bool {
-        let again =
-            self.settings.limits.may_cancel && !r.finished && self.effect_allows(now, r, None);
-        again && r.attempts_started < r.max_attempts && self.budget_allows(now)
-    }
+/// Least age of an attempt that is a sign of an unresponsive engine: 1.2 s.
+const MIN_UNRESPONSIVE_AGE: Nanos = 1_200_000_000;
 
-    /// Withdraws its attempt to try anew, if that can still be in time and the stock of cancels
-    /// allows.
-    fn try_anew(&mut self, now: Nanos, id: RequestId, attempt: AttemptNo, acts: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id) else {
-            return;
-        };
-        let in_time = now + nanos(self.alone(r)) < self.useful_end(r);
-        if self.cancels >= 1.0 && in_time && self.may_try_again(now, r) {
-            // While much room is free the first runs on beside its copy. What is keyed is never
-            // given up.
-            let beside = self.settings.limits.hedging && self.idle();
-            if beside || self.effect(r) != Idempotency::Idempotent {
-                if let Some(engine) = self.choose(now, id).filter(|_| beside) {
-                    self.cancels -= 1.0;
-                    self.send(now, id, engine, acts);
-                }
-                return;
-            }
-            self.cancels -= 1.0;
-            self.withdraw(id, attempt, acts);
-        }
-    }
+/// Number of such attempts that make an engine unresponsive.
+const MIN_UNRESPONSIVE_ATTEMPTS: usize = 2;
 
-    /// Room enough for what runs twice.
-    fn idle(&self) -> bool {
-        self.fleet.mean.threads <= USUAL_BUSY * self.fleet.bound / self.active_gateways
-    }
+/// Number of progress periods without an update after which an attempt is presumed lost.
+const MAX_MISSED_UPDATES: f64 = 1.5;
 
-    pub(super) fn withdraw_all(&mut self, id: RequestId, acts: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id) else {
-            return;
-        };
-        let all: Vec<AttemptNo> = r.attempts.iter().map(|o| o.attempt).collect();
-        all.into_iter()
-            .for_each(|attempt| self.withdraw(id, attempt, acts));
-    }
+/// Least age of a query that is taken to wait for a load: 200 ms.
+const MIN_BLOCKED_AGE: Nanos = 200_000_000;
 
-    fn withdraw(&mut self, id: RequestId, attempt: AttemptNo, acts: &mut Vec<Action>) {
-        let may = self.settings.limits.may_cancel;
-        let Some(r) = self.requests.get_mut(&id).filter(|_| may) else {
-            return;
-        };
-        let Some(o) = r.out(attempt).filter(|o| !o.cancelling) else {
-            return;
-        };
-        o.cancelling = true;
-        r.cancellations += 1;
-        acts.push(Action::Cancel { id, attempt });
-    }
+/// Time for which a data set counts as blocked on an engine after a query was found to wait there:
+/// 500 ms.
+const BLOCKED_DURATION: Nanos = 500_000_000;
 
-    /// Progress shows a bad plan early: cancel and try elsewhere, if that can still be in time.
-    pub(super) fn on_note(
-        &mut self,
-        now: Nanos,
-        id: RequestId,
-        attempt: AttemptNo,
-        note: ProgressUpdate,
-        acts: &mut Vec<Action>,
-    ) {
-        let Some(o) = self.requests.get_mut(&id).and_then(|r| r.out(attempt)) else {
+/// Least tail factor of a class while capacity is free: lost attempts are then replaced early, as
+/// a request that runs twice takes capacity from no one.
+const MIN_IDLE_TAIL_FACTOR: f64 = 1.5;
+
+/// An attempt that most likely waits for a load.
+struct BlockedAttempt {
+    id: RequestId,
+    number: AttemptNo,
+    data_set: u64,
+    engine: EngineId,
+}
+
+/// An attempt that is presumed lost.
+struct LostAttempt {
+    id: RequestId,
+    number: AttemptNo,
+    engine: EngineId,
+    sent_at: Nanos,
+    /// It is old enough to be a sign that its engine does not respond.
+    shows_unresponsive: bool,
+}
+
+/// Ages at which attempts are presumed lost.
+struct LossLimits {
+    /// Without a progress update that was due.
+    update_timeout: Nanos,
+    /// Least tail factor of a class.
+    min_tail_factor: f64,
+    /// Factor on the tail of a class.
+    tail_ratio: f64,
+}
+
+impl Gateway {
+    /// Notes that a query waits on the engine for a load of its data. Neither the query nor the
+    /// engine is slow: other queries on the data set are kept off the engine for two progress
+    /// periods. It does harm where the load was about to end.
+    pub(super) fn record_blocked_query(&mut self, now: Nanos, id: RequestId, engine: EngineId) {
+        let Some(request) = self.requests.get(&id) else {
             return;
         };
-        o.life_at = now;
-        let (engine, sent, cancelling, alone) = (o.engine, o.sent, o.cancelling, o.alone);
-        let (group, due) = (
-            self.requests[&id].request.data_set,
-            2 * self.settings.progress_period,
-        );
-        // A query that stands still for a load on its data is not slow, nor is its engine: it goes
-        // where the data is free, and others are kept off for a while. Harms where the load was
-        // about to end.
-        let stands = note == ProgressUpdate::WaitsForLoad;
-        if let Some(e) = self.engines.get_mut(&engine) {
-            e.last_activity_at = now;
-            e.blocked_data_sets.retain(|_, until| *until > now);
-            e.blocked_data_sets
-                .extend(stands.then_some((group, now + due)));
+        let until = now + 2 * self.settings.progress_period;
+        if let Some(engine) = self.engines.get_mut(&engine) {
+            let data_set = request.request.data_set;
+            engine.blocked_data_sets.insert(data_set, until);
         }
-        if stands {
-            return self.try_anew(now, id, attempt, acts);
+    }
+
+    /// Finds queries that most likely wait for a load of another gateway: far past their time while
+    /// their engine answers others. Other queries on the data set are kept off the engine, until
+    /// one of them ends or some time passed, and those found are tried on an engine without the
+    /// load.
+    pub(super) fn detect_blocked_queries(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        let blocked = self.find_blocked_attempts(now);
+        for attempt in &blocked {
+            if let Some(engine) = self.engines.get_mut(&attempt.engine) {
+                let until = now + BLOCKED_DURATION;
+                engine.blocked_data_sets.insert(attempt.data_set, until);
+            }
         }
-        let ProgressUpdate::Progress(share) = note else {
-            return;
-        };
-        let share = share.min(1.0);
-        let r = &self.requests[&id];
-        let age = secs(now.saturating_sub(sent));
-        let whole = age / share.max(1e-3);
-        let stretch = self
-            .engines
-            .get(&engine)
-            .map_or(1.0, |e| e.slowdown.max(1.0));
-        let expected = self.alone(r) * stretch;
-        let may = !cancelling
-            && self.cancels >= 1.0
-            && self.class(r).idempotency == Idempotency::Idempotent
-            && !r.finished;
-        let in_time = now + nanos(expected) <= self.useful_end(r) && self.may_try_again(now, r);
-        let bad = whole > BAD_PLAN * self.learned(r).tail * alone && whole - age > 2.0 * expected;
-        let hopeless = now + nanos(DOUBT * (whole - age)) > r.request.deadline;
-        if may && ((in_time && bad && r.cancellations < 2) || hopeless) {
-            self.cancels -= 1.0;
-            let again = in_time && bad && r.cancellations < 2;
-            self.withdraw(id, attempt, acts);
-            if !again {
-                self.give_up(id, SWEEP_EVERY, acts);
+        for attempt in blocked {
+            let Some(request) = self.requests.get(&attempt.id) else {
+                continue;
+            };
+            if self.has_unblocked_engine(now, request) {
+                self.cancel_and_retry(now, attempt.id, attempt.number, actions);
             }
         }
     }
 
-    /// Far past its time where others get on, a query most likely stands still for a load of
-    /// another gateway: others on that data keep off, until one of them gets through or this one is
-    /// over.
-    fn find_standing(&mut self, now: Nanos, acts: &mut Vec<Action>) {
-        let usual = SILENT_TIMES * self.fleet.median_stretch.max(1.0);
-        let mut found = Vec::new();
-        for r in self
-            .requests
-            .values()
-            .filter(|r| self.class(r).waits_for_loads)
-        {
-            for o in r.attempts.iter().filter(|o| !o.cancelling) {
-                let late =
-                    secs(now.saturating_sub(o.sent)) > (usual * o.alone).max(secs(STANDS_LEAST));
-                if late
-                    && self
-                        .engines
-                        .get(&o.engine)
-                        .is_some_and(|e| e.last_activity_at > o.sent)
-                {
-                    found.push((r.request.id, o.attempt, r.request.data_set, o.engine));
+    fn find_blocked_attempts(&self, now: Nanos) -> Vec<BlockedAttempt> {
+        let stall_ratio = STALL_RATIO * self.fleet.median_slowdown.max(1.0);
+        let mut blocked = Vec::new();
+        for request in self.requests.values() {
+            if !self.class(request).waits_for_loads {
+                continue;
+            }
+            for attempt in &request.attempts {
+                let age = seconds(now.saturating_sub(attempt.sent_at));
+                let limit = (stall_ratio * attempt.unloaded_seconds).max(seconds(MIN_BLOCKED_AGE));
+                let engine = self.engines.get(&attempt.engine);
+                let is_engine_active =
+                    engine.is_some_and(|engine| engine.last_activity_at > attempt.sent_at);
+                if !attempt.cancelling && age > limit && is_engine_active {
+                    blocked.push(BlockedAttempt {
+                        id: request.id(),
+                        number: attempt.number,
+                        data_set: request.request.data_set,
+                        engine: attempt.engine,
+                    });
                 }
             }
         }
-        for &(_, _, group, engine) in &found {
-            if let Some(e) = self.engines.get_mut(&engine) {
-                e.blocked_data_sets.insert(group, now + STANDS);
+        blocked
+    }
+
+    /// Whether some engine could run the request without waiting for a load.
+    fn has_unblocked_engine(&self, now: Nanos, request: &PendingRequest) -> bool {
+        let class = self.class(request);
+        let is_free = |engine: &Engine| {
+            engine.is_ready()
+                && engine.circuit.is_closed()
+                && is_placement_allowed(class, &engine.endpoint)
+                && !self.is_blocked_by_load(now, request, engine)
+                && self.has_capacity(now, request, engine)
+        };
+        let ready = self.fleet.ready.iter();
+        ready.filter_map(|id| self.engines.get(id)).any(is_free)
+    }
+
+    /// Finds attempts that are presumed lost: past the tail of their class, or without the progress
+    /// updates that were due. Answers get lost, connections lose messages, and engines drop work;
+    /// all look the same from here. A lost attempt holds no capacity any more, and an idempotent
+    /// one is retried within the budget of cancellations. An engine that showed no activity since
+    /// such attempts were sent is ejected. It does harm where work is far underestimated: such
+    /// queries run in vain.
+    pub(super) fn detect_unresponsive_attempts(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        let lost = self.find_lost_attempts(now);
+        for attempt in &lost {
+            let signs = lost
+                .iter()
+                .filter(|other| other.engine == attempt.engine && other.shows_unresponsive);
+            let is_unresponsive =
+                attempt.shows_unresponsive && signs.count() >= MIN_UNRESPONSIVE_ATTEMPTS;
+            if !self.engines.contains_key(&attempt.engine) {
+                continue;
             }
+            self.eject_unresponsive_engine(now, attempt, is_unresponsive);
+            self.release_lost_attempt(now, attempt);
+            self.cancel_and_retry(now, attempt.id, attempt.number, actions);
         }
-        for (id, attempt, _, _) in found {
-            let r = &self.requests[&id];
-            let free = |e: &Engine| {
-                let usable = e.ready()
-                    && e.circuit == CircuitState::Closed
-                    && placed(self.class(r), &e.endpoint);
-                usable && !self.stands(now, r, e) && self.has_room(now, r, e)
-            };
-            if self
-                .fleet
-                .ready
-                .iter()
-                .filter_map(|id| self.engines.get(id))
-                .any(free)
-            {
-                self.try_anew(now, id, attempt, acts);
+    }
+
+    fn find_lost_attempts(&self, now: Nanos) -> Vec<LostAttempt> {
+        let limits = self.loss_limits();
+        let mut lost = Vec::new();
+        for request in self.requests.values() {
+            for attempt in &request.attempts {
+                if !attempt.cancelling && self.is_lost(now, request, attempt, &limits) {
+                    lost.push(LostAttempt {
+                        id: request.id(),
+                        number: attempt.number,
+                        engine: attempt.engine,
+                        sent_at: attempt.sent_at,
+                        shows_unresponsive: shows_unresponsive(now, attempt, &limits),
+                    });
+                }
             }
         }
+        lost
     }
 
-    /// Answers get lost, links lose messages, engines swallow work: all look like an attempt past
-    /// the tail of its class, or without the notes that were due. It holds no room any more, and a
-    /// safe one is tried anew, from the stock of cancels, which gets back what paid off. Attempts
-    /// far past their time with no sign of life of their engine since eject it. Harm: far
-    /// underestimated queries run in vain.
-    pub(super) fn find_silent(&mut self, now: Nanos, acts: &mut Vec<Action>) {
-        self.find_standing(now, acts);
-        let due = nanos(SILENT_NOTES * secs(self.settings.progress_period));
-        let noted = if due > 0 { due } else { Nanos::MAX / 2 };
-        // What is sent anew runs twice: soon where much room is free, later where it takes that of
-        // others.
-        let least = if self.idle() { TAIL_LEAST } else { TAIL_FIRST };
-        let lost = |(r, o): (&PendingRequest, &Attempt)| {
-            // Where nothing can be cancelled the engine may well work on it for longer still.
-            let times = if self.settings.limits.may_cancel {
-                1.0
+    fn loss_limits(&self) -> LossLimits {
+        let progress_period = seconds(self.settings.progress_period);
+        let update_timeout = nanos(MAX_MISSED_UPDATES * progress_period);
+        LossLimits {
+            update_timeout: if update_timeout > 0 {
+                update_timeout
             } else {
-                SILENT_TIMES
-            };
-            let tail = nanos(times * self.learned(r).tail.max(least) * o.alone).max(STALL);
-            let limit = if o.life_at > o.sent {
-                noted
+                Nanos::MAX / 2
+            },
+            min_tail_factor: if self.has_idle_capacity() {
+                MIN_IDLE_TAIL_FACTOR
             } else {
-                tail.min(noted)
-            };
-            let age = now.saturating_sub(o.life_at);
-            let silent = age
-                > nanos(SILENT_TIMES * o.expected)
-                    .min(2 * noted)
-                    .max(SILENT_LEAST);
-            (age > limit).then_some((r.request.id, o.attempt, o.engine, o.sent, silent))
-        };
-        let out = self
-            .requests
-            .values()
-            .flat_map(|r| r.attempts.iter().map(move |o| (r, o)));
-        let lost: Vec<_> = out
-            .filter(|(_, o)| !o.cancelling)
-            .filter_map(lost)
-            .collect();
-        for &(id, attempt, engine, sent, silent) in &lost {
-            let count = lost
-                .iter()
-                .filter(|(_, _, e, _, silent)| *e == engine && *silent)
-                .count();
-            let may_eject = silent && count >= SILENT_COUNT && self.may_eject(engine);
-            let Some(e) = self.engines.get_mut(&engine) else {
-                continue;
-            };
-            e.unresponsive_at = if e.last_activity_at <= sent {
-                now
+                INITIAL_TAIL_FACTOR
+            },
+            // Where attempts cannot be cancelled the engine may well work on them for longer still.
+            tail_ratio: if self.settings.limits.may_cancel {
+                1.0
             } else {
-                e.unresponsive_at
-            };
-            match e.circuit {
-                CircuitState::HalfOpen(Some(trial)) if trial == id && silent => {
-                    e.eject(now, &mut self.fleet)
-                }
-                CircuitState::Closed if may_eject && e.last_activity_at <= sent => {
-                    e.eject(now, &mut self.fleet)
-                }
-                CircuitState::Closed | CircuitState::HalfOpen(_) | CircuitState::Open(_) => {}
-            }
-            if let Some(o) = self.requests.get_mut(&id).and_then(|r| r.out(attempt)) {
-                let ghost = std::mem::take(&mut o.running);
-                e.threads_sent_since_report = if e.report.is_none() {
-                    (e.threads_sent_since_report - ghost.threads).max(0.0)
-                } else {
-                    e.threads_sent_since_report
-                };
-                self.carry(now, engine, ghost, -1.0);
-            }
-            self.try_anew(now, id, attempt, acts);
+                STALL_RATIO
+            },
         }
     }
+
+    fn is_lost(
+        &self,
+        now: Nanos,
+        request: &PendingRequest,
+        attempt: &Attempt,
+        limits: &LossLimits,
+    ) -> bool {
+        let age = now.saturating_sub(attempt.last_activity_at);
+        let has_reported_progress = attempt.last_activity_at > attempt.sent_at;
+        if has_reported_progress {
+            return age > limits.update_timeout;
+        }
+        let tail_factor = self.estimates(request).tail_factor;
+        let tail_factor = tail_factor.max(limits.min_tail_factor);
+        let tail = nanos(limits.tail_ratio * tail_factor * attempt.unloaded_seconds);
+        age > tail.max(STALL_THRESHOLD).min(limits.update_timeout)
+    }
+
+    /// Ejects the engine of a lost attempt if it does not respond, or if the attempt was its trial.
+    fn eject_unresponsive_engine(
+        &mut self,
+        now: Nanos,
+        attempt: &LostAttempt,
+        is_unresponsive: bool,
+    ) {
+        let may_eject = is_unresponsive && self.may_eject(attempt.engine);
+        let Some(engine) = self.engines.get_mut(&attempt.engine) else {
+            return;
+        };
+        let was_silent = engine.last_activity_at <= attempt.sent_at;
+        if was_silent {
+            engine.unresponsive_at = now;
+        }
+        let has_failed_trial = engine.circuit.is_trial(attempt.id) && attempt.shows_unresponsive;
+        let is_outlier = engine.circuit.is_closed() && may_eject && was_silent;
+        if has_failed_trial || is_outlier {
+            self.eject(now, attempt.engine);
+        }
+    }
+
+    /// Frees the capacity that a lost attempt holds.
+    fn release_lost_attempt(&mut self, now: Nanos, lost: &LostAttempt) {
+        let request = self.requests.get_mut(&lost.id);
+        let Some(attempt) = request.and_then(|request| request.attempt_mut(lost.number)) else {
+            return;
+        };
+        let released = std::mem::take(&mut attempt.running);
+        if let Some(engine) = self.engines.get_mut(&lost.engine)
+            && engine.report.is_none()
+        {
+            engine.forget_sent_threads(released.threads);
+        }
+        self.record_running(now, lost.engine, released, -1.0);
+    }
+}
+
+/// Whether the age of a lost attempt is a sign that its engine does not respond.
+fn shows_unresponsive(now: Nanos, attempt: &Attempt, limits: &LossLimits) -> bool {
+    let age = now.saturating_sub(attempt.last_activity_at);
+    let limit = nanos(STALL_RATIO * attempt.expected_seconds)
+        .min(2 * limits.update_timeout)
+        .max(MIN_UNRESPONSIVE_AGE);
+    age > limit
 }
--- a/src/policy/state/engine.rs
+++ b/src/policy/state/engine.rs
@@ -1,157 +1,187 @@
-//! What is remembered of one engine.
-use super::secs;
-use crate::policy::api::*;
-use std::collections::{BTreeMap, VecDeque};
+//! What the gateway remembers of one engine.
+use super::circuit_breaker::CircuitBreaker;
+use super::control_window::{ControlWindow, MIN_LIMIT_SHARE};
+use super::running::{LONG_QUERY_SHARE, Running};
+use super::units::seconds;
+use super::warm_up_window::WarmUpWindow;
+use crate::policy::api::{Endpoint, EngineId, Invariants, Nanos, Readiness};
+use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Outlier ejection of one engine.
-#[derive(Clone, Copy, Default, PartialEq)]
-pub enum CircuitState {
-    #[default]
-    Closed,
-    Open(Nanos),                 // Gets no ordinary work until then.
-    HalfOpen(Option<RequestId>), // May get one trial, or has it out.
-}
-
-/// Own queries that run on an engine, or on all of them.
-#[derive(Clone, Copy, Default)]
-pub struct Running {
-    pub queries: f64,
-    pub threads: f64,
-    pub short: f64, // Threads of short queries.
-}
+/// Upper clamp of the concurrency limit, as a share of the initial limit: beyond it engines
+/// complete less work, not more.
+const MAX_LIMIT_SHARE: f64 = 1.0;
 
-impl Running {
-    pub fn add(&mut self, other: Running, times: f64) {
-        self.queries = (self.queries + times * other.queries).max(0.0);
-        self.threads = (self.threads + times * other.threads).max(0.0);
-        self.short = (self.short + times * other.short).max(0.0);
-    }
-}
+/// Largest part by which one update moves the limit. Latency shows the effect only a period later,
+/// so larger steps would oscillate.
+const MAX_LIMIT_STEP: f64 = 0.2;
 
-/// Sums of a window of the ECC09 update.
-#[derive(Clone, Copy, Default)]
-pub struct ControlWindow {
-    pub queries: f64, // Query-seconds, thread-seconds.
-    pub threads: f64,
-    pub finished: f64,
-    pub wanted: f64,
-    pub lateness: f64,
-    pub samples: f64,
-}
-
-impl ControlWindow {
-    pub fn add(&mut self, w: &ControlWindow, times: f64) {
-        self.queries += w.queries * times;
-        self.threads += w.threads * times;
-        self.finished += w.finished * times;
-        self.wanted += w.wanted * times;
-        self.lateness += w.lateness;
-        self.samples += w.samples;
-    }
+/// Load of an engine as it was last reported, or as a probe showed it.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ReportedLoad {
+    pub(crate) at: Nanos,
+    /// Threads of all gateways; infinite for an engine that cannot be reached.
+    pub(crate) threads: f64,
 }
 
+/// State of one engine. Limits are in threads of all gateways together.
 #[derive(Default)]
-pub struct Engine {
-    pub endpoint: Endpoint,
-    pub cores: f64,
-    pub initial_bound: f64, // Bounds are in threads of all gateways together.
-    pub bound: f64,
-    pub running: Running,
-    pub window: ControlWindow,
-    pub integrated_at: Nanos,
-    // Smoothed latency over expected time alone; the yardstick of pressure and of peers.
-    pub slowdown: f64,
-    pub rejecting_until: Nanos, // A full refusal counts as pressure for a period.
-    pub circuit: CircuitState,
-    pub ejections: u32,
-    pub failure_rate: f64,
-    pub last_activity_at: Nanos,
-    // When an attempt there passed its time with no sign of life of the engine since.
-    pub unresponsive_at: Nanos,
-    pub last_reset_at: Nanos, // When a reset last counted against it.
-    pub warm_up_sends: VecDeque<(Nanos, f64)>, // When, and of what weight: oldest first.
-    pub report: Option<(Nanos, f64)>, // When it last told its load, and that in threads.
-    pub threads_sent_since_report: f64, // Own threads sent there since.
-    pub last_sent_at: Nanos,
-    pub loading_data_sets: BTreeMap<u64, u32>,
-    // Data sets that queries were told to wait for, and until when.
-    pub blocked_data_sets: BTreeMap<u64, Nanos>,
+pub(crate) struct Engine {
+    /// Entry of the endpoint list.
+    pub(crate) endpoint: Endpoint,
+    pub(crate) cores: f64,
+    /// Concurrency limit at the start, in threads.
+    pub(crate) initial_limit: f64,
+    /// Concurrency limit now, in threads.
+    pub(crate) limit: f64,
+    /// Own queries that run there.
+    pub(crate) running: Running,
+    /// Observations since the last update of the limit.
+    pub(crate) window: ControlWindow,
+    /// Time up to which `window` holds the integrals of `running`.
+    pub(crate) integrated_at: Nanos,
+    /// Smoothed latency over the expected time on an idle engine: the measure of pressure and of
+    /// comparison with peers.
+    pub(crate) slowdown: f64,
+    /// End of the pressure that a rejection for lack of capacity stands for.
+    pub(crate) saturated_until: Nanos,
+    pub(crate) circuit: CircuitBreaker,
+    /// When an answer or a progress update last came from the engine.
+    pub(crate) last_activity_at: Nanos,
+    /// When an attempt was last found overdue without any activity of the engine since its send.
+    pub(crate) unresponsive_at: Nanos,
+    /// Work sent while the engine warms up.
+    pub(crate) warm_up: WarmUpWindow,
+    pub(crate) report: Option<ReportedLoad>,
+    /// Own threads sent since that report.
+    pub(crate) threads_sent_since_report: f64,
+    pub(crate) last_sent_at: Nanos,
+    /// Number of own running loads for each data set.
+    pub(crate) loading_data_sets: BTreeMap<u64, u32>,
+    /// Data sets that queries were seen to wait for, and the time until which that is believed.
+    pub(crate) blocked_data_sets: BTreeMap<u64, Nanos>,
 }
 
 impl Engine {
-    /// One that nothing is known of but its entry and its cores.
-    pub fn new(now: Nanos, entry: Endpoint, cores: f64, start: f64, stretch: f64) -> Engine {
-        let times = Engine {
+    /// An engine without history.
+    pub(crate) fn new(
+        now: Nanos,
+        endpoint: Endpoint,
+        cores: f64,
+        initial_limit: f64,
+        slowdown: f64,
+    ) -> Engine {
+        Engine {
+            endpoint,
+            cores,
+            initial_limit,
+            limit: initial_limit,
+            slowdown,
             integrated_at: now,
             last_activity_at: now,
             ..Engine::default()
-        };
-        Engine {
-            endpoint: entry,
-            cores,
-            initial_bound: start,
-            bound: start,
-            slowdown: stretch,
-            ..times
         }
     }
 
-    /// Brings the time integrals of the window up to now.
-    pub fn count(&mut self, now: Nanos) {
-        let dt = secs(now.saturating_sub(self.integrated_at));
-        self.window.queries += self.running.queries * dt;
-        self.window.threads += self.running.threads * dt;
-        self.integrated_at = now;
+    pub(crate) fn id(&self) -> EngineId {
+        self.endpoint.id
     }
 
-    pub fn ready(&self) -> bool {
+    pub(crate) fn is_ready(&self) -> bool {
         self.endpoint.readiness == Readiness::Ready
     }
 
-    /// When a started engine is warm at the latest.
-    pub fn warm_at(&self, rules: &Invariants) -> Nanos {
-        self.endpoint
-            .started_at
-            .saturating_add(rules.slow_start_duration)
+    pub(crate) fn is_gone(&self) -> bool {
+        self.endpoint.readiness == Readiness::Gone
+    }
+
+    /// Whether the share of the engine of one among `active_gateways` is under `threads`.
+    pub(crate) fn has_share_below(&self, threads: f64, active_gateways: f64) -> bool {
+        self.initial_limit * LONG_QUERY_SHARE / active_gateways < threads
     }
 
-    /// Share of usual capacity that a started engine surely has: the start share, then a
-    /// late-rising curve.
-    pub fn warmth(&self, now: Nanos, rules: &Invariants) -> f64 {
+    /// Brings the time integrals of the window up to `now`.
+    pub(crate) fn integrate_window(&mut self, now: Nanos) {
+        let elapsed = seconds(now.saturating_sub(self.integrated_at));
+        self.window.integrate(&self.running, elapsed);
+        self.integrated_at = now;
+    }
+
+    /// Moves the limit toward `target` threads by one step at most, within its clamps.
+    pub(crate) fn move_limit_toward(&mut self, target: f64, may_decrease: bool) {
+        let lowest = if may_decrease {
+            self.limit * (1.0 - MAX_LIMIT_STEP)
+        } else {
+            self.limit
+        };
+        let next = target.clamp(lowest, self.limit * (1.0 + MAX_LIMIT_STEP));
+        let floor = self.initial_limit * MIN_LIMIT_SHARE;
+        let ceiling = self.initial_limit * MAX_LIMIT_SHARE;
+        self.limit = next.clamp(floor, ceiling);
+    }
+
+    /// The latest time at which the engine is warm.
+    pub(crate) fn warm_at(&self, rules: &Invariants) -> Nanos {
+        let started_at = self.endpoint.started_at;
+        started_at.saturating_add(rules.slow_start_duration)
+    }
+
+    /// Share of its usual capacity that the engine has at least: the share stated for its start,
+    /// then a curve that rises late.
+    pub(crate) fn warmth(&self, now: Nanos, rules: &Invariants) -> f64 {
         if self.endpoint.started_at == 0 || self.warm_at(rules) <= now {
             return 1.0;
         }
-        let age = secs(now.saturating_sub(self.endpoint.started_at))
-            / secs(rules.slow_start_duration.max(1));
+        let age = seconds(now.saturating_sub(self.endpoint.started_at))
+            / seconds(rules.slow_start_duration.max(1));
         rules.slow_start_from + (1.0 - rules.slow_start_from) * age * age
     }
 
-    /// Enters work of that weight, sent to it while it is cold, and forgets what was sent before
-    /// the window.
-    pub fn count_cold(&mut self, now: Nanos, rules: &Invariants, weight: f64) {
-        self.warm_up_sends.push_back((now, weight));
-        self.forget_cold(now, rules);
+    pub(crate) fn is_warming_up(&self, now: Nanos, rules: &Invariants) -> bool {
+        self.warmth(now, rules) < 1.0
     }
 
-    /// What the time alone ends: an ejection, and the window of what was sent while it was cold.
-    pub fn settle(&mut self, now: Nanos, rules: &Invariants) {
-        self.forget_cold(now, rules);
-        if matches!(self.circuit, CircuitState::Open(until) if until <= now) {
-            self.circuit = CircuitState::HalfOpen(None);
-        }
+    /// Counts work that is sent while the engine warms up.
+    pub(crate) fn record_warm_up_send(&mut self, now: Nanos, rules: &Invariants, work: f64) {
+        self.warm_up.record(now, work);
+        self.forget_warm_up_sends(now, rules);
+    }
+
+    /// Applies what the time alone changes: the end of an ejection and of the warm-up window.
+    pub(crate) fn expire(&mut self, now: Nanos, rules: &Invariants) {
+        self.forget_warm_up_sends(now, rules);
+        self.circuit.expire(now);
+    }
+
+    fn forget_warm_up_sends(&mut self, now: Nanos, rules: &Invariants) {
+        let start = now.saturating_sub(rules.overload_window);
+        self.warm_up.forget_before(start);
+    }
+
+    /// Subtracts own threads that no longer run from those sent since the last report.
+    pub(crate) fn forget_sent_threads(&mut self, threads: f64) {
+        self.threads_sent_since_report = (self.threads_sent_since_report - threads).max(0.0);
+    }
+
+    /// One own load of `data_set` ended.
+    pub(crate) fn finish_load(&mut self, data_set: u64) {
+        *self.loading_data_sets.entry(data_set).or_insert(1) -= 1;
+        self.loading_data_sets.retain(|_, running| *running > 0);
     }
 
-    fn forget_cold(&mut self, now: Nanos, rules: &Invariants) {
-        let from = now.saturating_sub(rules.overload_window);
-        self.warm_up_sends
-            .drain(..self.warm_up_sends.partition_point(|(t, _)| *t < from));
+    /// Whether a query on `data_set` would wait for a load: an own one, or one that other queries
+    /// were seen to wait for.
+    pub(crate) fn is_blocked(&self, data_set: u64, now: Nanos) -> bool {
+        let blocked_until = self.blocked_data_sets.get(&data_set);
+        self.loading_data_sets.contains_key(&data_set)
+            || blocked_until.is_some_and(|until| *until > now)
     }
 }
 
-/// How far an engine is from being a data set's own, 0 to 1: the same at all gateways and after a
-/// restart, so that engines keep warm what they are asked for, without a word between gateways.
-pub fn strangeness(group: u64, engine: EngineId) -> f64 {
-    let hash = xxh3_64_with_seed(&engine.0.to_be_bytes(), group);
+/// Distance of an engine from the engine preferred for a data set, from 0 to 1 (rendezvous
+/// hashing). It is the same at all gateways and after a restart, so engines keep the data sets in
+/// their caches that they are asked for, without coordination between gateways.
+pub(crate) fn affinity_distance(data_set: u64, engine: EngineId) -> f64 {
+    let hash = xxh3_64_with_seed(&engine.0.to_be_bytes(), data_set);
     1.0 - (hash >> 11) as f64 / (1u64 << 53) as f64
 }
--- /dev/null
+++ b/src/policy/state/idempotency.rs
@@ -0,0 +1,54 @@
+//! Rule 2: when a request may be repeated, and when a rejection may promise that it is harmless to
+//! try again.
+use crate::policy::api::{Endpoint, Idempotency, Nanos, Scope};
+
+/// Where a request may have been executed, and where a repeat would go.
+#[derive(Clone, Copy, Debug)]
+pub struct RepeatTargets {
+    /// Endpoint of the first attempt that may have been executed.
+    pub first: Endpoint,
+    /// Endpoint of the next attempt.
+    pub next: Endpoint,
+}
+
+/// Whether a request that was sent at `sent` and may have been executed may be sent again. A keyed
+/// request may go only to engines that discard its duplicates, within the window in which they
+/// remember the key. `targets` is `None` while either endpoint is unknown or not chosen yet: then
+/// only the window decides.
+pub fn may_repeat(
+    idempotency: Idempotency,
+    sent: Nanos,
+    targets: Option<RepeatTargets>,
+    now: Nanos,
+) -> bool {
+    match idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::NonIdempotent => false,
+        Idempotency::WithKey { scope, window } => {
+            let in_scope = targets.is_none_or(|targets| targets.share_scope(scope));
+            in_scope && now < sent.saturating_add(window)
+        }
+    }
+}
+
+impl RepeatTargets {
+    /// Whether both endpoints recognise each other's requests.
+    fn share_scope(&self, scope: Scope) -> bool {
+        match scope {
+            Scope::All => true,
+            Scope::Zone => self.first.zone == self.next.zone,
+            Scope::Cell => self.first.cell == self.next.cell,
+        }
+    }
+}
+
+/// Whether a request may be rejected, which promises that trying again is harmless: one that may
+/// have been executed, only where it may be repeated on any engine.
+pub fn may_reject(idempotency: Idempotency, may_have_run: bool) -> bool {
+    let repeatable_anywhere = match idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::WithKey { scope, .. } => scope == Scope::All,
+        Idempotency::NonIdempotent => false,
+    };
+    !may_have_run || repeatable_anywhere
+}
--- /dev/null
+++ b/src/policy/state/ordered_queues.rs
@@ -0,0 +1,52 @@
+//! Rule 5: requests with the same key run one at a time, in the order of their arrival.
+use crate::policy::api::{Nanos, OrderKey, RequestId};
+use std::collections::{BTreeMap, VecDeque};
+
+/// Requests of one key, oldest first.
+#[derive(Clone, Debug, Default)]
+struct OrderedQueue {
+    requests: VecDeque<RequestId>,
+    /// No request may start earlier: an attempt that ended without an answer may still run.
+    cooldown_until: Nanos,
+}
+
+/// Queues of all keys in use.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct OrderedQueues {
+    queues: BTreeMap<OrderKey, OrderedQueue>,
+}
+
+impl OrderedQueues {
+    pub(crate) fn push(&mut self, key: OrderKey, request: RequestId) {
+        let queue = self.queues.entry(key).or_default();
+        queue.requests.push_back(request);
+    }
+
+    /// Whether the request is the oldest of its key and the cooldown of the key is over.
+    pub(crate) fn is_next(&self, now: Nanos, key: OrderKey, request: RequestId) -> bool {
+        let queue = self.queues.get(&key);
+        queue.is_some_and(|queue| {
+            queue.requests.front() == Some(&request) && now >= queue.cooldown_until
+        })
+    }
+
+    /// Removes a request that is over.
+    pub(crate) fn remove(&mut self, key: OrderKey, request: RequestId) {
+        if let Some(queue) = self.queues.get_mut(&key) {
+            queue.requests.retain(|queued| *queued != request);
+        }
+    }
+
+    /// Lets no request of the key start before `until`.
+    pub(crate) fn start_cooldown(&mut self, key: OrderKey, until: Nanos) {
+        if let Some(queue) = self.queues.get_mut(&key) {
+            queue.cooldown_until = until;
+        }
+    }
+
+    /// Drops the keys without requests whose cooldown is over.
+    pub(crate) fn forget_idle(&mut self, now: Nanos) {
+        self.queues
+            .retain(|_, queue| !queue.requests.is_empty() || queue.cooldown_until > now);
+    }
+}
--- a/src/policy/state/request.rs
+++ b/src/policy/state/request.rs
@@ -1,140 +1,121 @@
-//! What is remembered of requests, their classes and tenants, and what the rules say of repeats.
-use super::{Running, secs};
-use crate::policy::api::*;
-use std::collections::{BTreeSet, VecDeque};
+//! What the gateway remembers of one request and its attempts.
+use super::running::Running;
+use crate::policy::api::{
+    AttemptNo, ClassSpec, Endpoint, EngineId, Idempotency, Nanos, Request, RequestId,
+};
+use std::collections::BTreeSet;
 
+/// An attempt in flight.
 #[derive(Default)]
-pub struct Attempt {
-    pub attempt: AttemptNo,
-    pub engine: EngineId,
-    pub sent: Nanos,
-    pub alone: f64, // Expected time alone, and as slow as the engine was.
-    pub expected: f64,
-    pub running: Running, // What it counts for; nothing once it is taken to be lost.
-    pub crowd: f64,       // Threads a core that its engine was taken to run when it was sent.
-    pub life_at: Nanos,
-    pub cancelling: bool,
+pub(crate) struct Attempt {
+    pub(crate) number: AttemptNo,
+    pub(crate) engine: EngineId,
+    pub(crate) sent_at: Nanos,
+    /// Expected time on an idle engine, in seconds.
+    pub(crate) unloaded_seconds: f64,
+    /// Expected time at the slowdown that the engine had at the send, in seconds.
+    pub(crate) expected_seconds: f64,
+    /// Capacity that it holds; nothing once it is presumed lost.
+    pub(crate) running: Running,
+    /// Threads per core that its engine was estimated to run at the send.
+    pub(crate) threads_per_core: f64,
+    /// When it was sent or last reported progress.
+    pub(crate) last_activity_at: Nanos,
+    /// A cancellation is on its way.
+    pub(crate) cancelling: bool,
 }
 
+/// An engine that may have executed a request.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PossibleExecution {
+    pub(crate) engine: EngineId,
+    pub(crate) sent_at: Nanos,
+}
+
+/// A request that has no final answer yet, or still has attempts in flight.
 #[derive(Default)]
-pub struct PendingRequest {
-    pub request: Request,
-    pub arrived_at: Nanos,
-    pub over_quota: bool,
-    pub finished: bool, // Answered; kept only while an attempt is out.
-    pub attempts_started: u32,
-    pub max_attempts: u32,      // As the settings had it when it came.
-    pub attempts: Vec<Attempt>, // Two where a second copy runs beside the first.
-    // First engine that may have run it, and when it was sent there.
-    pub ran_on: Option<(EngineId, Nanos)>,
-    pub tried_engines: BTreeSet<EngineId>,
-    pub awaiting_probes_until: Nanos, // Waits for probes until then.
-    pub cancellations: u32,
+pub(crate) struct PendingRequest {
+    pub(crate) request: Request,
+    pub(crate) arrived_at: Nanos,
+    /// It arrived beyond its tenant's quota.
+    pub(crate) over_quota: bool,
+    /// It has its final answer; it is kept only while attempts are in flight.
+    pub(crate) finished: bool,
+    pub(crate) attempts_started: u32,
+    /// The limit of the settings in force when it arrived.
+    pub(crate) max_attempts: u32,
+    /// Attempts in flight: two while a hedged request runs.
+    pub(crate) attempts: Vec<Attempt>,
+    /// The earliest ended attempt that may have been executed.
+    pub(crate) possible_execution: Option<PossibleExecution>,
+    pub(crate) tried_engines: BTreeSet<EngineId>,
+    /// It waits for load probes until then.
+    pub(crate) awaiting_probes_until: Nanos,
+    /// Number of its attempts that were cancelled.
+    pub(crate) cancellations: u32,
 }
 
 impl PendingRequest {
-    /// The first attempt that may have run or is out: where it went, and when.
-    pub fn first(&self) -> Option<(EngineId, Nanos)> {
-        let outs = self.attempts.iter().map(|o| (o.engine, o.sent));
-        outs.chain(self.ran_on).min_by_key(|(_, sent)| *sent)
+    pub(crate) fn id(&self) -> RequestId {
+        self.request.id
     }
 
-    /// The attempt of that number, if it is out.
-    pub fn out(&mut self, attempt: AttemptNo) -> Option<&mut Attempt> {
-        self.attempts.iter_mut().find(|o| o.attempt == attempt)
+    /// Whether it waits for an attempt: neither answered nor in flight.
+    pub(crate) fn is_waiting(&self) -> bool {
+        !self.finished && self.attempts.is_empty()
     }
 
-    /// The same, off the book.
-    pub fn take_out(&mut self, attempt: AttemptNo) -> Option<Attempt> {
-        let at = self.attempts.iter().position(|o| o.attempt == attempt)?;
-        Some(self.attempts.remove(at))
+    pub(crate) fn may_start_attempt(&self) -> bool {
+        self.attempts_started < self.max_attempts.max(1)
     }
-}
-
-#[derive(Default)]
-pub struct OrderedQueue {
-    pub line: VecDeque<RequestId>,
-    pub rest_until: Nanos,
-}
 
-/// What a class has taught: work, and how far its hints lie off.
-#[derive(Clone, Copy)]
-pub struct ClassEstimates {
-    pub work: f64,
-    pub samples: u32,
-    pub bias: f64,
-    pub tail: f64, // Time of an answer over its expected time alone that few exceed.
-}
+    /// The earliest attempt that may have been executed, or is in flight.
+    pub(crate) fn earliest_execution(&self) -> Option<PossibleExecution> {
+        let in_flight = self.attempts.iter().map(|attempt| PossibleExecution {
+            engine: attempt.engine,
+            sent_at: attempt.sent_at,
+        });
+        let possible = in_flight.chain(self.possible_execution);
+        possible.min_by_key(|execution| execution.sent_at)
+    }
 
-impl ClassEstimates {
-    /// Until a class has taught its work, its fixed aim on all its threads is taken for it:
-    /// pessimistic.
-    pub fn first(c: &ClassSpec, tail: f64) -> ClassEstimates {
-        ClassEstimates {
-            work: secs(c.base_latency_objective) * c.threads.max(1.0),
-            samples: 0,
-            bias: 1.0,
-            tail,
-        }
+    /// Notes an ended attempt that may have been executed. The earliest one counts, as engines
+    /// know the idempotency key from then on.
+    pub(crate) fn record_possible_execution(&mut self, execution: PossibleExecution) {
+        let known = self.possible_execution.into_iter();
+        let earliest = known
+            .chain([execution])
+            .min_by_key(|execution| execution.sent_at);
+        self.possible_execution = earliest;
     }
-}
 
-pub struct Tenant {
-    pub quota: f64,
-    pub tokens: f64,
-    pub filled_at: Nanos,
-}
+    /// The attempt in flight with that number.
+    pub(crate) fn attempt_mut(&mut self, number: AttemptNo) -> Option<&mut Attempt> {
+        let mut attempts = self.attempts.iter_mut();
+        attempts.find(|attempt| attempt.number == number)
+    }
 
-/// The aim in seconds of a query with that much work.
-pub fn aim(c: &ClassSpec, work: f64) -> f64 {
-    (secs(c.base_latency_objective) + c.objective_slowdown * work / c.threads.max(1.0)).max(1e-3)
-}
+    /// Removes and returns the attempt in flight with that number.
+    pub(crate) fn take_attempt(&mut self, number: AttemptNo) -> Option<Attempt> {
+        let mut attempts = self.attempts.iter();
+        let position = attempts.position(|attempt| attempt.number == number)?;
+        Some(self.attempts.remove(position))
+    }
 
-/// Rule 2: what was sent then and may have run goes again only to engines that discard its
-/// duplicates, while they remember it. The pair: where it went, and where it would go; none if
-/// either is not known, or not chosen yet.
-pub fn may_repeat(
-    effect: Idempotency,
-    sent: Nanos,
-    pair: Option<(Endpoint, Endpoint)>,
-    now: Nanos,
-) -> bool {
-    match effect {
-        Idempotency::Idempotent => true,
-        Idempotency::NonIdempotent => false,
-        Idempotency::WithKey { scope, window } => {
-            let same = pair.is_none_or(|(first, next)| match scope {
-                Scope::All => true,
-                Scope::Zone => first.zone == next.zone,
-                Scope::Cell => first.cell == next.cell,
-            });
-            same && now < sent.saturating_add(window)
+    /// What may be repeated: as its class has it, unless the request itself forbids it.
+    pub(crate) fn idempotency(&self, class: &ClassSpec) -> Idempotency {
+        if self.request.must_not_repeat {
+            Idempotency::NonIdempotent
+        } else {
+            class.idempotency
         }
     }
 }
 
-/// Rule 2: whether a refusal is honest, as it promises that trying again is harmless: what may have
-/// run, or is out, only where it may be repeated anywhere.
-pub fn may_refuse(effect: Idempotency, may_have_run: bool) -> bool {
-    !may_have_run
-        || matches!(
-            effect,
-            Idempotency::Idempotent
-                | Idempotency::WithKey {
-                    scope: Scope::All,
-                    ..
-                }
-        )
-}
-
-/// Rule 6: the zones and kinds a class is bound to.
-pub fn placed(class: &ClassSpec, entry: &Endpoint) -> bool {
-    class
-        .only_zones
-        .as_ref()
-        .is_none_or(|z| z.contains(&entry.zone))
-        && class
-            .only_kinds
-            .as_ref()
-            .is_none_or(|k| k.contains(&entry.kind))
+/// Rule 6: whether the class may use the endpoint, by the zones and machine kinds it is bound to.
+pub(crate) fn is_placement_allowed(class: &ClassSpec, endpoint: &Endpoint) -> bool {
+    let zones = class.only_zones.as_ref();
+    let kinds = class.only_kinds.as_ref();
+    zones.is_none_or(|zones| zones.contains(&endpoint.zone))
+        && kinds.is_none_or(|kinds| kinds.contains(&endpoint.kind))
 }
--- a/src/policy/state/running_median.rs
+++ b/src/policy/state/running_median.rs
@@ -1,29 +1,33 @@
-//! Figures in order, so that the one in the middle is at hand without a sort.
+//! A sorted list of figures, whose median is at hand without sorting again.
 
-/// Figures kept in order while single ones of them change. Reading the median takes no time, a
-/// change that of a binary search and of moving the figures between the old place and the new one.
+/// Figures kept in order while single ones of them change. Reading the median takes constant time;
+/// a change takes a binary search and moves the figures between the old position and the new one.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RunningMedian(Vec<f64>);
+pub(crate) struct RunningMedian(Vec<f64>);
 
 impl RunningMedian {
-    /// Those figures, sorted by [`f64::total_cmp`].
-    pub fn new(mut figures: Vec<f64>) -> RunningMedian {
+    /// The given figures, in the order of [`f64::total_cmp`].
+    pub(crate) fn new(mut figures: Vec<f64>) -> RunningMedian {
         figures.sort_unstable_by(f64::total_cmp);
         RunningMedian(figures)
     }
 
-    /// The figure in the middle, of an even number the upper of the two; none of none.
-    pub fn median(&self) -> Option<f64> {
+    /// The figure in the middle; of an even number of figures the upper one of the middle two.
+    /// `None` if there is no figure.
+    pub(crate) fn median(&self) -> Option<f64> {
         self.0.get(self.0.len() / 2).copied()
     }
 
-    /// One figure that was `old` is `new` now. Where none is `old`, bit for bit, nothing changes.
-    pub fn replace(&mut self, old: f64, new: f64) {
-        let Ok(from) = self.0.binary_search_by(|f| f.total_cmp(&old)) else {
+    /// Replaces one figure that equals `old`, bit for bit, by `new`. If there is none, nothing
+    /// changes.
+    pub(crate) fn replace(&mut self, old: f64, new: f64) {
+        let Ok(from) = self.0.binary_search_by(|figure| figure.total_cmp(&old)) else {
             return;
         };
-        let to = self.0.partition_point(|f| f.total_cmp(&new).is_lt());
-        // The old one still stands: a new one above it ends up one place further down.
+        let to = self
+            .0
+            .partition_point(|figure| figure.total_cmp(&new).is_lt());
+        // `old` is still in the list: a larger `new` ends up one position further down.
         if from < to {
             self.0[from..to].rotate_left(1);
             self.0[to - 1] = new;
--- /dev/null
+++ b/src/policy/state/warm_up_window.rs
@@ -0,0 +1,44 @@
+//! Work sent to an engine while it warms up, over the window of the overload rule.
+use crate::policy::api::Nanos;
+use std::collections::VecDeque;
+
+/// One send to an engine that warms up.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct WarmUpSend {
+    pub(crate) at: Nanos,
+    /// Work of the request, in seconds on one core.
+    pub(crate) work: f64,
+}
+
+/// Sends of the last window, oldest first.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct WarmUpWindow {
+    sends: VecDeque<WarmUpSend>,
+}
+
+impl WarmUpWindow {
+    /// Adds a send; `now` never decreases.
+    pub(crate) fn record(&mut self, now: Nanos, work: f64) {
+        self.sends.push_back(WarmUpSend { at: now, work });
+    }
+
+    /// Drops the sends before `start`.
+    pub(crate) fn forget_before(&mut self, start: Nanos) {
+        let expired = self.sends.partition_point(|send| send.at < start);
+        self.sends.drain(..expired);
+    }
+
+    /// Work sent since `start`, in seconds on one core.
+    pub(crate) fn work_since(&self, start: Nanos) -> f64 {
+        let recent = self.sends.iter().filter(|send| send.at >= start);
+        recent.map(|send| send.work).sum()
+    }
+
+    /// The oldest and the newest send.
+    #[cfg(test)]
+    pub(crate) fn ends(&self) -> Option<(WarmUpSend, WarmUpSend)> {
+        let oldest = self.sends.front()?;
+        let newest = self.sends.back()?;
+        Some((*oldest, *newest))
+    }
+}
