--- a/tests/unit/concurrency_limit.rs
+++ b/tests/unit/concurrency_limit.rs
@@ -1,250 +1,180 @@
-//! The law at small shares, seen from inside: 300 gateways, twenty engines, two queries a second
-//! here.
+//! The control law at small shares of an engine: 300 gateways, twenty engines, two queries a second
+//! at this gateway. Also what the gateway learns and forgets meanwhile.
 use crate::policy::Gateway;
-use crate::policy::api::*;
-use crate::policy::state::{Attempt, CircuitState, secs};
+use crate::policy::api::{
+    Action, EndpointListKind, EngineId, Event, LoadField, LoadReport, Nanos, Outcome, OutcomeKind,
+    Readiness, Request, RequestId, Settings,
+};
+use crate::policy::state::circuit_breaker::CircuitState;
+use crate::policy::state::engine::ReportedLoad;
+use crate::policy::state::request::Attempt;
+use crate::policy::state::running::Running;
+use crate::policy::state::units::seconds;
+use crate::policy_builders::{
+    SECOND, START, SWEEP, SWEEP_TIMER, endpoint, final_outcome, ready_endpoint, request, settings,
+};
 
-const S: Nanos = 1_000_000_000;
+/// Work of each query.
+const WORK: Nanos = SECOND / 5;
 
-pub fn settings() -> Settings {
-    let class = ClassSpec {
-        priority_weight: 1.0,
-        late_priority_weight: 0.5,
-        base_latency_objective: S,
-        objective_slowdown: 2.0,
-        deadline: 60 * S,
-        idempotency: Idempotency::Idempotent,
-        in_order: false,
-        threads: 1.0,
-        is_load: false,
-        waits_for_loads: false,
-        streams: false,
-        only_zones: None,
-        only_kinds: None,
-    };
-    let rules = Invariants {
-        answer_slack: S / 50,
-        drain_grace: S,
-        slow_start_from: 0.3,
-        slow_start_duration: 15 * S,
-        overload_multiple: 2.0,
-        overload_window: 2 * S,
-        key_cooldown: 0,
-        retry_budget: None,
-        poll_within: 0,
-    };
-    let limits = Limits {
-        max_attempts: 3,
-        may_cancel: true,
-        may_probe: false,
-        may_message_peers: false,
-        retry_after: true,
-        max_retry_after: S,
-        hedging: false,
-    };
-    Settings {
-        gateway_index: 7,
-        gateways: 300,
-        zone: ZoneId(0),
-        tick: S / 200,
-        classes: vec![class],
-        kinds: vec![KindSpec {
-            cores: 8.0,
-            memory_mb: 0.0,
-        }],
-        tenants: vec![],
-        over_quota_weight: 1.0,
-        poll_endpoint_list: false,
-        load_fields: vec![],
-        cross_zone_costs: false,
-        probe_price: 0.01,
-        memory_grants_supported: false,
-        priorities_supported: false,
-        max_memory_share: 0.4,
-        memory_exhaustion: MemoryExhaustionPolicy::Wait,
-        progress_period: 0,
-        reports_cost: true,
-        invariants: rules,
-        limits,
-    }
+struct Sent {
+    id: RequestId,
+    engine: EngineId,
 }
 
-struct Play {
-    g: Gateway,
+/// A gateway with the engines behind it.
+struct Simulation {
+    gateway: Gateway,
     now: Nanos,
-    next: u32,
-    out: Vec<(u32, EngineId)>,
+    requests: u32,
+    /// Attempts in flight, oldest first.
+    in_flight: Vec<Sent>,
 }
 
-impl Play {
-    fn tell(&mut self, event: Event) {
-        let mut acts = Vec::new();
-        self.g.handle(self.now, event, &mut acts);
-        for a in acts {
-            if let Action::Send { id, engine, .. } = a {
-                self.out.push((id.0, engine));
+impl Simulation {
+    /// A gateway with that many warm engines.
+    fn new(settings: Settings, engines: u64) -> Simulation {
+        let mut simulation = Simulation {
+            gateway: Gateway::new(START, settings, 5),
+            now: START,
+            requests: 0,
+            in_flight: vec![],
+        };
+        simulation.handle(Event::EndpointList {
+            kind: EndpointListKind::Full,
+            entries: (1..=engines).map(ready_endpoint).collect(),
+        });
+        simulation
+    }
+
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.gateway.handle(self.now, event, &mut actions);
+        for action in actions {
+            if let Action::Send { id, engine, .. } = action {
+                self.in_flight.push(Sent { id, engine });
             }
         }
     }
 
-    /// Some seconds with `come` queries each half second, of which every other one is answered
-    /// after `latency`.
-    fn seconds(&mut self, n: u64, come: u32, latency: Nanos) {
-        for half in 0..2 * n {
-            for _ in 0..come {
-                self.next += 1;
-                let ask = Request {
-                    id: RequestId(self.next),
-                    deadline: self.now + 60 * S,
-                    ..Request::default()
-                };
-                self.tell(Event::Request(Request {
-                    work_hint: Some(S / 5),
-                    ..ask
+    /// The next request, with a minute until its deadline.
+    fn next_request(&mut self) -> Request {
+        self.requests += 1;
+        request(RequestId(self.requests), self.now + 60 * SECOND)
+    }
+
+    fn sweep(&mut self) {
+        self.now += SWEEP;
+        self.handle(Event::Timer(SWEEP_TIMER));
+    }
+
+    /// Runs for `duration` seconds with `arrivals` queries each half second, of which one a second
+    /// is answered after `latency`.
+    fn run(&mut self, duration: u64, arrivals: u32, latency: Nanos) {
+        for half_second in 0..2 * duration {
+            for _ in 0..arrivals {
+                let work_hint = Some(WORK);
+                let request = self.next_request();
+                self.handle(Event::Request(Request {
+                    work_hint,
+                    ..request
                 }));
             }
             for _ in 0..25 {
-                self.now += S / 50;
-                self.tell(Event::Timer(1));
+                self.sweep();
             }
-            if come == 0 || half % 2 == 1 {
+            if arrivals == 0 || half_second % 2 == 1 {
                 continue;
             }
-            if let Some((id, engine)) = self.out.pop() {
-                let o = Outcome {
-                    id: RequestId(id),
-                    attempt: AttemptNo(0),
-                    engine,
-                    kind: OutcomeKind::Ok,
-                    latency,
-                    request_finished: true,
-                    work: Some(S / 5),
-                    memory_mb: None,
-                    load: LoadReport::default(),
-                };
-                self.tell(Event::Outcome(o));
+            if let Some(sent) = self.in_flight.pop() {
+                self.handle(Event::Outcome(Outcome {
+                    work: Some(WORK),
+                    ..final_outcome(sent.id, sent.engine, OutcomeKind::Ok, latency)
+                }));
             }
         }
     }
 
-    fn mean_bound(&self) -> f64 {
-        self.g
-            .engines
-            .values()
-            .map(|e| e.bound / e.initial_bound)
-            .sum::<f64>()
-            / self.g.engines.len() as f64
+    /// Answers all attempts in flight, without reported cost.
+    fn answer_all(&mut self, latency: Nanos, load: LoadReport) {
+        while let Some(sent) = self.in_flight.pop() {
+            self.handle(Event::Outcome(Outcome {
+                load,
+                ..final_outcome(sent.id, sent.engine, OutcomeKind::Ok, latency)
+            }));
+        }
+    }
+
+    /// Mean limit over all engines, as a share of the initial one.
+    fn mean_limit(&self) -> f64 {
+        let engines = self.gateway.engines.values();
+        let shares = engines.map(|engine| engine.limit / engine.initial_limit);
+        shares.sum::<f64>() / self.gateway.engines.len() as f64
     }
 }
 
 #[test]
-fn at_a_share_far_under_one_query_the_law_falls_recovers_and_holds() {
-    let mut p = Play {
-        g: Gateway::new(100 * S, settings(), 5),
-        now: 100 * S,
-        next: 0,
-        out: vec![],
-    };
-    let entry = |i| Endpoint {
-        id: EngineId(i),
-        readiness: Readiness::Ready,
-        ..Endpoint::default()
-    };
-    p.tell(Event::EndpointList {
-        kind: EndpointListKind::Full,
-        entries: (1..=20).map(entry).collect(),
-    });
-    assert_eq!(p.mean_bound(), 1.0);
-    // More comes than goes, and what goes is late: no engine has a sample a period, yet all bounds
-    // fall.
-    p.seconds(30, 1, 6 * S);
-    let low = p.mean_bound();
+fn at_a_share_far_under_one_query_the_limit_falls_recovers_and_holds() {
+    let mut simulation = Simulation::new(settings(), 20);
+    assert_eq!(simulation.mean_limit(), 1.0);
+
+    // More arrives than completes, and what completes is late: no engine has a sample in a period,
+    // yet all limits fall.
+    simulation.run(30, 1, 6 * SECOND);
+    let low = simulation.mean_limit();
     assert!(
         (0.5..0.9).contains(&low),
         "falls: {low:.2} after {:.0} s",
-        secs(p.now - 100 * S)
+        seconds(simulation.now - START)
     );
-    // Nothing comes and what is out has ended: no samples, and the bound holds.
-    p.g.requests.clear();
-    p.g.engines
-        .values_mut()
-        .for_each(|e| e.running = Default::default());
-    p.out.clear();
-    let before = p.mean_bound();
-    p.seconds(10, 0, 0);
+
+    // Nothing arrives and nothing is in flight: there are no samples, and the limit holds.
+    simulation.gateway.requests.clear();
+    for engine in simulation.gateway.engines.values_mut() {
+        engine.running = Running::default();
+    }
+    simulation.in_flight.clear();
+    let before = simulation.mean_limit();
+    simulation.run(10, 0, 0);
     assert!(
-        (p.mean_bound() - before).abs() < 0.21,
+        (simulation.mean_limit() - before).abs() < 0.21,
         "holds: {before:.2} to {:.2}",
-        p.mean_bound()
+        simulation.mean_limit()
     );
-    // Answers well within the aim while queries run: it rises again.
-    let held = p.mean_bound();
-    p.g.fleet.running = Default::default();
-    p.seconds(30, 2, S / 5);
+
+    // Answers well within the objective while queries run: the limit rises again.
+    let held = simulation.mean_limit();
+    simulation.gateway.fleet.running = Running::default();
+    simulation.run(30, 2, WORK);
     assert!(
-        p.mean_bound() > held + 0.05,
+        simulation.mean_limit() > held + 0.05,
         "recovers: {held:.2} to {:.2}",
-        p.mean_bound()
+        simulation.mean_limit()
     );
 }
 
-/// Guards against time that passes for work where no engine tells its load: aims grew with it, and
-/// the law saw no lateness while all answers took five times their time.
+/// Guards against time that passes for work where no engine reports its load: objectives grew with
+/// it, and the control law saw no lateness while all answers took five times their time.
 #[test]
-fn slow_answers_teach_no_work_where_no_engine_is_asked() {
-    let s = Settings {
+fn slow_answers_teach_no_work_where_engines_are_not_probed() {
+    let settings = Settings {
         reports_cost: false,
         probe_price: 0.08,
         gateways: 30,
         ..settings()
     };
-    let mut p = Play {
-        g: Gateway::new(100 * S, s, 5),
-        now: 100 * S,
-        next: 0,
-        out: vec![],
-    };
-    let entry = |i| Endpoint {
-        id: EngineId(i),
-        readiness: Readiness::Ready,
-        ..Endpoint::default()
-    };
-    p.tell(Event::EndpointList {
-        kind: EndpointListKind::Full,
-        entries: (1..=4).map(entry).collect(),
-    });
+    let mut simulation = Simulation::new(settings, 4);
     let mut learned = Vec::new();
     for round in 0..300 {
-        p.next += 1;
-        let id = RequestId(p.next);
-        p.tell(Event::Request(Request {
-            id,
-            deadline: p.now + 60 * S,
-            ..Request::default()
-        }));
-        let latency = if round < 100 { S / 5 } else { S };
-        for _ in 0..latency / (S / 50) {
-            p.now += S / 50;
-            p.tell(Event::Timer(1));
-        }
-        while let Some((id, engine)) = p.out.pop() {
-            let (id, attempt, kind) = (RequestId(id), AttemptNo(0), OutcomeKind::Ok);
-            let (closed, work, memory_mb, load) = (true, None, None, LoadReport::default());
-            let done = Outcome {
-                id,
-                attempt,
-                engine,
-                kind,
-                latency,
-                request_finished: closed,
-                work,
-                memory_mb,
-                load,
-            };
-            p.tell(Event::Outcome(done));
+        let request = simulation.next_request();
+        simulation.handle(Event::Request(request));
+        let latency = if round < 100 { WORK } else { SECOND };
+        for _ in 0..latency / SWEEP {
+            simulation.sweep();
         }
+        simulation.answer_all(latency, LoadReport::default());
         if [99, 299].contains(&round) {
-            learned.push(p.g.class_estimates[0].work);
+            learned.push(simulation.gateway.class_estimates[0].work);
         }
     }
     assert!(
@@ -253,193 +183,130 @@
     );
 }
 
+/// Neither hints nor answers state the cost; engines report four threads a core, so 0.2 s of work
+/// take 0.8 s. The learned work must neither grow with the time nor shrink with the slowdown that
+/// it is measured by.
 #[test]
 fn learned_work_stays_while_engines_are_crowded() {
-    // Neither hints nor answers tell the cost; engines tell of four threads a core, so that 0.2 s
-    // of work take 0.8 s. What is learned must neither grow with the time nor shrink with the
-    // slowness it is measured by.
-    let s = Settings {
+    let settings = Settings {
         reports_cost: false,
         load_fields: vec![LoadField::Inflight],
         ..settings()
     };
-    let mut p = Play {
-        g: Gateway::new(100 * S, s, 5),
-        now: 100 * S,
-        next: 0,
-        out: vec![],
-    };
-    let entry = |i| Endpoint {
-        id: EngineId(i),
-        readiness: Readiness::Ready,
-        ..Endpoint::default()
+    let load = LoadReport {
+        len: 1,
+        values: [32.0, 0.0, 0.0, 0.0],
     };
-    p.tell(Event::EndpointList {
-        kind: EndpointListKind::Full,
-        entries: (1..=4).map(entry).collect(),
-    });
+    let mut simulation = Simulation::new(settings, 4);
     let mut learned = Vec::new();
     for round in 0..900 {
-        let load = LoadReport {
-            len: 1,
-            values: [32.0, 0.0, 0.0, 0.0],
-        };
-        for i in 1..=4 {
-            let engine = EngineId(i);
-            p.tell(Event::ProbeCompleted {
-                engine,
+        for id in 1..=4 {
+            simulation.handle(Event::ProbeCompleted {
+                engine: EngineId(id),
                 kind: OutcomeKind::Ok,
-                latency: S / 1000,
+                latency: SECOND / 1000,
                 load,
             });
         }
-        p.next += 1;
-        let id = RequestId(p.next);
-        p.g.fleet.bound = f64::INFINITY;
-        p.g.engines.values_mut().for_each(|e| e.bound = 1e6);
-        p.tell(Event::Request(Request {
-            id,
-            deadline: p.now + 60 * S,
-            ..Request::default()
-        }));
-        for _ in 0..60 {
-            p.now += S / 50;
-            p.g.engines
-                .values_mut()
-                .for_each(|e| e.report = e.report.map(|(_, t)| (p.now, t)));
-            p.tell(Event::Timer(1));
+        simulation.gateway.fleet.limit = f64::INFINITY;
+        for engine in simulation.gateway.engines.values_mut() {
+            engine.limit = 1e6;
         }
-        while let Some((id, engine)) = p.out.pop() {
-            let (id, attempt) = (RequestId(id), AttemptNo(0));
-            let (kind, latency) = (OutcomeKind::Ok, S * 4 / 5);
-            let done = Outcome {
-                id,
-                attempt,
-                engine,
-                kind,
-                latency,
-                request_finished: true,
-                work: None,
-                memory_mb: None,
-                load,
-            };
-            p.tell(Event::Outcome(done));
+        let request = simulation.next_request();
+        simulation.handle(Event::Request(request));
+        for _ in 0..60 {
+            simulation.now += SWEEP;
+            let at = simulation.now;
+            for engine in simulation.gateway.engines.values_mut() {
+                engine.report = engine.report.map(|report| ReportedLoad { at, ..report });
+            }
+            simulation.handle(Event::Timer(SWEEP_TIMER));
         }
+        simulation.answer_all(SECOND * 4 / 5, load);
         if [100, 899].contains(&round) {
-            learned.push((p.g.class_estimates[0].work, p.g.class_estimates[0].samples));
+            learned.push(simulation.gateway.class_estimates[0]);
         }
     }
-    assert!(learned[1].1 > 60, "answers were learned from: {learned:?}");
     assert!(
-        learned.iter().all(|(work, _)| (0.12..0.4).contains(work)),
+        learned[1].samples > 60,
+        "answers were learned from: {learned:?}"
+    );
+    assert!(
+        learned
+            .iter()
+            .all(|estimates| (0.12..0.4).contains(&estimates.work)),
         "of 0.2 s: {learned:?}"
     );
 }
 
-/// Guards memory on long days: an engine that was replaced is forgotten, once nothing is out there
-/// any more.
+/// Guards memory on long days: an engine that was replaced is forgotten once no attempt is in
+/// flight there.
 #[test]
 fn engines_that_are_gone_are_forgotten() {
-    let mut p = Play {
-        g: Gateway::new(100 * S, settings(), 5),
-        now: 100 * S,
-        next: 0,
-        out: vec![],
-    };
-    let entry = |i, readiness| Endpoint {
-        id: EngineId(i),
-        readiness,
-        ..Endpoint::default()
-    };
-    p.tell(Event::EndpointList {
-        kind: EndpointListKind::Full,
-        entries: vec![entry(1, Readiness::Ready)],
-    });
-    p.seconds(1, 3, S / 5);
-    assert_eq!(p.out.first().map(|(_, engine)| *engine), Some(EngineId(1)));
-    for i in 1..100 {
-        let entries = vec![entry(i + 1, Readiness::Ready), entry(i, Readiness::Gone)];
-        p.tell(Event::EndpointList {
+    let mut simulation = Simulation::new(settings(), 1);
+    simulation.run(1, 3, WORK);
+    let first = simulation.in_flight.first();
+    assert_eq!(first.map(|sent| sent.engine), Some(EngineId(1)));
+    for id in 1..100 {
+        let entries = vec![ready_endpoint(id + 1), endpoint(id, Readiness::Gone, 0)];
+        simulation.handle(Event::EndpointList {
             kind: EndpointListKind::Changes,
             entries,
         });
     }
-    let left: Vec<u64> = p.g.engines.keys().map(|id| id.0).collect();
+    let left: Vec<u64> = simulation.gateway.engines.keys().map(|id| id.0).collect();
     assert_eq!(
         left,
         [1, 100],
-        "the one with attempts out, and the one in service"
+        "the one with attempts in flight, and the one in service"
     );
 }
 
-/// Guards against leaving out an engine for one spoilt answer, which ends all attempts on its
-/// connection at once.
+/// Guards against the ejection of an engine for one broken connection, which ends all attempts on
+/// it at once.
 #[test]
-fn a_connection_that_breaks_is_one_failure() {
-    let mut p = Play {
-        g: Gateway::new(
-            100 * S,
-            Settings {
-                gateway_index: 0,
-                gateways: 3,
-                ..settings()
-            },
-            5,
-        ),
-        now: 100 * S,
-        next: 0,
-        out: vec![],
-    };
-    let entry = |i| Endpoint {
-        id: EngineId(i),
-        readiness: Readiness::Ready,
-        ..Endpoint::default()
+fn a_broken_connection_counts_as_one_failure() {
+    let settings = Settings {
+        gateway_index: 0,
+        gateways: 3,
+        ..settings()
     };
-    p.tell(Event::EndpointList {
-        kind: EndpointListKind::Full,
-        entries: (1..=4).map(entry).collect(),
-    });
-    let reset = |p: &mut Play, id: u32| {
-        // Out on the first engine, wherever the choice fell.
-        let r = p.g.requests.get_mut(&RequestId(id)).expect("open");
-        r.attempts = vec![Attempt {
-            engine: EngineId(1),
-            sent: p.now,
+    let mut simulation = Simulation::new(settings, 4);
+    let engine = EngineId(1);
+    for _ in 1..=12 {
+        let request = simulation.next_request();
+        simulation.handle(Event::Request(request));
+    }
+    // Ends the request with a reset on the first engine, whichever it was sent to.
+    let reset = |simulation: &mut Simulation, id: u32| {
+        let id = RequestId(id);
+        let requests = &mut simulation.gateway.requests;
+        let request = requests.get_mut(&id).expect("the request is pending");
+        request.attempts = vec![Attempt {
+            engine,
+            sent_at: simulation.now,
             ..Attempt::default()
         }];
-        r.attempts_started = 1;
-        let (id, attempt, engine) = (RequestId(id), AttemptNo(0), EngineId(1));
-        let (kind, work, memory_mb, load) = (OutcomeKind::Reset, None, None, LoadReport::default());
-        p.tell(Event::Outcome(Outcome {
-            id,
-            attempt,
-            engine,
-            kind,
-            latency: S / 10,
-            request_finished: true,
-            work,
-            memory_mb,
-            load,
-        }));
+        request.attempts_started = 1;
+        let outcome = final_outcome(id, engine, OutcomeKind::Reset, SECOND / 10);
+        simulation.handle(Event::Outcome(outcome));
     };
-    for id in 1..=12 {
-        p.tell(Event::Request(Request {
-            id: RequestId(id),
-            deadline: p.now + 60 * S,
-            ..Request::default()
-        }));
+
+    for id in 1..=6 {
+        reset(&mut simulation, id);
     }
-    (1..=6).for_each(|id| reset(&mut p, id));
+    let circuit = |simulation: &Simulation| simulation.gateway.engines[&engine].circuit.state();
     assert!(
-        p.g.engines[&EngineId(1)].circuit == CircuitState::Closed,
+        circuit(&simulation) == CircuitState::Closed,
         "six attempts on one connection"
     );
+
     for id in 7..=12 {
-        p.now += S / 10;
-        reset(&mut p, id);
+        simulation.now += SECOND / 10;
+        reset(&mut simulation, id);
     }
     assert!(
-        matches!(p.g.engines[&EngineId(1)].circuit, CircuitState::Open(_)),
+        matches!(circuit(&simulation), CircuitState::Open { .. }),
         "connection after connection"
     );
 }
--- a/tests/unit/fleet_scan.rs
+++ b/tests/unit/fleet_scan.rs
@@ -1,75 +1,87 @@
-//! What a sweep keeps of the fleet without walking over it, against a walk; and how many engines it
-//! visits.
+//! The totals over all engines that are kept between scans, against a scan; and how many engines a
+//! sweep visits.
 use crate::policy::Gateway;
-use crate::policy::api::*;
-use crate::policy::state::CircuitState;
+use crate::policy::api::{
+    Action, AttemptNo, Endpoint, EndpointListKind, EngineId, Event, Nanos, Outcome, OutcomeKind,
+    Readiness, Request, RequestId, Settings,
+};
+use crate::policy::state::circuit_breaker::CircuitState;
+use crate::policy_builders::{
+    SECOND, START, SWEEP, SWEEP_TIMER, endpoint, final_outcome, ready_endpoint, request,
+};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-const S: Nanos = 1_000_000_000;
-const STEP: Nanos = S / 50;
+/// Work of each query.
+const WORK: Nanos = SECOND / 10;
 
-fn settings(gateways: u32, asks: bool) -> Settings {
-    let mut s = Settings {
+fn settings(gateways: u32, may_probe: bool) -> Settings {
+    let mut settings = Settings {
         gateway_index: gateways / 3,
         gateways,
-        ..crate::concurrency_limit_tests::settings()
+        ..crate::policy_builders::settings()
     };
-    s.limits.may_probe = asks;
-    s
+    settings.limits.may_probe = may_probe;
+    settings
 }
 
-fn entry(id: u64, readiness: Readiness, ready_at: Nanos) -> Endpoint {
-    Endpoint {
-        id: EngineId(id),
-        readiness,
-        started_at: ready_at,
-        ..Endpoint::default()
-    }
+struct Sent {
+    id: RequestId,
+    attempt: AttemptNo,
+    engine: EngineId,
+    at: Nanos,
 }
 
-struct Play {
-    g: Gateway,
+/// A gateway with the engines behind it, and the random choices of a run.
+struct Simulation {
+    gateway: Gateway,
     now: Nanos,
     rng: Pcg32,
-    out: Vec<(RequestId, AttemptNo, EngineId, Nanos)>,
-    next: u32,
+    in_flight: Vec<Sent>,
+    requests: u32,
 }
 
-impl Play {
-    fn new(s: Settings, seed: u64, ids: impl Iterator<Item = u64>) -> Play {
-        let (g, rng) = (Gateway::new(100 * S, s, seed), Pcg32::seed_from_u64(seed));
-        let mut p = Play {
-            g,
-            now: 100 * S,
-            rng,
-            out: Vec::new(),
-            next: 0,
+impl Simulation {
+    fn new(settings: Settings, seed: u64, ids: impl Iterator<Item = u64>) -> Simulation {
+        let mut simulation = Simulation {
+            gateway: Gateway::new(START, settings, seed),
+            now: START,
+            rng: Pcg32::seed_from_u64(seed),
+            in_flight: Vec::new(),
+            requests: 0,
         };
-        let entries = ids.map(|id| entry(id, Readiness::Ready, 0)).collect();
-        p.tell(Event::EndpointList {
+        simulation.handle(Event::EndpointList {
             kind: EndpointListKind::Full,
-            entries,
+            entries: ids.map(ready_endpoint).collect(),
         });
-        p
+        simulation
     }
 
-    fn draw(&mut self, below: u32) -> u32 {
-        self.rng.next_u32() % below
+    /// A random number below `end`.
+    fn draw(&mut self, end: u32) -> u32 {
+        self.rng.next_u32() % end
     }
 
-    fn tell(&mut self, event: Event) {
-        let mut acts = Vec::new();
-        self.g.handle(self.now, event, &mut acts);
-        for a in acts {
-            match a {
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.gateway.handle(self.now, event, &mut actions);
+        for action in actions {
+            match action {
                 Action::Send { id, engine, .. } => {
-                    let attempt = self.g.requests[&id].attempts.last().expect("out").attempt;
-                    self.out.push((id, attempt, engine, self.now));
+                    let attempts = &self.gateway.requests[&id].attempts;
+                    let attempt = attempts.last().expect("an attempt was started").number;
+                    self.in_flight.push(Sent {
+                        id,
+                        attempt,
+                        engine,
+                        at: self.now,
+                    });
                 }
                 Action::Cancel { id, attempt } => {
-                    if let Some(at) = self.out.iter().position(|o| (o.0, o.1) == (id, attempt)) {
-                        self.end(at, OutcomeKind::Cancelled);
+                    let mut in_flight = self.in_flight.iter();
+                    let is_cancelled = |sent: &Sent| (sent.id, sent.attempt) == (id, attempt);
+                    if let Some(position) = in_flight.position(is_cancelled) {
+                        self.end(position, OutcomeKind::Cancelled);
                     }
                 }
                 _ => {}
@@ -77,234 +89,304 @@
         }
     }
 
-    fn ask(&mut self) {
-        self.next += 1;
-        let (id, give_up_at) = (RequestId(self.next), self.now + 20 * S);
-        let work_hint = Some(S / 10);
-        self.tell(Event::Request(Request {
-            id,
-            deadline: give_up_at,
-            work_hint,
-            ..Request::default()
+    fn sweep(&mut self) {
+        self.handle(Event::Timer(SWEEP_TIMER));
+    }
+
+    fn arrive(&mut self) {
+        self.requests += 1;
+        let request = request(RequestId(self.requests), self.now + 20 * SECOND);
+        self.handle(Event::Request(Request {
+            work_hint: Some(WORK),
+            ..request
         }));
     }
 
-    fn end(&mut self, at: usize, kind: OutcomeKind) {
-        let (id, attempt, engine, sent) = self.out.remove(at);
-        let (work, closed) = (Some(S / 10), kind == OutcomeKind::Ok);
-        let (latency, load) = (self.now - sent, LoadReport::default());
-        let o = Outcome {
-            id,
-            attempt,
-            engine,
-            kind,
-            latency,
-            request_finished: closed,
-            work,
-            memory_mb: None,
-            load,
-        };
-        self.tell(Event::Outcome(o));
+    /// Ends an attempt in flight.
+    fn end(&mut self, position: usize, kind: OutcomeKind) {
+        let sent = self.in_flight.remove(position);
+        let latency = self.now - sent.at;
+        self.handle(Event::Outcome(Outcome {
+            attempt: sent.attempt,
+            request_finished: kind == OutcomeKind::Ok,
+            work: Some(WORK),
+            ..final_outcome(sent.id, sent.engine, kind, latency)
+        }));
     }
 
-    /// Something of the list: an engine comes, starts anew, drains or goes, or the whole list is
-    /// told.
-    fn list(&mut self, ids: u64) {
+    fn change_endpoint(&mut self, endpoint: Endpoint) {
+        self.handle(Event::EndpointList {
+            kind: EndpointListKind::Changes,
+            entries: vec![endpoint],
+        });
+    }
+
+    /// A random event of the endpoint list: an engine is added, restarts, drains or is removed, or
+    /// the full list is sent again.
+    fn change_endpoint_list(&mut self, ids: u64) {
         let id = u64::from(self.draw(ids as u32)) + 1;
-        let known = self
-            .g
-            .engines
-            .get(&EngineId(id))
-            .map_or(0, |e| e.endpoint.started_at);
-        let told = match self.draw(5) {
-            0 | 1 => entry(id, Readiness::Ready, self.now - self.now % 7),
-            2 => entry(id, Readiness::Draining, known),
-            3 => entry(id, Readiness::Gone, known),
-            _ => {
-                let all: Vec<_> = self.g.engines.values().map(|e| e.endpoint).collect();
-                let entries = all
-                    .into_iter()
-                    .filter(|e| e.readiness != Readiness::Gone)
-                    .collect();
-                return self.tell(Event::EndpointList {
-                    kind: EndpointListKind::Full,
-                    entries,
-                });
+        let engine = self.gateway.engines.get(&EngineId(id));
+        let started_at = engine.map_or(0, |engine| engine.endpoint.started_at);
+        match self.draw(5) {
+            0 | 1 => {
+                let started_at = self.now - self.now % 7;
+                self.change_endpoint(endpoint(id, Readiness::Ready, started_at));
             }
-        };
-        self.tell(Event::EndpointList {
-            kind: EndpointListKind::Changes,
-            entries: vec![told],
+            2 => self.change_endpoint(endpoint(id, Readiness::Draining, started_at)),
+            3 => self.change_endpoint(endpoint(id, Readiness::Gone, started_at)),
+            _ => self.resend_endpoint_list(),
+        }
+    }
+
+    fn resend_endpoint_list(&mut self) {
+        let engines = self.gateway.engines.values();
+        let listed = engines
+            .map(|engine| engine.endpoint)
+            .filter(|endpoint| endpoint.readiness != Readiness::Gone);
+        let entries = listed.collect();
+        self.handle(Event::EndpointList {
+            kind: EndpointListKind::Full,
+            entries,
         });
     }
 
-    /// Whether what is kept equals what a walk finds now, told by name.
-    fn compare(&mut self, why: &str) {
-        let (now, rules) = (self.now, self.g.settings.invariants);
-        // What came since the sweep's own look counts at the next.
-        self.g.look(now);
-        let (g, f) = (&self.g, &self.g.fleet);
-        let ready = || g.engines.values().filter(|e| e.ready());
-        let usable = || ready().filter(|e| e.circuit == CircuitState::Closed);
-        let mut stretches: Vec<f64> = ready().map(|e| e.slowdown).collect();
-        stretches.sort_by(f64::total_cmp);
-        let median = stretches.get(stretches.len() / 2).copied().unwrap_or(1.0);
+    /// A random change of the endpoint list, the shares or the settings, or none, as `draw` says.
+    fn change_something(&mut self, draw: u32, step: usize, run: &Run) {
+        match draw {
+            0 => self.change_endpoint_list(run.engines),
+            1 => {
+                let share = [0.25, 0.5, 1.0][step % 3];
+                self.gateway.set_capacity_share(share);
+            }
+            2 => self.gateway.set_active_gateways(run.gateways / 2 + 1),
+            3 => {
+                let gateway_index = (self.gateway.settings.gateway_index + 1) % run.gateways;
+                let slow_start = 15 * SECOND + SECOND / 3 * (step as Nanos % 2);
+                let settings = Settings {
+                    gateway_index,
+                    ..run.settings(slow_start)
+                };
+                self.gateway.reconfigure(settings, &[]);
+            }
+            _ => {}
+        }
+    }
+
+    /// Ends a random attempt. Each engine has seconds in which all attempts on it fail.
+    fn end_random_attempt(&mut self) {
+        let position = self.draw(self.in_flight.len() as u32) as usize;
+        let engine = self.in_flight[position].engine;
+        let fails = (self.now / (3 * SECOND) + engine.0).is_multiple_of(4);
+        let kind = if fails {
+            OutcomeKind::Error
+        } else {
+            OutcomeKind::Ok
+        };
+        self.end(position, kind);
+    }
+
+    fn ejections(&self) -> u32 {
+        let engines = self.gateway.engines.values();
+        engines.map(|engine| engine.circuit.ejections()).sum()
+    }
+
+    /// Asserts that the totals equal what a scan finds now.
+    fn assert_totals_match_a_scan(&mut self, context: &str) {
+        let now = self.now;
+        let rules = self.gateway.settings.invariants;
+        // What came since the refresh of the last sweep counts from the next one on.
+        self.gateway.refresh_fleet(now);
+        let fleet = &self.gateway.fleet;
+        let engines = || self.gateway.engines.values();
+        let ready = || engines().filter(|engine| engine.is_ready());
+        let usable = || ready().filter(|engine| engine.circuit.state() == CircuitState::Closed);
+
+        let mut slowdowns: Vec<f64> = ready().map(|engine| engine.slowdown).collect();
+        slowdowns.sort_by(f64::total_cmp);
+        let median = slowdowns.get(slowdowns.len() / 2).copied().unwrap_or(1.0);
         assert_eq!(
-            f.median_stretch.to_bits(),
+            fleet.median_slowdown.to_bits(),
             median.to_bits(),
-            "median, {why}"
-        );
-        assert_eq!(f.turns, g.tally(now).turns, "turns, {why}");
-        assert_eq!(
-            f.cores,
-            usable().map(|e| e.cores).fold(0.0, |a, b| a + b),
-            "cores, {why}"
+            "median, {context}"
         );
-        let counts = |asks: bool, warmth: f64| if asks || warmth >= 1.0 { warmth } else { 0.0 };
-        let asks = g.settings.limits.may_probe;
-        let bound: f64 = usable()
-            .map(|e| e.bound * counts(asks, e.warmth(now, &rules)))
-            .sum();
+
+        let scan = self.gateway.scan_fleet(now);
+        assert_eq!(fleet.turns, scan.turns, "turns, {context}");
+
+        let cores = usable().fold(0.0, |sum, engine| sum + engine.cores);
+        assert_eq!(fleet.cores, cores, "cores, {context}");
+
+        let may_probe = self.gateway.settings.limits.may_probe;
+        let counted_share = |warmth: f64| {
+            if may_probe || warmth >= 1.0 {
+                warmth
+            } else {
+                0.0
+            }
+        };
+        let limits =
+            usable().map(|engine| engine.limit * counted_share(engine.warmth(now, &rules)));
+        let limit: f64 = limits.sum();
         assert!(
-            (f.bound - bound).abs() <= 1e-9 * bound,
-            "bound {} for {bound}, {why}",
-            f.bound
+            (fleet.limit - limit).abs() <= 1e-9 * limit,
+            "limit {} for {limit}, {context}",
+            fleet.limit
         );
-        for e in g.engines.values() {
+
+        for engine in engines() {
+            let open_until = engine.circuit.open_until();
             assert!(
-                !matches!(e.circuit, CircuitState::Open(until) if until <= now),
-                "an ejection is over, {why}"
+                open_until.is_none_or(|until| until > now),
+                "an ejection is over, {context}"
             );
-            let ends = e.warm_up_sends.front().zip(e.warm_up_sends.back());
+            let window = rules.overload_window;
             assert!(
-                ends.is_none_or(|(a, b)| a.0 + rules.overload_window >= b.0),
-                "one window is kept, {why}"
+                engine
+                    .warm_up
+                    .ends()
+                    .is_none_or(|(oldest, newest)| oldest.at + window >= newest.at),
+                "one window is kept, {context}"
             );
         }
     }
 }
 
-/// Guards the sweep's short way: whatever happens, it knows what a walk over the fleet would find.
-#[test]
-fn what_is_kept_between_walks_is_what_a_walk_would_find() {
-    let (mut ejected, mut cold, mut short) = (0, 0, 0);
-    for (seed, gateways, asks, ids) in [
-        (1, 1, true, 6),
-        (2, 4, false, 9),
-        (3, 60, true, 40),
-        (4, 60, false, 40),
-    ] {
-        let settings = |warm_within| {
-            let mut s = settings(gateways, asks);
-            // Turns on cold engines end at other instants than those on warm ones.
-            (
-                s.invariants.overload_window,
-                s.invariants.slow_start_duration,
-            ) = (6 * S / 5, warm_within);
-            s
-        };
-        let mut p = Play::new(settings(15 * S), seed, 1..=ids);
-        let ejections = |p: &Play| p.g.engines.values().map(|e| e.ejections).sum::<u32>();
+/// Parameters of one random run.
+struct Run {
+    seed: u64,
+    gateways: u32,
+    may_probe: bool,
+    engines: u64,
+}
+
+impl Run {
+    /// Turns on engines that warm up end at other times than those on warm ones.
+    fn settings(&self, slow_start_duration: Nanos) -> Settings {
+        let mut settings = settings(self.gateways, self.may_probe);
+        settings.invariants.overload_window = 6 * SECOND / 5;
+        settings.invariants.slow_start_duration = slow_start_duration;
+        settings
+    }
+}
+
+/// How often the cases that matter came up.
+#[derive(Default)]
+struct Coverage {
+    sweeps_without_scan: u32,
+    ejections: u32,
+    engines_warming_up: usize,
+}
+
+impl Coverage {
+    /// Runs 6000 sweeps with random events and compares the totals after each.
+    fn add_run(&mut self, run: &Run) {
+        let settings = run.settings(15 * SECOND);
+        let mut simulation = Simulation::new(settings, run.seed, 1..=run.engines);
         for step in 0..6000 {
-            let before = ejections(&p);
-            p.now += STEP / 2 - Nanos::from(p.draw(3_000_000));
-            for _ in 0..p.draw(3) {
-                p.ask();
+            let ejections = simulation.ejections();
+            simulation.now += SWEEP / 2 - Nanos::from(simulation.draw(3_000_000));
+            for _ in 0..simulation.draw(3) {
+                simulation.arrive();
             }
-            for _ in 0..p.draw(4).min(p.out.len() as u32) {
-                let at = p.draw(p.out.len() as u32) as usize;
-                // Each engine has seconds in which all fails there.
-                let fails = (p.now / (3 * S) + p.out[at].2.0).is_multiple_of(4);
-                p.end(
-                    at,
-                    if fails {
-                        OutcomeKind::Error
-                    } else {
-                        OutcomeKind::Ok
-                    },
-                );
+            for _ in 0..simulation.draw(4).min(simulation.in_flight.len() as u32) {
+                simulation.end_random_attempt();
             }
-            // Quiet spells of ten seconds show what the time alone changes.
-            match p.draw(if step % 1000 < 500 { 4000 } else { 60 }) {
-                0 => p.list(ids),
-                1 => p.g.set_capacity_share([0.25, 0.5, 1.0][step % 3]),
-                2 => p.g.set_active_gateways(gateways / 2 + 1),
-                3 => {
-                    let me = (p.g.settings.gateway_index + 1) % gateways;
-                    p.g.reconfigure(
-                        Settings {
-                            gateway_index: me,
-                            ..settings(15 * S + S / 3 * (step as Nanos % 2))
-                        },
-                        &[],
-                    );
-                }
-                _ => {}
-            }
-            let walks = p.g.fleet.walks;
-            p.now += STEP / 2;
-            p.tell(Event::Timer(1));
-            p.compare(&format!("seed {seed}, step {step}"));
-            short += u32::from(p.g.fleet.walks == walks);
-            ejected += ejections(&p).saturating_sub(before);
-            cold += p.g.fleet.cold.len();
+            // Quiet spells of ten seconds show what time alone changes.
+            let is_quiet = step % 1000 < 500;
+            let draw = simulation.draw(if is_quiet { 4000 } else { 60 });
+            simulation.change_something(draw, step, run);
+            let scans = simulation.gateway.fleet.scans;
+            simulation.now += SWEEP / 2;
+            simulation.sweep();
+            simulation.assert_totals_match_a_scan(&format!("seed {}, step {step}", run.seed));
+            self.sweeps_without_scan += u32::from(simulation.gateway.fleet.scans == scans);
+            self.ejections += simulation.ejections().saturating_sub(ejections);
+            self.engines_warming_up += simulation.gateway.fleet.warming_up.len();
         }
     }
+}
+
+/// Guards the totals between scans: whatever happens, they equal what a scan of the fleet would
+/// find.
+#[test]
+fn totals_kept_between_scans_are_those_of_a_scan() {
+    let run = |seed, gateways, may_probe, engines| Run {
+        seed,
+        gateways,
+        may_probe,
+        engines,
+    };
+    let mut coverage = Coverage::default();
+    coverage.add_run(&run(1, 1, true, 6));
+    coverage.add_run(&run(2, 4, false, 9));
+    coverage.add_run(&run(3, 60, true, 40));
+    coverage.add_run(&run(4, 60, false, 40));
+    let Coverage {
+        sweeps_without_scan,
+        ejections,
+        engines_warming_up,
+    } = coverage;
     assert!(
-        short > 10_000 && ejected > 5 && cold > 1000,
-        "{short} short, {ejected} ejected, {cold} cold"
+        sweeps_without_scan > 10_000 && ejections > 5 && engines_warming_up > 1000,
+        "{sweeps_without_scan} without a scan, {ejections} ejected, {engines_warming_up} warming up"
     );
 }
 
 /// Guards the median: an engine that drains is no peer, whatever it answers, and however like a
 /// peer it was.
 #[test]
-fn an_answer_of_an_engine_that_drains_leaves_the_median() {
-    let mut p = Play::new(settings(1, false), 1, 1..=3);
-    (0..9).for_each(|_| p.ask());
-    let entries = vec![entry(1, Readiness::Draining, 0)];
-    p.tell(Event::EndpointList {
+fn an_answer_of_a_draining_engine_does_not_change_the_median() {
+    let mut simulation = Simulation::new(settings(1, false), 1, 1..=3);
+    for _ in 0..9 {
+        simulation.arrive();
+    }
+    simulation.change_endpoint(endpoint(1, Readiness::Draining, 0));
+    simulation.now += SECOND;
+    simulation.sweep();
+    // At the time of the event after the gap itself nothing would be learned.
+    simulation.now += SWEEP;
+    let on_draining = |simulation: &Simulation| {
+        let mut in_flight = simulation.in_flight.iter();
+        in_flight.position(|sent| sent.engine == EngineId(1))
+    };
+    assert!(on_draining(&simulation).is_some());
+    while let Some(position) = on_draining(&simulation) {
+        simulation.end(position, OutcomeKind::Ok);
+        simulation.assert_totals_match_a_scan("draining");
+    }
+}
+
+/// Number of engines that 500 idle sweeps visit outside scans, in a fleet of `engines` of which
+/// three warm up.
+fn engines_visited_by_idle_sweeps(engines: u64, may_probe: bool) -> u64 {
+    let mut simulation = Simulation::new(settings(3, may_probe), 1, 1..=engines);
+    let started_at = simulation.now;
+    let warming_up = (1..=3).map(|id| endpoint(id, Readiness::Ready, started_at));
+    simulation.handle(Event::EndpointList {
         kind: EndpointListKind::Changes,
-        entries,
+        entries: warming_up.collect(),
     });
-    p.now += S;
-    p.tell(Event::Timer(1));
-    // At the instant when it woke it would learn nothing.
-    p.now += STEP;
-    let there = |p: &Play| p.out.iter().position(|o| o.2 == EngineId(1));
-    assert!(there(&p).is_some());
-    while let Some(at) = there(&p) {
-        p.end(at, OutcomeKind::Ok);
-        p.compare("draining");
+    let scans_before = simulation.gateway.fleet.scans;
+    let visited_before = simulation.gateway.fleet.visited_engines;
+    for _ in 0..500 {
+        simulation.now += SWEEP;
+        simulation.sweep();
     }
+    let scans = simulation.gateway.fleet.scans - scans_before;
+    assert!((20..=30).contains(&scans), "{scans} scans in ten seconds");
+    simulation.gateway.fleet.visited_engines - visited_before - scans * engines
 }
 
-/// Guards the cost of large fleets: between walks a sweep visits what moves, and walks are rare.
+/// Guards the cost of large fleets: between scans a sweep visits only what moves, and scans are
+/// rare.
 #[test]
 fn idle_sweeps_visit_no_more_engines_of_a_large_fleet() {
-    for asks in [true, false] {
-        let visits = [100, 900].map(|n| {
-            let mut p = Play::new(settings(3, asks), 1, 1..=n);
-            let entries = (1..=3)
-                .map(|id| entry(id, Readiness::Ready, p.now))
-                .collect();
-            p.tell(Event::EndpointList {
-                kind: EndpointListKind::Changes,
-                entries,
-            });
-            let (walks, visits) = (p.g.fleet.walks, p.g.fleet.visits);
-            for _ in 0..500 {
-                p.now += STEP;
-                p.tell(Event::Timer(1));
-            }
-            let walks = p.g.fleet.walks - walks;
-            assert!((20..=30).contains(&walks), "{walks} walks in ten seconds");
-            p.g.fleet.visits - visits - walks * n
-        });
+    for may_probe in [true, false] {
+        let visited = [100, 900].map(|engines| engines_visited_by_idle_sweeps(engines, may_probe));
         assert_eq!(
-            visits,
-            [if asks { 3 * 500 } else { 0 }; 2],
-            "the three cold ones, where their bounds count"
+            visited,
+            [if may_probe { 3 * 500 } else { 0 }; 2],
+            "the three that warm up, where their limits count"
         );
     }
 }
--- /dev/null
+++ b/tests/unit/policy_builders.rs
@@ -0,0 +1,133 @@
+//! Builders that the unit tests of the decision module share.
+use crate::policy::api::{
+    AttemptNo, ClassSpec, Endpoint, EngineId, Idempotency, Invariants, KindSpec, Limits,
+    LoadReport, MemoryExhaustionPolicy, Nanos, Outcome, OutcomeKind, Readiness, Request, RequestId,
+    Settings, ZoneId,
+};
+
+pub const SECOND: Nanos = 1_000_000_000;
+
+/// Interval of the sweep.
+pub const SWEEP: Nanos = SECOND / 50;
+
+/// Start of each simulated run; time 0 stands for "long ago" in the interface.
+pub const START: Nanos = 100 * SECOND;
+
+/// Token of the sweep's timer.
+pub const SWEEP_TIMER: u64 = 1;
+
+/// One of 300 gateways, with one class of idempotent requests on one thread; probing is forbidden.
+pub fn settings() -> Settings {
+    Settings {
+        gateway_index: 7,
+        gateways: 300,
+        zone: ZoneId(0),
+        tick: SECOND / 200,
+        classes: vec![class()],
+        kinds: vec![KindSpec {
+            cores: 8.0,
+            memory_mb: 0.0,
+        }],
+        tenants: vec![],
+        over_quota_weight: 1.0,
+        poll_endpoint_list: false,
+        load_fields: vec![],
+        cross_zone_costs: false,
+        probe_price: 0.01,
+        memory_grants_supported: false,
+        priorities_supported: false,
+        max_memory_share: 0.4,
+        memory_exhaustion: MemoryExhaustionPolicy::Wait,
+        progress_period: 0,
+        reports_cost: true,
+        invariants: invariants(),
+        limits: limits(),
+    }
+}
+
+pub fn class() -> ClassSpec {
+    ClassSpec {
+        priority_weight: 1.0,
+        late_priority_weight: 0.5,
+        base_latency_objective: SECOND,
+        objective_slowdown: 2.0,
+        deadline: 60 * SECOND,
+        idempotency: Idempotency::Idempotent,
+        in_order: false,
+        threads: 1.0,
+        is_load: false,
+        waits_for_loads: false,
+        streams: false,
+        only_zones: None,
+        only_kinds: None,
+    }
+}
+
+fn invariants() -> Invariants {
+    Invariants {
+        answer_slack: SECOND / 50,
+        drain_grace: SECOND,
+        slow_start_from: 0.3,
+        slow_start_duration: 15 * SECOND,
+        overload_multiple: 2.0,
+        overload_window: 2 * SECOND,
+        key_cooldown: 0,
+        retry_budget: None,
+        poll_within: 0,
+    }
+}
+
+fn limits() -> Limits {
+    Limits {
+        max_attempts: 3,
+        may_cancel: true,
+        may_probe: false,
+        may_message_peers: false,
+        retry_after: true,
+        max_retry_after: SECOND,
+        hedging: false,
+    }
+}
+
+pub fn endpoint(id: u64, readiness: Readiness, started_at: Nanos) -> Endpoint {
+    Endpoint {
+        id: EngineId(id),
+        readiness,
+        started_at,
+        ..Endpoint::default()
+    }
+}
+
+/// A ready endpoint that is warm.
+pub fn ready_endpoint(id: u64) -> Endpoint {
+    endpoint(id, Readiness::Ready, 0)
+}
+
+pub fn request(id: RequestId, deadline: Nanos) -> Request {
+    Request {
+        id,
+        deadline,
+        ..Request::default()
+    }
+}
+
+/// The end of the first attempt of a request, which ends the request; without reported cost or
+/// load.
+pub fn final_outcome(
+    id: RequestId,
+    engine: EngineId,
+    kind: OutcomeKind,
+    latency: Nanos,
+) -> Outcome {
+    Outcome {
+        id,
+        attempt: AttemptNo(0),
+        engine,
+        kind,
+        latency,
+        request_finished: true,
+        work: None,
+        memory_mb: None,
+        load: LoadReport::default(),
+    }
+}
--- a/tests/unit/running_median.rs
+++ b/tests/unit/running_median.rs
@@ -1,38 +1,50 @@
-//! Figures in order, against a sort of all of them.
+//! The running median against a sort of all figures.
 use super::*;
 use proptest::prelude::*;
 
-/// Few different figures, so that equal ones are common, and the odd ones among floats.
+/// Few different figures, so that equal ones are common, and the special values of floats.
 fn figure() -> impl Strategy<Value = f64> {
-    prop_oneof![8 => (0..9u8).prop_map(f64::from), 1 => any::<f64>(), 1 => Just(-0.0), 1 => Just(f64::NAN)]
+    prop_oneof![
+        8 => (0..9u8).prop_map(f64::from),
+        1 => any::<f64>(),
+        1 => Just(-0.0),
+        1 => Just(f64::NAN)
+    ]
+}
+
+/// The figures in their order, bit for bit.
+fn bits(median: &RunningMedian) -> Vec<u64> {
+    median.0.iter().map(|figure| figure.to_bits()).collect()
 }
 
 proptest! {
     #[test]
-    fn changes_one_by_one_leave_what_a_sort_gives(
-        mut all in prop::collection::vec(figure(), 0..40),
+    fn replacing_figures_one_by_one_gives_what_a_sort_gives(
+        mut figures in prop::collection::vec(figure(), 0..40),
         changes in prop::collection::vec((any::<prop::sample::Index>(), figure()), 0..60),
     ) {
-        let bits = |r: &RunningMedian| r.0.iter().map(|f| f.to_bits()).collect::<Vec<_>>();
-        let mut ranks = RunningMedian::new(all.clone());
-        let changes = if all.is_empty() { Vec::new() } else { changes };
-        for (at, new) in &changes {
-            let at = at.index(all.len());
-            ranks.replace(all[at], *new);
-            all[at] = *new;
-            let mut sorted = all.clone();
+        let mut median = RunningMedian::new(figures.clone());
+        let changes = if figures.is_empty() { Vec::new() } else { changes };
+        for (index, new) in &changes {
+            let index = index.index(figures.len());
+            median.replace(figures[index], *new);
+            figures[index] = *new;
+            let mut sorted = figures.clone();
             sorted.sort_by(f64::total_cmp);
-            prop_assert_eq!(bits(&ranks), bits(&RunningMedian(sorted.clone())));
-            prop_assert_eq!(ranks.median().map(f64::to_bits), sorted.get(sorted.len() / 2).map(|f| f.to_bits()));
+            prop_assert_eq!(bits(&median), bits(&RunningMedian(sorted.clone())));
+            let middle = sorted.get(sorted.len() / 2);
+            prop_assert_eq!(median.median().map(f64::to_bits), middle.map(|figure| figure.to_bits()));
         }
-        prop_assert_eq!(ranks.median().is_none(), all.is_empty());
+        prop_assert_eq!(median.median().is_none(), figures.is_empty());
     }
 
     #[test]
-    fn a_figure_that_is_not_there_changes_nothing(all in prop::collection::vec(0.0..9.0f64, 0..20)) {
-        let mut ranks = RunningMedian::new(all);
-        let before = ranks.clone();
-        ranks.replace(10.0, 1.0);
-        prop_assert_eq!(ranks, before);
+    fn replacing_a_figure_that_is_absent_changes_nothing(
+        figures in prop::collection::vec(0.0..9.0f64, 0..20),
+    ) {
+        let mut median = RunningMedian::new(figures);
+        let before = median.clone();
+        median.replace(10.0, 1.0);
+        prop_assert_eq!(median, before);
     }
 }
