--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -143,9 +143,10 @@
             CircuitState::HalfOpen { trial: Some(_) } | CircuitState::Open { .. } => !any_closed,
         };
         let engines = candidates.iter().filter_map(|id| self.engines.get(id));
-        engines
-            .filter(|engine| serves_class(engine) && is_circuit_usable(engine))
-            .collect()
+        // Reserved at once: the selection runs for every queued request that is tried.
+        let mut usable = Vec::with_capacity(candidates.len());
+        usable.extend(engines.filter(|engine| serves_class(engine) && is_circuit_usable(engine)));
+        usable
     }
 
     /// Whether the request may be sent to the engine: attempts in flight, time left, readiness,
