--- a/src/policy/state/admission_queue.rs
+++ b/src/policy/state/admission_queue.rs
@@ -59,3 +59,7 @@
         self.backlog_seconds = backlog_seconds;
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/admission_queue.rs"]
+mod tests;
--- a/src/policy/state/cancel_budget.rs
+++ b/src/policy/state/cancel_budget.rs
@@ -38,3 +38,7 @@
         self.tokens = (self.tokens + 1.0).min(CAPACITY);
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/cancel_budget.rs"]
+mod tests;
--- a/src/policy/state/circuit_breaker.rs
+++ b/src/policy/state/circuit_breaker.rs
@@ -128,3 +128,7 @@
         self.failure_rate > MAX_FAILURE_RATE
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/circuit_breaker.rs"]
+mod tests;
--- a/src/policy/state/class_estimates.rs
+++ b/src/policy/state/class_estimates.rs
@@ -96,3 +96,7 @@
     let fixed = seconds(class.base_latency_objective);
     (fixed + class.objective_slowdown * work / class.threads.max(1.0)).max(1e-3)
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/class_estimates.rs"]
+mod tests;
--- a/src/policy/state/control_window.rs
+++ b/src/policy/state/control_window.rs
@@ -70,3 +70,7 @@
         self.lateness > self.samples && self.arrived > self.completed
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/control_window.rs"]
+mod tests;
--- a/src/policy/state/idempotency.rs
+++ b/src/policy/state/idempotency.rs
@@ -4,18 +4,18 @@
 
 /// Where a request may have been executed, and where a repeat would go.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatTargets {
+pub(crate) struct RepeatTargets {
     /// Endpoint of the first attempt that may have been executed.
-    pub first: Endpoint,
+    pub(crate) first: Endpoint,
     /// Endpoint of the next attempt.
-    pub next: Endpoint,
+    pub(crate) next: Endpoint,
 }
 
 /// Whether a request that was sent at `sent` and may have been executed may be sent again. A keyed
 /// request may go only to engines that discard its duplicates, within the window in which they
 /// remember the key. `targets` is `None` while either endpoint is unknown or not chosen yet: then
 /// only the window decides.
-pub fn may_repeat(
+pub(crate) fn may_repeat(
     idempotency: Idempotency,
     sent: Nanos,
     targets: Option<RepeatTargets>,
@@ -44,7 +44,7 @@
 
 /// Whether a request may be rejected, which promises that trying again is harmless: one that may
 /// have been executed, only where it may be repeated on any engine.
-pub fn may_reject(idempotency: Idempotency, may_have_run: bool) -> bool {
+pub(crate) fn may_reject(idempotency: Idempotency, may_have_run: bool) -> bool {
     let repeatable_anywhere = match idempotency {
         Idempotency::Idempotent => true,
         Idempotency::WithKey { scope, .. } => scope == Scope::All,
@@ -52,3 +52,7 @@
     };
     !may_have_run || repeatable_anywhere
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/idempotency.rs"]
+mod tests;
--- a/src/policy/state/ordered_queues.rs
+++ b/src/policy/state/ordered_queues.rs
@@ -50,3 +50,7 @@
             .retain(|_, queue| !queue.requests.is_empty() || queue.cooldown_until > now);
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/ordered_queues.rs"]
+mod tests;
--- a/src/policy/state/retry_window.rs
+++ b/src/policy/state/retry_window.rs
@@ -39,3 +39,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/retry_window.rs"]
+mod tests;
--- a/src/policy/state/tenant_quotas.rs
+++ b/src/policy/state/tenant_quotas.rs
@@ -89,3 +89,7 @@
         self.refilled_at = now;
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/tenant_quotas.rs"]
+mod tests;
--- a/src/policy/state/turns.rs
+++ b/src/policy/state/turns.rs
@@ -44,3 +44,7 @@
 fn circle_position(number: u64) -> f64 {
     (number.wrapping_mul(GOLDEN_RATIO_STEP) >> 11) as f64 / (1u64 << 53) as f64
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/turns.rs"]
+mod tests;
--- a/src/policy/state/warm_up_window.rs
+++ b/src/policy/state/warm_up_window.rs
@@ -42,3 +42,7 @@
         Some((*oldest, *newest))
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/warm_up_window.rs"]
+mod tests;
--- /dev/null
+++ b/tests/unit/warm_up_window.rs
@@ -0,0 +1,24 @@
+//! Work sent to an engine that warms up.
+use super::*;
+
+#[test]
+fn work_counts_from_the_start_of_the_window() {
+    let mut window = WarmUpWindow::default();
+    window.record(10, 1.0);
+    window.record(20, 2.0);
+    window.record(30, 4.0);
+    assert_eq!(window.work_since(20), 6.0);
+    assert_eq!(window.work_since(21), 4.0);
+}
+
+#[test]
+fn sends_before_the_start_are_dropped() {
+    let mut window = WarmUpWindow::default();
+    window.record(10, 1.0);
+    window.record(20, 2.0);
+    window.forget_before(20);
+    let (oldest, newest) = window.ends().expect("one send is left");
+    assert_eq!((oldest.at, newest.at), (20, 20));
+    window.forget_before(21);
+    assert!(window.ends().is_none());
+}
