--- a/src/policy/admission_queue.rs
+++ b/src/policy/admission_queue.rs
@@ -59,7 +59,7 @@
         self.queue.push(QueuedRequest {
             rank: self.rank(now, request),
             id,
-            class: request.request.class,
+            class: request.class_id(),
         });
     }
 
@@ -116,7 +116,7 @@
             let wait = wait_for(work_ahead);
             let done_at = now + nanos(wait + self.unloaded_seconds(request));
             let is_too_late = rate > 0.0 && done_at > self.useful_until(request);
-            let is_past_deadline = now + deadline_margin >= request.request.deadline;
+            let is_past_deadline = now + deadline_margin >= request.deadline();
             if is_too_late || is_past_deadline || !request.may_start_attempt() {
                 let retry_after = nanos(wait.max(MIN_RETRY_AFTER_SECONDS));
                 self.reject_or_fail(entry.id, retry_after, actions);
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -92,7 +92,7 @@
                 short_threads: if is_long { 0.0 } else { threads },
             },
             is_load: self.class(request).is_load,
-            data_set: request.request.data_set,
+            data_set: request.data_set(),
             unloaded_seconds: self.unloaded_seconds(request),
             warm_up_work: self.warm_up_work(request),
             priority: self.attempt_priority(now, request),
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -153,7 +153,7 @@
     /// placement, slow start, attempts and retry budget, idempotency, and order.
     pub(super) fn may_send(&self, now: Nanos, request: &PendingRequest, engine: &Engine) -> bool {
         let run_time = nanos(MIN_TIME_LEFT_SHARE * self.unloaded_seconds(request));
-        let is_open = !request.finished && now + run_time < request.request.deadline;
+        let is_open = !request.finished && now + run_time < request.deadline();
         is_open
             && self.may_run_beside(request, engine)
             && engine.is_ready()
@@ -202,7 +202,7 @@
 
     /// Rule 5: whether the request is the next of its key, where its class runs in order.
     fn is_next_in_order(&self, now: Nanos, request: &PendingRequest) -> bool {
-        match request.request.key {
+        match request.key() {
             Some(key) if self.class(request).in_order => {
                 self.ordered_queues.is_next(now, key, request.id())
             }
@@ -218,7 +218,7 @@
         engine: &Engine,
     ) -> bool {
         let class = self.class(request);
-        (class.is_load || class.waits_for_loads) && engine.is_blocked(request.request.data_set, now)
+        (class.is_load || class.waits_for_loads) && engine.is_blocked(request.data_set(), now)
     }
 
     /// Cost of the engine for the query, in full limits: threads in use under the limit, scaled by
@@ -278,7 +278,7 @@
         if is_unresponsive {
             return AFFINITY_COST + TRIED_COST;
         }
-        let data_set = request.request.data_set;
+        let data_set = request.data_set();
         let is_small_fleet = self.fleet.ready.len() <= MAX_CANDIDATES;
         if !is_small_fleet || data_set == 0 || !self.settings.reports_cost {
             return 0.0;
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -123,7 +123,7 @@
             return PlanVerdict::Retry;
         }
         let earliest_end = now + nanos(MIN_TIME_LEFT_SHARE * remaining);
-        if earliest_end > request.request.deadline {
+        if earliest_end > request.deadline() {
             PlanVerdict::Abandon
         } else {
             PlanVerdict::Continue
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -13,7 +13,9 @@
 //! * `slow_start`: engines that warm up;
 //! * `hedging`, `stall_detection`: attempts that are cancelled or doubled;
 //! * `load_reports`: reported loads and probes;
-//! * `endpoint_list`, `fleet_scan`: the engines, the sweep, and totals over all engines.
+//! * `endpoint_list`, `fleet_scan`: the engines, the sweep, and totals over all engines;
+//! * `request_estimates`: the expected work and time of a request;
+//! * `tuning`: constants that several of these share.
 mod admission_queue;
 pub mod api;
 mod concurrency_limit;
@@ -61,30 +63,42 @@
 /// The decisions of one gateway.
 pub struct Gateway {
     pub(crate) settings: Settings,
+    /// Source of all random choices. A run with the same seed and events draws the same numbers in
+    /// the same order.
     rng: Pcg32,
     created_at: Nanos,
     /// The first event was handled, and the timer and the watch were ordered.
     started: bool,
+    /// Engines of the endpoint list, and those removed from it that requests still refer to.
     pub(crate) engines: BTreeMap<EngineId, Engine>,
+    /// Totals over all engines.
     pub(crate) fleet: FleetTotals,
+    /// Requests without a final answer, or with attempts in flight.
     pub(crate) requests: BTreeMap<RequestId, PendingRequest>,
+    /// Requests that wait for capacity.
     queue: AdmissionQueue,
+    /// Order of the requests that share a key (rule 5).
     ordered_queues: OrderedQueues,
     /// Estimates for each class, by [`ClassId`].
     pub(crate) class_estimates: Vec<ClassEstimates>,
     tenant_quotas: TenantQuotas,
+    /// Arrivals and retries, for the retry budget (rule 7).
     retries: RetryWindow,
+    /// Tokens for cancellations and hedged requests.
     cancel_budget: CancelBudget,
+    /// Reported load of the fleet, and load probes in flight.
     load_reports: LoadReports,
     /// Gateways that share the engines now, over the capacity share of this process.
     active_gateways: f64,
     /// Part of this gateway's capacity that this process may use, while another process stands
     /// for the same gateway.
     capacity_share: f64,
+    /// When the control law was last applied.
     limits_updated_at: Nanos,
     last_event_at: Nanos,
     /// Time of the last event that followed a stall of this gateway itself.
     resumed_at: Nanos,
+    /// When the last sweep ran.
     swept_at: Nanos,
 }
 
--- a/src/policy/request_estimates.rs
+++ b/src/policy/request_estimates.rs
@@ -8,11 +8,11 @@
 
 impl Gateway {
     pub(super) fn class(&self, request: &PendingRequest) -> &ClassSpec {
-        &self.settings.classes[usize::from(request.request.class.0)]
+        &self.settings.classes[usize::from(request.class_id().0)]
     }
 
     pub(super) fn estimates(&self, request: &PendingRequest) -> &ClassEstimates {
-        &self.class_estimates[usize::from(request.request.class.0)]
+        &self.class_estimates[usize::from(request.class_id().0)]
     }
 
     pub(super) fn idempotency(&self, request: &PendingRequest) -> Idempotency {
@@ -44,14 +44,14 @@
     pub(super) fn objective_end(&self, request: &PendingRequest) -> Nanos {
         let objective = latency_objective(self.class(request), self.expected_work(request));
         let end = request.arrived_at + nanos(objective);
-        end.min(request.request.deadline)
+        end.min(request.deadline())
     }
 
     /// The time after which an answer earns nothing: the deadline, or the end of the objective
     /// where late answers have no weight.
     pub(super) fn useful_until(&self, request: &PendingRequest) -> Nanos {
         if self.class(request).late_priority_weight > 0.0 {
-            request.request.deadline
+            request.deadline()
         } else {
             self.objective_end(request)
         }
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -138,7 +138,7 @@
         if !request.attempts.is_empty() {
             return;
         }
-        let has_time = now + nanos(self.unloaded_seconds(request)) < request.request.deadline;
+        let has_time = now + nanos(self.unloaded_seconds(request)) < request.deadline();
         if has_time && self.idempotency_allows(now, request, None) && request.may_start_attempt() {
             self.enqueue(now, id);
         } else {
@@ -196,7 +196,7 @@
         if !request.finished || !request.attempts.is_empty() {
             return;
         }
-        if let Some(key) = request.request.key {
+        if let Some(key) = request.key() {
             self.ordered_queues.remove(key, id);
         }
         self.requests.remove(&id);
--- a/src/policy/stall_detection.rs
+++ b/src/policy/stall_detection.rs
@@ -70,7 +70,7 @@
         };
         let until = now + 2 * self.settings.progress_period;
         if let Some(engine) = self.engines.get_mut(&engine) {
-            let data_set = request.request.data_set;
+            let data_set = request.data_set();
             engine.blocked_data_sets.insert(data_set, until);
         }
     }
@@ -114,7 +114,7 @@
                     blocked.push(BlockedAttempt {
                         id: request.id(),
                         number: attempt.number,
-                        data_set: request.request.data_set,
+                        data_set: request.data_set(),
                         engine: attempt.engine,
                     });
                 }
--- a/src/policy/state/engine.rs
+++ b/src/policy/state/engine.rs
@@ -19,6 +19,7 @@
 /// Load of an engine as it was last reported, or as a probe showed it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportedLoad {
+    /// When the report came in.
     pub(crate) at: Nanos,
     /// Threads of all gateways; infinite for an engine that cannot be reached.
     pub(crate) threads: f64,
@@ -29,6 +30,7 @@
 pub(crate) struct Engine {
     /// Entry of the endpoint list.
     pub(crate) endpoint: Endpoint,
+    /// Cores of its machine, at least 1.
     pub(crate) cores: f64,
     /// Concurrency limit at the start, in threads.
     pub(crate) initial_limit: f64,
@@ -45,6 +47,7 @@
     pub(crate) slowdown: f64,
     /// End of the pressure that a rejection for lack of capacity stands for.
     pub(crate) saturated_until: Nanos,
+    /// Whether the engine is ejected as an outlier.
     pub(crate) circuit: CircuitBreaker,
     /// When an answer or a progress update last came from the engine.
     pub(crate) last_activity_at: Nanos,
@@ -52,9 +55,11 @@
     pub(crate) unresponsive_at: Nanos,
     /// Work sent while the engine warms up.
     pub(crate) warm_up: WarmUpWindow,
+    /// The newest report, if any came since the engine started.
     pub(crate) report: Option<ReportedLoad>,
     /// Own threads sent since that report.
     pub(crate) threads_sent_since_report: f64,
+    /// When this gateway last sent an attempt there; 0 for never.
     pub(crate) last_sent_at: Nanos,
     /// Number of own running loads for each data set.
     pub(crate) loading_data_sets: BTreeMap<u64, u32>,
--- a/src/policy/state/load_reports.rs
+++ b/src/policy/state/load_reports.rs
@@ -66,3 +66,7 @@
         self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/load_reports.rs"]
+mod tests;
--- a/src/policy/state/probe_stats.rs
+++ b/src/policy/state/probe_stats.rs
@@ -55,3 +55,7 @@
         relative_delay
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/probe_stats.rs"]
+mod tests;
--- a/src/policy/state/request.rs
+++ b/src/policy/state/request.rs
@@ -1,7 +1,8 @@
 //! What the gateway remembers of one request and its attempts.
 use super::running::Running;
 use crate::policy::api::{
-    AttemptNo, ClassSpec, Endpoint, EngineId, Idempotency, Nanos, Request, RequestId,
+    AttemptNo, ClassId, ClassSpec, Endpoint, EngineId, Idempotency, Nanos, OrderKey, Request,
+    RequestId,
 };
 use std::collections::BTreeSet;
 
@@ -35,12 +36,14 @@
 /// A request that has no final answer yet, or still has attempts in flight.
 #[derive(Default)]
 pub(crate) struct PendingRequest {
+    /// The request as the client sent it.
     pub(crate) request: Request,
     pub(crate) arrived_at: Nanos,
     /// It arrived beyond its tenant's quota.
     pub(crate) over_quota: bool,
     /// It has its final answer; it is kept only while attempts are in flight.
     pub(crate) finished: bool,
+    /// Number of attempts so far, in flight or ended.
     pub(crate) attempts_started: u32,
     /// The limit of the settings in force when it arrived.
     pub(crate) max_attempts: u32,
@@ -48,6 +51,7 @@
     pub(crate) attempts: Vec<Attempt>,
     /// The earliest ended attempt that may have been executed.
     pub(crate) possible_execution: Option<PossibleExecution>,
+    /// Engines of all attempts so far.
     pub(crate) tried_engines: BTreeSet<EngineId>,
     /// It waits for load probes until then.
     pub(crate) awaiting_probes_until: Nanos,
@@ -60,11 +64,31 @@
         self.request.id
     }
 
+    pub(crate) fn class_id(&self) -> ClassId {
+        self.request.class
+    }
+
+    /// When the client gives up.
+    pub(crate) fn deadline(&self) -> Nanos {
+        self.request.deadline
+    }
+
+    /// The data set that it reads; 0 if that is not known.
+    pub(crate) fn data_set(&self) -> u64 {
+        self.request.data_set
+    }
+
+    /// Its key, for classes in order.
+    pub(crate) fn key(&self) -> Option<OrderKey> {
+        self.request.key
+    }
+
     /// Whether it waits for an attempt: neither answered nor in flight.
     pub(crate) fn is_waiting(&self) -> bool {
         !self.finished && self.attempts.is_empty()
     }
 
+    /// Whether its attempts are not used up; one is always allowed.
     pub(crate) fn may_start_attempt(&self) -> bool {
         self.attempts_started < self.max_attempts.max(1)
     }
--- a/src/policy/state/running.rs
+++ b/src/policy/state/running.rs
@@ -47,3 +47,7 @@
             || (fits_in_total && long_threads <= limit * LONG_QUERY_SHARE)
     }
 }
+
+#[cfg(test)]
+#[path = "../../../tests/unit/running.rs"]
+mod tests;
--- a/tests/unit/policy_builders.rs
+++ b/tests/unit/policy_builders.rs
@@ -5,19 +5,19 @@
     Settings, ZoneId,
 };
 
-pub const SECOND: Nanos = 1_000_000_000;
+pub(crate) const SECOND: Nanos = 1_000_000_000;
 
 /// Interval of the sweep.
-pub const SWEEP: Nanos = SECOND / 50;
+pub(crate) const SWEEP: Nanos = SECOND / 50;
 
 /// Start of each simulated run; time 0 stands for "long ago" in the interface.
-pub const START: Nanos = 100 * SECOND;
+pub(crate) const START: Nanos = 100 * SECOND;
 
 /// Token of the sweep's timer.
-pub const SWEEP_TIMER: u64 = 1;
+pub(crate) const SWEEP_TIMER: u64 = 1;
 
 /// One of 300 gateways, with one class of idempotent requests on one thread; probing is forbidden.
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         gateway_index: 7,
         gateways: 300,
@@ -45,7 +45,7 @@
     }
 }
 
-pub fn class() -> ClassSpec {
+pub(crate) fn class() -> ClassSpec {
     ClassSpec {
         priority_weight: 1.0,
         late_priority_weight: 0.5,
@@ -89,7 +89,7 @@
     }
 }
 
-pub fn endpoint(id: u64, readiness: Readiness, started_at: Nanos) -> Endpoint {
+pub(crate) fn endpoint(id: u64, readiness: Readiness, started_at: Nanos) -> Endpoint {
     Endpoint {
         id: EngineId(id),
         readiness,
@@ -99,11 +99,11 @@
 }
 
 /// A ready endpoint that is warm.
-pub fn ready_endpoint(id: u64) -> Endpoint {
+pub(crate) fn ready_endpoint(id: u64) -> Endpoint {
     endpoint(id, Readiness::Ready, 0)
 }
 
-pub fn request(id: RequestId, deadline: Nanos) -> Request {
+pub(crate) fn request(id: RequestId, deadline: Nanos) -> Request {
     Request {
         id,
         deadline,
@@ -113,7 +113,7 @@
 
 /// The end of the first attempt of a request, which ends the request; without reported cost or
 /// load.
-pub fn final_outcome(
+pub(crate) fn final_outcome(
     id: RequestId,
     engine: EngineId,
     kind: OutcomeKind,
