--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -263,7 +263,6 @@
     pub(super) fn has_unused_turn(&self, now: Nanos, engine: &Engine, turn: &Turn) -> bool {
         let sent_at = engine.last_sent_at;
         let is_used = sent_at > 0 && turn.index(sent_at) == turn.index(now);
-        let index = self.settings.gateway_index;
-        !is_used && turn.belongs_to(now, index, self.gateway_count(), engine.id())
+        !is_used && turn.belongs_to(now, self.position(), engine.id())
     }
 }
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -3,7 +3,6 @@
 use super::Gateway;
 use super::state::circuit_breaker::CircuitState;
 use super::state::engine::{Engine, affinity_distance};
-use super::state::fleet_totals::GatewayPosition;
 use super::state::request::{PendingRequest, is_placement_allowed};
 use super::state::units::nanos;
 use super::state::{RepeatTargets, may_repeat};
@@ -87,12 +86,8 @@
 
     /// The engines that this gateway prefers, from `offset` among them.
     fn preferred_engines(&self, offset: usize) -> impl Iterator<Item = EngineId> {
-        let gateway = GatewayPosition {
-            index: self.settings.gateway_index as usize,
-            count: self.gateway_count() as usize,
-        };
         self.fleet
-            .preferred_engines(gateway, PREFERRED_ENGINES, offset)
+            .preferred_engines(self.position(), PREFERRED_ENGINES, offset)
     }
 
     /// The engine for the request now: the candidate of least cost among those that have capacity
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -50,6 +50,7 @@
 use state::retry_window::RetryWindow;
 use state::running::Running;
 use state::tenant_quotas::TenantQuotas;
+use state::turns::GatewayPosition;
 use std::collections::BTreeMap;
 use tuning::{STALL_THRESHOLD, SWEEP_INTERVAL};
 
@@ -233,6 +234,14 @@
         self.settings.gateways.max(1)
     }
 
+    /// Position among all gateways, active or not.
+    fn position(&self) -> GatewayPosition {
+        GatewayPosition {
+            index: self.settings.gateway_index,
+            count: self.gateway_count(),
+        }
+    }
+
     /// Whether this gateway's share of an engine is under `threads`. Then a bound on own threads
     /// would round to nothing, and the gateway relies on load reports and turns instead.
     fn has_share_below(&self, engine: &Engine, threads: f64) -> bool {
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -1,7 +1,7 @@
 //! A request from its arrival to its final answer.
 use super::Gateway;
 use super::state::may_reject;
-use super::state::request::{PendingRequest, PossibleExecution, is_placement_allowed};
+use super::state::request::{Attempt, PendingRequest, PossibleExecution, is_placement_allowed};
 use super::state::units::{nanos, seconds};
 use super::tuning::SWEEP_INTERVAL;
 use crate::policy::api::{Action, EngineId, Nanos, Outcome, OutcomeKind, Request, RequestId};
@@ -76,8 +76,7 @@
 
     /// An attempt ended.
     pub(super) fn on_outcome(&mut self, now: Nanos, outcome: &Outcome, actions: &mut Vec<Action>) {
-        let id = outcome.id;
-        let Some(pending) = self.requests.get_mut(&id) else {
+        let Some(pending) = self.requests.get_mut(&outcome.id) else {
             return;
         };
         let Some(attempt) = pending.take_attempt(outcome.attempt) else {
@@ -92,36 +91,57 @@
         }
         let request = pending.request;
         self.record_running(now, attempt.engine, attempt.running, -1.0);
-        let is_load = self.settings.classes[usize::from(request.class.0)].is_load;
+        if !self.engines.contains_key(&attempt.engine) {
+            return;
+        }
+        self.release_attempt(&request, &attempt);
+        if outcome.kind == OutcomeKind::Ok {
+            self.record_answer(now, &request, outcome, &attempt);
+        }
+        self.record_load_report(now, attempt.engine, &outcome.load);
+        self.record_engine_outcome(now, outcome, &attempt);
+        if let Some(key) = request.key.filter(|_| may_still_run(outcome.kind)) {
+            let cooldown = self.settings.invariants.key_cooldown;
+            let until = now + cooldown + self.settings.tick;
+            self.ordered_queues.start_cooldown(key, until);
+        }
+        self.retry_or_finish(now, outcome.id, actions);
+        self.dispatch_queued(now, actions);
+    }
+
+    /// Removes an ended attempt from what its engine is estimated to run.
+    fn release_attempt(&mut self, request: &Request, attempt: &Attempt) {
+        let class = &self.settings.classes[usize::from(request.class.0)];
         let Some(engine) = self.engines.get_mut(&attempt.engine) else {
             return;
         };
-        let is_in_report = engine
-            .report
-            .is_some_and(|report| report.at > attempt.sent_at);
+        let report = engine.report;
+        let is_in_report = report.is_some_and(|report| report.at > attempt.sent_at);
         if !is_in_report {
             engine.forget_sent_threads(attempt.running.threads);
         }
-        if is_load {
+        if class.is_load {
             engine.finish_load(request.data_set);
         }
-        let succeeded = outcome.kind == OutcomeKind::Ok;
-        if succeeded && outcome.attempt.0 > 0 {
+    }
+
+    /// An attempt succeeded.
+    fn record_answer(
+        &mut self,
+        now: Nanos,
+        request: &Request,
+        outcome: &Outcome,
+        attempt: &Attempt,
+    ) {
+        let is_retry = outcome.attempt.0 > 0;
+        if is_retry {
             self.cancel_budget.refund();
         }
         // A latency measured across a stall of this gateway says nothing of the engine.
-        if succeeded && self.resumed_at != now {
-            self.learn_from_answer(&request, outcome, &attempt);
-        }
-        self.record_load_report(now, attempt.engine, &outcome.load);
-        self.record_engine_outcome(now, outcome, &attempt);
-        if let Some(key) = request.key.filter(|_| may_still_run(outcome.kind)) {
-            let cooldown = self.settings.invariants.key_cooldown;
-            let until = now + cooldown + self.settings.tick;
-            self.ordered_queues.start_cooldown(key, until);
+        let has_stalled = self.resumed_at == now;
+        if !has_stalled {
+            self.learn_from_answer(request, outcome, attempt);
         }
-        self.retry_or_finish(now, id, actions);
-        self.dispatch_queued(now, actions);
     }
 
     /// After the end of an attempt: queues the request for another one, or ends it.
--- a/src/policy/state/fleet_totals.rs
+++ b/src/policy/state/fleet_totals.rs
@@ -2,16 +2,10 @@
 use super::control_window::ControlWindow;
 use super::running::Running;
 use super::running_median::RunningMedian;
+use super::turns::GatewayPosition;
 use crate::policy::api::{EngineId, Nanos};
 use std::collections::BTreeSet;
 
-/// Position of this gateway among its peers.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct GatewayPosition {
-    pub(crate) index: usize,
-    pub(crate) count: usize,
-}
-
 /// Totals over all engines.
 #[derive(Default)]
 pub(crate) struct FleetTotals {
@@ -125,8 +119,10 @@
     ) -> impl Iterator<Item = EngineId> {
         let ready = self.ready.len();
         let arc_length = max_engines.min(ready);
+        let index = gateway.index as usize;
+        let gateways = gateway.count as usize;
         (0..arc_length).map(move |step| {
-            let arc_start = gateway.index * ready / gateway.count;
+            let arc_start = index * ready / gateways;
             let position = arc_start + (offset + step) % arc_length;
             self.ready[position % ready]
         })
--- a/src/policy/state/turns.rs
+++ b/src/policy/state/turns.rs
@@ -5,6 +5,14 @@
 /// 2^64 over the golden ratio: its multiples spread evenly on a circle.
 const GOLDEN_RATIO_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
 
+/// Position of a gateway among its peers.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct GatewayPosition {
+    pub(crate) index: u32,
+    /// Number of gateways, at least 1.
+    pub(crate) count: u32,
+}
+
 /// One division of the time into turns.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Turn {
@@ -22,21 +30,20 @@
         at / self.duration.max(1)
     }
 
-    /// Whether gateway `index` of `gateways` has the turn on `engine` at `now`. Gateways stand
-    /// evenly on a circle. An arc of `holders` of them has the turn, and moves by the golden ratio
+    /// Whether `gateway` has the turn on `engine` at `now`. Gateways stand evenly on a circle. An arc of `holders` of them has the turn, and moves by the golden ratio
     /// with each turn: whole gateways, `holders` of them on average.
     pub(crate) fn belongs_to(
         &self,
         now: Nanos,
-        index: u32,
-        gateways: u32,
+        gateway: GatewayPosition,
         engine: EngineId,
     ) -> bool {
-        let gateway_position = f64::from(index % gateways) / f64::from(gateways);
+        let gateways = f64::from(gateway.count);
+        let gateway_position = f64::from(gateway.index % gateway.count) / gateways;
         let position = gateway_position + circle_position(engine.0);
         let arc_start = circle_position(self.index(now));
         let distance = (position + 1.0 + self.offset - arc_start).fract();
-        distance < self.holders / f64::from(gateways)
+        distance < self.holders / gateways
     }
 }
 
--- a/tests/unit/turns.rs
+++ b/tests/unit/turns.rs
@@ -14,7 +14,13 @@
 
 /// The gateways that have the turn on engine 5 at `now`.
 fn holders(turn: &Turn, now: Nanos) -> Vec<u32> {
-    let has_turn = |index: &u32| turn.belongs_to(now, *index, GATEWAYS, EngineId(5));
+    let has_turn = |index: &u32| {
+        let gateway = GatewayPosition {
+            index: *index,
+            count: GATEWAYS,
+        };
+        turn.belongs_to(now, gateway, EngineId(5))
+    };
     (0..GATEWAYS).filter(has_turn).collect()
 }
 
