--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -1,7 +1,6 @@
 //! Load of engines: what they report in answers and probes, and when they are probed.
 use super::Gateway;
 use super::endpoint_selection::HALF_OF_CANDIDATES;
-use super::state::control_window::MIN_LIMIT_SHARE;
 use super::state::engine::{Engine, ReportedLoad};
 use super::state::probe_stats::ProbeRoute;
 use super::state::request::{PendingRequest, is_placement_allowed};
@@ -15,6 +14,10 @@
 /// Age from which a report says nothing any more: 1 s.
 const MAX_REPORT_AGE: Nanos = 1_000_000_000;
 
+/// Share of the initial limit up to which a reported load counts as idle: a probe could not show a
+/// better engine.
+const IDLE_LOAD_SHARE: f64 = 0.5;
+
 /// Engines probed for one query.
 const PROBES_PER_QUERY: usize = 1;
 
@@ -158,7 +161,7 @@
         let engines = candidates.iter().filter_map(|id| self.engines.get(id));
         let mut reported = engines.filter(|engine| engine.report.is_some());
         reported.any(|engine| {
-            let idle_limit = MIN_LIMIT_SHARE * engine.initial_limit;
+            let idle_limit = IDLE_LOAD_SHARE * engine.initial_limit;
             self.is_probe_useful(now, request, engine)
                 && self.estimated_load(now, engine) + threads <= idle_limit
                 && self.has_capacity(now, request, engine)
--- a/src/policy/state/circuit_breaker.rs
+++ b/src/policy/state/circuit_breaker.rs
@@ -106,13 +106,13 @@
         self.state = CircuitState::Closed;
     }
 
-    /// Notes a connection reset. Returns whether it belongs to the one counted last, as all
-    /// attempts on a connection end within `window`: then it is not counted again.
+    /// Whether a reset at `now` belongs to the one counted last: all attempts on a connection end
+    /// within `window`, and count as one failure.
     pub(crate) fn is_repeated_reset(&self, now: Nanos, window: Nanos) -> bool {
         now < self.last_reset_at + window
     }
 
-    /// Notes when a reset was counted.
+    /// Notes that a reset was counted.
     pub(crate) fn record_reset(&mut self, now: Nanos) {
         self.last_reset_at = now;
     }
