--- a/src/dispatcher/in_flight.rs
+++ b/src/dispatcher/in_flight.rs
@@ -4,7 +4,7 @@
 use super::termination::Termination;
 use crate::clock::{MS, Micros, micros, nanos};
 use crate::policy::api::{AttemptNo, Endpoint, Idempotency, Nanos};
-use crate::policy::state::{may_refuse, may_repeat};
+use crate::policy::state::{RepeatTargets, may_reject, may_repeat};
 use std::rc::Rc;
 
 /// Attempts under an idempotency key have to end this long before the key's window does, since an
@@ -131,7 +131,10 @@
             may_repeat(
                 self.idempotency,
                 nanos(execution.sent_at),
-                Some((execution.endpoint, *endpoint)),
+                Some(RepeatTargets {
+                    first: execution.endpoint,
+                    next: *endpoint,
+                }),
                 nanos(now),
             )
         })
@@ -187,7 +190,7 @@
 
     /// Whether a rejection is permitted, which promises the client that a retry is harmless.
     pub(super) fn may_reject(&self) -> bool {
-        may_refuse(
+        may_reject(
             self.idempotency,
             self.earliest_possible_execution().is_some(),
         )
--- a/src/policy/state/request.rs
+++ b/src/policy/state/request.rs
@@ -1,140 +1,145 @@
-//! What is remembered of requests, their classes and tenants, and what the rules say of repeats.
-use super::{Running, secs};
-use crate::policy::api::*;
-use std::collections::{BTreeSet, VecDeque};
+//! What the gateway remembers of one request and its attempts.
+use super::running::Running;
+use crate::policy::api::{
+    AttemptNo, ClassId, ClassSpec, Endpoint, EngineId, Idempotency, Nanos, OrderKey, Request,
+    RequestId,
+};
+use std::collections::BTreeSet;
 
+/// An attempt in flight.
 #[derive(Default)]
-pub struct Attempt {
-    pub attempt: AttemptNo,
-    pub engine: EngineId,
-    pub sent: Nanos,
-    pub alone: f64, // Expected time alone, and as slow as the engine was.
-    pub expected: f64,
-    pub running: Running, // What it counts for; nothing once it is taken to be lost.
-    pub crowd: f64,       // Threads a core that its engine was taken to run when it was sent.
-    pub life_at: Nanos,
-    pub cancelling: bool,
+pub(crate) struct Attempt {
+    pub(crate) number: AttemptNo,
+    pub(crate) engine: EngineId,
+    pub(crate) sent_at: Nanos,
+    /// Expected time on an idle engine, in seconds.
+    pub(crate) unloaded_seconds: f64,
+    /// Expected time at the slowdown that the engine had at the send, in seconds.
+    pub(crate) expected_seconds: f64,
+    /// Capacity that it holds; nothing once it is presumed lost.
+    pub(crate) running: Running,
+    /// Threads per core that its engine was estimated to run at the send.
+    pub(crate) threads_per_core: f64,
+    /// When it was sent or last reported progress.
+    pub(crate) last_activity_at: Nanos,
+    /// A cancellation is on its way.
+    pub(crate) cancelling: bool,
 }
 
+/// An engine that may have executed a request.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PossibleExecution {
+    pub(crate) engine: EngineId,
+    pub(crate) sent_at: Nanos,
+}
+
+/// A request that has no final answer yet, or still has attempts in flight.
 #[derive(Default)]
-pub struct PendingRequest {
-    pub request: Request,
-    pub arrived_at: Nanos,
-    pub over_quota: bool,
-    pub finished: bool, // Answered; kept only while an attempt is out.
-    pub attempts_started: u32,
-    pub max_attempts: u32,      // As the settings had it when it came.
-    pub attempts: Vec<Attempt>, // Two where a second copy runs beside the first.
-    // First engine that may have run it, and when it was sent there.
-    pub ran_on: Option<(EngineId, Nanos)>,
-    pub tried_engines: BTreeSet<EngineId>,
-    pub awaiting_probes_until: Nanos, // Waits for probes until then.
-    pub cancellations: u32,
+pub(crate) struct PendingRequest {
+    /// The request as the client sent it.
+    pub(crate) request: Request,
+    pub(crate) arrived_at: Nanos,
+    /// It arrived beyond its tenant's quota.
+    pub(crate) over_quota: bool,
+    /// It has its final answer; it is kept only while attempts are in flight.
+    pub(crate) finished: bool,
+    /// Number of attempts so far, in flight or ended.
+    pub(crate) attempts_started: u32,
+    /// The limit of the settings in force when it arrived.
+    pub(crate) max_attempts: u32,
+    /// Attempts in flight: two while a hedged request runs.
+    pub(crate) attempts: Vec<Attempt>,
+    /// The earliest ended attempt that may have been executed.
+    pub(crate) possible_execution: Option<PossibleExecution>,
+    /// Engines of all attempts so far.
+    pub(crate) tried_engines: BTreeSet<EngineId>,
+    /// It waits for load probes until then.
+    pub(crate) awaiting_probes_until: Nanos,
+    /// Number of its attempts that were cancelled.
+    pub(crate) cancellations: u32,
 }
 
 impl PendingRequest {
-    /// The first attempt that may have run or is out: where it went, and when.
-    pub fn first(&self) -> Option<(EngineId, Nanos)> {
-        let outs = self.attempts.iter().map(|o| (o.engine, o.sent));
-        outs.chain(self.ran_on).min_by_key(|(_, sent)| *sent)
+    pub(crate) fn id(&self) -> RequestId {
+        self.request.id
     }
 
-    /// The attempt of that number, if it is out.
-    pub fn out(&mut self, attempt: AttemptNo) -> Option<&mut Attempt> {
-        self.attempts.iter_mut().find(|o| o.attempt == attempt)
+    pub(crate) fn class_id(&self) -> ClassId {
+        self.request.class
     }
 
-    /// The same, off the book.
-    pub fn take_out(&mut self, attempt: AttemptNo) -> Option<Attempt> {
-        let at = self.attempts.iter().position(|o| o.attempt == attempt)?;
-        Some(self.attempts.remove(at))
+    /// When the client gives up.
+    pub(crate) fn deadline(&self) -> Nanos {
+        self.request.deadline
     }
-}
 
-#[derive(Default)]
-pub struct OrderedQueue {
-    pub line: VecDeque<RequestId>,
-    pub rest_until: Nanos,
-}
+    /// The data set that it reads; 0 if that is not known.
+    pub(crate) fn data_set(&self) -> u64 {
+        self.request.data_set
+    }
 
-/// What a class has taught: work, and how far its hints lie off.
-#[derive(Clone, Copy)]
-pub struct ClassEstimates {
-    pub work: f64,
-    pub samples: u32,
-    pub bias: f64,
-    pub tail: f64, // Time of an answer over its expected time alone that few exceed.
-}
+    /// Its key, for classes in order.
+    pub(crate) fn key(&self) -> Option<OrderKey> {
+        self.request.key
+    }
 
-impl ClassEstimates {
-    /// Until a class has taught its work, its fixed aim on all its threads is taken for it:
-    /// pessimistic.
-    pub fn first(c: &ClassSpec, tail: f64) -> ClassEstimates {
-        ClassEstimates {
-            work: secs(c.base_latency_objective) * c.threads.max(1.0),
-            samples: 0,
-            bias: 1.0,
-            tail,
-        }
+    /// Whether it waits for an attempt: neither answered nor in flight.
+    pub(crate) fn is_waiting(&self) -> bool {
+        !self.finished && self.attempts.is_empty()
     }
-}
 
-pub struct Tenant {
-    pub quota: f64,
-    pub tokens: f64,
-    pub filled_at: Nanos,
-}
+    /// Whether its attempts are not used up; one is always allowed.
+    pub(crate) fn may_start_attempt(&self) -> bool {
+        self.attempts_started < self.max_attempts.max(1)
+    }
 
-/// The aim in seconds of a query with that much work.
-pub fn aim(c: &ClassSpec, work: f64) -> f64 {
-    (secs(c.base_latency_objective) + c.objective_slowdown * work / c.threads.max(1.0)).max(1e-3)
-}
+    /// The earliest attempt that may have been executed, or is in flight.
+    pub(crate) fn earliest_execution(&self) -> Option<PossibleExecution> {
+        let in_flight = self.attempts.iter().map(|attempt| PossibleExecution {
+            engine: attempt.engine,
+            sent_at: attempt.sent_at,
+        });
+        let possible = in_flight.chain(self.possible_execution);
+        possible.min_by_key(|execution| execution.sent_at)
+    }
 
-/// Rule 2: what was sent then and may have run goes again only to engines that discard its
-/// duplicates, while they remember it. The pair: where it went, and where it would go; none if
-/// either is not known, or not chosen yet.
-pub fn may_repeat(
-    effect: Idempotency,
-    sent: Nanos,
-    pair: Option<(Endpoint, Endpoint)>,
-    now: Nanos,
-) -> bool {
-    match effect {
-        Idempotency::Idempotent => true,
-        Idempotency::NonIdempotent => false,
-        Idempotency::WithKey { scope, window } => {
-            let same = pair.is_none_or(|(first, next)| match scope {
-                DeduplicationScope::All => true,
-                DeduplicationScope::Zone => first.zone == next.zone,
-                DeduplicationScope::Cell => first.cell == next.cell,
-            });
-            same && now < sent.saturating_add(window)
-        }
+    /// Notes an ended attempt that may have been executed. The earliest one counts, as engines
+    /// know the idempotency key from then on.
+    pub(crate) fn record_possible_execution(&mut self, execution: PossibleExecution) {
+        let known = self.possible_execution.into_iter();
+        let earliest = known
+            .chain([execution])
+            .min_by_key(|execution| execution.sent_at);
+        self.possible_execution = earliest;
     }
-}
 
-/// Rule 2: whether a refusal is honest, as it promises that trying again is harmless: what may have
-/// run, or is out, only where it may be repeated anywhere.
-pub fn may_refuse(effect: Idempotency, may_have_run: bool) -> bool {
-    !may_have_run
-        || matches!(
-            effect,
-            Idempotency::Idempotent
-                | Idempotency::WithKey {
-                    scope: DeduplicationScope::All,
-                    ..
-                }
-        )
+    /// The attempt in flight with that number.
+    pub(crate) fn attempt_mut(&mut self, number: AttemptNo) -> Option<&mut Attempt> {
+        let mut attempts = self.attempts.iter_mut();
+        attempts.find(|attempt| attempt.number == number)
+    }
+
+    /// Removes and returns the attempt in flight with that number.
+    pub(crate) fn take_attempt(&mut self, number: AttemptNo) -> Option<Attempt> {
+        let mut attempts = self.attempts.iter();
+        let position = attempts.position(|attempt| attempt.number == number)?;
+        Some(self.attempts.remove(position))
+    }
+
+    /// What may be repeated: as its class has it, unless the request itself forbids it.
+    pub(crate) fn idempotency(&self, class: &ClassSpec) -> Idempotency {
+        if self.request.must_not_repeat {
+            Idempotency::NonIdempotent
+        } else {
+            class.idempotency
+        }
+    }
 }
 
-/// Rule 6: the zones and kinds a class is bound to.
-pub fn placed(class: &ClassSpec, entry: &Endpoint) -> bool {
-    class
-        .allowed_zones
-        .as_ref()
-        .is_none_or(|z| z.contains(&entry.zone))
-        && class
-            .allowed_machine_types
-            .as_ref()
-            .is_none_or(|k| k.contains(&entry.machine_type))
+/// Rule 6: whether the class may use the endpoint, by the zones and machine kinds it is bound to.
+pub(crate) fn is_placement_allowed(class: &ClassSpec, endpoint: &Endpoint) -> bool {
+    let zones = class.allowed_zones.as_ref();
+    let machine_types = class.allowed_machine_types.as_ref();
+    zones.is_none_or(|zones| zones.contains(&endpoint.zone))
+        && machine_types.is_none_or(|allowed| allowed.contains(&endpoint.machine_type))
 }
