--- /dev/null
+++ b/src/bin/yokelift-sim-adapter/error.rs
@@ -0,0 +1,74 @@
+//! Errors of the adapter. Positions count bytes from the start of the frame, its length field
+//! included; field names are those of the simulator's protocol.
+
+use std::error::Error;
+use std::io;
+
+/// A frame whose content is malformed.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum FrameError {
+    /// The frame ends within a field.
+    #[error("byte {position}: {field}: the frame ends too soon")]
+    Truncated {
+        position: usize,
+        field: &'static str,
+    },
+    /// The frame goes on after its last record.
+    #[error("byte {position}: frame: bytes are left after the last record")]
+    TrailingBytes { position: usize },
+    /// A record of a kind that the protocol does not have.
+    #[error("byte {position}: code: unknown event {code}")]
+    UnknownRecord { position: usize, code: u8 },
+    /// An outcome that the protocol does not have.
+    #[error("byte {position}: {field}: unknown outcome {code}")]
+    UnknownOutcome {
+        position: usize,
+        field: &'static str,
+        code: u16,
+    },
+    /// A value outside the range of an enumerated field.
+    #[error("byte {position}: {field}: unknown value {value}")]
+    UnknownValue {
+        position: usize,
+        field: &'static str,
+        value: u8,
+    },
+    /// A record for an instance that was not started, or was stopped.
+    #[error("byte {position}: i: no instance {instance} is running")]
+    UnknownInstance { position: usize, instance: u32 },
+    /// A request of a class that the instance's settings don't have.
+    #[error("byte {position}: NEW_REQUEST kind: no class {class}")]
+    UnknownClass { position: usize, class: u16 },
+    /// An update that refers to an endpoint list that was not sent.
+    #[error("byte {position}: TARGETS set_id: no list {number}")]
+    UnknownEndpointList { position: usize, number: u16 },
+    /// Settings of a new instance that can't be read.
+    #[error("byte {position}: boot_info: {source}")]
+    InvalidSettings {
+        position: usize,
+        source: Box<dyn Error + Send + Sync>,
+    },
+}
+
+/// What ends the adapter.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum AdapterError {
+    /// Standard input failed.
+    #[error("reading: {0}")]
+    Read(#[source] io::Error),
+    /// Standard output failed.
+    #[error("writing: {0}")]
+    Write(#[source] io::Error),
+    /// The input ends within a length field.
+    #[error("byte {position}: length: the input ends within it")]
+    LengthTruncated { position: usize },
+    /// The length field exceeds [`MAX_FRAME_BYTES`](crate::MAX_FRAME_BYTES).
+    #[error("byte 0: length: {length} bytes are more than a frame may hold")]
+    FrameTooLong { length: usize },
+    /// The input ends within a frame.
+    #[error("byte {position}: frame: the input ends, {missing} bytes are missing")]
+    FrameTruncated { position: usize, missing: usize },
+    /// The content of a frame is malformed.
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+}
