--- a/src/policy/api/mod.rs
+++ b/src/policy/api/mod.rs
@@ -1,9 +1,9 @@
 //! The interface of the decision module: plain data that crosses its edge, without logic.
 //!
-//! - [`ids`]: identifiers and the unit of time;
-//! - [`settings`]: what the module is configured with, and the invariants it has to keep;
-//! - [`event`]: what the module is informed of (endpoint lists, requests, outcomes, timers);
-//! - [`action`]: what the module orders in response.
+//! - `ids`: identifiers and the unit of time;
+//! - `settings`: what the module is configured with, and the invariants it has to keep;
+//! - `event`: what the module is informed of (endpoint lists, requests, outcomes, timers);
+//! - `action`: what the module orders in response.
 //!
 //! Every item is re-exported here, so callers name it `policy::api::Item`.
 //!
--- a/tests/unit/spool.rs
+++ b/tests/unit/spool.rs
@@ -1,324 +1,430 @@
-//! The states of spooled results against random steps and kills at every point: a plain model
-//! remembers what was promised.
+//! The states of spooled results, and a model that checks what was promised under random steps and
+//! crashes at every point.
 use super::*;
+use crate::clock::SEC;
+use crate::policy::api::TenantId;
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-const SEC: Micros = 1_000_000;
+/// Whether the query of a submission may run twice.
+#[derive(Clone, Copy)]
+enum Repeat {
+    Allowed,
+    Forbidden,
+}
 
-fn limits() -> Limits {
-    Limits {
-        total: 1_000,
-        desk: 600,
-        reserve: 50,
-        results: 12,
-        keep: 60 * SEC,
-        keep_consumed: 5 * SEC,
+fn limits() -> SpoolLimits {
+    SpoolLimits {
+        total_bytes: 1_000,
+        tenant_bytes: 600,
+        admission_reserve_bytes: 50,
+        max_results: 12,
+        retention: 60 * SEC,
+        consumed_retention: 5 * SEC,
     }
 }
 
-fn asked(user: u16, query: u32, statement: u8, once: bool) -> Submission {
-    let owner = Owner {
-        desk: TenantId(user % 2),
-        user: format!("u{user}").into(),
-    };
+/// A submission of one of several users of two tenants.
+fn submission(user: u16, query: u32, statement: u8, repeat: Repeat) -> Submission {
     Submission {
-        owner,
+        owner: Owner {
+            tenant: TenantId(user % 2),
+            user: format!("u{user}").into(),
+        },
         query_id: format!("q{query}").into(),
-        statement: [statement; 32],
-        once,
+        statement_digest: [statement; 32],
+        must_not_repeat: matches!(repeat, Repeat::Forbidden),
     }
 }
 
-/// Brings a query to its seal with pages of these sizes.
-fn sealed(spool: &mut Spool, now: Micros, what: &Submission, pages: &[u64]) -> ResultId {
-    let mut steps = Vec::new();
-    let Verdict::New(id) = spool.submit(now, what.clone(), &mut steps) else {
-        panic!("not new")
+/// Runs a query with pages of these sizes until its result is sealed.
+fn seal_result(spool: &mut Spool, now: Micros, query: &Submission, pages: &[u64]) -> ResultId {
+    let mut commands = Vec::new();
+    let SubmitOutcome::Admitted(id) = spool.submit(now, query.clone(), &mut commands) else {
+        panic!("not admitted")
     };
-    spool.intended(id, &mut steps);
-    spool.started(id);
-    pages
-        .iter()
-        .for_each(|bytes| assert!(spool.page(now, id, *bytes, &mut steps)));
-    spool.done(id, &mut steps);
-    spool.sealed(now, id);
+    spool.intent_stored(id, &mut commands);
+    spool.attempt_started(id);
+    for bytes in pages {
+        assert!(spool.add_page(now, id, *bytes, &mut commands));
+    }
+    spool.attempt_completed(id, &mut commands);
+    spool.seal_stored(now, id);
     assert_eq!(
-        steps,
-        [Step::WriteIntent(id), Step::Run(id), Step::WriteSeal(id)]
+        commands,
+        [
+            SpoolCommand::WriteIntent(id),
+            SpoolCommand::Run(id),
+            SpoolCommand::WriteSeal(id)
+        ]
     );
     id
 }
 
 #[test]
-fn a_retry_gets_the_same_result_and_another_statement_is_refused() {
-    let (mut spool, mut steps) = (Spool::new(limits()), Vec::new());
-    let what = asked(1, 1, 7, false);
-    let id = sealed(&mut spool, SEC, &what, &[100, 20]);
+fn a_retry_gets_the_same_result_and_another_statement_is_a_conflict() {
+    let mut spool = Spool::new(limits());
+    let mut commands = Vec::new();
+    let query = submission(1, 1, 7, Repeat::Allowed);
+    let id = seal_result(&mut spool, SEC, &query, &[100, 20]);
+
+    assert_eq!(
+        spool.submit(2 * SEC, query, &mut commands),
+        SubmitOutcome::Existing(id, ResultStage::Sealed)
+    );
+    let other_statement = submission(1, 1, 8, Repeat::Allowed);
     assert_eq!(
-        spool.submit(2 * SEC, what.clone(), &mut steps),
-        Verdict::Joined(id, Stage::Sealed)
+        spool.submit(2 * SEC, other_statement, &mut commands),
+        SubmitOutcome::Conflict
     );
-    let other = asked(1, 1, 8, false);
-    assert_eq!(spool.submit(2 * SEC, other, &mut steps), Verdict::Conflict);
-    // The same name of another user is another query.
+    // The same query id of another user is another query.
+    let other_user = submission(3, 1, 8, Repeat::Allowed);
     assert!(matches!(
-        spool.submit(2 * SEC, asked(3, 1, 8, false), &mut steps),
-        Verdict::New(_)
+        spool.submit(2 * SEC, other_user, &mut commands),
+        SubmitOutcome::Admitted(_)
     ));
 }
 
-/// Guards the rule that no load runs twice, over a crash between its intent and its seal.
-#[test]
-fn a_load_cut_off_by_a_crash_is_told_lost_and_not_run_again() {
-    let (load, plain) = (asked(1, 1, 7, true), asked(1, 2, 7, false));
-    let record = |id, submission: &Submission| Record {
+fn unsealed(id: u64, query: &Submission) -> StoredResult {
+    StoredResult {
         id: ResultId(id),
-        submission: submission.clone(),
-        sealed: None,
-        acknowledged: BTreeSet::new(),
-        until: Micros::MAX,
-    };
-    let mut steps = Vec::new();
-    let records = vec![record(4, &load), record(5, &plain)];
-    let mut spool = Spool::recover(limits(), SEC, 0, records, &mut steps);
-    assert_eq!(steps, [Step::Remove(ResultId(5))]);
+        submission: query.clone(),
+        sealed_page_sizes: None,
+        acknowledged_pages: BTreeSet::new(),
+        expires_at: Micros::MAX,
+    }
+}
+
+/// No load runs twice, over a crash between its intent and its seal.
+#[test]
+fn a_load_interrupted_by_a_crash_is_lost_and_not_run_again() {
+    let load = submission(1, 1, 7, Repeat::Forbidden);
+    let idempotent = submission(1, 2, 7, Repeat::Allowed);
+    let stored = vec![unsealed(4, &load), unsealed(5, &idempotent)];
+    let mut commands = Vec::new();
+
+    let mut spool = Spool::recover(limits(), SEC, 0, stored, &mut commands);
+
+    assert_eq!(commands, [SpoolCommand::Remove(ResultId(5))]);
     assert_eq!(
-        spool.submit(SEC, load.clone(), &mut steps),
-        Verdict::Joined(ResultId(4), Stage::Lost)
+        spool.submit(SEC, load.clone(), &mut commands),
+        SubmitOutcome::Existing(ResultId(4), ResultStage::Lost)
     );
     assert_eq!(
-        spool.read(SEC, ResultId(4), &load.owner, 0, &mut steps),
-        Err(Denied::Lost)
+        spool.begin_read(SEC, ResultId(4), &load.owner, 0, &mut commands),
+        Err(AccessError::Lost)
     );
     assert_eq!(
-        spool.submit(SEC, plain, &mut steps),
-        Verdict::New(ResultId(6))
+        spool.submit(SEC, idempotent, &mut commands),
+        SubmitOutcome::Admitted(ResultId(6))
     );
 }
 
-/// Guards a load against a retry that crosses its deletion or comes after its pages were read.
+/// A retry of a load may cross its deletion, or come after its pages were read.
 #[test]
-fn the_name_of_a_load_outlives_its_pages() {
-    let (mut spool, mut steps) = (Spool::new(limits()), Vec::new());
-    let what = asked(1, 1, 7, true);
-    let id = sealed(&mut spool, SEC, &what, &[100]);
-    assert_eq!(spool.acknowledge(SEC, id, &what.owner, 0), Ok(true));
-    spool.tick(20 * SEC, &mut steps);
+fn the_query_id_of_a_load_outlives_its_pages() {
+    let mut spool = Spool::new(limits());
+    let mut commands = Vec::new();
+    let load = submission(1, 1, 7, Repeat::Forbidden);
+    let id = seal_result(&mut spool, SEC, &load, &[100]);
+
+    assert_eq!(spool.acknowledge(SEC, id, &load.owner, 0), Ok(true));
+    spool.expire(20 * SEC, &mut commands);
     assert_eq!(
-        spool.submit(20 * SEC, what.clone(), &mut steps),
-        Verdict::Joined(id, Stage::Consumed)
+        spool.submit(20 * SEC, load.clone(), &mut commands),
+        SubmitOutcome::Existing(id, ResultStage::Consumed)
     );
-    assert_eq!(spool.delete(21 * SEC, id, &what.owner, &mut steps), Ok(()));
     assert_eq!(
-        spool.submit(22 * SEC, what, &mut steps),
-        Verdict::Joined(id, Stage::Consumed)
+        spool.delete(21 * SEC, id, &load.owner, &mut commands),
+        Ok(())
+    );
+    assert_eq!(
+        spool.submit(22 * SEC, load, &mut commands),
+        SubmitOutcome::Existing(id, ResultStage::Consumed)
+    );
+    assert_eq!(
+        (commands, spool.stored_bytes(None)),
+        (vec![SpoolCommand::RemovePages(id)], 0)
     );
-    assert_eq!((steps, spool.bytes(None)), (vec![Step::Strip(id)], 0));
 }
 
-/// Guards what was promised: quota reached, expiry during a read, and a clock that is set back.
+/// Over an exhausted quota, an expiry during a read, and a clock that is set back.
 #[test]
-fn what_nobody_has_read_stays_for_its_time_and_what_is_read_until_it_is_left() {
-    let (mut spool, mut steps) = (Spool::new(limits()), Vec::new());
-    let (one, two) = (asked(1, 1, 1, false), asked(1, 2, 2, false));
-    let first = sealed(&mut spool, SEC, &one, &[300, 270]);
-    // The desk is full of what nobody has read: the next one is told when that ends.
+fn an_unread_result_is_stored_until_it_expires_and_a_read_one_until_the_read_ends() {
+    let mut spool = Spool::new(limits());
+    let mut commands = Vec::new();
+    let first_query = submission(1, 1, 1, Repeat::Allowed);
+    let second_query = submission(1, 2, 2, Repeat::Allowed);
+    let first = seal_result(&mut spool, SEC, &first_query, &[300, 270]);
+
+    // The tenant's quota is used by an unread result: the next query learns when that expires.
     assert_eq!(
-        spool.submit(2 * SEC, two.clone(), &mut steps),
-        Verdict::NoRoom(Some(61 * SEC))
+        spool.submit(2 * SEC, second_query.clone(), &mut commands),
+        SubmitOutcome::NoCapacity {
+            earliest_expiry: Some(61 * SEC)
+        }
     );
     spool
-        .read(60 * SEC, first, &one.owner, 0, &mut steps)
+        .begin_read(60 * SEC, first, &first_query.owner, 0, &mut commands)
         .unwrap();
-    spool.tick(100 * SEC, &mut steps);
-    spool.tick(10 * SEC, &mut steps);
-    assert!(steps.is_empty() && spool.stage(first) == Some(Stage::Sealed));
-    spool.left(10 * SEC, first, &mut steps);
-    assert_eq!(steps, [Step::Remove(first)]);
+    spool.expire(100 * SEC, &mut commands);
+    spool.expire(10 * SEC, &mut commands);
+    assert!(commands.is_empty() && spool.stage(first) == Some(ResultStage::Sealed));
+    spool.end_read(10 * SEC, first, &mut commands);
+    assert_eq!(commands, [SpoolCommand::Remove(first)]);
     assert!(matches!(
-        spool.submit(10 * SEC, two, &mut steps),
-        Verdict::New(_)
+        spool.submit(10 * SEC, second_query, &mut commands),
+        SubmitOutcome::Admitted(_)
     ));
 }
 
-/// Another's handle, a forged one and one whose time is over look alike.
 #[test]
-fn a_stranger_learns_nothing() {
-    let (mut spool, mut steps) = (Spool::new(limits()), Vec::new());
-    let what = asked(1, 1, 1, false);
-    let id = sealed(&mut spool, SEC, &what, &[10]);
-    let stranger = asked(3, 1, 1, false).owner;
+fn results_of_others_unknown_ones_and_expired_ones_look_alike() {
+    let mut spool = Spool::new(limits());
+    let mut commands = Vec::new();
+    let query = submission(1, 1, 1, Repeat::Allowed);
+    let id = seal_result(&mut spool, SEC, &query, &[10]);
+    let stranger = submission(3, 1, 1, Repeat::Allowed).owner;
+
     assert_eq!(
-        spool.read(SEC, id, &stranger, 0, &mut steps),
-        Err(Denied::Unknown)
+        spool.begin_read(SEC, id, &stranger, 0, &mut commands),
+        Err(AccessError::Unknown)
     );
     assert_eq!(
-        spool.delete(SEC, id, &stranger, &mut steps),
-        Err(Denied::Unknown)
+        spool.delete(SEC, id, &stranger, &mut commands),
+        Err(AccessError::Unknown)
     );
     assert_eq!(
-        spool.acknowledge(SEC, ResultId(99), &what.owner, 0),
-        Err(Denied::Unknown)
+        spool.acknowledge(SEC, ResultId(99), &query.owner, 0),
+        Err(AccessError::Unknown)
     );
     assert_eq!(
-        spool.read(99 * SEC, id, &what.owner, 0, &mut steps),
-        Err(Denied::Unknown)
+        spool.begin_read(99 * SEC, id, &query.owner, 0, &mut commands),
+        Err(AccessError::Unknown)
     );
 }
 
-/// What a store would hold: kept beside the machine, and all that is left of it after a kill.
-#[derive(Default)]
-struct Disk(BTreeMap<ResultId, Record>);
-
-impl Disk {
-    fn carry_out(
-        &mut self,
-        steps: &mut Vec<Step>,
-        runs: &mut BTreeMap<Name, u32>,
-        spool: &mut Spool,
-    ) {
-        while let Some(step) = steps.pop() {
-            match step {
-                Step::Remove(id) => drop(self.0.remove(&id)),
-                Step::Strip(id) => {
-                    if let Some(record) = self.0.get_mut(&id) {
-                        record.sealed = Some(Vec::new());
+/// A sealed result that has to be readable until it expires.
+struct PromisedResult {
+    page_sizes: Vec<u64>,
+    expires_at: Micros,
+}
+
+/// A spool with its store, random clients and engines, and crashes.
+struct SpoolModel {
+    spool: Spool,
+    rng: Pcg32,
+    now: Micros,
+    commands: Vec<SpoolCommand>,
+    /// What is durable: all that is left after a crash.
+    store: BTreeMap<ResultId, StoredResult>,
+    /// Runs of each query that must not run twice.
+    runs: BTreeMap<QueryKey, u32>,
+    promised: BTreeMap<ResultId, PromisedResult>,
+}
+
+impl SpoolModel {
+    fn new(seed: u64) -> SpoolModel {
+        SpoolModel {
+            spool: Spool::new(limits()),
+            rng: Pcg32::seed_from_u64(seed),
+            now: SEC,
+            commands: Vec::new(),
+            store: BTreeMap::new(),
+            runs: BTreeMap::new(),
+            promised: BTreeMap::new(),
+        }
+    }
+
+    /// A random number below `limit`.
+    fn draw(&mut self, limit: u32) -> u32 {
+        self.rng.next_u32() % limit
+    }
+
+    /// Carries out the commands, and those that follow from them.
+    fn carry_out_commands(&mut self) {
+        while let Some(command) = self.commands.pop() {
+            match command {
+                SpoolCommand::Remove(id) => drop(self.store.remove(&id)),
+                SpoolCommand::RemovePages(id) => {
+                    if let Some(stored) = self.store.get_mut(&id) {
+                        stored.sealed_page_sizes = Some(Vec::new());
                     }
                 }
-                Step::WriteIntent(id) => {
-                    let submission = spool.entries[&id].submission.clone();
-                    let (sealed, acknowledged, until) = (None, BTreeSet::new(), Micros::MAX);
-                    self.0.insert(
-                        id,
-                        Record {
-                            id,
-                            submission,
-                            sealed,
-                            acknowledged,
-                            until,
-                        },
-                    );
-                    let mut more = Vec::new();
-                    spool.intended(id, &mut more);
-                    steps.extend(more);
-                }
-                Step::Run(id) => {
-                    assert!(
-                        self.0.contains_key(&id),
-                        "it runs before its intent is durable"
-                    );
-                    let s = &spool.entries[&id].submission;
-                    *runs
-                        .entry((s.owner.clone(), s.query_id.clone()))
-                        .or_default() += u32::from(s.once);
-                    spool.started(id);
+                SpoolCommand::WriteIntent(id) => {
+                    let query = self.spool.results[&id].submission.clone();
+                    self.store.insert(id, unsealed(id.0, &query));
+                    self.spool.intent_stored(id, &mut self.commands);
                 }
-                Step::WriteSeal(_) | Step::Stop(_) => {}
+                SpoolCommand::Run(id) => self.run(id),
+                SpoolCommand::WriteSeal(_) | SpoolCommand::CancelAttempt(_) => {}
             }
         }
     }
-}
 
-type Name = (Owner, Rc<str>);
+    fn run(&mut self, id: ResultId) {
+        assert!(
+            self.store.contains_key(&id),
+            "it runs before its intent is durable"
+        );
+        let query = &self.spool.results[&id].submission;
+        let key = (query.owner.clone(), query.query_id.clone());
+        *self.runs.entry(key).or_default() += u32::from(query.must_not_repeat);
+        self.spool.attempt_started(id);
+    }
 
-/// Random clients, engines and kills: no load runs twice within its time, nothing is sealed that
-/// did not end well, quotas hold, and what is sealed and unread is there until its time, after
-/// every kill too.
+    /// One random event.
+    fn step(&mut self) {
+        self.now += Micros::from(self.draw(400_000));
+        let ids: Vec<ResultId> = self.spool.results.keys().copied().collect();
+        let id = ids.get(self.draw(12) as usize).copied().unwrap_or_default();
+        match self.draw(12) {
+            0..=2 => self.submit(),
+            3..=5 => {
+                let bytes = u64::from(self.draw(120));
+                self.spool.add_page(self.now, id, bytes, &mut self.commands);
+            }
+            6 => self.complete(id),
+            7 => self.fail(id),
+            8 => self.read(id),
+            9 => self.acknowledge(id),
+            10 if self.draw(6) == 0 => self.delete(id),
+            11 if self.draw(8) == 0 => self.crash(),
+            _ => self.spool.expire(self.now, &mut self.commands),
+        }
+    }
+
+    fn owner_of(&self, id: ResultId) -> Owner {
+        let known = self.spool.results.get(&id);
+        known.map_or(submission(0, 0, 0, Repeat::Allowed).owner, |result| {
+            result.submission.owner.clone()
+        })
+    }
+
+    fn submit(&mut self) {
+        let query = self.draw(300);
+        let repeat = if query.is_multiple_of(3) {
+            Repeat::Forbidden
+        } else {
+            Repeat::Allowed
+        };
+        let submission = submission((query % 4) as u16, query, 1, repeat);
+        self.spool.submit(self.now, submission, &mut self.commands);
+    }
+
+    /// The query completes; in one of four cases its seal does not become durable.
+    fn complete(&mut self, id: ResultId) {
+        self.spool.attempt_completed(id, &mut self.commands);
+        if self.spool.stage(id) != Some(ResultStage::Sealing) || self.draw(4) == 0 {
+            return;
+        }
+        self.spool.seal_stored(self.now, id);
+        let result = &self.spool.results[&id];
+        let stored = self.store.get_mut(&id).expect("its intent is durable");
+        stored.sealed_page_sizes = Some(result.page_sizes.clone());
+        stored.expires_at = result.expires_at;
+        let promised = PromisedResult {
+            page_sizes: result.page_sizes.clone(),
+            expires_at: result.expires_at,
+        };
+        self.promised.insert(id, promised);
+    }
+
+    fn fail(&mut self, id: ResultId) {
+        let may_have_run = self.draw(2) == 0 || self.spool.stage(id) != Some(ResultStage::Running);
+        // An attempt that is reported as never run does not count as a run.
+        if let Some(result) = self.spool.results.get(&id)
+            && !may_have_run
+            && result.submission.must_not_repeat
+        {
+            let query = &result.submission;
+            let key = (query.owner.clone(), query.query_id.clone());
+            self.runs.entry(key).and_modify(|count| *count -= 1);
+        }
+        self.spool
+            .attempt_failed(self.now, id, may_have_run, &mut self.commands);
+    }
+
+    fn read(&mut self, id: ResultId) {
+        let owner = self.owner_of(id);
+        let page = self.draw(3) as usize;
+        let read = self
+            .spool
+            .begin_read(self.now, id, &owner, page, &mut self.commands);
+        if read.is_ok() {
+            self.spool.end_read(self.now, id, &mut self.commands);
+        }
+    }
+
+    fn acknowledge(&mut self, id: ResultId) {
+        let owner = self.owner_of(id);
+        let page = self.draw(3) as usize;
+        let Ok(all) = self.spool.acknowledge(self.now, id, &owner, page) else {
+            return;
+        };
+        let stored = self.store.get_mut(&id).expect("sealed is durable");
+        stored.acknowledged_pages.insert(page);
+        if all {
+            stored.expires_at = self.spool.results[&id].expires_at;
+            self.promised.remove(&id);
+        }
+    }
+
+    fn delete(&mut self, id: ResultId) {
+        let owner = self.owner_of(id);
+        let deleted = self.spool.delete(self.now, id, &owner, &mut self.commands);
+        if deleted.is_ok() {
+            self.promised.remove(&id);
+        }
+    }
+
+    /// Commands that were not carried out are lost, and the clock may have been set back.
+    fn crash(&mut self) {
+        self.commands.clear();
+        let stored = self.store.values().cloned().collect();
+        let set_back = self.now - SEC / 2;
+        self.spool = Spool::recover(limits(), set_back, self.now, stored, &mut self.commands);
+    }
+
+    fn check(&mut self) {
+        let now = self.now;
+        self.promised
+            .retain(|_, promised| promised.expires_at > now);
+        for (id, promised) in &self.promised {
+            let result = self
+                .spool
+                .results
+                .get(id)
+                .expect("sealed and unread is stored until it expires");
+            let readable = matches!(result.stage, ResultStage::Sealed | ResultStage::Consumed);
+            assert_eq!((&result.page_sizes, readable), (&promised.page_sizes, true));
+        }
+        let first_tenant = Some(TenantId(0));
+        assert!(
+            self.spool.stored_bytes(None) <= 1_000 && self.spool.stored_bytes(first_tenant) <= 600
+        );
+        let result_count = self.spool.results.len();
+        assert!(result_count <= 12 + 1 && self.spool.ids_by_query.len() == result_count);
+        let allowed_runs = (now / (60 * SEC)) as u32 + 1;
+        assert!(
+            self.runs.values().all(|count| *count <= allowed_runs),
+            "a load ran again within its retention: {:?}",
+            self.runs
+        );
+    }
+}
+
+/// Random clients, engines and crashes: no load runs twice within its retention, nothing is sealed
+/// that did not complete, quotas are kept, and what is sealed and unread is stored until it
+/// expires, also after a crash.
 #[test]
-fn random_steps_and_kills_keep_what_was_promised() {
+fn promises_are_kept_under_random_steps_and_crashes() {
     for seed in 0..60 {
-        let mut rng = Pcg32::seed_from_u64(seed);
-        let mut draw = move |n: u32| rng.next_u32() % n;
-        let (mut spool, mut disk, mut steps) = (Spool::new(limits()), Disk::default(), Vec::new());
-        let (mut runs, mut now) = (BTreeMap::new(), SEC);
-        let mut promised: BTreeMap<ResultId, (Vec<u64>, Micros)> = BTreeMap::new();
+        let mut model = SpoolModel::new(seed);
         for _ in 0..600 {
-            now += Micros::from(draw(400_000));
-            let ids: Vec<ResultId> = spool.entries.keys().copied().collect();
-            let id = ids.get(draw(12) as usize).copied().unwrap_or_default();
-            let owner = spool
-                .entries
-                .get(&id)
-                .map_or(asked(0, 0, 0, false).owner, |e| e.submission.owner.clone());
-            match draw(12) {
-                0..=2 => {
-                    let query = draw(300);
-                    let what = asked((query % 4) as u16, query, 1, query.is_multiple_of(3));
-                    spool.submit(now, what, &mut steps);
-                }
-                3..=5 => drop(spool.page(now, id, u64::from(draw(120)), &mut steps)),
-                6 => {
-                    spool.done(id, &mut steps);
-                    if spool.stage(id) == Some(Stage::Sealing) && draw(4) > 0 {
-                        spool.sealed(now, id);
-                        let e = &spool.entries[&id];
-                        let record = disk.0.get_mut(&id).expect("its intent is durable");
-                        (record.sealed, record.until) = (Some(e.pages.clone()), e.until);
-                        promised.insert(id, (e.pages.clone(), e.until));
-                    }
-                }
-                7 => {
-                    // What is said never to have run does not count as a run.
-                    let may = draw(2) == 0 || spool.stage(id) != Some(Stage::Running);
-                    if let Some(e) = spool.entries.get(&id).filter(|e| !may && e.submission.once) {
-                        let name = (e.submission.owner.clone(), e.submission.query_id.clone());
-                        runs.entry(name).and_modify(|n| *n -= 1);
-                    }
-                    spool.failed(now, id, may, &mut steps);
-                }
-                8 => {
-                    if spool
-                        .read(now, id, &owner, draw(3) as usize, &mut steps)
-                        .is_ok()
-                    {
-                        spool.left(now, id, &mut steps);
-                    }
-                }
-                9 => {
-                    let page = draw(3) as usize;
-                    if let Ok(whole) = spool.acknowledge(now, id, &owner, page) {
-                        let record = disk.0.get_mut(&id).expect("sealed is durable");
-                        record.acknowledged.insert(page);
-                        if whole {
-                            record.until = spool.entries[&id].until;
-                            promised.remove(&id);
-                        }
-                    }
-                }
-                10 if draw(6) == 0 => {
-                    if spool.delete(now, id, &owner, &mut steps).is_ok() {
-                        promised.remove(&id);
-                    }
-                }
-                11 if draw(8) == 0 => {
-                    // Killed: orders that were not carried out are gone, and the clock may have
-                    // been set back.
-                    steps.clear();
-                    let records = disk.0.values().cloned().collect();
-                    spool = Spool::recover(limits(), now - SEC / 2, now, records, &mut steps);
-                }
-                _ => spool.tick(now, &mut steps),
-            }
-            disk.carry_out(&mut steps, &mut runs, &mut spool);
-            promised.retain(|_, (_, until)| *until > now);
-            for (id, (pages, _)) in &promised {
-                let e = spool
-                    .entries
-                    .get(id)
-                    .expect("sealed and unread is kept for its time");
-                assert_eq!(
-                    (&e.pages, matches!(e.stage, Stage::Sealed | Stage::Consumed)),
-                    (pages, true)
-                );
-            }
-            assert!(spool.bytes(None) <= 1_000 && spool.bytes(Some(TenantId(0))) <= 600);
-            assert!(spool.entries.len() <= 12 + 1 && spool.names.len() == spool.entries.len());
-            let times = (now / (60 * SEC)) as u32 + 1;
-            assert!(
-                runs.values().all(|n| *n <= times),
-                "a load ran again within its time: {runs:?}"
-            );
+            model.step();
+            model.carry_out_commands();
+            model.check();
         }
     }
 }
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -22,7 +22,7 @@
 };
 use yokelift::net::fleet::membership::{Row, View};
 use yokelift::policy::api::TenantId;
-use yokelift::spool::handle::Keys;
+use yokelift::spool::handle::HandleKeys;
 use yokelift::spool::{Owner, ResultId};
 use yokelift::testkit::daemon::Folder;
 
@@ -366,14 +366,14 @@
 #[test]
 fn handles_are_made_and_opened_as_before() {
     let owner = Owner {
-        desk: TenantId(3),
+        tenant: TenantId(3),
         user: "anna".into(),
     };
-    let keys = Keys::new(1, [7; 32]);
-    let handle = keys.make(ResultId(42), &owner).expect("a handle");
+    let keys = HandleKeys::new(1, [7; 32]);
+    let handle = keys.issue(ResultId(42), &owner).expect("a handle");
     assert_text("handle.txt", &format!("{handle}\n"));
     assert_eq!(
-        keys.open(fixture_text("handle.txt").trim_end(), &owner),
+        keys.verify(fixture_text("handle.txt").trim_end(), &owner),
         Some(ResultId(42))
     );
 }
