--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,13 +1,13 @@
-//! Time: whole microseconds on the monotonic clock, anchored once to the Unix clock at the start of
-//! the program.
+//! Time of the program: microseconds of the monotonic clock, anchored to the Unix clock at its first
+//! use on a thread.
 //!
-//! Each loop reads the clock once a turn with [`turn`]; all that happens in that turn happens at
-//! [`now`].
+//! Each loop reads the clock once per iteration with [`turn`]. Everything in that iteration happens
+//! at the same time, which [`now`] returns.
 use crate::policy::api::Nanos;
 use std::cell::Cell;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A point in time or a duration, in microseconds.
+/// A point in time, as Unix time, or a duration; in microseconds.
 pub type Micros = u64;
 
 /// A millisecond.
@@ -15,37 +15,60 @@
 /// A second.
 pub const SEC: Micros = 1_000_000;
 
+/// Nanoseconds of a microsecond.
+const NANOS_PER_MICRO: Nanos = 1_000;
+
+/// One moment on both clocks.
+#[derive(Clone, Copy)]
+struct Anchor {
+    instant: Instant,
+    unix: Micros,
+}
+
+impl Anchor {
+    fn at_present() -> Anchor {
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Anchor {
+            instant: Instant::now(),
+            unix: unix.as_micros() as Micros,
+        }
+    }
+}
+
 thread_local! {
-    static ANCHOR: (Instant, Micros) = {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        (Instant::now(), unix.as_micros() as Micros)
-    };
+    static ANCHOR: Anchor = Anchor::at_present();
+    /// The last reading; 0 before the first.
     static NOW: Cell<Micros> = const { Cell::new(0) };
 }
 
-/// Reads the clock: the start of a turn.
+/// Reads the clock, at the start of an iteration.
 pub fn turn() -> Micros {
-    let now = ANCHOR.with(|(at, unix)| unix + at.elapsed().as_micros() as Micros);
+    let anchor = ANCHOR.with(|anchor| *anchor);
+    let now = anchor.unix + anchor.instant.elapsed().as_micros() as Micros;
     NOW.set(now);
     now
 }
 
-/// The time of the present turn.
+/// The time of the present iteration: the last reading of [`turn`].
 pub fn now() -> Micros {
     if NOW.get() == 0 { turn() } else { NOW.get() }
 }
 
-/// The same point for timers of the reactor.
+/// The point of the monotonic clock at `at`, for timers of the reactor. Times before the anchor
+/// give that of the anchor.
 pub fn instant(at: Micros) -> Instant {
-    ANCHOR.with(|(anchor, unix)| *anchor + Duration::from_micros(at.saturating_sub(*unix)))
+    let anchor = ANCHOR.with(|anchor| *anchor);
+    anchor.instant + Duration::from_micros(at.saturating_sub(anchor.unix))
 }
 
-/// For the module, which counts nanoseconds.
+/// Converts to the unit of the decision module. Saturates.
 pub fn nanos(at: Micros) -> Nanos {
-    at.saturating_mul(1_000)
+    at.saturating_mul(NANOS_PER_MICRO)
 }
 
-/// From the module. Rounded up, so that a timer is never early.
+/// Converts from the unit of the decision module. Rounds up, so that a timer never fires early.
 pub fn micros(at: Nanos) -> Micros {
-    at.div_ceil(1_000)
+    at.div_ceil(NANOS_PER_MICRO)
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,51 +1,66 @@
-//! HTTP/1.1 as both sides of the ClickHouse interface need it: heads, bodies, and the escapes of
-//! URLs.
+//! HTTP/1.1 as the ClickHouse interface needs it on both sides (RFC 9112): heads, framing of bodies,
+//! and percent-encoding of URLs. Pure: bytes in, values out.
 
-/// A longer head is refused.
-pub const MOST_HEAD: usize = 32 * 1024;
-const MOST_FIELDS: usize = 100;
-/// The line before a chunk holds a size and perhaps an extension.
-const MOST_CHUNK_LINE: usize = 256;
+/// Greatest length of a head in bytes.
+pub const MAX_HEAD_BYTES: usize = 32 * 1024;
+
+/// Greatest number of fields of a head.
+const MAX_FIELDS: usize = 100;
+
+/// Greatest length of the line before a chunk, which holds its size and perhaps extensions.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
+
+/// The end of a head.
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// Why a message can't be read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// It is not HTTP/1.x.
+    /// It violates the grammar of HTTP/1.x.
+    #[error("malformed HTTP message")]
     Malformed,
-    /// Its head is too long.
+    /// Its head exceeds [`MAX_HEAD_BYTES`].
+    #[error("the head of the HTTP message is too long")]
     HeadTooLong,
-    /// Its body is longer than was agreed.
+    /// Its body exceeds the limit of the caller.
+    #[error("the body of the HTTP message is too long")]
     BodyTooLong,
-    /// It needs what this program does not do.
+    /// It uses a transfer coding that is not supported.
+    #[error("the HTTP message uses an unsupported transfer coding")]
     Unsupported,
 }
 
-/// The head of a request or of an answer.
+/// The head of a request or of a response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Head {
-    /// The three parts of the first line.
+    /// The three parts of the start line: method, target and version of a request; version, status
+    /// and reason of a response.
     pub first: [String; 3],
-    /// Names in lower case, and values.
+    /// Names, in lower case, and values of the fields, in order.
     pub fields: Vec<(String, String)>,
 }
 
 impl Head {
-    /// The value of a field.
+    /// The value of the first field of this name (in lower case).
     pub fn field(&self, name: &str) -> Option<&str> {
+        self.values_of(name).next()
+    }
+
+    fn values_of<'a>(&'a self, name: &str) -> impl Iterator<Item = &'a str> {
         self.fields
             .iter()
-            .find(|(n, _)| n == name)
-            .map(|(_, v)| v.as_str())
+            .filter(move |(known, _)| known == name)
+            .map(|(_, value)| value.as_str())
     }
 
-    /// Whether a field holds that word among those between commas.
+    /// Whether a field that is a comma-separated list contains this word, in any case.
     pub fn has_word(&self, name: &str, word: &str) -> bool {
-        let all = self.fields.iter().filter(|(n, _)| n == name);
-        all.flat_map(|(_, v)| v.split(','))
-            .any(|w| w.trim().eq_ignore_ascii_case(word))
+        self.values_of(name)
+            .flat_map(|value| value.split(','))
+            .any(|element| element.trim().eq_ignore_ascii_case(word))
     }
 
-    /// Whether the connection stays open after this message, whose version is the given one.
+    /// Whether the connection stays open after this message, which is of the given version.
     pub fn keeps_alive(&self, version: &str) -> bool {
         match version {
             "HTTP/1.1" => !self.has_word("connection", "close"),
@@ -53,36 +68,52 @@
         }
     }
 
-    /// How the body that follows is framed; `without` says what no word about it means.
-    pub fn body(&self, without: Body) -> Result<Body, Fault> {
-        let lengths: Vec<&str> = self
-            .fields
-            .iter()
-            .filter(|(n, _)| n == "content-length")
-            .map(|(_, v)| v.as_str())
-            .collect();
+    /// The framing of the body that follows; `default` if the head states none.
+    ///
+    /// # Errors
+    ///
+    /// [`Fault::Malformed`] if the framing is ambiguous or no number: a message with both a length
+    /// and a transfer coding, or with two lengths, could be framed differently by another recipient
+    /// (request smuggling). [`Fault::Unsupported`] for any coding but `chunked`.
+    pub fn body(&self, default: Body) -> Result<Body, Fault> {
+        let lengths: Vec<&str> = self.values_of("content-length").collect();
         match (self.field("transfer-encoding"), &lengths[..]) {
-            // Both, or two lengths, is how requests are smuggled past one reader to another.
             (Some(_), [_, ..]) | (_, [_, _, ..]) => Err(Fault::Malformed),
             (Some(coding), []) if coding.eq_ignore_ascii_case("chunked") => {
                 Ok(Body::Chunked(Chunk::Line))
             }
             (Some(_), []) => Err(Fault::Unsupported),
-            (None, []) => Ok(without),
-            (None, [length]) if length.bytes().all(|c| c.is_ascii_digit()) => length
-                .parse()
-                .map(Body::Length)
-                .map_err(|_| Fault::Malformed),
-            (None, _) => Err(Fault::Malformed),
+            (None, []) => Ok(default),
+            (None, [length]) => content_length(length).map(Body::Length),
         }
     }
 }
 
-/// Reads a head, if it is there whole, and tells its length.
+/// Digits alone: `str::parse` would also accept a sign.
+fn content_length(text: &str) -> Result<u64, Fault> {
+    if !text.bytes().all(|byte| byte.is_ascii_digit()) {
+        return Err(Fault::Malformed);
+    }
+    text.parse().map_err(|_| Fault::Malformed)
+}
+
+/// A byte that a token, such as the name of a field, may contain.
+fn is_token_byte(byte: u8) -> bool {
+    byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
+}
+
+/// Parses a head if the input holds all of it. Returns it with its length in bytes.
+///
+/// # Errors
+///
+/// [`Fault::HeadTooLong`] and [`Fault::Malformed`].
 pub fn head(input: &[u8]) -> Result<Option<(Head, usize)>, Fault> {
-    let seen = &input[..input.len().min(MOST_HEAD)];
-    let Some(end) = seen.windows(4).position(|w| w == b"\r\n\r\n") else {
-        return if input.len() >= MOST_HEAD {
+    let searched = &input[..input.len().min(MAX_HEAD_BYTES)];
+    let end = searched
+        .windows(HEAD_END.len())
+        .position(|window| window == HEAD_END);
+    let Some(end) = end else {
+        return if input.len() >= MAX_HEAD_BYTES {
             Err(Fault::HeadTooLong)
         } else {
             Ok(None)
@@ -90,251 +121,218 @@
     };
     let text = std::str::from_utf8(&input[..end]).map_err(|_| Fault::Malformed)?;
     let mut lines = text.split("\r\n");
-    let mut first = lines
-        .next()
-        .unwrap_or_default()
-        .splitn(3, ' ')
-        .map(str::to_owned);
-    let mut part = || first.next().unwrap_or_default();
+    let mut parts = lines.next().unwrap_or_default().splitn(3, ' ');
+    let mut next_part = || parts.next().unwrap_or_default().to_owned();
     let mut head = Head {
-        first: [part(), part(), part()],
+        first: [next_part(), next_part(), next_part()],
         fields: Vec::new(),
     };
     for line in lines {
-        let (name, value) = line.split_once(':').ok_or(Fault::Malformed)?;
-        let token = |c: u8| c.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&c);
-        if name.is_empty() || !name.bytes().all(token) || head.fields.len() >= MOST_FIELDS {
+        if head.fields.len() >= MAX_FIELDS {
             return Err(Fault::Malformed);
         }
-        head.fields
-            .push((name.to_ascii_lowercase(), value.trim().to_owned()));
+        head.fields.push(parse_field(line)?);
+    }
+    Ok(Some((head, end + HEAD_END.len())))
+}
+
+/// The name, in lower case, and the value of a field.
+fn parse_field(line: &str) -> Result<(String, String), Fault> {
+    let (name, value) = line.split_once(':').ok_or(Fault::Malformed)?;
+    if name.is_empty() || !name.bytes().all(is_token_byte) {
+        return Err(Fault::Malformed);
     }
-    Ok(Some((head, end + 4)))
+    Ok((name.to_ascii_lowercase(), value.trim().to_owned()))
 }
 
-/// Where a chunked body stands.
+/// What comes next of a chunked body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Chunk {
-    /// Before the line that tells a chunk's size.
+    /// The line that states a chunk's size.
     Line,
-    /// So many bytes of the chunk are to come.
+    /// This number of bytes of the chunk.
     Data(u64),
-    /// Behind a chunk's data.
+    /// The end of the line behind a chunk's data.
     DataEnd,
-    /// In the lines behind the last chunk.
+    /// The trailer fields behind the last chunk.
     Trailer,
 }
 
-/// A body, as far as it has been read.
+impl Chunk {
+    /// The state after a line of framing; `None` if that was the end of the body.
+    fn after_line(self, line: &[u8]) -> Result<Option<Chunk>, Fault> {
+        match self {
+            Chunk::Line => match chunk_size(line).ok_or(Fault::Malformed)? {
+                0 => Ok(Some(Chunk::Trailer)),
+                size => Ok(Some(Chunk::Data(size))),
+            },
+            Chunk::DataEnd if line.is_empty() => Ok(Some(Chunk::Line)),
+            Chunk::Trailer if line.is_empty() => Ok(None),
+            Chunk::Trailer => Ok(Some(Chunk::Trailer)),
+            Chunk::DataEnd | Chunk::Data(_) => Err(Fault::Malformed),
+        }
+    }
+}
+
+/// What is left to read of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// So many bytes are to come.
+    /// This number of bytes.
     Length(u64),
-    /// In chunks.
+    /// Chunks.
     Chunked(Chunk),
-    /// It lasts until the connection is closed.
+    /// All bytes until the connection is closed.
     UntilClose,
 }
 
 impl Body {
-    /// Reads on, and adds to `body` at most until it holds `most`. Tells how much was used, and
-    /// whether the body is whole.
+    /// Reads on, and appends to `body`. Returns the number of bytes used of the input, and whether
+    /// the body is complete.
+    ///
+    /// # Errors
+    ///
+    /// [`Fault::BodyTooLong`] if `body` would exceed `max_bytes`; [`Fault::Malformed`].
     pub fn read(
         &mut self,
         input: &[u8],
         body: &mut Vec<u8>,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<(usize, bool), Fault> {
         let mut used = 0;
         loop {
             let rest = &input[used..];
-            let take = match self {
-                Body::Length(0) => return Ok((used, true)),
-                Body::Length(left) | Body::Chunked(Chunk::Data(left)) => {
-                    rest.len().min(usize_of(*left))
-                }
-                Body::UntilClose => rest.len(),
-                Body::Chunked(part @ (Chunk::Line | Chunk::DataEnd | Chunk::Trailer)) => {
-                    let Some(end) = rest.iter().take(MOST_CHUNK_LINE).position(|c| *c == b'\n')
-                    else {
-                        let long = rest.len() >= MOST_CHUNK_LINE;
-                        return if long {
-                            Err(Fault::Malformed)
-                        } else {
-                            Ok((used, false))
-                        };
-                    };
-                    let line = rest[..end].strip_suffix(b"\r").unwrap_or(&rest[..end]);
-                    used += end + 1;
-                    *part = match part {
-                        Chunk::Line => match size(line).ok_or(Fault::Malformed)? {
-                            0 => Chunk::Trailer,
-                            n => Chunk::Data(n),
-                        },
-                        Chunk::DataEnd if line.is_empty() => Chunk::Line,
-                        Chunk::Trailer if line.is_empty() => return Ok((used, true)),
-                        Chunk::Trailer => Chunk::Trailer,
-                        Chunk::DataEnd | Chunk::Data(_) => return Err(Fault::Malformed),
-                    };
-                    continue;
+            if let Body::Chunked(state @ (Chunk::Line | Chunk::DataEnd | Chunk::Trailer)) = self {
+                let Some((line, length)) = framing_line(rest)? else {
+                    return Ok((used, false));
+                };
+                used += length;
+                match state.after_line(line)? {
+                    Some(next) => *state = next,
+                    None => return Ok((used, true)),
                 }
-            };
-            if body.len() + take > most {
+                continue;
+            }
+            if *self == Body::Length(0) {
+                return Ok((used, true));
+            }
+            let take = self.available_data(rest.len());
+            if body.len() + take > max_bytes {
                 return Err(Fault::BodyTooLong);
             }
             body.extend_from_slice(&rest[..take]);
             used += take;
-            match self {
-                Body::Length(left) => *left -= take as u64,
-                Body::Chunked(part @ Chunk::Data(_)) => {
-                    let Chunk::Data(left) = part else { continue };
-                    *left -= take as u64;
-                    if *left == 0 {
-                        *part = Chunk::DataEnd;
-                    }
-                }
-                Body::UntilClose | Body::Chunked(_) => {}
-            }
+            self.consume_data(take as u64);
             if take == rest.len() && *self != Body::Length(0) {
                 return Ok((used, false));
             }
         }
     }
+
+    /// How many of the next `input_length` bytes are data.
+    fn available_data(&self, input_length: usize) -> usize {
+        match self {
+            Body::Length(left) | Body::Chunked(Chunk::Data(left)) => {
+                input_length.min(usize::try_from(*left).unwrap_or(usize::MAX))
+            }
+            Body::UntilClose => input_length,
+            Body::Chunked(Chunk::Line | Chunk::DataEnd | Chunk::Trailer) => 0,
+        }
+    }
+
+    fn consume_data(&mut self, count: u64) {
+        match self {
+            Body::Length(left) => *left -= count,
+            Body::Chunked(state) => {
+                if let Chunk::Data(left) = *state {
+                    *state = match left - count {
+                        0 => Chunk::DataEnd,
+                        remaining => Chunk::Data(remaining),
+                    };
+                }
+            }
+            Body::UntilClose => {}
+        }
+    }
 }
 
-fn usize_of(n: u64) -> usize {
-    usize::try_from(n).unwrap_or(usize::MAX)
+/// The next line of a chunked body's framing without its end, and its length with that. `None` if
+/// the input does not hold all of it.
+fn framing_line(input: &[u8]) -> Result<Option<(&[u8], usize)>, Fault> {
+    let end = input
+        .iter()
+        .take(MAX_CHUNK_LINE_BYTES)
+        .position(|byte| *byte == b'\n');
+    let Some(end) = end else {
+        return if input.len() >= MAX_CHUNK_LINE_BYTES {
+            Err(Fault::Malformed)
+        } else {
+            Ok(None)
+        };
+    };
+    let line = &input[..end];
+    let line = line.strip_suffix(b"\r").unwrap_or(line);
+    Ok(Some((line, end + 1)))
 }
 
-fn size(line: &[u8]) -> Option<u64> {
+/// The size in the line before a chunk, without its extensions.
+fn chunk_size(line: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(line).ok()?;
     let hex = text.split(';').next()?.trim();
-    let plain = !hex.is_empty() && hex.bytes().all(|c| c.is_ascii_hexdigit());
-    u64::from_str_radix(hex, 16).ok().filter(|_| plain)
+    // `from_str_radix` would also accept a sign.
+    if !hex.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        return None;
+    }
+    u64::from_str_radix(hex, 16).ok()
 }
 
-/// Undoes the escapes of a URL; in a query a plus stands for a space.
+/// Decodes the percent-encoding of a query, in which a plus stands for a space. `None` if it is
+/// malformed or not UTF-8.
 pub fn unescape(text: &str) -> Option<String> {
-    let (mut out, mut bytes) = (Vec::with_capacity(text.len()), text.bytes());
-    while let Some(c) = bytes.next() {
-        out.push(match c {
+    let mut decoded = Vec::with_capacity(text.len());
+    let mut bytes = text.bytes();
+    while let Some(byte) = bytes.next() {
+        decoded.push(match byte {
             b'+' => b' ',
             b'%' => {
-                let (high, low) = (bytes.next()?, bytes.next()?);
-                let digit = |c: u8| char::from(c).to_digit(16);
-                (digit(high)? * 16 + digit(low)?) as u8
+                let high = hex_digit(bytes.next()?)?;
+                let low = hex_digit(bytes.next()?)?;
+                high * 16 + low
             }
             other => other,
         });
     }
-    String::from_utf8(out).ok()
+    String::from_utf8(decoded).ok()
+}
+
+fn hex_digit(byte: u8) -> Option<u8> {
+    let digit = char::from(byte).to_digit(16)?;
+    u8::try_from(digit).ok()
 }
 
-/// Escapes a value for the query of a URL.
+/// Percent-encodes a value for the query of a URL.
 pub fn escape(text: &str) -> String {
-    let plain = |c: u8| c.is_ascii_alphanumeric() || b"-_.~".contains(&c);
-    let one = |c: u8| {
-        if plain(c) {
-            char::from(c).to_string()
+    let mut encoded = String::with_capacity(text.len());
+    for byte in text.bytes() {
+        if byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte) {
+            encoded.push(char::from(byte));
         } else {
-            format!("%{c:02X}")
+            encoded += &format!("%{byte:02X}");
         }
-    };
-    text.bytes().map(one).collect()
+    }
+    encoded
 }
 
-/// The path and the parameters of a request's target.
+/// The path and the decoded parameters of a request's target. `None` if a parameter is malformed.
 pub fn target(target: &str) -> Option<(&str, Vec<(String, String)>)> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
-    let pairs = query.split('&').filter(|p| !p.is_empty());
-    let pair = |p: &str| {
-        let (name, value) = p.split_once('=').unwrap_or((p, ""));
-        Some((unescape(name)?, unescape(value)?))
-    };
-    Some((path, pairs.map(pair).collect::<Option<_>>()?))
+    let mut parameters = Vec::new();
+    for parameter in query.split('&').filter(|text| !text.is_empty()) {
+        let (name, value) = parameter.split_once('=').unwrap_or((parameter, ""));
+        parameters.push((unescape(name)?, unescape(value)?));
+    }
+    Some((path, parameters))
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use quickcheck::{Gen, QuickCheck};
-
-    /// A body comes out the same however the bytes are cut, and is whole only with its last byte.
-    #[test]
-    fn chunked_bodies_survive_any_cut() {
-        fn cut(parts: Vec<Vec<u8>>, step: u8) -> bool {
-            let mut wire = Vec::new();
-            for part in parts.iter().filter(|p| !p.is_empty()) {
-                wire.extend_from_slice(format!("{:x};x=y\r\n", part.len()).as_bytes());
-                wire.extend_from_slice(part);
-                wire.extend_from_slice(b"\r\n");
-            }
-            wire.extend_from_slice(b"0\r\nTrailer: x\r\n\r\n");
-            let (mut body, mut state, mut held) =
-                (Vec::new(), Body::Chunked(Chunk::Line), Vec::new());
-            let (mut whole, mut taken) = (false, 0);
-            for piece in wire.chunks(usize::from(step % 7) + 1) {
-                if whole {
-                    return false;
-                }
-                held.extend_from_slice(piece);
-                let Ok((used, done)) = state.read(&held, &mut body, 1 << 20) else {
-                    return false;
-                };
-                held.drain(..used);
-                (whole, taken) = (done, taken + used);
-            }
-            whole && taken == wire.len() && body == parts.concat()
-        }
-        let mut check = QuickCheck::new()
-            .rng(Gen::from_size_and_seed(40, 7))
-            .tests(300);
-        check.quickcheck(cut as fn(Vec<Vec<u8>>, u8) -> bool);
-    }
-
-    #[test]
-    fn heads_are_read_whole_or_refused() {
-        let text =
-            b"GET /?query=SELECT+1%20x HTTP/1.1\r\nHost: a\r\nX-ClickHouse-User: u\r\n\r\nrest";
-        let (found, length) = head(text).unwrap().unwrap();
-        assert_eq!(&text[length..], b"rest");
-        assert_eq!(found.field("x-clickhouse-user"), Some("u"));
-        let (path, pairs) = target(&found.first[1]).unwrap();
-        assert_eq!((path, pairs[0].1.as_str()), ("/", "SELECT 1 x"));
-        assert_eq!(head(&text[..20]), Ok(None));
-        assert_eq!(
-            head(b"GET / HTTP/1.1\r\nno colon\r\n\r\n"),
-            Err(Fault::Malformed)
-        );
-        assert_eq!(head(&[b'a'; MOST_HEAD]), Err(Fault::HeadTooLong));
-        assert_eq!(target("/?query=%4"), None);
-    }
-
-    #[test]
-    fn bodies_with_two_lengths_are_refused() {
-        let two = |fields: &str| {
-            let text = format!("POST / HTTP/1.1\r\n{fields}\r\n\r\n");
-            head(text.as_bytes())
-                .unwrap()
-                .unwrap()
-                .0
-                .body(Body::Length(0))
-        };
-        assert_eq!(
-            two("Content-Length: 5\r\nTransfer-Encoding: chunked"),
-            Err(Fault::Malformed)
-        );
-        assert_eq!(
-            two("Content-Length: 5\r\nContent-Length: 6"),
-            Err(Fault::Malformed)
-        );
-        assert_eq!(two("Content-Length: +5"), Err(Fault::Malformed));
-        assert_eq!(two("Transfer-Encoding: gzip"), Err(Fault::Unsupported));
-        assert_eq!(two("Content-Length: 5"), Ok(Body::Length(5)));
-        let mut body = Body::Length(5);
-        assert_eq!(
-            body.read(b"abcdef", &mut Vec::new(), 4),
-            Err(Fault::BodyTooLong)
-        );
-    }
-}
+#[path = "../tests/unit/http.rs"]
+mod tests;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,83 +1,77 @@
-//! Logging: standard error behind one macro, rate-limited at each place that logs.
+//! Logging to standard error, behind the one macro [`log!`](crate::log), which limits the rate of
+//! each call site.
 use crate::clock::{self, Micros, SEC};
 use std::cell::Cell;
 
-/// Lines that one place may write in a second.
-const MOST: u32 = 5;
+/// Lines that one call site may write per second.
+const MAX_LINES_PER_SECOND: u32 = 5;
 
 thread_local! { static MUTED: Cell<bool> = const { Cell::new(false) }; }
 
-/// This thread logs nothing from now on: it runs many managers at once, and what it has to say is
-/// counted.
+/// Turns logging off on this thread, for good. For threads that run many gateways at once and count
+/// events instead.
 pub fn mute() {
     MUTED.set(true);
 }
 
-/// What one place in the code has logged of late.
+/// The rate limit of one call site of [`log!`](crate::log) on one thread.
 #[derive(Default)]
 pub struct CallSite {
-    since: Cell<Micros>,
+    /// Start of the second that `lines` counts in.
+    window_start: Cell<Micros>,
     lines: Cell<u32>,
-    dropped: Cell<u64>,
+    /// Lines suppressed since the last one that was written.
+    suppressed: Cell<u64>,
 }
 
 impl CallSite {
-    /// A place that has logged nothing.
+    /// A call site that has logged nothing.
     pub const fn new() -> CallSite {
         CallSite {
-            since: Cell::new(0),
+            window_start: Cell::new(0),
             lines: Cell::new(0),
-            dropped: Cell::new(0),
+            suppressed: Cell::new(0),
         }
     }
 
-    /// Whether a line may be written now, and how many were left out before it.
+    /// Counts a line. Returns `None` if it has to be suppressed, else the number of lines suppressed
+    /// before it.
     pub fn admit(&self) -> Option<u64> {
         if MUTED.get() {
             return None;
         }
         let now = clock::now();
-        if now >= self.since.get() + SEC {
-            self.since.set(now);
+        if now >= self.window_start.get() + SEC {
+            self.window_start.set(now);
             self.lines.set(0);
         }
-        if self.lines.get() >= MOST {
-            self.dropped.set(self.dropped.get() + 1);
+        if self.lines.get() >= MAX_LINES_PER_SECOND {
+            self.suppressed.set(self.suppressed.get() + 1);
             return None;
         }
         self.lines.set(self.lines.get() + 1);
-        Some(self.dropped.replace(0))
+        Some(self.suppressed.replace(0))
     }
 }
 
-/// Writes a line to standard error, a few a second from each place.
+/// Writes a line to standard error; takes the arguments of [`format!`]. Each call site writes a few
+/// lines per second and says how many it left out.
 #[macro_export]
 macro_rules! log {
     ($($arg:tt)*) => {{
-        thread_local! { static PLACE: $crate::logging::CallSite = const { $crate::logging::CallSite::new() }; }
-        if let Some(dropped) = PLACE.with($crate::logging::CallSite::admit) {
+        thread_local! {
+            static CALL_SITE: $crate::logging::CallSite = const { $crate::logging::CallSite::new() };
+        }
+        if let Some(suppressed) = CALL_SITE.with($crate::logging::CallSite::admit) {
             let line = format!($($arg)*);
-            match dropped {
+            match suppressed {
                 0 => eprintln!("yokelift: {line}"),
-                n => eprintln!("yokelift: {line} ({n} lines like it left out)"),
+                count => eprintln!("yokelift: {line} ({count} lines like it left out)"),
             }
         }
     }};
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a fault that comes with every request and fills the log.
-    #[test]
-    fn a_place_logs_a_few_lines_a_second_and_says_what_it_left_out() {
-        let place = CallSite::new();
-        let admitted = (0..50).filter(|_| place.admit().is_some()).count();
-        assert_eq!((admitted, place.dropped.get()), (MOST as usize, 45));
-        place.since.set(0);
-        place.dropped.set(45);
-        assert_eq!(place.admit(), Some(45));
-        assert_eq!(place.admit(), Some(0));
-    }
-}
+#[path = "../tests/unit/logging.rs"]
+mod tests;
--- a/src/net/discovery/coordinator.rs
+++ b/src/net/discovery/coordinator.rs
@@ -230,7 +230,7 @@
         let generation = self.position.generation.get();
         while self.position.generation.get() == generation {
             let contacted = Cell::new(false);
-            let silence_timeout = backoff.silence();
+            let silence_timeout = backoff.silence_timeout();
             let reason = self.watch_once(addr, silence_timeout, &contacted).await;
             log!("the coordinator's connection ended: {reason:?}");
             let pause = backoff.pause(contacted.get());
--- a/src/statement.rs
+++ b/src/statement.rs
@@ -1,56 +1,68 @@
-//! Reads of a statement what the decisions need: its group of tables.
+//! Reads of a SQL statement what decisions need: the group of tables that it reads or writes.
 //!
-//! The group is the number after the underscore in the name of the schema that the statement reads
-//! or writes (17 in `sales_17.orders`). Strings and comments do not count, nor does the schema
-//! `staging`.
+//! The group is the number after the underscore in the name of the schema, 17 in `sales_17.orders`.
+//! Strings, comments and the schema `staging` are ignored. This is a lexer, not a parser: it follows
+//! the words that introduce tables.
 
 #[derive(Clone, Debug, PartialEq)]
 enum Token<'a> {
+    /// A word or a name, without its quotes.
     Name(&'a [u8]),
     Dot,
     Comma,
+    /// A string, or any other character.
     Other,
 }
 
+/// A byte of a word or a name that is not quoted. Bytes of non-ASCII characters count as letters.
+fn is_name_byte(byte: u8) -> bool {
+    byte.is_ascii_alphanumeric() || byte == b'_' || byte >= 0x80
+}
+
+/// Iterates over the tokens of a statement.
 struct Tokens<'a> {
     rest: &'a [u8],
 }
 
 impl<'a> Tokens<'a> {
-    fn take(&mut self, n: usize) -> &'a [u8] {
-        let (taken, rest) = self.rest.split_at(n.min(self.rest.len()));
+    /// The next `count` bytes, or all that are left.
+    fn take(&mut self, count: usize) -> &'a [u8] {
+        let (taken, rest) = self.rest.split_at(count.min(self.rest.len()));
         self.rest = rest;
         taken
     }
 
-    /// Skips to the end of what a quote opened. A doubled quote stands for itself; so does one
-    /// behind a backslash in a string.
-    fn quoted(&mut self, quote: u8) -> &'a [u8] {
+    /// The text up to the closing quote. A doubled quote stands for itself, and so does one after a
+    /// backslash in a string.
+    fn take_quoted(&mut self, quote: u8) -> &'a [u8] {
         let text = self.rest;
         let mut at = 1;
         while at < text.len() {
             match text[at] {
                 b'\\' if quote == b'\'' => at += 2,
-                c if c == quote && text.get(at + 1) == Some(&quote) => at += 2,
-                c if c == quote => break,
+                byte if byte == quote && text.get(at + 1) == Some(&quote) => at += 2,
+                byte if byte == quote => break,
                 _ => at += 1,
             }
         }
-        let whole = self.take(at + 1);
-        whole.get(1..at.min(whole.len())).unwrap_or_default()
+        let quoted = self.take(at + 1);
+        quoted.get(1..at.min(quoted.len())).unwrap_or_default()
+    }
+
+    /// The text of a word or a name that is not quoted.
+    fn take_name(&mut self) -> &'a [u8] {
+        let is_inside = |byte: &u8| is_name_byte(*byte) || *byte == b'$';
+        let end = self.rest.iter().position(|byte| !is_inside(byte));
+        self.take(end.unwrap_or(self.rest.len()))
     }
 
-    fn line_comment(&mut self) {
-        let end = self
-            .rest
-            .iter()
-            .position(|c| *c == b'\n')
-            .unwrap_or(self.rest.len());
-        self.take(end);
+    fn skip_line_comment(&mut self) {
+        let end = self.rest.iter().position(|byte| *byte == b'\n');
+        self.take(end.unwrap_or(self.rest.len()));
     }
 
     /// Block comments nest, as in standard SQL.
-    fn block_comment(&mut self) {
+    fn skip_block_comment(&mut self) {
         let mut depth = 0;
         while !self.rest.is_empty() {
             match self.rest {
@@ -67,6 +79,11 @@
             }
         }
     }
+
+    fn take_one(&mut self, token: Token<'a>) -> Token<'a> {
+        self.take(1);
+        token
+    }
 }
 
 impl<'a> Iterator for Tokens<'a> {
@@ -76,136 +93,93 @@
         loop {
             match self.rest {
                 [] => return None,
-                [b'-', b'-', ..] => self.line_comment(),
-                [b'/', b'*', ..] => self.block_comment(),
-                [c, ..] if c.is_ascii_whitespace() => drop(self.take(1)),
-                [b'\'', ..] => {
-                    self.quoted(b'\'');
-                    return Some(Token::Other);
-                }
-                [quote @ (b'"' | b'`'), ..] => return Some(Token::Name(self.quoted(*quote))),
-                [b'.', ..] => {
+                [b'-', b'-', ..] => self.skip_line_comment(),
+                [b'/', b'*', ..] => self.skip_block_comment(),
+                [byte, ..] if byte.is_ascii_whitespace() => {
                     self.take(1);
-                    return Some(Token::Dot);
-                }
-                [b',', ..] => {
-                    self.take(1);
-                    return Some(Token::Comma);
-                }
-                [c, ..] if c.is_ascii_alphanumeric() || *c == b'_' || *c >= 0x80 => {
-                    let inside = |c: &u8| {
-                        c.is_ascii_alphanumeric() || matches!(c, b'_' | b'$') || *c >= 0x80
-                    };
-                    let end = self
-                        .rest
-                        .iter()
-                        .position(|c| !inside(c))
-                        .unwrap_or(self.rest.len());
-                    return Some(Token::Name(self.take(end)));
                 }
-                _ => {
-                    self.take(1);
+                [b'\'', ..] => {
+                    self.take_quoted(b'\'');
                     return Some(Token::Other);
                 }
+                [quote @ (b'"' | b'`'), ..] => {
+                    return Some(Token::Name(self.take_quoted(*quote)));
+                }
+                [b'.', ..] => return Some(self.take_one(Token::Dot)),
+                [b',', ..] => return Some(self.take_one(Token::Comma)),
+                [byte, ..] if is_name_byte(*byte) => return Some(Token::Name(self.take_name())),
+                _ => return Some(self.take_one(Token::Other)),
             }
         }
     }
 }
 
-fn number(schema: &[u8]) -> Option<u64> {
-    let at = schema.iter().rposition(|c| *c == b'_')?;
-    let (name, digits) = (&schema[..at], &schema[at + 1..]);
-    let named = !name.is_empty() && !name.eq_ignore_ascii_case(b"staging");
-    let digits = std::str::from_utf8(digits)
-        .ok()
-        .filter(|d| d.bytes().all(|c| c.is_ascii_digit()))?;
-    digits.parse().ok().filter(|_| named)
+/// The group in the name of a schema, if it has one.
+fn group_of_schema(schema: &[u8]) -> Option<u64> {
+    let underscore = schema.iter().rposition(|byte| *byte == b'_')?;
+    let name = &schema[..underscore];
+    let digits = &schema[underscore + 1..];
+    if name.is_empty() || name.eq_ignore_ascii_case(b"staging") {
+        return None;
+    }
+    if !digits.iter().all(u8::is_ascii_digit) {
+        return None;
+    }
+    std::str::from_utf8(digits).ok()?.parse().ok()
 }
 
+/// Whether the names of tables follow this word.
 fn introduces_tables(word: &[u8]) -> bool {
     const WORDS: [&[u8]; 6] = [b"from", b"join", b"into", b"update", b"table", b"using"];
-    WORDS.iter().any(|w| word.eq_ignore_ascii_case(w))
+    WORDS.iter().any(|known| word.eq_ignore_ascii_case(known))
 }
 
-/// The bare and the quoted names and the words of a statement, without strings and comments.
+/// The words and the names of a statement, without the quotes of names, strings and comments.
 pub fn words(statement: &[u8]) -> Vec<&[u8]> {
-    let name = |token| {
-        if let Token::Name(name) = token {
-            Some(name)
-        } else {
-            None
+    let mut words = Vec::new();
+    for token in (Tokens { rest: statement }) {
+        if let Token::Name(word) = token {
+            words.push(word);
         }
-    };
-    Tokens { rest: statement }.filter_map(name).collect()
+    }
+    words
 }
 
-/// The number of the group of tables that a statement reads or writes, if need be by the schema
-/// that names without one belong to.
-pub fn group(statement: &[u8], schema: Option<&str>) -> Option<u64> {
+/// The group of tables that a statement reads or writes. `default_schema` is the schema of names
+/// without one.
+///
+/// The first schema of a table that has a group decides. A qualified name elsewhere may be an alias
+/// and a column: it counts only if no table's schema has a group. The default schema counts last.
+pub fn group(statement: &[u8], default_schema: Option<&str>) -> Option<u64> {
     let mut tokens = Tokens { rest: statement }.peekable();
-    // A qualified name counts at once where tables are named; elsewhere it may be an alias and a
-    // column, and counts only if no table has such a name.
-    let (mut in_tables, mut elsewhere) = (false, None);
+    let mut expects_table = false;
+    let mut group_elsewhere = None;
     while let Some(token) = tokens.next() {
         let Token::Name(first) = token else { continue };
         let mut parts = vec![first];
         while tokens.next_if_eq(&Token::Dot).is_some() {
-            if let Some(Token::Name(part)) = tokens.next_if(|t| matches!(t, Token::Name(_))) {
+            if let Some(Token::Name(part)) = tokens.next_if(|next| matches!(next, Token::Name(_))) {
                 parts.push(part);
             }
         }
-        if parts.len() == 1 {
-            // An alias may follow a table's name, and after a comma the next one.
-            let more = in_tables && tokens.peek() == Some(&Token::Comma);
-            in_tables = introduces_tables(first) || more;
+        let [schema_elsewhere, .., _] = parts[..] else {
+            // An alias may follow a table's name, and the next table after a comma.
+            let list_continues = expects_table && tokens.peek() == Some(&Token::Comma);
+            expects_table = introduces_tables(first) || list_continues;
             continue;
-        }
-        let schema = if in_tables {
-            parts[parts.len() - 2]
-        } else {
-            parts[0]
         };
-        match number(schema) {
-            Some(group) if in_tables => return Some(group),
-            found => elsewhere = elsewhere.or(found),
+        if expects_table {
+            let schema = parts[parts.len() - 2];
+            if let Some(group) = group_of_schema(schema) {
+                return Some(group);
+            }
+        } else if group_elsewhere.is_none() {
+            group_elsewhere = group_of_schema(schema_elsewhere);
         }
     }
-    elsewhere.or_else(|| number(schema?.as_bytes()))
+    group_elsewhere.or_else(|| group_of_schema(default_schema?.as_bytes()))
 }
 
 #[cfg(test)]
-mod tests {
-    use super::group;
-
-    #[test]
-    fn the_group_is_the_number_of_the_schema() {
-        for (text, expected) in [
-            ("select a from sales_17.orders", Some(17)),
-            (
-                "INSERT INTO ops_3.calls SELECT * FROM staging.calls",
-                Some(3),
-            ),
-            ("insert into sales_4.x select * from staging_9.y", Some(4)),
-            (
-                "select 'from sales_1.a', b from /* sales_2.a /* x */ sales_5.b */ sales_3.c",
-                Some(3),
-            ),
-            ("select x -- from sales_1.a\nfrom sales_8.a", Some(8)),
-            ("select t_1.a from sales_6.orders t_1", Some(6)),
-            ("select \"it's\" from \"sales_12\".\"orders\"", Some(12)),
-            (
-                "select 'it''s from a_1.b \\' from a_2.b' from c_3.d",
-                Some(3),
-            ),
-            ("select a from big.sales_7.orders", Some(7)),
-            ("select 1.5, 2", None),
-            ("select 'open from a_1.b", None),
-            ("/* open from a_1.b", None),
-            ("", None),
-        ] {
-            assert_eq!(group(text.as_bytes(), None), expected, "{text}");
-        }
-        assert_eq!(group(b"select a from orders", Some("sales_9")), Some(9));
-        assert_eq!(group(b"select a from b_2.orders", Some("sales_9")), Some(2));
-    }
-}
+#[path = "../tests/unit/statement.rs"]
+mod tests;
--- a/tests/unit/backoff.rs
+++ b/tests/unit/backoff.rs
@@ -1,48 +1,49 @@
-//! Dials after silence and after breaks: bounded, and spread over a fleet.
+//! Redials after silence and after broken connections: bounded, and spread over a fleet.
 use super::*;
 use crate::clock::SEC;
 use std::collections::BTreeMap;
 
-/// At the latest so long after it was told, what a coordinator has to tell counts as known.
-const TOLD: Micros = 7 * SEC;
+/// What a coordinator announces counts as known this long after it was announced.
+const ANNOUNCEMENT_DELAY: Micros = 7 * SEC;
 
 #[test]
-fn pauses_double_up_to_a_bound_and_start_anew_after_a_word() {
+fn pauses_double_up_to_a_limit_and_start_over_once_data_was_received() {
     let mut backoff = Backoff::new(1);
+
     let pauses: Vec<Micros> = (0..8).map(|_| backoff.pause(false)).collect();
-    for (n, pause) in pauses.iter().enumerate() {
-        let most = (FIRST << (n + 1)).min(LONGEST);
+
+    for (failures, pause) in pauses.iter().enumerate() {
+        let limit = (INITIAL_PAUSE << (failures + 1)).min(MAX_PAUSE);
         assert!(
-            (most / 2..=most).contains(pause),
-            "{pause} after {n} failures"
+            (limit / 2..=limit).contains(pause),
+            "{pause} after {failures} failures"
         );
     }
-    assert!(backoff.pause(true) <= FIRST);
+    assert!(backoff.pause(true) <= INITIAL_PAUSE);
 }
 
-/// Guards the drain rule: what came while three watches in a row fell silent is known before it
-/// counts as told.
+/// For the drain rule: an event that three silent watches in a row hide is received before it
+/// counts as known.
 #[test]
-fn three_silent_watches_in_a_row_end_before_what_they_hide_counts_as_told() {
+fn three_silent_watches_in_a_row_end_before_their_events_count_as_known() {
     for seed in 0..500 {
         let mut backoff = Backoff::new(seed);
-        // The first one had spoken, the further ones never did.
-        let mut took = backoff.silence() + backoff.pause(true);
+        // Data was received over the first one, and none over the others.
+        let mut elapsed = backoff.silence_timeout() + backoff.pause(true);
         for _ in 0..2 {
-            took += backoff.silence() + backoff.pause(false);
+            elapsed += backoff.silence_timeout() + backoff.pause(false);
         }
-        assert!(took < TOLD, "{took} with seed {seed}");
+        assert!(elapsed < ANNOUNCEMENT_DELAY, "{elapsed} with seed {seed}");
     }
 }
 
-/// Guards the coordinator: 300 watches that fall silent in the same moment are not dialled in the
-/// same moment.
+/// 300 watches that fall silent in the same moment don't overload the coordinator.
 #[test]
-fn a_fleet_does_not_dial_in_step() {
+fn a_fleet_does_not_redial_in_step() {
     let mut dials: BTreeMap<Micros, usize> = BTreeMap::new();
     for seed in 0..300 {
         let mut backoff = Backoff::new(seed);
-        let at = backoff.silence() + backoff.pause(true);
+        let at = backoff.silence_timeout() + backoff.pause(true);
         *dials.entry(at / (50 * MS)).or_default() += 1;
     }
     let most = dials.values().max().copied().unwrap_or(0);
--- /dev/null
+++ b/tests/unit/http.rs
@@ -0,0 +1,84 @@
+//! Heads, bodies and URLs of HTTP/1.1 messages.
+use super::*;
+use quickcheck::{Gen, QuickCheck};
+
+/// A body is read the same however its bytes are split, and is complete only with its last byte.
+#[test]
+fn chunked_bodies_are_read_the_same_however_they_are_split() {
+    fn split_anywhere(parts: Vec<Vec<u8>>, step: u8) -> bool {
+        let mut wire = Vec::new();
+        for part in parts.iter().filter(|p| !p.is_empty()) {
+            wire.extend_from_slice(format!("{:x};x=y\r\n", part.len()).as_bytes());
+            wire.extend_from_slice(part);
+            wire.extend_from_slice(b"\r\n");
+        }
+        wire.extend_from_slice(b"0\r\nTrailer: x\r\n\r\n");
+        let mut body = Vec::new();
+        let mut state = Body::Chunked(Chunk::Line);
+        let mut unread = Vec::new();
+        let mut complete = false;
+        let mut total_used = 0;
+        for piece in wire.chunks(usize::from(step % 7) + 1) {
+            if complete {
+                return false;
+            }
+            unread.extend_from_slice(piece);
+            let Ok((used, done)) = state.read(&unread, &mut body, 1 << 20) else {
+                return false;
+            };
+            unread.drain(..used);
+            complete = done;
+            total_used += used;
+        }
+        complete && total_used == wire.len() && body == parts.concat()
+    }
+    let mut check = QuickCheck::new()
+        .rng(Gen::from_size_and_seed(40, 7))
+        .tests(300);
+    check.quickcheck(split_anywhere as fn(Vec<Vec<u8>>, u8) -> bool);
+}
+
+#[test]
+fn heads_are_parsed_when_complete_and_rejected_when_malformed() {
+    let text = b"GET /?query=SELECT+1%20x HTTP/1.1\r\nHost: a\r\nX-ClickHouse-User: u\r\n\r\nrest";
+    let (parsed, length) = head(text).unwrap().unwrap();
+    assert_eq!(&text[length..], b"rest");
+    assert_eq!(parsed.field("x-clickhouse-user"), Some("u"));
+    let (path, pairs) = target(&parsed.first[1]).unwrap();
+    assert_eq!((path, pairs[0].1.as_str()), ("/", "SELECT 1 x"));
+    assert_eq!(head(&text[..20]), Ok(None));
+    assert_eq!(
+        head(b"GET / HTTP/1.1\r\nno colon\r\n\r\n"),
+        Err(Fault::Malformed)
+    );
+    assert_eq!(head(&[b'a'; MAX_HEAD_BYTES]), Err(Fault::HeadTooLong));
+    assert_eq!(target("/?query=%4"), None);
+}
+
+#[test]
+fn bodies_with_two_lengths_are_rejected() {
+    let body_of = |fields: &str| {
+        let text = format!("POST / HTTP/1.1\r\n{fields}\r\n\r\n");
+        head(text.as_bytes())
+            .unwrap()
+            .unwrap()
+            .0
+            .body(Body::Length(0))
+    };
+    assert_eq!(
+        body_of("Content-Length: 5\r\nTransfer-Encoding: chunked"),
+        Err(Fault::Malformed)
+    );
+    assert_eq!(
+        body_of("Content-Length: 5\r\nContent-Length: 6"),
+        Err(Fault::Malformed)
+    );
+    assert_eq!(body_of("Content-Length: +5"), Err(Fault::Malformed));
+    assert_eq!(body_of("Transfer-Encoding: gzip"), Err(Fault::Unsupported));
+    assert_eq!(body_of("Content-Length: 5"), Ok(Body::Length(5)));
+    let mut body = Body::Length(5);
+    assert_eq!(
+        body.read(b"abcdef", &mut Vec::new(), 4),
+        Err(Fault::BodyTooLong)
+    );
+}
