--- a/src/policy/api/mod.rs
+++ b/src/policy/api/mod.rs
@@ -10,7 +10,7 @@
 //! # Invariants
 //!
 //! The protocol between the module and its host states seven invariants that hold for every
-//! sequence of events. The code refers to them by number; `tests/rules.rs` checks them with random
+//! sequence of events. The code refers to them by number; `tests/rules` checks them with random
 //! events.
 //!
 //! 1. Each request gets exactly one final response, at the latest
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -10,13 +10,13 @@
 
 /// Code of a record on the wire.
 mod record {
-    pub const START_INSTANCE: u8 = 1;
-    pub const ENDPOINT_LIST_UPDATE: u8 = 2;
-    pub const REQUEST: u8 = 3;
-    pub const CLIENT_DISCONNECTED: u8 = 6;
-    pub const STOP_INSTANCE: u8 = 10;
-    pub const ENDPOINT_LIST: u8 = 12;
-    pub const UNKNOWN: u8 = 99;
+    pub(crate) const START_INSTANCE: u8 = 1;
+    pub(crate) const ENDPOINT_LIST_UPDATE: u8 = 2;
+    pub(crate) const REQUEST: u8 = 3;
+    pub(crate) const CLIENT_DISCONNECTED: u8 = 6;
+    pub(crate) const STOP_INSTANCE: u8 = 10;
+    pub(crate) const ENDPOINT_LIST: u8 = 12;
+    pub(crate) const UNKNOWN: u8 = 99;
 }
 
 /// Code of an action on the wire: start an attempt.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,27 +12,27 @@
 };
 
 /// A millisecond.
-pub const MILLISECOND: Nanos = 1_000_000;
+pub(crate) const MILLISECOND: Nanos = 1_000_000;
 /// A second.
-pub const SECOND: Nanos = 1_000_000_000;
+pub(crate) const SECOND: Nanos = 1_000_000_000;
 /// The time at which the tests begin: late enough for engines that started long ago.
-pub const START_TIME: Nanos = 100 * SECOND;
+pub(crate) const START_TIME: Nanos = 100 * SECOND;
 /// Time between two sweeps of the module.
-pub const SWEEP_INTERVAL: Nanos = 20 * MILLISECOND;
+pub(crate) const SWEEP_INTERVAL: Nanos = 20 * MILLISECOND;
 /// Token of the module's own timer.
-pub const SWEEP_TIMER: u64 = 1;
+pub(crate) const SWEEP_TIMER: u64 = 1;
 
 /// Class of short, idempotent requests.
-pub const SHORT: u16 = 0;
+pub(crate) const SHORT: u16 = 0;
 /// Class of long, idempotent requests, which run on machine type 0 alone.
-pub const LONG: u16 = 1;
+pub(crate) const LONG: u16 = 1;
 /// Class of loads, which are not idempotent and serial per key.
-pub const LOAD: u16 = 2;
+pub(crate) const LOAD: u16 = 2;
 /// Class of short requests with an idempotency key that one cell knows.
-pub const KEYED: u16 = 3;
+pub(crate) const KEYED: u16 = 3;
 
 /// A class without special rules.
-pub fn class(
+pub(crate) fn class(
     idempotency: Idempotency,
     threads: f64,
     base_latency_objective: Nanos,
@@ -107,7 +107,7 @@
 
 /// Settings of a single gateway with four classes, two machine types (8 and 4 cores) and one tenant
 /// with ample quota.
-pub fn test_settings() -> Settings {
+pub(crate) fn test_settings() -> Settings {
     let large = MachineTypeSpec {
         cores: 8.0,
         memory_mb: 16384.0,
@@ -144,7 +144,7 @@
 }
 
 /// A ready endpoint; engines of even and odd ids form two cells.
-pub fn endpoint(id: u64, machine_type: u16, started_at: Nanos) -> Endpoint {
+pub(crate) fn endpoint(id: u64, machine_type: u16, started_at: Nanos) -> Endpoint {
     Endpoint {
         id: EngineId(id),
         zone: ZoneId(0),
@@ -157,22 +157,22 @@
 }
 
 /// Ready endpoints of machine type 0 that started long ago.
-pub fn warm_endpoints(ids: RangeInclusive<u64>) -> Vec<Endpoint> {
+pub(crate) fn warm_endpoints(ids: RangeInclusive<u64>) -> Vec<Endpoint> {
     ids.map(|id| endpoint(id, 0, 0)).collect()
 }
 
 /// Ready endpoints of machine type 0 that started at [`START_TIME`].
-pub fn starting_endpoints(ids: RangeInclusive<u64>) -> Vec<Endpoint> {
+pub(crate) fn starting_endpoints(ids: RangeInclusive<u64>) -> Vec<Endpoint> {
     ids.map(|id| endpoint(id, 0, START_TIME)).collect()
 }
 
 /// Two ready endpoints, in different cells.
-pub fn two_endpoints() -> Vec<Endpoint> {
+pub(crate) fn two_endpoints() -> Vec<Endpoint> {
     warm_endpoints(1..=2)
 }
 
 /// A request that is received `now`, with its deadline counted from there.
-pub fn request(id: u32, class: u16, now: Nanos, deadline: Nanos, work: Nanos) -> Request {
+pub(crate) fn request(id: u32, class: u16, now: Nanos, deadline: Nanos, work: Nanos) -> Request {
     Request {
         id: RequestId(id),
         class: ClassId(class),
@@ -183,7 +183,7 @@
 }
 
 /// The end of an attempt; one that completes finishes its request.
-pub fn attempt_outcome(
+pub(crate) fn attempt_outcome(
     id: u32,
     attempt: u16,
     engine: EngineId,
@@ -204,24 +204,28 @@
 }
 
 /// A gateway and its clock.
-pub struct GatewayHarness {
-    pub gateway: Gateway,
-    pub now: Nanos,
+pub(crate) struct GatewayHarness {
+    pub(crate) gateway: Gateway,
+    pub(crate) now: Nanos,
 }
 
 impl GatewayHarness {
     /// A gateway at [`START_TIME`] that has received a complete endpoint list.
-    pub fn new(settings: Settings, entries: Vec<Endpoint>) -> GatewayHarness {
+    pub(crate) fn new(settings: Settings, entries: Vec<Endpoint>) -> GatewayHarness {
         GatewayHarness::with_seed(settings, entries, 7)
     }
 
     /// The same, with the seed of its random numbers.
-    pub fn with_seed(settings: Settings, entries: Vec<Endpoint>, seed: u64) -> GatewayHarness {
+    pub(crate) fn with_seed(
+        settings: Settings,
+        entries: Vec<Endpoint>,
+        seed: u64,
+    ) -> GatewayHarness {
         GatewayHarness::started_at(START_TIME, settings, entries, seed)
     }
 
     /// The same, at this time.
-    pub fn started_at(
+    pub(crate) fn started_at(
         now: Nanos,
         settings: Settings,
         entries: Vec<Endpoint>,
@@ -234,7 +238,7 @@
     }
 
     /// Handles an event and returns the actions, but for timers and log lines.
-    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
         actions.retain(|action| !matches!(action, Action::StartTimer { .. } | Action::Log(_)));
@@ -242,17 +246,23 @@
     }
 
     /// Receives a request of this class, deadline (counted from now) and estimated work.
-    pub fn submit(&mut self, id: u32, class: u16, deadline: Nanos, work: Nanos) -> Vec<Action> {
+    pub(crate) fn submit(
+        &mut self,
+        id: u32,
+        class: u16,
+        deadline: Nanos,
+        work: Nanos,
+    ) -> Vec<Action> {
         self.receive(request(id, class, self.now, deadline, work))
     }
 
     /// Receives a request.
-    pub fn receive(&mut self, request: Request) -> Vec<Action> {
+    pub(crate) fn receive(&mut self, request: Request) -> Vec<Action> {
         self.handle(Event::Request(request))
     }
 
     /// An attempt ends.
-    pub fn end_attempt(
+    pub(crate) fn end_attempt(
         &mut self,
         id: u32,
         attempt: u16,
@@ -264,7 +274,7 @@
     }
 
     /// The first attempt of a request reports progress.
-    pub fn report_progress(&mut self, id: u32, update: ProgressUpdate) -> Vec<Action> {
+    pub(crate) fn report_progress(&mut self, id: u32, update: ProgressUpdate) -> Vec<Action> {
         self.handle(Event::Progress {
             id: RequestId(id),
             attempt: AttemptNo(0),
@@ -273,7 +283,7 @@
     }
 
     /// The endpoint list is updated.
-    pub fn update_endpoints(
+    pub(crate) fn update_endpoints(
         &mut self,
         kind: EndpointListKind,
         entries: Vec<Endpoint>,
@@ -282,7 +292,7 @@
     }
 
     /// Advances the clock, with the module's own timer firing at every [`SWEEP_INTERVAL`].
-    pub fn advance(&mut self, span: Nanos) -> Vec<Action> {
+    pub(crate) fn advance(&mut self, span: Nanos) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
@@ -295,13 +305,13 @@
 
 /// How a request ended without a completed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FinalResponse {
+pub(crate) enum FinalResponse {
     Rejected,
     Failed,
 }
 
 /// The attempts that the actions start: request and engine.
-pub fn attempts_started(actions: &[Action]) -> Vec<(u32, EngineId)> {
+pub(crate) fn attempts_started(actions: &[Action]) -> Vec<(u32, EngineId)> {
     let attempt = |action: &Action| match action {
         Action::Send { id, engine, .. } => Some((id.0, *engine)),
         _ => None,
@@ -310,12 +320,12 @@
 }
 
 /// The engine of the first attempt that the actions start.
-pub fn first_engine(actions: &[Action]) -> EngineId {
+pub(crate) fn first_engine(actions: &[Action]) -> EngineId {
     attempts_started(actions)[0].1
 }
 
 /// The final responses among the actions, by request.
-pub fn final_responses(actions: &[Action]) -> Vec<(u32, FinalResponse)> {
+pub(crate) fn final_responses(actions: &[Action]) -> Vec<(u32, FinalResponse)> {
     let response = |action: &Action| match action {
         Action::Reject { id, .. } => Some((id.0, FinalResponse::Rejected)),
         Action::Fail { id } => Some((id.0, FinalResponse::Failed)),
@@ -325,7 +335,7 @@
 }
 
 /// The number of attempts that the actions cancel.
-pub fn cancellation_count(actions: &[Action]) -> usize {
+pub(crate) fn cancellation_count(actions: &[Action]) -> usize {
     actions
         .iter()
         .filter(|action| matches!(action, Action::Cancel { .. }))
--- a/tests/fleet/builders.rs
+++ b/tests/fleet/builders.rs
@@ -3,10 +3,10 @@
 use yokelift::policy::api::*;
 
 /// Number of gateways of the fleet.
-pub const GATEWAYS: u32 = 300;
+pub(crate) const GATEWAYS: u32 = 300;
 
 /// Settings of a fleet of [`GATEWAYS`] whose engines report their queries in flight.
-pub fn large_fleet_settings() -> Settings {
+pub(crate) fn large_fleet_settings() -> Settings {
     Settings {
         gateways: GATEWAYS,
         load_fields: vec![LoadField::QueriesInFlight],
@@ -15,7 +15,7 @@
 }
 
 /// Settings of `gateways` gateways whose load probes are too expensive to send.
-pub fn expensive_probe_settings(gateways: u32) -> Settings {
+pub(crate) fn expensive_probe_settings(gateways: u32) -> Settings {
     Settings {
         probe_price: 0.08,
         gateways,
@@ -24,7 +24,7 @@
 }
 
 /// Settings of a large fleet that may not probe: engines report these values in responses alone.
-pub fn settings_without_probes(load_fields: Vec<LoadField>) -> Settings {
+pub(crate) fn settings_without_probes(load_fields: Vec<LoadField>) -> Settings {
     let mut settings = large_fleet_settings();
     settings.load_fields = load_fields;
     settings.limits.may_probe = false;
@@ -33,7 +33,7 @@
 }
 
 /// The gateway with this index, which is also the seed of its random numbers.
-pub fn gateway_at(index: u32, settings: Settings, entries: Vec<Endpoint>) -> GatewayHarness {
+pub(crate) fn gateway_at(index: u32, settings: Settings, entries: Vec<Endpoint>) -> GatewayHarness {
     let settings = Settings {
         gateway_index: index,
         ..settings
@@ -42,7 +42,7 @@
 }
 
 /// A load probe that reports this number of queries in flight.
-pub fn probe_completed(engine: u64, queries: f32) -> Event {
+pub(crate) fn probe_completed(engine: u64, queries: f32) -> Event {
     Event::ProbeCompleted {
         engine: EngineId(engine),
         kind: OutcomeKind::Ok,
@@ -53,7 +53,7 @@
 
 /// Completes every probe among the actions with this number of queries in flight. Returns the
 /// attempts started by the actions and in response to the probes.
-pub fn complete_probes(
+pub(crate) fn complete_probes(
     gateway: &mut GatewayHarness,
     actions: Vec<Action>,
     queries: f32,
@@ -69,7 +69,7 @@
 }
 
 /// Completes the first attempt of a request with these values in its load report.
-pub fn complete_with_load(
+pub(crate) fn complete_with_load(
     gateway: &mut GatewayHarness,
     id: u32,
     engine: EngineId,
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -3,6 +3,7 @@
 mod capacity;
 #[path = "../common/mod.rs"]
 mod common;
+mod endpoint_lists;
 mod load_reports;
 mod simulation;
 mod tenants;
