--- a/src/lease/shared_probe/result.rs
+++ b/src/lease/shared_probe/result.rs
@@ -1,11 +1,8 @@
 //! The result of a probe, as managers report it to each other.
 use crate::clock::Micros;
-use crate::policy::api::{LoadReport, OutcomeKind};
+use crate::policy::api::{LoadReport, MAX_LOAD_FIELDS, OutcomeKind};
 use serde::{Deserialize, Serialize};
 
-/// The figures that a load report has room for.
-const MAX_LOAD_FIELDS: usize = 4;
-
 /// How a probe ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ProbeStatus {
@@ -40,11 +37,14 @@
             OutcomeKind::ConnectFailed => ProbeStatus::Unreachable,
             _ => ProbeStatus::Failed,
         };
+        let values = load.values();
+        let mut padded = [0.0; MAX_LOAD_FIELDS];
+        padded[..values.len()].copy_from_slice(values);
         ProbeResult {
             status,
             latency,
-            load_fields: load.len.min(MAX_LOAD_FIELDS) as u8,
-            load: load.values,
+            load_fields: values.len() as u8,
+            load: padded,
         }
     }
 
@@ -59,10 +59,8 @@
 
     /// The load as the decision module knows it.
     pub fn load_report(&self) -> LoadReport {
-        LoadReport {
-            len: usize::from(self.load_fields).min(MAX_LOAD_FIELDS),
-            values: self.load,
-        }
+        let valid = usize::from(self.load_fields).min(MAX_LOAD_FIELDS);
+        LoadReport::from_values(&self.load[..valid])
     }
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -87,7 +87,14 @@
                 .map(|c| clock::micros(c.deadline))
                 .collect(),
         ),
-        loads: RefCell::new(config.settings.classes.iter().map(|c| c.is_load).collect()),
+        loads: RefCell::new(
+            config
+                .settings
+                .classes
+                .iter()
+                .map(|c| c.loads_data_set)
+                .collect(),
+        ),
         databases: Box::new(move || databases.engines_know_databases.get()),
         stopping: Box::new(move || stopping.lifecycle.borrow().announces_close()),
         // A walk through all numbers from a place that is new with each start.
@@ -368,11 +375,11 @@
                 Signal::Hup => match reload.again().await {
                     Ok(()) => {
                         log!("read the configuration again");
-                        DispatcherEvent::Reloaded(true)
+                        DispatcherEvent::ReloadSucceeded
                     }
                     Err(e) => {
                         log!("the configuration can't be used, the old one stands: {e}");
-                        DispatcherEvent::Reloaded(false)
+                        DispatcherEvent::ReloadFailed
                     }
                 },
                 _ => {
--- a/src/net/fleet/lease.rs
+++ b/src/net/fleet/lease.rs
@@ -333,13 +333,19 @@
             }
             LeaseAction::Acquired { resource, token } => {
                 log!("lease: acquired {resource}, fencing token {token}");
-                self.undelivered
-                    .push_back(DispatcherEvent::LeaseChanged(resource, token, true));
+                self.undelivered.push_back(DispatcherEvent::LeaseChanged {
+                    resource,
+                    token,
+                    held: true,
+                });
             }
             LeaseAction::Ended { resource, token } => {
                 log!("lease: ended {resource}, fencing token {token}");
-                self.undelivered
-                    .push_back(DispatcherEvent::LeaseChanged(resource, token, false));
+                self.undelivered.push_back(DispatcherEvent::LeaseChanged {
+                    resource,
+                    token,
+                    held: false,
+                });
             }
         }
     }
@@ -351,15 +357,19 @@
         datagrams: &mut Vec<Datagram>,
     ) {
         match action {
-            ProbeAction::ProbeEngine { engine } => self
-                .undelivered
-                .push_back(DispatcherEvent::Probe(engine, None)),
-            ProbeAction::ProbeForPeers { engine, deadline } => self
-                .undelivered
-                .push_back(DispatcherEvent::Probe(engine, Some(deadline))),
+            ProbeAction::ProbeEngine { engine } => {
+                let deadline = None;
+                self.undelivered
+                    .push_back(DispatcherEvent::Probe { engine, deadline });
+            }
+            ProbeAction::ProbeForPeers { engine, deadline } => {
+                let deadline = Some(deadline);
+                self.undelivered
+                    .push_back(DispatcherEvent::Probe { engine, deadline });
+            }
             ProbeAction::Deliver { engine, result } => self
                 .undelivered
-                .push_back(DispatcherEvent::SharedProbeResult(engine, result)),
+                .push_back(DispatcherEvent::SharedProbeResult { engine, result }),
             ProbeAction::RequestFromOwner { owner, request } => {
                 let message = LeaseMessage::RequestProbe(request);
                 let to = address_of(fleet, &owner);
