--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -1,6 +1,7 @@
-//! Leases between real daemons on loopback: one of five asks each engine for its load on behalf of
-//! all; an owner that is stopped past its term, cut off, killed or asked to end does no harm, and
-//! another takes over. The stand-in engines tell managers apart by the address they come to.
+//! Leases between real daemons on loopback: the lease holder of an engine probes it on behalf of
+//! five managers; a holder that is suspended past the end of its lease, cut off, killed or shut
+//! down does no harm, and another one takes over. The stand-in engines tell managers apart by the
+//! address they connect to.
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use std::cell::Cell;
@@ -12,20 +13,34 @@
 use yokelift::testkit::fleet::{Fleet, MEMBERS, Options, eventually};
 
 const ALL: [usize; MEMBERS] = [0, 1, 2, 3, 4];
-const DUTY: &str = "probe:s-00000001";
+const RESOURCE: &str = "probe:s-00000001";
 
-thread_local! { static NEXT: Cell<u64> = const { Cell::new(1) }; }
+thread_local! { static NEXT_REQUEST: Cell<u64> = const { Cell::new(1) }; }
 
-/// Five managers that take themselves for some of 300: each asks for loads before it sends, and all
-/// five vote.
+/// A member that holds the lease on [`RESOURCE`], and its fencing token.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct LeaseHolder {
+    member: usize,
+    token: u64,
+}
+
+/// When a lease was acquired, as the audit tells.
+struct AcquiredLease {
+    member: String,
+    /// In microseconds of Unix time.
+    acquired_at: u64,
+}
+
+/// Five managers that take themselves for some of 300, so that each wants load reports before it
+/// dispatches. All five are voters.
 fn start(tag: &str, seed: u64) -> Fleet {
-    let names: Vec<String> = ALL.iter().map(|i| format!("\"{tag}{i}\"")).collect();
-    // An owner gets all the time that a slow machine needs: who is not answered asks by itself, and
-    // that is counted here.
-    let terms = "[duties.terms]\nterm_ms = 1000\ndrift = 20\nmargin_ms = 50\nask_ms = 20000\n";
-    let more = format!(
-        "[audit]\n[duties]\nvoters = [{}]\n{terms}",
-        names.join(", ")
+    let voters: Vec<String> = ALL.iter().map(|i| format!("\"{tag}{i}\"")).collect();
+    // A lease holder gets all the time that a slow machine needs to answer: whoever is not answered
+    // probes the engine itself, and that is counted here.
+    let timing = "[duties.terms]\nterm_ms = 1000\ndrift = 20\nmargin_ms = 50\nask_ms = 20000\n";
+    let fleet_file = format!(
+        "[audit]\n[duties]\nvoters = [{}]\n{timing}",
+        voters.join(", ")
     );
     let fleet = Fleet::with(
         Path::new(env!("CARGO_BIN_EXE_yokelift")),
@@ -33,202 +48,224 @@
         seed,
         Options {
             managers: 300,
-            more,
+            more: fleet_file,
         },
     );
     assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
     fleet
 }
 
-/// Each of them is asked something, and may want to know the engines' loads for it.
-fn ask(fleet: &Fleet, members: &[usize]) {
-    for i in members {
-        let number = NEXT.with(|next| next.replace(next.get() + 1));
-        let got = fleet.ask(*i, "lookup", number, 900);
+/// All members but one.
+fn others_than(excluded: usize) -> Vec<usize> {
+    ALL.into_iter()
+        .filter(|member| *member != excluded)
+        .collect()
+}
+
+/// Sends each of the members a query, for which it may want the engines' loads.
+fn send_queries(fleet: &Fleet, members: &[usize]) {
+    for member in members {
+        let number = NEXT_REQUEST.with(|next| next.replace(next.get() + 1));
+        let outcome = fleet.ask(*member, "lookup", number, 900);
         assert!(
-            !matches!(got, ClientOutcome::Cut | ClientOutcome::Rejected(_)),
-            "{got:?}: {}",
-            fleet.log(*i)
+            !matches!(outcome, ClientOutcome::Cut | ClientOutcome::Rejected(_)),
+            "{outcome:?}: {}",
+            fleet.log(*member)
         );
     }
 }
 
-/// Who says that it owns the duty, under which token.
-fn owners(fleet: &Fleet, members: &[usize]) -> Vec<(usize, u64)> {
-    let of = |i: &usize| {
-        let (_, body) = fleet
-            .call(*i, "/duties")
-            .filter(|(status, _)| *status == 200)?;
-        let rows = body
-            .lines()
-            .filter_map(|l| serde_json::from_str::<Value>(l).ok());
-        let row = rows
-            .into_iter()
-            .find(|row| row["duty"] == json!(DUTY) && row["owns"] == json!(true))?;
-        Some((*i, row["token"].as_u64()?))
+/// The token under which a member says that it holds the lease.
+fn held_token(fleet: &Fleet, member: usize) -> Option<u64> {
+    let (status, body) = fleet.call(member, "/duties")?;
+    if status != 200 {
+        return None;
+    }
+    let row = body
+        .lines()
+        .filter_map(|line| serde_json::from_str::<Value>(line).ok())
+        .find(|row| row["duty"] == json!(RESOURCE) && row["owns"] == json!(true))?;
+    row["token"].as_u64()
+}
+
+/// The members that say that they hold the lease.
+fn lease_holders(fleet: &Fleet, members: &[usize]) -> Vec<LeaseHolder> {
+    let holder = |member: &usize| {
+        let member = *member;
+        held_token(fleet, member).map(|token| LeaseHolder { member, token })
     };
-    members.iter().filter_map(of).collect()
+    members.iter().filter_map(holder).collect()
 }
 
-/// Asks them all until one owns the duty.
-fn owner(fleet: &Fleet, members: &[usize]) -> (usize, u64) {
-    owner_among(fleet, members, members)
+/// Sends queries to all these members until one of them holds the lease.
+fn await_lease_holder(fleet: &Fleet, members: &[usize]) -> LeaseHolder {
+    await_lease_holder_among(fleet, members, members)
 }
 
-/// Asks all of the first until one of the others owns the duty.
-fn owner_among(fleet: &Fleet, asked: &[usize], members: &[usize]) -> (usize, u64) {
+/// Sends queries to the `queried` members until one of `members` holds the lease.
+fn await_lease_holder_among(fleet: &Fleet, queried: &[usize], members: &[usize]) -> LeaseHolder {
     let found = Cell::new(None);
-    let one = || {
-        ask(fleet, asked);
-        found.set(owners(fleet, members).first().copied());
+    let is_found = || {
+        send_queries(fleet, queried);
+        found.set(lease_holders(fleet, members).first().copied());
         found.get().is_some()
     };
-    assert!(eventually(one), "nobody owns it: {}", fleet.logs());
+    assert!(
+        eventually(is_found),
+        "nobody holds the lease: {}",
+        fleet.logs()
+    );
     found.get().expect("found")
 }
 
-fn probes(fleet: &Fleet) -> Vec<usize> {
-    fleet.world(|world| ALL.iter().map(|i| world.probes(*i, 0)).collect())
+/// How many probes of each member have reached the engine.
+fn probes_by_member(fleet: &Fleet) -> Vec<usize> {
+    fleet.world(|world| ALL.iter().map(|member| world.probes(*member, 0)).collect())
 }
 
-/// Who owned the duty, by token, from the audit of all that answer.
-fn history(fleet: &Fleet) -> BTreeMap<u64, (String, u64)> {
+/// The leases on [`RESOURCE`] by token, from the audit of all members that answer. Fails if a token
+/// was held twice, or a higher token was acquired before a lower one.
+fn lease_history(fleet: &Fleet) -> BTreeMap<u64, AcquiredLease> {
     let mut command = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
     command
         .args(["audit", "--json"])
         .args(fleet.consoles.iter().map(ToString::to_string));
-    let output = command.output().expect("the kit");
+    let output = command.output().expect("the test kit");
     let report: Value = serde_json::from_slice(&output.stdout).expect("a report");
-    let mut all = BTreeMap::new();
-    for row in report["owned"]
-        .as_array()
-        .expect("rows")
-        .iter()
-        .filter(|row| row["duty"] == json!(DUTY))
-    {
-        let (token, from) = (
-            row["token"].as_u64().expect("a token"),
-            row["from"].as_u64().expect("a time"),
-        );
-        let member = row["member"].as_str().expect("a member").to_owned();
-        let other = all.insert(token, (member, from));
-        assert!(other.is_none(), "token {token} was owned twice: {report}");
+    let rows = report["owned"].as_array().expect("rows").iter();
+    let mut history = BTreeMap::new();
+    for row in rows.filter(|row| row["duty"] == json!(RESOURCE)) {
+        let token = row["token"].as_u64().expect("a token");
+        let lease = AcquiredLease {
+            member: row["member"].as_str().expect("a member").to_owned(),
+            acquired_at: row["from"].as_u64().expect("a time"),
+        };
+        let other = history.insert(token, lease);
+        assert!(other.is_none(), "token {token} was held twice: {report}");
     }
-    // Higher tokens came later.
-    let times: Vec<u64> = all.values().map(|(_, from)| *from).collect();
-    assert!(times.is_sorted(), "{all:?}");
-    all
+    let times: Vec<u64> = history.values().map(|lease| lease.acquired_at).collect();
+    assert!(times.is_sorted(), "{report}");
+    history
 }
 
-/// Guards what duties are for: while one manager owns an engine's probes, no other asks that
-/// engine, and all are served.
+/// While one manager holds the lease, no other one probes the engine, and all requests are served.
 #[test]
-fn one_manager_asks_an_engine_for_all() {
+fn only_the_lease_holder_probes_an_engine() {
     let fleet = start("one", 21);
-    let quiet = || {
-        let (who, token) = owner(&fleet, &ALL);
-        let before = probes(&fleet);
+    let only_holder_probes = || {
+        let holder = await_lease_holder(&fleet, &ALL);
+        let before = probes_by_member(&fleet);
         for _ in 0..10 {
-            ask(&fleet, &ALL);
+            send_queries(&fleet, &ALL);
         }
-        let after = probes(&fleet);
-        // Once all have found the owner: one that found none a moment ago asks by itself for a
-        // second.
-        let stood = owners(&fleet, &ALL) == [(who, token)] && after[who] > before[who];
-        stood && ALL.into_iter().all(|i| i == who || after[i] == before[i])
+        let after = probes_by_member(&fleet);
+        // It takes until all have found the holder: one that found none a moment ago probes the
+        // engine itself for a second.
+        let holder_stayed = lease_holders(&fleet, &ALL) == [holder];
+        let holder_probed = after[holder.member] > before[holder.member];
+        let mut others = others_than(holder.member).into_iter();
+        holder_stayed && holder_probed && others.all(|member| after[member] == before[member])
     };
-    assert!(eventually(quiet), "{}", fleet.logs());
-    assert!(!history(&fleet).is_empty());
+
+    assert!(eventually(only_holder_probes), "{}", fleet.logs());
+    assert!(!lease_history(&fleet).is_empty());
 }
 
-/// Guards against the late waker: the owner is stopped past its term while others ask it; another
-/// owns the duty then. When it goes on, what waits in its socket makes it ask the engine for
-/// nothing, and tell nothing that counts.
+/// The holder is suspended past the end of its lease while others ask it, and another manager
+/// acquires the lease. When the first one resumes, the requests that wait in its socket make it
+/// probe nothing and report nothing that is accepted.
 #[test]
-fn an_owner_stopped_past_its_term_asks_nothing_when_it_goes_on() {
+fn a_lease_holder_suspended_past_its_lease_probes_nothing_when_it_resumes() {
     let fleet = start("late", 22);
-    let (who, token) = owner(&fleet, &ALL);
-    let others: Vec<usize> = ALL.into_iter().filter(|i| *i != who).collect();
-    fleet.signal(who, Signal::STOP);
-    // They ask it once more, and wait for it in vain.
-    ask(&fleet, &others);
-    let (next, higher) = owner(&fleet, &others);
+    let first = await_lease_holder(&fleet, &ALL);
+    let others = others_than(first.member);
+
+    fleet.signal(first.member, Signal::STOP);
+    // The others ask it once more, and wait in vain.
+    send_queries(&fleet, &others);
+    let second = await_lease_holder(&fleet, &others);
     assert!(
-        next != who && higher > token,
-        "{next} under {higher} after {who} under {token}"
+        second.member != first.member && second.token > first.token,
+        "{second:?} after {first:?}"
     );
-    let before = probes(&fleet);
-    fleet.signal(who, Signal::CONT);
+    let before = probes_by_member(&fleet);
+    fleet.signal(first.member, Signal::CONT);
     assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
-    assert!(eventually(|| fleet.log(who).contains(&format!(
-        "lease: ended {DUTY}, fencing token {token}"
-    ))));
-    // It is asked again by those whose question had waited for it, and answers that it is not the
-    // owner.
-    assert_eq!(probes(&fleet)[who], before[who], "{}", fleet.log(who));
-    let all = history(&fleet);
-    assert_eq!(
-        all.get(&token).map(|(member, _)| member.clone()),
-        Some(fleet.name(who))
-    );
+    let ended = format!("lease: ended {RESOURCE}, fencing token {}", first.token);
+    assert!(eventually(|| fleet.log(first.member).contains(&ended)));
+
+    // It answers the requests that had waited by saying that it does not hold the lease.
+    let after = probes_by_member(&fleet);
     assert_eq!(
-        all.get(&higher).map(|(member, _)| member.clone()),
-        Some(fleet.name(next))
+        after[first.member],
+        before[first.member],
+        "{}",
+        fleet.log(first.member)
     );
+    let history = lease_history(&fleet);
+    let holder_under = |token: u64| history.get(&token).map(|lease| lease.member.clone());
+    assert_eq!(holder_under(first.token), Some(fleet.name(first.member)));
+    assert_eq!(holder_under(second.token), Some(fleet.name(second.member)));
 }
 
-/// Guards a partition: the owner on the smaller side can't renew and owns nothing once its term is
-/// over; the bigger side has another owner under a higher token; after the heal there is one.
+/// A holder on the minority side can't renew and holds nothing once its lease has ended; the
+/// majority side has another holder under a higher token; after the partition there is one holder.
 #[test]
-fn the_smaller_side_of_a_partition_owns_nothing() {
+fn the_minority_side_of_a_partition_holds_no_lease() {
     let fleet = start("sides", 23);
-    let (who, token) = owner(&fleet, &ALL);
-    let other = (who + 1) % MEMBERS;
-    let (small, big): (Vec<usize>, Vec<usize>) =
-        ALL.into_iter().partition(|i| [who, other].contains(i));
+    let first = await_lease_holder(&fleet, &ALL);
+    let companion = (first.member + 1) % MEMBERS;
+    let (minority, majority): (Vec<usize>, Vec<usize>) = ALL
+        .into_iter()
+        .partition(|member| [first.member, companion].contains(member));
+
     let mut faults = Faults::default();
-    faults.partition(&small, &big);
+    faults.partition(&minority, &majority);
     fleet.relay.set(faults);
-    // The small side is asked all along: its owner has no other cause to give the duty up.
-    let (next, higher) = owner_among(&fleet, &ALL, &big);
-    assert!(higher > token, "{next} under {higher} after {token}");
-    // The small side goes on to be asked, and each of it asks engines by itself; nobody there owns
-    // the duty.
+    // The minority is queried all along: its holder has no other cause to release the lease.
+    let second = await_lease_holder_among(&fleet, &ALL, &majority);
+
+    assert!(second.token > first.token, "{second:?} after {first:?}");
+    // The minority's members go on probing engines themselves; none of them holds the lease.
     for _ in 0..20 {
-        ask(&fleet, &small);
-        assert!(owners(&fleet, &small).is_empty(), "{}", fleet.log(who));
+        send_queries(&fleet, &minority);
+        assert!(
+            lease_holders(&fleet, &minority).is_empty(),
+            "{}",
+            fleet.log(first.member)
+        );
     }
     fleet.relay.set(Faults::default());
     assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
-    let (_, last) = owner(&fleet, &ALL);
-    assert!(last >= higher);
-    assert!(eventually(|| owners(&fleet, &ALL).len() == 1 || {
-        ask(&fleet, &ALL);
+    let last = await_lease_holder(&fleet, &ALL);
+    assert!(last.token >= second.token);
+    assert!(eventually(|| lease_holders(&fleet, &ALL).len() == 1 || {
+        send_queries(&fleet, &ALL);
         false
     }));
-    history(&fleet);
+    lease_history(&fleet);
 }
 
-/// Guards ends, planned and not: after SIGTERM and after SIGKILL of the owner another owns the
-/// duty, under higher tokens, and a voter that was started anew has kept what it granted.
+/// After SIGTERM and after SIGKILL of the holder another manager acquires the lease under a higher
+/// token, and a restarted voter has kept what it granted.
 #[test]
-fn a_duty_outlives_its_owners() {
+fn a_lease_passes_on_when_its_holder_is_shut_down_or_killed() {
     let mut fleet = start("ends", 24);
-    let (first, token) = owner(&fleet, &ALL);
-    fleet.signal(first, Signal::TERM);
-    let rest: Vec<usize> = ALL.into_iter().filter(|i| *i != first).collect();
-    let (second, higher) = owner(&fleet, &rest);
-    assert!(second != first && higher > token);
-    fleet.kill(first);
-    fleet.kill(second);
-    fleet.launch(first, (0.62, 0.38));
+    let first = await_lease_holder(&fleet, &ALL);
+
+    fleet.signal(first.member, Signal::TERM);
+    let second = await_lease_holder(&fleet, &others_than(first.member));
+    assert!(second.member != first.member && second.token > first.token);
+    fleet.kill(first.member);
+    fleet.kill(second.member);
+    fleet.launch(first.member, (0.62, 0.38));
     assert!(
-        eventually(|| fleet.ready(first) == Some(200)),
+        eventually(|| fleet.ready(first.member) == Some(200)),
         "{}",
-        fleet.log(first)
+        fleet.log(first.member)
     );
-    let rest: Vec<usize> = ALL.into_iter().filter(|i| *i != second).collect();
-    let (_, highest) = owner(&fleet, &rest);
-    assert!(highest > higher, "{highest} after {higher}");
-    history(&fleet);
+    let third = await_lease_holder(&fleet, &others_than(second.member));
+
+    assert!(third.token > second.token, "{third:?} after {second:?}");
+    lease_history(&fleet);
 }
