--- a/src/audit/store.rs
+++ b/src/audit/store.rs
@@ -1,14 +1,21 @@
-//! The files of the audit: frames of postcard with a CRC, delimited by COBS, in files that are
-//! turned over. Blocks; belongs to a thread of its own.
-use super::{Batch, Bounds, DecisionContext, DecisionKind, Entry, RecordPosition, Rotation};
-use serde::{Deserialize, Serialize};
+//! The audit's files of one manager. Blocks on the disk: belongs to a thread of its own.
+use super::page::PageBuilder;
+use super::segment::{DELIMITER, encode_frame};
+use super::{Batch, Bounds, DecisionContext, Entry, Page, RecordPosition, Rotation};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-const CRC: crc::Crc<u32> = crc::Crc::<u32>::new(&crc::CRC_32_ISCSI);
-/// Records of a page at most.
-pub const PAGE: usize = 1_000;
+/// The ending of the files' names.
+const SUFFIX: &str = ".seg";
+
+/// A batch that could not be written, to be reported as lost before the next one.
+#[derive(Clone)]
+struct LostBatch {
+    records: u64,
+    /// An empty batch at the position after the lost records.
+    successor: Batch,
+}
 
 /// The files of one manager.
 pub struct Store {
@@ -17,341 +24,188 @@
     stem: String,
     rotation: Rotation,
     file: Option<File>,
-    /// What the last records of that file were decided under.
-    told: Option<DecisionContext>,
-    /// What is told of batches that could not be kept, before the next one or in the end: how many
-    /// records, and a batch of none that stands where the next one would.
-    lost: Option<(u64, Batch)>,
-}
-
-/// A page of the audit.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Page {
-    /// JSON, one [`Line`] a line.
-    pub lines: String,
-    /// Where the next page begins: after the last record of this one.
-    pub next: RecordPosition,
-    /// Whether there is more.
-    pub more: bool,
-    /// Frames that could not be read.
-    pub spoilt: u64,
-}
-
-/// What a record says, as operators are told it.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(tag = "what", rename_all = "lowercase")]
-pub enum AuditRecord {
-    /// An attempt was ordered.
-    Dispatch {
-        /// Its number: 0 for the first.
-        attempt: u16,
-        /// The engine.
-        engine: String,
-    },
-    /// A final answer: refused.
-    Refuse {
-        /// When to come back, in milliseconds.
-        after_ms: u32,
-    },
-    /// A final answer: failed.
-    Fail,
-    /// The module acts on this from now on.
-    Act,
-    /// Records that were given up.
-    Lost {
-        /// How many, this number the last of them.
-        count: u64,
-    },
-    /// The manager owns a duty from now on: its name stands as the request.
-    Own {
-        /// The lease's token.
-        token: u64,
-    },
-    /// It does not any more.
-    Disown {
-        /// The lease's token.
-        token: u64,
-    },
-}
-
-impl From<&DecisionKind> for AuditRecord {
-    fn from(what: &DecisionKind) -> AuditRecord {
-        match what {
-            DecisionKind::Dispatch(attempt, engine) => AuditRecord::Dispatch {
-                attempt: *attempt,
-                engine: format!("s-{engine:08x}"),
-            },
-            DecisionKind::Refuse(after_ms) => AuditRecord::Refuse {
-                after_ms: *after_ms,
-            },
-            DecisionKind::Fail => AuditRecord::Fail,
-            DecisionKind::Act => AuditRecord::Act,
-            DecisionKind::Lost(count) => AuditRecord::Lost { count: *count },
-            DecisionKind::Own(token) => AuditRecord::Own { token: *token },
-            DecisionKind::Disown(token) => AuditRecord::Disown { token: *token },
-        }
-    }
-}
-
-/// A line of `GET /audit`: a record, whole by itself.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
-    /// Who, and on what.
-    #[serde(flatten)]
-    pub under: DecisionContext,
-    /// Its number in this life.
-    pub number: u64,
-    /// When, in microseconds of Unix time.
-    pub at: u64,
-    /// What.
-    #[serde(flatten)]
-    pub told: AuditRecord,
-    /// The class, if it is of one.
-    #[serde(default, skip_serializing_if = "str::is_empty")]
-    pub class: Box<str>,
-    /// The request, if it is of one.
-    #[serde(default, skip_serializing_if = "str::is_empty")]
-    pub request: Box<str>,
-}
-
-/// The last line of a page.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PageEnd {
-    /// Where the next page begins.
-    pub next: String,
-    /// Whether there is more now.
-    pub more: bool,
-    /// Frames of the files that could not be read.
-    pub spoilt: u64,
-}
-
-impl Page {
-    /// The page as it is answered: its last line tells where the next one begins.
-    pub fn text(&self) -> String {
-        let end = PageEnd {
-            next: self.next.to_string(),
-            more: self.more,
-            spoilt: self.spoilt,
-        };
-        format!(
-            "{}{}\n",
-            self.lines,
-            serde_json::to_string(&end).unwrap_or_default()
-        )
-    }
-}
-
-/// One entry as a frame, its delimiter included.
-pub fn frame(entry: &Entry) -> Vec<u8> {
-    // An entry always serializes.
-    let plain = postcard::to_allocvec_crc32(entry, CRC.digest()).unwrap_or_default();
-    let mut out = cobs::encode_vec(&plain);
-    out.push(0);
-    out
-}
-
-/// The entries of a file, and how many frames were spoilt. A frame without its delimiter is one
-/// that is being written, or was when the process died: it is not counted.
-pub fn entries(bytes: &[u8]) -> (Vec<Entry>, u64) {
-    let (mut all, mut spoilt) = (Vec::new(), 0);
-    let whole = bytes
-        .iter()
-        .rposition(|b| *b == 0)
-        .map_or(0, |last| last + 1);
-    for piece in bytes[..whole]
-        .split(|b| *b == 0)
-        .filter(|piece| !piece.is_empty())
-    {
-        let plain = cobs::decode_vec(piece).ok();
-        match plain.and_then(|plain| postcard::from_bytes_crc32(&plain, CRC.digest()).ok()) {
-            Some(entry) => all.push(entry),
-            None => spoilt += 1,
-        }
-    }
-    (all, spoilt)
+    /// The context of the last record in the open file.
+    file_context: Option<DecisionContext>,
+    lost: Option<LostBatch>,
 }
 
 impl Store {
-    /// The files of that manager in that folder, with those of its earlier lives.
+    /// The files of a manager in a folder, with those of its earlier incarnations.
+    ///
+    /// # Errors
+    /// If the folder can't be read.
     pub fn open(folder: &Path, member: &str, bounds: Bounds) -> io::Result<Store> {
-        let plain = |c: char| {
-            if c.is_ascii_alphanumeric() || "-_.".contains(c) {
-                c
-            } else {
-                '_'
-            }
-        };
-        let stem = format!(
-            "yokelift-audit-{}-",
-            member.chars().map(plain).collect::<String>()
-        );
-        let rotation = Rotation::new(bounds, files(folder, &stem)?);
+        let stem = format!("yokelift-audit-{}-", file_name_part(member));
+        let rotation = Rotation::new(bounds, list_segments(folder, &stem)?);
         Ok(Store {
             folder: folder.to_owned(),
             stem,
             rotation,
             file: None,
-            told: None,
+            file_context: None,
             lost: None,
         })
     }
 
-    fn path(&self, place: RecordPosition) -> PathBuf {
-        self.folder.join(format!(
-            "{}{:020}-{:020}.seg",
-            self.stem, place.life, place.number
-        ))
+    fn path(&self, first: RecordPosition) -> PathBuf {
+        let RecordPosition {
+            incarnation,
+            number,
+        } = first;
+        let stem = &self.stem;
+        self.folder
+            .join(format!("{stem}{incarnation:020}-{number:020}{SUFFIX}"))
     }
 
-    /// Keeps a batch. After an error it counts as lost, which the next one tells, in another file.
+    /// Writes a batch. After an error the batch counts as lost: the next one reports that, in
+    /// another file.
+    ///
+    /// # Errors
+    /// If the file can't be opened or written.
     pub fn append(&mut self, mut batch: Batch) -> io::Result<()> {
-        let at = batch.under.since;
-        if let Some((lost, _)) = self.lost.take() {
-            batch.after(lost, at);
+        if let Some(lost) = self.lost.take() {
+            let at = batch.context.active_since;
+            batch.prepend_loss(lost.records, at);
+        }
+        let written = self.write_batch(&batch);
+        let last_context = last_context(&batch);
+        match &written {
+            Ok(()) => self.file_context = Some(last_context),
+            Err(_) => self.abandon_batch(&batch, last_context),
         }
-        let mut frames: Vec<u8> = batch.entries.iter().flat_map(frame).collect();
+        written
+    }
+
+    fn write_batch(&mut self, batch: &Batch) -> io::Result<()> {
+        let mut frames: Vec<u8> = batch.entries.iter().flat_map(encode_frame).collect();
         let first = RecordPosition {
-            life: batch.under.life,
-            number: batch.first,
+            incarnation: batch.context.incarnation,
+            number: batch.first_number,
         };
-        let turn = self.rotation.before(first, frames.len() as u64);
-        for gone in turn.deletes {
-            let _ = std::fs::remove_file(self.path(gone));
-        }
-        if turn.opens.is_some() {
-            (self.file, self.told) = (None, None);
+        let plan = self.rotation.plan_write(first, frames.len() as u64);
+        for segment in plan.delete {
+            let _ = std::fs::remove_file(self.path(segment));
         }
-        if self.told.as_ref() != Some(&batch.under) {
-            frames.splice(0..0, frame(&Entry::from(&batch.under)));
+        if let Some(first) = plan.open {
+            self.file = None;
+            self.file_context = None;
+            self.file = Some(self.open_segment(first)?);
         }
-        let last = batch.entries.iter().rev().find_map(|entry| match entry {
-            Entry::Under(under) => Some(DecisionContext::from((**under).clone())),
-            Entry::Record { .. } => None,
-        });
-        let done = self.write(turn.opens, &frames);
-        match &done {
-            Ok(()) => self.told = Some(last.unwrap_or(batch.under)),
-            Err(_) => {
-                let under = last.unwrap_or(batch.under.clone());
-                let next = Batch {
-                    under,
-                    first: batch.first + batch.records(),
-                    entries: Vec::new(),
-                };
-                self.lost = Some((batch.records(), next));
-                (self.file, self.told) = (None, None);
-                self.rotation.broke();
-            }
+        if self.file_context.as_ref() != Some(&batch.context) {
+            frames.splice(0..0, encode_frame(&Entry::from(&batch.context)));
         }
-        done
+        let file = self.file.as_mut();
+        file.ok_or_else(|| io::Error::other("no file of the audit is open"))?
+            .write_all(&frames)
     }
 
-    /// No batch follows: tells what is not told yet of those that could not be kept.
+    fn open_segment(&self, first: RecordPosition) -> io::Result<File> {
+        let mut file = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.path(first))?;
+        // Ends a frame that may have been cut short in a file of that name.
+        file.write_all(&[DELIMITER])?;
+        Ok(file)
+    }
+
+    fn abandon_batch(&mut self, batch: &Batch, last_context: DecisionContext) {
+        let records = batch.record_count();
+        let successor = Batch {
+            context: last_context,
+            first_number: batch.first_number + records,
+            entries: Vec::new(),
+        };
+        self.lost = Some(LostBatch { records, successor });
+        self.file = None;
+        self.file_context = None;
+        self.rotation.abandon_open_segment();
+    }
+
+    /// Reports what is lost and not yet reported; no batch follows.
+    ///
+    /// # Errors
+    /// If the file can't be opened or written.
     pub fn settle(&mut self) -> io::Result<()> {
         match self.lost.clone() {
-            Some((_, next)) => self.append(next),
+            Some(lost) => self.append(lost.successor),
             None => Ok(()),
         }
     }
 
-    fn write(&mut self, opens: Option<RecordPosition>, frames: &[u8]) -> io::Result<()> {
-        if let Some(place) = opens {
-            let mut file = OpenOptions::new()
-                .create(true)
-                .append(true)
-                .open(self.path(place))?;
-            // Ends what may have broken off in a file of that name.
-            file.write_all(&[0])?;
-            self.file = Some(file);
-        }
-        let file = self
-            .file
-            .as_mut()
-            .ok_or_else(|| io::Error::other("no file of the audit is open"))?;
-        file.write_all(frames)
-    }
-
-    /// The records after that place, at most so many.
-    pub fn read(&self, since: RecordPosition, most: usize) -> io::Result<Page> {
-        let mut page = Page {
-            next: since,
-            ..Page::default()
-        };
-        let all = files(&self.folder, &self.stem)?;
-        let mut count = 0;
-        for (at, place) in all.iter().enumerate() {
-            // All of a file is known if the next one of its life begins at or before what comes
-            // next.
-            let after = all
-                .get(at + 1)
-                .filter(|next| next.life == since.life && place.life == since.life);
-            if place.life < since.life || after.is_some_and(|next| next.number <= since.number + 1)
-            {
+    /// The records after that position, at most `max_records`.
+    ///
+    /// # Errors
+    /// If the folder can't be read.
+    pub fn read(&self, after: RecordPosition, max_records: usize) -> io::Result<Page> {
+        let segments = list_segments(&self.folder, &self.stem)?;
+        let mut page = PageBuilder::new(after, max_records);
+        for (index, segment) in segments.iter().enumerate() {
+            if is_read_already(*segment, segments.get(index + 1), after) {
                 continue;
             }
-            // One that goes meanwhile is as one that was gone before.
-            let Ok(bytes) = std::fs::read(self.path(*place)) else {
+            // A file may be deleted meanwhile.
+            let Ok(bytes) = std::fs::read(self.path(*segment)) else {
                 continue;
             };
-            let (entries, spoilt) = entries(&bytes);
-            page.spoilt += spoilt;
-            let mut under = DecisionContext::default();
-            for entry in entries {
-                let (number, at, what, class, request) = match entry {
-                    Entry::Under(next) => {
-                        under = DecisionContext::from(*next);
-                        continue;
-                    }
-                    Entry::Record {
-                        number,
-                        at,
-                        what,
-                        class,
-                        request,
-                    } => (number, at, what, class, request),
-                };
-                let here = RecordPosition {
-                    life: under.life,
-                    number,
-                };
-                if here <= page.next {
-                    continue;
-                }
-                if count >= most {
-                    page.more = true;
-                    return Ok(page);
-                }
-                let under = under.clone();
-                let line = Line {
-                    under,
-                    number,
-                    at,
-                    told: AuditRecord::from(&what),
-                    class,
-                    request,
-                };
-                page.lines
-                    .push_str(&serde_json::to_string(&line).unwrap_or_default());
-                page.lines.push('\n');
-                (page.next, count) = (here, count + 1);
+            page.add_segment(&bytes);
+            if page.is_full() {
+                break;
             }
         }
-        Ok(page)
+        Ok(page.finish())
+    }
+}
+
+/// The context after the last entry of a batch.
+fn last_context(batch: &Batch) -> DecisionContext {
+    let last = batch.entries.iter().rev().find_map(|entry| match entry {
+        Entry::Context(context) => Some(DecisionContext::from((**context).clone())),
+        Entry::Record { .. } => None,
+    });
+    last.unwrap_or_else(|| batch.context.clone())
+}
+
+/// Whether a file holds no record after that position: it belongs to an earlier incarnation, or the
+/// next file of the same one begins at or before the next record.
+fn is_read_already(
+    segment: RecordPosition,
+    next_segment: Option<&RecordPosition>,
+    after: RecordPosition,
+) -> bool {
+    if segment.incarnation != after.incarnation {
+        return segment.incarnation < after.incarnation;
     }
+    next_segment.is_some_and(|next| {
+        next.incarnation == after.incarnation && next.number <= after.number + 1
+    })
+}
+
+/// A manager's name with only characters that are safe in a file name.
+fn file_name_part(member: &str) -> String {
+    let is_safe = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
+    member
+        .chars()
+        .map(|letter| if is_safe(letter) { letter } else { '_' })
+        .collect()
 }
 
-/// The files there are, the oldest first.
-fn files(folder: &Path, stem: &str) -> io::Result<Vec<RecordPosition>> {
-    let mut all = Vec::new();
+/// The files in a folder whose names begin with `stem`, the oldest first.
+fn list_segments(folder: &Path, stem: &str) -> io::Result<Vec<RecordPosition>> {
+    let mut segments = Vec::new();
     for file in std::fs::read_dir(folder)? {
         let name = file?.file_name();
-        let place = name
-            .to_str()
-            .and_then(|n| n.strip_prefix(stem)?.strip_suffix(".seg")?.split_once('-'));
-        let place =
-            place.and_then(|(life, number)| Some((life.parse().ok()?, number.parse().ok()?)));
-        all.extend(place.map(|(life, number)| RecordPosition { life, number }));
+        segments.extend(name.to_str().and_then(|name| parse_file_name(name, stem)));
     }
-    all.sort_unstable();
-    Ok(all)
+    segments.sort_unstable();
+    Ok(segments)
+}
+
+fn parse_file_name(name: &str, stem: &str) -> Option<RecordPosition> {
+    let position = name.strip_prefix(stem)?.strip_suffix(SUFFIX)?;
+    let (incarnation, number) = position.split_once('-')?;
+    Some(RecordPosition {
+        incarnation: incarnation.parse().ok()?,
+        number: number.parse().ok()?,
+    })
 }
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -63,7 +63,9 @@
         let fleet: FleetConfig =
             toml::from_str(text).map_err(|e| format!("fleet: {}", e.message()))?;
         fleet.timing.check()?;
-        fleet.audit.iter().try_for_each(Bounds::check)?;
+        if let Some(bounds) = &fleet.audit {
+            bounds.validate().map_err(|error| error.to_string())?;
+        }
         fleet.duties.iter().try_for_each(LeaseConfig::check)?;
         if [fleet.bind, fleet.advertise]
             .iter()
--- a/src/dispatcher/attempts.rs
+++ b/src/dispatcher/attempts.rs
@@ -86,7 +86,10 @@
         self.note(
             of,
             &job.client_request_id,
-            DecisionKind::Dispatch(attempt.0, engine.0),
+            DecisionKind::Dispatch {
+                attempt: attempt.0,
+                engine: engine.0,
+            },
         );
         orders.push(Command::StartAttempt(engine, job));
     }
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -164,7 +164,7 @@
             return;
         };
         decisions.push(Decision {
-            what,
+            kind: what,
             class: class.name.clone(),
             request: request.clone(),
         });
@@ -174,7 +174,13 @@
         match answer {
             Response::Rejected(after) => {
                 let after = u32::try_from(after.unwrap_or(0) / MS).unwrap_or(u32::MAX);
-                self.note(class, request, DecisionKind::Refuse(after));
+                self.note(
+                    class,
+                    request,
+                    DecisionKind::Reject {
+                        retry_after_ms: after,
+                    },
+                );
             }
             Response::Failed(_) => self.note(class, request, DecisionKind::Fail),
             // One that was served is told by its dispatch; one that another process worded, by that
--- a/src/frontend/admin.rs
+++ b/src/frontend/admin.rs
@@ -1,7 +1,6 @@
 //! The second address, for operators alone: HTTP/1.1, one call to a connection. Parser and wording,
 //! no sockets.
-use crate::audit::RecordPosition;
-use crate::audit::store::PAGE;
+use crate::audit::{MAX_PAGE_RECORDS, RecordPosition};
 use crate::dispatcher::metrics::{ClassMetrics, MetricsSnapshot};
 use crate::http::{self, Fault};
 use std::fmt::Write as _;
@@ -56,7 +55,7 @@
     (
         "GET",
         "/audit",
-        AdminRequest::Audit(RecordPosition { life: 0, number: 0 }, PAGE),
+        AdminRequest::Audit(RecordPosition::START, MAX_PAGE_RECORDS),
     ),
 ];
 
@@ -105,7 +104,7 @@
             _ => {}
         }
     }
-    Ok(AdminRequest::Audit(since, most.clamp(1, PAGE)))
+    Ok(AdminRequest::Audit(since, most.clamp(1, MAX_PAGE_RECORDS)))
 }
 
 /// An answer, whole.
--- a/src/main.rs
+++ b/src/main.rs
@@ -136,15 +136,15 @@
                 &shared,
                 DecisionContext {
                     member,
-                    life,
+                    incarnation: life,
                     build,
-                    acting,
-                    since: life,
+                    configuration: acting,
+                    active_since: life,
                 },
                 bounds,
             )
         });
-    let audit = audit.transpose()?;
+    let audit = audit.transpose().map_err(|error| error.to_string())?;
     // With an address for operators there may be a process that this one follows, or one that will
     // follow it.
     let place = config
--- a/src/net/audit.rs
+++ b/src/net/audit.rs
@@ -1,36 +1,84 @@
-//! The actors of the audit: the core's side, which never waits, and the thread that owns the files.
+//! The actors of the audit: the dispatcher's side, which never blocks, and the thread that owns the
+//! files.
 use super::Shared;
-use crate::audit::store::{Page, Store};
+use crate::audit::store::Store;
 use crate::audit::{
-    ActiveConfiguration, AuditBuffer, Batch, Bounds, Decision, DecisionContext, DecisionKind,
+    ActiveConfiguration, AuditBuffer, Batch, Bounds, Decision, DecisionContext, DecisionKind, Page,
     RecordPosition,
 };
 use crate::clock::{self, Micros};
+use crate::lease::{FencingToken, Resource};
 use crate::log;
 use async_channel::{Receiver, Sender, bounded};
 use async_io::Timer;
 use futures_lite::future::or;
+use std::io;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Batches and readings that wait for the files' thread.
-const MAILBOX: usize = 64;
-/// At its end the program waits this long for the last batch, and no longer.
-const LAST_WORDS: Duration = Duration::from_millis(500);
+/// The most batches and reads that wait for the files' thread.
+const MAX_PENDING_JOBS: usize = 64;
+/// How long the program waits at its end for the last batch to be written.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long an operator's read waits for the files' thread.
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the files' thread is asked.
+/// A job for the thread that owns the files.
 pub enum Job {
-    /// Keep a batch.
-    Keep(Batch),
-    /// Read a page: after that place, so many records at most.
-    Read(RecordPosition, usize, Sender<Result<Page, String>>),
+    /// Write a batch.
+    Write(Batch),
+    /// Read a page.
+    Read {
+        /// The position after which the page begins.
+        after: RecordPosition,
+        /// The most records of the page.
+        max_records: usize,
+        /// Where the page is to be sent.
+        reply: Sender<Result<Page, AuditReadError>>,
+    },
 }
 
-/// The core's side of the audit.
+/// Why a page of the audit could not be read.
+#[derive(Debug, Error)]
+pub enum AuditReadError {
+    /// The files' thread has no room for another job.
+    #[error("the files are behind")]
+    Busy,
+    /// The files' thread did not answer in time.
+    #[error("the files take too long")]
+    Timeout,
+    /// The files' thread has ended.
+    #[error("the program ends")]
+    Stopping,
+    /// The folder can't be read.
+    #[error(transparent)]
+    Storage(#[from] io::Error),
+}
+
+/// Why the audit could not be started.
+#[derive(Debug, Error)]
+pub enum AuditStartError {
+    /// There is no folder for the files.
+    #[error(transparent)]
+    StateFolder(#[from] StateFolderUnset),
+    /// The folder can't be read.
+    #[error("fleet: the audit's files in {}: {source}", folder.display())]
+    Storage {
+        /// The folder.
+        folder: PathBuf,
+        /// The cause.
+        source: io::Error,
+    },
+    /// The thread that owns the files could not be started.
+    #[error("fleet: the audit's thread: {0}")]
+    Thread(#[source] io::Error),
+}
+
+/// The dispatcher's side of the audit.
 pub struct AuditWriter {
-    trail: AuditBuffer,
+    buffer: AuditBuffer,
     jobs: Sender<Job>,
     /// Closed once the files' thread has ended.
     ended: Receiver<()>,
@@ -60,141 +108,159 @@
     folder().map(|folder| folder.join(name))
 }
 
-/// Starts the files' thread, and hands out the core's side.
+/// Starts the thread that owns the files.
+///
+/// # Errors
+/// If there is no folder for the files, it can't be read, or the thread can't be started.
 pub fn start(
     shared: &Rc<Shared>,
-    under: DecisionContext,
+    context: DecisionContext,
     bounds: Bounds,
-) -> Result<AuditWriter, String> {
-    let folder = folder().map_err(|error| error.to_string())?;
-    let store = Store::open(&folder, &under.member, bounds);
-    let store =
-        store.map_err(|e| format!("fleet: the audit's files in {}: {e}", folder.display()))?;
-    let (jobs, work) = bounded(MAILBOX);
-    let (done, ended) = bounded(1);
-    let thread = std::thread::Builder::new().name("audit".into());
+) -> Result<AuditWriter, AuditStartError> {
+    let folder = folder()?;
+    let store = match Store::open(&folder, &context.member, bounds) {
+        Ok(store) => store,
+        Err(source) => return Err(AuditStartError::Storage { folder, source }),
+    };
+    let (jobs, pending_jobs) = bounded(MAX_PENDING_JOBS);
+    let (has_ended, ended) = bounded(1);
     let run = move || {
-        keep(store, &work);
-        drop(done);
+        run_jobs(store, &pending_jobs);
+        drop(has_ended);
     };
-    thread
+    std::thread::Builder::new()
+        .name("audit".into())
         .spawn(run)
-        .map_err(|e| format!("fleet: the audit's thread: {e}"))?;
+        .map_err(AuditStartError::Thread)?;
     *shared.audit_jobs.borrow_mut() = Some(jobs.clone());
     Ok(AuditWriter {
-        trail: AuditBuffer::new(under),
+        buffer: AuditBuffer::new(context),
         jobs,
         ended,
     })
 }
 
-/// The files' thread: until nobody can ask it for anything any more.
-fn keep(mut store: Store, work: &Receiver<Job>) {
-    while let Ok(job) = work.recv_blocking() {
+/// The files' thread: runs until all senders of jobs are gone.
+fn run_jobs(mut store: Store, jobs: &Receiver<Job>) {
+    while let Ok(job) = jobs.recv_blocking() {
         clock::turn();
         match job {
-            Job::Keep(batch) => {
-                if let Err(e) = store.append(batch) {
-                    log!("the audit could not keep a batch: {e}");
+            Job::Write(batch) => {
+                if let Err(error) = store.append(batch) {
+                    log!("audit: a batch could not be written: {error}");
                 }
             }
-            Job::Read(since, most, answer) => {
-                let _ = answer.try_send(store.read(since, most).map_err(|e| e.to_string()));
+            Job::Read {
+                after,
+                max_records,
+                reply,
+            } => {
+                let page = store.read(after, max_records);
+                let _ = reply.try_send(page.map_err(AuditReadError::from));
             }
         }
     }
-    if let Err(e) = store.settle() {
-        log!("the audit could not tell what it lost: {e}");
+    if let Err(error) = store.settle() {
+        log!("audit: the lost records could not be reported: {error}");
     }
 }
 
 impl AuditWriter {
-    /// When the core should come by, if anything waits.
-    pub fn due(&self) -> Option<Micros> {
-        self.trail.due()
+    /// When [`record_all`](Self::record_all) is to be called again, if anything waits.
+    pub fn flush_due_at(&self) -> Option<Micros> {
+        self.buffer.flush_due_at()
     }
 
-    /// The end of a turn of the core: what it decided on the way, under what its module acts on.
-    pub fn turn(&mut self, now: Micros, decisions: &[Decision]) {
-        decisions
-            .iter()
-            .for_each(|decision| self.trail.note(now, decision));
-        if let Some(batch) = self.trail.flush(now) {
+    /// Records decisions, and sends the batch to the files if it is due.
+    pub fn record_all(&mut self, now: Micros, decisions: &[Decision]) {
+        for decision in decisions {
+            self.buffer.record(now, decision);
+        }
+        if let Some(batch) = self.buffer.flush(now) {
             self.send(batch);
         }
     }
 
-    /// The module acts on this from now on.
-    pub fn acts_on(&mut self, now: Micros, acting: ActiveConfiguration) {
-        self.trail.acts_on(now, acting);
+    /// The decision module acts on this configuration from now on.
+    pub fn set_configuration(&mut self, now: Micros, configuration: ActiveConfiguration) {
+        self.buffer.set_configuration(now, configuration);
     }
 
-    /// A duty came to this manager, or went from it.
-    pub fn owns(&mut self, now: Micros, duty: &str, token: u64, owned: bool) {
-        let what = if owned {
-            DecisionKind::Own(token)
+    /// Records that this manager has acquired a lease, or holds it no longer.
+    pub fn record_lease_change(
+        &mut self,
+        now: Micros,
+        resource: Resource,
+        token: FencingToken,
+        is_held: bool,
+    ) {
+        let kind = if is_held {
+            DecisionKind::AcquireLease { token }
         } else {
-            DecisionKind::Disown(token)
+            DecisionKind::EndLease { token }
+        };
+        let decision = Decision {
+            kind,
+            class: "".into(),
+            request: resource.to_string().into(),
         };
-        self.trail.note(
-            now,
-            &Decision {
-                what,
-                class: "".into(),
-                request: duty.into(),
-            },
-        );
+        self.buffer.record(now, &decision);
     }
 
     fn send(&mut self, batch: Batch) {
-        if let Err(Job::Keep(batch)) = self
-            .jobs
-            .try_send(Job::Keep(batch))
-            .map_err(|e| e.into_inner())
-        {
-            self.trail.gave_up(clock::now(), &batch);
+        let rejected = match self.jobs.try_send(Job::Write(batch)) {
+            Ok(()) => return,
+            Err(error) => error.into_inner(),
+        };
+        if let Job::Write(batch) = rejected {
+            self.buffer.mark_lost(clock::now(), &batch);
             log!(
-                "the audit's files are behind: {} records were given up",
-                batch.records()
+                "audit: the files are behind, {} records are lost",
+                batch.record_count()
             );
         }
     }
 
-    /// The program ends: the last batch, and a moment for the files.
+    /// Sends the last batch and waits a moment for the files: the program ends.
     pub async fn finish(mut self) {
-        if let Some(batch) = self.trail.finish() {
+        if let Some(batch) = self.buffer.finish() {
             self.send(batch);
         }
         self.jobs.close();
         let ended = async {
             let _ = self.ended.recv().await;
         };
-        let late = async {
-            Timer::after(LAST_WORDS).await;
+        let timeout = async {
+            Timer::after(FINAL_WRITE_TIMEOUT).await;
         };
-        or(ended, late).await;
+        or(ended, timeout).await;
     }
 }
 
-/// Reads a page for an operator. Waits for the files' thread, never for the core.
+/// Reads a page for an operator; `None` if no audit is kept. Waits for the files' thread, never for
+/// the dispatcher.
 pub async fn read(
     shared: &Shared,
-    since: RecordPosition,
-    most: usize,
-) -> Option<Result<Page, String>> {
+    after: RecordPosition,
+    max_records: usize,
+) -> Option<Result<Page, AuditReadError>> {
     let jobs = shared.audit_jobs.borrow().clone()?;
-    let (answer, page) = bounded(1);
-    if jobs.try_send(Job::Read(since, most, answer)).is_err() {
-        return Some(Err("the files are behind".into()));
+    let (reply, page) = bounded(1);
+    let job = Job::Read {
+        after,
+        max_records,
+        reply,
+    };
+    if jobs.try_send(job).is_err() {
+        return Some(Err(AuditReadError::Busy));
     }
-    let late = async {
-        Timer::after(Duration::from_secs(1)).await;
-        Err("the files take too long".into())
+    let timeout = async {
+        Timer::after(READ_TIMEOUT).await;
+        Err(AuditReadError::Timeout)
     };
     let page = async {
-        page.recv()
-            .await
-            .unwrap_or_else(|_| Err("the program ends".into()))
+        let answer = page.recv().await;
+        answer.unwrap_or(Err(AuditReadError::Stopping))
     };
-    Some(or(page, late).await)
+    Some(or(page, timeout).await)
 }
--- a/src/net/dispatcher/mod.rs
+++ b/src/net/dispatcher/mod.rs
@@ -114,7 +114,7 @@
         let last_at = life()
             .forced_end_at(core.manager.longest_deadline())
             .filter(|_| !core.ended);
-        let kept_at = core.audit.as_ref().and_then(AuditWriter::due);
+        let kept_at = core.audit.as_ref().and_then(AuditWriter::flush_due_at);
         let due = core
             .manager
             .next_wakeup()
@@ -154,7 +154,7 @@
         core.dispatch(now);
         shared.active_configuration.set(core.acting);
         if let Some(audit) = &mut core.audit {
-            audit.turn(now, &core.manager.take_decisions());
+            audit.record_all(now, &core.manager.take_decisions());
         }
         // Every turn comes by here: only one that may be the last looks at all the clients.
         if stop_at.is_none() && parts_until.is_none() {
@@ -196,8 +196,8 @@
     fn acts_on(&mut self, now: Micros, acting: ActiveConfiguration) {
         self.acting = acting;
         if let Some(audit) = &mut self.audit {
-            audit.turn(now, &self.manager.take_decisions());
-            audit.acts_on(now, acting);
+            audit.record_all(now, &self.manager.take_decisions());
+            audit.set_configuration(now, acting);
         }
     }
 
@@ -300,8 +300,8 @@
                 held: owned,
             } => {
                 if let Some(audit) = &mut self.audit {
-                    audit.turn(now, &self.manager.take_decisions());
-                    audit.owns(now, &duty.to_string(), token.0, owned);
+                    audit.record_all(now, &self.manager.take_decisions());
+                    audit.record_lease_change(now, duty, token, owned);
                 }
             }
             DispatcherEvent::ActiveGateways(managers) => manager.set_active_gateways(managers),
--- a/src/testkit/audit.rs
+++ b/src/testkit/audit.rs
@@ -1,88 +1,125 @@
-//! Gathers the audit of several managers over their second addresses.
+//! Gathers the audits of several managers over their admin endpoints.
 use super::{clients, pause};
-use crate::audit::RecordPosition;
-use crate::audit::report::{NodeReport, Seen};
-use crate::audit::store::{Line, PageEnd};
+use crate::audit::report::{NodeReport, ObservedMember};
+use crate::audit::{PageEnd, RecordPosition};
 use futures_lite::future::or;
 use std::net::SocketAddr;
+use thiserror::Error;
 
-/// Pages of one manager at most: what is written meanwhile must not keep the gathering going for
-/// ever.
-const PAGES: usize = 10_000;
-/// A manager that does not answer a call within this time is told as missing.
-const PATIENCE_MS: u64 = 5_000;
+/// The most pages that are read of one manager: what it writes meanwhile must not keep the
+/// gathering going for ever.
+const MAX_PAGES: usize = 10_000;
+/// How long a call may take, in milliseconds.
+const CALL_TIMEOUT_MS: u64 = 5_000;
 
-async fn get(addr: SocketAddr, path: &str) -> Result<String, String> {
-    let late = async {
-        pause(PATIENCE_MS).await;
-        Err("no answer in time".to_owned())
+/// Why something could not be had of a manager.
+#[derive(Debug, Error)]
+enum GatherError {
+    #[error("GET {path}: no answer in time")]
+    Timeout { path: String },
+    #[error("GET {path}: no answer")]
+    NoAnswer { path: String },
+    #[error("GET {path}: {status}: {}", body.trim())]
+    Status {
+        path: String,
+        status: u16,
+        body: String,
+    },
+    #[error("GET {path}: {source}")]
+    Malformed {
+        path: &'static str,
+        source: serde_json::Error,
+    },
+    #[error("GET /audit: a page without its end")]
+    PageEnd,
+}
+
+async fn get(addr: SocketAddr, path: String) -> Result<String, GatherError> {
+    let timeout = async {
+        pause(CALL_TIMEOUT_MS).await;
+        let path = path.clone();
+        Err(GatherError::Timeout { path })
     };
     let call = async {
-        match clients::call(addr, "GET", path).await {
+        let answer = clients::call(addr, "GET", &path).await;
+        let path = path.clone();
+        match answer {
             Some((200, body)) => Ok(body),
-            Some((status, body)) => Err(format!("{status}: {}", body.trim())),
-            None => Err("no answer".into()),
+            Some((status, body)) => Err(GatherError::Status { path, status, body }),
+            None => Err(GatherError::NoAnswer { path }),
         }
     };
-    or(call, late)
-        .await
-        .map_err(|why| format!("GET {path}: {why}"))
+    or(call, timeout).await
 }
 
-async fn one(addr: SocketAddr, since: RecordPosition) -> NodeReport {
-    let mut all = NodeReport {
-        addr: addr.to_string(),
-        ..NodeReport::default()
-    };
-    match get(addr, "/fleet").await {
-        Ok(body) => {
-            for line in body.lines() {
-                match serde_json::from_str::<Seen>(line) {
-                    Ok(seen) => all.fleet.push(seen),
-                    Err(e) => all.missing.push(format!("GET /fleet: {e}")),
-                }
-            }
+/// Adds the manager's view of the fleet.
+async fn gather_fleet(addr: SocketAddr, node: &mut NodeReport) -> Result<(), GatherError> {
+    let body = get(addr, "/fleet".into()).await?;
+    for line in body.lines() {
+        match serde_json::from_str::<ObservedMember>(line) {
+            Ok(member) => node.fleet.push(member),
+            Err(source) => note_malformed(node, "/fleet", source),
         }
-        Err(why) => all.missing.push(why),
     }
-    let mut since = since.to_string();
-    for _ in 0..PAGES {
-        let body = match get(addr, &format!("/audit?since={since}")).await {
-            Ok(body) => body,
-            Err(why) => {
-                all.missing.push(why);
-                break;
-            }
-        };
-        let mut lines: Vec<&str> = body.lines().collect();
-        let Some(end) = lines
-            .pop()
-            .and_then(|end| serde_json::from_str::<PageEnd>(end).ok())
-        else {
-            all.missing
-                .push("GET /audit: a page without its end".into());
+    Ok(())
+}
+
+/// Adds the manager's records after that position.
+async fn gather_records(
+    addr: SocketAddr,
+    after: RecordPosition,
+    node: &mut NodeReport,
+) -> Result<(), GatherError> {
+    let mut next = after.to_string();
+    for _ in 0..MAX_PAGES {
+        let body = get(addr, format!("/audit?since={next}")).await?;
+        let end = add_page(&body, node)?;
+        if !end.has_more {
             break;
-        };
-        for line in lines {
-            match serde_json::from_str::<Line>(line) {
-                Ok(record) => all.records.push(record),
-                Err(e) => all.missing.push(format!("GET /audit: {e}")),
-            }
         }
-        all.spoilt = all.spoilt.max(end.spoilt);
-        since = end.next;
-        if !end.more {
-            break;
+        next = end.next;
+    }
+    Ok(())
+}
+
+fn add_page(body: &str, node: &mut NodeReport) -> Result<PageEnd, GatherError> {
+    let mut lines: Vec<&str> = body.lines().collect();
+    let end = lines.pop().and_then(|end| serde_json::from_str(end).ok());
+    let end: PageEnd = end.ok_or(GatherError::PageEnd)?;
+    for line in lines {
+        match serde_json::from_str(line) {
+            Ok(record) => node.records.push(record),
+            Err(source) => note_malformed(node, "/audit", source),
         }
     }
-    all
+    node.damaged_frames = node.damaged_frames.max(end.damaged_frames);
+    Ok(end)
+}
+
+fn note_malformed(node: &mut NodeReport, path: &'static str, source: serde_json::Error) {
+    let error = GatherError::Malformed { path, source };
+    node.missing.push(error.to_string());
+}
+
+async fn gather_node(addr: SocketAddr, after: RecordPosition) -> NodeReport {
+    let mut node = NodeReport {
+        addr: addr.to_string(),
+        ..NodeReport::default()
+    };
+    if let Err(error) = gather_fleet(addr, &mut node).await {
+        node.missing.push(error.to_string());
+    }
+    if let Err(error) = gather_records(addr, after, &mut node).await {
+        node.missing.push(error.to_string());
+    }
+    node
 }
 
-/// What those managers answer: their views, and their records after that place.
-pub async fn gather(addrs: &[SocketAddr], since: RecordPosition) -> Vec<NodeReport> {
-    let mut all = Vec::new();
+/// The views of those managers, and their records after that position.
+pub async fn gather(addrs: &[SocketAddr], after: RecordPosition) -> Vec<NodeReport> {
+    let mut nodes = Vec::new();
     for addr in addrs {
-        all.push(one(*addr, since).await);
+        nodes.push(gather_node(*addr, after).await);
     }
-    all
+    nodes
 }
--- a/tests/unit/dispatcher.rs
+++ b/tests/unit/dispatcher.rs
@@ -414,12 +414,12 @@
             let of = |is: fn(&DecisionKind) -> bool| {
                 self.audited
                     .iter()
-                    .filter(|d| *d.request == *key && is(&d.what))
+                    .filter(|d| *d.request == *key && is(&d.kind))
                     .count() as u32
             };
             let told = (
-                of(|w| matches!(w, DecisionKind::Dispatch(..))),
-                of(|w| matches!(w, DecisionKind::Refuse(_))),
+                of(|w| matches!(w, DecisionKind::Dispatch { .. })),
+                of(|w| matches!(w, DecisionKind::Reject { .. })),
                 of(|w| matches!(w, DecisionKind::Fail)),
             );
             let was = |is: fn(&Response) -> bool| u32::from(seen.how.as_ref().is_some_and(is));
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -6,7 +6,8 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
-use yokelift::audit::store::{Store, entries, frame};
+use yokelift::audit::segment::{SegmentContent, decode_segment, encode_frame};
+use yokelift::audit::store::Store;
 use yokelift::audit::{
     ActiveConfiguration, Batch, Bounds, DecisionContext, DecisionKind, Entry, RecordPosition,
 };
@@ -262,35 +263,47 @@
 }
 
 fn under() -> DecisionContext {
-    let acting = ActiveConfiguration {
+    let configuration = ActiveConfiguration {
         generation: 3,
         settings: 0x0123_4567_89ab_cdef,
         list: 41,
     };
     DecisionContext {
         member: "n0".into(),
-        life: 1_700_000_000_000_001,
+        incarnation: 1_700_000_000_000_001,
         build: "0.1.0+local".into(),
-        acting,
-        since: 5_000,
+        configuration,
+        active_since: 5_000,
     }
 }
 
 fn audit_entries() -> Vec<Entry> {
     let kinds = [
-        DecisionKind::Act,
-        DecisionKind::Dispatch(0, 0x2a),
-        DecisionKind::Dispatch(1, 0x2b),
-        DecisionKind::Refuse(250),
+        DecisionKind::ActivateConfiguration,
+        DecisionKind::Dispatch {
+            attempt: 0,
+            engine: 0x2a,
+        },
+        DecisionKind::Dispatch {
+            attempt: 1,
+            engine: 0x2b,
+        },
+        DecisionKind::Reject {
+            retry_after_ms: 250,
+        },
         DecisionKind::Fail,
-        DecisionKind::Lost(12),
-        DecisionKind::Own(17),
-        DecisionKind::Disown(17),
+        DecisionKind::Lost { count: 12 },
+        DecisionKind::AcquireLease {
+            token: FencingToken(17),
+        },
+        DecisionKind::EndLease {
+            token: FencingToken(17),
+        },
     ];
-    let record = |(at, what): (usize, DecisionKind)| {
+    let record = |(at, kind): (usize, DecisionKind)| {
         let of_request = matches!(
-            what,
-            DecisionKind::Dispatch(..) | DecisionKind::Refuse(_) | DecisionKind::Fail
+            kind,
+            DecisionKind::Dispatch { .. } | DecisionKind::Reject { .. } | DecisionKind::Fail
         );
         let (class, request) = if of_request {
             ("lookup", "c-7")
@@ -301,7 +314,7 @@
         Entry::Record {
             number,
             at: 6_000 + number,
-            what,
+            kind,
             class: class.into(),
             request: request.into(),
         }
@@ -313,11 +326,14 @@
 #[test]
 fn audit_segments_are_read_and_written_as_before() {
     let all = audit_entries();
-    let written: Vec<u8> = all.iter().flat_map(frame).collect();
+    let written: Vec<u8> = all.iter().flat_map(encode_frame).collect();
     assert_writes("audit_segment.hex", &[("segment", written)]);
     assert_eq!(
-        entries(&fixture_bytes("audit_segment.hex")["segment"]),
-        (all, 0)
+        decode_segment(&fixture_bytes("audit_segment.hex")["segment"]),
+        SegmentContent {
+            entries: all,
+            damaged_frames: 0,
+        }
     );
 }
 
@@ -330,8 +346,8 @@
     let records = audit_entries().split_off(1);
     store
         .append(Batch {
-            under: under(),
-            first: 1,
+            context: under(),
+            first_number: 1,
             entries: records,
         })
         .expect("kept");
