--- a/src/net/dispatcher/mod.rs
+++ b/src/net/dispatcher/mod.rs
@@ -281,18 +281,13 @@
                 let _ = done.try_send(manager.classes());
             }
             DispatcherEvent::Tenants(tenants) => manager.set_tenants(&tenants),
-            DispatcherEvent::Probe { engine, deadline } => {
-                self.probe(now, EngineId(engine), deadline);
-            }
+            DispatcherEvent::Probe {
+                engine,
+                deadline: until,
+            } => self.probe(now, EngineId(engine), until),
             DispatcherEvent::SharedProbeResult { engine, result } => {
-                manager.probe_completed(
-                    now,
-                    EngineId(engine),
-                    result.outcome_kind(),
-                    result.latency,
-                    result.load_report(),
-                    orders,
-                );
+                let (kind, load) = (result.outcome_kind(), result.load_report());
+                manager.probe_completed(now, EngineId(engine), kind, result.latency, load, orders);
             }
             DispatcherEvent::LeaseChanged {
                 resource: duty,
@@ -340,20 +335,25 @@
             }
             Command::CancelAttempt(engine, id, attempt) => {
                 if self
-                    .to_engine(engine, EngineCommand::Stop(id, attempt))
+                    .to_engine(engine, EngineCommand::Cancel { id, attempt })
                     .is_err()
                 {
                     // Guards against a lost word: with the mailbox closed the engine's connections
                     // end.
-                    self.engines.get(&engine).iter().for_each(|row| row.cut());
+                    self.engines.get(&engine).iter().for_each(|row| row.abort());
                     log!("the mailbox of engine {} overflowed", engine.0);
                 }
             }
             Command::MarkSlow(engine, id, attempt) => {
-                let _ = self.to_engine(engine, EngineCommand::Doubt(id, attempt));
+                let _ = self.to_engine(engine, EngineCommand::MarkSlow { id, attempt });
             }
             Command::Reprioritize(engine, id, attempt, urgency) => {
-                let _ = self.to_engine(engine, EngineCommand::Bump(id, attempt, urgency));
+                let command = EngineCommand::SetPriority {
+                    id,
+                    attempt,
+                    priority: urgency,
+                };
+                let _ = self.to_engine(engine, command);
             }
             Command::Probe(engine) => {
                 // Where duties are shared out, their owner asks; without room there it is done as
@@ -390,7 +390,12 @@
         let late = until.is_some_and(|until| now >= until);
         if late
             || self
-                .to_engine(engine, EngineCommand::Probe(until.unwrap_or(Micros::MAX)))
+                .to_engine(
+                    engine,
+                    EngineCommand::Probe {
+                        not_after: until.unwrap_or(Micros::MAX),
+                    },
+                )
                 .is_err()
         {
             if until.is_some() {
@@ -413,6 +418,6 @@
     fn to_engine(&self, engine: EngineId, order: EngineCommand) -> Result<(), Termination> {
         self.engines
             .get(&engine)
-            .map_or(Err(Termination::LocalLimit), |row| row.tell(order))
+            .map_or(Err(Termination::LocalLimit), |row| row.send(order))
     }
 }
