--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -1,6 +1,6 @@
-//! The fleet's audit between real daemons on loopback: what each decided, and on what, as
-//! `yokelift-testkit audit` gathers it, through retuning, a list that one manager misses, a partition,
-//! SIGKILL and SIGSTOP.
+//! The fleet's audit between real daemons on loopback: what each decided, and under which
+//! configuration, as `yokelift-testkit audit` gathers it, through new settings, an endpoint list that
+//! one manager misses, a partition, SIGKILL and SIGSTOP.
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -19,168 +19,224 @@
     fleet
 }
 
-/// The report of `yokelift-testkit audit`, and whether it exited with 0.
-fn audit(fleet: &Fleet, json: bool) -> (String, bool) {
+/// What `yokelift-testkit audit` printed, and whether it exited with 0.
+struct AuditRun {
+    output: String,
+    is_success: bool,
+}
+
+#[derive(Clone, Copy, PartialEq)]
+enum Format {
+    Text,
+    Json,
+}
+
+fn run_audit(fleet: &Fleet, format: Format) -> AuditRun {
     let mut command = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
     command
         .arg("audit")
         .args(fleet.consoles.iter().map(ToString::to_string));
-    if json {
+    if format == Format::Json {
         command.arg("--json");
     }
-    let output = command.output().expect("the kit");
-    (
-        String::from_utf8_lossy(&output.stdout).into_owned(),
-        output.status.success(),
-    )
+    let output = command.output().expect("the test kit");
+    AuditRun {
+        output: String::from_utf8_lossy(&output.stdout).into_owned(),
+        is_success: output.status.success(),
+    }
 }
 
 fn report(fleet: &Fleet) -> Value {
-    serde_json::from_str(&audit(fleet, true).0).expect("a report")
+    serde_json::from_str(&run_audit(fleet, Format::Json).output).expect("a report")
 }
 
-/// The rows of member `i`, the latest last.
-fn rows(report: &Value, name: &str) -> Vec<Value> {
-    let all = report["acted"].as_array().expect("rows").iter();
-    all.filter(|row| row["member"] == json!(name))
+/// The activity of the member of that name, the latest interval last.
+fn activity(report: &Value, name: &str) -> Vec<Value> {
+    let rows = report["acted"].as_array().expect("rows").iter();
+    rows.filter(|row| row["member"] == json!(name))
         .cloned()
         .collect()
 }
 
-fn sum(rows: &[Value], what: &str) -> u64 {
-    rows.iter()
-        .map(|row| row[what].as_u64().expect("a count"))
+/// The attempts dispatched in those intervals.
+fn dispatched<'a>(rows: impl IntoIterator<Item = &'a Value>) -> u64 {
+    rows.into_iter()
+        .map(|row| row["dispatched"].as_u64().expect("a count"))
         .sum()
 }
 
-/// The member's own word of what it acts on.
-fn versions(fleet: &Fleet, i: usize) -> Value {
-    let view = fleet.view(i).unwrap_or_default();
+/// The versions that a member says it runs.
+fn versions(fleet: &Fleet, member: usize) -> Value {
+    let view = fleet.view(member).unwrap_or_default();
     view.into_iter()
         .find(|row| row["self"] == json!(true))
         .map(|row| row["versions"].clone())
         .unwrap_or_default()
 }
 
-fn about(report: &Value, what: &str) -> Option<Value> {
+/// Whether all these members say that they run that version of the endpoint list.
+fn run_list(fleet: &Fleet, mut members: impl Iterator<Item = usize>, list: u64) -> bool {
+    members.all(|member| versions(fleet, member)["list"] == json!(list))
+}
+
+/// The members by the value that they hold, where the report says that they disagree on it.
+fn disagreement(report: &Value, about: &str) -> Option<Value> {
     report["disagreements"]
         .as_array()?
         .iter()
-        .find(|d| d["about"] == json!(what))
-        .map(|d| d["held"].clone())
+        .find(|row| row["about"] == json!(about))
+        .map(|row| row["held"].clone())
+}
+
+/// How a change reached the managers, by the beginning of its name.
+fn propagation(report: &Value, change: &str) -> Value {
+    let is_change = |row: &&Value| {
+        let name = row["change"].as_str();
+        name.is_some_and(|name| name.starts_with(change))
+    };
+    let mut rows = report["spreads"].as_array().expect("rows").iter();
+    rows.find(is_change).expect("a change").clone()
+}
+
+/// The lines of a member's `GET /audit`, its end last.
+fn audit_lines(fleet: &Fleet, member: usize) -> Vec<Value> {
+    let (_, body) = fleet.call(member, "/audit?since=0").unwrap_or_default();
+    body.lines()
+        .map(|line| serde_json::from_str(line).expect("JSON"))
+        .collect()
+}
+
+/// How many incarnations of a member the lines are of.
+fn incarnations(lines: &[Value]) -> usize {
+    let lives = lines.iter().filter_map(|line| line["life"].as_u64());
+    lives.collect::<BTreeSet<u64>>().len()
 }
 
-/// Guards the audit's table: each manager's dispatches stand under the build, settings and list
-/// that its module acted on when it made them, before and after a new configuration and a new list;
-/// and a manager that missed the list shows.
+/// Sends a query to a member, which has to serve it.
+fn serve_query(fleet: &Fleet, member: usize, round: u64) {
+    let number = 16 * round + member as u64;
+    let outcome = fleet.ask(member, "lookup", number, 9_000);
+    assert!(
+        matches!(outcome, ClientOutcome::Served(_)),
+        "{outcome:?}: {}",
+        fleet.log(member)
+    );
+}
+
+/// Each manager's dispatches stand under the build, settings and list that its decision module
+/// acted on at the time, before and after new settings and a new list; and a manager that missed
+/// the list shows.
 #[test]
-fn the_table_names_what_every_manager_acted_on() {
+fn the_report_shows_each_dispatch_under_the_configuration_of_its_time() {
     let fleet = start("table", 11);
-    let ask = |i: usize, round: u64| {
-        let got = fleet.ask(i, "lookup", 16 * round + i as u64, 9_000);
-        assert!(
-            matches!(got, ClientOutcome::Served(_)),
-            "{got:?}: {}",
-            fleet.log(i)
-        );
-    };
-    ALL.iter().for_each(|i| ask(*i, 1));
+    ALL.iter()
+        .for_each(|member| serve_query(&fleet, *member, 1));
     let before = versions(&fleet, 0);
-    // A new configuration for all; then a new list, which the last manager does not hear of.
+    // New settings for all; then a new list, which the last manager does not receive.
     ALL.iter().for_each(|i| fleet.retune(*i, (0.5, 0.5), true));
     assert!(eventually(|| ALL
         .iter()
         .all(|i| versions(&fleet, *i)["generation"] == json!(2))));
-    ALL.iter().for_each(|i| ask(*i, 2));
+    ALL.iter()
+        .for_each(|member| serve_query(&fleet, *member, 2));
     fleet.world(|world| {
         world.tell(0..4, 1, Readiness::Draining);
     });
-    assert!(eventually(
-        || (0..4).all(|i| versions(&fleet, i)["list"] == json!(2))
-    ));
-    ALL.iter().for_each(|i| ask(*i, 3));
+    assert!(eventually(|| run_list(&fleet, 0..4, 2)));
+    ALL.iter()
+        .for_each(|member| serve_query(&fleet, *member, 3));
     // The last records may still wait for their batch.
-    let report = || report(&fleet);
-    let all_there = |report: &Value| {
-        ALL.iter()
-            .all(|i| sum(&rows(report, &fleet.name(*i)), "dispatched") >= 3)
+    let has_all_dispatches = |report: &Value| {
+        let has_all = |member: &usize| dispatched(&activity(report, &fleet.name(*member))) >= 3;
+        ALL.iter().all(has_all)
     };
-    assert!(eventually(|| all_there(&report())), "{}", report());
-    let report = report();
+    assert!(
+        eventually(|| has_all_dispatches(&report(&fleet))),
+        "{}",
+        report(&fleet)
+    );
+
+    let report = report(&fleet);
+
     assert_eq!(report["missing"], json!([]));
-    for i in ALL {
-        let rows = rows(&report, &fleet.name(i));
-        let on = |generation: u64, list: u64, settings: &Value| {
-            let like = |row: &&Value| {
-                row["generation"] == json!(generation)
-                    && row["list"] == json!(list)
-                    && row["settings"] == *settings
-            };
-            rows.iter()
-                .filter(like)
-                .map(|row| row["dispatched"].as_u64().expect("a count"))
-                .sum::<u64>()
-        };
-        let after = versions(&fleet, i);
+    for member in ALL {
+        let after = versions(&fleet, member);
         assert_ne!(after["settings"], before["settings"]);
-        assert!(
-            rows.iter().all(|row| row["build"] == before["build"]),
-            "{rows:?}"
-        );
-        assert!(on(1, 1, &before["settings"]) >= 1, "{rows:?}");
-        assert!(
-            on(2, 1, &after["settings"]) >= if i == 4 { 2 } else { 1 },
-            "{rows:?}"
-        );
-        assert_eq!(on(2, 2, &after["settings"]) >= 1, i != 4, "{rows:?}");
+        assert_dispatches_by_configuration(&report, &fleet, member, &before);
     }
-    let held = about(&report, "list").expect("the list is not the same everywhere");
-    assert_eq!(held["1"], json!([fleet.name(4)]));
-    assert_eq!(held["2"].as_array().map(Vec::len), Some(4));
-    assert!(about(&report, "settings").is_none() && about(&report, "build").is_none());
-    let spreads = report["spreads"].as_array().expect("spreads");
-    let spread = |change: &str| {
-        spreads
-            .iter()
-            .find(|s| s["change"].as_str().is_some_and(|c| c.starts_with(change)))
+    assert_only_the_last_member_missed_the_list(&report, &fleet);
+    let text = run_audit(&fleet, Format::Text);
+    let old_list = format!("1 ({})", fleet.name(4));
+    assert!(
+        text.is_success
+            && text.output.contains("Spread of list 2")
+            && text.output.contains(&old_list),
+        "{}",
+        text.output
+    );
+}
+
+/// Checks a member's dispatches in the first round under `before`, in the second one under new
+/// settings, and in the third one under the new list, unless it is the last member.
+fn assert_dispatches_by_configuration(
+    report: &Value,
+    fleet: &Fleet,
+    member: usize,
+    before: &Value,
+) {
+    let rows = activity(report, &fleet.name(member));
+    let after = versions(fleet, member);
+    let dispatched_under = |generation: u64, list: u64, settings: &Value| {
+        dispatched(rows.iter().filter(|row| {
+            row["generation"] == json!(generation)
+                && row["list"] == json!(list)
+                && row["settings"] == *settings
+        }))
     };
+    let misses_list = member == 4;
+
+    assert!(
+        rows.iter().all(|row| row["build"] == before["build"]),
+        "{rows:?}"
+    );
+    assert!(dispatched_under(1, 1, &before["settings"]) >= 1, "{rows:?}");
+    assert!(
+        dispatched_under(2, 1, &after["settings"]) >= if misses_list { 2 } else { 1 },
+        "{rows:?}"
+    );
     assert_eq!(
-        spread("settings").expect("told")["after"]
-            .as_object()
-            .map(serde_json::Map::len),
-        Some(MEMBERS)
+        dispatched_under(2, 2, &after["settings"]) >= 1,
+        !misses_list,
+        "{rows:?}"
     );
+}
+
+fn assert_only_the_last_member_missed_the_list(report: &Value, fleet: &Fleet) {
+    let lists = disagreement(report, "list").expect("a disagreement on the list");
+    assert_eq!(lists["1"], json!([fleet.name(4)]));
+    assert_eq!(lists["2"].as_array().map(Vec::len), Some(4));
+    assert!(disagreement(report, "settings").is_none() && disagreement(report, "build").is_none());
+    let reached_by_settings = propagation(report, "settings")["after"]
+        .as_object()
+        .map(serde_json::Map::len);
+    assert_eq!(reached_by_settings, Some(MEMBERS));
     assert_eq!(
-        spread("list 2").expect("told")["never"],
+        propagation(report, "list 2")["never"],
         json!([fleet.name(4)])
     );
-    let (text, whole) = audit(&fleet, false);
-    assert!(
-        whole
-            && text.contains("Spread of list 2")
-            && text.contains(&format!("1 ({})", fleet.name(4))),
-        "{text}"
-    );
 }
 
-/// Guards a list that one manager misses: one whose connection to the coordinator is stuck follows
-/// it anew by itself; one whose coordinator itself is behind is shut out, and back once that has
-/// caught up.
+/// A manager whose connection to the coordinator is stuck reconnects by itself; one whose
+/// coordinator is behind is excluded, and serves again once the coordinator has caught up.
 #[test]
-fn a_manager_behind_on_the_list_is_brought_up_or_shut_out() {
+fn a_manager_behind_on_the_list_reconnects_or_is_excluded() {
     let fleet = start("behind", 15);
-    assert!(eventually(|| ALL
-        .iter()
-        .all(|i| versions(&fleet, *i)["list"] == json!(1))));
+    assert!(eventually(|| run_list(&fleet, ALL.into_iter(), 1)));
     fleet.world(|world| {
         world.coordinators[3].stall();
         world.tell(0..4, 1, Readiness::Draining);
     });
-    assert!(
-        eventually(|| (0..4).all(|i| versions(&fleet, i)["list"] == json!(2))),
-        "{}",
-        fleet.log(3)
-    );
+    assert!(eventually(|| run_list(&fleet, 0..4, 2)), "{}", fleet.log(3));
     assert!(
         fleet
             .log(3)
@@ -205,39 +261,28 @@
     assert_eq!(versions(&fleet, 4)["list"], json!(2));
 }
 
-/// Guards refusals and failures: each is laid to its manager under the request's own name; and the
-/// records of a manager that was killed are there after its new start, under its old life, but for
-/// those of the last moment.
+/// A rejection or failure is recorded under the request's own id; the records of a manager that was
+/// killed are there after its restart, under their incarnation, but for those of the last moment.
 #[test]
-fn records_outlive_a_kill_and_lie_under_their_life() {
+fn records_survive_a_kill_under_the_incarnation_that_made_them() {
     let mut fleet = start("lives", 12);
-    // Nothing is in service: what is asked is given up.
+    // No engine is in service, so the request fails or is rejected.
     fleet.world(|world| {
         (0..2).for_each(|engine| world.tell(0..MEMBERS, engine, Readiness::Removed));
     });
-    assert!(eventually(|| ALL
-        .iter()
-        .all(|i| versions(&fleet, *i)["list"] == json!(3))));
-    let got = fleet.ask(2, "lookup", 0xabc, 700);
-    assert!(!matches!(got, ClientOutcome::Served(_)), "{got:?}");
-    let told = |fleet: &Fleet| {
-        let (_, body) = fleet.call(2, "/audit?since=0").unwrap_or_default();
-        body.lines()
-            .map(|l| serde_json::from_str(l).expect("json"))
-            .collect::<Vec<Value>>()
-    };
-    let given_up = |lines: &[Value]| {
-        lines
-            .iter()
-            .find(|l| l["request"] == json!("0000000000000abc"))
-            .cloned()
+    assert!(eventually(|| run_list(&fleet, ALL.into_iter(), 3)));
+    let outcome = fleet.ask(2, "lookup", 0xabc, 700);
+    assert!(!matches!(outcome, ClientOutcome::Served(_)), "{outcome:?}");
+    let find_request = |lines: &[Value]| {
+        let is_request = |line: &&Value| line["request"] == json!("0000000000000abc");
+        lines.iter().find(is_request).cloned()
     };
     assert!(
-        eventually(|| given_up(&told(&fleet)).is_some()),
+        eventually(|| find_request(&audit_lines(&fleet, 2)).is_some()),
         "{:?}",
-        told(&fleet)
+        audit_lines(&fleet, 2)
     );
-    let line = given_up(&told(&fleet)).expect("told");
+    let line = find_request(&audit_lines(&fleet, 2)).expect("a record");
     assert!(
         line["what"] == json!("refuse") || line["what"] == json!("fail"),
         "{line}"
@@ -246,6 +291,7 @@
         (&line["member"], &line["list"], &line["class"]),
         (&json!(fleet.name(2)), &json!(3), &json!("lookup"))
     );
+
     fleet.kill(2);
     fleet.launch(2, (0.62, 0.38));
     assert!(
@@ -253,49 +299,39 @@
         "{}",
         fleet.log(2)
     );
-    let lives = |lines: &[Value]| {
-        lines
-            .iter()
-            .filter_map(|l| l["life"].as_u64())
-            .collect::<BTreeSet<u64>>()
-            .len()
-    };
     assert!(
-        eventually(|| lives(&told(&fleet)) == 2),
+        eventually(|| incarnations(&audit_lines(&fleet, 2)) == 2),
         "{:?}",
-        told(&fleet)
+        audit_lines(&fleet, 2)
     );
-    // What waits for its batch now is its list, and then nothing more comes.
-    assert!(eventually(|| told(&fleet)
+    // The activation of its list is the last record that waits for a batch.
+    assert!(eventually(|| audit_lines(&fleet, 2)
         .iter()
         .rev()
         .nth(1)
-        .is_some_and(|l| l["list"] == json!(3))));
-    let lines = told(&fleet);
-    assert_eq!(given_up(&lines).as_ref(), Some(&line));
-    // A page from the last place on holds nothing but its end.
-    let next = lines
-        .last()
-        .and_then(|end| end["next"].as_str())
-        .expect("the end")
-        .to_owned();
+        .is_some_and(|line| line["list"] == json!(3))));
+
+    let lines = audit_lines(&fleet, 2);
+    assert_eq!(find_request(&lines).as_ref(), Some(&line));
+    assert_pages_end_after_the_last_record(&fleet, 2, &lines);
+}
+
+/// A page after the last record holds nothing but its end; a position that is none is rejected.
+fn assert_pages_end_after_the_last_record(fleet: &Fleet, member: usize, lines: &[Value]) {
+    let end = lines.last().expect("the page's end");
+    let next = end["next"].as_str().expect("a position");
     let (status, body) = fleet
-        .call(2, &format!("/audit?since={next}"))
-        .expect("answered");
+        .call(member, &format!("/audit?since={next}"))
+        .expect("an answer");
     assert_eq!((status, body.lines().count()), (200, 1), "{body}");
-    assert_eq!(
-        fleet
-            .call(2, "/audit?since=never")
-            .map(|(status, _)| status),
-        Some(400)
-    );
+    let malformed = fleet.call(member, "/audit?since=never");
+    assert_eq!(malformed.map(|(status, _)| status), Some(400));
 }
 
-/// Guards the audit of a fleet in pieces: one manager stopped, two cut off. The kit tells who is
-/// missing, exits with 1, and names where the rest see each other differently; once all is well
-/// again it says so.
+/// With one manager suspended and two cut off the test kit says who is missing, exits with 1, and
+/// names where the others see each other in different states; once all is well it says so.
 #[test]
-fn a_fleet_in_pieces_is_told_as_such() {
+fn the_report_names_missing_managers_and_partitions() {
     let fleet = start("pieces", 13);
     fleet.signal(4, Signal::STOP);
     let mut faults = Faults::default();
@@ -307,38 +343,33 @@
         "{}",
         fleet.log(3)
     );
-    let (text, whole) = audit(&fleet, false);
-    assert!(
-        !whole && text.contains("missing:") && text.contains("The fleet is not one"),
-        "{text}"
-    );
-    let name = fleet.name(0);
+    let AuditRun { output, is_success } = run_audit(&fleet, Format::Text);
     assert!(
-        text.contains(&format!(
-            "health of {name}: Alive ({}); Dead (",
-            fleet.name(1)
-        )),
-        "{text}"
+        !is_success && output.contains("missing:") && output.contains("The fleet is not one"),
+        "{output}"
     );
+    let (first, second) = (fleet.name(0), fleet.name(1));
+    let states = format!("health of {first}: Alive ({second}); Dead (");
+    assert!(output.contains(&states), "{output}");
+
     fleet.relay.set(Faults::default());
     fleet.signal(4, Signal::CONT);
     assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
-    let (text, whole) = audit(&fleet, false);
+    let AuditRun { output, is_success } = run_audit(&fleet, Format::Text);
     assert!(
-        whole && text.contains("agree on build, settings, list and each other's health"),
-        "{text}"
+        is_success && output.contains("agree on build, settings, list and each other's health"),
+        "{output}"
     );
 }
 
-/// Guards shares: while one manager is dead, and while one is shut out, the others share the
-/// engines among those that serve; a side of a partition that is no majority takes nobody's share.
+/// While a manager is dead or excluded the others divide the engines' capacity among those that
+/// serve; the minority side of a partition takes nobody's share.
 #[test]
-fn shares_of_managers_that_do_not_serve_pass_to_a_majority_alone() {
+fn only_a_majority_takes_over_the_capacity_shares_of_managers_that_do_not_serve() {
     let fleet = start("shares", 14);
-    let shares = |i: usize, n: usize| {
-        fleet
-            .log(i)
-            .contains(&format!("fleet: {n} of {MEMBERS} managers share"))
+    let shares = |member: usize, gateways: usize| {
+        let line = format!("fleet: {gateways} of {MEMBERS} managers share");
+        fleet.log(member).contains(&line)
     };
     fleet.signal(4, Signal::STOP);
     assert!(
@@ -372,23 +403,21 @@
     );
     fleet.relay.set(Faults::default());
     assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
-    // The last manager keeps old settings: shut out, it takes no share.
+    // The last manager keeps its old settings: it is excluded and takes no share.
     (0..4).for_each(|i| fleet.retune(i, (0.4, 0.6), true));
     assert!(
         eventually(|| fleet.ready(4) == Some(503)),
         "{}",
         fleet.log(4)
     );
-    let last = |i: usize| {
-        fleet
-            .log(i)
-            .lines()
-            .rfind(|l| l.contains("managers share"))
-            .map(str::to_owned)
+    let last_line = |member: usize| {
+        let log = fleet.log(member);
+        let line = log.lines().rfind(|line| line.contains("managers share"));
+        line.map(str::to_owned)
     };
     let four = format!("yokelift: fleet: 4 of {MEMBERS} managers share the engines");
     assert!(
-        eventually(|| (0..4).all(|i| last(i).as_deref() == Some(&*four))),
+        eventually(|| (0..4).all(|i| last_line(i).as_deref() == Some(&*four))),
         "{}",
         fleet.logs()
     );
