--- a/src/net/fleet/lease.rs
+++ b/src/net/fleet/lease.rs
@@ -1,6 +1,7 @@
 //! The leases of this manager on the fleet's socket: runs the voter, the candidate and the shared
 //! prober of [`crate::lease`] for the membership's actor. Started only with `[duties]` in the
 //! operator's fleet file.
+use super::lease_members::{address_of, is_preferred_owner, preferred_member};
 use super::lease_view;
 use super::vote_store::{VoteStore, load_votes};
 use crate::clock::{self, MS, Micros};
@@ -11,10 +12,10 @@
 };
 use crate::lease::{
     Candidate, FencingGuard, FencingToken, Holder, LeaseAction, LeaseRequest, Resource, VoteReply,
-    Voter, preferred_owner,
+    Voter,
 };
 use crate::log;
-use crate::membership::{MemberState, Membership};
+use crate::membership::Membership;
 use crate::net::audit::StateFolderUnset;
 use crate::net::dispatcher::DispatcherEvent;
 use crate::net::{Shared, audit, hot_restart};
@@ -262,8 +263,7 @@
     }
 
     fn run_candidate(&mut self, fleet: &Membership, now: Micros, actions: &mut Vec<LeaseAction>) {
-        // Only of held leases it matters who their preferred owner is; looking it up for the
-        // others would be in vain.
+        // A lease that is not held can't be released, so its preferred owner isn't looked up.
         let held_and_preferred: BTreeMap<Resource, bool> = self
             .candidate
             .held_leases(now)
@@ -427,30 +427,6 @@
     }
 }
 
-/// The member that should hold the lease on a resource, among all that are alive and ready, this
-/// manager included; `None` if no member is.
-fn preferred_member(fleet: &Membership, resource: Resource) -> Option<&str> {
-    let is_alive = |state: MemberState| matches!(state, MemberState::Alive | MemberState::Suspect);
-    let live_peers = fleet
-        .members()
-        .values()
-        .map(|member| &member.update)
-        .filter(|update| is_alive(update.state));
-    let ready = live_peers
-        .chain([fleet.me()])
-        .filter(|update| update.versions.stage == "ready");
-    preferred_owner(resource, ready.map(|update| update.name.as_str()))
-}
-
-fn is_preferred_owner(fleet: &Membership, resource: Resource) -> bool {
-    preferred_member(fleet, resource) == Some(&fleet.me().name)
-}
-
-/// The address of a member other than this one.
-fn address_of(fleet: &Membership, name: &str) -> Option<SocketAddr> {
-    fleet.members().get(name).map(|member| member.update.addr)
-}
-
 #[cfg(test)]
 #[path = "../../../tests/unit/net_lease.rs"]
 mod tests;
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -1,5 +1,6 @@
 //! The actors of the fleet: membership, leases and the datagrams between managers.
 pub mod lease;
+mod lease_members;
 mod lease_view;
 pub mod membership;
 pub mod traffic;
--- a/src/testkit/probe_simulation/fleet.rs
+++ b/src/testkit/probe_simulation/fleet.rs
@@ -1,19 +1,14 @@
 //! The simulated fleet: managers with the state machines of leases, a network with random delays
 //! and a queue of events.
 use super::Plan;
+use super::manager::{SimulatedManager, address, manager_at, manager_index, manager_name};
 use crate::clock::{MS, Micros, SEC};
 use crate::lease::codec::{self, LeaseMessage};
-use crate::lease::shared_probe::{
-    PendingActions, ProbeAction, ProbeContext, ProbeResult, ProbeStatus, SharedProber,
-};
-use crate::lease::{
-    Candidate, FencingGuard, Holder, LeaseAction, LeaseRequest, Resource, TokenHighWaterMarks,
-    VoteReply, Voter, preferred_owner,
-};
+use crate::lease::shared_probe::{PendingActions, ProbeAction, ProbeResult, ProbeStatus};
+use crate::lease::{LeaseAction, LeaseRequest, Resource, VoteReply, preferred_owner};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddr;
 
 /// The shortest delay of a datagram, and of an engine's answer.
 const MIN_DELAY_MICROS: Micros = MS;
@@ -23,8 +18,6 @@
 const PROBE_LATENCY_MICROS: Micros = 2 * MS;
 /// The first wants of managers are this far apart, modulo a second.
 const START_STAGGER_MICROS: Micros = 997;
-/// The port of the first manager; the others follow.
-const FIRST_PORT: u16 = 2_000;
 
 /// What was counted while the fleet was measured.
 #[derive(Debug, Default)]
@@ -40,57 +33,6 @@
     pub(super) owner_changes: u64,
 }
 
-struct SimulatedManager {
-    voter: Option<Voter>,
-    candidate: Candidate,
-    fence: FencingGuard,
-    prober: SharedProber,
-    is_stopped: bool,
-    /// For each engine when the decision module began to wait, once for each load it wants.
-    waiting_since: BTreeMap<u64, Vec<Micros>>,
-}
-
-impl SimulatedManager {
-    fn new(index: usize, plan: &Plan) -> SimulatedManager {
-        let is_voter = index < plan.voters;
-        let timing = plan.lease_timing;
-        let holder = Holder {
-            name: manager_name(index),
-            incarnation: 1,
-        };
-        let voters = (0..plan.voters).map(manager_name).collect();
-        let seed = plan.seed + index as u64;
-        SimulatedManager {
-            voter: is_voter.then(|| Voter::new(timing, TokenHighWaterMarks::default(), 0)),
-            candidate: Candidate::new(holder, voters, timing, seed),
-            fence: FencingGuard::default(),
-            prober: SharedProber::new(timing.probe_request_timeout_ms * MS),
-            is_stopped: false,
-            waiting_since: BTreeMap::new(),
-        }
-    }
-
-    /// The prober, and the context of an event that it handles.
-    fn prober_in_context<'a>(
-        &'a mut self,
-        now: Micros,
-        actions: &'a mut PendingActions,
-    ) -> (&'a mut SharedProber, ProbeContext<'a>) {
-        let context = ProbeContext {
-            candidate: &mut self.candidate,
-            fence: &mut self.fence,
-            now,
-            actions,
-        };
-        (&mut self.prober, context)
-    }
-
-    fn next_wakeup(&self) -> Option<Micros> {
-        let wakeups = [self.candidate.next_wakeup(), self.prober.next_wakeup()];
-        wakeups.into_iter().flatten().min()
-    }
-}
-
 /// Managers are named by their index.
 enum Event {
     LoadWanted {
@@ -467,21 +409,3 @@
         }
     }
 }
-
-fn manager_name(index: usize) -> String {
-    format!("m{index}")
-}
-
-/// The index in a name of [`manager_name`].
-fn manager_index(name: &str) -> usize {
-    name[1..].parse().unwrap_or(0)
-}
-
-fn address(index: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + index as u16))
-}
-
-/// The index of the manager at an [`address`].
-fn manager_at(address: SocketAddr) -> usize {
-    usize::from(address.port() - FIRST_PORT)
-}
--- a/src/testkit/probe_simulation/mod.rs
+++ b/src/testkit/probe_simulation/mod.rs
@@ -2,6 +2,7 @@
 //! machines of [`crate::lease`] of many managers on a simulated network. The same seed gives the
 //! same figures.
 mod fleet;
+mod manager;
 mod report;
 
 pub use report::{Figures, ProbeRate, TrafficRate, table};
