--- a/src/dispatcher/attempts.rs
+++ b/src/dispatcher/attempts.rs
@@ -57,7 +57,10 @@
         self.record_decision(
             class_id,
             &attempt_request.client_request_id,
-            DecisionKind::Dispatch(attempt.attempt.0, engine.0),
+            DecisionKind::Dispatch {
+                attempt: attempt.attempt.0,
+                engine: engine.0,
+            },
         );
         commands.push(Command::StartAttempt {
             engine,
--- a/src/dispatcher/recording.rs
+++ b/src/dispatcher/recording.rs
@@ -34,7 +34,7 @@
             return;
         };
         decisions.push(Decision {
-            what: kind,
+            kind: kind,
             class: class.name.clone(),
             request: client_request_id.clone(),
         });
@@ -51,8 +51,10 @@
         match response {
             Response::Rejected(retry_after) => {
                 let millis = retry_after.unwrap_or(0) / MS;
-                let millis = u32::try_from(millis).unwrap_or(u32::MAX);
-                self.record_decision(class, client_request_id, DecisionKind::Refuse(millis));
+                let rejected = DecisionKind::Reject {
+                    retry_after_ms: u32::try_from(millis).unwrap_or(u32::MAX),
+                };
+                self.record_decision(class, client_request_id, rejected);
             }
             Response::Failed(_) => {
                 self.record_decision(class, client_request_id, DecisionKind::Fail);
--- a/src/frontend/admin/mod.rs
+++ b/src/frontend/admin/mod.rs
@@ -6,8 +6,7 @@
 pub use metrics::metrics_text;
 pub use response::{error_response, response};
 
-use crate::audit::RecordPosition;
-use crate::audit::store::PAGE;
+use crate::audit::{MAX_PAGE_RECORDS, RecordPosition};
 use crate::http::{self, Fault};
 use thiserror::Error;
 
@@ -94,8 +93,8 @@
 
 /// The default of `GET /audit`: the first page of all records.
 const FIRST_AUDIT_PAGE: AdminRequest = AdminRequest::Audit {
-    since: RecordPosition { life: 0, number: 0 },
-    limit: PAGE,
+    since: RecordPosition::START,
+    limit: MAX_PAGE_RECORDS,
 };
 
 const ROUTES: [Route; 7] = [
@@ -170,7 +169,7 @@
     }
     Ok(AdminRequest::Audit {
         since,
-        limit: limit.clamp(1, PAGE),
+        limit: limit.clamp(1, MAX_PAGE_RECORDS),
     })
 }
 
--- a/src/lease/shared_probe/result.rs
+++ b/src/lease/shared_probe/result.rs
@@ -37,13 +37,14 @@
             OutcomeKind::ConnectFailed => ProbeStatus::Unreachable,
             _ => ProbeStatus::Failed,
         };
-        let mut values = [0.0; MAX_LOAD_FIELDS];
-        values[..load.values().len()].copy_from_slice(load.values());
+        let values = load.values();
+        let mut padded = [0.0; MAX_LOAD_FIELDS];
+        padded[..values.len()].copy_from_slice(values);
         ProbeResult {
             status,
             latency,
-            load_fields: load.values().len() as u8,
-            load: values,
+            load_fields: values.len() as u8,
+            load: padded,
         }
     }
 
--- a/src/net/dispatcher/event_handling.rs
+++ b/src/net/dispatcher/event_handling.rs
@@ -50,7 +50,7 @@
                 resource,
                 token,
                 held,
-            } => self.audit_lease_change(now, &resource, token, held),
+            } => self.audit_lease_change(now, resource, token, held),
             DispatcherEvent::ActiveGateways(gateways) => dispatcher.set_active_gateways(gateways),
             DispatcherEvent::DirectoryRead => dispatcher.counters.directory_reads += 1,
             DispatcherEvent::DirectoryFailed => dispatcher.counters.directory_read_failures += 1,
@@ -122,8 +122,8 @@
     fn activate_configuration(&mut self, now: Micros, configuration: ActiveConfiguration) {
         self.active_configuration = configuration;
         if let Some(audit) = &mut self.audit {
-            audit.turn(now, &self.dispatcher.take_decisions());
-            audit.acts_on(now, configuration);
+            audit.record_all(now, &self.dispatcher.take_decisions());
+            audit.set_configuration(now, configuration);
         }
     }
 
@@ -131,13 +131,13 @@
     fn audit_lease_change(
         &mut self,
         now: Micros,
-        resource: &Resource,
+        resource: Resource,
         token: FencingToken,
         held: bool,
     ) {
         if let Some(audit) = &mut self.audit {
-            audit.turn(now, &self.dispatcher.take_decisions());
-            audit.owns(now, &resource.to_string(), token.0, held);
+            audit.record_all(now, &self.dispatcher.take_decisions());
+            audit.record_lease_change(now, resource, token, held);
         }
     }
 }
--- a/src/net/dispatcher/mod.rs
+++ b/src/net/dispatcher/mod.rs
@@ -122,7 +122,7 @@
             self.dispatcher.next_wakeup(),
             self.next_shutdown_check(accepts_until),
             forced_end_at,
-            self.audit.as_ref().and_then(AuditWriter::due),
+            self.audit.as_ref().and_then(AuditWriter::flush_due_at),
             self.lifecycle_watch.next_check(&self.shared),
         ];
         Schedule {
@@ -183,7 +183,7 @@
     /// Passes the decisions since the last call to the audit.
     fn write_audit(&mut self, now: Micros) {
         if let Some(audit) = &mut self.audit {
-            audit.turn(now, &self.dispatcher.take_decisions());
+            audit.record_all(now, &self.dispatcher.take_decisions());
         }
     }
 }
--- a/src/startup/error.rs
+++ b/src/startup/error.rs
@@ -2,6 +2,7 @@
 use crate::config::FileError;
 use crate::config::clickhouse::ClickHouseConfigError;
 use crate::config::process::ProcessConfigError;
+use crate::net::audit::AuditStartError;
 use crate::net::discovery::known_events::KnownEventsError;
 use std::io;
 use std::net::SocketAddr;
@@ -42,7 +43,7 @@
     FleetFile(String),
     /// The audit's files can't be opened.
     #[error("{0}")]
-    Audit(String),
+    Audit(#[from] AuditStartError),
     /// The fleet's datagram socket can't be bound.
     #[error("{0}")]
     Membership(String),
--- a/src/startup/mod.rs
+++ b/src/startup/mod.rs
@@ -149,14 +149,12 @@
     };
     let context = DecisionContext {
         member: files.config.name.clone(),
-        life: incarnation,
+        incarnation,
         build: membership::build(),
-        acting: shared.active_configuration.get(),
-        since: incarnation,
+        configuration: shared.active_configuration.get(),
+        active_since: incarnation,
     };
-    net::audit::start(shared, context, bounds)
-        .map(Some)
-        .map_err(|error| StartError::Audit(error.to_string()))
+    Ok(Some(net::audit::start(shared, context, bounds)?))
 }
 
 fn new_dispatcher(shared: &Shared, config: &Config) -> Dispatcher {
--- a/tests/unit/dispatcher_model.rs
+++ b/tests/unit/dispatcher_model.rs
@@ -313,14 +313,14 @@
             let count = |is_kind: fn(&DecisionKind) -> bool| {
                 let of_request = |decision: &&Decision| *decision.request == *client_request_id;
                 let decisions = self.decisions.iter().filter(of_request);
-                decisions.filter(|decision| is_kind(&decision.what)).count() as u32
+                decisions.filter(|decision| is_kind(&decision.kind)).count() as u32
             };
             let responded = |is_kind: fn(&Response) -> bool| {
                 u32::from(request.response.as_ref().is_some_and(is_kind))
             };
             let audited = [
-                count(|kind| matches!(kind, DecisionKind::Dispatch(..))),
-                count(|kind| matches!(kind, DecisionKind::Refuse(_))),
+                count(|kind| matches!(kind, DecisionKind::Dispatch { .. })),
+                count(|kind| matches!(kind, DecisionKind::Reject { .. })),
                 count(|kind| matches!(kind, DecisionKind::Fail)),
             ];
             let observed = [
