--- a/src/membership/gossip_queue.rs
+++ b/src/membership/gossip_queue.rs
@@ -54,3 +54,7 @@
         taken
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/gossip_queue.rs"]
+mod tests;
--- a/src/testkit/fault_proxy.rs
+++ b/src/testkit/fault_proxy.rs
@@ -1,124 +1,182 @@
-//! A fault relay for datagrams between managers, on loopback: each manager is given an address of
-//! the relay as its own advertised one, and the relay passes what comes there on to the manager's
-//! real socket, from the sender's address of the relay. The test sets what happens on each way:
-//! loss, delay, doubles, reordering, one-way cuts and partitions. Every choice comes from a fixed
-//! seed.
+//! A UDP proxy between the members of a fleet on loopback, which injects faults: loss, duplication,
+//! delay, reordering and blocked links.
+//!
+//! Each member advertises an address of the proxy instead of its own. The proxy forwards a datagram
+//! that arrives there to the member's real socket, sending from the sender's advertised address, so
+//! that replies pass through the proxy as well. All choices come from one seed.
+use super::blocked_links::{BlockedLinks, Link};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
-use std::collections::{BTreeSet, BinaryHeap};
+use std::collections::BinaryHeap;
+use std::io;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// What happens to datagrams, for all ways at once unless cut.
+/// How long the proxy's thread sleeps when no datagram has arrived.
+const IDLE_SLEEP: Duration = Duration::from_millis(1);
+/// The size of the receive buffer: the largest UDP datagram fits.
+const BUFFER_BYTES: usize = 65_536;
+
+/// The faults that the proxy injects on all links.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Each datagram is lost with this chance.
+    /// The probability that a datagram is lost.
     pub loss: f64,
-    /// Each one comes twice with this chance.
-    pub doubled: f64,
-    /// Each one is held for up to this long, so that some overtake others.
+    /// The probability that a datagram is duplicated.
+    pub duplication: f64,
+    /// The bound on the random delay of a datagram, by which some overtake others.
     pub jitter: Duration,
-    /// Ways that pass nothing: from one member to another, by their numbers.
-    pub cut: BTreeSet<(usize, usize)>,
+    /// The links on which all datagrams are lost, by the members' indices.
+    pub blocked_links: BlockedLinks,
 }
 
 impl Faults {
-    /// Cuts all ways between the two groups, both ways.
-    pub fn partition(&mut self, one: &[usize], other: &[usize]) {
-        for a in one {
-            for b in other {
-                self.cut.insert((*a, *b));
-                self.cut.insert((*b, *a));
-            }
-        }
+    /// Blocks all links between two groups of members.
+    pub fn partition(&mut self, one_side: &[usize], other_side: &[usize]) {
+        self.blocked_links.partition(one_side, other_side);
     }
 }
 
-/// A datagram that waits: when it goes, its number, from and to which member, its bytes.
-type Held = (Instant, u64, usize, usize, Vec<u8>);
+/// The number of datagrams by what the proxy did with them.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ProxyCounts {
+    /// Forwarded to a member's socket.
+    pub forwarded: u64,
+    /// Lost to the faults.
+    pub lost: u64,
+}
 
-struct State {
+/// A datagram that waits for its delay, ordered by the time to forward it.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct DelayedDatagram {
+    due: Instant,
+    sequence: u64,
+    link: Link,
+    bytes: Vec<u8>,
+}
+
+struct ProxyState {
     faults: Faults,
     /// The members' real sockets.
-    backs: Vec<SocketAddr>,
+    member_addrs: Vec<SocketAddr>,
     random: Pcg32,
-    /// Datagrams that wait.
-    held: BinaryHeap<Reverse<Held>>,
-    next: u64,
-    /// Datagrams passed on.
-    passed: u64,
-    /// Datagrams lost to the faults.
-    lost: u64,
+    delayed: BinaryHeap<Reverse<DelayedDatagram>>,
+    next_sequence: u64,
+    counts: ProxyCounts,
+}
+
+impl ProxyState {
+    /// Draws whether an event of this probability happens.
+    fn happens(&mut self, probability: f64) -> bool {
+        f64::from(self.random.next_u32()) < probability * f64::from(u32::MAX)
+    }
+
+    /// Applies the faults to a datagram from `source` that arrived at the address of member `to`.
+    fn accept(&mut self, source: SocketAddr, to: usize, bytes: &[u8]) {
+        let sender = self.member_addrs.iter().position(|addr| *addr == source);
+        let Some(from) = sender else {
+            return;
+        };
+        let link = Link { from, to };
+        if self.faults.blocked_links.contains(link) || self.happens(self.faults.loss) {
+            self.counts.lost += 1;
+            return;
+        }
+        let is_duplicated = self.happens(self.faults.duplication);
+        self.delay(link, bytes);
+        if is_duplicated {
+            self.delay(link, bytes);
+        }
+    }
+
+    fn delay(&mut self, link: Link, bytes: &[u8]) {
+        let max_micros = (self.faults.jitter.as_micros() as u32).max(1);
+        let delay = Duration::from_micros(u64::from(self.random.next_u32() % max_micros));
+        let datagram = DelayedDatagram {
+            due: Instant::now() + delay,
+            sequence: self.next_sequence,
+            link,
+            bytes: bytes.to_vec(),
+        };
+        self.next_sequence += 1;
+        self.delayed.push(Reverse(datagram));
+    }
+
+    fn pop_due(&mut self, now: Instant) -> Option<DelayedDatagram> {
+        let Reverse(next) = self.delayed.peek()?;
+        if next.due > now {
+            return None;
+        }
+        self.delayed.pop().map(|Reverse(datagram)| datagram)
+    }
 }
 
-/// The relay: one front address a member, and a thread that passes datagrams on.
-pub struct Relay {
-    /// The address each member is known by.
-    pub fronts: Vec<SocketAddr>,
-    state: Arc<Mutex<State>>,
+/// A running proxy. Its thread ends when the proxy is dropped.
+pub struct FaultProxy {
+    /// The addresses that the members advertise, by index.
+    pub advertised_addrs: Vec<SocketAddr>,
+    state: Arc<Mutex<ProxyState>>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Relay {
-    /// A relay for members whose real sockets are at `backs`.
-    pub fn new(backs: Vec<SocketAddr>, seed: u64) -> std::io::Result<Relay> {
-        let sockets: Vec<UdpSocket> = (0..backs.len())
-            .map(|_| UdpSocket::bind(("127.0.0.1", 0)))
-            .collect::<Result<_, _>>()?;
-        for socket in &sockets {
-            socket.set_nonblocking(true)?;
-        }
-        let fronts = sockets
+impl FaultProxy {
+    /// Starts a proxy without faults for members with these real sockets.
+    ///
+    /// # Errors
+    /// A socket of the proxy could not be bound.
+    pub fn start(member_addrs: Vec<SocketAddr>, seed: u64) -> io::Result<FaultProxy> {
+        let sockets = member_addrs
+            .iter()
+            .map(|_| bind_nonblocking())
+            .collect::<io::Result<Vec<UdpSocket>>>()?;
+        let advertised_addrs = sockets
             .iter()
             .map(UdpSocket::local_addr)
-            .collect::<Result<_, _>>()?;
-        let state = State {
+            .collect::<io::Result<Vec<SocketAddr>>>()?;
+        let state = Arc::new(Mutex::new(ProxyState {
             faults: Faults::default(),
-            backs,
+            member_addrs,
             random: Pcg32::seed_from_u64(seed),
-            held: BinaryHeap::new(),
-            next: 0,
-            passed: 0,
-            lost: 0,
+            delayed: BinaryHeap::new(),
+            next_sequence: 0,
+            counts: ProxyCounts::default(),
+        }));
+        let stop = Arc::new(AtomicBool::new(false));
+        let forwarder = Forwarder {
+            sockets,
+            state: state.clone(),
+            stop: stop.clone(),
         };
-        let (state, stop) = (
-            Arc::new(Mutex::new(state)),
-            Arc::new(AtomicBool::new(false)),
-        );
-        let (shared, stopped) = (state.clone(), stop.clone());
-        let thread = std::thread::spawn(move || pass(sockets, shared, stopped));
-        Ok(Relay {
-            fronts,
+        Ok(FaultProxy {
+            advertised_addrs,
             state,
             stop,
-            thread: Some(thread),
+            thread: Some(std::thread::spawn(move || forwarder.run())),
         })
     }
 
-    /// Sets the faults from now on.
-    pub fn set(&self, faults: Faults) {
-        self.state.lock().expect("the relay's state").faults = faults;
+    /// Replaces the faults.
+    pub fn set_faults(&self, faults: Faults) {
+        lock(&self.state).faults = faults;
     }
 
-    /// A member's real socket is now at another address: one that was started anew where its port
-    /// was taken.
-    pub fn rebind(&self, member: usize, back: SocketAddr) {
-        self.state.lock().expect("the relay's state").backs[member] = back;
+    /// Sets the real socket of a member that was restarted on another port.
+    pub fn set_member_addr(&self, member: usize, addr: SocketAddr) {
+        lock(&self.state).member_addrs[member] = addr;
     }
 
-    /// Datagrams passed on and lost so far.
-    pub fn counts(&self) -> (u64, u64) {
-        let state = self.state.lock().expect("the relay's state");
-        (state.passed, state.lost)
+    /// Reads the counters.
+    pub fn counts(&self) -> ProxyCounts {
+        lock(&self.state).counts
     }
 }
 
-impl Drop for Relay {
+impl Drop for FaultProxy {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -127,57 +185,57 @@
     }
 }
 
-fn pass(sockets: Vec<UdpSocket>, state: Arc<Mutex<State>>, stop: Arc<AtomicBool>) {
-    let mut buffer = [0; 65_536];
-    while !stop.load(Ordering::Relaxed) {
-        let mut idle = true;
-        for (to, socket) in sockets.iter().enumerate() {
-            // What comes at a member's front is for that member; who sent it is told by its real
-            // address.
-            while let Ok((n, source)) = socket.recv_from(&mut buffer) {
-                idle = false;
-                let mut state = state.lock().expect("the relay's state");
-                let Some(from) = state.backs.iter().position(|b| *b == source) else {
-                    continue;
-                };
-                let faults = state.faults.clone();
-                let chance = |state: &mut State, p: f64| {
-                    (state.random.next_u32() as f64) < p * u32::MAX as f64
-                };
-                if faults.cut.contains(&(from, to)) || chance(&mut state, faults.loss) {
-                    state.lost += 1;
-                    continue;
-                }
-                let copies = if chance(&mut state, faults.doubled) {
-                    2
-                } else {
-                    1
-                };
-                for _ in 0..copies {
-                    let jitter = faults.jitter.as_micros() as u32;
-                    let wait =
-                        Duration::from_micros(u64::from(state.random.next_u32() % jitter.max(1)));
-                    let (seq, bytes) = (state.next, buffer[..n].to_vec());
-                    state.next += 1;
-                    state
-                        .held
-                        .push(Reverse((Instant::now() + wait, seq, from, to, bytes)));
-                }
+fn lock(state: &Mutex<ProxyState>) -> MutexGuard<'_, ProxyState> {
+    state
+        .lock()
+        .expect("no thread panics while it holds the proxy's state")
+}
+
+fn bind_nonblocking() -> io::Result<UdpSocket> {
+    let socket = UdpSocket::bind(("127.0.0.1", 0))?;
+    socket.set_nonblocking(true)?;
+    Ok(socket)
+}
+
+/// The proxy's thread.
+struct Forwarder {
+    /// The sockets of the advertised addresses, by the member's index.
+    sockets: Vec<UdpSocket>,
+    state: Arc<Mutex<ProxyState>>,
+    stop: Arc<AtomicBool>,
+}
+
+impl Forwarder {
+    fn run(&self) {
+        let mut buffer = vec![0; BUFFER_BYTES];
+        while !self.stop.load(Ordering::Relaxed) {
+            let received = self.receive_all(&mut buffer);
+            self.forward_due();
+            if !received {
+                std::thread::sleep(IDLE_SLEEP);
             }
         }
-        let now = Instant::now();
-        let mut state = state.lock().expect("the relay's state");
-        while state.held.peek().is_some_and(|Reverse(h)| h.0 <= now) {
-            let Some(Reverse((_, _, from, to, bytes))) = state.held.pop() else {
-                break;
-            };
-            // From the sender's front, so that the receiver answers through the relay too.
-            let _ = sockets[from].send_to(&bytes, state.backs[to]);
-            state.passed += 1;
+    }
+
+    /// Reads all sockets until they are empty. Returns whether any datagram arrived.
+    fn receive_all(&self, buffer: &mut [u8]) -> bool {
+        let mut received = false;
+        for (to, socket) in self.sockets.iter().enumerate() {
+            while let Ok((length, source)) = socket.recv_from(buffer) {
+                received = true;
+                lock(&self.state).accept(source, to, &buffer[..length]);
+            }
         }
-        drop(state);
-        if idle {
-            std::thread::sleep(Duration::from_millis(1));
+        received
+    }
+
+    fn forward_due(&self) {
+        let now = Instant::now();
+        let mut state = lock(&self.state);
+        while let Some(datagram) = state.pop_due(now) {
+            let to = state.member_addrs[datagram.link.to];
+            let _ = self.sockets[datagram.link.from].send_to(&datagram.bytes, to);
+            state.counts.forwarded += 1;
         }
     }
 }
--- /dev/null
+++ b/src/testkit/fleet/mod.rs
@@ -0,0 +1,379 @@
+//! A fleet of real daemons on loopback, with a fault proxy between them, a stand-in coordinator for
+//! each and stand-in engines for all: for tests of what managers do together when some fail.
+mod stand_ins;
+
+use super::clients::{self, ClientOutcome};
+use super::daemon::{self, Folder, free_addr};
+use super::fault_proxy::FaultProxy;
+use async_io::block_on;
+use rustix::process::{Pid, Signal, kill_process};
+use serde_json::{Value, json};
+use stand_ins::StandInThread;
+pub use stand_ins::{ENGINES, StandIns};
+use std::fs::File;
+use std::net::{SocketAddr, UdpSocket};
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::time::{Duration, Instant};
+
+/// The managers of a fleet.
+pub const MEMBERS: usize = 5;
+
+/// The shares of the two tenants that all managers start with.
+pub const SHARES: TenantShares = TenantShares::new(0.62, 0.38);
+
+/// The `[timing]` table of the managers' fleet files. With a period of a fifth of a second a stopped
+/// manager is detected after about two seconds.
+const TIMING: &str =
+    "period_ms = 200\nprobe_ms = 80\nindirect = 3\nsuspicion_periods = 3\ngrace_ms = 1500\n";
+
+/// How long a manager may take to become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// The interval between polls of a manager that starts.
+const START_POLL: Duration = Duration::from_millis(20);
+/// A manager that could not listen on its ports ends within this time.
+const EARLY_EXIT: Duration = Duration::from_millis(300);
+/// How often managers that ended at their start are restarted on other ports.
+const START_RETRIES: usize = 3;
+/// How long [`eventually`] waits, which includes a slow machine.
+const EVENTUALLY_TIMEOUT: Duration = Duration::from_secs(60);
+/// The interval between polls of [`eventually`].
+const EVENTUALLY_POLL: Duration = Duration::from_millis(50);
+
+/// The shares of the two tenants in the settings.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct TenantShares {
+    /// The first tenant's share.
+    pub first: f64,
+    /// The second tenant's share.
+    pub second: f64,
+}
+
+impl TenantShares {
+    /// The shares of the first and the second tenant.
+    pub const fn new(first: f64, second: f64) -> TenantShares {
+        TenantShares { first, second }
+    }
+}
+
+/// Whether a manager is notified of its new configuration.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Reload {
+    /// With SIGHUP.
+    Signal,
+    /// Not at all: it keeps its settings until it reloads for another reason.
+    Missed,
+}
+
+/// The options that managers are started with.
+#[derive(Clone, Debug)]
+pub struct Options {
+    /// The number of managers in the settings. With a large number each manager has a share of less
+    /// than one query, and probes the engines' loads.
+    pub managers: usize,
+    /// Further tables of the fleet file.
+    pub fleet_file_tables: String,
+}
+
+impl Default for Options {
+    fn default() -> Options {
+        Options {
+            managers: MEMBERS,
+            fleet_file_tables: "[audit]\n".into(),
+        }
+    }
+}
+
+/// A running fleet. Its processes are killed when it is dropped.
+pub struct Fleet {
+    program: PathBuf,
+    tag: String,
+    options: Options,
+    /// The network between the managers.
+    pub fault_proxy: FaultProxy,
+    /// The UDP sockets of the managers.
+    member_addrs: Vec<SocketAddr>,
+    /// The addresses of the admin endpoints.
+    pub admin_addrs: Vec<SocketAddr>,
+    client_addrs: Vec<SocketAddr>,
+    stand_ins: StandInThread,
+    processes: Vec<Option<Child>>,
+    /// The directory of the configurations and logs.
+    pub folder: Folder,
+}
+
+fn free_udp_addr() -> SocketAddr {
+    let socket = UdpSocket::bind(("127.0.0.1", 0)).expect("a free port");
+    socket.local_addr().expect("a bound socket has an address")
+}
+
+impl Fleet {
+    /// Starts the stand-ins and all managers, and waits until each is ready.
+    pub fn start(program: &Path, tag: &str, seed: u64) -> Fleet {
+        Fleet::start_with(program, tag, seed, Options::default())
+    }
+
+    /// Starts a fleet with options.
+    pub fn start_with(program: &Path, tag: &str, seed: u64, options: Options) -> Fleet {
+        let member_addrs: Vec<SocketAddr> = (0..MEMBERS).map(|_| free_udp_addr()).collect();
+        let fault_proxy = FaultProxy::start(member_addrs.clone(), seed).expect("free ports");
+        let mut fleet = Fleet {
+            program: program.to_owned(),
+            tag: tag.into(),
+            options,
+            fault_proxy,
+            member_addrs,
+            admin_addrs: (0..MEMBERS).map(|_| free_addr()).collect(),
+            client_addrs: (0..MEMBERS).map(|_| free_addr()).collect(),
+            stand_ins: StandInThread::start(MEMBERS),
+            processes: (0..MEMBERS).map(|_| None).collect(),
+            folder: Folder::new().expect("a temporary directory"),
+        };
+        for member in 0..MEMBERS {
+            fleet.launch(member, SHARES);
+        }
+        fleet.restart_early_exits();
+        fleet
+    }
+
+    /// Waits until all managers are ready. A port that was free when it was chosen may be taken by
+    /// another test when its manager binds it: that manager is restarted on other ports.
+    fn restart_early_exits(&mut self) {
+        for _ in 0..START_RETRIES {
+            let exited: Vec<usize> = (0..MEMBERS)
+                .filter(|member| self.exits_at_start(*member))
+                .collect();
+            if exited.is_empty() {
+                return;
+            }
+            for member in exited {
+                self.member_addrs[member] = free_udp_addr();
+                self.admin_addrs[member] = free_addr();
+                self.fault_proxy
+                    .set_member_addr(member, self.member_addrs[member]);
+                self.launch(member, SHARES);
+            }
+        }
+    }
+
+    /// Waits until a manager is ready. Returns whether it ended instead.
+    fn exits_at_start(&mut self, member: usize) -> bool {
+        let deadline = Instant::now() + START_TIMEOUT;
+        while Instant::now() < deadline {
+            let ready = self.readiness_status(member) == Some(200);
+            // The answer may be from the process of another test on the same port.
+            std::thread::sleep(if ready { EARLY_EXIT } else { START_POLL });
+            let process = self.processes[member].as_mut().expect("it was launched");
+            if process.try_wait().ok().flatten().is_some() {
+                eprintln!("member {member} ended at its start: {}", self.log(member));
+                return true;
+            }
+            if ready {
+                return false;
+            }
+        }
+        false
+    }
+
+    /// The name of a manager.
+    pub fn name(&self, member: usize) -> String {
+        format!("{}{member}", self.tag)
+    }
+
+    /// The configuration of a manager with these shares in its settings.
+    fn configuration(&self, member: usize, shares: TenantShares) -> String {
+        let mut config = daemon::config(
+            self.client_addrs[member],
+            self.stand_ins.coordinators[member],
+            &self.stand_ins.initial_lists[member],
+            256,
+        );
+        config["name"] = json!(self.name(member));
+        let settings = &mut config["settings"];
+        settings["peers_total"] = json!(self.options.managers);
+        settings["orgs"][0]["share"] = json!(shares.first);
+        settings["orgs"][1]["share"] = json!(shares.second);
+        config.to_string()
+    }
+
+    fn write_configuration(&self, member: usize, shares: TenantShares) {
+        let file = format!("{}.json", self.name(member));
+        self.folder
+            .put(&file, &self.configuration(member, shares))
+            .expect("the directory is writable");
+    }
+
+    /// The text of a manager's fleet file.
+    fn fleet_file(&self, member: usize) -> String {
+        let advertised = &self.fault_proxy.advertised_addrs;
+        format!(
+            "bind = \"{}\"\nadvertise = \"{}\"\nseeds = [\"{}\"]\n[timing]\n{TIMING}{}",
+            self.member_addrs[member],
+            advertised[member],
+            advertised[0],
+            self.options.fleet_file_tables,
+        )
+    }
+
+    /// Starts a manager, or restarts one that has ended, on a new address for clients.
+    pub fn launch(&mut self, member: usize, shares: TenantShares) {
+        self.client_addrs[member] = free_addr();
+        self.write_configuration(member, shares);
+        self.processes[member] = Some(self.spawn(member));
+    }
+
+    /// Starts the next version of a manager beside the running process, for a hot restart. Returns
+    /// the older process, which the caller has to end.
+    pub fn start_successor(&mut self, member: usize) -> Option<Child> {
+        self.admin_addrs[member] = free_addr();
+        let successor = self.spawn(member);
+        self.processes[member].replace(successor)
+    }
+
+    fn spawn(&self, member: usize) -> Child {
+        let name = self.name(member);
+        let fleet_file = self
+            .folder
+            .put(&format!("{name}.toml"), &self.fleet_file(member))
+            .expect("the directory is writable");
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(self.log_path(member))
+            .expect("the directory is writable");
+        Command::new(&self.program)
+            .env("PROXY_CONFIG", self.folder.path(&format!("{name}.json")))
+            .env("PROXY_NAME", &name)
+            .env("PROXY_CONSOLE", self.admin_addrs[member].to_string())
+            .env("PROXY_FLEET", fleet_file)
+            .env("TMPDIR", self.folder.path(""))
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log)
+            .spawn()
+            .expect("the program can be started")
+    }
+
+    /// Writes new settings into a manager's configuration.
+    pub fn reconfigure(&self, member: usize, shares: TenantShares, reload: Reload) {
+        self.write_configuration(member, shares);
+        if reload == Reload::Signal {
+            self.signal(member, Signal::HUP);
+        }
+    }
+
+    /// Sends a manager's process a signal.
+    pub fn signal(&self, member: usize, signal: Signal) {
+        let process = self.processes[member].as_ref().expect("it runs");
+        let pid = Pid::from_raw(process.id() as i32).expect("a process id is above 0");
+        kill_process(pid, signal).expect("the process is a child");
+    }
+
+    /// Kills a manager's process.
+    pub fn kill(&mut self, member: usize) {
+        if let Some(mut process) = self.processes[member].take() {
+            let _ = process.kill();
+            let _ = process.wait();
+        }
+    }
+
+    /// Runs a task with the stand-ins and waits for its result.
+    pub fn with_stand_ins<T: Send + 'static>(
+        &self,
+        task: impl FnOnce(&StandIns) -> T + Send + 'static,
+    ) -> T {
+        self.stand_ins.call(task)
+    }
+
+    /// Sends a manager a query whose idempotency key is `number`, and waits for its response.
+    pub fn query(&self, member: usize, class: &str, number: u64, wait_ms: u64) -> ClientOutcome {
+        let key = format!("{number:016x}");
+        let statement = format!("SELECT 1 /* {key} */");
+        let line = clients::rpc_line(1, class, &key, "billing-desk", wait_ms, &statement);
+        block_on(clients::rpc(self.client_addrs[member], &line))
+    }
+
+    /// Gets the status and the body of a path of a manager's admin endpoint, unless it does not
+    /// answer.
+    pub fn admin_get(&self, member: usize, path: &str) -> Option<(u16, String)> {
+        let call = clients::call(self.admin_addrs[member], "GET", path);
+        block_on(super::in_time(call)).flatten()
+    }
+
+    /// The rows of a manager's `GET /fleet`, unless it does not answer.
+    pub fn view(&self, member: usize) -> Option<Vec<Value>> {
+        let (status, body) = self.admin_get(member, "/fleet")?;
+        let rows = body
+            .lines()
+            .filter_map(|line| serde_json::from_str(line).ok());
+        (status == 200).then(|| rows.collect())
+    }
+
+    /// The state of `member` in the view of `observer`.
+    pub fn state_of(&self, observer: usize, member: usize) -> Option<String> {
+        let name = self.name(member);
+        let row = self
+            .view(observer)?
+            .into_iter()
+            .find(|row| row["name"] == json!(name) && row["self"] == json!(false))?;
+        row["health"].as_str().map(str::to_owned)
+    }
+
+    /// The status of a manager's `GET /ready`, unless it does not answer.
+    pub fn readiness_status(&self, member: usize) -> Option<u16> {
+        self.admin_get(member, "/ready").map(|(status, _)| status)
+    }
+
+    /// Whether these managers see each other alive.
+    pub fn has_converged(&self, members: &[usize]) -> bool {
+        members.iter().all(|observer| {
+            members.iter().all(|member| {
+                observer == member || self.state_of(*observer, *member).as_deref() == Some("Alive")
+            })
+        })
+    }
+
+    /// The logs and views of all managers, for the message of a failed assertion.
+    pub fn logs(&self) -> String {
+        let reports: Vec<String> = (0..MEMBERS)
+            .map(|member| {
+                let view = self.view(member);
+                format!("member {member}: {view:?}\n{}", self.log(member))
+            })
+            .collect();
+        reports.join("\n")
+    }
+
+    /// The log of a manager.
+    pub fn log(&self, member: usize) -> String {
+        std::fs::read_to_string(self.log_path(member)).unwrap_or_default()
+    }
+
+    fn log_path(&self, member: usize) -> PathBuf {
+        self.folder.path(&format!("{}.log", self.name(member)))
+    }
+}
+
+impl Drop for Fleet {
+    fn drop(&mut self) {
+        for member in 0..MEMBERS {
+            // A stopped process has to continue before it can end.
+            if self.processes[member].is_some() {
+                self.signal(member, Signal::CONT);
+            }
+            self.kill(member);
+        }
+    }
+}
+
+/// Polls a condition until it is true, for a minute at most. Returns whether it became true.
+pub fn eventually(mut condition: impl FnMut() -> bool) -> bool {
+    let deadline = Instant::now() + EVENTUALLY_TIMEOUT;
+    while Instant::now() < deadline {
+        if condition() {
+            return true;
+        }
+        std::thread::sleep(EVENTUALLY_POLL);
+    }
+    false
+}
--- a/src/testkit/membership_simulation/mod.rs
+++ b/src/testkit/membership_simulation/mod.rs
@@ -4,6 +4,7 @@
 //! One seed determines a run. Every datagram passes through the codec.
 mod measurement;
 
+use super::blocked_links::{BlockedLinks, Link};
 use crate::clock::{MS, Micros};
 use crate::membership::{
     Action, MemberState, MemberUpdate, Membership, Message, RunningVersions, Timing, codec,
@@ -13,7 +14,7 @@
 };
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// The shortest time that a datagram travels.
@@ -25,15 +26,6 @@
 /// The port of the first manager; the others follow.
 const FIRST_PORT: u16 = 2_000;
 
-/// A one-way link between two managers, by their indices.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Link {
-    /// The sender.
-    pub from: usize,
-    /// The receiver.
-    pub to: usize,
-}
-
 /// A manager's report that another one changed its state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StateChange {
@@ -70,7 +62,7 @@
     /// The state machines of the managers, by index.
     pub nodes: Vec<Membership>,
     /// The links on which all datagrams are lost.
-    pub blocked_links: BTreeSet<Link>,
+    pub blocked_links: BlockedLinks,
     /// The probability that a datagram is lost.
     pub loss: f64,
     /// The probability that a datagram is duplicated; the duplicate arrives late.
@@ -126,7 +118,7 @@
         let node = |index: usize| new_node(index, 1, timing, seed + index as u64, 0);
         let mut fleet = SimulatedFleet {
             nodes: (0..members).map(node).collect(),
-            blocked_links: BTreeSet::new(),
+            blocked_links: BlockedLinks::default(),
             loss: 0.0,
             duplication: 0.0,
             now: 0,
@@ -189,30 +181,6 @@
         self.schedule_wakeup(node, self.now);
     }
 
-    /// Blocks the links between two managers in both directions.
-    pub fn block_both_ways(&mut self, one: usize, other: usize) {
-        self.block(one, other);
-        self.block(other, one);
-    }
-
-    /// Blocks the link from one manager to another.
-    pub fn block(&mut self, from: usize, to: usize) {
-        self.blocked_links.insert(Link { from, to });
-    }
-
-    /// Blocks all links between two groups of managers.
-    pub fn partition(
-        &mut self,
-        one_side: impl Iterator<Item = usize>,
-        other_side: impl Iterator<Item = usize> + Clone,
-    ) {
-        for one in one_side {
-            for other in other_side.clone() {
-                self.block_both_ways(one, other);
-            }
-        }
-    }
-
     /// The state of `member` as `observer` sees it, unless it is unknown there.
     pub fn state_of(&self, observer: usize, member: usize) -> Option<MemberState> {
         self.nodes[observer]
@@ -320,7 +288,7 @@
         self.sent_bytes[from] += bytes.len() as u64;
         let to = usize::from(to.port() - FIRST_PORT);
         let link = Link { from, to };
-        if self.blocked_links.contains(&link) || self.happens(self.loss) {
+        if self.blocked_links.contains(link) || self.happens(self.loss) {
             return;
         }
         let latency = self.random_latency();
--- a/src/testkit/mod.rs
+++ b/src/testkit/mod.rs
@@ -1,6 +1,7 @@
 //! Test and rehearsal kit: stand-ins for all that the daemon talks to, on loopback, and short
 //! scripted scenarios. The repository's own tests use the same stand-ins.
 pub mod audit;
+pub mod blocked_links;
 pub mod clients;
 pub mod coordinator;
 pub mod daemon;
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -9,13 +9,13 @@
 use yokelift::policy::api::Readiness;
 use yokelift::testkit::clients::ClientOutcome;
 use yokelift::testkit::fault_proxy::Faults;
-use yokelift::testkit::fleet::{Fleet, MEMBERS, eventually};
+use yokelift::testkit::fleet::{Fleet, MEMBERS, Reload, SHARES, TenantShares, eventually};
 
 const ALL: [usize; MEMBERS] = [0, 1, 2, 3, 4];
 
 fn start(tag: &str, seed: u64) -> Fleet {
     let fleet = Fleet::start(Path::new(env!("CARGO_BIN_EXE_yokelift")), tag, seed);
-    assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
+    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     fleet
 }
 
@@ -24,7 +24,7 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
     command
         .arg("audit")
-        .args(fleet.consoles.iter().map(ToString::to_string));
+        .args(fleet.admin_addrs.iter().map(ToString::to_string));
     if json {
         command.arg("--json");
     }
@@ -77,7 +77,7 @@
 fn the_table_names_what_every_manager_acted_on() {
     let fleet = start("table", 11);
     let ask = |i: usize, round: u64| {
-        let got = fleet.ask(i, "lookup", 16 * round + i as u64, 9_000);
+        let got = fleet.query(i, "lookup", 16 * round + i as u64, 9_000);
         assert!(
             matches!(got, ClientOutcome::Served(_)),
             "{got:?}: {}",
@@ -87,13 +87,14 @@
     ALL.iter().for_each(|i| ask(*i, 1));
     let before = versions(&fleet, 0);
     // A new configuration for all; then a new list, which the last manager does not hear of.
-    ALL.iter().for_each(|i| fleet.retune(*i, (0.5, 0.5), true));
+    ALL.iter()
+        .for_each(|i| fleet.reconfigure(*i, TenantShares::new(0.5, 0.5), Reload::Signal));
     assert!(eventually(|| ALL
         .iter()
         .all(|i| versions(&fleet, *i)["generation"] == json!(2))));
     ALL.iter().for_each(|i| ask(*i, 2));
-    fleet.world(|world| {
-        world.tell(0..4, 1, Readiness::Draining);
+    fleet.with_stand_ins(|world| {
+        world.announce(0..4, 1, Readiness::Draining);
     });
     assert!(eventually(
         || (0..4).all(|i| versions(&fleet, i)["list"] == json!(2))
@@ -172,9 +173,9 @@
     assert!(eventually(|| ALL
         .iter()
         .all(|i| versions(&fleet, *i)["list"] == json!(1))));
-    fleet.world(|world| {
+    fleet.with_stand_ins(|world| {
         world.coordinators[3].stall();
-        world.tell(0..4, 1, Readiness::Draining);
+        world.announce(0..4, 1, Readiness::Draining);
     });
     assert!(
         eventually(|| (0..4).all(|i| versions(&fleet, i)["list"] == json!(2))),
@@ -189,16 +190,16 @@
         fleet.log(3)
     );
     assert!(
-        eventually(|| fleet.ready(4) == Some(503)),
+        eventually(|| fleet.readiness_status(4) == Some(503)),
         "{}",
         fleet.log(4)
     );
-    assert!((0..4).all(|i| fleet.ready(i) == Some(200)));
-    fleet.world(|world| {
-        world.tell(4..5, 1, Readiness::Draining);
+    assert!((0..4).all(|i| fleet.readiness_status(i) == Some(200)));
+    fleet.with_stand_ins(|world| {
+        world.announce(4..5, 1, Readiness::Draining);
     });
     assert!(
-        eventually(|| fleet.ready(4) == Some(200)),
+        eventually(|| fleet.readiness_status(4) == Some(200)),
         "{}",
         fleet.log(4)
     );
@@ -212,16 +213,16 @@
 fn records_outlive_a_kill_and_lie_under_their_life() {
     let mut fleet = start("lives", 12);
     // Nothing is in service: what is asked is given up.
-    fleet.world(|world| {
-        (0..2).for_each(|engine| world.tell(0..MEMBERS, engine, Readiness::Gone));
+    fleet.with_stand_ins(|world| {
+        (0..2).for_each(|engine| world.announce(0..MEMBERS, engine, Readiness::Gone));
     });
     assert!(eventually(|| ALL
         .iter()
         .all(|i| versions(&fleet, *i)["list"] == json!(3))));
-    let got = fleet.ask(2, "lookup", 0xabc, 700);
+    let got = fleet.query(2, "lookup", 0xabc, 700);
     assert!(!matches!(got, ClientOutcome::Served(_)), "{got:?}");
     let told = |fleet: &Fleet| {
-        let (_, body) = fleet.call(2, "/audit?since=0").unwrap_or_default();
+        let (_, body) = fleet.admin_get(2, "/audit?since=0").unwrap_or_default();
         body.lines()
             .map(|l| serde_json::from_str(l).expect("json"))
             .collect::<Vec<Value>>()
@@ -247,9 +248,9 @@
         (&json!(fleet.name(2)), &json!(3), &json!("lookup"))
     );
     fleet.kill(2);
-    fleet.launch(2, (0.62, 0.38));
+    fleet.launch(2, SHARES);
     assert!(
-        eventually(|| fleet.ready(2) == Some(200)),
+        eventually(|| fleet.readiness_status(2) == Some(200)),
         "{}",
         fleet.log(2)
     );
@@ -280,12 +281,12 @@
         .expect("the end")
         .to_owned();
     let (status, body) = fleet
-        .call(2, &format!("/audit?since={next}"))
+        .admin_get(2, &format!("/audit?since={next}"))
         .expect("answered");
     assert_eq!((status, body.lines().count()), (200, 1), "{body}");
     assert_eq!(
         fleet
-            .call(2, "/audit?since=never")
+            .admin_get(2, "/audit?since=never")
             .map(|(status, _)| status),
         Some(400)
     );
@@ -300,8 +301,8 @@
     fleet.signal(4, Signal::STOP);
     let mut faults = Faults::default();
     faults.partition(&[0, 1], &[2, 3, 4]);
-    fleet.relay.set(faults);
-    let dead = |a: usize, b: usize| fleet.health(a, b).as_deref() == Some("Dead");
+    fleet.fault_proxy.set_faults(faults);
+    let dead = |a: usize, b: usize| fleet.state_of(a, b).as_deref() == Some("Dead");
     assert!(
         eventually(|| dead(0, 3) && dead(3, 0) && dead(2, 0)),
         "{}",
@@ -320,9 +321,9 @@
         )),
         "{text}"
     );
-    fleet.relay.set(Faults::default());
+    fleet.fault_proxy.set_faults(Faults::default());
     fleet.signal(4, Signal::CONT);
-    assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
+    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     let (text, whole) = audit(&fleet, false);
     assert!(
         whole && text.contains("agree on build, settings, list and each other's health"),
@@ -354,14 +355,14 @@
     );
     let mut faults = Faults::default();
     faults.partition(&[0, 1], &[2, 3, 4]);
-    fleet.relay.set(faults);
+    fleet.fault_proxy.set_faults(faults);
     assert!(
         eventually(|| (2..5).all(|i| shares(i, 3))),
         "{}",
         fleet.logs()
     );
     assert!(
-        eventually(|| fleet.health(0, 4).as_deref() == Some("Dead")),
+        eventually(|| fleet.state_of(0, 4).as_deref() == Some("Dead")),
         "{}",
         fleet.log(0)
     );
@@ -370,12 +371,12 @@
         "{}",
         fleet.log(0)
     );
-    fleet.relay.set(Faults::default());
-    assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
+    fleet.fault_proxy.set_faults(Faults::default());
+    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     // The last manager keeps old settings: shut out, it takes no share.
-    (0..4).for_each(|i| fleet.retune(i, (0.4, 0.6), true));
+    (0..4).for_each(|i| fleet.reconfigure(i, TenantShares::new(0.4, 0.6), Reload::Signal));
     assert!(
-        eventually(|| fleet.ready(4) == Some(503)),
+        eventually(|| fleet.readiness_status(4) == Some(503)),
         "{}",
         fleet.log(4)
     );
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -9,7 +9,7 @@
 use std::process::Command;
 use yokelift::testkit::clients::ClientOutcome;
 use yokelift::testkit::fault_proxy::Faults;
-use yokelift::testkit::fleet::{Fleet, MEMBERS, Options, eventually};
+use yokelift::testkit::fleet::{Fleet, MEMBERS, Options, SHARES, eventually};
 
 const ALL: [usize; MEMBERS] = [0, 1, 2, 3, 4];
 const DUTY: &str = "probe:s-00000001";
@@ -27,16 +27,16 @@
         "[audit]\n[duties]\nvoters = [{}]\n{terms}",
         names.join(", ")
     );
-    let fleet = Fleet::with(
+    let fleet = Fleet::start_with(
         Path::new(env!("CARGO_BIN_EXE_yokelift")),
         tag,
         seed,
         Options {
             managers: 300,
-            more,
+            fleet_file_tables: more,
         },
     );
-    assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
+    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     fleet
 }
 
@@ -44,7 +44,7 @@
 fn ask(fleet: &Fleet, members: &[usize]) {
     for i in members {
         let number = NEXT.with(|next| next.replace(next.get() + 1));
-        let got = fleet.ask(*i, "lookup", number, 900);
+        let got = fleet.query(*i, "lookup", number, 900);
         assert!(
             !matches!(got, ClientOutcome::Cut | ClientOutcome::Rejected(_)),
             "{got:?}: {}",
@@ -57,7 +57,7 @@
 fn owners(fleet: &Fleet, members: &[usize]) -> Vec<(usize, u64)> {
     let of = |i: &usize| {
         let (_, body) = fleet
-            .call(*i, "/duties")
+            .admin_get(*i, "/duties")
             .filter(|(status, _)| *status == 200)?;
         let rows = body
             .lines()
@@ -88,7 +88,7 @@
 }
 
 fn probes(fleet: &Fleet) -> Vec<usize> {
-    fleet.world(|world| ALL.iter().map(|i| world.probes(*i, 0)).collect())
+    fleet.with_stand_ins(|world| ALL.iter().map(|i| world.probe_count(*i, 0)).collect())
 }
 
 /// Who owned the duty, by token, from the audit of all that answer.
@@ -96,7 +96,7 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
     command
         .args(["audit", "--json"])
-        .args(fleet.consoles.iter().map(ToString::to_string));
+        .args(fleet.admin_addrs.iter().map(ToString::to_string));
     let output = command.output().expect("the kit");
     let report: Value = serde_json::from_slice(&output.stdout).expect("a report");
     let mut all = BTreeMap::new();
@@ -159,7 +159,7 @@
     );
     let before = probes(&fleet);
     fleet.signal(who, Signal::CONT);
-    assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
+    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     assert!(eventually(|| fleet.log(who).contains(&format!(
         "{DUTY} is not owned here any more, under {token}"
     ))));
@@ -188,7 +188,7 @@
         ALL.into_iter().partition(|i| [who, other].contains(i));
     let mut faults = Faults::default();
     faults.partition(&small, &big);
-    fleet.relay.set(faults);
+    fleet.fault_proxy.set_faults(faults);
     // The small side is asked all along: its owner has no other cause to give the duty up.
     let (next, higher) = owner_among(&fleet, &ALL, &big);
     assert!(higher > token, "{next} under {higher} after {token}");
@@ -198,8 +198,8 @@
         ask(&fleet, &small);
         assert!(owners(&fleet, &small).is_empty(), "{}", fleet.log(who));
     }
-    fleet.relay.set(Faults::default());
-    assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
+    fleet.fault_proxy.set_faults(Faults::default());
+    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     let (_, last) = owner(&fleet, &ALL);
     assert!(last >= higher);
     assert!(eventually(|| owners(&fleet, &ALL).len() == 1 || {
@@ -221,9 +221,9 @@
     assert!(second != first && higher > token);
     fleet.kill(first);
     fleet.kill(second);
-    fleet.launch(first, (0.62, 0.38));
+    fleet.launch(first, SHARES);
     assert!(
-        eventually(|| fleet.ready(first) == Some(200)),
+        eventually(|| fleet.readiness_status(first) == Some(200)),
         "{}",
         fleet.log(first)
     );
--- a/tests/unit/membership.rs
+++ b/tests/unit/membership.rs
@@ -67,7 +67,8 @@
             "seed {seed}: declared dead under loss: {dead:?}"
         );
         let total_bytes = fleet.sent_bytes.iter().sum::<u64>();
-        let bytes_per_second = total_bytes / 125 / fleet.nodes.len() as u64;
+        let seconds = fleet.now / SEC;
+        let bytes_per_second = total_bytes / seconds / fleet.nodes.len() as u64;
         assert!(
             bytes_per_second <= bandwidth_budget(&Timing::default()),
             "seed {seed}: {bytes_per_second} bytes a second a member, over the budget"
@@ -94,7 +95,7 @@
 #[test]
 fn indirect_probes_bridge_a_blocked_link() {
     let mut fleet = converged_fleet(5, 4);
-    fleet.block_both_ways(0, 1);
+    fleet.blocked_links.block_both_ways(0, 1);
 
     fleet.run(60 * SEC);
 
@@ -134,7 +135,7 @@
 fn both_sides_of_a_partition_converge_after_it_heals() {
     let mut fleet = converged_fleet(6, 8);
 
-    fleet.partition(0..3, 3..6);
+    fleet.blocked_links.partition(&[0, 1, 2], &[3, 4, 5]);
     fleet.run(30 * SEC);
 
     assert_eq!(fleet.state_of(0, 4), Some(MemberState::Dead));
@@ -356,8 +357,8 @@
             fleet.loss = 0.0;
             match fault {
                 // Both members are still reached through the other four.
-                0 if one != other => fleet.block_both_ways(one, other),
-                1 if one != other => fleet.block(one, other),
+                0 if one != other => fleet.blocked_links.block_both_ways(one, other),
+                1 if one != other => fleet.blocked_links.block(one, other),
                 2 => fleet.loss = 0.05 * (1 + other % 4) as f64,
                 // A pause shorter than the suspicion: the member may be suspected, and must refute.
                 3 => {
