--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -134,3 +134,7 @@
         self.bind.unwrap_or(SocketAddr::new(listen.ip(), self.port))
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/config_fleet.rs"]
+mod tests;
