--- a/src/bin/yokelift-testkit/scale_fleet.rs
+++ b/src/bin/yokelift-testkit/scale_fleet.rs
@@ -100,7 +100,7 @@
                 std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
             let file = FleetConfig::parse(&text).map_err(|error| error.to_string())?;
             plan.timing = file.timing;
-            plan.terms = file.duties.map_or(plan.terms, |duties| duties.terms);
+            plan.terms = file.leases.map_or(plan.terms, |duties| duties.terms);
         }
         Ok(Plan {
             voters: self.voters,
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -61,7 +61,8 @@
     /// The size limits of the audit files; without them no audit is written.
     pub audit: Option<Bounds>,
     /// The leases; without them each manager does all fleet work itself.
-    pub duties: Option<LeaseConfig>,
+    #[serde(rename = "duties")]
+    pub leases: Option<LeaseConfig>,
 }
 
 fn default_port() -> u16 {
@@ -115,7 +116,7 @@
                 .check()
                 .map_err(|cause| FleetConfigError::AuditLimits(cause.into()))?;
         }
-        if let Some(leases) = &self.duties {
+        if let Some(leases) = &self.leases {
             leases.validate()?;
         }
         self.validate_addresses()
--- a/src/net/fleet/membership/actor.rs
+++ b/src/net/fleet/membership/actor.rs
@@ -81,7 +81,7 @@
         let now = clock::turn();
         let socket = Rc::new(socket);
         let me = own_update(&service, &shared, &socket);
-        let lease_config = service.config.duties.as_ref();
+        let lease_config = service.config.leases.as_ref();
         let leases =
             lease_config.and_then(|config| open_leases(config, &service, &shared, &socket, now));
         let timing = service.config.timing;
--- a/src/testkit/scale/fleet.rs
+++ b/src/testkit/scale/fleet.rs
@@ -117,7 +117,7 @@
             seeds: seeds.to_vec(),
             timing: self.timing.clone(),
             audit: None,
-            duties: (!voters.is_empty()).then_some(LeaseConfig {
+            leases: (!voters.is_empty()).then_some(LeaseConfig {
                 voters,
                 terms: self.terms,
             }),
--- a/tests/unit/config_fleet.rs
+++ b/tests/unit/config_fleet.rs
@@ -20,7 +20,7 @@
     );
     assert_eq!(config.timing, Timing::default());
     assert_eq!(config.advertise, None);
-    assert!(config.seeds.is_empty() && config.audit.is_none() && config.duties.is_none());
+    assert!(config.seeds.is_empty() && config.audit.is_none() && config.leases.is_none());
 }
 
 #[test]
@@ -48,7 +48,7 @@
         grace_ms: 10,
     };
     assert_eq!(config.timing, timing);
-    assert_eq!(config.duties.expect("leases").voters, ["m0"]);
+    assert_eq!(config.leases.expect("leases").voters, ["m0"]);
     assert!(config.audit.is_some());
 }
 
