--- a/src/bin/yokelift-testkit/main.rs
+++ b/src/bin/yokelift-testkit/main.rs
@@ -20,11 +20,11 @@
 use yokelift::config::fleet::FleetConfig;
 use yokelift::membership::Timing;
 use yokelift::net;
-use yokelift::testkit::membership_simulation::Figures;
+use yokelift::testkit::membership_simulation::{FleetFigures, SimulationError};
 use yokelift::testkit::{audit, membership_simulation, plot, probe_simulation, scenario};
 
 /// The build id, as in the fleet's member updates.
-static BUILD: LazyLock<String> = LazyLock::new(net::fleet::membership::build);
+static BUILD: LazyLock<String> = LazyLock::new(net::fleet::versions::build_id);
 
 /// The test kit of yokelift: scenarios against the daemon, audits of a fleet, simulations and scale runs.
 #[derive(Parser)]
@@ -253,7 +253,7 @@
         .members
         .iter()
         .map(|n| membership_simulation::measure(*n, &timing, args.stops, args.seed))
-        .collect::<Result<Vec<Figures>, _>>()
+        .collect::<Result<Vec<FleetFigures>, _>>()
         .map_err(failure)?;
     if let Some(path) = &args.svg {
         let text = plot::fleet(&figures).map_err(failure)?;
--- a/src/bin/yokelift-testkit/scale_fleet.rs
+++ b/src/bin/yokelift-testkit/scale_fleet.rs
@@ -123,7 +123,7 @@
         if let Some(path) = &self.fleet {
             let file = read_fleet(path)?;
             plan.timing = file.timing;
-            plan.terms = file.duties.map_or(plan.terms, |duties| duties.terms);
+            plan.terms = file.leases.map_or(plan.terms, |duties| duties.terms);
         }
         Ok(Plan {
             voters: self.voters,
--- a/src/dispatcher/recording.rs
+++ b/src/dispatcher/recording.rs
@@ -34,7 +34,7 @@
             return;
         };
         decisions.push(Decision {
-            kind: kind,
+            kind,
             class: class.name.clone(),
             request: client_request_id.clone(),
         });
--- /dev/null
+++ b/src/net/fleet/membership/mod.rs
@@ -0,0 +1,91 @@
+//! The actor of the fleet: it owns the UDP socket between managers and drives the membership
+//! protocol of [`crate::membership`] and, if configured, the leases of [`crate::lease`]. It runs
+//! only with a fleet file.
+mod actor;
+mod gateway_count;
+mod version_guard;
+mod view;
+
+use crate::clock::{self, MS, Micros};
+use crate::config::fleet::FleetConfig;
+use crate::lifecycle::Stage;
+use crate::net::discovery::coordinator::CoordinatorMigration;
+use crate::net::dispatcher::DispatcherEvent;
+use crate::net::{Shared, sleep_until};
+use actor::MembershipActor;
+use async_channel::Sender;
+use async_io::Async;
+use std::cell::Cell;
+use std::io;
+use std::net::{SocketAddr, UdpSocket};
+use std::path::PathBuf;
+use std::rc::Rc;
+pub use view::{FleetView, MemberRow};
+
+/// The interval between attempts to bind an address that the previous process still holds.
+const BIND_RETRY_INTERVAL: Micros = 100 * MS;
+
+/// The address can't be bound.
+#[derive(Debug, thiserror::Error)]
+#[error("fleet: can't take datagrams at {address}: {source}")]
+pub struct BindError {
+    /// The local address.
+    pub address: SocketAddr,
+    /// The cause.
+    pub source: io::Error,
+}
+
+/// Binds the socket for datagrams between managers.
+///
+/// # Errors
+/// The address is in use, or not one of this host.
+pub fn bind(address: SocketAddr) -> Result<Async<UdpSocket>, BindError> {
+    UdpSocket::bind(address)
+        .and_then(Async::new)
+        .map_err(|source| BindError { address, source })
+}
+
+/// What makes a manager a hollow node: one of many managers in one process, without engines and
+/// clients.
+pub struct Hollow {
+    /// The directory for the files that it reads again after a restart.
+    pub folder: PathBuf,
+    /// The number of requested reloads, which take the place of SIGHUP to the process.
+    pub reloads: Cell<u64>,
+}
+
+/// The parameters of the fleet's actor.
+pub struct MembershipService {
+    /// The manager's name.
+    pub name: String,
+    /// The incarnation with which the manager joins: the start time of its process, which exceeds
+    /// every earlier incarnation under the same name.
+    pub incarnation: Micros,
+    /// The fleet file.
+    pub config: FleetConfig,
+    /// The number of managers in the settings.
+    pub configured_gateways: u32,
+    /// The dispatcher, which is notified of the number of active gateways and of leases.
+    pub dispatcher: Sender<DispatcherEvent>,
+    /// The coordinator's actor, which reads the endpoint list again when it is behind.
+    pub coordinator: Sender<CoordinatorMigration>,
+}
+
+impl MembershipService {
+    /// Runs until the process stops. Without a socket it first waits until the previous process
+    /// releases `bind_address`.
+    pub async fn run(
+        self,
+        shared: Rc<Shared>,
+        mut socket: Option<Async<UdpSocket>>,
+        bind_address: SocketAddr,
+    ) {
+        while socket.is_none() && shared.lifecycle.borrow().stage() != Stage::Stopping {
+            sleep_until(Some(clock::turn() + BIND_RETRY_INTERVAL)).await;
+            socket = bind(bind_address).ok();
+        }
+        if let Some(socket) = socket {
+            MembershipActor::new(self, shared, socket).run().await;
+        }
+    }
+}
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -1,7 +1,9 @@
-//! The actors of the fleet: membership, leases and the datagrams between managers.
+//! The actors of the fleet: membership, leases, and the accounting of the datagrams between
+//! managers.
 pub mod lease;
 mod lease_members;
 mod lease_view;
 pub mod membership;
 pub mod traffic;
+pub mod versions;
 mod vote_store;
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -6,7 +6,7 @@
 use super::discovery::coordinator::CoordinatorMigration;
 use super::discovery::known_events::{KnownEventsError, parse_known};
 use super::dispatcher::{DispatcherEvent, Reconfiguration};
-use super::fleet::membership::settings_hash;
+use super::fleet::versions::settings_hash;
 use crate::class_registry::Class;
 use crate::clock::micros;
 use crate::config::FileError;
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -87,7 +87,7 @@
     /// The leases that the lease service published last, as JSON.
     pub lease_view: RefCell<Option<Rc<str>>>,
     /// The members that the membership service published last.
-    pub fleet_view: RefCell<Option<Rc<fleet::membership::View>>>,
+    pub fleet_view: RefCell<Option<Rc<fleet::membership::FleetView>>>,
     /// The configuration that the decision module acts on, as the dispatcher published it last.
     pub active_configuration: Cell<ActiveConfiguration>,
 
--- a/src/startup/error.rs
+++ b/src/startup/error.rs
@@ -1,9 +1,11 @@
 //! Why the daemon does not start.
 use crate::config::FileError;
 use crate::config::clickhouse::ClickHouseConfigError;
+use crate::config::fleet::FleetConfigError;
 use crate::config::process::ProcessConfigError;
 use crate::net::audit::AuditStartError;
 use crate::net::discovery::known_events::KnownEventsError;
+use crate::net::fleet::membership::BindError;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -40,13 +42,13 @@
     },
     /// The fleet file is invalid.
     #[error("{0}")]
-    FleetFile(String),
+    FleetFile(#[from] FleetConfigError),
     /// The audit's files can't be opened.
     #[error("{0}")]
     Audit(#[from] AuditStartError),
     /// The fleet's datagram socket can't be bound.
     #[error("{0}")]
-    Membership(String),
+    Membership(#[from] BindError),
     /// The coordinator's events in the configuration are invalid.
     #[error("{0}")]
     KnownEvents(#[from] KnownEventsError),
--- a/src/startup/files.rs
+++ b/src/startup/files.rs
@@ -91,7 +91,7 @@
         path: path.to_owned(),
         source,
     })?;
-    FleetConfig::parse(&text).map_err(|error| StartError::FleetFile(error.to_string()))
+    Ok(FleetConfig::parse(&text)?)
 }
 
 fn parse_admin_address(address: &OsString) -> Result<SocketAddr, StartError> {
--- a/src/startup/mod.rs
+++ b/src/startup/mod.rs
@@ -21,7 +21,8 @@
 use crate::net::discovery::coordinator::CoordinatorMigration;
 use crate::net::discovery::known_events::parse_known;
 use crate::net::dispatcher::DispatcherEvent;
-use crate::net::fleet::membership::{self, MembershipService};
+use crate::net::fleet::membership::MembershipService;
+use crate::net::fleet::versions;
 use crate::net::reload::Reload;
 use crate::net::{self, Shared, client, dispatcher};
 use async_channel::{Receiver, Sender, bounded};
@@ -133,7 +134,7 @@
 fn publish_configuration(shared: &Shared, config: &Config) {
     shared.active_configuration.set(ActiveConfiguration {
         generation: 1,
-        settings: membership::settings_hash(&config.json),
+        settings: versions::settings_hash(&config.json),
         list: 0,
     });
 }
@@ -150,7 +151,7 @@
     let context = DecisionContext {
         member: files.config.name.clone(),
         incarnation,
-        build: membership::build(),
+        build: versions::build_id(),
         configuration: shared.active_configuration.get(),
         active_since: incarnation,
     };
@@ -171,18 +172,15 @@
 fn start_membership(context: &StartContext, config: &Config, socket: FleetSocket) {
     let service = MembershipService {
         name: config.name.clone(),
-        life: context.incarnation,
-        fleet: socket.config,
-        managers: config.settings.gateways,
-        module: context.dispatcher.clone(),
+        incarnation: context.incarnation,
+        config: socket.config,
+        configured_gateways: config.settings.gateways,
+        dispatcher: context.dispatcher.clone(),
         coordinator: context.coordinator.clone(),
     };
-    context.shared.spawn(membership::take_seat(
-        context.shared.clone(),
-        socket.socket,
-        socket.address,
-        service,
-    ));
+    let shared = context.shared.clone();
+    let run = service.run(shared, socket.socket, socket.address);
+    context.shared.spawn(run);
 }
 
 fn start_admin(shared: &Rc<Shared>, listener: Async<TcpListener>) {
--- a/src/startup/sockets.rs
+++ b/src/startup/sockets.rs
@@ -97,7 +97,7 @@
         let socket = match membership::bind(address) {
             Ok(socket) => Some(socket),
             Err(_) if has_predecessor => None,
-            Err(error) => return Err(StartError::Membership(error.to_string())),
+            Err(error) => return Err(StartError::Membership(error)),
         };
         Ok(FleetSocket {
             config: fleet.clone(),
--- a/src/testkit/mod.rs
+++ b/src/testkit/mod.rs
@@ -1,6 +1,7 @@
 //! Test kit: stand-ins on the loopback interface for everything that the daemon communicates with,
 //! and short scripted scenarios. The repository's own tests use the same stand-ins.
 pub mod audit;
+pub mod blocked_links;
 pub mod clients;
 pub mod coordinator;
 pub mod daemon;
--- a/src/testkit/scale/figures.rs
+++ b/src/testkit/scale/figures.rs
@@ -1,7 +1,7 @@
 //! The figures of a run with a fleet of hollow nodes, as JSON and as a table.
 use super::fleet::Plan;
 use super::hollow_node::NodeReading;
-use crate::net::fleet::traffic::{Counts, Flow};
+use crate::net::fleet::traffic::{Flow, TrafficCounts};
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
 use serde::Serialize;
@@ -67,12 +67,12 @@
         let counts = later.counts.since(&earlier.counts);
         let busy = later.busy.saturating_sub(earlier.busy);
         let per_s = |n: u64| n as f64 / seconds;
-        let duties: Flow = counts.duties_sent.plus(counts.duties_received);
+        let duties: Flow = counts.lease_sent.plus(counts.lease_received);
         Rate {
-            sent_bytes: per_s(counts.sent().on_wire()),
-            received_bytes: per_s(counts.received().on_wire()),
+            sent_bytes: per_s(counts.sent().wire_bytes()),
+            received_bytes: per_s(counts.received().wire_bytes()),
             datagrams: per_s(counts.sent().plus(counts.received()).datagrams),
-            duties_bytes: per_s(duties.on_wire()),
+            duties_bytes: per_s(duties.wire_bytes()),
             busy_percent: busy.as_secs_f64() / seconds * 100.0,
         }
     }
@@ -192,7 +192,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DatagramBalance {
     /// The counts of all nodes together.
-    pub counts: Counts,
+    pub counts: TrafficCounts,
     /// What was left unread in sockets when nodes ended.
     pub unread: Flow,
     /// Datagrams that sockets dropped because their buffers were full.
@@ -225,7 +225,7 @@
         let counts = &balance.counts;
         let found = counts
             .received()
-            .plus(counts.cut)
+            .plus(counts.blocked)
             .plus(balance.unread)
             .datagrams
             + lost;
--- a/src/testkit/scale/hollow_batch.rs
+++ b/src/testkit/scale/hollow_batch.rs
@@ -7,7 +7,7 @@
 use crate::audit::ActiveConfiguration;
 use crate::clock::{self, Micros};
 use crate::net::Shared;
-use crate::net::fleet::membership::{Hollow, MembershipService, View, take_seat};
+use crate::net::fleet::membership::{FleetView, Hollow, MembershipService};
 use async_channel::{Receiver, bounded};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer, block_on};
@@ -189,7 +189,7 @@
             let Some(view) = shared.fleet_view.borrow().clone() else {
                 continue;
             };
-            let is_known = |examined: &Rc<View>| Rc::ptr_eq(examined, &view);
+            let is_known = |examined: &Rc<FleetView>| Rc::ptr_eq(examined, &view);
             if !node.examined.as_ref().is_some_and(is_known) {
                 let is_met = watch.condition.is_met(&view);
                 self.observations
@@ -240,7 +240,7 @@
         let partitioned = self.partitioned.clone();
         let plan = self.plan.clone();
         let in_partition = plan.in_partition(node);
-        shared.traffic.lose(move |to| {
+        shared.traffic.block(move |to| {
             partitioned.load(Ordering::Relaxed)
                 && node_at(to).is_some_and(|to| plan.in_partition(to) != in_partition)
         });
@@ -268,10 +268,10 @@
         let (coordinator, migrations) = bounded(1);
         let service = MembershipService {
             name: self.plan.name(node.number),
-            life: began,
-            fleet: self.plan.fleet_config(&self.seeds),
-            managers: self.plan.managers as u32,
-            module,
+            incarnation: began,
+            config: self.plan.fleet_config(&self.seeds),
+            configured_gateways: self.plan.managers as u32,
+            dispatcher: module,
             coordinator,
         };
         let seed = self.plan.seed ^ (node.number as u64) << 32 ^ node.earlier.wants;
@@ -287,7 +287,7 @@
         async move {
             // Keeps the channel to the coordinator's actor open, which a hollow node lacks.
             let _migrations = migrations;
-            let fleet = take_seat(shared.clone(), Some(socket), address, service);
+            let fleet = service.run(shared.clone(), Some(socket), address);
             let actors = or(fleet, module.run());
             shared.executor.clone().run(actors).await;
         }
--- a/src/testkit/scale/hollow_node.rs
+++ b/src/testkit/scale/hollow_node.rs
@@ -4,8 +4,8 @@
 use crate::clock::{self, Micros};
 use crate::membership::MemberState;
 use crate::net::Shared;
-use crate::net::fleet::membership::View;
-use crate::net::fleet::traffic::{Counts, Flow};
+use crate::net::fleet::membership::FleetView;
+use crate::net::fleet::traffic::{Flow, TrafficCounts};
 use async_executor::Task;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -83,7 +83,7 @@
     /// When its present incarnation began, in microseconds.
     pub incarnation: Micros,
     /// What it sent and received.
-    pub counts: Counts,
+    pub counts: TrafficCounts,
     /// What is left unread in its socket, or was at the end of an incarnation.
     pub unread: Flow,
     /// How long its actors ran.
@@ -122,7 +122,7 @@
     /// The figures of earlier incarnations.
     pub(super) earlier: NodeReading,
     /// The view that was examined last.
-    pub(super) examined: Option<Rc<View>>,
+    pub(super) examined: Option<Rc<FleetView>>,
     /// Whether it was excluded when it was examined last.
     pub(super) was_excluded: bool,
     /// It starts again once its present incarnation has ended.
@@ -199,7 +199,7 @@
         let mut flow = Flow::default();
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         while let Ok((n, _)) = self.socket.recv_from(&mut buffer) {
-            flow = flow.and(n);
+            flow = flow.with_datagram(n);
         }
         flow
     }
@@ -224,15 +224,15 @@
         reading.shared_results += counters.shared_results.get();
         reading.reloads += shared.hollow.get().map_or(0, |hollow| hollow.reloads.get());
         reading.alive = view.as_deref().map_or(0, others_alive);
-        reading.dropped += view.as_deref().map_or(0, |view| view.dropped);
+        reading.dropped += view.as_deref().map_or(0, |view| view.dropped_datagrams);
         reading
     }
 }
 
 /// How many others a node considers alive.
-fn others_alive(view: &View) -> usize {
+fn others_alive(view: &FleetView) -> usize {
     view.members
         .iter()
-        .filter(|row| !row.me && row.rumour.state == MemberState::Alive)
+        .filter(|row| !row.is_self && row.update.state == MemberState::Alive)
         .count()
 }
--- a/src/testkit/scale/observations.rs
+++ b/src/testkit/scale/observations.rs
@@ -2,7 +2,7 @@
 //! thread that drives the run.
 use crate::lease::FencingToken;
 use crate::membership::MemberState;
-use crate::net::fleet::membership::View;
+use crate::net::fleet::membership::FleetView;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -26,26 +26,26 @@
 
 impl Condition {
     /// Whether the condition is met in one node's view.
-    pub fn is_met(&self, view: &View) -> bool {
+    pub fn is_met(&self, view: &FleetView) -> bool {
         let mut rows = view.members.iter();
         match self {
             Condition::None => false,
             Condition::OthersAlive(count) => {
-                rows.filter(|row| !row.me && row.rumour.state == MemberState::Alive)
+                rows.filter(|row| !row.is_self && row.update.state == MemberState::Alive)
                     .count()
                     >= *count
             }
             Condition::Dead(name) => {
-                rows.any(|r| r.rumour.name == *name && r.rumour.state == MemberState::Dead)
+                rows.any(|r| r.update.name == *name && r.update.state == MemberState::Dead)
             }
             Condition::Settings(hash) => rows.all(|row| {
-                matches!(row.rumour.state, MemberState::Dead | MemberState::Left)
-                    || row.rumour.versions.settings == *hash
+                matches!(row.update.state, MemberState::Dead | MemberState::Left)
+                    || row.update.versions.settings == *hash
             }),
             Condition::Restarted(name, since) => rows.any(|r| {
-                r.rumour.name == *name
-                    && r.rumour.incarnation >= *since
-                    && r.rumour.state == MemberState::Alive
+                r.update.name == *name
+                    && r.update.incarnation >= *since
+                    && r.update.state == MemberState::Alive
             }),
         }
     }
--- a/src/testkit/scale/plan.rs
+++ b/src/testkit/scale/plan.rs
@@ -2,7 +2,7 @@
 use super::capacity_check::{CapacityError, FleetRequirements};
 use crate::config::fleet::{FleetConfig, LeaseConfig};
 use crate::lease::{LeaseTiming, LeaseTimingError};
-use crate::membership::Timing;
+use crate::membership::{Timing, TimingError};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -31,7 +31,7 @@
     Rates,
     /// The membership's timing is invalid.
     #[error("{0}")]
-    Timing(String),
+    Timing(#[from] TimingError),
     /// The leases' timing is invalid.
     #[error(transparent)]
     LeaseTiming(#[from] LeaseTimingError),
@@ -136,7 +136,7 @@
             seeds: seeds.to_vec(),
             timing: self.timing.clone(),
             audit: None,
-            duties: (!voters.is_empty()).then_some(LeaseConfig {
+            leases: (!voters.is_empty()).then_some(LeaseConfig {
                 voters,
                 terms: self.terms,
             }),
@@ -155,7 +155,7 @@
         if !WANTS_PER_S.contains(&self.wants) || self.rolling > self.managers {
             return Err(PlanError::Rates);
         }
-        self.timing.check().map_err(PlanError::Timing)?;
+        self.timing.validate()?;
         self.terms.validate()?;
         Ok(FleetRequirements::of(self).check_machine()?)
     }
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -9,13 +9,13 @@
 use yokelift::policy::api::Readiness;
 use yokelift::testkit::clients::ClientOutcome;
 use yokelift::testkit::fault_proxy::Faults;
-use yokelift::testkit::fleet::{Fleet, MEMBERS, eventually};
+use yokelift::testkit::fleet::{Fleet, MEMBERS, Reload, SHARES, TenantShares, eventually};
 
 const ALL: [usize; MEMBERS] = [0, 1, 2, 3, 4];
 
 fn start(tag: &str, seed: u64) -> Fleet {
     let fleet = Fleet::start(Path::new(env!("CARGO_BIN_EXE_yokelift")), tag, seed);
-    assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
+    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     fleet
 }
 
@@ -35,7 +35,7 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
     command
         .arg("audit")
-        .args(fleet.consoles.iter().map(ToString::to_string));
+        .args(fleet.admin_addrs.iter().map(ToString::to_string));
     if format == Format::Json {
         command.arg("--json");
     }
@@ -100,7 +100,9 @@
 
 /// The lines of a member's `GET /audit`, its end last.
 fn audit_lines(fleet: &Fleet, member: usize) -> Vec<Value> {
-    let (_, body) = fleet.call(member, "/audit?since=0").unwrap_or_default();
+    let (_, body) = fleet
+        .admin_get(member, "/audit?since=0")
+        .unwrap_or_default();
     body.lines()
         .map(|line| serde_json::from_str(line).expect("JSON"))
         .collect()
@@ -115,7 +117,7 @@
 /// Sends a query to a member, which has to serve it.
 fn serve_query(fleet: &Fleet, member: usize, round: u64) {
     let number = 16 * round + member as u64;
-    let outcome = fleet.ask(member, "lookup", number, 9_000);
+    let outcome = fleet.query(member, "lookup", number, 9_000);
     assert!(
         matches!(outcome, ClientOutcome::Served(_)),
         "{outcome:?}: {}",
@@ -133,14 +135,15 @@
         .for_each(|member| serve_query(&fleet, *member, 1));
     let before = versions(&fleet, 0);
     // New settings for all; then a new list, which the last manager does not receive.
-    ALL.iter().for_each(|i| fleet.retune(*i, (0.5, 0.5), true));
+    ALL.iter()
+        .for_each(|i| fleet.reconfigure(*i, TenantShares::new(0.5, 0.5), Reload::Signal));
     assert!(eventually(|| ALL
         .iter()
         .all(|i| versions(&fleet, *i)["generation"] == json!(2))));
     ALL.iter()
         .for_each(|member| serve_query(&fleet, *member, 2));
-    fleet.world(|world| {
-        world.tell(0..4, 1, Readiness::Draining);
+    fleet.with_stand_ins(|world| {
+        world.announce(0..4, 1, Readiness::Draining);
     });
     assert!(eventually(|| run_list(&fleet, 0..4, 2)));
     ALL.iter()
@@ -232,9 +235,9 @@
 fn a_manager_behind_on_the_list_reconnects_or_is_excluded() {
     let fleet = start("behind", 15);
     assert!(eventually(|| run_list(&fleet, ALL.into_iter(), 1)));
-    fleet.world(|world| {
+    fleet.with_stand_ins(|world| {
         world.coordinators[3].stall_connections();
-        world.tell(0..4, 1, Readiness::Draining);
+        world.announce(0..4, 1, Readiness::Draining);
     });
     assert!(eventually(|| run_list(&fleet, 0..4, 2)), "{}", fleet.log(3));
     assert!(
@@ -245,16 +248,16 @@
         fleet.log(3)
     );
     assert!(
-        eventually(|| fleet.ready(4) == Some(503)),
+        eventually(|| fleet.readiness_status(4) == Some(503)),
         "{}",
         fleet.log(4)
     );
-    assert!((0..4).all(|i| fleet.ready(i) == Some(200)));
-    fleet.world(|world| {
-        world.tell(4..5, 1, Readiness::Draining);
+    assert!((0..4).all(|i| fleet.readiness_status(i) == Some(200)));
+    fleet.with_stand_ins(|world| {
+        world.announce(4..5, 1, Readiness::Draining);
     });
     assert!(
-        eventually(|| fleet.ready(4) == Some(200)),
+        eventually(|| fleet.readiness_status(4) == Some(200)),
         "{}",
         fleet.log(4)
     );
@@ -267,11 +270,11 @@
 fn records_survive_a_kill_under_the_incarnation_that_made_them() {
     let mut fleet = start("lives", 12);
     // No engine is in service, so the request fails or is rejected.
-    fleet.world(|world| {
-        (0..2).for_each(|engine| world.tell(0..MEMBERS, engine, Readiness::Removed));
+    fleet.with_stand_ins(|world| {
+        (0..2).for_each(|engine| world.announce(0..MEMBERS, engine, Readiness::Removed));
     });
     assert!(eventually(|| run_list(&fleet, ALL.into_iter(), 3)));
-    let outcome = fleet.ask(2, "lookup", 0xabc, 700);
+    let outcome = fleet.query(2, "lookup", 0xabc, 700);
     assert!(!matches!(outcome, ClientOutcome::Served(_)), "{outcome:?}");
     let find_request = |lines: &[Value]| {
         let is_request = |line: &&Value| line["request"] == json!("0000000000000abc");
@@ -293,9 +296,9 @@
     );
 
     fleet.kill(2);
-    fleet.launch(2, (0.62, 0.38));
+    fleet.launch(2, SHARES);
     assert!(
-        eventually(|| fleet.ready(2) == Some(200)),
+        eventually(|| fleet.readiness_status(2) == Some(200)),
         "{}",
         fleet.log(2)
     );
@@ -321,10 +324,10 @@
     let end = lines.last().expect("the page's end");
     let next = end["next"].as_str().expect("a position");
     let (status, body) = fleet
-        .call(member, &format!("/audit?since={next}"))
+        .admin_get(member, &format!("/audit?since={next}"))
         .expect("an answer");
     assert_eq!((status, body.lines().count()), (200, 1), "{body}");
-    let malformed = fleet.call(member, "/audit?since=never");
+    let malformed = fleet.admin_get(member, "/audit?since=never");
     assert_eq!(malformed.map(|(status, _)| status), Some(400));
 }
 
@@ -336,8 +339,8 @@
     fleet.signal(4, Signal::STOP);
     let mut faults = Faults::default();
     faults.partition(&[0, 1], &[2, 3, 4]);
-    fleet.relay.set(faults);
-    let dead = |a: usize, b: usize| fleet.health(a, b).as_deref() == Some("Dead");
+    fleet.fault_proxy.set_faults(faults);
+    let dead = |a: usize, b: usize| fleet.state_of(a, b).as_deref() == Some("Dead");
     assert!(
         eventually(|| dead(0, 3) && dead(3, 0) && dead(2, 0)),
         "{}",
@@ -352,9 +355,9 @@
     let states = format!("health of {first}: Alive ({second}); Dead (");
     assert!(output.contains(&states), "{output}");
 
-    fleet.relay.set(Faults::default());
+    fleet.fault_proxy.set_faults(Faults::default());
     fleet.signal(4, Signal::CONT);
-    assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
+    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     let AuditRun { output, is_success } = run_audit(&fleet, Format::Text);
     assert!(
         is_success && output.contains("agree on build, settings, list and each other's health"),
@@ -385,14 +388,14 @@
     );
     let mut faults = Faults::default();
     faults.partition(&[0, 1], &[2, 3, 4]);
-    fleet.relay.set(faults);
+    fleet.fault_proxy.set_faults(faults);
     assert!(
         eventually(|| (2..5).all(|i| shares(i, 3))),
         "{}",
         fleet.logs()
     );
     assert!(
-        eventually(|| fleet.health(0, 4).as_deref() == Some("Dead")),
+        eventually(|| fleet.state_of(0, 4).as_deref() == Some("Dead")),
         "{}",
         fleet.log(0)
     );
@@ -401,12 +404,12 @@
         "{}",
         fleet.log(0)
     );
-    fleet.relay.set(Faults::default());
-    assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
+    fleet.fault_proxy.set_faults(Faults::default());
+    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     // The last manager keeps its old settings: it is excluded and takes no share.
-    (0..4).for_each(|i| fleet.retune(i, (0.4, 0.6), true));
+    (0..4).for_each(|i| fleet.reconfigure(i, TenantShares::new(0.4, 0.6), Reload::Signal));
     assert!(
-        eventually(|| fleet.ready(4) == Some(503)),
+        eventually(|| fleet.readiness_status(4) == Some(503)),
         "{}",
         fleet.log(4)
     );
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -10,7 +10,7 @@
 use std::process::Command;
 use yokelift::testkit::clients::ClientOutcome;
 use yokelift::testkit::fault_proxy::Faults;
-use yokelift::testkit::fleet::{Fleet, MEMBERS, Options, eventually};
+use yokelift::testkit::fleet::{Fleet, MEMBERS, Options, SHARES, eventually};
 
 const ALL: [usize; MEMBERS] = [0, 1, 2, 3, 4];
 const RESOURCE: &str = "probe:s-00000001";
@@ -42,16 +42,16 @@
         "[audit]\n[duties]\nvoters = [{}]\n{timing}",
         voters.join(", ")
     );
-    let fleet = Fleet::with(
+    let fleet = Fleet::start_with(
         Path::new(env!("CARGO_BIN_EXE_yokelift")),
         tag,
         seed,
         Options {
             managers: 300,
-            more: fleet_file,
+            fleet_file_tables: fleet_file,
         },
     );
-    assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
+    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     fleet
 }
 
@@ -66,7 +66,7 @@
 fn send_queries(fleet: &Fleet, members: &[usize]) {
     for member in members {
         let number = NEXT_REQUEST.with(|next| next.replace(next.get() + 1));
-        let outcome = fleet.ask(*member, "lookup", number, 900);
+        let outcome = fleet.query(*member, "lookup", number, 900);
         assert!(
             !matches!(outcome, ClientOutcome::Cut | ClientOutcome::Rejected(_)),
             "{outcome:?}: {}",
@@ -77,7 +77,7 @@
 
 /// The token under which a member says that it holds the lease.
 fn held_token(fleet: &Fleet, member: usize) -> Option<u64> {
-    let (status, body) = fleet.call(member, "/duties")?;
+    let (status, body) = fleet.admin_get(member, "/duties")?;
     if status != 200 {
         return None;
     }
@@ -120,7 +120,11 @@
 
 /// How many probes of each member have reached the engine.
 fn probes_by_member(fleet: &Fleet) -> Vec<usize> {
-    fleet.world(|world| ALL.iter().map(|member| world.probes(*member, 0)).collect())
+    fleet.with_stand_ins(|world| {
+        ALL.iter()
+            .map(|member| world.probe_count(*member, 0))
+            .collect()
+    })
 }
 
 /// The leases on [`RESOURCE`] by token, from the audit of all members that answer. Fails if a token
@@ -129,7 +133,7 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
     command
         .args(["audit", "--json"])
-        .args(fleet.consoles.iter().map(ToString::to_string));
+        .args(fleet.admin_addrs.iter().map(ToString::to_string));
     let output = command.output().expect("the test kit");
     let report: Value = serde_json::from_slice(&output.stdout).expect("a report");
     let rows = report["owned"].as_array().expect("rows").iter();
@@ -190,7 +194,7 @@
     );
     let before = probes_by_member(&fleet);
     fleet.signal(first.member, Signal::CONT);
-    assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
+    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     let ended = format!("lease: ended {RESOURCE}, fencing token {}", first.token);
     assert!(eventually(|| fleet.log(first.member).contains(&ended)));
 
@@ -221,7 +225,7 @@
 
     let mut faults = Faults::default();
     faults.partition(&minority, &majority);
-    fleet.relay.set(faults);
+    fleet.fault_proxy.set_faults(faults);
     // The minority is queried all along: its holder has no other cause to release the lease.
     let second = await_lease_holder_among(&fleet, &ALL, &majority);
 
@@ -235,8 +239,8 @@
             fleet.log(first.member)
         );
     }
-    fleet.relay.set(Faults::default());
-    assert!(eventually(|| fleet.agree(&ALL)), "{}", fleet.logs());
+    fleet.fault_proxy.set_faults(Faults::default());
+    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     let last = await_lease_holder(&fleet, &ALL);
     assert!(last.token >= second.token);
     assert!(eventually(|| lease_holders(&fleet, &ALL).len() == 1 || {
@@ -258,9 +262,9 @@
     assert!(second.member != first.member && second.token > first.token);
     fleet.kill(first.member);
     fleet.kill(second.member);
-    fleet.launch(first.member, (0.62, 0.38));
+    fleet.launch(first.member, SHARES);
     assert!(
-        eventually(|| fleet.ready(first.member) == Some(200)),
+        eventually(|| fleet.readiness_status(first.member) == Some(200)),
         "{}",
         fleet.log(first.member)
     );
--- a/tests/scale_fleet.rs
+++ b/tests/scale_fleet.rs
@@ -70,7 +70,7 @@
 fn assert_datagrams_are_accounted_for(balance: &DatagramBalance) {
     let counts = &balance.counts;
     assert_eq!(balance.missing, 0, "{balance:?}");
-    let found = counts.received().plus(counts.cut).plus(balance.unread);
+    let found = counts.received().plus(counts.blocked).plus(balance.unread);
     assert_eq!(
         found.datagrams + balance.lost,
         counts.sent().datagrams,
@@ -78,12 +78,12 @@
     );
     assert!(balance.lost > 0 || found == counts.sent(), "{balance:?}");
     assert!(
-        counts.cut.datagrams > 0 && balance.unread.datagrams > 0,
+        counts.blocked.datagrams > 0 && balance.unread.datagrams > 0,
         "{balance:?}"
     );
-    assert!(counts.duties_received.datagrams > 0 && counts.membership_received.datagrams > 0);
+    assert!(counts.lease_received.datagrams > 0 && counts.membership_received.datagrams > 0);
     assert_eq!(
-        (counts.refused.datagrams, balance.dropped),
+        (counts.send_failed.datagrams, balance.dropped),
         (0, 0),
         "{balance:?}"
     );
