--- a/src/bin/yokelift-testkit/main.rs
+++ b/src/bin/yokelift-testkit/main.rs
@@ -20,7 +20,7 @@
 use yokelift::config::fleet::FleetConfig;
 use yokelift::membership::Timing;
 use yokelift::net;
-use yokelift::testkit::membership_simulation::{FleetFigures, SimulationError};
+use yokelift::testkit::membership_simulation::FleetFigures;
 use yokelift::testkit::{audit, membership_simulation, plot, probe_simulation, scenario};
 
 /// The build id, as in the fleet's member updates.
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -50,10 +50,13 @@
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct ClassJson {
-    worth: f64,
-    late_worth: f64,
+    #[serde(rename = "worth")]
+    priority_weight: f64,
+    #[serde(rename = "late_worth")]
+    late_priority_weight: f64,
     promise_ns: u64,
-    aim_stretch: f64,
+    #[serde(rename = "aim_stretch")]
+    objective_slowdown: f64,
     deadline_ns: u64,
     semantics: String,
     dedup_scope: String,
@@ -119,13 +122,15 @@
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct LimitsJson {
-    send_cap: u32,
+    #[serde(rename = "send_cap")]
+    max_attempts: u32,
     may_cancel: bool,
     probing: bool,
     peers: bool,
     retry_after: bool,
     max_retry_after_ns: u64,
-    second_copies: bool,
+    #[serde(rename = "second_copies")]
+    hedging: bool,
 }
 
 impl TryFrom<SettingsJson> for Settings {
@@ -172,10 +177,10 @@
     let zone_ids = |zones: &Vec<u16>| zones.iter().copied().map(ZoneId).collect();
     let machine_type_ids = |types: &Vec<u16>| types.iter().copied().map(MachineTypeId).collect();
     Ok(ClassSpec {
-        priority_weight: class.worth,
-        late_priority_weight: class.late_worth,
+        priority_weight: class.priority_weight,
+        late_priority_weight: class.late_priority_weight,
         base_latency_objective: class.promise_ns,
-        objective_slowdown: class.aim_stretch,
+        objective_slowdown: class.objective_slowdown,
         deadline: class.deadline_ns,
         idempotency: idempotency(class)?,
         serial_per_key: class.serial_by_key,
@@ -284,13 +289,13 @@
 impl From<LimitsJson> for Limits {
     fn from(json: LimitsJson) -> Limits {
         Limits {
-            max_attempts: json.send_cap,
+            max_attempts: json.max_attempts,
             may_cancel: json.may_cancel,
             may_probe: json.probing,
             may_message_peers: json.peers,
             may_send_retry_after: json.retry_after,
             max_retry_after: json.max_retry_after_ns,
-            hedging: json.second_copies,
+            hedging: json.hedging,
         }
     }
 }
--- a/src/lease/candidate.rs
+++ b/src/lease/candidate.rs
@@ -60,7 +60,7 @@
         token: FencingToken,
     },
     /// This manager holds the lease no longer: it expired or was released.
-    Ended {
+    Lost {
         /// The resource.
         resource: Resource,
         /// The token of the lease.
@@ -293,7 +293,7 @@
         let grant_duration = self.timing.grant_duration();
         for (resource, lease) in &mut self.leases {
             if let Some(expired) = lease.held.take_if(|held| now >= held.expires_at) {
-                actions.push(LeaseAction::Ended {
+                actions.push(LeaseAction::Lost {
                     resource: *resource,
                     token: expired.token,
                 });
@@ -321,7 +321,7 @@
             resource, token, ..
         } = lease;
         self.leases.remove(&resource);
-        actions.push(LeaseAction::Ended { resource, token });
+        actions.push(LeaseAction::Lost { resource, token });
         actions.extend(self.voters.iter().map(|voter| LeaseAction::Release {
             voter: voter.clone(),
             resource,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,6 @@
 //! they came in and carry out the [`policy::api::Action`]s it appends. Everything it knows comes from
 //! [`policy::api::Settings`] and those events.
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 #[doc = include_str!("../README.md")]
 #[cfg(doctest)]
--- a/src/net/audit.rs
+++ b/src/net/audit.rs
@@ -26,7 +26,7 @@
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A job for the thread that owns the files.
-pub enum Job {
+pub enum AuditJob {
     /// Write a batch.
     Write(Batch),
     /// Read a page.
@@ -79,7 +79,7 @@
 /// The dispatcher's side of the audit.
 pub struct AuditWriter {
     buffer: AuditBuffer,
-    jobs: Sender<Job>,
+    jobs: Sender<AuditJob>,
     /// Closed once the files' thread has ended.
     ended: Receiver<()>,
 }
@@ -141,16 +141,16 @@
 }
 
 /// The files' thread: runs until all senders of jobs are gone.
-fn run_jobs(mut store: Store, jobs: &Receiver<Job>) {
+fn run_jobs(mut store: Store, jobs: &Receiver<AuditJob>) {
     while let Ok(job) = jobs.recv_blocking() {
         clock::turn();
         match job {
-            Job::Write(batch) => {
+            AuditJob::Write(batch) => {
                 if let Err(error) = store.append(batch) {
                     log!("audit: a batch could not be written: {error}");
                 }
             }
-            Job::Read {
+            AuditJob::Read {
                 after,
                 max_records,
                 reply,
@@ -208,11 +208,11 @@
     }
 
     fn send(&mut self, batch: Batch) {
-        let rejected = match self.jobs.try_send(Job::Write(batch)) {
+        let rejected = match self.jobs.try_send(AuditJob::Write(batch)) {
             Ok(()) => return,
             Err(error) => error.into_inner(),
         };
-        if let Job::Write(batch) = rejected {
+        if let AuditJob::Write(batch) = rejected {
             self.buffer.mark_lost(clock::now(), &batch);
             log!(
                 "audit: the files are behind, {} records are lost",
@@ -246,7 +246,7 @@
 ) -> Option<Result<Page, AuditReadError>> {
     let jobs = shared.audit_jobs.borrow().clone()?;
     let (reply, page) = bounded(1);
-    let job = Job::Read {
+    let job = AuditJob::Read {
         after,
         max_records,
         reply,
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -139,11 +139,7 @@
     };
     let reason = running.run().await;
     if let Some(predecessor) = predecessor {
-        let gone = HotRestartMessage::ClientGone {
-            conn: predecessor.connection_number,
-        };
-        // A predecessor that has exited does not need to know.
-        let _ = predecessor.messages.try_send(gone);
+        notify_predecessor(&predecessor);
     }
     shared.clients.borrow_mut().remove(&id);
     log_unexpected_end(reason);
@@ -152,6 +148,15 @@
         .await;
 }
 
+/// Tells the process that passed the connection on that its client has disconnected.
+fn notify_predecessor(predecessor: &PredecessorLink) {
+    let gone = HotRestartMessage::ClientGone {
+        conn: predecessor.connection_number,
+    };
+    // A predecessor that has exited does not need to know.
+    let _ = predecessor.messages.try_send(gone);
+}
+
 /// Logs the end of a connection, unless it is one that usual clients and limits cause.
 fn log_unexpected_end(reason: Termination) {
     let expected = matches!(
--- a/src/net/fleet/lease.rs
+++ b/src/net/fleet/lease.rs
@@ -339,7 +339,7 @@
                     held: true,
                 });
             }
-            LeaseAction::Ended { resource, token } => {
+            LeaseAction::Lost { resource, token } => {
                 log!("lease: ended {resource}, fencing token {token}");
                 self.undelivered.push_back(DispatcherEvent::LeaseChanged {
                     resource,
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -94,7 +94,7 @@
     /// The lease service, if probes are shared in the fleet.
     pub lease_requests: RefCell<Option<Sender<fleet::lease::ProbeRequest>>>,
     /// The thread that writes the audit, if it is enabled.
-    pub audit_jobs: RefCell<Option<Sender<audit::Job>>>,
+    pub audit_jobs: RefCell<Option<Sender<audit::AuditJob>>>,
     /// Counters of the datagrams between gateways.
     pub traffic: Rc<fleet::traffic::Traffic>,
 }
--- a/src/testkit/probe_simulation/fleet.rs
+++ b/src/testkit/probe_simulation/fleet.rs
@@ -350,7 +350,7 @@
                     self.totals.owner_changes += 1;
                 }
             }
-            LeaseAction::Ended { .. } => {}
+            LeaseAction::Lost { .. } => {}
         }
     }
 
--- a/tests/unit/lease/simulation.rs
+++ b/tests/unit/lease/simulation.rs
@@ -176,7 +176,7 @@
                 LeaseAction::Acquired { token, .. } => {
                     self.acquired.push(Tokened { member, token });
                 }
-                LeaseAction::Ended { .. } => {}
+                LeaseAction::Lost { .. } => {}
             }
         }
     }
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -152,23 +152,29 @@
     }
 }
 
-fn lease_messages() -> Vec<(&'static str, LeaseMessage)> {
-    let holder = || Holder {
-        name: "n0".into(),
-        incarnation: 1_700_000_000_000_001,
-    };
-    let resource = Resource::Probe(0x2a);
-    let loaded = ProbeResult {
+fn loaded_probe() -> ProbeResult {
+    ProbeResult {
         status: ProbeStatus::Succeeded,
         latency: 1_250,
         load_fields: 2,
         load: [3.0, 0.5, 0.0, 0.0],
-    };
-    let unreachable = ProbeResult {
+    }
+}
+
+fn unreachable_probe() -> ProbeResult {
+    ProbeResult {
         status: ProbeStatus::Unreachable,
         latency: 30_000,
         ..ProbeResult::default()
+    }
+}
+
+fn lease_messages() -> Vec<(&'static str, LeaseMessage)> {
+    let holder = || Holder {
+        name: "n0".into(),
+        incarnation: 1_700_000_000_000_001,
     };
+    let resource = Resource::Probe(0x2a);
     let vote = |vote| {
         LeaseMessage::Vote(VoteReply {
             voter: "n1".into(),
@@ -212,8 +218,8 @@
         ("vote-refused", vote(refused)),
         ("release", release),
         ("want", LeaseMessage::RequestProbe(probe_request(900))),
-        ("told", report(900, loaded)),
-        ("told-unreachable", report(901, unreachable)),
+        ("told", report(900, loaded_probe())),
+        ("told-unreachable", report(901, unreachable_probe())),
         ("not-mine", not_owner),
     ]
 }
