--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -261,7 +261,12 @@
         "{}",
         fleet.log(4)
     );
-    assert_eq!(versions(&fleet, 4)["list"], json!(2));
+    // Readiness is current; the view of the versions is up to 0.1 s old.
+    assert!(
+        eventually(|| versions(&fleet, 4)["list"] == json!(2)),
+        "{}",
+        fleet.logs()
+    );
 }
 
 /// A rejection or failure is recorded under the request's own id; the records of a manager that was
