--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -164,7 +164,7 @@
         Termination::Closed | Termination::Idle | Termination::Done | Termination::LocalLimit
     );
     if !expected {
-        log!("a client's connection ended: {reason:?}");
+        log!("a client's connection ended: {reason}");
     }
 }
 
--- a/src/net/discovery/coordinator.rs
+++ b/src/net/discovery/coordinator.rs
@@ -232,7 +232,7 @@
             let contacted = Cell::new(false);
             let silence_timeout = backoff.silence_timeout();
             let reason = self.watch_once(addr, silence_timeout, &contacted).await;
-            log!("the coordinator's connection ended: {reason:?}");
+            log!("the coordinator's connection ended: {reason}");
             let pause = backoff.pause(contacted.get());
             Timer::after(Duration::from_micros(pause)).await;
         }
