--- a/src/config/clickhouse/users.rs
+++ b/src/config/clickhouse/users.rs
@@ -69,10 +69,7 @@
 
 fn tenant_id(names: &Names, name: &str) -> Result<TenantId, ClickHouseConfigError> {
     names
-        .tenants
-        .iter()
-        .position(|tenant| tenant == name)
-        .map(|index| TenantId(index as u16))
+        .tenant(name)
         .ok_or_else(|| ClickHouseConfigError::UnknownTenant {
             name: name.to_owned(),
         })
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -1,7 +1,7 @@
 //! The configuration of one process: the JSON file that `PROXY_CONFIG` names.
 use crate::config::settings::{self, SettingsError};
 use crate::config::{FileError, first_duplicate, load};
-use crate::policy::api::{ClassId, ClassSpec, Idempotency, Nanos, Settings};
+use crate::policy::api::{ClassId, ClassSpec, Idempotency, Nanos, Settings, TenantId};
 use serde::Deserialize;
 use serde_json::Value;
 use std::cell::RefCell;
@@ -86,6 +86,12 @@
             .find(|(id, class)| *class == name && !self.removed_classes.contains(id))
             .map(|(id, _)| ClassId(id))
     }
+
+    /// The id of the tenant with this name.
+    pub fn tenant(&self, name: &str) -> Option<TenantId> {
+        let index = self.tenants.iter().position(|tenant| tenant == name)?;
+        Some(TenantId(index as u16))
+    }
 }
 
 /// The names in force, which a reload replaces.
--- a/src/frontend/jsonrpc/request.rs
+++ b/src/frontend/jsonrpc/request.rs
@@ -173,10 +173,7 @@
             return Ok(TenantId(0));
         }
         names
-            .tenants
-            .iter()
-            .position(|name| *name == self.tenant)
-            .map(|index| TenantId(index as u16))
+            .tenant(&self.tenant)
             .ok_or(MessageError::UnknownTenant)
     }
 
--- a/src/net/client/connection_registry.rs
+++ b/src/net/client/connection_registry.rs
@@ -102,7 +102,7 @@
     let lifecycle = shared.lifecycle.borrow();
     let transferring = lifecycle.successor_took_over();
     if transferring {
-        shared.accepting.0.close();
+        shared.stop_accepting();
     }
     let closing = lifecycle.closes_idle_connections();
     let closing_before = std::mem::replace(was_closing, closing);
--- a/src/testkit/membership_simulation/mod.rs
+++ b/src/testkit/membership_simulation/mod.rs
@@ -84,11 +84,16 @@
     random: Pcg32,
 }
 
-/// The address of a manager.
+/// The address of a simulated manager.
 pub fn member_addr(index: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + index as u16))
 }
 
+/// The index of the simulated manager at a [`member_addr`].
+pub(super) fn member_at(addr: SocketAddr) -> usize {
+    usize::from(addr.port() - FIRST_PORT)
+}
+
 /// The name of a manager.
 pub fn member_name(index: usize) -> String {
     format!("m{index}")
@@ -286,7 +291,7 @@
             "a datagram over its bound"
         );
         self.sent_bytes[from] += bytes.len() as u64;
-        let to = usize::from(to.port() - FIRST_PORT);
+        let to = member_at(to);
         let link = Link { from, to };
         if self.blocked_links.contains(link) || self.happens(self.loss) {
             return;
--- a/src/testkit/probe_simulation/fleet.rs
+++ b/src/testkit/probe_simulation/fleet.rs
@@ -1,11 +1,12 @@
 //! The simulated fleet: managers with the state machines of leases, a network with random delays
 //! and a queue of events.
 use super::Plan;
-use super::manager::{SimulatedManager, address, manager_at, manager_index, manager_name};
+use super::manager::{SimulatedManager, manager_index};
 use crate::clock::{MS, Micros, SEC};
 use crate::lease::codec::{self, LeaseMessage};
 use crate::lease::shared_probe::{PendingActions, ProbeAction, ProbeResult, ProbeStatus};
 use crate::lease::{LeaseAction, LeaseRequest, Resource, VoteReply, preferred_owner};
+use crate::testkit::membership_simulation::{member_addr, member_at, member_name};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
@@ -135,7 +136,7 @@
     pub(super) fn update_preferred_owners(&mut self) {
         let running: Vec<String> = (0..self.managers.len())
             .filter(|index| !self.managers[*index].is_stopped)
-            .map(manager_name)
+            .map(member_name)
             .collect();
         for engine in 0..self.plan.engines {
             let names = running.iter().map(String::as_str);
@@ -231,7 +232,7 @@
             return;
         }
         let owner = self.preferred_owners[&engine];
-        let remote_owner = (owner != index).then(|| manager_name(owner));
+        let remote_owner = (owner != index).then(|| member_name(owner));
         let (prober, mut context) = manager.prober_in_context(self.now, actions);
         prober.request_load(engine, remote_owner.as_deref(), &mut context);
     }
@@ -285,7 +286,7 @@
             LeaseMessage::RequestProbe(request) => {
                 let is_preferred_owner = self.preferred_owners[&request.engine] == to;
                 let (prober, mut context) = manager.prober_in_context(now, actions);
-                prober.on_request(address(from), request, is_preferred_owner, &mut context);
+                prober.on_request(member_addr(from), request, is_preferred_owner, &mut context);
             }
             LeaseMessage::ProbeReport(report) => {
                 let (prober, mut context) = manager.prober_in_context(now, actions);
@@ -309,7 +310,7 @@
             return;
         };
         let reply = VoteReply {
-            voter: manager_name(to),
+            voter: member_name(to),
             resource: request.resource,
             round: request.round,
             vote: voter.request(request, self.now).vote,
@@ -364,7 +365,7 @@
                 self.send(index, manager_index(&owner), message);
             }
             ProbeAction::Report { to, report } => {
-                self.send(index, manager_at(to), LeaseMessage::ProbeReport(report));
+                self.send(index, member_at(to), LeaseMessage::ProbeReport(report));
             }
             ProbeAction::RejectNotOwner { to, request } => {
                 let resource = Resource::Probe(request.engine);
@@ -372,7 +373,7 @@
                     request,
                     highest_token: self.managers[index].fence.highest(resource),
                 };
-                self.send(index, manager_at(to), message);
+                self.send(index, member_at(to), message);
             }
         }
     }
--- a/src/testkit/probe_simulation/manager.rs
+++ b/src/testkit/probe_simulation/manager.rs
@@ -1,13 +1,10 @@
-//! One simulated manager: its state machines, name and address.
+//! One simulated manager: its state machines and its name.
 use super::Plan;
 use crate::clock::{MS, Micros};
 use crate::lease::shared_probe::{PendingActions, ProbeContext, SharedProber};
 use crate::lease::{Candidate, FencingGuard, Holder, TokenHighWaterMarks, Voter};
+use crate::testkit::membership_simulation::member_name;
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
-
-/// The port of the first manager; the others follow.
-const FIRST_PORT: u16 = 2_000;
 
 /// The state machines of one manager.
 pub(super) struct SimulatedManager {
@@ -26,10 +23,10 @@
         let is_voter = index < plan.voters;
         let timing = plan.lease_timing;
         let holder = Holder {
-            name: manager_name(index),
+            name: member_name(index),
             incarnation: 1,
         };
-        let voters = (0..plan.voters).map(manager_name).collect();
+        let voters = (0..plan.voters).map(member_name).collect();
         let seed = plan.seed + index as u64;
         SimulatedManager {
             voter: is_voter.then(|| Voter::new(timing, TokenHighWaterMarks::default(), 0)),
@@ -63,22 +60,7 @@
     }
 }
 
-/// The name of the manager of that index.
-pub(super) fn manager_name(index: usize) -> String {
-    format!("m{index}")
-}
-
-/// The index in a name of [`manager_name`].
+/// The index in a name of [`member_name`].
 pub(super) fn manager_index(name: &str) -> usize {
     name[1..].parse().unwrap_or(0)
 }
-
-/// The address of the manager of that index.
-pub(super) fn address(index: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + index as u16))
-}
-
-/// The index of the manager at an [`address`].
-pub(super) fn manager_at(address: SocketAddr) -> usize {
-    usize::from(address.port() - FIRST_PORT)
-}
--- a/src/testkit/scale/proc.rs
+++ b/src/testkit/scale/proc.rs
@@ -7,9 +7,6 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Clock ticks a second in `/proc/PID/stat`: the same on all architectures that Linux supports today.
-pub const TICKS_PER_S: u64 = 100;
-
 /// Fields of `/proc/PID/stat` behind the process's name: user and system time, in clock ticks.
 const STAT_TIME_FIELDS: [usize; 2] = [11, 12];
 
--- a/tests/unit/net_client.rs
+++ b/tests/unit/net_client.rs
@@ -381,7 +381,7 @@
 
     shared.lifecycle.borrow_mut().begin_shutdown(clock::turn());
     shared.lifecycle.borrow_mut().begin_closing();
-    shared.accepting.0.close();
+    shared.stop_accepting();
 
     fixture.run_until(|| shared.listening.get() == 0 && shared.closing_sockets.get() == 3);
     for (index, mut client) in clients.iter().enumerate() {
