--- a/src/audit/report/disagreement.rs
+++ b/src/audit/report/disagreement.rs
@@ -94,7 +94,7 @@
 fn observed_state(node: &NodeReport, member: &str) -> Option<String> {
     match node.fleet.iter().find(|seen| seen.name == member) {
         Some(seen) if seen.is_self => None,
-        Some(seen) => Some(format!("{:?}", seen.state)),
+        Some(seen) => Some(seen.state.to_string()),
         None if node.fleet.is_empty() => None,
         None => Some("unknown".into()),
     }
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -67,7 +67,7 @@
 }
 
 impl Stage {
-    /// The stage's name on the admin endpoint and in the fleet's member updates.
+    /// The stage's name on the admin endpoint.
     pub fn as_str(self) -> &'static str {
         match self {
             Stage::Starting => "starting",
@@ -77,6 +77,17 @@
             Stage::Stopping => "stopping",
         }
     }
+
+    /// The stage's name in the fleet's member updates.
+    pub fn name_in_member_updates(self) -> &'static str {
+        match self {
+            Stage::Starting => "starting",
+            Stage::Ready => "ready",
+            Stage::Draining => "draining",
+            Stage::HotRestart => "hotrestart",
+            Stage::Stopping => "stopping",
+        }
+    }
 }
 
 impl fmt::Display for Stage {
--- a/src/membership/message.rs
+++ b/src/membership/message.rs
@@ -5,6 +5,7 @@
 //! ([`codec::TAG`](super::codec::TAG)).
 use super::version::RunningVersions;
 use serde::{Deserialize, Serialize};
+use std::fmt;
 use std::net::SocketAddr;
 
 /// The state of a member, as another member sees it.
@@ -25,6 +26,22 @@
     pub fn is_gone(self) -> bool {
         matches!(self, MemberState::Dead | MemberState::Left)
     }
+
+    /// The state's name in the log and in the report of the audit.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            MemberState::Alive => "Alive",
+            MemberState::Suspect => "Suspect",
+            MemberState::Dead => "Dead",
+            MemberState::Left => "Left",
+        }
+    }
+}
+
+impl fmt::Display for MemberState {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(self.as_str())
+    }
 }
 
 /// The state of one member at one incarnation: the unit of gossip.
--- a/src/net/fleet/membership/actor.rs
+++ b/src/net/fleet/membership/actor.rs
@@ -226,7 +226,7 @@
                 Action::Send { to, message } => self.send(to, &codec::encode(&message)),
                 Action::StateChanged { member, state } => {
                     state_changed = true;
-                    log!("fleet: {member} is {state:?}");
+                    log!("fleet: {member} is {state}");
                 }
             }
         }
--- a/src/net/fleet/versions.rs
+++ b/src/net/fleet/versions.rs
@@ -44,6 +44,6 @@
     if lifecycle.is_excluded() {
         SHUT_OUT.to_owned()
     } else {
-        format!("{:?}", lifecycle.stage()).to_lowercase()
+        lifecycle.stage().name_in_member_updates().to_owned()
     }
 }
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -18,6 +18,7 @@
 use yokelift::lease::codec::{self as lease_wire, LeaseMessage};
 use yokelift::lease::shared_probe::{ProbeReport, ProbeRequestId, ProbeResult, ProbeStatus};
 use yokelift::lease::{FencingToken, Holder, LeaseRequest, Resource, Vote, VoteReply};
+use yokelift::lifecycle::Stage;
 use yokelift::membership::{
     MemberState, MemberUpdate, Message, MessageBody, RunningVersions, codec as member_wire,
 };
@@ -506,3 +507,31 @@
     };
     assert_text("fleet.txt", &view.lines());
 }
+
+#[test]
+fn member_states_keep_their_names_in_the_log_and_the_report() {
+    let names = [
+        (MemberState::Alive, "Alive"),
+        (MemberState::Suspect, "Suspect"),
+        (MemberState::Dead, "Dead"),
+        (MemberState::Left, "Left"),
+    ];
+    for (state, name) in names {
+        assert_eq!(state.to_string(), name);
+    }
+}
+
+#[test]
+fn stages_keep_their_names_on_the_admin_endpoint_and_in_member_updates() {
+    let names = [
+        (Stage::Starting, "starting", "starting"),
+        (Stage::Ready, "ready", "ready"),
+        (Stage::Draining, "draining", "draining"),
+        (Stage::HotRestart, "handingover", "hotrestart"),
+        (Stage::Stopping, "stopping", "stopping"),
+    ];
+    for (stage, admin_name, member_update_name) in names {
+        assert_eq!(stage.to_string(), admin_name);
+        assert_eq!(stage.name_in_member_updates(), member_update_name);
+    }
+}
