--- a/src/policy/admission_queue.rs
+++ b/src/policy/admission_queue.rs
@@ -4,27 +4,28 @@
 use super::state::class_estimates::latency_objective;
 use super::state::request::PendingRequest;
 use super::state::units::nanos;
-use super::tuning::{MIN_TIME_LEFT_SHARE, SWEEP_INTERVAL, USUAL_UTILIZATION};
+use super::tuning::{MIN_TIME_LEFT_SHARE, TICK_INTERVAL, USUAL_UTILIZATION};
 use crate::policy::api::{Action, Nanos, RejectionReason, RequestId};
 
-/// Queued requests tried after one event: its cost must not grow with the queue.
-const MAX_DISPATCH_TRIES: usize = 32;
+/// Queued requests checked after one event. The limit keeps the cost of an event independent of
+/// the length of the queue.
+const MAX_REQUESTS_CHECKED: usize = 32;
 
-/// Least advice of a rejection from the queue, in seconds.
+/// Minimum wait from which the Retry-After of a rejection from the queue is derived, in seconds.
 const MIN_RETRY_AFTER_SECONDS: f64 = 0.1;
 
-/// Least weight of a late answer in the rank, so that late requests keep an order.
+/// Minimum weight of a late response in the rank, so that late requests stay ordered.
 const MIN_LATE_WEIGHT: f64 = 0.01;
 
-/// Least priority weight of a class in the rank.
+/// Minimum priority weight of a class in the rank.
 const MIN_PRIORITY_WEIGHT: f64 = 1e-6;
 
-/// Least work in the rank, in seconds.
+/// Minimum work used in the rank, in seconds.
 const MIN_RANKED_WORK: f64 = 1e-3;
 
 impl Gateway {
-    /// Whether the request can still meet its latency objective, taken that it is smaller than the
-    /// mean of its class, as most are.
+    /// Whether the request can still meet its latency objective, assuming that it is smaller than
+    /// the mean of its class, as most are.
     pub(super) fn can_meet_objective(&self, now: Nanos, request: &PendingRequest) -> bool {
         let work = MIN_TIME_LEFT_SHARE * self.expected_work(request);
         let slowdown = self.fleet.median_slowdown.max(1.0);
@@ -33,7 +34,7 @@
         now + nanos(run_time) <= request.arrived_at + nanos(objective)
     }
 
-    /// Priority weight per second of work, less where the request is late or exceeds its tenant's
+    /// Priority weight per second of work, reduced if the request is late or exceeds its tenant's
     /// quota.
     fn rank(&self, now: Nanos, request: &PendingRequest) -> f64 {
         let class = self.class(request);
@@ -51,7 +52,7 @@
         class.priority_weight.max(MIN_PRIORITY_WEIGHT) * quota_weight * late_weight / work
     }
 
-    /// Adds a request that found no capacity.
+    /// Queues a request for which there is no capacity.
     pub(super) fn enqueue(&mut self, now: Nanos, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -63,14 +64,14 @@
         });
     }
 
-    /// Sends queued requests that now have capacity, highest rank first. Where a first attempt of
-    /// a class finds none, the next one of the class will not either; retries and requests in
-    /// order say nothing of others.
+    /// Dispatches queued requests that now have capacity, highest rank first. If there is no
+    /// capacity for a first attempt of a class, there is none for the next one of that class
+    /// either. Retries and requests with an order key allow no such conclusion.
     pub(super) fn dispatch_queued(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         let mut class_is_full = vec![false; self.settings.classes.len()];
         let mut position = 0;
-        let mut tries = 0;
-        while tries < MAX_DISPATCH_TRIES && class_is_full.contains(&false) {
+        let mut checked = 0;
+        while checked < MAX_REQUESTS_CHECKED && class_is_full.contains(&false) {
             let Some(&QueuedRequest { id, class, .. }) = self.queue.get(position) else {
                 return;
             };
@@ -80,33 +81,35 @@
                 self.queue.remove(position);
                 continue;
             };
-            let is_plain = request.attempts_started == 0 && !self.class(request).serial_per_key;
-            if is_plain && class_is_full[class] {
+            let is_unordered_first_attempt =
+                request.attempts_started == 0 && !self.class(request).serial_per_key;
+            if is_unordered_first_attempt && class_is_full[class] {
                 position += 1;
                 continue;
             }
-            tries += 1;
+            checked += 1;
             if let Some(engine) = self.select_engine(now, id) {
                 self.queue.remove(position);
-                self.send(now, id, engine, actions);
+                self.dispatch(now, id, engine, actions);
             } else {
-                class_is_full[class] |= is_plain;
+                class_is_full[class] |= is_unordered_first_attempt;
                 position += 1;
             }
         }
     }
 
-    /// Ranks the queued requests anew, and rejects those that the work ahead of them leaves no
-    /// time. While this process stops, those too for which it has no engine: others may have one.
-    pub(super) fn review_queue(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+    /// Updates the ranks of the queued requests, and rejects those that the work ahead of them
+    /// leaves no time. During shutdown it also rejects requests while there is no engine for them,
+    /// as another gateway may have one.
+    pub(super) fn refresh_queue(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         for entry in self.queue.take() {
             self.enqueue(now, entry.id);
         }
         self.queue.sort();
-        // Seconds of work a second that this gateway's share of the fleet completes.
+        // Seconds of work per second that this gateway's share of the fleet completes.
         let rate = self.fleet.cores * USUAL_UTILIZATION / self.active_gateways;
         let wait_for = |work: f64| if rate > 0.0 { work / rate } else { 0.0 };
-        let deadline_margin = 2 * SWEEP_INTERVAL.max(self.settings.batch_interval);
+        let deadline_margin = 2 * TICK_INTERVAL.max(self.settings.batch_interval);
         let mut work_ahead = 0.0;
         for entry in self.queue.take() {
             let pending = self.requests.get(&entry.id);
@@ -117,8 +120,8 @@
             let done_at = now + nanos(wait + self.unloaded_seconds(request));
             let is_too_late = rate > 0.0 && done_at > self.useful_until(request);
             let is_past_deadline = now + deadline_margin >= self.latest_end(request);
-            let is_hopeless = rate <= 0.0 && self.is_stopping();
-            let reason = if is_hopeless {
+            let has_no_engine = rate <= 0.0 && self.is_stopping();
+            let reason = if has_no_engine {
                 Some(RejectionReason::NoEngineWhileStopping)
             } else if is_past_deadline {
                 Some(RejectionReason::DeadlineNear)
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -1,5 +1,5 @@
-//! Concurrency limits: the control law ECC09 moves the limit of each engine, and a query is sent
-//! only where it has capacity under that limit.
+//! Concurrency limits: the control law ECC09 adjusts the limit of each engine, and a query is sent
+//! only to an engine with capacity for it under that limit.
 use super::Gateway;
 use super::state::class_estimates::{MIN_SAMPLES, latency_objective};
 use super::state::control_window::MIN_LIMIT_SHARE;
@@ -9,43 +9,44 @@
 use super::state::turns::Turn;
 use super::state::units::seconds;
 use super::tuning::{
-    BURST_SHARE, CONTROL_PERIOD, INITIAL_THREADS_PER_CORE, JAM_SLOWDOWN, MAX_SAMPLE_RATIO,
+    BURST_SHARE, CONGESTED_SLOWDOWN, CONTROL_PERIOD, INITIAL_THREADS_PER_CORE, MAX_SAMPLE_RATIO,
     TURN_DURATION,
 };
 use crate::policy::api::{LoadField, Nanos};
 
-/// Slowdown relative to the best one seen from which an engine is under pressure.
+/// Slowdown relative to the best one measured above which an engine is under pressure.
 const PRESSURE_RATIO: f64 = 2.0;
 
-/// Largest best slowdown that pressure is measured against: a fleet that was never seen fast must
-/// not make every slowdown look usual.
+/// Upper limit of the best slowdown that pressure is measured against. Without it, a fleet that was
+/// never measured fast would make every slowdown count as usual.
 const MAX_BEST_SLOWDOWN: f64 = 2.0;
 
-/// Least best slowdown: answers faster than expected by more than this are underestimated work.
+/// Lower limit of the best slowdown: responses faster than expected by more than this are
+/// underestimated work.
 const MIN_BEST_SLOWDOWN: f64 = 0.5;
 
-/// Factor by which the best slowdown may rise with each update while no engine reaches it.
+/// Factor by which the best slowdown may rise per update while no engine reaches it.
 const BEST_SLOWDOWN_GROWTH: f64 = 1.01;
 
-/// Most by which own threads may exceed this gateway's share of the fleet while engines report
-/// idle capacity.
+/// Maximum factor by which this gateway's threads may exceed its share of the fleet while engines
+/// report idle capacity.
 const MAX_IDLE_CAPACITY_FACTOR: f64 = 3.0;
 
-/// Part of this gateway's share of the fleet that queries may fill which miss their objective
-/// anyway.
+/// Part of this gateway's share of the fleet that may be used by queries that miss their objective
+/// in any case.
 const LATE_QUERY_SHARE: f64 = 0.25;
 
-/// Part by which the slowdown of an engine without answers moves toward its peers' in a period: it
-/// is forgotten in about ten seconds.
+/// Fraction by which the slowdown of an engine without responses moves toward its peers' per
+/// period. An old slowdown decays in about ten seconds.
 const SLOWDOWN_DECAY: f64 = 0.2;
 
-/// Times the mean over a period that own threads may reach for a moment.
+/// Factor by which this gateway's threads may briefly exceed the limit on their mean over a period.
 const PEAK_FACTOR: f64 = 2.0;
 
 impl Gateway {
-    /// Applies formula (5) to every engine. Where this gateway's share of an engine is under one
-    /// thread, the window of that engine would hold no sample; the windows of all engines together
-    /// then stand in, open until they hold enough.
+    /// Applies formula (5) to every engine. If this gateway's share of an engine is under one
+    /// thread, the window of that engine would hold no sample. The combined window of all engines
+    /// is used instead, and stays open until it holds enough samples.
     pub(super) fn update_limits(&mut self, now: Nanos) {
         let period = seconds(now.saturating_sub(self.limits_updated_at)).max(1e-3);
         self.limits_updated_at = now;
@@ -58,8 +59,8 @@
         self.fleet.mark_changed();
     }
 
-    /// Adds the attempts that already run past their objective to the windows of their engines:
-    /// waiting for their answers would show overload too late.
+    /// Adds the attempts that already exceed their objective to the windows of their engines.
+    /// Waiting for their responses would detect overload too late.
     fn record_overdue_attempts(&mut self, now: Nanos) {
         for request in self.requests.values() {
             for attempt in &request.attempts {
@@ -78,7 +79,8 @@
         }
     }
 
-    /// Moves the limit of each engine by its own window, and adds the windows to that of the fleet.
+    /// Adjusts the limit of each engine by its own window, and adds the windows to that of the
+    /// fleet.
     fn update_engine_limits(&mut self, now: Nanos, period_seconds: f64) {
         let active_gateways = self.active_gateways;
         let engine_count = self.fleet.ready.len().max(1) as f64;
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Moves the limits of the engines of which this gateway has less than one thread, by the
+    /// Adjusts the limits of the engines where this gateway's share is less than one thread, by the
     /// window of the whole fleet.
     fn update_limits_by_fleet_window(&mut self, now: Nanos) {
         let active_gateways = self.active_gateways;
@@ -132,34 +134,35 @@
         self.fleet.best_slowdown = lowest.min(ceiling).max(MIN_BEST_SLOWDOWN);
     }
 
-    /// Whether `slowdown` is far above the best one seen. A gateway that just started cannot know,
-    /// and assumes pressure.
+    /// Whether `slowdown` is far above the best one measured. A gateway that just started has no
+    /// measurements, and assumes pressure.
     fn is_under_pressure(&self, now: Nanos, slowdown: f64) -> bool {
         let just_started = now.saturating_sub(self.created_at) < CONTROL_PERIOD;
         let best = self.fleet.best_slowdown.min(MAX_BEST_SLOWDOWN);
         just_started || slowdown > PRESSURE_RATIO * best
     }
 
-    /// Whether the query has capacity under the engine's limit. Short queries keep their part of
-    /// it; long ones keep the rest and borrow what is idle. The limit itself applies under
-    /// pressure; before that, a burst may exceed it.
+    /// Whether the engine has capacity for the query under its limit. A part of the limit is
+    /// reserved for short queries; long ones have the rest and may borrow idle capacity. The limit
+    /// itself applies only under pressure; until then a burst may exceed it.
     pub(super) fn has_capacity(
         &self,
         now: Nanos,
         request: &PendingRequest,
         engine: &Engine,
     ) -> bool {
-        // An engine far slower than its peers gets less, to clear its jam. This is wrong for a
-        // while after work was underestimated.
-        let jam = (JAM_SLOWDOWN * self.fleet.median_slowdown / engine.slowdown).min(1.0);
-        let usable_share = jam * engine.warmth(now, &self.settings.invariants);
+        // An engine far slower than its peers receives less, so that its congestion clears. After
+        // work was underestimated this reduction is wrong for a while.
+        let congestion_factor =
+            (CONGESTED_SLOWDOWN * self.fleet.median_slowdown / engine.slowdown).min(1.0);
+        let usable_share = congestion_factor * engine.warmth(now, &self.settings.invariants);
         let threads = self.query_threads(request);
         if self.has_share_below(engine, threads) {
             return self.has_shared_capacity(now, request, engine, usable_share);
         }
-        let is_pressed =
+        let is_under_pressure =
             now < engine.saturated_until || self.is_under_pressure(now, engine.slowdown);
-        let limit = if is_pressed {
+        let limit = if is_under_pressure {
             engine.limit
         } else {
             engine.initial_limit * BURST_SHARE
@@ -170,9 +173,10 @@
             .fits(threads, self.is_long(request), own_limit)
     }
 
-    /// The same where this gateway's share of the engine is less than one query: its shares of all
-    /// engines together bound its own threads, load reports show where capacity is free, and under
-    /// pressure a turn admits as many gateways as the whole limit holds queries.
+    /// [`has_capacity`](Gateway::has_capacity) where this gateway's share of the engine is less
+    /// than one query: the sum of its shares of all engines limits its own threads, load reports
+    /// show where capacity is free, and under pressure a turn admits as many gateways as the whole
+    /// limit holds queries.
     fn has_shared_capacity(
         &self,
         now: Nanos,
@@ -180,8 +184,8 @@
         engine: &Engine,
         usable_share: f64,
     ) -> bool {
-        let is_pressed = self.is_under_pressure(now, self.fleet.slowdown);
-        if !self.has_own_capacity(now, request, engine, is_pressed) {
+        let is_under_pressure = self.is_under_pressure(now, self.fleet.slowdown);
+        if !self.has_own_capacity(now, request, engine, is_under_pressure) {
             return false;
         }
         let threads = self.query_threads(request);
@@ -195,44 +199,44 @@
         if load + threads > whole_limit {
             return false;
         }
-        let is_crowded = now < engine.saturated_until
+        let needs_turn = now < engine.saturated_until
             || load >= engine.initial_limit
-            || (is_pressed && load > MIN_LIMIT_SHARE * engine.initial_limit);
+            || (is_under_pressure && load > MIN_LIMIT_SHARE * engine.initial_limit);
         let gateway_count = f64::from(self.gateway_count());
         let turn = Turn {
             duration: TURN_DURATION,
             holders: whole_limit / threads * gateway_count / self.active_gateways,
             offset: 0.0,
         };
-        !is_crowded || self.has_unused_turn(now, engine, &turn)
+        !needs_turn || self.has_unused_turn(now, engine, &turn)
     }
 
-    /// Whether the query fits into this gateway's share of the whole fleet. The share is kept in
-    /// the mean over a period, like Ne of the control law, lest a good part of a share of a few
-    /// queries be unused: for a moment it may be exceeded, and a gateway without running queries
+    /// Whether the query fits into this gateway's share of the whole fleet. The share limits the
+    /// mean over a period, like Ne of the control law; otherwise a large part of a share of a few
+    /// queries would stay unused. It may be exceeded briefly, and a gateway without running queries
     /// may send one.
     fn has_own_capacity(
         &self,
         now: Nanos,
         request: &PendingRequest,
         engine: &Engine,
-        is_pressed: bool,
+        is_under_pressure: bool,
     ) -> bool {
         let rules = &self.settings.invariants;
-        // A turn on an engine that warms up does not wait for own queries that are stuck on the
-        // warm engines beside it.
+        // A turn on an engine that warms up is not held back by this gateway's queries that are
+        // stuck on the warm engines.
         if !self.probes_engines() && engine.is_warming_up(now, rules) {
             return true;
         }
-        // A query that misses its objective anyway earns little: it may use idle capacity, but not
-        // slow down queries that can still meet theirs.
+        // A query that misses its objective in any case has little value: it may use idle capacity,
+        // but must not slow down queries that can still meet theirs.
         let late_share = if self.probes_engines() || self.can_meet_objective(now, request) {
             1.0
         } else {
             LATE_QUERY_SHARE
         };
         let share = self.fleet.limit / self.active_gateways
-            * self.idle_capacity_factor(is_pressed)
+            * self.idle_capacity_factor(is_under_pressure)
             * late_share;
         let threads = self.query_threads(request);
         let is_long = self.is_long(request);
@@ -242,16 +246,16 @@
         fits_in_mean && self.fleet.running.fits(threads, is_long, peak_limit)
     }
 
-    /// Factor by which own threads may exceed this gateway's share: while engines report that part
+    /// Factor by which this gateway's threads may exceed its share: while engines report that part
     /// of their capacity is idle, shares that other gateways leave unused may be used. Only reports
-    /// of all that queries wait for are believed: counts of queries, or disks beside cores. It does
-    /// harm where reports lag behind a surge.
-    fn idle_capacity_factor(&self, is_pressed: bool) -> f64 {
+    /// that cover everything queries wait for are used: counts of queries, or disks beside cores.
+    /// This does harm where reports lag behind a surge of load.
+    fn idle_capacity_factor(&self, is_under_pressure: bool) -> f64 {
         let fields = &self.settings.load_fields;
         let full_threads_per_core = if fields.contains(&LoadField::QueriesInFlight) {
             INITIAL_THREADS_PER_CORE
         } else if fields.contains(&LoadField::DiskUtilization) {
-            if is_pressed { 1.0 } else { BURST_SHARE }
+            if is_under_pressure { 1.0 } else { BURST_SHARE }
         } else {
             0.0
         };
@@ -259,7 +263,7 @@
         (full_threads_per_core / reported).clamp(1.0, MAX_IDLE_CAPACITY_FACTOR)
     }
 
-    /// Whether this gateway has the turn on the engine now, and has not used it.
+    /// Whether this gateway currently has the turn on the engine and has not used it.
     pub(super) fn has_unused_turn(&self, now: Nanos, engine: &Engine, turn: &Turn) -> bool {
         let sent_at = engine.last_sent_at;
         let is_used = sent_at > 0 && turn.index(sent_at) == turn.index(now);
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending one attempt.
+//! Dispatch of one attempt.
 use super::Gateway;
 use super::state::class_estimates::LEARNING_RATE;
 use super::state::engine::Engine;
@@ -7,32 +7,32 @@
 use super::state::units::nanos;
 use crate::policy::api::{Action, AttemptNo, EngineId, Nanos, RequestId};
 
-/// Priority of a query that misses its objective in any case, or exceeds its tenant's quota.
+/// Priority of a query that misses its objective in any case or exceeds its tenant's quota.
 const LOWEST_PRIORITY: u8 = 0;
 
-/// Priority of a long query of its class's usual work or more.
+/// Priority of a long query with at least the usual work of its class.
 const LONG_PRIORITY: u8 = 0;
 
-/// Priority of a long query under its class's usual work: its objective is nearer.
+/// Priority of a long query with less than the usual work of its class: its objective ends sooner.
 const SMALL_LONG_PRIORITY: u8 = 1;
 
 /// Priority of a short query.
 const SHORT_PRIORITY: u8 = 3;
 
-/// What an attempt is expected to need.
+/// Expected resources and time of an attempt, and its priority.
 struct AttemptPlan {
     running: Running,
     is_load: bool,
     data_set: u64,
     unloaded_seconds: f64,
-    /// Work that counts against the budget of an engine that warms up.
+    /// Work charged to the budget of an engine that warms up, in seconds on one core.
     warm_up_work: f64,
     priority: u8,
 }
 
 impl Gateway {
     /// Starts an attempt of the request on `engine`.
-    pub(super) fn send(
+    pub(super) fn dispatch(
         &mut self,
         now: Nanos,
         id: RequestId,
@@ -51,7 +51,7 @@
         };
         let threads_per_core = self.threads_per_core_with(now, target, plan.running.threads);
         let expected_seconds = plan.unloaded_seconds * target.slowdown.max(1.0);
-        self.record_send(now, id, engine, &plan);
+        self.record_dispatch(now, id, engine, &plan);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Threads per core that the engine is estimated to run with `threads` more: of all gateways
-    /// by their load report where this gateway's share is small, else by own threads.
+    /// Estimated threads per core of the engine with `threads` more, over all gateways: from its
+    /// load report where this gateway's share is small, otherwise from this gateway's own threads.
     fn threads_per_core_with(&self, now: Nanos, engine: &Engine, threads: f64) -> f64 {
         let load = if self.has_share_below(engine, threads) {
             self.estimated_load(now, engine)
@@ -126,13 +126,13 @@
         (load + threads) / engine.cores
     }
 
-    /// Counts the attempt on its engine and in the totals of the fleet.
-    fn record_send(&mut self, now: Nanos, id: RequestId, engine: EngineId, plan: &AttemptPlan) {
+    /// Adds the attempt to the state of its engine and to the totals of the fleet.
+    fn record_dispatch(&mut self, now: Nanos, id: RequestId, engine: EngineId, plan: &AttemptPlan) {
         let Some(target) = self.engines.get_mut(&engine) else {
             return;
         };
-        // Weighted by what is sent, not by what arrives: else reported counts of short queries
-        // would be taken for long ones.
+        // Weighted by the queries sent, not by those that arrive: otherwise reported counts of
+        // short queries would be converted to threads as if they were long ones.
         let sent_mix = self.fleet.sent_mix;
         self.fleet.sent_mix.add_scaled(sent_mix, -LEARNING_RATE);
         self.fleet
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -1,18 +1,18 @@
-//! The endpoint list, and the periodic sweep.
+//! The endpoint list, and the periodic tick.
 use super::Gateway;
 use super::state::engine::Engine;
 use super::state::units::seconds;
-use super::sweep_timer;
-use super::tuning::{CONTROL_PERIOD, INITIAL_THREADS_PER_CORE, SWEEP_INTERVAL, TURN_DURATION};
+use super::tick_timer;
+use super::tuning::{CONTROL_PERIOD, INITIAL_THREADS_PER_CORE, TICK_INTERVAL, TURN_DURATION};
 use crate::policy::api::{Action, Endpoint, EndpointListKind, EngineId, Nanos, Readiness};
 use std::collections::BTreeSet;
 
-/// Interval at which the first queued request has engines probed again: half a turn, as their last
-/// reports are out of date by then.
+/// Interval between load probes for the first queued request: half a turn, after which the last
+/// reports are no longer fresh.
 const QUEUE_PROBE_INTERVAL: Nanos = TURN_DURATION / 2;
 
 impl Gateway {
-    /// The endpoint list changed, or its watch failed.
+    /// Handles a change of the endpoint list, or a failure of its watch.
     pub(super) fn on_endpoint_list(
         &mut self,
         now: Nanos,
@@ -25,19 +25,19 @@
             return;
         }
         if kind != EndpointListKind::Changes {
-            self.mark_unlisted_engines_gone(entries);
+            self.mark_unlisted_engines_removed(entries);
         }
         for endpoint in entries {
             self.merge_endpoint(now, endpoint);
         }
         let ready = self.engines.values().filter(|engine| engine.is_ready());
         self.fleet.ready = ready.map(Engine::id).collect();
-        self.forget_gone_engines();
+        self.drop_removed_engines();
         self.fleet.mark_changed();
         self.refresh_fleet(now);
     }
 
-    fn mark_unlisted_engines_gone(&mut self, entries: &[Endpoint]) {
+    fn mark_unlisted_engines_removed(&mut self, entries: &[Endpoint]) {
         let listed: BTreeSet<EngineId> = entries.iter().map(|endpoint| endpoint.id).collect();
         for engine in self.engines.values_mut() {
             if !listed.contains(&engine.id()) {
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Adds or updates one engine. A new one is assumed as slow as the median: if it looked faster
-    /// while the others slow down, all gateways would turn to it.
+    /// Adds or updates one engine. A new engine starts with the median slowdown: if it appeared
+    /// faster while the others slow down, all gateways would send their queries to it.
     fn merge_endpoint(&mut self, now: Nanos, endpoint: &Endpoint) {
         let machine_type = self
             .settings
@@ -64,8 +64,8 @@
             .entry(endpoint.id)
             .or_insert_with(without_history);
         if engine.endpoint.started_at != endpoint.started_at {
-            // A restart under the same id: nothing is known of the new process, but attempts that
-            // are in flight still count.
+            // The engine restarted under the same id: the history of the old process is discarded,
+            // but attempts that are in flight still count.
             let before = std::mem::replace(engine, without_history());
             engine.running = before.running;
             engine.loading_data_sets = before.loading_data_sets;
@@ -73,8 +73,8 @@
         engine.endpoint = *endpoint;
     }
 
-    /// Drops engines that are gone, unless a request still refers to them: memory must not grow.
-    fn forget_gone_engines(&mut self) {
+    /// Drops removed engines unless a request still refers to them, so that memory does not grow.
+    fn drop_removed_engines(&mut self) {
         let requests = self.requests.values();
         let referenced: BTreeSet<EngineId> = requests
             .flat_map(|request| {
@@ -84,15 +84,16 @@
             })
             .collect();
         self.engines
-            .retain(|id, engine| !engine.is_gone() || referenced.contains(id));
+            .retain(|id, engine| !engine.is_removed() || referenced.contains(id));
         let engines = &self.engines;
         self.load_reports
             .retain(|id| engines.get(&id).is_some_and(Engine::is_ready));
     }
 
-    /// The periodic work: control law, expiry, totals, lost attempts, and the queue.
-    pub(super) fn on_sweep(&mut self, now: Nanos, actions: &mut Vec<Action>) {
-        actions.push(sweep_timer());
+    /// Runs the periodic work: control law, expiry, totals, blocked and lost attempts, and the
+    /// queue.
+    pub(super) fn on_tick(&mut self, now: Nanos, actions: &mut Vec<Action>) {
+        actions.push(tick_timer());
         if now.saturating_sub(self.limits_updated_at) >= CONTROL_PERIOD {
             self.update_limits(now);
         }
@@ -107,22 +108,22 @@
         if let Some(first) = self.queue.first().filter(|_| may_probe) {
             self.probe_candidates(now, first.id, actions);
         }
-        self.review_queue(now, actions);
+        self.refresh_queue(now, actions);
         self.dispatch_queued(now, actions);
     }
 
     fn forget_expired(&mut self, now: Nanos) {
         let budget = self.settings.invariants.retry_budget;
         let window = budget.map_or(0, |budget| budget.window);
-        let start = now.saturating_sub(window + SWEEP_INTERVAL);
+        let start = now.saturating_sub(window + TICK_INTERVAL);
         self.retries.forget_before(start);
         self.ordered_queues.forget_idle(now);
     }
 
     fn update_mean_running(&mut self, now: Nanos) {
-        let elapsed = seconds(now.saturating_sub(self.swept_at));
+        let elapsed = seconds(now.saturating_sub(self.last_tick_at));
         let weight = (elapsed / seconds(CONTROL_PERIOD)).min(1.0);
-        self.swept_at = now;
+        self.last_tick_at = now;
         let running = self.fleet.running;
         self.fleet.mean_running.smooth_toward(running, weight);
     }
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -1,5 +1,5 @@
-//! Selection of the engine for a query: which engines are compared, which may be used, and which
-//! costs least.
+//! Selection of the engine for a query: which engines are compared, which of them may be used, and
+//! which has the lowest cost.
 use super::Gateway;
 use super::state::circuit_breaker::CircuitState;
 use super::state::engine::{Engine, affinity_distance};
@@ -10,41 +10,42 @@
 use crate::policy::api::{EngineId, Idempotency, Nanos, RequestId};
 use rand_core::Rng;
 
-/// Engines that a gateway prefers where it cannot probe: fewer handshakes, and more recent reports
-/// of each.
+/// Number of engines that a gateway prefers where it cannot probe. Using few engines saves
+/// handshakes and keeps the report of each more recent.
 const PREFERRED_ENGINES: usize = 8;
 
-/// Candidates taken from the engines with a turn or a recent report, and as many at random.
+/// Number of candidates taken from the engines with a turn or a recent report, and of those chosen
+/// at random.
 pub(super) const HALF_OF_CANDIDATES: usize = MAX_CANDIDATES / 2;
 
-/// Cost of an engine outside the preferred ones. Costs are in full limits of threads.
+/// Cost of an engine that is not preferred. The unit of costs is one full limit of threads.
 const NOT_PREFERRED_COST: f64 = 0.2;
 
-/// Cost of an engine in another zone, where crossing zones costs something.
+/// Cost of an engine in another zone, where traffic between zones is charged.
 const CROSS_ZONE_COST: f64 = 0.03;
 
-/// Cost of an engine where the query would wait for a load on its data set: more than a full
-/// engine.
+/// Cost of an engine where the query would be blocked by a load of its data set: more than that of
+/// a full engine.
 const BLOCKED_COST: f64 = 1.5;
 
-/// Cost of the engine farthest from the one preferred for the data set, which would have to read
-/// it from its disks.
+/// Cost of the engine farthest from the one preferred for the data set: it would have to read the
+/// data set from its disks.
 const AFFINITY_COST: f64 = 0.85;
 
-/// Cost of an engine that the request was tried on before; also the discount of a turn on an
-/// engine that warms up.
+/// Cost of an engine that already received an attempt of the request; also the discount of a turn
+/// on an engine that warms up.
 const TRIED_COST: f64 = 1.0;
 
-/// Discount of an engine that awaits a trial: it comes before all others.
+/// Discount of an engine that awaits a trial, which puts it before all others.
 const TRIAL_DISCOUNT: f64 = 10.0;
 
-/// Least slowdown relative to the median that scales the cost: differences below it are noise.
+/// Minimum slowdown relative to the median that scales the cost: differences below it are noise.
 const MIN_RELATIVE_SLOWDOWN: f64 = 0.7;
 
 impl Gateway {
     /// Engines to compare: all of a small fleet; of a large one those where this gateway has a
-    /// turn, those with the newest reports, and some at random, lest all gateways choose the same.
-    /// The cost does not grow with the fleet.
+    /// turn, those with the newest reports, and some at random, so that not all gateways choose the
+    /// same engine. The cost does not grow with the fleet.
     pub(super) fn candidates(&mut self) -> Vec<EngineId> {
         let draw = self.rng.next_u32() as usize;
         let ready = &self.fleet.ready;
@@ -84,14 +85,14 @@
             .collect()
     }
 
-    /// The engines that this gateway prefers, from `offset` among them.
+    /// The engines that this gateway prefers, starting with the one at `offset`.
     fn preferred_engines(&self, offset: usize) -> impl Iterator<Item = EngineId> {
         self.fleet
             .preferred_engines(self.position(), PREFERRED_ENGINES, offset)
     }
 
-    /// The engine for the request now: the candidate of least cost among those that have capacity
-    /// and may be used.
+    /// Selects the engine for the request: the candidate with the lowest cost among those that have
+    /// capacity and may be used.
     pub(super) fn select_engine(&mut self, now: Nanos, id: RequestId) -> Option<EngineId> {
         let candidates = self.candidates();
         let request = self.requests.get(&id)?;
@@ -99,8 +100,8 @@
             return None;
         }
         let usable = self.usable_engines(request, &candidates);
-        // Where its data set is loaded the query would wait and keep a thread from others: it
-        // rather takes capacity elsewhere, if there is an engine without the load.
+        // On an engine that loads its data set the query would wait while it holds a thread. If
+        // there is an engine without the load, the query uses capacity there instead.
         let any_unblocked = usable
             .iter()
             .any(|engine| !self.is_blocked_by_load(now, request, engine));
@@ -109,7 +110,8 @@
             if any_unblocked && self.is_blocked_by_load(now, request, engine) {
                 continue;
             }
-            if !self.has_capacity(now, request, engine) || !self.may_send(now, request, engine) {
+            if !self.has_capacity(now, request, engine) || !self.may_dispatch(now, request, engine)
+            {
                 continue;
             }
             let cost = self.cost(now, request, engine);
@@ -120,8 +122,9 @@
         best.map(|(_, engine)| engine)
     }
 
-    /// The candidates that the class of the request may use, by placement and circuit breaker. The
-    /// last engines of a class are never left out: with no circuit closed, all count as closed.
+    /// The candidates that the class of the request may use, by placement and circuit breaker. A
+    /// class never runs out of engines by ejection: if none of its circuits is closed, all count as
+    /// closed.
     fn usable_engines(&self, request: &PendingRequest, candidates: &[EngineId]) -> Vec<&Engine> {
         let class = self.class(request);
         let serves_class =
@@ -138,15 +141,20 @@
             CircuitState::HalfOpen { trial: Some(_) } | CircuitState::Open { .. } => !any_closed,
         };
         let engines = candidates.iter().filter_map(|id| self.engines.get(id));
-        // Reserved at once: the selection runs for every queued request that is tried.
+        // Allocated once, as the selection runs for every queued request that is checked.
         let mut usable = Vec::with_capacity(candidates.len());
         usable.extend(engines.filter(|engine| serves_class(engine) && is_circuit_usable(engine)));
         usable
     }
 
-    /// Whether the request may be sent to the engine: attempts in flight, time left, readiness,
-    /// placement, slow start, attempts and retry budget, idempotency, and order.
-    pub(super) fn may_send(&self, now: Nanos, request: &PendingRequest, engine: &Engine) -> bool {
+    /// Whether the request may be sent to the engine, by attempts in flight, time left, readiness,
+    /// placement, slow start, attempt limit and retry budget, idempotency, and order.
+    pub(super) fn may_dispatch(
+        &self,
+        now: Nanos,
+        request: &PendingRequest,
+        engine: &Engine,
+    ) -> bool {
         let run_time = nanos(MIN_TIME_LEFT_SHARE * self.unloaded_seconds(request));
         let is_open = !request.finished && now + run_time < request.deadline();
         is_open
@@ -159,8 +167,8 @@
             && self.is_next_in_order(now, request)
     }
 
-    /// Whether an attempt on the engine may run beside those in flight: one hedged request, on
-    /// another engine.
+    /// Whether an attempt on the engine may run beside those in flight: at most one hedged attempt,
+    /// on another engine.
     fn may_run_beside(&self, request: &PendingRequest, engine: &Engine) -> bool {
         let may_hedge = self.settings.limits.hedging && request.attempts.len() < 2;
         let mut attempts = request.attempts.iter();
@@ -168,13 +176,13 @@
             || (may_hedge && attempts.all(|attempt| attempt.engine != engine.id()))
     }
 
-    /// Whether the attempts and the retry budget (rule 7) leave one more attempt.
+    /// Whether the attempt limit and the retry budget (rule 7) allow one more attempt.
     pub(super) fn may_retry(&self, now: Nanos, request: &PendingRequest) -> bool {
         let budget = self.settings.invariants.retry_budget;
         request.attempts_started < request.max_attempts && self.retries.allows_retry(now, budget)
     }
 
-    /// Rule 2: whether the request may be sent again at all, and to `engine` if one is given.
+    /// Rule 2: whether the request may be retried at all, and on `engine` if one is given.
     pub(super) fn idempotency_allows(
         &self,
         now: Nanos,
@@ -189,13 +197,14 @@
             first: first.endpoint,
             next: next.endpoint,
         });
-        // Engines have to know the key until the repeat ends, not only when it begins.
+        // Engines have to remember the key until the retry ends, not only until it starts.
         let repeat_end = now + nanos(self.unloaded_seconds(request));
         let idempotency = self.idempotency(request);
         may_repeat(idempotency, execution.sent_at, targets, repeat_end)
     }
 
-    /// Rule 5: whether the request is the next of its key, where its class runs in order.
+    /// Rule 5: whether the request is the next one of its order key, where its class runs serially
+    /// per key.
     fn is_next_in_order(&self, now: Nanos, request: &PendingRequest) -> bool {
         match request.key() {
             Some(key) if self.class(request).serial_per_key => {
@@ -205,7 +214,7 @@
         }
     }
 
-    /// Whether the query would wait on the engine for a load of its data set.
+    /// Whether the query would be blocked on the engine by a load of its data set.
     pub(super) fn is_blocked_by_load(
         &self,
         now: Nanos,
@@ -217,8 +226,9 @@
             && engine.is_blocked(request.data_set(), now)
     }
 
-    /// Cost of the engine for the query, in full limits: threads in use under the limit, scaled by
-    /// slowness against peers, and what else speaks for or against it. Lower is better.
+    /// Cost of the engine for the query, in full limits: the share of the limit in use, scaled by
+    /// the engine's slowdown relative to its peers, plus the other costs and discounts. Lower is
+    /// better.
     fn cost(&self, now: Nanos, request: &PendingRequest, engine: &Engine) -> f64 {
         let blocked = cost_if(self.is_blocked_by_load(now, request, engine), BLOCKED_COST);
         let crosses_zone = engine.endpoint.zone != self.settings.zone;
@@ -234,7 +244,8 @@
             + self.affinity_cost(now, request, engine)
     }
 
-    /// Share of the limit in use with this query, scaled by slowness against peers.
+    /// Share of the limit in use including this query, scaled by the slowdown relative to the
+    /// median.
     fn usage_cost(&self, now: Nanos, request: &PendingRequest, engine: &Engine) -> f64 {
         let threads = self.query_threads(request);
         let median = self.fleet.median_slowdown.max(0.1);
@@ -250,7 +261,7 @@
     }
 
     /// Where engines are not probed: the cost of an engine that is not preferred, less the
-    /// discount of a turn on one that warms up, which is rare, and lost if it is not used.
+    /// discount of a turn on one that warms up. Such turns are rare, and are lost if not used.
     fn preference_cost(&self, now: Nanos, request: &PendingRequest, engine: &Engine) -> f64 {
         let threads = self.query_threads(request);
         if self.probes_engines() || !self.has_share_below(engine, threads) {
@@ -262,10 +273,10 @@
         cost_if(!is_preferred, NOT_PREFERRED_COST) - cost_if(is_warming_up, TRIED_COST)
     }
 
-    /// Cost of distance from the engine preferred for the data set, and of an engine that does not
-    /// respond: otherwise all queries of its data sets would pile up there. That is forgotten after
-    /// a period, as an engine without work cannot respond; a gateway with a small share sees too
-    /// little of an engine to judge.
+    /// Cost of the distance from the engine preferred for the data set, and of an unresponsive
+    /// engine, where otherwise all queries of its data sets would accumulate. The latter cost
+    /// expires after a period, as an engine without work cannot respond. A gateway with a small
+    /// share has too few attempts on an engine to judge it.
     fn affinity_cost(&self, now: Nanos, request: &PendingRequest, engine: &Engine) -> f64 {
         let unresponsive_at = engine.unresponsive_at;
         let is_unresponsive = unresponsive_at > engine.last_activity_at
@@ -283,7 +294,8 @@
     }
 }
 
-/// Cost of an engine tried before, less the discount of one that awaits a trial.
+/// Cost of an engine that already received an attempt, less the discount of one that awaits a
+/// trial.
 fn history_cost(request: &PendingRequest, engine: &Engine) -> f64 {
     let was_tried = request.tried_engines.contains(&engine.id());
     cost_if(was_tried, TRIED_COST) - cost_if(engine.circuit.awaits_trial(), TRIAL_DISCOUNT)
--- a/src/policy/fleet_scan.rs
+++ b/src/policy/fleet_scan.rs
@@ -1,5 +1,5 @@
-//! Totals over all engines: a scan of the whole fleet where something it reads changed or is due,
-//! else an update by the few engines that moved.
+//! Totals over all engines: computed by a scan of the whole fleet if something that it reads
+//! changed or is due, otherwise updated from the few engines that changed.
 use super::Gateway;
 use super::state::engine::Engine;
 use super::state::fleet_totals::FleetScan;
@@ -7,8 +7,8 @@
 use super::tuning::{TURN_DURATION, WARM_UP_TURNS};
 use crate::policy::api::Nanos;
 
-/// Offset on the circle of the second turn on an engine that warms up: long queries use it, lest
-/// short ones use up both.
+/// Offset on the circle of the second turn on an engine that warms up. It is reserved for long
+/// queries, so that short ones do not use up both turns.
 pub(super) const LONG_QUERY_TURN_OFFSET: f64 = 0.5;
 
 impl Gateway {
@@ -24,11 +24,11 @@
         self.refresh_fleet_totals(now);
     }
 
-    /// Updates the totals between scans: turns that were used, engines that warm up, the median.
+    /// Updates the totals between scans: used turns, engines that warm up, and the median.
     fn refresh_fleet_totals(&mut self, now: Nanos) {
         self.fleet.remove_used_turns();
-        // Where engines are not probed, own queries go to warm engines, and to those that warm up
-        // only in turns beside that.
+        // Where engines are not probed, this gateway's queries go to warm engines, and to engines
+        // that warm up only in additional turns.
         let warming_up_limit = if self.probes_engines() {
             self.fleet.visited_engines += self.fleet.warming_up.len() as u64;
             self.warming_up_limit(now)
@@ -49,8 +49,8 @@
             .sum()
     }
 
-    /// Scans the whole fleet. Whatever changes what it reads, other than time, has to call
-    /// [`FleetTotals::mark_changed`](super::state::fleet_totals::FleetTotals::mark_changed).
+    /// Scans the whole fleet. Code that changes anything the scan reads, other than time, has to
+    /// call [`FleetTotals::mark_changed`](super::state::fleet_totals::FleetTotals::mark_changed).
     pub(crate) fn scan_fleet(&self, now: Nanos) -> FleetScan {
         let rules = &self.settings.invariants;
         let mut scan = FleetScan {
@@ -87,7 +87,7 @@
         scan
     }
 
-    /// Whether this gateway has an unused turn on the engine; on one that warms up there are two
+    /// Whether this gateway has an unused turn on the engine. An engine that warms up has two
     /// divisions of turns, for short and for long queries.
     fn has_any_turn(&self, now: Nanos, engine: &Engine, is_warming_up: bool) -> bool {
         let duration = if is_warming_up {
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -1,37 +1,39 @@
-//! Cancellation of attempts, and retries or hedged requests in their place.
+//! Cancellation of attempts, and the retries or hedged attempts that replace them.
 use super::Gateway;
 use super::state::request::PendingRequest;
 use super::state::units::{nanos, seconds};
-use super::tuning::{MIN_TIME_LEFT_SHARE, SWEEP_INTERVAL, USUAL_UTILIZATION};
+use super::tuning::{MIN_TIME_LEFT_SHARE, TICK_INTERVAL, USUAL_UTILIZATION};
 use crate::policy::api::{
     Action, AttemptNo, EngineId, Idempotency, Nanos, ProgressUpdate, RejectionReason, RequestId,
 };
 
-/// A query plan is bad if its progress points to this many times the tail of its class.
+/// A query plan is bad if the run time extrapolated from its progress exceeds the tail of its class
+/// by this factor.
 const BAD_PLAN_RATIO: f64 = 1.5;
 
-/// Times its expected time that a bad plan must have left: a retry costs that time again.
+/// Multiple of the expected time that a bad plan must have left to be cancelled, as a retry takes
+/// that time again.
 const MIN_REMAINING_RATIO: f64 = 2.0;
 
-/// Cancellations of one request for bad plans: if a retry is as slow, the query is simply larger
-/// than estimated.
+/// Maximum number of cancellations of one request for bad plans: if a retry is as slow, the query
+/// is larger than estimated.
 const MAX_PLAN_CANCELLATIONS: u32 = 2;
 
-/// Least progress that a run time is extrapolated from.
+/// Minimum progress from which a run time is extrapolated.
 const MIN_PROGRESS: f64 = 1e-3;
 
-/// What the progress of an attempt calls for.
+/// How to proceed with an attempt, given its progress.
 #[derive(Clone, Copy, PartialEq)]
-enum PlanVerdict {
+enum PlanDecision {
     Continue,
     /// The plan is bad, and another attempt can still be in time.
     Retry,
-    /// It cannot end before the deadline, nor can another attempt.
+    /// Neither this attempt nor another one can end before the deadline.
     Abandon,
 }
 
 impl Gateway {
-    /// A running attempt reported progress, or what it waits for.
+    /// Handles a report of a running attempt's progress, or of what it waits for.
     pub(super) fn on_progress(
         &mut self,
         now: Nanos,
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Cancels an attempt whose progress shows a bad plan.
+    /// Cancels an attempt whose progress indicates a bad plan.
     fn check_plan(
         &mut self,
         now: Nanos,
@@ -75,37 +77,37 @@
         progress: f64,
         actions: &mut Vec<Action>,
     ) {
-        let verdict = self.judge_plan(now, id, number, progress);
-        if verdict == PlanVerdict::Continue {
+        let decision = self.evaluate_plan(now, id, number, progress);
+        if decision == PlanDecision::Continue {
             return;
         }
         self.cancel_budget.spend();
         self.cancel(id, number, actions);
-        if verdict == PlanVerdict::Abandon {
-            self.reject_or_fail(id, SWEEP_INTERVAL, RejectionReason::PlanAbandoned, actions);
+        if decision == PlanDecision::Abandon {
+            self.reject_or_fail(id, TICK_INTERVAL, RejectionReason::PlanAbandoned, actions);
         }
     }
 
-    fn judge_plan(
+    fn evaluate_plan(
         &self,
         now: Nanos,
         id: RequestId,
         number: AttemptNo,
         progress: f64,
-    ) -> PlanVerdict {
+    ) -> PlanDecision {
         let Some(request) = self.requests.get(&id) else {
-            return PlanVerdict::Continue;
+            return PlanDecision::Continue;
         };
         let mut attempts = request.attempts.iter();
         let Some(attempt) = attempts.find(|attempt| attempt.number == number) else {
-            return PlanVerdict::Continue;
+            return PlanDecision::Continue;
         };
         let may_cancel = !attempt.cancelling
             && !request.finished
             && self.cancel_budget.is_available()
             && self.class(request).idempotency == Idempotency::Idempotent;
         if !may_cancel {
-            return PlanVerdict::Continue;
+            return PlanDecision::Continue;
         }
         let age = seconds(now.saturating_sub(attempt.sent_at));
         let run_time = age / progress.max(MIN_PROGRESS);
@@ -120,17 +122,17 @@
             && request.cancellations < MAX_PLAN_CANCELLATIONS
             && self.may_cancel_and_retry(now, request);
         if is_bad && can_retry_in_time {
-            return PlanVerdict::Retry;
+            return PlanDecision::Retry;
         }
         let earliest_end = now + nanos(MIN_TIME_LEFT_SHARE * remaining);
         if earliest_end > request.deadline() {
-            PlanVerdict::Abandon
+            PlanDecision::Abandon
         } else {
-            PlanVerdict::Continue
+            PlanDecision::Continue
         }
     }
 
-    /// Whether a cancelled attempt could be followed by another one.
+    /// Whether an attempt may be cancelled and another one may follow.
     fn may_cancel_and_retry(&self, now: Nanos, request: &PendingRequest) -> bool {
         self.settings.limits.may_cancel
             && !request.finished
@@ -139,7 +141,7 @@
     }
 
     /// Replaces an attempt, if another one can still be in time and the budget of cancellations
-    /// allows it: by a hedged request beside it while capacity is free, else by a retry after its
+    /// allows it: by a hedged attempt while capacity is free, otherwise by a retry after its
     /// cancellation. An attempt with an idempotency key is never cancelled.
     pub(super) fn cancel_and_retry(
         &mut self,
@@ -163,22 +165,22 @@
             self.cancel(id, number, actions);
             return;
         }
-        // The selection draws random numbers: it has to be made even where its result is not used,
-        // for runs with the same seed to stay the same.
+        // The selection draws random numbers, so it is made even where its result is not used:
+        // otherwise runs with the same seed would diverge.
         let selected = self.select_engine(now, id);
         if let Some(engine) = selected.filter(|_| may_hedge) {
             self.cancel_budget.spend();
-            self.send(now, id, engine, actions);
+            self.dispatch(now, id, engine, actions);
         }
     }
 
-    /// Whether this gateway's share of the fleet has capacity for requests that run twice.
+    /// Whether this gateway's share of the fleet has idle capacity for hedged attempts.
     pub(super) fn has_idle_capacity(&self) -> bool {
         let usual = USUAL_UTILIZATION * self.fleet.limit / self.active_gateways;
         self.fleet.mean_running.threads <= usual
     }
 
-    /// Cancels all attempts of a request that are in flight.
+    /// Cancels all attempts of the request that are in flight.
     pub(super) fn cancel_all_attempts(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Cancels one attempt, where cancellation is permitted and not on its way yet.
+    /// Cancels one attempt, if cancellation is permitted and not already requested.
     fn cancel(&mut self, id: RequestId, attempt: AttemptNo, actions: &mut Vec<Action>) {
         if !self.settings.limits.may_cancel {
             return;
--- a/src/policy/learning.rs
+++ b/src/policy/learning.rs
@@ -1,4 +1,4 @@
-//! What an answer shows of its engine's speed and of its class's work.
+//! Updates of an engine's slowdown and of a class's work from a response.
 use super::Gateway;
 use super::state::class_estimates::{AnswerSample, MIN_SAMPLES, latency_objective};
 use super::state::request::Attempt;
@@ -7,19 +7,20 @@
 use super::tuning::MAX_SAMPLE_RATIO;
 use crate::policy::api::{EngineId, Outcome, Request};
 
-/// Slowdown relative to the best one seen up to which the fleet counts as calm: then the time of an
-/// answer shows work, not a crowd.
-const MAX_CALM_RATIO: f64 = 1.25;
+/// Slowdown relative to the best one measured up to which the fleet counts as lightly loaded: the
+/// latency of a response then reflects its work, not contention.
+const MAX_LIGHT_LOAD_RATIO: f64 = 1.25;
 
-/// Samples of a class from which its work is learned only while the fleet is calm.
-const CALM_ONLY_SAMPLES: u32 = 4 * MIN_SAMPLES;
+/// Number of samples of a class from which its work is learned only while the fleet is lightly
+/// loaded.
+const LIGHT_LOAD_SAMPLES: u32 = 4 * MIN_SAMPLES;
 
-/// Least expected unloaded time, in seconds: below it the quotient is noise.
+/// Minimum expected unloaded time, in seconds: below it the quotient is noise.
 const MIN_UNLOADED_SECONDS: f64 = 1e-3;
 
 impl Gateway {
-    /// Learns from a successful attempt.
-    pub(super) fn learn_from_answer(
+    /// Updates the state of the engine and the estimates of the class from a successful attempt.
+    pub(super) fn learn_from_response(
         &mut self,
         request: &Request,
         outcome: &Outcome,
@@ -43,17 +44,17 @@
         engine
             .window
             .record_lateness(lateness.min(MAX_SAMPLE_RATIO));
-        // Without a reported cost, work is estimated from the time taken over the crowd on the
-        // engine at the send: else time under overload would pass for work. Dividing by the
-        // slowdown instead would let both estimates drift apart together.
-        let crowd = attempt
+        // Without a reported cost, work is estimated as the latency divided by the threads per core
+        // on the engine at the time of the send: otherwise time under overload would be learned as
+        // work. Dividing by the slowdown instead would let both estimates drift together.
+        let threads_per_core = attempt
             .threads_per_core
             .max(self.load_reports.threads_per_core())
             .max(1.0);
         let sample = AnswerSample {
             latency,
             unloaded_seconds: attempt.unloaded_seconds,
-            work: reported_work.unwrap_or(latency * threads / crowd),
+            work: reported_work.unwrap_or(latency * threads / threads_per_core),
             counts_as_work: self.may_learn_work(class_index),
             compared_hint: request.work_hint.filter(|_| outcome.work.is_some()),
         };
@@ -62,16 +63,18 @@
         self.record_slowdown(outcome.engine, latency / unloaded);
     }
 
-    /// Whether the work of an answer may be learned. Where engines are not probed, nothing but the
-    /// slowdown tells a crowd from work: only answers about as fast as the best ones count then.
+    /// Whether the work of a response may be learned. Where engines are not probed, only the
+    /// slowdown distinguishes contention from work, so only responses about as fast as the best
+    /// ones count.
     fn may_learn_work(&self, class_index: usize) -> bool {
-        let calm_slowdown = MAX_CALM_RATIO * self.fleet.best_slowdown;
+        let light_load_slowdown = MAX_LIGHT_LOAD_RATIO * self.fleet.best_slowdown;
         self.probes_engines()
-            || self.fleet.slowdown <= calm_slowdown
-            || self.class_estimates[class_index].samples < CALM_ONLY_SAMPLES
+            || self.fleet.slowdown <= light_load_slowdown
+            || self.class_estimates[class_index].samples < LIGHT_LOAD_SAMPLES
     }
 
-    /// Adds a sample of latency over unloaded time to the slowdowns of the engine and the fleet.
+    /// Adds a sample of latency divided by unloaded time to the slowdowns of the engine and the
+    /// fleet.
     fn record_slowdown(&mut self, id: EngineId, sample: f64) {
         let Some(engine) = self.engines.get_mut(&id) else {
             return;
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -1,43 +1,43 @@
-//! Load of engines: what they report in answers and probes, and when they are probed.
+//! Load of engines: the loads reported in responses and probes, and when engines are probed.
 use super::Gateway;
 use super::endpoint_selection::HALF_OF_CANDIDATES;
 use super::state::engine::{Engine, ReportedLoad};
 use super::state::probe_stats::ProbeRoute;
 use super::state::request::{PendingRequest, is_placement_allowed};
 use super::state::units::seconds;
-use super::tuning::{BURST_SHARE, JAM_SLOWDOWN};
+use super::tuning::{BURST_SHARE, CONGESTED_SLOWDOWN};
 use crate::policy::api::{Action, EngineId, LoadField, LoadReport, Nanos, OutcomeKind, RequestId};
 
-/// Age under which a report needs no probe: 250 ms.
+/// Age below which a report is fresh and the engine is not probed: 250 ms.
 const FRESH_REPORT_AGE: Nanos = 250_000_000;
 
-/// Age from which a report says nothing any more: 1 s.
+/// Age from which a report is stale and ignored: 1 s.
 const MAX_REPORT_AGE: Nanos = 1_000_000_000;
 
-/// Share of the initial limit up to which a reported load counts as idle: a probe could not show a
+/// Share of the initial limit up to which a reported load counts as idle: a probe could not find a
 /// better engine.
 const IDLE_LOAD_SHARE: f64 = 0.5;
 
-/// Engines probed for one query.
+/// Number of engines probed for one query.
 const PROBES_PER_QUERY: usize = 1;
 
-/// Price of a probe, in parts of a usual query, above which probing costs more than it improves the
-/// selection.
+/// Maximum price of a probe, as a fraction of a usual query. Above it, probing costs more than it
+/// improves the selection.
 const MAX_PROBE_PRICE: f64 = 0.03;
 
-/// Longest time that a query waits for its probes: 30 ms.
+/// Maximum time that a query waits for its probes: 30 ms.
 const PROBE_TIMEOUT: Nanos = 30_000_000;
 
-/// Exponent on the share of memory granted: most of the memory is granted in normal work, and only
-/// the last part of it is scarce.
+/// Exponent on the share of memory granted: most of the memory is granted in normal operation, and
+/// only the last part of it is scarce.
 const MEMORY_EXPONENT: i32 = 4;
 
 impl Gateway {
-    /// Threads of all gateways that an engine is estimated to run: its report, and own sends since.
-    /// While other engines report, one without a recent report counts as full where it can be
-    /// probed, as it may be jammed; where it cannot, as busy as those that reported, else an engine
-    /// that is not used would never report again. That is wrong for a jammed engine which is new to
-    /// this gateway.
+    /// Estimated threads of all gateways on the engine: its report, plus the threads that this
+    /// gateway has sent since. While other engines report, an engine without a recent report counts
+    /// as full if it can be probed, as it may be congested. If it cannot, it counts as busy as
+    /// those that reported, otherwise an unused engine would never report again. That is wrong for
+    /// a congested engine that is new to this gateway.
     pub(super) fn estimated_load(&self, now: Nanos, engine: &Engine) -> f64 {
         let sent_since = engine.threads_sent_since_report;
         if let Some(report) = engine.report
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes in the load that an engine reported in an answer or to a probe.
+    /// Records the load that an engine reported in a response or a probe result.
     pub(super) fn record_load_report(&mut self, now: Nanos, id: EngineId, load: &LoadReport) {
         if load.is_empty() {
             return;
@@ -68,8 +68,13 @@
         let fields = self.settings.load_fields.iter();
         let mut threads: f64 = 0.0;
         for (field, value) in fields.zip(load.values()) {
-            let shown = threads_shown(*field, f64::from(*value), engine, threads_per_query);
-            threads = threads.max(if shown.is_finite() { shown } else { 0.0 });
+            let field_threads =
+                threads_for_field(*field, f64::from(*value), engine, threads_per_query);
+            threads = threads.max(if field_threads.is_finite() {
+                field_threads
+            } else {
+                0.0
+            });
         }
         engine.report = Some(ReportedLoad { at: now, threads });
         engine.threads_sent_since_report = 0.0;
@@ -78,9 +83,9 @@
             .record(id, threads_per_core, HALF_OF_CANDIDATES);
     }
 
-    /// A probe came back, or failed. The delay of the probe raises the reported load, as a jammed
-    /// engine may report idle cores while its queries wait for disks; an engine that does not
-    /// answer counts as full or worse.
+    /// Records the result of a probe. The delay of the probe raises the reported load, as a
+    /// congested engine may report idle cores while its queries wait for disks. An engine that does
+    /// not respond to the probe counts as full or worse.
     pub(super) fn record_probe(
         &mut self,
         now: Nanos,
@@ -100,7 +105,7 @@
         let stats = &mut self.load_reports.probe_stats;
         let relative_delay = stats.record(route, seconds(latency));
         let load_share = match kind {
-            OutcomeKind::Ok => (relative_delay / JAM_SLOWDOWN).powi(2),
+            OutcomeKind::Ok => (relative_delay / CONGESTED_SLOWDOWN).powi(2),
             OutcomeKind::ConnectFailed => f64::INFINITY,
             OutcomeKind::Error
             | OutcomeKind::Rejected
@@ -114,13 +119,14 @@
         engine.report = Some(ReportedLoad { at: now, threads });
     }
 
-    /// Whether engines are probed for their load: not where that is forbidden, or costs more than
-    /// it helps.
+    /// Whether engines are probed for their load. They are not if that is forbidden, or if it costs
+    /// more than it improves the selection.
     pub(super) fn probes_engines(&self) -> bool {
         self.settings.limits.may_probe && self.settings.probe_price <= MAX_PROBE_PRICE
     }
 
-    /// Probes a candidate of the request, where own answers show too little of the engines.
+    /// Probes a candidate of the request where this gateway's own responses are too few to estimate
+    /// the load of the engines.
     pub(super) fn probe_candidates(
         &mut self,
         now: Nanos,
@@ -134,7 +140,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        if self.knows_idle_candidate(now, request, &candidates) {
+        if self.has_idle_candidate(now, request, &candidates) {
             return;
         }
         let targets = self.probe_targets(now, request, &candidates);
@@ -146,9 +152,9 @@
         actions.extend(probes);
     }
 
-    /// Whether a candidate that counts its queries is known to be half empty and would take the
-    /// query: then a probe adds nothing.
-    fn knows_idle_candidate(
+    /// Whether a candidate that reports its number of queries is known to be idle and may receive
+    /// the query: a probe would then add no information.
+    fn has_idle_candidate(
         &self,
         now: Nanos,
         request: &PendingRequest,
@@ -172,9 +178,9 @@
         })
     }
 
-    /// The engines to probe for the request: candidates without a fresh report. Those come first
-    /// that warm up and where this gateway has a turn: what it knows of other engines does not help
-    /// to use such a turn.
+    /// The engines to probe for the request: candidates without a fresh report. Engines that warm
+    /// up and where this gateway has a turn come first, as reports of other engines do not help to
+    /// use such a turn.
     fn probe_targets(
         &self,
         now: Nanos,
@@ -207,14 +213,14 @@
     fn is_probe_useful(&self, now: Nanos, request: &PendingRequest, engine: &Engine) -> bool {
         is_placement_allowed(self.class(request), &engine.endpoint)
             && engine.circuit.is_closed()
-            && self.may_send(now, request, engine)
+            && self.may_dispatch(now, request, engine)
     }
 }
 
-/// Threads that one figure of a load report shows: queries in flight at `threads_per_query`, the
-/// use of the cores, or the use of the memory, where all of it counts as a full limit. A report
-/// shows the largest of them.
-fn threads_shown(field: LoadField, value: f64, engine: &Engine, threads_per_query: f64) -> f64 {
+/// Threads that one field of a load report corresponds to: queries in flight times
+/// `threads_per_query`, the utilization of the cores or disks, or the use of the memory, where all
+/// of it counts as a full limit. The load of a report is the largest of them.
+fn threads_for_field(field: LoadField, value: f64, engine: &Engine, threads_per_query: f64) -> f64 {
     match field {
         LoadField::QueriesInFlight => value * threads_per_query,
         LoadField::CpuUtilization | LoadField::DiskUtilization => value * engine.cores,
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,32 +1,33 @@
-//! Outlier detection: engines that fail while their peers do not are ejected for a while.
+//! Outlier detection: temporary ejection of engines that fail while their peers do not.
 use super::Gateway;
 use super::state::control_window::MIN_LIMIT_SHARE;
 use super::state::request::Attempt;
-use super::tuning::{CONTROL_PERIOD, SWEEP_INTERVAL};
+use super::tuning::{CONTROL_PERIOD, TICK_INTERVAL};
 use crate::policy::api::{EngineId, Nanos, Outcome, OutcomeKind};
 
-/// Weight of one outcome in the smoothed share of failures.
+/// Weight of one outcome in the smoothed failure rate.
 const OUTCOME_WEIGHT: f64 = 0.2;
 
-/// The same where this gateway's share of the engine is under one thread: it sees few outcomes,
-/// and one failure has to suffice.
+/// [`OUTCOME_WEIGHT`] where this gateway's share of the engine is under one thread: it receives few
+/// outcomes, so one failure has to suffice.
 const SMALL_SHARE_OUTCOME_WEIGHT: f64 = 0.5;
 
-/// Largest part of the ready engines that may be ejected. Where more look bad, the cause is likely
-/// shared, and ejection would only overload the rest.
+/// Maximum share of the ready engines that may be ejected. If more appear to fail, the cause is
+/// likely shared, and ejection would only overload the rest.
 const MAX_EJECTED_SHARE: f64 = 0.5;
 
-/// What the end of an attempt says of its engine.
+/// Classification of an attempt's outcome as evidence about its engine.
 #[derive(Clone, Copy, PartialEq)]
 enum Verdict {
     Success,
     Failure,
-    /// Nothing: the cause may lie elsewhere.
+    /// No evidence: the cause may not be the engine.
     Inconclusive,
 }
 
 impl Gateway {
-    /// Counts the end of an attempt for or against its engine, and ejects an outlier.
+    /// Records the outcome of an attempt as a success or failure of its engine, and ejects an
+    /// outlier.
     pub(super) fn record_engine_outcome(
         &mut self,
         now: Nanos,
@@ -45,9 +46,9 @@
             return;
         }
         let is_reset = outcome.kind == OutcomeKind::Reset;
-        // A connection that breaks ends all attempts on it. That counts as one failure: no engine
-        // is ejected for one broken connection.
-        let is_repeated = engine.circuit.is_repeated_reset(now, SWEEP_INTERVAL);
+        // A reset connection ends all attempts on it. They count as one failure, so that no engine
+        // is ejected for one reset connection.
+        let is_repeated = engine.circuit.is_repeated_reset(now, TICK_INTERVAL);
         if is_reset && !is_trial && is_repeated {
             return;
         }
@@ -71,25 +72,25 @@
         }
     }
 
-    /// What the end of an attempt says of its engine.
+    /// Classifies the outcome of an attempt as evidence about its engine.
     fn verdict(&self, outcome: &Outcome, attempt: &Attempt) -> Verdict {
         let Some(engine) = self.engines.get(&outcome.engine) else {
             return Verdict::Inconclusive;
         };
         let last_activity_at = attempt.last_activity_at.max(engine.last_activity_at);
-        let was_silent = last_activity_at <= attempt.sent_at;
+        let was_unresponsive = last_activity_at <= attempt.sent_at;
         match outcome.kind {
             OutcomeKind::Error | OutcomeKind::ConnectFailed | OutcomeKind::Reset => {
                 Verdict::Failure
             }
             OutcomeKind::Ok | OutcomeKind::Rejected => Verdict::Success,
-            // No activity of the engine since the send, on this attempt or another. Engines that
-            // are merely busy are not ejected, though much of what queues there times out.
-            OutcomeKind::Timeout if was_silent => Verdict::Failure,
-            // A hedged request was answered earlier. With a small share of the engine this gateway
-            // sees too little of it to judge.
+            // The engine has shown no activity since the send, on this attempt or another. Engines
+            // that are merely busy are not ejected, even if many attempts queued there time out.
+            OutcomeKind::Timeout if was_unresponsive => Verdict::Failure,
+            // A hedged attempt completed earlier. With a small share of the engine this gateway has
+            // too few outcomes to judge it.
             OutcomeKind::Cancelled
-                if was_silent
+                if was_unresponsive
                     && outcome.request_finished
                     && engine.initial_limit >= self.active_gateways =>
             {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// The engine answered, or rejected the attempt for lack of capacity.
+    /// Records a response of the engine, or its rejection of the attempt for lack of capacity.
     fn record_success(&mut self, now: Nanos, outcome: &Outcome, is_trial: bool) {
         let Some(engine) = self.engines.get_mut(&outcome.engine) else {
             return;
@@ -111,14 +112,14 @@
         }
         engine.last_activity_at = now;
         if is_trial {
-            // It comes back with the lowest limit, and recovers by the control law.
+            // The engine is used again with the lowest limit, which the control law then raises.
             engine.circuit.close();
             engine.limit = engine.initial_limit * MIN_LIMIT_SHARE;
             self.fleet.mark_changed();
         }
     }
 
-    /// Ejects the engine, which changes the totals of the fleet.
+    /// Ejects the engine and marks the totals of the fleet as changed.
     pub(super) fn eject(&mut self, now: Nanos, id: EngineId) {
         if let Some(engine) = self.engines.get_mut(&id) {
             engine.circuit.eject(now);
@@ -126,8 +127,8 @@
         }
     }
 
-    /// Whether one more engine may be ejected: an outlier is one against its peers, so with most
-    /// engines bad already none is.
+    /// Whether one more engine may be ejected. An outlier is defined relative to its peers, so
+    /// there is none if most engines already fail.
     pub(super) fn may_eject(&self, id: EngineId) -> bool {
         let others = self.engines.values().filter(|engine| engine.id() != id);
         let ejected = others.filter(|engine| engine.is_ready() && !engine.circuit.is_closed());
--- a/src/policy/request_estimates.rs
+++ b/src/policy/request_estimates.rs
@@ -1,5 +1,4 @@
-//! What the gateway expects of one request: its class, work and time, and until when an answer is
-//! of use.
+//! Estimates for one request: its class, work and time, and until when a response is useful.
 use super::Gateway;
 use super::state::class_estimates::{ClassEstimates, latency_objective};
 use super::state::request::PendingRequest;
@@ -19,12 +18,12 @@
         request.idempotency(self.class(request))
     }
 
-    /// Whether the query is long: it runs on more than one thread, or loads data.
+    /// Whether the query is long, that is, runs on more than one thread or loads a data set.
     pub(super) fn is_long(&self, request: &PendingRequest) -> bool {
         self.query_threads(request) > 1.0 || self.class(request).loads_data_set
     }
 
-    /// Threads that the query runs on, at least one.
+    /// Number of threads that the query runs on, at least one.
     pub(super) fn query_threads(&self, request: &PendingRequest) -> f64 {
         self.class(request).threads.max(1.0)
     }
@@ -40,19 +39,20 @@
         self.expected_work(request) / self.query_threads(request)
     }
 
-    /// The time after which no answer can be given: the deadline, or the end of this process if that
-    /// is earlier.
+    /// The time after which no response can be sent: the deadline, or the end of this process if
+    /// that is earlier.
     pub(super) fn latest_end(&self, request: &PendingRequest) -> Nanos {
         request.deadline().min(self.serving_until)
     }
 
-    /// Whether this process ends too early to serve the request, where its client would still wait.
+    /// Whether this process ends too early to complete the request, although its client would still
+    /// be waiting.
     pub(super) fn outlives_process(&self, now: Nanos, request: &PendingRequest) -> bool {
         let earliest_end = now + nanos(self.unloaded_seconds(request));
         self.serving_until < request.deadline() && earliest_end > self.serving_until
     }
 
-    /// Whether this process stops.
+    /// Whether this process is shutting down.
     pub(super) fn is_stopping(&self) -> bool {
         self.serving_until != Nanos::MAX
     }
@@ -64,8 +64,8 @@
         end.min(self.latest_end(request))
     }
 
-    /// The time after which an answer earns nothing: the latest end, or the end of the objective
-    /// where late answers have no weight.
+    /// The time after which a response has no value: the latest end, or the end of the objective
+    /// for classes where late responses have no weight.
     pub(super) fn useful_until(&self, request: &PendingRequest) -> Nanos {
         if self.class(request).late_priority_weight > 0.0 {
             self.latest_end(request)
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -1,16 +1,16 @@
-//! A request from its arrival to its final answer.
+//! A request from its arrival to its final response.
 use super::Gateway;
 use super::state::may_reject;
 use super::state::request::{Attempt, PendingRequest, PossibleExecution, is_placement_allowed};
 use super::state::units::{nanos, seconds};
-use super::tuning::SWEEP_INTERVAL;
+use super::tuning::TICK_INTERVAL;
 use crate::policy::api::{
     Action, EngineId, Nanos, Outcome, OutcomeKind, RejectionReason, Request, RequestId,
 };
 use rand_core::Rng;
 
-/// Least factor on the wait that a rejection advises; the factor is spread over a width of 1, lest
-/// all clients come back at once.
+/// Minimum factor on the Retry-After of a rejection. The factor is drawn from a range of width 1,
+/// so that clients do not all retry at once.
 const MIN_RETRY_AFTER_FACTOR: f64 = 0.5;
 
 impl Gateway {
@@ -39,17 +39,18 @@
         let outlives_process = self.outlives_process(now, &pending);
         self.requests.insert(id, pending);
         if outlives_process {
-            self.reject_or_fail(id, SWEEP_INTERVAL, RejectionReason::ProcessStops, actions);
+            self.reject_or_fail(id, TICK_INTERVAL, RejectionReason::ProcessStops, actions);
             return;
         }
         self.probe_candidates(now, id, actions);
         match self.select_engine(now, id) {
-            Some(engine) => self.send(now, id, engine, actions),
+            Some(engine) => self.dispatch(now, id, engine, actions),
             None => self.enqueue(now, id),
         }
     }
 
-    /// Counts an arrival for the control law (Ti): once, at the candidate with most capacity free.
+    /// Counts an arrival for the control law (Ti): once, at the candidate with the most free
+    /// capacity.
     fn record_arrival(&mut self, request: &PendingRequest) {
         let candidates = self.candidates();
         let class = self.class(request);
@@ -71,17 +72,17 @@
         }
     }
 
-    /// The client disconnected: its attempts are cancelled.
-    pub(super) fn on_client_gone(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Handles the disconnect of a client: cancels the attempts of its request.
+    pub(super) fn on_client_disconnected(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         request.finished = true;
         self.cancel_all_attempts(id, actions);
-        self.forget_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// An attempt ended.
+    /// Handles the end of an attempt.
     pub(super) fn on_outcome(&mut self, now: Nanos, outcome: &Outcome, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(&outcome.id) else {
             return;
@@ -103,7 +104,7 @@
         }
         self.release_attempt(&request, &attempt);
         if outcome.kind == OutcomeKind::Ok {
-            self.record_answer(now, &request, outcome, &attempt);
+            self.record_completion(now, &request, outcome, &attempt);
         }
         self.record_load_report(now, attempt.engine, &outcome.load);
         self.record_engine_outcome(now, outcome, &attempt);
@@ -116,7 +117,7 @@
         self.dispatch_queued(now, actions);
     }
 
-    /// Removes an ended attempt from what its engine is estimated to run.
+    /// Removes an ended attempt from the estimated load of its engine.
     fn release_attempt(&mut self, request: &Request, attempt: &Attempt) {
         let class = &self.settings.classes[usize::from(request.class.0)];
         let Some(engine) = self.engines.get_mut(&attempt.engine) else {
@@ -132,8 +133,8 @@
         }
     }
 
-    /// An attempt succeeded.
-    fn record_answer(
+    /// Records a successful attempt.
+    fn record_completion(
         &mut self,
         now: Nanos,
         request: &Request,
@@ -144,35 +145,35 @@
         if is_retry {
             self.cancel_budget.refund();
         }
-        // A latency measured across a stall of this gateway says nothing of the engine.
+        // A latency measured across a stall of this gateway is no evidence about the engine.
         let has_stalled = self.resumed_at == now;
         if !has_stalled {
-            self.learn_from_answer(request, outcome, attempt);
+            self.learn_from_response(request, outcome, attempt);
         }
     }
 
-    /// After the end of an attempt: queues the request for another one, or ends it.
+    /// After the end of an attempt, queues the request for a retry or finishes it.
     fn retry_or_finish(&mut self, now: Nanos, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
         if request.finished {
-            // The client has its answer: a hedged request beside it has no use any more.
+            // The request has its final response, so a hedged attempt is no longer needed.
             self.cancel_all_attempts(id, actions);
-            self.forget_if_over(id);
+            self.remove_if_finished(id);
             return;
         }
         if !request.attempts.is_empty() {
             return;
         }
-        match self.reason_against_retry(now, request) {
+        match self.retry_rejection_reason(now, request) {
             None => self.enqueue(now, id),
-            Some(reason) => self.reject_or_fail(id, SWEEP_INTERVAL, reason, actions),
+            Some(reason) => self.reject_or_fail(id, TICK_INTERVAL, reason, actions),
         }
     }
 
-    /// Why the request gets no further attempt; `None` if it may get one.
-    fn reason_against_retry(
+    /// The reason for which the request gets no further attempt; `None` if it may get one.
+    fn retry_rejection_reason(
         &self,
         now: Nanos,
         request: &PendingRequest,
@@ -189,9 +190,9 @@
         }
     }
 
-    /// The final answer of a request that will not be served: a rejection where trying again is
-    /// harmless, else a failure. A rejection advises to wait for `retry_after`, or the backlog if
-    /// that is longer.
+    /// Finishes a request that will not complete: with a rejection where a retry by the client is
+    /// harmless, otherwise with a failure. The Retry-After of a rejection is derived from
+    /// `retry_after`, or from the backlog if that is longer.
     pub(super) fn reject_or_fail(
         &mut self,
         id: RequestId,
@@ -212,8 +213,8 @@
             request.finished = true;
         }
         if may_reject {
-            let has_paid = !over_quota && !is_retry;
-            if has_paid {
+            let took_quota_token = !over_quota && !is_retry;
+            if took_quota_token {
                 self.tenant_quotas.refund(tenant);
             }
             let retry_after = self.spread_retry_after(retry_after);
@@ -225,11 +226,11 @@
         } else {
             actions.push(Action::Fail { id });
         }
-        self.forget_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// A wait of at least `retry_after` and the backlog, spread at random, within what clients
-    /// heed.
+    /// The longer of `retry_after` and the backlog, spread at random, and limited to the longest
+    /// wait that clients honor.
     fn spread_retry_after(&mut self, retry_after: Nanos) -> Nanos {
         let draw = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
         let factor = MIN_RETRY_AFTER_FACTOR + draw;
@@ -237,9 +238,9 @@
         nanos(wait).min(self.settings.limits.max_retry_after)
     }
 
-    /// Drops a request that is answered and has no attempt in flight; the next one of its key may
-    /// start.
-    fn forget_if_over(&mut self, id: RequestId) {
+    /// Removes a request that is finished and has no attempt in flight. The next request of its
+    /// order key may then start.
+    fn remove_if_finished(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -253,7 +254,7 @@
     }
 }
 
-/// Whether an engine may have executed an attempt that ended so.
+/// Whether an engine may have executed an attempt with this outcome.
 fn may_have_run(kind: OutcomeKind) -> bool {
     !matches!(
         kind,
@@ -261,7 +262,7 @@
     )
 }
 
-/// Whether an engine may still execute an attempt that ended so.
+/// Whether an engine may still be executing an attempt with this outcome.
 fn may_still_run(kind: OutcomeKind) -> bool {
     matches!(
         kind,
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: what a gateway may send to an engine that started a while ago (rule 4).
+//! Slow start: the work that a gateway may send to an engine that started recently (rule 4).
 use super::Gateway;
 use super::fleet_scan::LONG_QUERY_TURN_OFFSET;
 use super::state::class_estimates::MIN_SAMPLES;
@@ -9,22 +9,23 @@
 use super::tuning::{USUAL_UTILIZATION, WARM_UP_TURNS};
 use crate::policy::api::Nanos;
 
-/// Part of the overload budget that gateways use together. The margin covers clocks that differ,
-/// slow machines, and work that is not known ahead.
+/// Part of the overload budget that all gateways together may use. The margin covers clock skew,
+/// slow machines, and work that is not known in advance.
 const BUDGET_MARGIN: f64 = 0.55;
 
-/// Divisions of the turns on an engine that warms up: one for short and one for long queries, each
-/// with an equal part of the budget.
+/// Number of divisions of the turns on an engine that warms up: one for short and one for long
+/// queries, each with an equal part of the budget.
 const TURN_DIVISIONS: f64 = 2.0;
 
 impl Gateway {
-    /// Whether the request fits the budget of an engine that warms up, so that the work which all
-    /// gateways send in the stated window stays under the stated multiple of its capacity.
+    /// Whether the request fits the budget of an engine that warms up. The budget keeps the work
+    /// that all gateways send within the overload window under the overload multiple of its
+    /// capacity.
     ///
-    /// A gateway whose share of the budget holds the query counts what it sent. One whose share is
-    /// smaller sends whole queries in turns. The sum over all gateways is at most the margin, or
-    /// 1.5 times it with counting and turns side by side, and what gateways forget when they
-    /// restart.
+    /// A gateway whose share of the budget holds the query counts the work that it sent. A gateway
+    /// with a smaller share sends whole queries in turns. The sum over all gateways is at most the
+    /// margin, or 1.5 times the margin if both methods are in use, plus the sent work that
+    /// restarted gateways have lost track of.
     pub(super) fn slow_start_allows(
         &self,
         now: Nanos,
@@ -62,8 +63,8 @@
         self.has_unused_turn(now, engine, &turn)
     }
 
-    /// Work of a request that counts against that budget, in seconds on one core: by its class or
-    /// its hint, whichever is more.
+    /// Work of a request that is charged to the slow start budget, in seconds on one core: that of
+    /// its class or its hint, whichever is larger.
     pub(super) fn warm_up_work(&self, request: &PendingRequest) -> f64 {
         let estimates = self.estimates(request);
         let prior = if estimates.samples < MIN_SAMPLES {
--- a/src/policy/stall_detection.rs
+++ b/src/policy/stall_detection.rs
@@ -1,5 +1,5 @@
-//! Attempts that make no progress: queries that wait for a load of their data, and attempts whose
-//! answer or engine is lost.
+//! Attempts that make no progress: queries that are blocked by a load of their data set, and
+//! attempts whose response or engine is lost.
 use super::Gateway;
 use super::state::class_estimates::INITIAL_TAIL_FACTOR;
 use super::state::engine::Engine;
@@ -8,31 +8,31 @@
 use super::tuning::STALL_THRESHOLD;
 use crate::policy::api::{Action, AttemptNo, EngineId, Nanos, RequestId};
 
-/// Times its expected time after which an attempt counts as stalled: as waiting for a load, or,
-/// without any activity of its engine, as a sign that the engine does not respond.
+/// Multiple of its expected time after which an attempt counts as stalled: as blocked by a load or,
+/// without any activity of its engine, as a sign that the engine is unresponsive.
 const STALL_RATIO: f64 = 3.0;
 
-/// Least age of an attempt that is a sign of an unresponsive engine: 1.2 s.
+/// Minimum age of an attempt that indicates an unresponsive engine: 1.2 s.
 const MIN_UNRESPONSIVE_AGE: Nanos = 1_200_000_000;
 
-/// Number of such attempts that make an engine unresponsive.
+/// Number of such attempts from which an engine counts as unresponsive.
 const MIN_UNRESPONSIVE_ATTEMPTS: usize = 2;
 
 /// Number of progress periods without an update after which an attempt is presumed lost.
 const MAX_MISSED_UPDATES: f64 = 1.5;
 
-/// Least age of a query that is taken to wait for a load: 200 ms.
+/// Minimum age of a query that is presumed blocked by a load: 200 ms.
 const MIN_BLOCKED_AGE: Nanos = 200_000_000;
 
-/// Time for which a data set counts as blocked on an engine after a query was found to wait there:
+/// Time for which a data set counts as blocked on an engine after a blocked query was found there:
 /// 500 ms.
 const BLOCKED_DURATION: Nanos = 500_000_000;
 
-/// Least tail factor of a class while capacity is free: lost attempts are then replaced early, as
-/// a request that runs twice takes capacity from no one.
+/// Minimum tail factor of a class while capacity is free: lost attempts are then replaced early, as
+/// a second attempt takes no capacity from other requests.
 const MIN_IDLE_TAIL_FACTOR: f64 = 1.5;
 
-/// An attempt that most likely waits for a load.
+/// An attempt that is most likely blocked by a load.
 struct BlockedAttempt {
     id: RequestId,
     number: AttemptNo,
@@ -46,24 +46,24 @@
     number: AttemptNo,
     engine: EngineId,
     sent_at: Nanos,
-    /// It is old enough to be a sign that its engine does not respond.
-    shows_unresponsive: bool,
+    /// Whether its age indicates that its engine is unresponsive.
+    indicates_unresponsive_engine: bool,
 }
 
-/// Ages at which attempts are presumed lost.
+/// Limits after which attempts are presumed lost.
 struct LossLimits {
-    /// Without a progress update that was due.
+    /// Maximum time without a progress update.
     update_timeout: Nanos,
-    /// Least tail factor of a class.
+    /// Minimum tail factor of a class.
     min_tail_factor: f64,
     /// Factor on the tail of a class.
     tail_ratio: f64,
 }
 
 impl Gateway {
-    /// Notes that a query waits on the engine for a load of its data. Neither the query nor the
-    /// engine is slow: other queries on the data set are kept off the engine for two progress
-    /// periods. It does harm where the load was about to end.
+    /// Records that a query is blocked on the engine by a load of its data set. Neither the query
+    /// nor the engine is slow, so only other queries on the data set are kept off the engine, for
+    /// two progress periods. This does harm where the load was about to end.
     pub(super) fn record_blocked_query(&mut self, now: Nanos, id: RequestId, engine: EngineId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -75,10 +75,10 @@
         }
     }
 
-    /// Finds queries that most likely wait for a load of another gateway: far past their time while
-    /// their engine answers others. Other queries on the data set are kept off the engine, until
-    /// one of them ends or some time passed, and those found are tried on an engine without the
-    /// load.
+    /// Detects queries that are most likely blocked by a load of another gateway: they are far over
+    /// their expected time while their engine responds to others. Other queries on the data set are
+    /// kept off the engine until one of them ends or [`BLOCKED_DURATION`] has passed, and the
+    /// detected ones are retried on an engine without the load.
     pub(super) fn detect_blocked_queries(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         let blocked = self.find_blocked_attempts(now);
         for attempt in &blocked {
@@ -123,7 +123,7 @@
         blocked
     }
 
-    /// Whether some engine could run the request without waiting for a load.
+    /// Whether an engine with capacity could run the request without a load blocking it.
     fn has_unblocked_engine(&self, now: Nanos, request: &PendingRequest) -> bool {
         let class = self.class(request);
         let is_free = |engine: &Engine| {
@@ -137,20 +137,20 @@
         ready.filter_map(|id| self.engines.get(id)).any(is_free)
     }
 
-    /// Finds attempts that are presumed lost: past the tail of their class, or without the progress
-    /// updates that were due. Answers get lost, connections lose messages, and engines drop work;
-    /// all look the same from here. A lost attempt holds no capacity any more, and an idempotent
-    /// one is retried within the budget of cancellations. An engine that showed no activity since
-    /// such attempts were sent is ejected. It does harm where work is far underestimated: such
-    /// queries run in vain.
+    /// Detects attempts that are presumed lost: past the tail of their class, or without a progress
+    /// update that was due. Responses get lost, connections lose messages, and engines drop work;
+    /// the gateway cannot distinguish these cases. A lost attempt no longer holds capacity, and an
+    /// idempotent one is retried within the budget of cancellations. An engine that showed no
+    /// activity since such attempts were sent is ejected. This does harm where work is far
+    /// underestimated: the work of such queries is wasted.
     pub(super) fn detect_unresponsive_attempts(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         let lost = self.find_lost_attempts(now);
         for attempt in &lost {
-            let signs = lost
-                .iter()
-                .filter(|other| other.engine == attempt.engine && other.shows_unresponsive);
+            let signs = lost.iter().filter(|other| {
+                other.engine == attempt.engine && other.indicates_unresponsive_engine
+            });
             let is_unresponsive =
-                attempt.shows_unresponsive && signs.count() >= MIN_UNRESPONSIVE_ATTEMPTS;
+                attempt.indicates_unresponsive_engine && signs.count() >= MIN_UNRESPONSIVE_ATTEMPTS;
             if !self.engines.contains_key(&attempt.engine) {
                 continue;
             }
@@ -171,7 +171,9 @@
                         number: attempt.number,
                         engine: attempt.engine,
                         sent_at: attempt.sent_at,
-                        shows_unresponsive: shows_unresponsive(now, attempt, &limits),
+                        indicates_unresponsive_engine: indicates_unresponsive_engine(
+                            now, attempt, &limits,
+                        ),
                     });
                 }
             }
@@ -193,7 +195,8 @@
             } else {
                 INITIAL_TAIL_FACTOR
             },
-            // Where attempts cannot be cancelled the engine may well work on them for longer still.
+            // Where attempts cannot be cancelled, the engine may still be working on them for
+            // longer.
             tail_ratio: if self.settings.limits.may_cancel {
                 1.0
             } else {
@@ -220,7 +223,7 @@
         age > tail.max(STALL_THRESHOLD).min(limits.update_timeout)
     }
 
-    /// Ejects the engine of a lost attempt if it does not respond, or if the attempt was its trial.
+    /// Ejects the engine of a lost attempt if it is unresponsive, or if the attempt was its trial.
     fn eject_unresponsive_engine(
         &mut self,
         now: Nanos,
@@ -231,18 +234,19 @@
         let Some(engine) = self.engines.get_mut(&attempt.engine) else {
             return;
         };
-        let was_silent = engine.last_activity_at <= attempt.sent_at;
-        if was_silent {
+        let was_unresponsive = engine.last_activity_at <= attempt.sent_at;
+        if was_unresponsive {
             engine.unresponsive_at = now;
         }
-        let has_failed_trial = engine.circuit.is_trial(attempt.id) && attempt.shows_unresponsive;
-        let is_outlier = engine.circuit.is_closed() && may_eject && was_silent;
+        let has_failed_trial =
+            engine.circuit.is_trial(attempt.id) && attempt.indicates_unresponsive_engine;
+        let is_outlier = engine.circuit.is_closed() && may_eject && was_unresponsive;
         if has_failed_trial || is_outlier {
             self.eject(now, attempt.engine);
         }
     }
 
-    /// Frees the capacity that a lost attempt holds.
+    /// Releases the capacity that a lost attempt holds.
     fn release_lost_attempt(&mut self, now: Nanos, lost: &LostAttempt) {
         let request = self.requests.get_mut(&lost.id);
         let Some(attempt) = request.and_then(|request| request.attempt_mut(lost.number)) else {
@@ -258,8 +262,8 @@
     }
 }
 
-/// Whether the age of a lost attempt is a sign that its engine does not respond.
-fn shows_unresponsive(now: Nanos, attempt: &Attempt, limits: &LossLimits) -> bool {
+/// Whether the age of a lost attempt indicates that its engine is unresponsive.
+fn indicates_unresponsive_engine(now: Nanos, attempt: &Attempt, limits: &LossLimits) -> bool {
     let age = now.saturating_sub(attempt.last_activity_at);
     let limit = nanos(STALL_RATIO * attempt.expected_seconds)
         .min(2 * limits.update_timeout)
--- a/src/policy/state/engine.rs
+++ b/src/policy/state/engine.rs
@@ -96,7 +96,7 @@
         self.endpoint.readiness == Readiness::Ready
     }
 
-    pub(crate) fn is_gone(&self) -> bool {
+    pub(crate) fn is_removed(&self) -> bool {
         self.endpoint.readiness == Readiness::Removed
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -18,9 +18,9 @@
 /// The time at which the tests begin: late enough for engines that started long ago.
 pub(crate) const START_TIME: Nanos = 100 * SECOND;
 /// Time between two sweeps of the module.
-pub(crate) const SWEEP_INTERVAL: Nanos = 20 * MILLISECOND;
+pub(crate) const TICK_INTERVAL: Nanos = 20 * MILLISECOND;
 /// Token of the module's own timer.
-pub(crate) const SWEEP_TIMER: u64 = 1;
+pub(crate) const TICK_TIMER: u64 = 1;
 
 /// Class of short, idempotent requests.
 pub(crate) const SHORT: u16 = 0;
@@ -291,13 +291,13 @@
         self.handle(Event::EndpointList { kind, entries })
     }
 
-    /// Advances the clock, with the module's own timer firing at every [`SWEEP_INTERVAL`].
+    /// Advances the clock, with the module's own timer firing at every [`TICK_INTERVAL`].
     pub(crate) fn advance(&mut self, span: Nanos) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
         while self.now < end {
-            self.now += SWEEP_INTERVAL;
-            actions.extend(self.handle(Event::TimerFired(SWEEP_TIMER)));
+            self.now += TICK_INTERVAL;
+            actions.extend(self.handle(Event::TimerFired(TICK_TIMER)));
         }
         actions
     }
--- a/tests/fleet/endpoint_lists.rs
+++ b/tests/fleet/endpoint_lists.rs
@@ -102,7 +102,7 @@
                 );
                 actions.extend(self.end_attempt(id, engine, refused));
             }
-            actions.extend(self.gateway.advance(SWEEP_INTERVAL));
+            actions.extend(self.gateway.advance(TICK_INTERVAL));
         }
     }
 
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -167,6 +167,6 @@
 
     let end = gateway.now + 3 * SECOND;
     gateway.gateway.set_serving_until(end);
-    let actions = gateway.advance(2 * SWEEP_INTERVAL);
+    let actions = gateway.advance(2 * TICK_INTERVAL);
     assert_eq!(final_responses(&actions), [(1, FinalResponse::Rejected)]);
 }
--- a/tests/policy/stall_detection.rs
+++ b/tests/policy/stall_detection.rs
@@ -100,7 +100,7 @@
     gateway.advance(100 * MILLISECOND);
     gateway.now += 2 * SECOND;
     assert_eq!(
-        cancellation_count(&gateway.handle(Event::TimerFired(SWEEP_TIMER))),
+        cancellation_count(&gateway.handle(Event::TimerFired(TICK_TIMER))),
         0
     );
     for (id, engine) in sent {
--- a/tests/recorded_run.rs
+++ b/tests/recorded_run.rs
@@ -339,7 +339,7 @@
             // A stall of this manager itself.
             824 => self.now += 200 * MILLISECOND,
             825..=829 => self.now += 40 * MILLISECOND,
-            _ => self.handle(Event::TimerFired(SWEEP_TIMER)),
+            _ => self.handle(Event::TimerFired(TICK_TIMER)),
         }
     }
 
--- a/tests/rules/player.rs
+++ b/tests/rules/player.rs
@@ -136,7 +136,7 @@
             let due: Vec<Nanos> = self.timers.range(..=self.now()).copied().collect();
             for at in due {
                 self.timers.remove(&at);
-                self.handle(Event::TimerFired(SWEEP_TIMER));
+                self.handle(Event::TimerFired(TICK_TIMER));
             }
         }
     }
@@ -151,7 +151,7 @@
             until: self.now(),
         };
         self.timers.clear();
-        self.handle(Event::TimerFired(SWEEP_TIMER));
+        self.handle(Event::TimerFired(TICK_TIMER));
         for attempt in self.running_attempts() {
             if self.is_cancelled(attempt) {
                 self.end_attempt(attempt, OutcomeKind::Cancelled);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -263,8 +263,8 @@
                 .handle(now, endpoint_list(true), &mut actions);
         }
         gateway.complete_attempts(now, &mut actions);
-        let sweep = Event::TimerFired(SWEEP_TIMER);
-        gateway.gateway.handle(now, sweep, &mut actions);
+        let tick = Event::TimerFired(TICK_TIMER);
+        gateway.gateway.handle(now, tick, &mut actions);
         gateway.receive_requests(now, expected, &mut self.draws, &mut actions);
         gateway.carry_out(now, actions, &mut self.draws)
     }
--- a/tests/unit/concurrency_limit.rs
+++ b/tests/unit/concurrency_limit.rs
@@ -11,7 +11,7 @@
 use crate::policy::state::running::Running;
 use crate::policy::state::units::seconds;
 use crate::policy_builders::{
-    SECOND, START, SWEEP, SWEEP_TIMER, endpoint, final_outcome, ready_endpoint, request, settings,
+    SECOND, START, TICK, TICK_TIMER, endpoint, final_outcome, ready_endpoint, request, settings,
 };
 
 /// Work of each query.
@@ -63,9 +63,9 @@
         request(RequestId(self.requests), self.now + 60 * SECOND)
     }
 
-    fn sweep(&mut self) {
-        self.now += SWEEP;
-        self.handle(Event::TimerFired(SWEEP_TIMER));
+    fn tick(&mut self) {
+        self.now += TICK;
+        self.handle(Event::TimerFired(TICK_TIMER));
     }
 
     /// Runs for `duration` seconds with `arrivals` queries each half second, of which one a second
@@ -81,7 +81,7 @@
                 }));
             }
             for _ in 0..25 {
-                self.sweep();
+                self.tick();
             }
             if arrivals == 0 || half_second % 2 == 1 {
                 continue;
@@ -169,8 +169,8 @@
         let request = simulation.next_request();
         simulation.handle(Event::Request(request));
         let latency = if round < 100 { WORK } else { SECOND };
-        for _ in 0..latency / SWEEP {
-            simulation.sweep();
+        for _ in 0..latency / TICK {
+            simulation.tick();
         }
         simulation.answer_all(latency, LoadReport::default());
         if [99, 299].contains(&round) {
@@ -212,12 +212,12 @@
         let request = simulation.next_request();
         simulation.handle(Event::Request(request));
         for _ in 0..60 {
-            simulation.now += SWEEP;
+            simulation.now += TICK;
             let at = simulation.now;
             for engine in simulation.gateway.engines.values_mut() {
                 engine.report = engine.report.map(|report| ReportedLoad { at, ..report });
             }
-            simulation.handle(Event::TimerFired(SWEEP_TIMER));
+            simulation.handle(Event::TimerFired(TICK_TIMER));
         }
         simulation.answer_all(SECOND * 4 / 5, load);
         if [100, 899].contains(&round) {
--- a/tests/unit/fleet_scan.rs
+++ b/tests/unit/fleet_scan.rs
@@ -7,7 +7,7 @@
 };
 use crate::policy::state::circuit_breaker::CircuitState;
 use crate::policy_builders::{
-    SECOND, START, SWEEP, SWEEP_TIMER, endpoint, final_outcome, ready_endpoint, request,
+    SECOND, START, TICK, TICK_TIMER, endpoint, final_outcome, ready_endpoint, request,
 };
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -89,8 +89,8 @@
         }
     }
 
-    fn sweep(&mut self) {
-        self.handle(Event::TimerFired(SWEEP_TIMER));
+    fn tick(&mut self) {
+        self.handle(Event::TimerFired(TICK_TIMER));
     }
 
     fn arrive(&mut self) {
@@ -272,7 +272,7 @@
 /// How often the cases that matter came up.
 #[derive(Default)]
 struct Coverage {
-    sweeps_without_scan: u32,
+    ticks_without_scan: u32,
     ejections: u32,
     engines_warming_up: usize,
 }
@@ -284,7 +284,7 @@
         let mut simulation = Simulation::new(settings, run.seed, 1..=run.engines);
         for step in 0..6000 {
             let ejections = simulation.ejections();
-            simulation.now += SWEEP / 2 - Nanos::from(simulation.draw(3_000_000));
+            simulation.now += TICK / 2 - Nanos::from(simulation.draw(3_000_000));
             for _ in 0..simulation.draw(3) {
                 simulation.arrive();
             }
@@ -296,10 +296,10 @@
             let draw = simulation.draw(if is_quiet { 4000 } else { 60 });
             simulation.change_something(draw, step, run);
             let scans = simulation.gateway.fleet.scans;
-            simulation.now += SWEEP / 2;
-            simulation.sweep();
+            simulation.now += TICK / 2;
+            simulation.tick();
             simulation.assert_totals_match_a_scan(&format!("seed {}, step {step}", run.seed));
-            self.sweeps_without_scan += u32::from(simulation.gateway.fleet.scans == scans);
+            self.ticks_without_scan += u32::from(simulation.gateway.fleet.scans == scans);
             self.ejections += simulation.ejections().saturating_sub(ejections);
             self.engines_warming_up += simulation.gateway.fleet.warming_up.len();
         }
@@ -322,13 +322,13 @@
     coverage.add_run(&run(3, 60, true, 40));
     coverage.add_run(&run(4, 60, false, 40));
     let Coverage {
-        sweeps_without_scan,
+        ticks_without_scan,
         ejections,
         engines_warming_up,
     } = coverage;
     assert!(
-        sweeps_without_scan > 10_000 && ejections > 5 && engines_warming_up > 1000,
-        "{sweeps_without_scan} without a scan, {ejections} ejected, {engines_warming_up} warming up"
+        ticks_without_scan > 10_000 && ejections > 5 && engines_warming_up > 1000,
+        "{ticks_without_scan} without a scan, {ejections} ejected, {engines_warming_up} warming up"
     );
 }
 
@@ -342,9 +342,9 @@
     }
     simulation.change_endpoint(endpoint(1, Readiness::Draining, 0));
     simulation.now += SECOND;
-    simulation.sweep();
+    simulation.tick();
     // At the time of the event after the gap itself nothing would be learned.
-    simulation.now += SWEEP;
+    simulation.now += TICK;
     let on_draining = |simulation: &Simulation| {
         let mut in_flight = simulation.in_flight.iter();
         in_flight.position(|sent| sent.engine == EngineId(1))
@@ -358,7 +358,7 @@
 
 /// Number of engines that 500 idle sweeps visit outside scans, in a fleet of `engines` of which
 /// three warm up.
-fn engines_visited_by_idle_sweeps(engines: u64, may_probe: bool) -> u64 {
+fn engines_visited_by_idle_ticks(engines: u64, may_probe: bool) -> u64 {
     let mut simulation = Simulation::new(settings(3, may_probe), 1, 1..=engines);
     let started_at = simulation.now;
     let warming_up = (1..=3).map(|id| endpoint(id, Readiness::Ready, started_at));
@@ -369,8 +369,8 @@
     let scans_before = simulation.gateway.fleet.scans;
     let visited_before = simulation.gateway.fleet.visited_engines;
     for _ in 0..500 {
-        simulation.now += SWEEP;
-        simulation.sweep();
+        simulation.now += TICK;
+        simulation.tick();
     }
     let scans = simulation.gateway.fleet.scans - scans_before;
     assert!((20..=30).contains(&scans), "{scans} scans in ten seconds");
@@ -380,9 +380,9 @@
 /// Guards the cost of large fleets: between scans a sweep visits only what moves, and scans are
 /// rare.
 #[test]
-fn idle_sweeps_visit_no_more_engines_of_a_large_fleet() {
+fn idle_ticks_visit_no_more_engines_of_a_large_fleet() {
     for may_probe in [true, false] {
-        let visited = [100, 900].map(|engines| engines_visited_by_idle_sweeps(engines, may_probe));
+        let visited = [100, 900].map(|engines| engines_visited_by_idle_ticks(engines, may_probe));
         assert_eq!(
             visited,
             [if may_probe { 3 * 500 } else { 0 }; 2],
--- a/tests/unit/policy_builders.rs
+++ b/tests/unit/policy_builders.rs
@@ -8,13 +8,13 @@
 pub(crate) const SECOND: Nanos = 1_000_000_000;
 
 /// Interval of the sweep.
-pub(crate) const SWEEP: Nanos = SECOND / 50;
+pub(crate) const TICK: Nanos = SECOND / 50;
 
 /// Start of each simulated run; time 0 stands for "long ago" in the interface.
 pub(crate) const START: Nanos = 100 * SECOND;
 
 /// Token of the sweep's timer.
-pub(crate) const SWEEP_TIMER: u64 = 1;
+pub(crate) const TICK_TIMER: u64 = 1;
 
 /// One of 300 gateways, with one class of idempotent requests on one thread; probing is forbidden.
 pub(crate) fn settings() -> Settings {
--- a/tests/unit/request_lifecycle.rs
+++ b/tests/unit/request_lifecycle.rs
@@ -1,7 +1,7 @@
 //! The tokens of tenants' quotas over the life of their requests.
 use super::*;
 use crate::policy::api::{ClassId, Event, Settings, TenantSpec};
-use crate::policy_builders::{SECOND, START, SWEEP, SWEEP_TIMER, settings};
+use crate::policy_builders::{SECOND, START, TICK, TICK_TIMER, settings};
 
 /// The requests of a burst within the quota.
 const BURST: u32 = 6;
@@ -46,8 +46,8 @@
     fn advance(&mut self) {
         let end = self.now + 2 * SECOND;
         while self.now < end {
-            self.now += SWEEP;
-            let event = Event::TimerFired(SWEEP_TIMER);
+            self.now += TICK;
+            let event = Event::TimerFired(TICK_TIMER);
             self.gateway.handle(self.now, event, &mut Vec::new());
         }
     }
