--- a/tests/hedging.rs
+++ b/tests/hedging.rs
@@ -1,11 +1,12 @@
-//! Second copies, keyed repeats, engines of a data set's own, and priorities, seen from outside the
-//! module.
+//! Hedged attempts, retries with an idempotency key, preferred engines of data sets, and
+//! priorities, tested through the public interface of the decision module.
 mod common;
 use common::*;
 use std::collections::BTreeSet;
 use yokelift::policy::api::*;
 
-/// Settings that allow hedging; class [`KEYED`] has a key that all engines know for 20 s.
+/// Settings that allow hedging. Class [`KEYED`] has an idempotency key that all engines remember
+/// for 20 s.
 fn hedging_settings() -> Settings {
     let mut settings = test_settings();
     settings.classes[usize::from(KEYED)].idempotency = Idempotency::WithKey {
@@ -27,11 +28,11 @@
 struct UnresponsiveAttempt {
     gateway: GatewayHarness,
     engine: EngineId,
-    /// The actions of that time.
+    /// The actions during the 1.5 s.
     actions: Vec<Action>,
 }
 
-/// Request 1, of 200 ms work, whose attempt does not respond.
+/// A gateway with request 1, of 200 ms work, whose attempt does not respond.
 fn unresponsive_attempt(settings: Settings, class: u16) -> UnresponsiveAttempt {
     unresponsive_attempt_of(settings, short_request(1, class))
 }
@@ -54,7 +55,7 @@
     }
 }
 
-/// The hedge goes to another engine, and there is one only.
+/// The hedged attempt goes to another engine, and there is only one.
 #[test]
 fn an_unresponsive_attempt_is_hedged_once_while_capacity_is_free() {
     for class in [SHORT, KEYED] {
@@ -86,9 +87,9 @@
     }
 }
 
-/// A failure beside a running hedge does not end the request.
+/// The failure of one attempt does not end the request while its hedged attempt is running.
 #[test]
-fn a_failed_attempt_leaves_its_hedge_running() {
+fn a_failed_attempt_leaves_its_hedged_attempt_running() {
     let UnresponsiveAttempt {
         mut gateway,
         engine: first,
@@ -101,11 +102,11 @@
     let more = attempts_started(&actions);
     assert!(
         more.len() == 1 && final_responses(&actions).is_empty(),
-        "the last attempt goes out: {actions:?}"
+        "the last attempt starts: {actions:?}"
     );
     let actions = gateway.end_attempt(1, 2, more[0].1, OutcomeKind::Reset, 2 * SECOND);
     assert_eq!(final_responses(&actions), [(1, FinalResponse::Rejected)]);
-    // When the client disconnects both attempts are cancelled.
+    // When the client disconnects, both attempts are cancelled.
     let mut gateway = unresponsive_attempt(hedging_settings(), SHORT).gateway;
     assert_eq!(
         cancellation_count(&gateway.handle(Event::ClientDisconnected(RequestId(1)))),
@@ -113,18 +114,18 @@
     );
 }
 
-/// Invariant 2. Without hedging an idempotent attempt is cancelled before its retry; one with a key
-/// is not cancelled.
+/// Guards invariant 2. Without hedging an idempotent attempt is cancelled before its retry, and one
+/// with an idempotency key is not cancelled.
 #[test]
 fn requests_are_hedged_only_where_settings_and_idempotency_allow_it() {
-    let mut alone = hedging_settings();
-    alone.limits.hedging = false;
-    let actions = unresponsive_attempt(alone.clone(), SHORT).actions;
+    let mut without_hedging = hedging_settings();
+    without_hedging.limits.hedging = false;
+    let actions = unresponsive_attempt(without_hedging.clone(), SHORT).actions;
     assert!(
         attempts_started(&actions).is_empty() && cancellation_count(&actions) == 1,
         "cancelled, to be retried: {actions:?}"
     );
-    let actions = unresponsive_attempt(alone, KEYED).actions;
+    let actions = unresponsive_attempt(without_hedging, KEYED).actions;
     assert!(actions.is_empty(), "{actions:?}");
     let without_key = Request {
         must_not_repeat: true,
@@ -137,28 +138,28 @@
     );
 }
 
-/// Engines know a key for its window; after that an attempt that may have run is not repeated.
+/// Engines remember a key for its window. After that, an attempt that may have run is not retried.
 #[test]
 fn a_request_with_an_idempotency_key_is_retried_only_within_its_window() {
-    for (after, again) in [(100 * MILLISECOND, 1), (21 * SECOND, 0)] {
+    for (after, retries) in [(100 * MILLISECOND, 1), (21 * SECOND, 0)] {
         let mut gateway = GatewayHarness::new(hedging_settings(), engines());
         let (_, engine) =
             attempts_started(&gateway.submit(1, KEYED, 40 * SECOND, 200 * MILLISECOND))[0];
         gateway.now += after;
         let actions = gateway.end_attempt(1, 0, engine, OutcomeKind::Reset, after);
-        assert_eq!(attempts_started(&actions).len(), again, "{actions:?}");
-        assert_eq!(final_responses(&actions).len(), 1 - again);
+        assert_eq!(attempts_started(&actions).len(), retries, "{actions:?}");
+        assert_eq!(final_responses(&actions).len(), 1 - retries);
     }
 }
 
-/// The engine that each of the first data sets goes to, at one of three gateways.
+/// The engine that one of three gateways selects for each of the data sets 1 to `groups`.
 fn engines_by_data_set(index: u32, groups: u64, entries: Vec<Endpoint>) -> Vec<EngineId> {
     let mut settings = hedging_settings();
     settings.gateways = 3;
     settings.gateway_index = index;
     let mut gateway = GatewayHarness::new(settings, entries);
     gateway.advance(3 * SECOND);
-    let mut one = |id: u32, group| {
+    let mut run_query = |id: u32, group| {
         let query = Request {
             data_set: group,
             ..request(id, SHORT, gateway.now, 6 * SECOND, 50 * MILLISECOND)
@@ -167,26 +168,28 @@
         gateway.end_attempt(id, 0, engine, OutcomeKind::Ok, 50 * MILLISECOND);
         engine
     };
-    (1..=groups).map(|group| one(group as u32, group)).collect()
+    (1..=groups)
+        .map(|group| run_query(group as u32, group))
+        .collect()
 }
 
-/// Engines keep warm what they are asked for, so a data set has preferred engines, which are the
-/// same at all gateways and change only with those engines.
+/// Engines keep the data sets that they query warm, so a data set has preferred engines. They are
+/// the same at all gateways, and change only if those engines change.
 #[test]
 fn a_data_set_keeps_its_preferred_engine_at_every_gateway() {
-    let at = engines_by_data_set(0, 40, engines());
+    let selected = engines_by_data_set(0, 40, engines());
     assert_eq!(
-        at,
+        selected,
         engines_by_data_set(2, 40, engines()),
         "the same at another gateway, whatever its draws"
     );
-    let share = |engine: u64| at.iter().filter(|e| e.0 == engine).count();
+    let share = |engine: u64| selected.iter().filter(|e| e.0 == engine).count();
     assert!(
         (1..=4).all(|e| (4..=18).contains(&share(e))),
-        "all engines have some: {at:?}"
+        "all engines have some: {selected:?}"
     );
     let fewer = engines_by_data_set(0, 40, engines().into_iter().take(3).collect());
-    let moved = at.iter().zip(&fewer).filter(|(old, new)| old != new);
+    let moved = selected.iter().zip(&fewer).filter(|(old, new)| old != new);
     assert!(
         moved.clone().all(|(old, _)| old.0 == 4),
         "only data sets of the removed engine move"
@@ -194,9 +197,9 @@
     assert_eq!(moved.count(), share(4));
 }
 
-/// Once an attempt on the preferred engine is overdue without a response, its data sets go
-/// elsewhere until the engine responds. Where responses don't state their cost there is no
-/// preferred engine: load alone decides.
+/// Once an attempt on the preferred engine is overdue without a response, queries on its data sets
+/// go to other engines until it responds. Where responses do not report their cost there is no
+/// preferred engine: queries spread by load alone.
 #[test]
 fn an_unresponsive_engine_loses_its_data_sets_until_it_responds() {
     let mut gateway = GatewayHarness::new(hedging_settings(), engines());
@@ -206,8 +209,8 @@
         ..request(id, SHORT, now, 6 * SECOND, 50 * MILLISECOND)
     };
     let (_, preferred) = attempts_started(&gateway.receive(query(1, gateway.now)))[0];
-    let again = first_engine(&gateway.receive(query(2, gateway.now)));
-    assert_eq!(again, preferred, "it has capacity");
+    let second = first_engine(&gateway.receive(query(2, gateway.now)));
+    assert_eq!(second, preferred, "it has capacity");
     gateway.advance(400 * MILLISECOND);
     assert!(
         attempts_started(&gateway.receive(query(3, gateway.now)))
@@ -221,8 +224,8 @@
         preferred,
         "it has responded"
     );
-    // An engine without attempts since then is tried again after a while, as it has nothing to
-    // respond to.
+    // An engine without attempts since then is used again after a while, as it cannot respond
+    // without them.
     let mut gateway = GatewayHarness::new(hedging_settings(), engines());
     gateway.advance(3 * SECOND);
     gateway.receive(query(1, gateway.now));
@@ -238,14 +241,18 @@
     let mut without_cost = hedging_settings();
     without_cost.reports_cost = false;
     let mut gateway = GatewayHarness::new(without_cost, engines());
-    let at: Vec<EngineId> = (1..=4)
+    let selected: Vec<EngineId> = (1..=4)
         .map(|id| first_engine(&gateway.receive(query(id, gateway.now))))
         .collect();
-    assert_eq!(at.iter().collect::<BTreeSet<_>>().len(), 4, "{at:?}");
+    assert_eq!(
+        selected.iter().collect::<BTreeSet<_>>().len(),
+        4,
+        "{selected:?}"
+    );
 }
 
-/// Requests without a known data set spread by load alone, and a full preferred engine does not
-/// keep its data set from the others.
+/// Requests without a known data set spread by load alone. If the preferred engine is full, queries
+/// on its data set go to the others.
 #[test]
 fn requests_spread_by_load_without_a_data_set_or_when_their_preferred_engine_is_full() {
     for group in [0, 7] {
@@ -277,7 +284,7 @@
 }
 
 /// Short queries have the highest priority, then long ones of less than the usual size, then those
-/// that miss their objective anyway.
+/// that miss their objective in any case.
 #[test]
 fn priorities_follow_the_size_of_the_query() {
     let mut settings = hedging_settings();
@@ -301,8 +308,8 @@
     );
 }
 
-/// Invariant 2: the window counts from the first attempt that was sent, whichever of two ended
-/// first.
+/// Guards invariant 2: the window of the key starts with the first attempt sent, whichever of two
+/// attempts ends first.
 #[test]
 fn the_window_of_an_idempotency_key_starts_with_the_first_attempt() {
     let mut settings = hedging_settings();
@@ -326,10 +333,10 @@
     );
 }
 
-/// A hedge that was rejected or not sent never ran: the first attempt continues, and its response
-/// decides.
+/// A hedged attempt that was rejected or not sent never ran: the first attempt continues, and its
+/// outcome is final.
 #[test]
-fn a_hedge_that_never_ran_leaves_the_first_attempt_to_decide() {
+fn the_first_attempt_decides_if_the_hedged_attempt_never_ran() {
     for kind in [
         OutcomeKind::NeverSent,
         OutcomeKind::Rejected,
@@ -347,6 +354,9 @@
             "{kind:?}: {actions:?}"
         );
         let actions = gateway.end_attempt(1, 0, first, OutcomeKind::Ok, 2 * SECOND);
-        assert!(final_responses(&actions).is_empty(), "served: {actions:?}");
+        assert!(
+            final_responses(&actions).is_empty(),
+            "completed: {actions:?}"
+        );
     }
 }
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_timeout_at_the_deadline_is_answered_at_once() {
+fn a_timeout_at_the_deadline_is_rejected_at_once() {
     let mut gateway = GatewayHarness::new(test_settings(), two_endpoints());
     let engine = first_engine(&gateway.submit(1, SHORT, 6 * SECOND, 5 * SECOND));
     gateway.now += 6 * SECOND;
@@ -91,7 +91,7 @@
         },
     ];
     let mut gateway = GatewayHarness::new(settings, vec![endpoint(1, 0, 0)]);
-    // Tenant 0 fills the engine and the queue far beyond its quota; then tenant 1 submits a
+    // Tenant 0 fills the engine and the queue far beyond its quota, then tenant 1 submits a
     // request.
     for id in 0..24 {
         gateway.submit(id, SHORT, 6 * SECOND, 200 * MILLISECOND);
@@ -108,8 +108,8 @@
 
 #[test]
 fn retry_after_grows_with_the_queue_and_spreads_clients_out() {
-    // Thirty requests with a short deadline, behind this number of queued ones.
-    let times = |waiting: u32| {
+    // The Retry-After of thirty requests with a short deadline, behind `waiting` queued ones.
+    let retry_after_times = |waiting: u32| {
         let mut settings = test_settings();
         settings.limits.max_retry_after = 20 * SECOND;
         let mut gateway = GatewayHarness::new(settings, vec![endpoint(1, 0, 0)]);
@@ -119,48 +119,52 @@
         (1000..1030)
             .for_each(|id| actions.extend(gateway.submit(id, SHORT, 300 * MILLISECOND, SECOND)));
         actions.extend(gateway.advance(400 * MILLISECOND));
-        let named = |a: &Action| match a {
+        let retry_after_of = |a: &Action| match a {
             Action::Reject {
                 id, retry_after, ..
             } if id.0 >= 1000 => Some(*retry_after),
             _ => None,
         };
-        actions.iter().filter_map(named).collect::<Vec<Nanos>>()
+        actions
+            .iter()
+            .filter_map(retry_after_of)
+            .collect::<Vec<Nanos>>()
     };
-    let (idle, busy) = (times(0), times(60));
+    let (idle, busy) = (retry_after_times(0), retry_after_times(60));
     assert_eq!((idle.len(), busy.len()), (30, 30));
     assert!(
         idle.iter().all(|t| *t < 200 * MILLISECOND),
-        "nothing waits: {idle:?}"
+        "nothing is queued: {idle:?}"
     );
     assert!(
         busy.iter().all(|t| *t > SECOND),
-        "some seconds of work wait: {busy:?}"
+        "some seconds of work are queued: {busy:?}"
     );
     let distinct: BTreeSet<Nanos> = busy.iter().copied().collect();
     assert!(distinct.len() > 20, "spread: {distinct:?}");
 }
 
-/// Guards clients of a process that stops: what it can't serve by its end is rejected early, while
-/// another gateway can still serve it.
+/// Guards clients of a process that is shutting down: a request that it cannot complete in time is
+/// rejected early, while another gateway can still complete it.
 #[test]
-fn a_gateway_that_stops_rejects_early_what_it_cannot_serve() {
+fn a_gateway_in_shutdown_rejects_requests_early_that_it_cannot_complete() {
     let mut gateway = GatewayHarness::new(test_settings(), warm_endpoints(1..=1));
     let end = gateway.now + 3 * SECOND;
     gateway.gateway.set_serving_until(end);
 
     let short = gateway.submit(1, SHORT, 6 * SECOND, 100 * MILLISECOND);
     assert_eq!(attempts_started(&short).len(), 1);
-    // A load of 20 s on two threads ends after the process, and could not be rejected by then.
+    // A load of 20 s of work on two threads ends after the process, and could not be rejected by
+    // then.
     let load = gateway.submit(2, LOAD, 60 * SECOND, 20 * SECOND);
     assert!(attempts_started(&load).is_empty());
     assert_eq!(final_responses(&load), [(2, FinalResponse::Rejected)]);
 }
 
-/// Without an engine the requests of a process that stops are rejected at its next sweep; of another
-/// one they wait.
+/// Without an engine, a process that is shutting down rejects its queued requests at the next tick;
+/// any other process keeps them queued.
 #[test]
-fn a_gateway_that_stops_without_engines_rejects_what_is_queued() {
+fn a_gateway_in_shutdown_without_engines_rejects_queued_requests() {
     let mut gateway = GatewayHarness::new(test_settings(), Vec::new());
     assert!(final_responses(&gateway.submit(1, SHORT, 6 * SECOND, SECOND)).is_empty());
     assert!(final_responses(&gateway.advance(SECOND)).is_empty());
--- a/tests/policy/blocked_queries.rs
+++ b/tests/policy/blocked_queries.rs
@@ -1,4 +1,4 @@
-//! Queries that are blocked by a load of their data set.
+//! Queries blocked by a load of their data set.
 use crate::common::*;
 use yokelift::policy::api::*;
 
@@ -7,15 +7,15 @@
     let mut settings = test_settings();
     settings.classes[usize::from(SHORT)].blocked_by_loads = true;
     let mut gateway = GatewayHarness::new(settings, two_endpoints());
-    let look_up = |id, now| Request {
+    let point_query = |id, now| Request {
         data_set: 7,
         ..request(id, SHORT, now, 6 * SECOND, 200 * MILLISECOND)
     };
-    let blocked_engine = first_engine(&gateway.receive(look_up(1, gateway.now)));
+    let blocked_engine = first_engine(&gateway.receive(point_query(1, gateway.now)));
     gateway.advance(500 * MILLISECOND);
     let update = ProgressUpdate::WaitsForLoad;
     assert_eq!(cancellation_count(&gateway.report_progress(1, update)), 1);
-    let again = attempts_started(&gateway.end_attempt(
+    let retried = attempts_started(&gateway.end_attempt(
         1,
         0,
         blocked_engine,
@@ -23,26 +23,26 @@
         500 * MILLISECOND,
     ));
     assert!(
-        again.len() == 1 && again[0].1 != blocked_engine,
-        "{again:?}"
+        retried.len() == 1 && retried[0].1 != blocked_engine,
+        "{retried:?}"
     );
     // Other queries of the data set avoid that engine for a while.
     for id in 2..5 {
         assert_ne!(
-            first_engine(&gateway.receive(look_up(id, gateway.now))),
+            first_engine(&gateway.receive(point_query(id, gateway.now))),
             blocked_engine
         );
     }
 }
 
-/// A blocked query holds its threads. Under pressure those would be the threads that become free on
+/// A blocked query holds its threads. Under pressure it would take the threads that are released on
 /// the engine with the load.
 #[test]
 fn a_query_queues_for_another_engine_rather_than_behind_a_load() {
     let mut settings = test_settings();
     settings.classes[usize::from(SHORT)].blocked_by_loads = true;
     let mut gateway = GatewayHarness::new(settings, two_endpoints());
-    let look_up = |id, group, now| Request {
+    let point_query = |id, group, now| Request {
         data_set: group,
         ..request(id, SHORT, now, 6 * SECOND, 200 * MILLISECOND)
     };
@@ -53,7 +53,7 @@
     let loading_engine = first_engine(&gateway.receive(load));
     let mut sent = Vec::new();
     for id in 100..200 {
-        sent.extend(attempts_started(&gateway.receive(look_up(
+        sent.extend(attempts_started(&gateway.receive(point_query(
             id,
             u64::from(id),
             gateway.now,
@@ -65,21 +65,23 @@
         .for_each(|id| {
             gateway.handle(Event::ClientDisconnected(RequestId(id)));
         });
-    let on = |id: u32, engine| attempt_outcome(id, 0, engine, OutcomeKind::Ok, 200 * MILLISECOND);
-    let there = sent.iter().filter(|(_, e)| *e == loading_engine).take(3);
-    there.for_each(|(id, engine)| drop(gateway.handle(on(*id, *engine))));
-    assert!(attempts_started(&gateway.receive(look_up(2, 7, gateway.now))).is_empty());
+    let completed =
+        |id: u32, engine| attempt_outcome(id, 0, engine, OutcomeKind::Ok, 200 * MILLISECOND);
+    let on_loading_engine = sent.iter().filter(|(_, e)| *e == loading_engine).take(3);
+    on_loading_engine.for_each(|(id, engine)| drop(gateway.handle(completed(*id, *engine))));
+    assert!(attempts_started(&gateway.receive(point_query(2, 7, gateway.now))).is_empty());
     assert_eq!(
-        attempts_started(&gateway.receive(look_up(3, 8, gateway.now))),
+        attempts_started(&gateway.receive(point_query(3, 8, gateway.now))),
         vec![(3, loading_engine)]
     );
     // Once the load has completed, the query may use that engine.
     assert!(
-        attempts_started(&gateway.handle(on(1, loading_engine))).contains(&(2, loading_engine))
+        attempts_started(&gateway.handle(completed(1, loading_engine)))
+            .contains(&(2, loading_engine))
     );
 }
 
-/// Loads of other gateways are not announced: the module infers them from a query that takes long
+/// Loads of other gateways are not announced. The module infers them from a query that takes long
 /// on an engine where others complete.
 #[test]
 fn a_query_that_appears_blocked_keeps_queries_of_its_data_set_off_that_engine() {
@@ -98,7 +100,7 @@
     gateway.advance(300 * MILLISECOND);
     let completing = (2..10)
         .find(|id| submit_for(&mut gateway, *id, 8) == blocked_engine)
-        .expect("a free one goes there too");
+        .expect("a query on another data set goes there too");
     gateway.end_attempt(
         completing,
         0,
@@ -110,12 +112,12 @@
     for id in 10..14 {
         assert_ne!(submit_for(&mut gateway, id, 7), blocked_engine);
     }
-    // Once the query has completed its data set is no longer considered blocked.
+    // Once the query has completed, its data set no longer counts as blocked.
     gateway.end_attempt(1, 0, blocked_engine, OutcomeKind::Ok, 720 * MILLISECOND);
     assert!((14..20).any(|id| submit_for(&mut gateway, id, 7) == blocked_engine));
 }
 
-/// A load of another gateway does not hold a query up while other engines are free.
+/// A load of another gateway does not delay a query while other engines have capacity.
 #[test]
 fn a_query_that_appears_blocked_is_retried_elsewhere_after_three_times_its_expected_time() {
     let mut settings = test_settings();
@@ -144,7 +146,7 @@
         "within three times its time"
     );
     assert_eq!(cancellation_count(&gateway.advance(100 * MILLISECOND)), 1);
-    let again = attempts_started(&gateway.end_attempt(
+    let retried = attempts_started(&gateway.end_attempt(
         1,
         0,
         blocked_engine,
@@ -152,7 +154,7 @@
         680 * MILLISECOND,
     ));
     assert!(
-        again.len() == 1 && again[0].1 != blocked_engine,
-        "{again:?}"
+        retried.len() == 1 && retried[0].1 != blocked_engine,
+        "{retried:?}"
     );
 }
--- a/tests/policy/capacity_share.rs
+++ b/tests/policy/capacity_share.rs
@@ -2,7 +2,7 @@
 use crate::common::*;
 use yokelift::policy::api::*;
 
-/// Submits this number of short requests at once and returns how many of them start.
+/// Submits `requests` short requests at once and returns how many of them start.
 fn started_of(gateway: &mut GatewayHarness, requests: u32, work: Nanos) -> usize {
     (0..requests)
         .map(|id| attempts_started(&gateway.submit(id, SHORT, 6 * SECOND, work)).len())
@@ -16,8 +16,8 @@
     for id in 0..40 {
         sent += attempts_started(&gateway.submit(id, SHORT, 6 * SECOND, 200 * MILLISECOND)).len();
     }
-    // Multiple 2 x fraction 0.3 x 8 cores x 2 s = 9.6 s of work at most; a query is estimated at a
-    // second.
+    // Multiple 2 x fraction 0.3 x 8 cores x 2 s = 9.6 s of work at most; a query is estimated at
+    // one second.
     assert!((1..=9).contains(&sent), "{sent}");
 }
 
@@ -37,7 +37,7 @@
         )));
     }
     assert_eq!(out.len(), 16);
-    // The queries report progress, so that the gateway neither looks stalled nor takes them for
+    // The queries report progress, so that the gateway neither counts as stalled nor presumes them
     // lost.
     for _ in 0..99 {
         gateway.now += 20 * MILLISECOND;
@@ -56,8 +56,8 @@
             9 * SECOND,
         )));
     }
-    // Queued requests use the capacity once a sweep has seen that no other engine is faster; the
-    // limit is updated at two seconds.
+    // Queued requests use the capacity once a tick has updated the median, as no other engine is
+    // faster; the limit is updated at two seconds.
     next.extend(attempts_started(&gateway.advance(20 * MILLISECOND)));
     assert!(next.len() <= 16);
     let mut inflight = 0;
@@ -71,10 +71,10 @@
             attempts_started(&gateway.submit(id, SHORT, 60 * SECOND, 200 * MILLISECOND)).len();
     }
     inflight += attempts_started(&gateway.advance(20 * MILLISECOND)).len();
-    assert_eq!(inflight, 13, "under a bound of 13.7 threads");
+    assert_eq!(inflight, 13, "under a limit of 13.7 threads");
 }
 
-/// The part of a gateway that shuts down passes to those that are active, and back when it returns.
+/// When a gateway shuts down, the active ones share its capacity until it returns.
 #[test]
 fn the_capacity_share_follows_the_number_of_active_gateways() {
     let sent = |counts: &[u32]| {
@@ -100,7 +100,7 @@
     );
 }
 
-/// During a hot restart two processes of a gateway share its part of the limit.
+/// During a hot restart the two processes of a gateway share its part of the limit.
 #[test]
 fn a_process_with_half_the_capacity_share_starts_half_the_requests() {
     let sent = |part: f64| {
@@ -112,7 +112,7 @@
     assert_eq!((sent(1.0), sent(0.5)), (16, 8));
 }
 
-/// Invariant 4 for the sum of both processes of a hot restart.
+/// Guards invariant 4 for the sum of both processes of a hot restart.
 #[test]
 fn two_half_shares_send_an_engine_in_slow_start_no_more_than_a_whole_one() {
     let sent = |part: f64| {
--- a/tests/policy/endpoint_list.rs
+++ b/tests/policy/endpoint_list.rs
@@ -36,26 +36,26 @@
 }
 
 #[test]
-fn every_request_is_answered_when_all_engines_are_removed() {
+fn every_request_gets_a_response_when_all_engines_are_removed() {
     let mut gateway = GatewayHarness::new(test_settings(), two_endpoints());
     let mut actions = Vec::new();
     for id in 0..12 {
         actions.extend(gateway.submit(id, (id % 3) as u16, 6 * SECOND, SECOND));
     }
-    let gone = |i| Endpoint {
+    let removed = |i| Endpoint {
         readiness: Readiness::Removed,
         ..endpoint(i, 0, 0)
     };
-    gateway.update_endpoints(EndpointListKind::Changes, vec![gone(1), gone(2)]);
+    gateway.update_endpoints(EndpointListKind::Changes, vec![removed(1), removed(2)]);
     let before = attempts_started(&actions);
     let after = gateway.advance(7 * SECOND);
     assert_eq!(
         attempts_started(&after),
         vec![],
-        "nothing goes to engines that are gone"
+        "nothing is sent to removed engines"
     );
     actions.extend(after);
-    // Attempts in flight end at the deadline, on engines that are no longer listed.
+    // Attempts in flight on the removed engines end at the deadline.
     for (id, engine) in before {
         actions.extend(gateway.end_attempt(id, 0, engine, OutcomeKind::Timeout, 6 * SECOND));
     }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decision module through its public interface, one behaviour each.
+//! Tests of the decision module through its public interface, one behavior each.
 mod admission;
 mod blocked_queries;
 mod capacity_share;
--- a/tests/policy/outlier_detection.rs
+++ b/tests/policy/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Ejection of engines that fail or do not respond.
+//! Ejection of engines that fail or are unresponsive.
 use crate::common::*;
 use yokelift::policy::api::*;
 
@@ -23,7 +23,7 @@
             }
         }
     }
-    let to_bad = |gateway: &mut GatewayHarness, from: u32| {
+    let attempts_on_bad = |gateway: &mut GatewayHarness, from: u32| {
         let mut count = 0;
         for id in from..from + 12 {
             count += attempts_started(&gateway.receive(Request {
@@ -36,10 +36,13 @@
         }
         count
     };
-    assert!(to_bad(&mut gateway, 1000) <= 1, "ejected, at most a trial");
+    assert!(
+        attempts_on_bad(&mut gateway, 1000) <= 1,
+        "ejected, at most a trial"
+    );
     gateway.update_endpoints(EndpointListKind::Full, vec![endpoint(1, 0, 0)]);
     assert!(
-        to_bad(&mut gateway, 2000) >= 10,
+        attempts_on_bad(&mut gateway, 2000) >= 10,
         "the last engine is used whatever its health"
     );
 }
@@ -110,11 +113,11 @@
     assert!(2 * count[1] < count[2], "{count:?}");
 }
 
-/// Ejecting the busiest engine would push its work to the others. Timeouts of queries in its queue
-/// are not failures while it completes other queries.
+/// Ejecting the busiest engine would shift its work to the others. Timeouts of queries queued there
+/// do not count as failures while it completes other queries.
 #[test]
 fn an_engine_that_still_responds_is_not_ejected_for_timeouts() {
-    for (answers, expected) in [(true, true), (false, false)] {
+    for (responds, expected) in [(true, true), (false, false)] {
         let mut gateway = GatewayHarness::new(test_settings(), warm_endpoints(1..=4));
         let mut started = Vec::new();
         for id in 0..32 {
@@ -131,8 +134,8 @@
             .map(|(id, _)| *id)
             .collect();
         gateway.now += SECOND;
-        let last = on_one.pop().expect("some went there");
-        if answers {
+        let last = on_one.pop().expect("some attempts were sent there");
+        if responds {
             gateway.end_attempt(last, 0, EngineId(1), OutcomeKind::Ok, SECOND);
         }
         gateway.now += 5 * SECOND;
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -1,4 +1,4 @@
-//! Retries within idempotency, order keys and the retry budget.
+//! Retries, as limited by idempotency, order keys and the retry budget.
 use crate::common::*;
 use yokelift::policy::api::*;
 
@@ -6,15 +6,15 @@
 fn a_non_idempotent_request_is_retried_elsewhere_after_a_failed_connect() {
     let mut gateway = GatewayHarness::new(test_settings(), two_endpoints());
     let first = first_engine(&gateway.submit(1, LOAD, 20 * SECOND, SECOND));
-    let again = attempts_started(&gateway.end_attempt(
+    let retried = attempts_started(&gateway.end_attempt(
         1,
         0,
         first,
         OutcomeKind::ConnectFailed,
         250 * MILLISECOND,
     ));
-    assert_eq!(again.len(), 1);
-    assert_ne!(again[0].1, first);
+    assert_eq!(retried.len(), 1);
+    assert_ne!(retried[0].1, first);
 }
 
 #[test]
@@ -43,10 +43,10 @@
         vec![endpoint(1, 0, 0), endpoint(2, 0, 0), endpoint(3, 0, 0)],
     );
     let first = first_engine(&gateway.submit(1, KEYED, 6 * SECOND, 200 * MILLISECOND));
-    let again =
+    let retried =
         attempts_started(&gateway.end_attempt(1, 0, first, OutcomeKind::Error, 10 * MILLISECOND));
-    assert_eq!(again.len(), 1);
-    assert_eq!(again[0].1.0 % 2, first.0 % 2);
+    assert_eq!(retried.len(), 1);
+    assert_eq!(retried[0].1.0 % 2, first.0 % 2);
 }
 
 #[test]
@@ -97,7 +97,7 @@
     let engine = first_engine(&gateway.submit(1, LOAD, 20 * SECOND, SECOND));
     let other = EngineId(3 - engine.0);
     gateway.update_endpoints(EndpointListKind::Full, vec![endpoint(other.0, 0, 0)]);
-    // A load that never ran may be sent again.
+    // A load that never ran may be retried.
     let actions = gateway.end_attempt(1, 0, engine, OutcomeKind::ConnectFailed, MILLISECOND);
     assert_eq!(attempts_started(&actions), vec![(1, other)]);
     let actions = gateway.end_attempt(1, 1, other, OutcomeKind::Reset, MILLISECOND);
--- a/tests/policy/robustness.rs
+++ b/tests/policy/robustness.rs
@@ -1,4 +1,4 @@
-//! Events and settings that are out of the ordinary.
+//! Unexpected events and degenerate settings.
 use crate::common::*;
 use yokelift::policy::api::*;
 
@@ -35,18 +35,18 @@
         settings,
         vec![endpoint(1, 0, START_TIME), endpoint(2, 9, 0)],
     );
-    let mut over = 0;
+    let mut ended = 0;
     for id in 0..6 {
         let actions = gateway.submit(id, (id % 3) as u16, 2 * SECOND, 0);
-        over += final_responses(&actions).len();
+        ended += final_responses(&actions).len();
         for (id, engine) in attempts_started(&actions) {
-            over += 1;
+            ended += 1;
             gateway.end_attempt(id, 0, engine, OutcomeKind::Ok, 0);
         }
     }
     let actions = gateway.advance(3 * SECOND);
-    over += final_responses(&actions).len() + attempts_started(&actions).len();
-    assert_eq!(over, 6);
+    ended += final_responses(&actions).len() + attempts_started(&actions).len();
+    assert_eq!(ended, 6);
 }
 
 #[test]
@@ -63,8 +63,8 @@
     assert_eq!(run(), run());
 }
 
-/// Requests in flight keep the attempt limit that they were received with, new ones have that of
-/// the new settings, and a new class starts with the estimates of its predecessor.
+/// Requests in flight keep the attempt limit of their arrival, new ones have that of the new
+/// settings, and a new class starts with the estimates of its predecessor.
 #[test]
 fn requests_in_flight_keep_their_attempt_limit_across_a_reconfiguration() {
     let mut gateway = GatewayHarness::new(test_settings(), two_endpoints());
@@ -76,14 +76,14 @@
     gateway
         .gateway
         .reconfigure(next, &[(ClassId(4), Some(ClassId(0)))]);
-    let again = attempts_started(&gateway.end_attempt(
+    let retried = attempts_started(&gateway.end_attempt(
         1,
         0,
         first,
         OutcomeKind::ConnectFailed,
         5 * MILLISECOND,
     ));
-    assert_eq!(again.len(), 1, "the open one goes on");
+    assert_eq!(retried.len(), 1, "the request in flight is retried");
     let second = first_engine(&gateway.submit(2, 4, 6 * SECOND, 200 * MILLISECOND));
     let actions = gateway.end_attempt(2, 0, second, OutcomeKind::ConnectFailed, 5 * MILLISECOND);
     let actions: Vec<Action> = actions
@@ -92,7 +92,7 @@
         .collect();
     assert!(
         attempts_started(&actions).iter().all(|(id, _)| *id != 2),
-        "the new one has one attempt"
+        "the new request has one attempt"
     );
     assert_eq!(
         final_responses(&actions)
--- a/tests/policy/stall_detection.rs
+++ b/tests/policy/stall_detection.rs
@@ -42,7 +42,7 @@
 
 #[test]
 fn an_attempt_that_cannot_finish_by_its_deadline_is_cancelled_and_rejected_unless_it_is_a_load() {
-    // After four seconds a hundredth is done, and a retry does not fit in the two seconds left. A
+    // After four seconds one percent is done, and a retry does not fit in the two seconds left. A
     // load is not cancelled.
     for (class, expected) in [(SHORT, (1, 1)), (LOAD, (0, 0))] {
         let mut gateway = GatewayHarness::new(test_settings(), two_endpoints());
@@ -73,19 +73,19 @@
         "within four times its time alone"
     );
     assert_eq!(cancellation_count(&gateway.advance(200 * MILLISECOND)), 1);
-    let again = attempts_started(&gateway.end_attempt(
+    let retried = attempts_started(&gateway.end_attempt(
         1,
         0,
         first,
         OutcomeKind::Cancelled,
         900 * MILLISECOND,
     ));
-    assert!(again.len() == 1 && again[0].1 != first, "{again:?}");
+    assert!(retried.len() == 1 && retried[0].1 != first, "{retried:?}");
 }
 
 #[test]
 fn a_stalled_gateway_does_not_treat_engines_as_unresponsive() {
-    // All 16 queries are overdue by the clock after the stall; their outcomes follow the timer in
+    // After the stall all 16 queries are overdue by the clock; their outcomes follow the timer in
     // the batch.
     let mut gateway = GatewayHarness::new(test_settings(), two_endpoints());
     let mut sent = Vec::new();
@@ -112,8 +112,8 @@
 
 #[test]
 fn slow_progress_is_not_cancelled_in_a_class_with_long_tails() {
-    // Progress points to eight times the expected time: too slow for a class that usually takes
-    // one, ordinary where a few queries take six.
+    // The progress extrapolates to eight times the expected time: too slow for a class that usually
+    // takes one, but ordinary where a few queries take six.
     let cancelled_after = |times: u64| {
         let mut settings = test_settings();
         settings.invariants.retry_budget = None;
@@ -127,12 +127,12 @@
                 gateway.report_progress(id, update);
             }
             gateway.end_attempt(id, 0, engine, OutcomeKind::Ok, latency);
-            // Short queries complete fast meanwhile, so the engines are not slow as such.
-            for look_up in 1000 + 10 * id..1010 + 10 * id {
+            // Short queries complete fast meanwhile, so the engines themselves are not slow.
+            for short_id in 1000 + 10 * id..1010 + 10 * id {
                 let engine =
-                    first_engine(&gateway.submit(look_up, SHORT, 6 * SECOND, 100 * MILLISECOND));
+                    first_engine(&gateway.submit(short_id, SHORT, 6 * SECOND, 100 * MILLISECOND));
                 gateway.advance(100 * MILLISECOND);
-                gateway.end_attempt(look_up, 0, engine, OutcomeKind::Ok, 100 * MILLISECOND);
+                gateway.end_attempt(short_id, 0, engine, OutcomeKind::Ok, 100 * MILLISECOND);
             }
         }
         gateway.submit(99, LONG, 15 * SECOND, SECOND);
@@ -143,8 +143,8 @@
     assert_eq!((cancelled_after(1), cancelled_after(6)), (1, 0));
 }
 
-/// A query that is merely slower than usual is not retried while capacity is scarce: all of it
-/// would run twice.
+/// A query that is merely slower than usual is not retried while capacity is scarce: all of its
+/// work would be done twice.
 #[test]
 fn unresponsive_attempts_of_a_fast_class_are_cancelled_later_when_capacity_is_scarce() {
     for (others, early) in [(0, 1), (31, 0)] {
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,6 +1,6 @@
-//! An engine in slow start under the sum of a whole fleet: many gateways that share nothing, with
-//! uneven traffic and bursts, which learn of the engine's start at different times. Some of them
-//! are restarted meanwhile and forget what they have sent.
+//! An engine in slow start under the combined load of a whole fleet: many gateways that share no
+//! state, with uneven traffic and bursts, which are informed of the engine's start at different
+//! times. Some of them restart meanwhile and lose track of the work that they have sent.
 mod common;
 use common::*;
 use rand_core::{Rng, SeedableRng};
@@ -11,21 +11,21 @@
 
 /// Mean work of a request.
 const WORK: Nanos = 300 * MILLISECOND;
-/// The engine that starts beside the warm ones.
+/// The engine in slow start, beside the warm ones.
 const STARTING_ENGINE: EngineId = EngineId(99);
 /// Number of warm engines.
 const WARM_ENGINES: u64 = 10;
 /// Cores of each engine.
 const CORES: f64 = 8.0;
-/// Fraction of a core's time that its usual capacity means.
+/// Fraction of a core's time that its usual capacity corresponds to.
 const USUAL_UTILIZATION: f64 = 0.8;
 /// Time between two steps of the simulation.
 const STEP: Nanos = 20 * MILLISECOND;
 
-/// What is varied between simulations.
+/// Parameters that vary between simulations.
 struct Scenario {
     gateways: u32,
-    /// Requests, as a multiple of what the warm engines can do: over one, so that the starting
+    /// Requests, as a multiple of the capacity of the warm engines: over one, so that the starting
     /// engine is needed.
     demand: f64,
     /// Fraction of gateways that restart while the engine starts.
@@ -50,7 +50,8 @@
     }
 }
 
-/// Number of requests of mean work that invariant 4 allows the engine within the overload window.
+/// Number of requests of mean work that invariant 4 allows on the engine within the overload
+/// window.
 fn allowed_requests(invariants: &Invariants, age: Nanos) -> f64 {
     let initial = invariants.slow_start_initial_fraction;
     let elapsed = (age as f64 / invariants.slow_start_duration as f64).min(1.0);
@@ -96,10 +97,10 @@
 
 struct SimulatedGateway {
     gateway: Gateway,
-    /// When it learns that the engine has started.
+    /// When it receives the endpoint list with the starting engine.
     informed_at: Nanos,
     restarts_at: Nanos,
-    /// Its traffic, relative to the others.
+    /// Its traffic, relative to the other gateways.
     traffic: f64,
     running: VecDeque<RunningAttempt>,
     next_request: u32,
@@ -121,7 +122,7 @@
             gateway,
             informed_at,
             restarts_at,
-            // Some get five times what others get.
+            // Some gateways get five times the traffic of others.
             traffic: 0.4 + 1.6 * draws.next() * draws.next(),
             running: VecDeque::new(),
             next_request: 1,
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Receives this number of requests, its fraction by chance.
+    /// Receives `expected` requests; the fractional part is the probability of one more.
     fn receive_requests(
         &mut self,
         now: Nanos,
@@ -163,9 +164,9 @@
         }
     }
 
-    /// Carries out the actions, and those that they lead to. Returns the number of attempts started
-    /// on the starting engine.
-    fn carry_out(&mut self, now: Nanos, mut actions: Vec<Action>, draws: &mut Draws) -> usize {
+    /// Executes the actions, and those that result from them. Returns the number of attempts
+    /// started on the starting engine.
+    fn execute(&mut self, now: Nanos, mut actions: Vec<Action>, draws: &mut Draws) -> usize {
         let mut started = 0;
         let mut next = 0;
         while next < actions.len() {
@@ -198,13 +199,14 @@
     }
 }
 
-/// What a simulation showed.
-struct Findings {
-    /// Most attempts on the starting engine within a window, as a multiple of those allowed.
+/// Results of a simulation.
+struct SimulationResult {
+    /// Maximum number of attempts on the starting engine within a window, as a multiple of those
+    /// allowed.
     worst_multiple: f64,
-    /// The multiple that chance explains at that time.
+    /// The multiple that random variation explains at that time.
     tolerated_multiple: f64,
-    /// Attempts started on the engine in all.
+    /// Total number of attempts started on the engine.
     attempts: usize,
 }
 
@@ -214,7 +216,7 @@
     draws: Draws,
     gateways: Vec<SimulatedGateway>,
     total_traffic: f64,
-    /// When attempts started on the starting engine, within the last window.
+    /// Times of the attempts on the starting engine within the last window.
     recent_attempts: VecDeque<Nanos>,
 }
 
@@ -234,8 +236,8 @@
         }
     }
 
-    /// Requests that a gateway receives in a step: a burst of three times the usual in every third
-    /// second.
+    /// Mean number of requests that a gateway receives in a step: three times the usual in every
+    /// third second.
     fn expected_requests(&self, index: usize, now: Nanos) -> f64 {
         let burst = if (now / SECOND).is_multiple_of(3) {
             3.0
@@ -248,7 +250,7 @@
             / 1e9
     }
 
-    /// One step of one gateway. Returns the number of attempts started on the starting engine.
+    /// Runs one step of one gateway. Returns the number of attempts started on the starting engine.
     fn step_gateway(&mut self, index: usize, now: Nanos) -> usize {
         let expected = self.expected_requests(index, now);
         let gateway = &mut self.gateways[index];
@@ -266,18 +268,18 @@
         let tick = Event::TimerFired(TICK_TIMER);
         gateway.gateway.handle(now, tick, &mut actions);
         gateway.receive_requests(now, expected, &mut self.draws, &mut actions);
-        gateway.carry_out(now, actions, &mut self.draws)
+        gateway.execute(now, actions, &mut self.draws)
     }
 
-    fn forget_attempts_before(&mut self, from: Nanos) {
+    fn drop_attempts_before(&mut self, from: Nanos) {
         while self.recent_attempts.front().is_some_and(|at| *at < from) {
             self.recent_attempts.pop_front();
         }
     }
 
-    fn run(mut self) -> Findings {
+    fn run(mut self) -> SimulationResult {
         let invariants = self.scenario.settings(0).invariants;
-        let mut findings = Findings {
+        let mut result = SimulationResult {
             worst_multiple: 0.0,
             tolerated_multiple: 0.0,
             attempts: 0,
@@ -287,26 +289,27 @@
             now += STEP;
             for index in 0..self.gateways.len() {
                 let started = self.step_gateway(index, now);
-                findings.attempts += started;
+                result.attempts += started;
                 self.recent_attempts
                     .extend(std::iter::repeat_n(now, started));
             }
-            self.forget_attempts_before(now - invariants.overload_window);
+            self.drop_attempts_before(now - invariants.overload_window);
             if now > START_TIME {
                 let allowed = allowed_requests(&invariants, now - START_TIME);
                 let multiple = self.recent_attempts.len() as f64 / allowed;
-                if multiple > findings.worst_multiple {
-                    findings.worst_multiple = multiple;
-                    findings.tolerated_multiple = (allowed + 2.0 * allowed.sqrt() + 2.0) / allowed;
+                if multiple > result.worst_multiple {
+                    result.worst_multiple = multiple;
+                    result.tolerated_multiple = (allowed + 2.0 * allowed.sqrt() + 2.0) / allowed;
                 }
             }
         }
-        findings
+        result
     }
 }
 
-/// Invariant 4 for the sum of the fleet: of a budget of N requests an excess of 2√N + 2 is chance,
-/// with any number of gateways, also where some of them have forgotten what they sent.
+/// Guards invariant 4 for the sum of the fleet, with any number of gateways, also where some of
+/// them restarted and lost track of the work that they sent. With a budget of N requests, an excess
+/// of 2√N + 2 is within random variation.
 #[test]
 fn all_gateways_together_keep_an_engine_in_slow_start_within_its_budget() {
     for (gateways, seed) in [(3, 1), (8, 2), (20, 3), (30, 4), (100, 5), (300, 6)] {
@@ -318,17 +321,19 @@
                 probes,
             };
 
-            let findings = Simulation::new(&scenario, seed).run();
+            let result = Simulation::new(&scenario, seed).run();
 
-            let most = findings.worst_multiple;
-            let bound = findings.tolerated_multiple;
-            let attempts = findings.attempts;
-            println!("{gateways} {restarts} {probes}: {most:.2} of {bound:.2}, {attempts} calls");
+            let most = result.worst_multiple;
+            let bound = result.tolerated_multiple;
+            let attempts = result.attempts;
+            println!(
+                "{gateways} {restarts} {probes}: {most:.2} of {bound:.2}, {attempts} attempts"
+            );
             assert!(
                 most <= bound,
                 "{gateways} gateways, {restarts} restarted: {most:.2} over {bound:.2}"
             );
-            // Sending it nothing would be no success.
+            // A gateway that sends nothing to the engine would also stay within the budget.
             assert!(attempts > 20, "{gateways} gateways: {attempts} attempts");
         }
     }
--- a/tests/unit/concurrency_limit.rs
+++ b/tests/unit/concurrency_limit.rs
@@ -1,5 +1,6 @@
-//! The control law at small shares of an engine: 300 gateways, twenty engines, two queries a second
-//! at this gateway. Also what the gateway learns and forgets meanwhile.
+//! The control law at small shares of an engine: 300 gateways, twenty engines, two queries per
+//! second at this gateway. Also the learning of work, the dropping of removed engines, and the
+//! counting of resets.
 use crate::policy::Gateway;
 use crate::policy::api::{
     Action, EndpointListKind, EngineId, Event, LoadField, LoadReport, Nanos, Outcome, OutcomeKind,
@@ -17,22 +18,22 @@
 /// Work of each query.
 const WORK: Nanos = SECOND / 5;
 
-struct Sent {
+struct SentAttempt {
     id: RequestId,
     engine: EngineId,
 }
 
-/// A gateway with the engines behind it.
+/// A gateway with simulated engines.
 struct Simulation {
     gateway: Gateway,
     now: Nanos,
     requests: u32,
     /// Attempts in flight, oldest first.
-    in_flight: Vec<Sent>,
+    in_flight: Vec<SentAttempt>,
 }
 
 impl Simulation {
-    /// A gateway with that many warm engines.
+    /// A gateway with `engines` warm engines.
     fn new(settings: Settings, engines: u64) -> Simulation {
         let mut simulation = Simulation {
             gateway: Gateway::new(START, settings, 5),
@@ -52,7 +53,7 @@
         self.gateway.handle(self.now, event, &mut actions);
         for action in actions {
             if let Action::Send { id, engine, .. } = action {
-                self.in_flight.push(Sent { id, engine });
+                self.in_flight.push(SentAttempt { id, engine });
             }
         }
     }
@@ -68,8 +69,8 @@
         self.handle(Event::TimerFired(TICK_TIMER));
     }
 
-    /// Runs for `duration` seconds with `arrivals` queries each half second, of which one a second
-    /// is answered after `latency`.
+    /// Runs for `duration` seconds with `arrivals` queries each half second, of which one per
+    /// second completes with `latency`.
     fn run(&mut self, duration: u64, arrivals: u32, latency: Nanos) {
         for half_second in 0..2 * duration {
             for _ in 0..arrivals {
@@ -95,8 +96,8 @@
         }
     }
 
-    /// Answers all attempts in flight, without reported cost.
-    fn answer_all(&mut self, latency: Nanos, load: LoadReport) {
+    /// Completes all attempts in flight, without reported cost.
+    fn complete_all(&mut self, latency: Nanos, load: LoadReport) {
         while let Some(sent) = self.in_flight.pop() {
             self.handle(Event::Outcome(Outcome {
                 load,
@@ -114,12 +115,12 @@
 }
 
 #[test]
-fn at_a_share_far_under_one_query_the_limit_falls_recovers_and_holds() {
+fn at_a_share_far_under_one_query_the_limit_falls_holds_and_recovers() {
     let mut simulation = Simulation::new(settings(), 20);
     assert_eq!(simulation.mean_limit(), 1.0);
 
-    // More arrives than completes, and what completes is late: no engine has a sample in a period,
-    // yet all limits fall.
+    // More queries arrive than complete, and those that complete are late. No engine has a sample
+    // in a period, yet all limits fall.
     simulation.run(30, 1, 6 * SECOND);
     let low = simulation.mean_limit();
     assert!(
@@ -128,7 +129,7 @@
         seconds(simulation.now - START)
     );
 
-    // Nothing arrives and nothing is in flight: there are no samples, and the limit holds.
+    // Nothing arrives and nothing is in flight: there are no samples, and the limit stays.
     simulation.gateway.requests.clear();
     for engine in simulation.gateway.engines.values_mut() {
         engine.running = Running::default();
@@ -142,7 +143,7 @@
         simulation.mean_limit()
     );
 
-    // Answers well within the objective while queries run: the limit rises again.
+    // Responses are well within the objective while queries run: the limit rises again.
     let held = simulation.mean_limit();
     simulation.gateway.fleet.running = Running::default();
     simulation.run(30, 2, WORK);
@@ -153,10 +154,11 @@
     );
 }
 
-/// Guards against time that passes for work where no engine reports its load: objectives grew with
-/// it, and the control law saw no lateness while all answers took five times their time.
+/// Guards against latency that is learned as work where no engine reports its load: objectives grew
+/// with it, and the control law measured no lateness while all responses took five times their
+/// expected time.
 #[test]
-fn slow_answers_teach_no_work_where_engines_are_not_probed() {
+fn slow_responses_do_not_raise_the_learned_work_where_engines_are_not_probed() {
     let settings = Settings {
         reports_cost: false,
         probe_price: 0.08,
@@ -172,7 +174,7 @@
         for _ in 0..latency / TICK {
             simulation.tick();
         }
-        simulation.answer_all(latency, LoadReport::default());
+        simulation.complete_all(latency, LoadReport::default());
         if [99, 299].contains(&round) {
             learned.push(simulation.gateway.class_estimates[0].work);
         }
@@ -183,11 +185,11 @@
     );
 }
 
-/// Neither hints nor answers state the cost; engines report four threads a core, so 0.2 s of work
-/// take 0.8 s. The learned work must neither grow with the time nor shrink with the slowdown that
-/// it is measured by.
+/// Neither hints nor responses report the cost. Engines report four threads per core, so 0.2 s of
+/// work take 0.8 s. The learned work must neither grow with the latency nor shrink with the
+/// slowdown derived from it.
 #[test]
-fn learned_work_stays_while_engines_are_crowded() {
+fn learned_work_is_stable_while_engines_are_overloaded() {
     let settings = Settings {
         reports_cost: false,
         load_fields: vec![LoadField::QueriesInFlight],
@@ -219,14 +221,14 @@
             }
             simulation.handle(Event::TimerFired(TICK_TIMER));
         }
-        simulation.answer_all(SECOND * 4 / 5, load);
+        simulation.complete_all(SECOND * 4 / 5, load);
         if [100, 899].contains(&round) {
             learned.push(simulation.gateway.class_estimates[0]);
         }
     }
     assert!(
         learned[1].samples > 60,
-        "answers were learned from: {learned:?}"
+        "responses were learned from: {learned:?}"
     );
     assert!(
         learned
@@ -236,10 +238,10 @@
     );
 }
 
-/// Guards memory on long days: an engine that was replaced is forgotten once no attempt is in
+/// Guards against memory growth in long runs: a replaced engine is dropped once no attempt is in
 /// flight there.
 #[test]
-fn engines_that_are_gone_are_forgotten() {
+fn removed_engines_are_dropped_once_no_attempt_is_in_flight() {
     let mut simulation = Simulation::new(settings(), 1);
     simulation.run(1, 3, WORK);
     let first = simulation.in_flight.first();
@@ -251,18 +253,18 @@
             entries,
         });
     }
-    let left: Vec<u64> = simulation.gateway.engines.keys().map(|id| id.0).collect();
+    let remaining: Vec<u64> = simulation.gateway.engines.keys().map(|id| id.0).collect();
     assert_eq!(
-        left,
+        remaining,
         [1, 100],
-        "the one with attempts in flight, and the one in service"
+        "the one with attempts in flight, and the listed one"
     );
 }
 
-/// Guards against the ejection of an engine for one broken connection, which ends all attempts on
-/// it at once.
+/// Guards against the ejection of an engine for one reset connection, which ends all attempts on it
+/// at once.
 #[test]
-fn a_broken_connection_counts_as_one_failure() {
+fn a_reset_connection_counts_as_one_failure() {
     let settings = Settings {
         gateway_index: 0,
         gateways: 3,
@@ -274,7 +276,7 @@
         let request = simulation.next_request();
         simulation.handle(Event::Request(request));
     }
-    // Ends the request with a reset on the first engine, whichever it was sent to.
+    // Ends the request with a reset on the first engine, whichever engine it was sent to.
     let reset = |simulation: &mut Simulation, id: u32| {
         let id = RequestId(id);
         let requests = &mut simulation.gateway.requests;
@@ -304,6 +306,6 @@
     }
     assert!(
         matches!(circuit(&simulation), CircuitState::Open { .. }),
-        "connection after connection"
+        "several connections in a row"
     );
 }
--- a/tests/unit/fleet_scan.rs
+++ b/tests/unit/fleet_scan.rs
@@ -1,5 +1,5 @@
-//! The totals over all engines that are kept between scans, against a scan; and how many engines a
-//! sweep visits.
+//! Compares the totals over all engines that are kept between scans with a full scan, and counts
+//! the engines that a tick visits.
 use crate::policy::Gateway;
 use crate::policy::api::{
     Action, AttemptNo, Endpoint, EndpointListKind, EngineId, Event, Nanos, Outcome, OutcomeKind,
@@ -25,19 +25,19 @@
     settings
 }
 
-struct Sent {
+struct SentAttempt {
     id: RequestId,
     attempt: AttemptNo,
     engine: EngineId,
     at: Nanos,
 }
 
-/// A gateway with the engines behind it, and the random choices of a run.
+/// A gateway with simulated engines, and the random choices of a run.
 struct Simulation {
     gateway: Gateway,
     now: Nanos,
     rng: Pcg32,
-    in_flight: Vec<Sent>,
+    in_flight: Vec<SentAttempt>,
     requests: u32,
 }
 
@@ -70,7 +70,7 @@
                 Action::Send { id, engine, .. } => {
                     let attempts = &self.gateway.requests[&id].attempts;
                     let attempt = attempts.last().expect("an attempt was started").number;
-                    self.in_flight.push(Sent {
+                    self.in_flight.push(SentAttempt {
                         id,
                         attempt,
                         engine,
@@ -79,7 +79,8 @@
                 }
                 Action::Cancel { id, attempt } => {
                     let mut in_flight = self.in_flight.iter();
-                    let is_cancelled = |sent: &Sent| (sent.id, sent.attempt) == (id, attempt);
+                    let is_cancelled =
+                        |sent: &SentAttempt| (sent.id, sent.attempt) == (id, attempt);
                     if let Some(position) = in_flight.position(is_cancelled) {
                         self.end(position, OutcomeKind::Cancelled);
                     }
@@ -93,7 +94,7 @@
         self.handle(Event::TimerFired(TICK_TIMER));
     }
 
-    fn arrive(&mut self) {
+    fn submit(&mut self) {
         self.requests += 1;
         let request = request(RequestId(self.requests), self.now + 20 * SECOND);
         self.handle(Event::Request(Request {
@@ -150,7 +151,8 @@
         });
     }
 
-    /// A random change of the endpoint list, the shares or the settings, or none, as `draw` says.
+    /// Makes the change of the endpoint list, the shares or the settings selected by `draw`, or
+    /// none.
     fn change_something(&mut self, draw: u32, step: usize, run: &Run) {
         match draw {
             0 => self.change_endpoint_list(run.engines),
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Ends a random attempt. Each engine has seconds in which all attempts on it fail.
+    /// Ends a random attempt. Each engine has periods of seconds in which all attempts on it fail.
     fn end_random_attempt(&mut self) {
         let position = self.draw(self.in_flight.len() as u32) as usize;
         let engine = self.in_flight[position].engine;
@@ -191,10 +193,10 @@
     }
 
     /// Asserts that the totals equal what a scan finds now.
-    fn assert_totals_match_a_scan(&mut self, context: &str) {
+    fn assert_totals_match_full_scan(&mut self, context: &str) {
         let now = self.now;
         let rules = self.gateway.settings.invariants;
-        // What came since the refresh of the last sweep counts from the next one on.
+        // Changes since the refresh of the last tick count from the next refresh on.
         self.gateway.refresh_fleet(now);
         let fleet = &self.gateway.fleet;
         let engines = || self.gateway.engines.values();
@@ -237,7 +239,7 @@
             let open_until = engine.circuit.open_until();
             assert!(
                 open_until.is_none_or(|until| until > now),
-                "an ejection is over, {context}"
+                "an ejection has expired, {context}"
             );
             let window = rules.overload_window;
             assert!(
@@ -245,7 +247,7 @@
                     .warm_up
                     .ends()
                     .is_none_or(|(oldest, newest)| oldest.at + window >= newest.at),
-                "one window is kept, {context}"
+                "only one window is kept, {context}"
             );
         }
     }
@@ -269,7 +271,7 @@
     }
 }
 
-/// How often the cases that matter came up.
+/// How often the relevant cases occurred.
 #[derive(Default)]
 struct Coverage {
     ticks_without_scan: u32,
@@ -278,7 +280,7 @@
 }
 
 impl Coverage {
-    /// Runs 6000 sweeps with random events and compares the totals after each.
+    /// Runs 6000 ticks with random events and compares the totals after each.
     fn add_run(&mut self, run: &Run) {
         let settings = run.settings(15 * SECOND);
         let mut simulation = Simulation::new(settings, run.seed, 1..=run.engines);
@@ -286,19 +288,19 @@
             let ejections = simulation.ejections();
             simulation.now += TICK / 2 - Nanos::from(simulation.draw(3_000_000));
             for _ in 0..simulation.draw(3) {
-                simulation.arrive();
+                simulation.submit();
             }
             for _ in 0..simulation.draw(4).min(simulation.in_flight.len() as u32) {
                 simulation.end_random_attempt();
             }
-            // Quiet spells of ten seconds show what time alone changes.
+            // Quiet periods of ten seconds cover what changes with time alone.
             let is_quiet = step % 1000 < 500;
             let draw = simulation.draw(if is_quiet { 4000 } else { 60 });
             simulation.change_something(draw, step, run);
             let scans = simulation.gateway.fleet.scans;
             simulation.now += TICK / 2;
             simulation.tick();
-            simulation.assert_totals_match_a_scan(&format!("seed {}, step {step}", run.seed));
+            simulation.assert_totals_match_full_scan(&format!("seed {}, step {step}", run.seed));
             self.ticks_without_scan += u32::from(simulation.gateway.fleet.scans == scans);
             self.ejections += simulation.ejections().saturating_sub(ejections);
             self.engines_warming_up += simulation.gateway.fleet.warming_up.len();
@@ -306,10 +308,10 @@
     }
 }
 
-/// Guards the totals between scans: whatever happens, they equal what a scan of the fleet would
-/// find.
+/// Guards the totals between scans: after any sequence of events they equal the result of a full
+/// scan of the fleet.
 #[test]
-fn totals_kept_between_scans_are_those_of_a_scan() {
+fn totals_kept_between_scans_match_a_full_scan() {
     let run = |seed, gateways, may_probe, engines| Run {
         seed,
         gateways,
@@ -332,18 +334,18 @@
     );
 }
 
-/// Guards the median: an engine that drains is no peer, whatever it answers, and however like a
-/// peer it was.
+/// Guards the median slowdown: a draining engine is not a peer, whatever it responds and however
+/// similar to a peer its slowdown was.
 #[test]
-fn an_answer_of_a_draining_engine_does_not_change_the_median() {
+fn a_response_of_a_draining_engine_does_not_change_the_median() {
     let mut simulation = Simulation::new(settings(1, false), 1, 1..=3);
     for _ in 0..9 {
-        simulation.arrive();
+        simulation.submit();
     }
     simulation.change_endpoint(endpoint(1, Readiness::Draining, 0));
     simulation.now += SECOND;
     simulation.tick();
-    // At the time of the event after the gap itself nothing would be learned.
+    // Nothing would be learned at the time of the first event after the gap.
     simulation.now += TICK;
     let on_draining = |simulation: &Simulation| {
         let mut in_flight = simulation.in_flight.iter();
@@ -352,11 +354,11 @@
     assert!(on_draining(&simulation).is_some());
     while let Some(position) = on_draining(&simulation) {
         simulation.end(position, OutcomeKind::Ok);
-        simulation.assert_totals_match_a_scan("draining");
+        simulation.assert_totals_match_full_scan("draining");
     }
 }
 
-/// Number of engines that 500 idle sweeps visit outside scans, in a fleet of `engines` of which
+/// Number of engines that 500 idle ticks visit outside scans, in a fleet of `engines` of which
 /// three warm up.
 fn engines_visited_by_idle_ticks(engines: u64, may_probe: bool) -> u64 {
     let mut simulation = Simulation::new(settings(3, may_probe), 1, 1..=engines);
@@ -377,8 +379,8 @@
     simulation.gateway.fleet.visited_engines - visited_before - scans * engines
 }
 
-/// Guards the cost of large fleets: between scans a sweep visits only what moves, and scans are
-/// rare.
+/// Guards the cost of large fleets: between scans a tick visits only engines that change, and scans
+/// are rare.
 #[test]
 fn idle_ticks_visit_no_more_engines_of_a_large_fleet() {
     for may_probe in [true, false] {
--- a/tests/unit/request_lifecycle.rs
+++ b/tests/unit/request_lifecycle.rs
@@ -1,9 +1,9 @@
-//! The tokens of tenants' quotas over the life of their requests.
+//! Quota tokens of tenants over the lifecycle of their requests.
 use super::*;
 use crate::policy::api::{ClassId, Event, Settings, TenantSpec};
 use crate::policy_builders::{SECOND, START, TICK, TICK_TIMER, settings};
 
-/// The requests of a burst within the quota.
+/// Number of requests in a burst within the quota.
 const BURST: u32 = 6;
 
 struct Fixture {
@@ -12,7 +12,7 @@
 }
 
 impl Fixture {
-    /// A gateway without engines, whose tenant may send a burst and hardly more.
+    /// A gateway without engines, whose tenant may send one burst and very little more.
     fn new() -> Fixture {
         let tenants = vec![TenantSpec {
             quota_per_s: 0.001,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Receives a request, and gives whether it exceeds the quota.
+    /// Receives a request and returns whether it exceeds the quota.
     fn exceeds_quota(&mut self, id: u32, is_retry: bool, wait: Nanos) -> bool {
         let request = Request {
             id: RequestId(id),
@@ -42,7 +42,7 @@
         self.gateway.requests[&RequestId(id)].over_quota
     }
 
-    /// Lets two seconds pass: requests that wait for one are rejected.
+    /// Lets two seconds pass, after which requests with a deadline of one second are rejected.
     fn advance(&mut self) {
         let end = self.now + 2 * SECOND;
         while self.now < end {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_rejected_request_gets_its_token_back() {
+fn the_rejection_of_a_request_refunds_its_token() {
     let mut fixture = Fixture::new();
     assert!((0..BURST).all(|id| !fixture.exceeds_quota(id, false, SECOND)));
     assert!(fixture.exceeds_quota(BURST, false, SECOND));
@@ -65,10 +65,10 @@
     assert!(fixture.exceeds_quota(20, false, SECOND));
 }
 
-/// Guards tenants inside their quota against one that marks its requests as retries: a marked retry pays
-/// no token, so its rejection gives none back. Each of them gave one.
+/// Guards tenants within their quota against one that marks its requests as retries. A marked retry
+/// takes no token, so its rejection must not refund one. Each of them used to refund one.
 #[test]
-fn the_rejection_of_a_marked_retry_gives_no_token() {
+fn the_rejection_of_a_marked_retry_refunds_no_token() {
     let mut fixture = Fixture::new();
     assert!((0..BURST).all(|id| !fixture.exceeds_quota(id, false, 60 * SECOND)));
     assert!((10..30).all(|id| !fixture.exceeds_quota(id, true, SECOND)));
