--- a/src/policy/stall_detection.rs
+++ b/src/policy/stall_detection.rs
@@ -47,7 +47,7 @@
     engine: EngineId,
     sent_at: Nanos,
     /// Whether its age indicates that its engine is unresponsive.
-    indicates_unresponsive_engine: bool,
+    indicates_unresponsive: bool,
 }
 
 /// Limits after which attempts are presumed lost.
@@ -146,11 +146,11 @@
     pub(super) fn detect_unresponsive_attempts(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         let lost = self.find_lost_attempts(now);
         for attempt in &lost {
-            let signs = lost.iter().filter(|other| {
-                other.engine == attempt.engine && other.indicates_unresponsive_engine
-            });
+            let signs = lost
+                .iter()
+                .filter(|other| other.engine == attempt.engine && other.indicates_unresponsive);
             let is_unresponsive =
-                attempt.indicates_unresponsive_engine && signs.count() >= MIN_UNRESPONSIVE_ATTEMPTS;
+                attempt.indicates_unresponsive && signs.count() >= MIN_UNRESPONSIVE_ATTEMPTS;
             if !self.engines.contains_key(&attempt.engine) {
                 continue;
             }
@@ -171,9 +171,7 @@
                         number: attempt.number,
                         engine: attempt.engine,
                         sent_at: attempt.sent_at,
-                        indicates_unresponsive_engine: indicates_unresponsive_engine(
-                            now, attempt, &limits,
-                        ),
+                        indicates_unresponsive: indicates_unresponsive(now, attempt, &limits),
                     });
                 }
             }
@@ -239,7 +237,7 @@
             engine.unresponsive_at = now;
         }
         let has_failed_trial =
-            engine.circuit.is_trial(attempt.id) && attempt.indicates_unresponsive_engine;
+            engine.circuit.is_trial(attempt.id) && attempt.indicates_unresponsive;
         let is_outlier = engine.circuit.is_closed() && may_eject && was_unresponsive;
         if has_failed_trial || is_outlier {
             self.eject(now, attempt.engine);
@@ -263,7 +261,7 @@
 }
 
 /// Whether the age of a lost attempt indicates that its engine is unresponsive.
-fn indicates_unresponsive_engine(now: Nanos, attempt: &Attempt, limits: &LossLimits) -> bool {
+fn indicates_unresponsive(now: Nanos, attempt: &Attempt, limits: &LossLimits) -> bool {
     let age = now.saturating_sub(attempt.last_activity_at);
     let limit = nanos(STALL_RATIO * attempt.expected_seconds)
         .min(2 * limits.update_timeout)
