--- a/src/net/client/buffers.rs
+++ b/src/net/client/buffers.rs
@@ -7,13 +7,13 @@
 /// Deferred bytes that the frontend parses at a time.
 pub(super) const DEFERRED_CHUNK_BYTES: usize = 4 * 1024;
 
-/// Bytes for the client that the socket has not taken yet.
+/// Output for the client that is not yet written to the socket.
 pub(super) struct OutputBuffer<'a> {
     /// All bytes; the frontend appends to them.
     pub(super) bytes: Vec<u8>,
     written: usize,
-    /// Counts the unwritten bytes against the limit over all connections: bounds the memory that
-    /// many clients can occupy by not reading their responses.
+    /// Counts the unwritten bytes against the limit over all connections, which limits the memory
+    /// that many clients can occupy by not reading their responses.
     quota: ByteQuota<'a>,
 }
 
@@ -26,12 +26,12 @@
         }
     }
 
-    /// The bytes that are still to be written.
+    /// The bytes that are not written yet.
     pub(super) fn pending(&self) -> &[u8] {
         &self.bytes[self.written..]
     }
 
-    /// The socket took `count` more bytes.
+    /// Records that `count` more bytes were written to the socket.
     pub(super) fn mark_written(&mut self, count: usize) {
         self.written += count;
         if self.written == self.bytes.len() {
@@ -51,10 +51,10 @@
 
 /// Input that was received while the client is throttled, or while it does not read its responses.
 /// The frontend parses it later, but cancellations in it take effect at once, and so does the
-/// client's end of stream behind it.
+/// client's end of stream after it.
 ///
-/// The offset of the search for cancellations is the start of a line and never behind the end of the
-/// bytes: it moves with them where a chunk is removed.
+/// The offset of the search for cancellations is at the start of a line and never beyond the end of
+/// the bytes: removing a chunk reduces it by the length of the chunk, to no less than 0.
 #[derive(Default)]
 pub(super) struct DeferredInput {
     bytes: Vec<u8>,
@@ -71,12 +71,12 @@
         self.bytes.is_empty()
     }
 
-    /// Adds bytes at the end.
+    /// Appends bytes.
     pub(super) fn append(&mut self, input: &[u8]) {
         self.bytes.extend_from_slice(input);
     }
 
-    /// Removes the first chunk, to be parsed now.
+    /// Removes and returns the first chunk, which is to be parsed now.
     pub(super) fn take_chunk(&mut self) -> Vec<u8> {
         let rest = self
             .bytes
@@ -85,12 +85,14 @@
         std::mem::replace(&mut self.bytes, rest)
     }
 
-    /// Makes the next search begin at the first byte: what is before it has changed.
+    /// Makes the next search begin at the first byte. Required after a request was parsed, as its
+    /// cancellation may be in the deferred input.
     pub(super) fn restart_search(&mut self) {
         self.searched = 0;
     }
 
-    /// Has the frontend search what it has not searched yet for cancellations.
+    /// Has the frontend search the bytes from the offset on for cancellations, and advances the
+    /// offset.
     pub(super) fn search(&mut self, frontend: &mut impl Frontend, events: &mut Vec<FrontendEvent>) {
         let searched = frontend.scan_deferred_input(&self.bytes, self.searched, events);
         self.searched = searched.min(self.bytes.len());
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -18,21 +18,23 @@
 use std::ops::ControlFlow;
 use std::rc::Rc;
 
-/// Input for the frontend: in the buffer that all connections share, or deferred before.
+/// Input for the frontend: just read into the buffer that all connections share, or deferred
+/// earlier.
 enum Received<'a> {
     InSharedBuffer(usize),
     Deferred(&'a [u8]),
 }
 
-/// How the actor leaves its loop.
-enum Exit {
-    /// Close the socket as it is.
+/// How the connection is closed when the actor's loop ends.
+enum CloseMode {
+    /// Close the socket without writing pending output.
     Immediate(Termination),
-    /// Write what is pending, then close gracefully.
+    /// Write pending output, then close gracefully.
     Graceful(Termination),
 }
 
-/// Reads into the buffer that all connections share, so that an idle connection occupies none.
+/// Reads into the buffer that all connections share, so that an idle connection needs no buffer of
+/// its own.
 pub(super) async fn read_into_shared_buffer(
     stream: &Async<TcpStream>,
     shared: &Shared,
@@ -58,11 +60,11 @@
     pub(super) stream: Rc<Async<TcpStream>>,
     /// Counts this connection among the client sockets.
     pub(super) socket_guard: CountGuard,
-    /// Counts this connection among those with unwritten output: the process does not exit while
+    /// Counts this connection among those with unwritten output. The process does not exit while
     /// there are any.
     pub(super) output_guard: Option<CountGuard>,
     pub(super) id: u64,
-    /// What the connection shows of itself in the registry.
+    /// The connection's entry in the registry.
     pub(super) status: &'a ConnectionStatus,
     /// Responses from the dispatcher, with the tags of their requests.
     pub(super) responses: &'a Receiver<(u64, Response)>,
@@ -73,24 +75,25 @@
     pub(super) events: Vec<FrontendEvent>,
     pub(super) output: OutputBuffer<'a>,
     pub(super) deferred: DeferredInput,
-    /// Counts buffered input against the limit over all connections: bounds the memory that many
-    /// clients can occupy with long messages.
+    /// Counts buffered input against the limit over all connections, which limits the memory that
+    /// many clients can occupy with long messages.
     pub(super) input_quota: ByteQuota<'a>,
     pub(super) predecessor: Option<PredecessorLink>,
     pub(super) accepted_at: Micros,
-    /// The last time at which the client sent something, or took bytes of its responses.
+    /// The last time at which the client sent something, or bytes of its responses were written.
     pub(super) active_at: Micros,
     pub(super) pacing: MessagePacing,
     /// The socket has input that is not read yet, so that the connection is not quiet.
     pub(super) has_unread_input: bool,
-    /// New requests are rejected: the memory for input was short, and the connection is to end.
+    /// New requests are rejected, because the memory limit for input was exceeded: the connection
+    /// is to be closed.
     pub(super) rejects_requests: bool,
 }
 
 impl<F: Frontend> ClientConnection<'_, F> {
     /// Serves the client until the connection ends, and returns why it ended.
     pub(super) async fn run(mut self) -> Termination {
-        // Without this option responses are only slower.
+        // An error is ignored: without this option responses are only delayed.
         let _ = self.stream.get_ref().set_nodelay(true);
         self.accepted_at = clock::turn();
         self.active_at = self.accepted_at;
@@ -105,8 +108,8 @@
             let step = self.step().await;
             match step {
                 ControlFlow::Continue(()) => {}
-                ControlFlow::Break(Exit::Immediate(reason)) => return reason,
-                ControlFlow::Break(Exit::Graceful(reason)) => {
+                ControlFlow::Break(CloseMode::Immediate(reason)) => return reason,
+                ControlFlow::Break(CloseMode::Graceful(reason)) => {
                     return self.close_gracefully(reason).await;
                 }
             }
@@ -114,11 +117,11 @@
     }
 
     /// Parses a chunk of deferred input, or waits for the next event and handles it.
-    async fn step(&mut self) -> ControlFlow<Exit> {
+    async fn step(&mut self) -> ControlFlow<CloseMode> {
         let now = clock::now();
         let throttle = self.throttle(now);
         if !throttle.is_active() && self.can_feed_deferred_input() {
-            // A response that is there does not wait for input to be parsed.
+            // A response that is ready is written before more input is parsed.
             let Ok((tag, response)) = self.responses.try_recv() else {
                 return self.feed_deferred_chunk(now).await;
             };
@@ -136,7 +139,7 @@
                 ControlFlow::Continue(())
             }
             WakeReason::Response(None) => {
-                ControlFlow::Break(Exit::Immediate(Termination::LocalLimit))
+                ControlFlow::Break(CloseMode::Immediate(Termination::LocalLimit))
             }
             WakeReason::CloseCheck => self.on_close_check(now, &plan),
             WakeReason::Written(Ok(count)) => {
@@ -144,10 +147,12 @@
                 self.active_at = now;
                 ControlFlow::Continue(())
             }
-            WakeReason::Read(Ok(0)) => ControlFlow::Break(Exit::Immediate(Termination::Closed)),
+            WakeReason::Read(Ok(0)) => {
+                ControlFlow::Break(CloseMode::Immediate(Termination::Closed))
+            }
             WakeReason::Read(Ok(count)) => self.on_read(now, count, &plan).await,
             WakeReason::Read(Err(_)) | WakeReason::Written(Err(_)) => {
-                ControlFlow::Break(Exit::Immediate(Termination::Reset))
+                ControlFlow::Break(CloseMode::Immediate(Termination::Reset))
             }
             WakeReason::Deadline => self.on_deadline(now, &plan),
         }
@@ -170,7 +175,7 @@
             .get_or_insert_with(|| CountGuard::new(&self.shared.connections_with_unwritten_output));
     }
 
-    /// The client acted. While it has responses to read, only reading them counts.
+    /// Records activity of the client. While it has responses to read, only reading them counts.
     fn note_activity(&mut self, now: Micros) {
         if !self.is_writing() {
             self.active_at = now;
@@ -192,9 +197,9 @@
         self.forward_events(now).await;
     }
 
-    /// Closes a connection that is shed or has been quiet for long enough, but for input that has
-    /// arrived and is not read yet: a request in it is to be served.
-    fn on_close_check(&mut self, now: Micros, plan: &WaitPlan) -> ControlFlow<Exit> {
+    /// Closes an idle connection that is shed or has been quiet for long enough, unless input has
+    /// arrived that is not read yet: a request in it is to be served.
+    fn on_close_check(&mut self, now: Micros, plan: &WaitPlan) -> ControlFlow<CloseMode> {
         let may_close = self.close_checks.is_closed() || plan.quiet_close_is_due(now);
         if !plan.idle || !may_close {
             return ControlFlow::Continue(());
@@ -203,38 +208,45 @@
         if self.has_unread_input {
             return ControlFlow::Continue(());
         }
-        ControlFlow::Break(Exit::Graceful(if self.close_checks.is_closed() {
+        ControlFlow::Break(CloseMode::Graceful(if self.close_checks.is_closed() {
             Termination::LocalLimit
         } else {
             Termination::Idle
         }))
     }
 
-    async fn on_read(&mut self, now: Micros, count: usize, plan: &WaitPlan) -> ControlFlow<Exit> {
+    async fn on_read(
+        &mut self,
+        now: Micros,
+        count: usize,
+        plan: &WaitPlan,
+    ) -> ControlFlow<CloseMode> {
         self.note_activity(now);
         self.has_unread_input = false;
-        // More than a chunk is parsed chunk by chunk: the other connections get a turn in between.
+        // Input that exceeds a chunk is parsed chunk by chunk, so that the actors of other
+        // connections run in between.
         if plan.defers_input || count > DEFERRED_CHUNK_BYTES {
             self.defer_input(count);
         } else if let Err(reason) = self
             .feed_frontend(now, Received::InSharedBuffer(count))
             .await
         {
-            return ControlFlow::Break(Exit::Graceful(reason));
+            return ControlFlow::Break(CloseMode::Graceful(reason));
         }
         if let Err(reason) = self.enforce_input_memory_limit(now).await {
-            return ControlFlow::Break(Exit::Graceful(reason));
+            return ControlFlow::Break(CloseMode::Graceful(reason));
         }
-        // A client that sends without pause is always readable: the other connections get a turn.
+        // The socket of a client that sends without pause is always readable: yielding lets the
+        // actors of other connections run.
         yield_now().await;
         ControlFlow::Continue(())
     }
 
-    fn on_deadline(&mut self, now: Micros, plan: &WaitPlan) -> ControlFlow<Exit> {
+    fn on_deadline(&mut self, now: Micros, plan: &WaitPlan) -> ControlFlow<CloseMode> {
         let message_overdue = has_passed(plan.message_due_at, now);
         let unresponsive = has_passed(plan.unresponsive_at, now);
         if plan.writing && unresponsive {
-            return ControlFlow::Break(Exit::Immediate(Termination::Unresponsive));
+            return ControlFlow::Break(CloseMode::Immediate(Termination::Unresponsive));
         }
         if message_overdue && self.frontend.message_started_at().is_some() {
             // Open requests still get their responses.
@@ -243,19 +255,21 @@
             return ControlFlow::Continue(());
         }
         if message_overdue || unresponsive {
-            // A client that sent more than can be deferred, and nothing valid, is not waited for.
+            // Unread input does not keep the connection open once the deferred input has reached its
+            // limit without a valid message.
             self.has_unread_input = self.peek_unread_input() && !plan.input_blocked;
             if !self.has_unread_input {
-                return ControlFlow::Break(Exit::Graceful(Termination::Idle));
+                return ControlFlow::Break(CloseMode::Graceful(Termination::Idle));
             }
         } else if plan.input_blocked && self.status.disconnected() {
-            return ControlFlow::Break(Exit::Immediate(Termination::Closed));
+            return ControlFlow::Break(CloseMode::Immediate(Termination::Closed));
         }
         ControlFlow::Continue(())
     }
 
-    /// While all clients together exceed the memory limit for input, and this one has much of it:
-    /// rejects the requests that wait to be parsed, discards its incomplete message, and reads no more.
+    /// Applies if all clients together exceed the memory limit for input, and this connection buffers
+    /// more than an idle one may keep: rejects the requests that wait to be parsed, discards the
+    /// incomplete message, and stops reading.
     async fn enforce_input_memory_limit(&mut self, now: Micros) -> Result<(), Termination> {
         let over_limit = self.shared.unread_bytes.get() > self.shared.max_unread_bytes.get();
         if !over_limit || self.buffered_input_bytes() <= IDLE_CAPACITY_BYTES {
@@ -286,12 +300,12 @@
         !self.deferred.is_empty() && !self.frontend.awaits_response()
     }
 
-    async fn feed_deferred_chunk(&mut self, now: Micros) -> ControlFlow<Exit> {
+    async fn feed_deferred_chunk(&mut self, now: Micros) -> ControlFlow<CloseMode> {
         let chunk = self.deferred.take_chunk();
         if let Err(reason) = self.feed_frontend(now, Received::Deferred(&chunk)).await {
-            return ControlFlow::Break(Exit::Graceful(reason));
+            return ControlFlow::Break(CloseMode::Graceful(reason));
         }
-        // Input that was deferred for long holds many messages: the other connections get a turn.
+        // Deferred input can hold many messages: yielding lets the actors of other connections run.
         yield_now().await;
         ControlFlow::Continue(())
     }
@@ -303,7 +317,7 @@
         received: Received<'_>,
     ) -> Result<(), Termination> {
         let parsed_before = self.frontend.parsed_messages();
-        let fed = match received {
+        let result = match received {
             Received::InSharedBuffer(count) => {
                 let buffer = self.shared.buffer.borrow();
                 self.frontend.feed(
@@ -320,22 +334,22 @@
         };
         let parsed = self.frontend.parsed_messages() - parsed_before;
         self.pacing.add(now, parsed);
-        // The cancellation of a request that was just parsed may be in the input that is deferred.
+        // The deferred input may contain the cancellation of a request that was just parsed.
         if self.events.iter().any(FrontendEvent::is_request) {
             self.deferred.restart_search();
         }
         self.input_quota.set(self.buffered_input_bytes());
         self.forward_events(now).await;
-        fed
+        result
     }
 
-    /// Keeps input for later.
+    /// Appends the input in the shared buffer to the deferred input.
     fn defer_input(&mut self, count: usize) {
         self.deferred.append(&self.shared.buffer.borrow()[..count]);
         self.input_quota.set(self.buffered_input_bytes());
     }
 
-    /// Forwards the cancellations in the input that stays deferred.
+    /// Forwards the cancellations in the deferred input, which is not parsed yet.
     async fn forward_deferred_cancellations(&mut self, now: Micros) {
         if self.deferred.is_empty() {
             return;
--- a/src/net/client/connection_registry.rs
+++ b/src/net/client/connection_registry.rs
@@ -15,11 +15,10 @@
 pub struct ConnectionStatus {
     /// The client has sent at least one valid message.
     pub(super) has_valid_message: Cell<bool>,
-    /// Since when nothing is open on the connection and nothing is to be written; `None` if
-    /// something is.
+    /// Since when no request is open on the connection and no output is to be written; `None` if
+    /// either is the case.
     pub(super) idle_since: Cell<Option<Micros>>,
-    /// The connection is to close at the next moment at which it is quiet, so that no request is
-    /// lost.
+    /// The connection is to close as soon as it is quiet, so that no request is lost.
     pub(super) draining: Cell<bool>,
     /// The connection is to be transferred to the successor process.
     pub(super) transferring: Cell<bool>,
@@ -47,13 +46,13 @@
         }
     }
 
-    /// Whether the client has closed its side, or the connection is broken. Detects this also
-    /// behind input that is not read yet, as from a client that is throttled or does not read its
+    /// Whether the client has closed its side, or the connection has failed. Detects this also after
+    /// input that is not read yet, as from a client that is throttled or does not read its
     /// responses.
     pub fn disconnected(&self) -> bool {
         self.stream
             .upgrade()
-            .is_some_and(|stream| has_hung_up(stream.get_ref()))
+            .is_some_and(|stream| is_closed_by_peer(stream.get_ref()))
     }
 
     /// Asks the connection's actor to check whether the connection should close.
@@ -63,22 +62,22 @@
     }
 }
 
-/// Whether the peer has closed its side, or the connection is broken. Takes one system call and
+/// Whether the peer has closed its side, or the connection has failed. Takes one system call and
 /// reads nothing.
-fn has_hung_up(stream: &TcpStream) -> bool {
-    let hang_up = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+fn is_closed_by_peer(stream: &TcpStream) -> bool {
+    let closed_flags = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut descriptors = [PollFd::new(stream, PollFlags::RDHUP)];
     let ready = poll(&mut descriptors, Some(&Timespec::default())).is_ok_and(|count| count > 0);
-    ready && descriptors[0].revents().intersects(hang_up)
+    ready && descriptors[0].revents().intersects(closed_flags)
 }
 
 /// Sheds the connection whose loss matters least: among the idle ones, first those that never sent
-/// a valid message, then the one that has been idle for longest. Guards usual clients against being
-/// excluded by a crowd. Returns whether there was one to shed.
-pub(super) fn shed_one(shared: &Shared) -> bool {
+/// a valid message, then the one that has been idle for longest. This keeps many idle connections
+/// from excluding ordinary clients. Returns whether there was one to shed.
+pub(super) fn shed_idle_connection(shared: &Shared) -> bool {
     let clients = shared.clients.borrow();
-    // Connections within the grace period are passed over. Waiting for the period of a newcomer to
-    // end instead would block all others for that time.
+    // Skips connections within the grace period. Waiting for the grace period of a new connection to
+    // end instead would block all other clients for that time.
     let idle_before = clock::turn().saturating_sub(SHED_GRACE_PERIOD);
     clients
         .values()
@@ -93,11 +92,12 @@
         .is_some_and(|status| status.close_checks.close())
 }
 
-/// Has idle client connections close, or be transferred, when the lifecycle requires it: each
-/// connection acts at its next quiet moment.
+/// Has idle client connections closed or transferred when the lifecycle requires it: each
+/// connection does so once it is quiet.
 ///
-/// `was_closing` is whether the lifecycle required it at the last call, and is updated. While it
-/// neither did nor does, no connection is notified, and idle clients cost no time.
+/// `was_closing` is whether the lifecycle required it at the last call, and is updated. If it was
+/// not required then and is not required now, no connection is notified, so that idle clients cost
+/// no processor time.
 pub fn close_idle_connections(shared: &Shared, now: Micros, was_closing: &mut bool) {
     let lifecycle = shared.lifecycle.borrow();
     let transferring = lifecycle.successor_took_over();
@@ -119,8 +119,8 @@
     }
 }
 
-/// The process is about to exit, as the lifecycle already records: has every connection check
-/// whether it is quiet, and close then.
+/// Has every connection check whether it is quiet, and close then. Called when the process is about
+/// to exit, which the lifecycle already records.
 pub fn begin_shutdown(shared: &Shared) {
     for status in shared.clients.borrow().values() {
         status.request_close_check();
--- a/src/net/client/events.rs
+++ b/src/net/client/events.rs
@@ -7,8 +7,8 @@
 use crate::net::dispatcher::DispatcherEvent;
 use std::collections::VecDeque;
 
-/// The Retry-After of a request that is rejected because its connection is to end: the client reaches
-/// another one by then, or another gateway.
+/// The Retry-After of a request that is rejected because its connection is to be closed: by then the
+/// client can use another connection, or another gateway.
 const DRAIN_RETRY_AFTER: Micros = 50 * MS;
 
 impl<F: Frontend> ClientConnection<'_, F> {
@@ -18,9 +18,9 @@
         let mut events = without_cancelled_requests(std::mem::take(&mut self.events));
         while let Some(event) = events.pop_front() {
             let dispatcher_event = match event {
-                // Guards against a connection that is never quiet and would outlive the drain.
+                // Otherwise a connection that is never quiet would stay open beyond the drain.
                 FrontendEvent::Request(request) if self.rejects_new_requests(now) => {
-                    let rejected = self.reject_while_draining(now, request);
+                    let rejected = self.reject_new_request(now, request);
                     events.extend(self.events.drain(..));
                     rejected
                 }
@@ -45,7 +45,7 @@
         self.rejects_requests || self.shared.lifecycle.borrow().rejects_new_requests(now)
     }
 
-    fn reject_while_draining(&mut self, now: Micros, request: ClientRequest) -> DispatcherEvent {
+    fn reject_new_request(&mut self, now: Micros, request: ClientRequest) -> DispatcherEvent {
         self.frontend.write_response(
             now,
             request.origin.tag,
@@ -72,12 +72,12 @@
 }
 
 /// Drops each request that is followed by its own cancellation, together with that cancellation:
-/// nobody waits for it, so nothing of it is forwarded.
+/// no client waits for its response, so neither is forwarded.
 fn without_cancelled_requests(events: Vec<FrontendEvent>) -> VecDeque<FrontendEvent> {
     let mut remaining: VecDeque<FrontendEvent> = VecDeque::with_capacity(events.len());
     for event in events {
         let cancelled = match event {
-            FrontendEvent::RequestCancelled { tag } => position_of_request(&remaining, tag),
+            FrontendEvent::RequestCancelled { tag } => request_position(&remaining, tag),
             _ => None,
         };
         match cancelled {
@@ -89,7 +89,7 @@
 }
 
 /// The position of the latest request with this tag.
-fn position_of_request(events: &VecDeque<FrontendEvent>, tag: u64) -> Option<usize> {
+fn request_position(events: &VecDeque<FrontendEvent>, tag: u64) -> Option<usize> {
     events.iter().rposition(
         |event| matches!(event, FrontendEvent::Request(request) if request.origin.tag == tag),
     )
--- a/src/net/client/graceful_close.rs
+++ b/src/net/client/graceful_close.rs
@@ -1,4 +1,4 @@
-//! The graceful close of a client connection (lingering close): a close with unread input would
+//! The graceful close of a client connection (lingering close). A close with unread input would
 //! reset the connection, and the client would lose the last response.
 use super::connection::{ClientConnection, read_into_shared_buffer};
 use crate::clock::{self, MS, Micros, SEC};
@@ -11,17 +11,17 @@
 use std::io;
 use std::net::{Shutdown, TcpStream};
 
-/// Time to write the remaining output.
+/// How long writing the remaining output may take.
 const FINAL_WRITE_TIMEOUT: Micros = SEC;
-/// Time to wait for the client to close its side.
+/// How long to wait for the client to close its side.
 const LINGER_TIMEOUT: Micros = 300 * MS;
-/// Bytes that are read and discarded in that time at most.
+/// The most bytes that are read and discarded in that time.
 const MAX_LINGER_BYTES: usize = 1 << 20;
 
 impl<F: Frontend> ClientConnection<'_, F> {
     /// Writes the remaining output, shuts down the write side, and reads and discards what the
-    /// client still sends, within limits. A client repeats elsewhere a request that crosses the
-    /// close. Returns `reason`.
+    /// client still sends, within limits. A client sends a request that crosses the close again
+    /// elsewhere. Returns `reason`.
     pub(super) async fn close_gracefully(self, reason: Termination) -> Termination {
         let final_write = CountGuard::new(&self.shared.connections_with_unwritten_output);
         let write_side_closed = self.write_remaining_output().await
@@ -30,7 +30,7 @@
             return reason;
         }
         drop(final_write);
-        // Of the rest nothing counts any more while the connection waits for its client.
+        // Nothing else counts against a limit while the connection waits for its client.
         let ClientConnection {
             shared,
             stream,
@@ -44,7 +44,8 @@
         // A connection that only waits for its client to close does not count as a client socket.
         let closing_limit = shared.max_closing_sockets.get();
         let Some(_closing_guard) = CountGuard::up_to(&shared.closing_sockets, closing_limit) else {
-            // One read takes what has arrived, so that the close resets as seldom as possible.
+            // One read removes the input that has arrived, so that the close resets the connection as
+            // seldom as possible.
             let _ = io::Read::read(&mut stream.get_ref(), &mut shared.buffer.borrow_mut());
             return reason;
         };
@@ -71,7 +72,7 @@
     }
 }
 
-/// Reads until the client closes its side, an error, or the limit.
+/// Reads and discards input until the client closes its side, a read fails, or the limit is reached.
 async fn discard_input(stream: &Async<TcpStream>, shared: &Shared) {
     let mut discarded = 0;
     while discarded < MAX_LINGER_BYTES {
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -1,6 +1,6 @@
 //! The listeners of the client frontends.
-use super::connection_registry::shed_one;
-use super::listener_close::{accept_backlog, close_listener, wait_for_successors_end};
+use super::connection_registry::shed_idle_connection;
+use super::listener_close::{accept_backlog, close_listener, wait_until_no_successor};
 use super::start;
 use crate::frontend::Frontend;
 use crate::log;
@@ -19,11 +19,11 @@
 /// The backlog of a listener: connections that may wait to be accepted. The system has a limit of
 /// its own.
 const LISTEN_BACKLOG: i32 = 4_096;
-/// How long a listener waits when there is no descriptor for the next connection.
+/// How long a listener waits when no descriptor is free for the next connection.
 const NO_DESCRIPTOR_PAUSE: Duration = Duration::from_millis(10);
 
-/// Binds a listener. Its backlog is larger than the usual one: a client that does not fit into the
-/// backlog takes itself for connected and is served only seconds later.
+/// Binds a listener. Its backlog is larger than the default: a connection that does not fit into the
+/// backlog is established for the client, but accepted only seconds later.
 ///
 /// # Errors
 /// Those of the system, such as an address in use.
@@ -33,8 +33,8 @@
     Ok(listener)
 }
 
-/// Binds a listener at an address that another process may share (`SO_REUSEPORT`): its successor in
-/// a hot restart.
+/// Binds a listener at an address that another process may share (`SO_REUSEPORT`), such as the
+/// successor in a hot restart.
 ///
 /// # Errors
 /// Those of the system, such as an address in use.
@@ -53,7 +53,7 @@
     Ok(listener)
 }
 
-/// Permits processes of the same user to bind this listener's address too, by [`bind_shared`].
+/// Permits processes of the same user to bind this listener's address too, with [`bind_shared`].
 ///
 /// # Errors
 /// Those of the system.
@@ -62,7 +62,7 @@
 }
 
 /// Accepts connections until the process is about to exit or its successor accepts them, then empties
-/// the backlog; `new_frontend` makes the protocol of each from the connection's number.
+/// the backlog. `new_frontend` creates the protocol of each connection from the connection's number.
 pub async fn listen<F: Frontend + 'static>(
     shared: Rc<Shared>,
     dispatcher: Sender<DispatcherEvent>,
@@ -88,7 +88,7 @@
     let mut incoming = Box::pin(listener.incoming());
     loop {
         let stopped = async {
-            // An error says that the channel is closed, which is the signal to stop.
+            // An error means that the channel is closed, which is the signal to stop.
             let _ = shared.accepting.1.recv().await;
             None
         };
@@ -97,26 +97,27 @@
         };
         match accepted {
             Ok(stream) => serve(stream),
-            // Most likely all descriptors are in use: shed an idle connection, and do not spin.
+            // Most likely no descriptor is free: sheds an idle connection, and pauses to avoid a busy
+            // loop.
             Err(error) => {
-                log!("accepting a client: {error}");
-                shed_one(&shared);
+                log!("accepting a client connection failed: {error}");
+                shed_idle_connection(&shared);
                 Timer::after(NO_DESCRIPTOR_PAUSE).await;
             }
         }
-        // The connections in the backlog come without a pause: the actors get their turn first, so
-        // that the limit on sockets applies.
+        // Connections in the backlog are accepted without waiting: yielding lets their actors run
+        // first, so that the limit on client sockets applies.
         yield_now().await;
         wait_for_client_socket(&shared).await;
     }
     drop(incoming);
-    // A successor that serves accepts from the same backlog itself.
+    // A successor that has taken over accepts from the same backlog itself.
     if !shared.lifecycle.borrow().successor_took_over() {
         accept_backlog(&shared, &listener, &serve).await;
     }
     if shared.lifecycle.borrow().has_successor() {
         drop(listening);
-        wait_for_successors_end(&shared).await;
+        wait_until_no_successor(&shared).await;
     }
     close_listener(&shared, &listener, &serve).await;
 }
@@ -125,7 +126,7 @@
 async fn wait_for_client_socket(shared: &Shared) {
     let stopped = &shared.accepting.1;
     while shared.client_sockets.get() >= shared.max_client_sockets.get() && !stopped.is_closed() {
-        if !shed_one(shared) {
+        if !shed_idle_connection(shared) {
             Timer::after(NO_DESCRIPTOR_PAUSE).await;
         }
         yield_now().await;
--- a/src/net/client/listener_close.rs
+++ b/src/net/client/listener_close.rs
@@ -1,7 +1,7 @@
-//! The end of a listener: what is in its backlog is accepted, and from then on the system refuses
-//! connections. Without this the system would go on to complete connections that nobody accepts, and
-//! reset them when the process exits.
-use super::connection_registry::shed_one;
+//! The close of a listener: the connections in its backlog are accepted, and from then on the system
+//! refuses connections. Otherwise the system would continue to complete connections that no process
+//! accepts, and reset them when the process exits.
+use super::connection_registry::shed_idle_connection;
 use crate::log;
 use crate::net::Shared;
 use async_io::{Async, Timer};
@@ -12,11 +12,11 @@
 use std::rc::Weak;
 use std::time::Duration;
 
-/// How long a connection that has begun may take to be complete.
-const HANDSHAKE_TIME: Duration = Duration::from_millis(1);
-/// The interval at which a listener looks whether the successor that has it too is still there.
+/// How long a connection whose handshake has begun may take to complete it.
+const HANDSHAKE_GRACE_PERIOD: Duration = Duration::from_millis(1);
+/// The interval at which a listener checks whether a successor that shares it still exists.
 const SUCCESSOR_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long the backlog waits for a descriptor.
+/// The interval at which accepting from the backlog is retried while no descriptor is free.
 const DESCRIPTOR_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Empties the backlog, and closes the listener with its duplicates for successors.
@@ -27,20 +27,22 @@
 ) {
     shared.listeners_closing.set(true);
     let socket = SockRef::from(listener.get_ref());
-    // Without the filter a connection between the last look at the backlog and the close is reset.
-    if let Err(error) = socket.attach_filter(&ignore_first_segments()) {
-        log!("connections of the next moment may be reset: {error}");
+    // Without the filter, a connection that is completed between the last accept and the close would
+    // be reset.
+    if let Err(error) = socket.attach_filter(&syn_drop_filter()) {
+        log!("no SYN filter for a closing listener; new connections may be reset: {error}");
     }
     accept_backlog(shared, listener, serve).await;
-    Timer::after(HANDSHAKE_TIME).await;
+    Timer::after(HANDSHAKE_GRACE_PERIOD).await;
     accept_backlog(shared, listener, serve).await;
-    // An error says that the listener is closed already.
+    // An error means that the listener is closed already.
     let _ = socket.shutdown(Shutdown::Both);
 }
 
 /// A packet filter for a listener that drops TCP segments with the SYN flag: no connection begins, and
-/// those that have begun are completed. Their clients try again a second later.
-fn ignore_first_segments() -> [SockFilter; 4] {
+/// those that have begun are completed. The clients of dropped segments send them again a second
+/// later.
+fn syn_drop_filter() -> [SockFilter; 4] {
     const LOAD_BYTE: u16 = 0x30;
     const JUMP_IF_SET: u16 = 0x45;
     const RETURN: u16 = 0x06;
@@ -56,15 +58,16 @@
     ]
 }
 
-/// Waits until no successor has the listener.
-pub(super) async fn wait_for_successors_end(shared: &Shared) {
+/// Waits until no successor shares the listener.
+pub(super) async fn wait_until_no_successor(shared: &Shared) {
     while shared.lifecycle.borrow().has_successor() {
         Timer::after(SUCCESSOR_POLL_INTERVAL).await;
     }
 }
 
-/// Accepts what is in the backlog. Its clients take themselves for connected: each gets its response
-/// or a graceful close. Where descriptors are short it waits for some, until the process exits.
+/// Accepts the connections in the backlog. For their clients they are established already: each gets
+/// its response or a graceful close. While no descriptor is free it waits for one, until the process
+/// exits.
 pub(super) async fn accept_backlog(
     shared: &Shared,
     listener: &Async<TcpListener>,
@@ -82,16 +85,16 @@
                 }
             }
             Err(error) if is_out_of_descriptors(&error) => wait_for_descriptor(shared).await,
-            // The client has gone.
+            // The client has closed the connection.
             Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
-            // It is empty, or closed.
+            // The backlog is empty, or the listener is closed.
             Err(_) => return,
         }
     }
 }
 
 async fn wait_for_descriptor(shared: &Shared) {
-    if !shed_one(shared) {
+    if !shed_idle_connection(shared) {
         Timer::after(DESCRIPTOR_POLL_INTERVAL).await;
     }
     yield_now().await;
@@ -104,8 +107,8 @@
     codes.iter().any(|known| Some(known.raw_os_error()) == code)
 }
 
-/// The connections that are in the backlogs of this process's listeners and that its exit resets. Takes
-/// them out. Those that a successor will accept do not count.
+/// Counts the connections in the backlogs of this process's listeners that its exit would reset, and
+/// accepts them to do so. Connections that a successor will accept do not count.
 pub fn count_unaccepted(shared: &Shared) -> usize {
     if shared.lifecycle.borrow().has_successor() {
         return 0;
--- a/src/net/client/message_pacing.rs
+++ b/src/net/client/message_pacing.rs
@@ -1,15 +1,14 @@
-//! Message pacing: a bound on the messages of one client that are parsed per interval without a
-//! completed request to show for them. Guards the other clients' share of the processor.
+//! Message pacing: a limit on the messages of one client that are parsed per interval. Messages of
+//! completed requests do not count. This keeps one client from taking the processor time of others.
 //!
-//! An interval is shorter than the time by which the platform lets a response be late, so that a
-//! request that waits for the next interval still gets its response in time, whatever the messages
-//! before it were.
+//! An interval is shorter than the delay that the platform permits for a response, so that a request
+//! that waits for the next interval still gets its response in time, whatever messages precede it.
 use crate::clock::{MS, Micros};
 
 /// The length of an interval: the longest time for which a client's next message is deferred.
 pub(super) const PACING_INTERVAL: Micros = 20 * MS;
-/// Messages parsed per interval: as many requests as may be open on a connection, and as many
-/// cancellations.
+/// The most messages parsed per interval: as many requests as may be open on a connection, and as
+/// many cancellations.
 pub(super) const MAX_MESSAGES_PER_INTERVAL: u64 = 64;
 
 /// The messages of one client in the current interval.
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -30,11 +30,11 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Responses that wait for a connection's actor at most: more than a frontend admits open requests
-/// on one connection.
+/// The capacity of a connection's mailbox for responses: larger than the number of open requests that
+/// a frontend permits on one connection.
 const RESPONSE_MAILBOX_CAPACITY: usize = 64;
-/// A connection that was just accepted or just served has this long to send a request before it can
-/// be shed, however many others wait.
+/// A connection that was just accepted, or just received a response, has this long to send a request
+/// before it can be shed, however many other clients wait.
 const SHED_GRACE_PERIOD: Micros = 100 * MS;
 
 /// A connection that another process transferred to this one.
@@ -47,7 +47,7 @@
     pub predecessor: Sender<HotRestartMessage>,
 }
 
-/// What the actor of a connection starts with.
+/// The initial state of a connection's actor.
 struct NewConnection<F> {
     id: u64,
     stream: Async<TcpStream>,
@@ -140,35 +140,35 @@
         has_unread_input: false,
         rejects_requests: false,
     };
-    let served = shared.contain_panic("a client's connection", running.run());
+    let served = shared.contain_panic("the actor of a client connection", running.run());
     let reason = served.await.unwrap_or(Termination::Dropped);
     if let Some(predecessor) = predecessor {
         notify_predecessor(&predecessor);
     }
     shared.clients.borrow_mut().remove(&id);
-    log_unexpected_end(reason);
+    log_unexpected_termination(reason);
     let _ = dispatcher
         .send(DispatcherEvent::ClientDisconnected(id))
         .await;
 }
 
-/// Tells the process that passed the connection on that its client has disconnected.
+/// Notifies the process that transferred the connection that its client has disconnected.
 fn notify_predecessor(predecessor: &PredecessorLink) {
-    let gone = HotRestartMessage::ClientGone {
+    let message = HotRestartMessage::ClientGone {
         conn: predecessor.connection_number,
     };
-    // A predecessor that has exited does not need to know.
-    let _ = predecessor.messages.try_send(gone);
+    // A predecessor that has exited needs no notification.
+    let _ = predecessor.messages.try_send(message);
 }
 
-/// Logs the end of a connection, unless it is one that usual clients and limits cause.
-fn log_unexpected_end(reason: Termination) {
+/// Logs why a connection ended, unless it is a reason that ordinary clients and limits cause.
+fn log_unexpected_termination(reason: Termination) {
     let expected = matches!(
         reason,
         Termination::Closed | Termination::Idle | Termination::Done | Termination::LocalLimit
     );
     if !expected {
-        log!("a client's connection ended: {reason}");
+        log!("a client connection ended: {reason}");
     }
 }
 
--- a/src/net/client/transfer.rs
+++ b/src/net/client/transfer.rs
@@ -12,15 +12,15 @@
 use futures_lite::future::or;
 use std::rc::Rc;
 
-/// What wakes a connection whose socket the successor has.
-enum Wake {
+/// Why a connection whose socket was transferred to the successor woke up.
+enum TransferWakeReason {
     Response(Result<(u64, Response), RecvError>),
     Message(Result<HotRestartMessage, RecvError>),
 }
 
 impl<F: Frontend> ClientConnection<'_, F> {
     /// The successor and the protocol state for it, if the connection is to be transferred and can
-    /// be now.
+    /// be transferred now.
     pub(super) fn transfer_target(
         &self,
     ) -> Option<(Sender<TransferredItem>, TransferredConnection)> {
@@ -34,8 +34,8 @@
         successor.zip(self.frontend.transfer_state())
     }
 
-    /// Transfers the socket to the successor, and then each response to a request that is still
-    /// open here.
+    /// Transfers the socket to the successor, and then the response to each request that is still
+    /// open in this process.
     pub(super) async fn transfer(
         self,
         successor: Sender<TransferredItem>,
@@ -53,7 +53,7 @@
             ..
         } = self;
         state.unwritten = output.pending().to_vec();
-        // With this the registry's weak reference is void: nothing here polls the socket any more.
+        // This invalidates the registry's weak reference: this process no longer polls the socket.
         let stream = Rc::try_unwrap(stream).map(|stream| stream.into_inner());
         let Ok(Ok(stream)) = stream else {
             return Termination::Reset;
@@ -81,7 +81,7 @@
     }
 }
 
-/// The open requests of a connection whose socket the successor has.
+/// The open requests of a connection whose socket was transferred to the successor.
 struct OpenRequests<'a, F> {
     id: u64,
     frontend: F,
@@ -91,8 +91,8 @@
 }
 
 impl<F: Frontend> OpenRequests<'_, F> {
-    /// Forwards each response to the successor, and each cancellation from there to the dispatcher,
-    /// until no request is open.
+    /// Forwards each response to the successor, and each cancellation from the successor to the
+    /// dispatcher, until no request is open.
     async fn finish(
         mut self,
         successor: &Sender<TransferredItem>,
@@ -100,10 +100,10 @@
         messages: &Receiver<HotRestartMessage>,
     ) -> Termination {
         while self.frontend.open_requests() > 0 {
-            let response = async { Wake::Response(responses.recv().await) };
-            let message = async { Wake::Message(messages.recv().await) };
+            let response = async { TransferWakeReason::Response(responses.recv().await) };
+            let message = async { TransferWakeReason::Message(messages.recv().await) };
             match or(response, message).await {
-                Wake::Response(Ok((tag, response))) => {
+                TransferWakeReason::Response(Ok((tag, response))) => {
                     if self
                         .forward_response(successor, tag, response)
                         .await
@@ -112,8 +112,12 @@
                         return Termination::Dropped;
                     }
                 }
-                Wake::Message(Ok(HotRestartMessage::Cancel { tag, .. })) => self.cancel(tag).await,
-                Wake::Response(Err(_)) | Wake::Message(_) => return Termination::Closed,
+                TransferWakeReason::Message(Ok(HotRestartMessage::Cancel { tag, .. })) => {
+                    self.cancel(tag).await
+                }
+                TransferWakeReason::Response(Err(_)) | TransferWakeReason::Message(_) => {
+                    return Termination::Closed;
+                }
             }
         }
         Termination::Done
--- a/src/net/client/wait.rs
+++ b/src/net/client/wait.rs
@@ -10,43 +10,45 @@
 use std::future::pending;
 use std::io;
 
-/// Reading from a client stops while more bytes than this wait to be written to it.
+/// Input from a client is deferred while more bytes than this wait to be written to it.
 const MAX_UNWRITTEN_BYTES: usize = 256 * 1024;
-/// Deferred input that a connection holds at most; beyond this nothing is read, and the client's
-/// disconnect is detected by polling instead.
+/// The most deferred input that a connection buffers; once it is reached nothing is read, and the
+/// client's disconnect is detected by polling instead.
 const MAX_DEFERRED_BYTES: usize = 64 * 1024;
 /// The interval of that polling.
 const DISCONNECT_POLL_INTERVAL: Micros = 20 * MS;
-/// A client without open requests is disconnected after this time without activity. Usual clients
+/// A client without open requests is disconnected after this time without activity. Ordinary clients
 /// close their side after 4 s.
 const IDLE_TIMEOUT: Micros = 10 * SEC;
 /// A client has to send its first valid message, and the rest of a message that it began, within
-/// this time. Guards against clients that connect in large numbers, send nothing or a part of a
-/// message, and exclude others.
+/// this time. Otherwise clients that connect in large numbers, and send nothing or a part of a
+/// message, would exclude others.
 const MESSAGE_TIMEOUT: Micros = 2_500 * MS;
 /// A client that does not read its responses is disconnected after this time.
 const WRITE_STALL_TIMEOUT: Micros = 10 * SEC;
 
 /// Why the connection woke up.
 pub(super) enum WakeReason {
-    /// The dispatcher sent the response to the request with that tag; `None`: it closed the mailbox.
+    /// The dispatcher sent the response to the request with that tag; `None` if it closed the
+    /// mailbox.
     Response(Option<(u64, Response)>),
     /// The connection is to check whether it should close: it is shed, its drain began, or it has
     /// been quiet for long enough.
     CloseCheck,
-    /// Bytes were read into the shared buffer; zero: the client closed its side.
+    /// Bytes were read into the shared buffer; zero if the client closed its side.
     Read(io::Result<usize>),
-    /// The socket took bytes.
+    /// Bytes were written to the socket.
     Written(io::Result<usize>),
     /// A deadline of the [`WaitPlan`] passed.
     Deadline,
 }
 
-/// Whether input of this client is deferred at present, and until when.
+/// Whether input from this client is deferred now, and until when.
 pub(super) struct Throttle {
     /// The pacing of its messages defers them until this time.
     pub(super) resumes_at: Option<Micros>,
-    /// Too many bytes wait to be written to this client, or to all and some of them to this one.
+    /// Too many bytes wait to be written: to this client, or to all clients together while this one
+    /// does not keep up with reading.
     pub(super) output_is_full: bool,
 }
 
@@ -64,13 +66,13 @@
     pub(super) input_blocked: bool,
     /// Bytes wait to be written.
     pub(super) writing: bool,
-    /// Nothing is open, deferred or to be written.
+    /// No request is open, no input is deferred, and no output is to be written.
     pub(super) idle: bool,
-    /// The connection waits for a valid message that is due by then.
+    /// When the valid message is due that the connection waits for.
     pub(super) message_due_at: Option<Micros>,
-    /// The client counts as unresponsive from then on, unless it acts before.
+    /// When the client counts as unresponsive, unless there is activity before.
     pub(super) unresponsive_at: Option<Micros>,
-    /// The connection closes at this time if it stays quiet: it is draining.
+    /// When a draining connection closes if it stays quiet.
     quiet_close_at: Option<Micros>,
     wake_at: Option<Micros>,
 }
@@ -97,11 +99,11 @@
         let unwritten = self.output.update_quota();
         let over_shared_limit =
             self.shared.unwritten_bytes.get() > self.shared.max_unwritten_bytes.get();
-        // A client that reads its responses does not wait for those that do not.
+        // A client that reads its responses is not throttled because others do not read theirs.
         let reads_slowly = unwritten > IDLE_CAPACITY_BYTES;
         let lifecycle = self.shared.lifecycle.borrow();
-        // Where new requests are rejected anyway, the connection has to become quiet: what is deferred
-        // is answered at once.
+        // Pacing ends when new requests are rejected: deferred requests are rejected at once, so that
+        // the connection becomes quiet.
         let rejects_from = lifecycle.rejects_from().unwrap_or(Micros::MAX);
         let resumes_at = self.pacing.resumes_at(now).map(|at| at.min(rejects_from));
         Throttle {
@@ -116,7 +118,7 @@
         let writing = self.is_writing();
         let open_requests = self.frontend.open_requests();
         let idle = !writing && open_requests == 0 && self.deferred.is_empty();
-        // Input that is deferred already comes first.
+        // Input that is already deferred is parsed first.
         let defers_input =
             throttle.is_active() || !self.deferred.is_empty() || self.frontend.awaits_response();
         let input_blocked = defers_input && self.deferred.len() >= MAX_DEFERRED_BYTES;
@@ -147,7 +149,7 @@
         }
     }
 
-    /// When the client's first valid message, or the rest of the incomplete one, has to be here.
+    /// When the client's first valid message, or the rest of the incomplete one, is due.
     fn message_due_at(&self) -> Option<Micros> {
         let first_message_since = (!self.frontend.has_valid_message()).then_some(self.accepted_at);
         let waiting_since = self
@@ -159,17 +161,17 @@
         waiting_since.map(|since| since + MESSAGE_TIMEOUT)
     }
 
-    /// When the connection closes for the sake of a drain or of the end of the process, provided
-    /// that it is quiet then. An incomplete message keeps it open during a drain; at the end of the
-    /// process it requests nothing.
+    /// When the connection closes because of a drain or the exit of the process, provided that it is
+    /// quiet then. An incomplete message keeps it open during a drain, but not when the process is
+    /// about to exit.
     fn quiet_close_at(&self, now: Micros) -> Option<Micros> {
         let lifecycle = self.shared.lifecycle.borrow();
         let closing = lifecycle.is_closing();
         let no_message_begun =
             self.frontend.message_started_at().is_none() && self.frontend.buffered_bytes() == 0;
         let quiet = (closing || no_message_begun) && !self.has_unread_input;
-        let leaves = quiet && (closing || self.status.draining.get());
-        leaves.then(|| {
+        let closes_when_quiet = quiet && (closing || self.status.draining.get());
+        closes_when_quiet.then(|| {
             let is_active_client = self.frontend.has_valid_message();
             self.active_at + lifecycle.required_quiet_time(self.id, now, is_active_client)
         })
@@ -200,14 +202,15 @@
         or(response, or(close_check, or(write, or(read, deadline)))).await
     }
 
-    /// Returns at once if an idle connection has been quiet for long enough, else when the
-    /// connection's status asks for a check. Unread input comes first: it makes this wait forever.
+    /// Returns at once if an idle connection has been quiet for long enough, otherwise when a check is
+    /// requested through the connection's status. Unread input is handled first: while there is any,
+    /// this never returns for an idle connection that is not yet due to close.
     ///
-    /// A connection that is not idle wakes up as well: what it deferred may now have to be parsed.
+    /// A connection that is not idle wakes up as well: its deferred input may now have to be parsed.
     async fn wait_for_close_check(&self, now: Micros, plan: &WaitPlan) -> WakeReason {
         if !plan.idle {
             if self.close_checks.recv().await.is_err() {
-                // It is shed once it is idle again.
+                // A closed channel means that the connection is shed, once it is idle again.
                 return pending().await;
             }
             return WakeReason::CloseCheck;
@@ -216,13 +219,13 @@
             if self.has_unread_input {
                 return pending().await;
             }
-            // An error says that the channel is closed: the connection is shed.
+            // An error means that the channel is closed: the connection is shed.
             let _ = self.close_checks.recv().await;
         }
         WakeReason::CloseCheck
     }
 
-    /// Publishes to the connection registry what the listeners and the lifecycle need to know.
+    /// Publishes to the connection registry the state that the listeners and the lifecycle use.
     pub(super) fn publish_status(&self, plan: &WaitPlan) {
         self.status
             .has_valid_message
--- a/src/net/engine/actor.rs
+++ b/src/net/engine/actor.rs
@@ -1,4 +1,4 @@
-//! The actor of one engine: assigns attempts to connections and opens new ones.
+//! The actor of one engine: assigns attempts to its connections, and opens new connections.
 use super::connection::Connection;
 use super::connection_handle::{ConnectionHandle, ConnectionStatus};
 use super::{EndpointHandle, EngineCommand, MailboxSender, Peer, bounded, report_unsent};
@@ -15,16 +15,17 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Time during which an engine that has left the endpoint list may still answer what is in flight.
+/// How long an engine that was removed from the endpoint list may still respond to attempts in
+/// flight.
 const REMOVAL_GRACE_MICROS: Micros = SEC;
 /// Capacity of a connection's mailbox in commands, in addition to two for each of its streams.
 const EXTRA_CONNECTION_COMMANDS: usize = 64;
 
-/// Why the actor runs again.
+/// Why the actor woke up.
 enum WakeReason {
-    /// A command came.
+    /// A command was received.
     Command(EngineCommand),
-    /// The grace period of a removed engine is over.
+    /// The grace period of a removed engine has expired.
     RemovalDue,
     /// The mailbox was closed: the endpoint was closed or aborted.
     MailboxClosed,
@@ -36,13 +37,14 @@
     pub(super) dispatcher: Sender<DispatcherEvent>,
     pub(super) endpoint: Rc<EndpointHandle>,
     pub(super) peer: Rc<Peer>,
-    /// Makes the protocol of a new connection.
+    /// Creates the protocol of a new connection.
     pub(super) new_protocol: Box<dyn Fn() -> P>,
     /// The sending end of `mailbox`, for the tasks of connections.
     pub(super) commands: MailboxSender<EngineCommand>,
     pub(super) mailbox: Receiver<EngineCommand>,
     pub(super) connections: Vec<ConnectionHandle>,
-    /// The attempt that is being assigned to a connection: owed an end if this actor panics.
+    /// The attempt that is being assigned to a connection. It is reported as unsent if this actor
+    /// panics.
     pub(super) assigning: Option<AttemptId>,
     /// When a removed engine's connections are closed.
     pub(super) close_at: Option<Micros>,
@@ -52,25 +54,26 @@
 where
     P: Protocol + 'static,
 {
-    /// Runs until nothing is left to do or the engine is removed. Connections end with it.
+    /// Runs until no connection and no command is left, the engine is removed, or the mailbox is
+    /// closed. The connections are closed when the actor ends.
     pub(super) async fn run(mut self) {
         let shared = self.shared.clone();
         let serve = self.serve();
         shared.contain_panic("the actor of an engine", serve).await;
-        self.shut_down().await;
+        self.close_mailbox().await;
     }
 
     async fn serve(&mut self) {
         loop {
-            self.forget_closed_connections();
+            self.remove_closed_connections();
             // No other task runs between this check and the closing of the mailbox, so no command
-            // is lost: the next one finds no actor and starts one.
+            // is lost: the next command finds no actor and starts one.
             if self.connections.is_empty() && self.mailbox.is_empty() {
                 break;
             }
             match self.next_wake().await {
                 WakeReason::Command(command) => {
-                    self.forget_closed_connections();
+                    self.remove_closed_connections();
                     self.handle(command).await;
                 }
                 WakeReason::RemovalDue | WakeReason::MailboxClosed => break,
@@ -92,8 +95,8 @@
         or(command, removal).await
     }
 
-    /// Closes the mailbox; attempts that are still in it were never sent.
-    async fn shut_down(self) {
+    /// Closes the mailbox, and reports the attempts that are still in it, as they were never sent.
+    async fn close_mailbox(self) {
         self.mailbox.close();
         if let Some(attempt) = self.assigning {
             report_unsent(&self.dispatcher, attempt, Termination::LocalLimit).await;
@@ -105,7 +108,7 @@
         }
     }
 
-    fn forget_closed_connections(&mut self) {
+    fn remove_closed_connections(&mut self) {
         self.connections
             .retain(|connection| !connection.commands.is_closed());
     }
@@ -119,13 +122,13 @@
             }
             EngineCommand::Cancel { id, .. } => self.cancel_attempt(id, command),
             EngineCommand::MarkSlow { id, .. } | EngineCommand::SetPriority { id, .. } => {
-                self.advise_attempt(id, command);
+                self.update_attempt(id, command);
             }
             EngineCommand::Probe { .. } => self.probe(command).await,
             EngineCommand::CloseIdle => self.close_idle_connections(),
             EngineCommand::Drain => self.drain(),
             EngineCommand::Remove => self.remove(),
-            // The connection was forgotten when the actor woke up.
+            // The connection was removed when the actor woke up.
             EngineCommand::ConnectionEnded => {}
         }
     }
@@ -136,7 +139,7 @@
             return;
         }
         // Otherwise the statement would run on the tables of another database.
-        if names_database(&request) && !self.peer.options.supports_databases {
+        if selects_database(&request) && !self.peer.options.supports_databases {
             report_unsent(
                 &self.dispatcher,
                 request.attempt_id(),
@@ -159,7 +162,7 @@
         }
     }
 
-    /// The index of the connection that carries an attempt, or `None` if it needs a new one.
+    /// The index of the connection that is to carry an attempt, or `None` if it needs a new one.
     fn select_connection(&self, request: &AttemptRequest) -> Option<usize> {
         let used_sockets = self.shared.engine_sockets.get();
         let sockets_available = used_sockets < self.shared.max_engine_sockets.get() * 3 / 4;
@@ -177,17 +180,17 @@
             .find(|connection| connection.carries(id))
     }
 
-    /// An attempt that can't be cancelled ends with its connection, so that no more attempts of a
-    /// request are in flight than the dispatcher knows of.
+    /// If the cancellation cannot be passed on, the connection is closed, so that no more attempts of
+    /// a request are in flight than the dispatcher counts.
     fn cancel_attempt(&self, id: RequestId, command: EngineCommand) {
         if let Some(connection) = self.connection_of(id) {
             connection.send_or_close(command);
         }
     }
 
-    /// If the connection's mailbox is full, the attempt keeps its priority and its connection is
-    /// not suspected.
-    fn advise_attempt(&self, id: RequestId, command: EngineCommand) {
+    /// If the connection's mailbox is full, the command is dropped: the attempt keeps its priority,
+    /// or its connection does not become suspect.
+    fn update_attempt(&self, id: RequestId, command: EngineCommand) {
         if let Some(connection) = self.connection_of(id) {
             connection.send_best_effort(command);
         }
@@ -225,15 +228,15 @@
         }
     }
 
-    /// The grace period bounds memory and descriptors where engines are replaced all the time, and
-    /// ends what waits for an engine that disappeared without closing its connections.
+    /// The grace period limits memory and descriptors where engines are replaced continually, and
+    /// ends attempts that wait for an engine that disappeared without closing its connections.
     fn remove(&mut self) {
         self.close_at
             .get_or_insert_with(|| clock::now() + REMOVAL_GRACE_MICROS);
         self.drain();
     }
 
-    /// Adds a connection whose task establishes it.
+    /// Adds a connection, and starts the task that establishes it.
     fn open_connection(&mut self) -> &ConnectionHandle {
         let protocol = (self.new_protocol)();
         let max_streams = protocol.max_streams();
@@ -267,7 +270,7 @@
     }
 }
 
-fn names_database(request: &AttemptRequest) -> bool {
+fn selects_database(request: &AttemptRequest) -> bool {
     let session = request.session.as_ref();
     session.is_some_and(|session| session.database.is_some())
 }
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -36,29 +36,29 @@
     pub(super) events: Vec<ConnectionEvent>,
 }
 
-/// Why the task of an established connection runs again.
+/// Why the task of an established connection woke up.
 enum WakeReason {
-    /// A command came; `None` if the mailbox was closed.
+    /// A command was received; `None` if the mailbox was closed.
     Command(Option<EngineCommand>),
     /// Bytes were written.
-    Wrote(io::Result<usize>),
+    Written(io::Result<usize>),
     /// Bytes were read.
     Read(io::Result<usize>),
-    /// A timeout has expired.
+    /// A timeout expired.
     Timeout,
 }
 
-/// Why the task of a connection that is being established runs again.
+/// Why the task of a connection that is being established woke up.
 enum ConnectWakeReason {
-    /// A command came; `None` if the mailbox was closed.
+    /// A command was received; `None` if the mailbox was closed.
     Command(Option<EngineCommand>),
     /// The connection was established, or could not be.
     Connected(io::Result<Async<TcpStream>>),
-    /// The time for establishing it is over.
+    /// The timeout for establishing it expired.
     Timeout,
 }
 
-/// When an established connection has to be closed if nothing happens before.
+/// When an established connection is to be closed unless there is progress before.
 #[derive(Clone, Copy)]
 struct CloseTimeouts {
     /// Set while the connection is idle.
@@ -68,7 +68,7 @@
 }
 
 impl<P: Protocol> Connection<P> {
-    /// Runs the connection to its end, which is reported to the engine's actor.
+    /// Runs the connection until it is closed, which is reported to the engine's actor.
     pub(super) async fn run(mut self, shared: &Shared, actor: &MailboxSender<EngineCommand>) {
         let max_sockets = shared.max_engine_sockets.get();
         let socket = CountGuard::up_to(&shared.engine_sockets, max_sockets);
@@ -81,11 +81,13 @@
             None => Termination::LocalLimit,
         };
         self.close(reason).await;
-        // An actor whose mailbox is full or closed finds out by itself.
+        // Not needed if the actor's mailbox is full or closed: the actor removes closed connections
+        // whenever it wakes up.
         let _ = actor.try_send(EngineCommand::ConnectionEnded);
     }
 
-    /// Ends everything on the connection; attempts that are still in the mailbox were never sent.
+    /// Ends all attempts and load probes on the connection. Attempts that are still in the mailbox
+    /// were never sent.
     async fn close(&mut self, reason: Termination) {
         let now = clock::turn();
         self.mailbox.close();
@@ -105,8 +107,8 @@
         }
     }
 
-    /// Establishes the connection. Commands are processed meanwhile, so that a drain withdraws the
-    /// attempts that wait for it.
+    /// Establishes the connection. Commands are processed meanwhile, so that a drain ends the attempts
+    /// that wait for it.
     async fn connect(&mut self) -> Result<Async<TcpStream>, Termination> {
         let mut connecting = pin!(Async::<TcpStream>::connect(self.peer.addr));
         let timeout_at = clock::turn() + self.peer.options.connect_timeout;
@@ -132,9 +134,9 @@
         }
     }
 
-    /// Serves the established connection until it has to be closed, and gives the reason.
+    /// Serves the established connection until it has to be closed, and returns the reason.
     async fn serve(&mut self, stream: &Async<TcpStream>, shared: &Shared) -> Termination {
-        // Without it commands are delayed, but not lost.
+        // An error is ignored: without this option commands are only delayed.
         let _ = stream.get_ref().set_nodelay(true);
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         let mut last_progress_at = clock::now();
@@ -142,18 +144,18 @@
             if let Some(reason) = self.state.close_reason() {
                 return reason;
             }
-            self.withdraw_abandoned(shared).await;
+            self.cancel_for_disconnected_clients(shared).await;
             self.report_events().await;
             let timeouts = self.close_timeouts(last_progress_at);
             let reason = self.next_wake(stream, &mut buffer, timeouts).await;
             let now = clock::turn();
-            let wrote = matches!(reason, WakeReason::Wrote(Ok(_)));
-            if wrote || timeouts.write_stall_at.is_none() {
+            let written = matches!(reason, WakeReason::Written(Ok(_)));
+            if written || timeouts.write_stall_at.is_none() {
                 last_progress_at = now;
             }
             let outcome = match reason {
                 WakeReason::Command(command) => self.on_command(now, command, timeouts),
-                WakeReason::Wrote(written) => self.on_written(now, written, shared),
+                WakeReason::Written(written) => self.on_written(now, written, shared),
                 WakeReason::Read(read) => self.on_read(now, read, &buffer),
                 WakeReason::Timeout => self.on_timeout(now, timeouts),
             };
@@ -190,7 +192,7 @@
         let command = async { WakeReason::Command(self.mailbox.recv().await.ok()) };
         let write = async {
             match self.state.pending_output() {
-                Some(bytes) => WakeReason::Wrote(writer.write(bytes).await),
+                Some(bytes) => WakeReason::Written(writer.write(bytes).await),
                 None => std::future::pending().await,
             }
         };
@@ -273,8 +275,8 @@
                 attempt,
                 priority,
             } => self.state.set_priority(id, attempt, priority),
-            // Checked here as well: the command may have waited for the connection, or the process
-            // may have been stopped meanwhile.
+            // Checked here too: the command may have waited until the connection was established, or
+            // the process may have been suspended meanwhile.
             EngineCommand::Probe { not_after } if now >= not_after => {
                 self.events.push(ConnectionEvent::ProbeCompleted {
                     kind: OutcomeKind::NeverSent,
@@ -288,10 +290,10 @@
         }
     }
 
-    /// Withdraws attempts that are about to be sent for a client that has disconnected. The
-    /// disconnection is reported first, so that the dispatcher does not retry them.
-    async fn withdraw_abandoned(&mut self, shared: &Shared) {
-        while let Some(starting) = self.next_abandoned(shared) {
+    /// Cancels attempts that are about to be sent for a client that has disconnected. The disconnect
+    /// is reported first, so that the dispatcher does not retry them.
+    async fn cancel_for_disconnected_clients(&mut self, shared: &Shared) {
+        while let Some(starting) = self.next_for_disconnected_client(shared) {
             let event = DispatcherEvent::ClientDisconnected(starting.client_connection);
             let _ = self.dispatcher.send(event).await;
             self.state.cancel_attempt(
@@ -303,17 +305,17 @@
         }
     }
 
-    fn next_abandoned(&self, shared: &Shared) -> Option<StartingAttempt> {
+    fn next_for_disconnected_client(&self, shared: &Shared) -> Option<StartingAttempt> {
         let starting = self.state.next_starting_attempt()?;
         shared
             .client_disconnected(starting.client_connection)
             .then_some(starting)
     }
 
-    /// Reports events to the dispatcher. While its mailbox is full only this connection waits.
+    /// Reports events to the dispatcher. While its mailbox is full, only this connection waits.
     async fn report_events(&mut self) {
         if !self.events.is_empty() {
-            // Before the events: the dispatcher may retry at once.
+            // Updated before the events are reported: the dispatcher may retry at once.
             let abandoned = self.state.abandoned_requests().collect();
             *self.status.abandoned_requests.borrow_mut() = abandoned;
         }
--- a/src/net/engine/connection_handle.rs
+++ b/src/net/engine/connection_handle.rs
@@ -1,4 +1,5 @@
-//! What an engine's actor knows of one of its connections, and which connection carries an attempt.
+//! The handle by which an engine's actor uses one of its connections, and the choice of the connection
+//! that carries an attempt.
 use super::{EngineCommand, MailboxSender};
 use crate::dispatcher::AttemptRequest;
 use crate::policy::api::RequestId;
@@ -9,35 +10,37 @@
 /// The state of a connection that its task shares with the engine's actor.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionStatus {
-    /// The number of attempts that it can carry in addition to those in flight.
+    /// The number of attempts that the connection can carry in addition to those in flight.
     pub(super) free_streams: Cell<usize>,
-    /// The requests with an attempt on it, also those that its task has not processed yet.
+    /// The requests with an attempt on the connection, including attempts that its task has not
+    /// processed yet.
     pub(super) attempts: RefCell<BTreeSet<RequestId>>,
-    /// Requests that may not be retried on it.
+    /// Requests that may not be retried on the connection.
     pub(super) abandoned_requests: RefCell<BTreeSet<RequestId>>,
-    /// Whether anything was received from the engine on it.
+    /// Whether anything was received from the engine on the connection.
     pub(super) has_received: Cell<bool>,
 }
 
 /// The order in which connections are preferred for an attempt, lowest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Preference {
-    unproven: bool,
+    never_received: bool,
     free_streams: usize,
 }
 
-/// A connection, as the engine's actor sees it. Dropping it ends the connection.
+/// The engine actor's handle of a connection. Dropping it closes the connection.
 pub(super) struct ConnectionHandle {
     pub(super) commands: MailboxSender<EngineCommand>,
     pub(super) status: Rc<ConnectionStatus>,
-    /// The latest attempt on it must never run twice: it carries nothing else meanwhile.
+    /// The latest attempt on the connection must never run twice: the connection carries no other
+    /// attempt meanwhile.
     pub(super) exclusive: Cell<bool>,
 }
 
 impl ConnectionHandle {
-    /// Whether it may carry this attempt. While sockets are available, an attempt that must never
-    /// run twice shares no connection: a corrupted response to another attempt, or a reset, would
-    /// end it too and leave open whether it ran.
+    /// Whether the connection may carry this attempt. While sockets are available, an attempt that
+    /// must never run twice shares no connection: a corrupted response to another attempt, or a reset,
+    /// would end it too, and it would be unknown whether it ran.
     pub(super) fn accepts(&self, request: &AttemptRequest, sockets_available: bool) -> bool {
         let queued = self.commands.len();
         let unused = self.status.attempts.borrow().is_empty() && queued == 0;
@@ -52,12 +55,12 @@
         may_share && has_free_stream && !abandoned
     }
 
-    /// Prefers the connection with the fewest free streams, so that surplus connections fall idle
-    /// and close. An attempt that must never run twice prefers one that has received data: resets
+    /// Prefers the connection with the fewest free streams, so that surplus connections become idle
+    /// and are closed. An attempt that must never run twice prefers one that has received data: resets
     /// are most frequent at the first request of a connection.
     pub(super) fn preference(&self, request: &AttemptRequest) -> Preference {
         Preference {
-            unproven: request.must_not_repeat && !self.status.has_received.get(),
+            never_received: request.must_not_repeat && !self.status.has_received.get(),
             free_streams: self.status.free_streams.get(),
         }
     }
@@ -66,25 +69,25 @@
         self.status.attempts.borrow().contains(&id)
     }
 
-    /// Assigns an attempt to the connection. Gives it back if the connection's mailbox is full or
+    /// Assigns an attempt to the connection. Returns it if the connection's mailbox is full or
     /// closed.
     pub(super) fn start_attempt(&self, request: AttemptRequest) -> Result<(), Box<AttemptRequest>> {
-        let (id, single) = (request.id, request.must_not_repeat);
+        let (id, must_not_repeat) = (request.id, request.must_not_repeat);
         match self.commands.try_send(EngineCommand::Start(request)) {
             Ok(()) => {
                 self.status.attempts.borrow_mut().insert(id);
-                self.exclusive.set(single);
+                self.exclusive.set(must_not_repeat);
                 Ok(())
             }
             Err(error) => match error.into_inner() {
                 EngineCommand::Start(request) => Err(Box::new(request)),
-                _ => unreachable!("the mailbox gives back the command that was sent"),
+                _ => unreachable!("the mailbox returns the command that was not sent"),
             },
         }
     }
 
-    /// Sends a command that must not be lost: if the mailbox is full, the connection ends with all
-    /// attempts on it.
+    /// Sends a command that must not be lost: if the mailbox is full, the connection is closed, which
+    /// ends all attempts on it.
     pub(super) fn send_or_close(&self, command: EngineCommand) {
         if self.commands.try_send(command).is_err() {
             self.commands.close();
--- a/src/net/engine/endpoint.rs
+++ b/src/net/engine/endpoint.rs
@@ -1,6 +1,6 @@
 //! An engine of the endpoint list. Its actor, with a mailbox and connections, exists only while
-//! something is in flight or queued there: it is started at the first use, and ends once its last
-//! connection has.
+//! something is in flight or queued for the engine: it is started at the first use, and ends once its
+//! last connection is closed.
 use super::EngineCommand;
 use crate::dispatcher::termination::Termination;
 use crate::net::mailbox::Sender;
@@ -9,19 +9,19 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Starts the actor of an endpoint and gives its mailbox.
+/// Starts the actor of an endpoint and returns its mailbox.
 pub type StartActor = Rc<dyn Fn(&Rc<EndpointHandle>) -> Sender<EngineCommand>>;
 
-/// An engine, as the endpoint list and the dispatcher share it. Its readiness is set here, whether
-/// there is an actor or not, and takes effect at once: no command that comes or is processed later
-/// starts an attempt on a draining engine.
+/// The handle of an engine that the endpoint list and the dispatcher share. Its readiness is set here,
+/// whether there is an actor or not, and takes effect at once: no command that is received or processed
+/// later starts an attempt on a draining engine.
 pub struct EndpointHandle {
     /// The engine's id, which alone identifies it: addresses are reused.
     pub id: EngineId,
     /// The address where it listens.
     pub addr: SocketAddr,
     readiness: Cell<Readiness>,
-    /// Set once the handle is replaced, see [`EndpointHandle::close`].
+    /// Whether the endpoint is closed for good, see [`EndpointHandle::close`].
     closed: Cell<bool>,
     actor: RefCell<Option<Sender<EngineCommand>>>,
     start_actor: StartActor,
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Whether nothing new may start on the engine: it is draining or gone.
+    /// Whether no new attempt may start on the engine: it is draining or removed.
     pub fn is_draining(&self) -> bool {
         self.readiness.get() != Readiness::Ready
     }
@@ -61,18 +61,18 @@
         self.active_actor().is_some()
     }
 
-    /// Whether the endpoint has ended: it accepts no command any more.
+    /// Whether the endpoint has ended: it no longer accepts commands.
     pub fn is_closed(&self) -> bool {
         let removed = self.closed.get() || self.readiness.get() == Readiness::Removed;
         removed && !self.is_active()
     }
 
-    /// Sends a command to the actor, which is started for a command that begins something.
+    /// Sends a command to the actor. If there is none, an attempt or a load probe starts it.
     ///
     /// # Errors
     ///
-    /// The termination of an attempt that can't be started. A command about something in flight
-    /// does not fail for lack of an actor: without one nothing is in flight.
+    /// The termination of an attempt that cannot be started. A command about something in flight does
+    /// not fail if there is no actor: then nothing is in flight.
     pub fn send(self: &Rc<EndpointHandle>, command: EngineCommand) -> Result<(), Termination> {
         if let Some(actor) = self.active_actor() {
             return actor.try_send(command).map_err(|_| Termination::LocalLimit);
@@ -100,8 +100,8 @@
         sent
     }
 
-    /// Sets the readiness that the endpoint list gives, before the dispatcher learns of it, so that
-    /// nothing that waits to be sent outlives the change.
+    /// Sets the readiness from the endpoint list. Called before the dispatcher is notified, so that no
+    /// attempt that waits to be sent is sent after the change.
     pub fn set_readiness(&self, readiness: Readiness) {
         let previous = self.readiness.replace(readiness);
         let command = match readiness {
@@ -112,30 +112,30 @@
         let Some(actor) = self.active_actor() else {
             return;
         };
-        // The command must not be lost: with its mailbox closed the engine's connections end.
+        // The command must not be lost: closing the mailbox closes the engine's connections.
         if actor.try_send(command).is_err() {
             actor.close();
         }
     }
 
-    /// Ends the actor and its connections with everything on them, after a command that had to be
-    /// obeyed could not be sent. A later command may start another actor.
+    /// Ends the actor, its connections and everything on them, after a command that must not be lost
+    /// could not be sent. A later command may start another actor.
     pub fn abort(&self) {
         if let Some(actor) = self.active_actor() {
             actor.close();
         }
     }
 
-    /// Ends the endpoint for good: another process has its id, or the program ends.
+    /// Closes the endpoint for good: another engine process has its id, or this process exits.
     pub fn close(&self) {
         self.closed.set(true);
         self.abort();
     }
 
-    /// Forgets the mailbox of an actor that has ended.
+    /// Drops the mailbox of an actor that has ended.
     pub(super) fn release_actor(&self) {
         let mut actor = self.actor.borrow_mut();
-        // An aborted actor may have been followed by another one already.
+        // Another actor may have been started already after an abort.
         if actor.as_ref().is_some_and(Sender::is_closed) {
             *actor = None;
         }
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -1,5 +1,5 @@
 //! The actor of one engine and its pool of connections, each with a task of its own. The actor
-//! lives only while something is in flight or queued there: see [`EndpointHandle`].
+//! exists only while something is in flight or queued for the engine: see [`EndpointHandle`].
 mod actor;
 mod connection;
 mod connection_handle;
@@ -20,8 +20,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Capacity of an actor's mailbox in commands: more than the dispatcher issues in one step, as the
-/// actor never blocks.
+/// Capacity of an actor's mailbox in commands. More than the dispatcher issues in one step, which is
+/// sufficient as the actor never blocks.
 const MAILBOX_CAPACITY: usize = 1_024;
 
 /// A command to the actor of an engine, which passes it on to a connection where needed.
@@ -52,8 +52,8 @@
         /// The new priority, 0 to 3.
         priority: u8,
     },
-    /// Send a health check, unless it is sent only at or after this time: then whoever asked for it
-    /// may have lost the right to probe.
+    /// Send a load probe, unless this time has been reached: from then on the requester may have lost
+    /// the right to probe.
     Probe {
         /// The end of that right, on the monotonic clock.
         not_after: Micros,
@@ -62,9 +62,10 @@
     CloseIdle,
     /// The engine is draining: start nothing new.
     Drain,
-    /// The engine has left the endpoint list: start nothing new, and close after a grace period.
+    /// The engine was removed from the endpoint list: start nothing new, and close after a grace
+    /// period.
     Remove,
-    /// A connection of the engine has ended.
+    /// A connection to the engine was closed.
     ConnectionEnded,
 }
 
@@ -76,8 +77,8 @@
     /// Time after which the engine closes an idle connection. This side closes it earlier, so that
     /// no request crosses the close.
     pub keepalive: Micros,
-    /// Whether the engine resolves names in the database of a session. Otherwise names have to be
-    /// qualified.
+    /// Whether the engine resolves names in the database of a session. Otherwise statements must use
+    /// qualified names.
     pub supports_databases: bool,
 }
 
@@ -88,8 +89,8 @@
     pub(super) options: ConnectionOptions,
 }
 
-/// Starts the actor of an engine and gives its mailbox. `new_protocol` makes the protocol of each
-/// new connection; events go to `dispatcher`.
+/// Starts the actor of an engine and returns its mailbox. `new_protocol` creates the protocol of each
+/// new connection; events are sent to `dispatcher`.
 pub fn spawn<P: Protocol + 'static>(
     shared: &Rc<Shared>,
     dispatcher: Sender<DispatcherEvent>,
@@ -132,7 +133,7 @@
 ) {
     let result = AttemptResult::unsent(attempt, termination);
     let event = DispatcherEvent::AttemptFinished(result);
-    // Fails only while the program ends.
+    // Fails only while the process exits.
     let _ = dispatcher.send(event).await;
 }
 
