--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -68,7 +68,7 @@
     pub(super) status: &'a ConnectionStatus,
     /// Responses from the dispatcher, with the tags of their requests.
     pub(super) responses: &'a Receiver<(u64, Response)>,
-    /// A message asks the connection to check whether it should close; a closed channel sheds it.
+    /// A message requests a check whether the connection should close; a closed channel sheds it.
     pub(super) close_checks: &'a Receiver<()>,
     pub(super) frontend: F,
     /// Events of the frontend that are not forwarded yet.
@@ -236,7 +236,7 @@
         if let Err(reason) = self.enforce_input_memory_limit(now).await {
             return ControlFlow::Break(CloseMode::Graceful(reason));
         }
-        // The socket of a client that sends without pause is always readable: yielding lets the
+        // The socket of a client that sends continuously is always readable: yielding lets the
         // actors of other connections run.
         yield_now().await;
         ControlFlow::Continue(())
@@ -255,8 +255,8 @@
             return ControlFlow::Continue(());
         }
         if message_overdue || unresponsive {
-            // Unread input does not keep the connection open once the deferred input has reached its
-            // limit without a valid message.
+            // Unread input does not keep the connection open once the deferred input has reached
+            // its limit without a valid message.
             self.has_unread_input = self.peek_unread_input() && !plan.input_blocked;
             if !self.has_unread_input {
                 return ControlFlow::Break(CloseMode::Graceful(Termination::Idle));
@@ -267,9 +267,9 @@
         ControlFlow::Continue(())
     }
 
-    /// Applies if all clients together exceed the memory limit for input, and this connection buffers
-    /// more than an idle one may keep: rejects the requests that wait to be parsed, discards the
-    /// incomplete message, and stops reading.
+    /// Applies if all clients together exceed the memory limit for input, and this connection
+    /// buffers more than an idle one may keep: rejects the requests that wait to be parsed,
+    /// discards the incomplete message, and stops reading.
     async fn enforce_input_memory_limit(&mut self, now: Micros) -> Result<(), Termination> {
         let over_limit = self.shared.unread_bytes.get() > self.shared.max_unread_bytes.get();
         if !over_limit || self.buffered_input_bytes() <= IDLE_CAPACITY_BYTES {
--- a/src/net/client/connection_registry.rs
+++ b/src/net/client/connection_registry.rs
@@ -22,8 +22,7 @@
     pub(super) draining: Cell<bool>,
     /// The connection is to be transferred to the successor process.
     pub(super) transferring: Cell<bool>,
-    /// A message asks the actor to check whether the connection should close; closing the channel
-    /// sheds it.
+    /// A message requests a check whether the connection should close; a closed channel sheds it.
     pub(super) close_checks: Sender<()>,
     /// The socket, while this process has it.
     pub(super) stream: Weak<Async<TcpStream>>,
@@ -46,8 +45,8 @@
         }
     }
 
-    /// Whether the client has closed its side, or the connection has failed. Detects this also after
-    /// input that is not read yet, as from a client that is throttled or does not read its
+    /// Whether the client has closed its side, or the connection has failed. Detects this also
+    /// after input that is not read yet, as from a client that is throttled or does not read its
     /// responses.
     pub fn disconnected(&self) -> bool {
         self.stream
@@ -55,7 +54,7 @@
             .is_some_and(|stream| is_closed_by_peer(stream.get_ref()))
     }
 
-    /// Asks the connection's actor to check whether the connection should close.
+    /// Requests a check by the connection's actor whether the connection should close.
     fn request_close_check(&self) {
         // A full channel means that a check is already requested.
         let _ = self.close_checks.try_send(());
@@ -76,8 +75,8 @@
 /// from excluding ordinary clients. Returns whether there was one to shed.
 pub(super) fn shed_idle_connection(shared: &Shared) -> bool {
     let clients = shared.clients.borrow();
-    // Skips connections within the grace period. Waiting for the grace period of a new connection to
-    // end instead would block all other clients for that time.
+    // Skips connections within the grace period. Waiting for the grace period of a new connection
+    // to end instead would block all other clients for that time.
     let idle_before = clock::turn().saturating_sub(SHED_GRACE_PERIOD);
     clients
         .values()
--- a/src/net/client/events.rs
+++ b/src/net/client/events.rs
@@ -7,8 +7,8 @@
 use crate::net::dispatcher::DispatcherEvent;
 use std::collections::VecDeque;
 
-/// The Retry-After of a request that is rejected because its connection is to be closed: by then the
-/// client can use another connection, or another gateway.
+/// The Retry-After of a request that is rejected because its connection is to be closed: by then
+/// the client can use another connection, or another gateway.
 const DRAIN_RETRY_AFTER: Micros = 50 * MS;
 
 impl<F: Frontend> ClientConnection<'_, F> {
--- a/src/net/client/graceful_close.rs
+++ b/src/net/client/graceful_close.rs
@@ -44,8 +44,8 @@
         // A connection that only waits for its client to close does not count as a client socket.
         let closing_limit = shared.max_closing_sockets.get();
         let Some(_closing_guard) = CountGuard::up_to(&shared.closing_sockets, closing_limit) else {
-            // One read removes the input that has arrived, so that the close resets the connection as
-            // seldom as possible.
+            // One read removes the input that has arrived, so that the close resets the connection
+            // as seldom as possible.
             let _ = io::Read::read(&mut stream.get_ref(), &mut shared.buffer.borrow_mut());
             return reason;
         };
@@ -72,7 +72,8 @@
     }
 }
 
-/// Reads and discards input until the client closes its side, a read fails, or the limit is reached.
+/// Reads and discards input until the client closes its side, a read fails, or the limit is
+/// reached.
 async fn discard_input(stream: &Async<TcpStream>, shared: &Shared) {
     let mut discarded = 0;
     while discarded < MAX_LINGER_BYTES {
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -22,8 +22,8 @@
 /// How long a listener waits when no descriptor is free for the next connection.
 const NO_DESCRIPTOR_PAUSE: Duration = Duration::from_millis(10);
 
-/// Binds a listener. Its backlog is larger than the default: a connection that does not fit into the
-/// backlog is established for the client, but accepted only seconds later.
+/// Binds a listener. Its backlog is larger than the default: a connection that does not fit into
+/// the backlog is established for the client, but accepted only seconds later.
 ///
 /// # Errors
 /// Those of the system, such as an address in use.
@@ -61,8 +61,9 @@
     Ok(sockopt::set_socket_reuseport(listener, true)?)
 }
 
-/// Accepts connections until the process is about to exit or its successor accepts them, then empties
-/// the backlog. `new_frontend` creates the protocol of each connection from the connection's number.
+/// Accepts connections until the process is about to exit or its successor accepts them, then
+/// empties the backlog. `new_frontend` creates the protocol of each connection from the
+/// connection's number.
 pub async fn listen<F: Frontend + 'static>(
     shared: Rc<Shared>,
     dispatcher: Sender<DispatcherEvent>,
@@ -97,8 +98,8 @@
         };
         match accepted {
             Ok(stream) => serve(stream),
-            // Most likely no descriptor is free: sheds an idle connection, and pauses to avoid a busy
-            // loop.
+            // Most likely no descriptor is free: sheds an idle connection, and pauses to avoid a
+            // busy loop.
             Err(error) => {
                 log!("accepting a client connection failed: {error}");
                 shed_idle_connection(&shared);
--- a/src/net/client/listener_close.rs
+++ b/src/net/client/listener_close.rs
@@ -1,6 +1,6 @@
-//! The close of a listener: the connections in its backlog are accepted, and from then on the system
-//! refuses connections. Otherwise the system would continue to complete connections that no process
-//! accepts, and reset them when the process exits.
+//! The close of a listener: the connections in its backlog are accepted, and from then on the
+//! system refuses connections. Otherwise the system would continue to complete connections that no
+//! process accepts, and reset them when the process exits.
 use super::connection_registry::shed_idle_connection;
 use crate::log;
 use crate::net::Shared;
@@ -27,8 +27,8 @@
 ) {
     shared.listeners_closing.set(true);
     let socket = SockRef::from(listener.get_ref());
-    // Without the filter, a connection that is completed between the last accept and the close would
-    // be reset.
+    // Without the filter, a connection that is completed between the last accept and the close
+    // would be reset.
     if let Err(error) = socket.attach_filter(&syn_drop_filter()) {
         log!("no SYN filter for a closing listener; new connections may be reset: {error}");
     }
@@ -39,9 +39,9 @@
     let _ = socket.shutdown(Shutdown::Both);
 }
 
-/// A packet filter for a listener that drops TCP segments with the SYN flag: no connection begins, and
-/// those that have begun are completed. The clients of dropped segments send them again a second
-/// later.
+/// A packet filter for a listener that drops TCP segments with the SYN flag: no connection begins,
+/// and those that have begun are completed. The clients of dropped segments send them again a
+/// second later.
 fn syn_drop_filter() -> [SockFilter; 4] {
     const LOAD_BYTE: u16 = 0x30;
     const JUMP_IF_SET: u16 = 0x45;
@@ -65,9 +65,9 @@
     }
 }
 
-/// Accepts the connections in the backlog. For their clients they are established already: each gets
-/// its response or a graceful close. While no descriptor is free it waits for one, until the process
-/// exits.
+/// Accepts the connections in the backlog. For their clients they are established already: each
+/// gets its response or a graceful close. While no descriptor is free it waits for one, until the
+/// process exits.
 pub(super) async fn accept_backlog(
     shared: &Shared,
     listener: &Async<TcpListener>,
@@ -107,8 +107,8 @@
     codes.iter().any(|known| Some(known.raw_os_error()) == code)
 }
 
-/// Counts the connections in the backlogs of this process's listeners that its exit would reset, and
-/// accepts them to do so. Connections that a successor will accept do not count.
+/// Counts the connections in the backlogs of this process's listeners that its exit would reset,
+/// and accepts them to do so. Connections that a successor will accept do not count.
 pub fn count_unaccepted(shared: &Shared) -> usize {
     if shared.lifecycle.borrow().has_successor() {
         return 0;
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -30,11 +30,11 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// The capacity of a connection's mailbox for responses: larger than the number of open requests that
-/// a frontend permits on one connection.
+/// The capacity of a connection's mailbox for responses: larger than the number of open requests
+/// that a frontend permits on one connection.
 const RESPONSE_MAILBOX_CAPACITY: usize = 64;
-/// A connection that was just accepted, or just received a response, has this long to send a request
-/// before it can be shed, however many other clients wait.
+/// A connection that was just accepted, or just received a response, has this long to send a
+/// request before it can be shed, however many other clients wait.
 const SHED_GRACE_PERIOD: Micros = 100 * MS;
 
 /// A connection that another process transferred to this one.
--- a/src/net/client/wait.rs
+++ b/src/net/client/wait.rs
@@ -17,8 +17,8 @@
 const MAX_DEFERRED_BYTES: usize = 64 * 1024;
 /// The interval of that polling.
 const DISCONNECT_POLL_INTERVAL: Micros = 20 * MS;
-/// A client without open requests is disconnected after this time without activity. Ordinary clients
-/// close their side after 4 s.
+/// A client without open requests is disconnected after this time without activity. Ordinary
+/// clients close their side after 4 s.
 const IDLE_TIMEOUT: Micros = 10 * SEC;
 /// A client has to send its first valid message, and the rest of a message that it began, within
 /// this time. Otherwise clients that connect in large numbers, and send nothing or a part of a
@@ -102,8 +102,8 @@
         // A client that reads its responses is not throttled because others do not read theirs.
         let reads_slowly = unwritten > IDLE_CAPACITY_BYTES;
         let lifecycle = self.shared.lifecycle.borrow();
-        // Pacing ends when new requests are rejected: deferred requests are rejected at once, so that
-        // the connection becomes quiet.
+        // Pacing ends when new requests are rejected: deferred requests are rejected at once, so
+        // that the connection becomes quiet.
         let rejects_from = lifecycle.rejects_from().unwrap_or(Micros::MAX);
         let resumes_at = self.pacing.resumes_at(now).map(|at| at.min(rejects_from));
         Throttle {
@@ -161,9 +161,9 @@
         waiting_since.map(|since| since + MESSAGE_TIMEOUT)
     }
 
-    /// When the connection closes because of a drain or the exit of the process, provided that it is
-    /// quiet then. An incomplete message keeps it open during a drain, but not when the process is
-    /// about to exit.
+    /// When the connection closes because of a drain or the exit of the process, provided that it
+    /// is quiet then. An incomplete message keeps it open during a drain, but not when the process
+    /// is about to exit.
     fn quiet_close_at(&self, now: Micros) -> Option<Micros> {
         let lifecycle = self.shared.lifecycle.borrow();
         let closing = lifecycle.is_closing();
@@ -202,11 +202,12 @@
         or(response, or(close_check, or(write, or(read, deadline)))).await
     }
 
-    /// Returns at once if an idle connection has been quiet for long enough, otherwise when a check is
-    /// requested through the connection's status. Unread input is handled first: while there is any,
-    /// this never returns for an idle connection that is not yet due to close.
+    /// Returns at once if an idle connection has been quiet for long enough, otherwise when a check
+    /// is requested through the connection's status. Unread input is handled first: while there is
+    /// any, this never returns for an idle connection that is not yet due to close.
     ///
-    /// A connection that is not idle wakes up as well: its deferred input may now have to be parsed.
+    /// A connection that is not idle wakes up as well: its deferred input may now have to be
+    /// parsed.
     async fn wait_for_close_check(&self, now: Micros, plan: &WaitPlan) -> WakeReason {
         if !plan.idle {
             if self.close_checks.recv().await.is_err() {
--- a/src/net/engine/actor.rs
+++ b/src/net/engine/actor.rs
@@ -180,8 +180,8 @@
             .find(|connection| connection.carries(id))
     }
 
-    /// If the cancellation cannot be passed on, the connection is closed, so that no more attempts of
-    /// a request are in flight than the dispatcher counts.
+    /// If the cancellation cannot be passed on, the connection is closed, so that no more attempts
+    /// of a request are in flight than the dispatcher counts.
     fn cancel_attempt(&self, id: RequestId, command: EngineCommand) {
         if let Some(connection) = self.connection_of(id) {
             connection.send_or_close(command);
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Establishes the connection. Commands are processed meanwhile, so that a drain ends the attempts
-    /// that wait for it.
+    /// Establishes the connection. Commands are processed meanwhile, so that a drain ends the
+    /// attempts that wait for it.
     async fn connect(&mut self) -> Result<Async<TcpStream>, Termination> {
         let mut connecting = pin!(Async::<TcpStream>::connect(self.peer.addr));
         let timeout_at = clock::turn() + self.peer.options.connect_timeout;
@@ -275,8 +275,8 @@
                 attempt,
                 priority,
             } => self.state.set_priority(id, attempt, priority),
-            // Checked here too: the command may have waited until the connection was established, or
-            // the process may have been suspended meanwhile.
+            // Checked here too: the command may have waited until the connection was established,
+            // or the process may have been suspended meanwhile.
             EngineCommand::Probe { not_after } if now >= not_after => {
                 self.events.push(ConnectionEvent::ProbeCompleted {
                     kind: OutcomeKind::NeverSent,
@@ -290,8 +290,8 @@
         }
     }
 
-    /// Cancels attempts that are about to be sent for a client that has disconnected. The disconnect
-    /// is reported first, so that the dispatcher does not retry them.
+    /// Cancels attempts that are about to be sent for a client that has disconnected. The
+    /// disconnect is reported first, so that the dispatcher does not retry them.
     async fn cancel_for_disconnected_clients(&mut self, shared: &Shared) {
         while let Some(starting) = self.next_for_disconnected_client(shared) {
             let event = DispatcherEvent::ClientDisconnected(starting.client_connection);
--- a/src/net/engine/connection_handle.rs
+++ b/src/net/engine/connection_handle.rs
@@ -1,5 +1,5 @@
-//! The handle by which an engine's actor uses one of its connections, and the choice of the connection
-//! that carries an attempt.
+//! The handle by which an engine's actor uses one of its connections, and the choice of the
+//! connection that carries an attempt.
 use super::{EngineCommand, MailboxSender};
 use crate::dispatcher::AttemptRequest;
 use crate::policy::api::RequestId;
@@ -39,8 +39,8 @@
 
 impl ConnectionHandle {
     /// Whether the connection may carry this attempt. While sockets are available, an attempt that
-    /// must never run twice shares no connection: a corrupted response to another attempt, or a reset,
-    /// would end it too, and it would be unknown whether it ran.
+    /// must never run twice shares no connection: a corrupted response to another attempt, or a
+    /// reset, would end it too, and it would be unknown whether it ran.
     pub(super) fn accepts(&self, request: &AttemptRequest, sockets_available: bool) -> bool {
         let queued = self.commands.len();
         let unused = self.status.attempts.borrow().is_empty() && queued == 0;
@@ -56,8 +56,8 @@
     }
 
     /// Prefers the connection with the fewest free streams, so that surplus connections become idle
-    /// and are closed. An attempt that must never run twice prefers one that has received data: resets
-    /// are most frequent at the first request of a connection.
+    /// and are closed. An attempt that must never run twice prefers one that has received data:
+    /// resets are most frequent at the first request of a connection.
     pub(super) fn preference(&self, request: &AttemptRequest) -> Preference {
         Preference {
             never_received: request.must_not_repeat && !self.status.has_received.get(),
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Sends a command that must not be lost: if the mailbox is full, the connection is closed, which
-    /// ends all attempts on it.
+    /// Sends a command that must not be lost: if the mailbox is full, the connection is closed,
+    /// which ends all attempts on it.
     pub(super) fn send_or_close(&self, command: EngineCommand) {
         if self.commands.try_send(command).is_err() {
             self.commands.close();
--- a/src/net/engine/endpoint.rs
+++ b/src/net/engine/endpoint.rs
@@ -1,6 +1,6 @@
 //! An engine of the endpoint list. Its actor, with a mailbox and connections, exists only while
-//! something is in flight or queued for the engine: it is started at the first use, and ends once its
-//! last connection is closed.
+//! something is in flight or queued for the engine: it is started at the first use, and ends once
+//! its last connection is closed.
 use super::EngineCommand;
 use crate::dispatcher::termination::Termination;
 use crate::net::mailbox::Sender;
@@ -12,9 +12,9 @@
 /// Starts the actor of an endpoint and returns its mailbox.
 pub type StartActor = Rc<dyn Fn(&Rc<EndpointHandle>) -> Sender<EngineCommand>>;
 
-/// The handle of an engine that the endpoint list and the dispatcher share. Its readiness is set here,
-/// whether there is an actor or not, and takes effect at once: no command that is received or processed
-/// later starts an attempt on a draining engine.
+/// The handle of an engine that the endpoint list and the dispatcher share. Its readiness is set
+/// here, whether there is an actor or not, and takes effect at once: no command that is received or
+/// processed later starts an attempt on a draining engine.
 pub struct EndpointHandle {
     /// The engine's id, which alone identifies it: addresses are reused.
     pub id: EngineId,
@@ -71,8 +71,8 @@
     ///
     /// # Errors
     ///
-    /// The termination of an attempt that cannot be started. A command about something in flight does
-    /// not fail if there is no actor: then nothing is in flight.
+    /// The termination of an attempt that cannot be started. A command about something in flight
+    /// does not fail if there is no actor: then nothing is in flight.
     pub fn send(self: &Rc<EndpointHandle>, command: EngineCommand) -> Result<(), Termination> {
         if let Some(actor) = self.active_actor() {
             return actor.try_send(command).map_err(|_| Termination::LocalLimit);
@@ -100,8 +100,8 @@
         sent
     }
 
-    /// Sets the readiness from the endpoint list. Called before the dispatcher is notified, so that no
-    /// attempt that waits to be sent is sent after the change.
+    /// Sets the readiness from the endpoint list. Called before the dispatcher is notified, so that
+    /// no attempt that waits to be sent is sent after the change.
     pub fn set_readiness(&self, readiness: Readiness) {
         let previous = self.readiness.replace(readiness);
         let command = match readiness {
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Ends the actor, its connections and everything on them, after a command that must not be lost
-    /// could not be sent. A later command may start another actor.
+    /// Ends the actor, its connections and everything on them, after a command that must not be
+    /// lost could not be sent. A later command may start another actor.
     pub fn abort(&self) {
         if let Some(actor) = self.active_actor() {
             actor.close();
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -20,8 +20,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Capacity of an actor's mailbox in commands. More than the dispatcher issues in one step, which is
-/// sufficient as the actor never blocks.
+/// Capacity of an actor's mailbox in commands. More than the dispatcher issues in one step, which
+/// is sufficient as the actor never blocks.
 const MAILBOX_CAPACITY: usize = 1_024;
 
 /// A command to the actor of an engine, which passes it on to a connection where needed.
@@ -52,8 +52,8 @@
         /// The new priority, 0 to 3.
         priority: u8,
     },
-    /// Send a load probe, unless this time has been reached: from then on the requester may have lost
-    /// the right to probe.
+    /// Send a load probe, unless this time has been reached: from then on the requester may have
+    /// lost the right to probe.
     Probe {
         /// The end of that right, on the monotonic clock.
         not_after: Micros,
@@ -77,8 +77,8 @@
     /// Time after which the engine closes an idle connection. This side closes it earlier, so that
     /// no request crosses the close.
     pub keepalive: Micros,
-    /// Whether the engine resolves names in the database of a session. Otherwise statements must use
-    /// qualified names.
+    /// Whether the engine resolves names in the database of a session. Otherwise statements must
+    /// use qualified names.
     pub supports_databases: bool,
 }
 
@@ -89,8 +89,8 @@
     pub(super) options: ConnectionOptions,
 }
 
-/// Starts the actor of an engine and returns its mailbox. `new_protocol` creates the protocol of each
-/// new connection; events are sent to `dispatcher`.
+/// Starts the actor of an engine and returns its mailbox. `new_protocol` creates the protocol of
+/// each new connection; events are sent to `dispatcher`.
 pub fn spawn<P: Protocol + 'static>(
     shared: &Rc<Shared>,
     dispatcher: Sender<DispatcherEvent>,
--- a/tests/late_connections.rs
+++ b/tests/late_connections.rs
@@ -1,5 +1,7 @@
-//! Guards against requests that are reset because nobody accepts their connections: while a process
-//! ends each new connection is answered or refused. See docs/incidents/unattended-backlog.md.
+//! Guards against requests that are lost because no process accepts their connections: the system
+//! completes connections in the listen backlog, and resets them when the process exits. While a
+//! process shuts down, each new connection gets a response or is refused by the system.
+//! See docs/incidents/unattended-backlog.md.
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -13,19 +15,21 @@
 use yokelift::testkit::ports::reserve_addr;
 use yokelift::testkit::stand_in_thread::StandInThread;
 
-/// Between two new connections.
+/// The interval between two new connections.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(10);
-/// Clients that stay connected and never close.
-const STAYING_CLIENTS: usize = 4;
-/// The longest time that an end may take.
-const END_TIMEOUT: Duration = Duration::from_secs(10);
-/// The longest time that a client waits for its connection, its response and its end.
+/// Clients that stay connected, send nothing and never close.
+const IDLE_CLIENTS: usize = 4;
+/// The longest time that a shutdown may take.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
+/// The longest time that a client waits for its connection to be established, and for its response
+/// or the end of the connection.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a successor has served when it is killed, and how long the kill takes to show.
-const SUCCESSOR_LIFE: Duration = Duration::from_millis(60);
-const KILL_NOTICE: Duration = Duration::from_millis(50);
-/// When after SIGTERM a new version asks for the listeners: before, at and after the end of accepting.
-const REQUESTS_FOR_LISTENERS: [Duration; 3] = [
+/// How long a successor serves before it is killed, and how long the kill takes to have an effect.
+const SUCCESSOR_LIFETIME: Duration = Duration::from_millis(60);
+const KILL_DELAY: Duration = Duration::from_millis(50);
+/// When a new version requests the listeners, counted from SIGTERM: before, at and after the time
+/// at which the old one stops accepting.
+const LISTENER_REQUEST_DELAYS: [Duration; 3] = [
     Duration::from_millis(850),
     Duration::from_millis(900),
     Duration::from_millis(930),
@@ -35,14 +39,15 @@
     Path::new(env!("CARGO_BIN_EXE_yokelift"))
 }
 
-/// What became of a connection with one request.
+/// How a connection with one request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
-    Answered,
+enum ConnectionOutcome {
+    Response,
     Refused,
-    /// It was closed before its request arrived; by the platform's rules the client sends it again.
-    Crossed,
-    /// It was made, and ended without a response.
+    /// It was closed before its request arrived; by the platform's rules the client sends the
+    /// request again.
+    ClosedBeforeRequest,
+    /// It was established, and ended without a response.
     Lost,
 }
 
@@ -51,7 +56,7 @@
     _coordinator: StandInThread<Coordinator>,
     daemon: Daemon,
     http_listen: SocketAddr,
-    _staying: Vec<TcpStream>,
+    _idle_clients: Vec<TcpStream>,
 }
 
 impl Deployment {
@@ -71,148 +76,151 @@
         };
         let executor = Executor::default();
         let started = async_io::block_on(executor.run(Daemon::start(program(), options)));
-        let daemon = started.expect("it starts");
-        let staying = (0..STAYING_CLIENTS)
+        let daemon = started.expect("the daemon starts");
+        let idle_clients = (0..IDLE_CLIENTS)
             .map(|_| TcpStream::connect(daemon.listen).expect("a connection"))
             .collect();
         Deployment {
             _coordinator: coordinator,
             daemon,
             http_listen,
-            _staying: staying,
+            _idle_clients: idle_clients,
         }
     }
 
-    /// Makes a new connection to each frontend again and again until the given end.
-    fn connect_until(&mut self, mut ends: impl FnMut(&mut Daemon) -> bool) -> Attempts {
-        let mut attempts = Attempts::default();
-        let gives_up_at = Instant::now() + END_TIMEOUT;
-        while !ends(&mut self.daemon) {
+    /// Makes new connections to each frontend at an interval until the condition holds.
+    fn connect_until(&mut self, mut condition: impl FnMut(&mut Daemon) -> bool) -> Connections {
+        let mut connections = Connections::default();
+        let times_out_at = Instant::now() + SHUTDOWN_TIMEOUT;
+        while !condition(&mut self.daemon) {
             assert!(
-                Instant::now() < gives_up_at,
-                "it ends: {}",
+                Instant::now() < times_out_at,
+                "the condition never held: {}",
                 self.daemon.log()
             );
-            let id = attempts.clients.len() as u64 + 1;
+            let id = connections.clients.len() as u64 + 1;
             let key = format!("{id:016x}");
             let line = rpc_line(1, "lookup", &key, "billing-desk", 300, "SELECT 1");
-            attempts.add(self.daemon.listen, line);
+            connections.add(self.daemon.listen, line);
             let request = http_request("anna", "secret", "max_execution_time=0.3", "SELECT 1");
-            attempts.add(self.http_listen, request);
+            connections.add(self.http_listen, request);
             std::thread::sleep(CONNECT_INTERVAL);
         }
-        attempts
+        connections
     }
 }
 
-/// Connections that are being made and used, each on a thread.
+/// Connections that are being established and used, each on a thread.
 #[derive(Default)]
-struct Attempts {
-    clients: Vec<(Instant, JoinHandle<Fate>)>,
+struct Connections {
+    clients: Vec<(Instant, JoinHandle<ConnectionOutcome>)>,
 }
 
-impl Attempts {
+impl Connections {
     fn add(&mut self, addr: SocketAddr, request: Vec<u8>) {
         let client = std::thread::spawn(move || send_on_new_connection(addr, &request));
         self.clients.push((Instant::now(), client));
     }
 
-    /// Each connection made from that time on was answered or refused; there were some of both.
-    fn assert_nothing_is_lost(self, from: Instant, log: &str) {
-        let mut fates = Vec::new();
+    /// Asserts that no connection begun from that time on was lost, and that there were more than
+    /// 10.
+    fn assert_none_lost(self, from: Instant, log: &str) {
+        let mut outcomes = Vec::new();
         for (started_at, client) in self.clients {
-            let fate = client.join().expect("no client panics");
+            let outcome = client.join().expect("no client panics");
             if started_at >= from {
-                fates.push(fate);
+                outcomes.push(outcome);
             }
         }
-        let count = |fate| fates.iter().filter(|it| **it == fate).count();
-        let lost = count(Fate::Lost);
+        let count = |outcome| outcomes.iter().filter(|it| **it == outcome).count();
+        let lost = count(ConnectionOutcome::Lost);
         assert_eq!(
             lost,
             0,
-            "{lost} lost, {} answered, {} refused\n{log}",
-            count(Fate::Answered),
-            count(Fate::Refused)
+            "{lost} lost, {} with a response, {} refused\n{log}",
+            count(ConnectionOutcome::Response),
+            count(ConnectionOutcome::Refused)
         );
-        assert!(fates.len() > 10, "{} connections", fates.len());
+        assert!(outcomes.len() > 10, "{} connections", outcomes.len());
     }
 }
 
-fn send_on_new_connection(addr: SocketAddr, request: &[u8]) -> Fate {
+fn send_on_new_connection(addr: SocketAddr, request: &[u8]) -> ConnectionOutcome {
     let mut stream = match TcpStream::connect_timeout(&addr, CLIENT_TIMEOUT) {
         Ok(stream) => stream,
-        Err(error) if error.kind() == ErrorKind::ConnectionRefused => return Fate::Refused,
-        Err(_) => return Fate::Lost,
+        Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
+            return ConnectionOutcome::Refused;
+        }
+        Err(_) => return ConnectionOutcome::Lost,
     };
     stream
         .set_read_timeout(Some(CLIENT_TIMEOUT))
-        .expect("a socket");
+        .expect("the timeout is set");
     let sent_at = Instant::now();
     let exchanged = stream
         .write_all(request)
         .and_then(|()| stream.read(&mut [0; 1]));
     match exchanged {
-        Ok(0) if sent_at.elapsed() <= CLOSE_CROSSING => Fate::Crossed,
-        Ok(0) | Err(_) => Fate::Lost,
-        Ok(_) => Fate::Answered,
+        Ok(0) if sent_at.elapsed() <= CLOSE_CROSSING => ConnectionOutcome::ClosedBeforeRequest,
+        Ok(0) | Err(_) => ConnectionOutcome::Lost,
+        Ok(_) => ConnectionOutcome::Response,
     }
 }
 
 fn terminate(daemon: &Daemon) {
     let pid = Pid::from_raw(daemon.pid() as i32).expect("a process id");
-    kill_process(pid, Signal::TERM).expect("it runs");
+    kill_process(pid, Signal::TERM).expect("the daemon runs");
 }
 
-fn assert_nothing_is_lost_at_the_end(has_admin_endpoint: bool) {
+fn assert_nothing_is_lost_at_shutdown(has_admin_endpoint: bool) {
     let mut deployment = Deployment::start(has_admin_endpoint);
-    let told_at = Instant::now();
+    let terminated_at = Instant::now();
     terminate(&deployment.daemon);
-    let attempts = deployment.connect_until(|daemon| daemon.poll_exit().is_some());
-    attempts.assert_nothing_is_lost(told_at, &deployment.daemon.log());
+    let connections = deployment.connect_until(|daemon| daemon.poll_exit().is_some());
+    connections.assert_none_lost(terminated_at, &deployment.daemon.log());
 }
 
 #[test]
-fn connections_during_a_shutdown_are_answered_or_refused() {
-    assert_nothing_is_lost_at_the_end(true);
+fn connections_during_a_shutdown_get_a_response_or_are_refused() {
+    assert_nothing_is_lost_at_shutdown(true);
 }
 
 #[test]
-fn connections_during_a_shutdown_without_an_admin_endpoint_are_answered_or_refused() {
-    assert_nothing_is_lost_at_the_end(false);
+fn connections_during_a_shutdown_without_an_admin_endpoint_get_a_response_or_are_refused() {
+    assert_nothing_is_lost_at_shutdown(false);
 }
 
 #[test]
-fn connections_after_the_death_of_a_successor_are_answered_or_refused() {
+fn connections_after_a_successor_is_killed_get_a_response_or_are_refused() {
     let mut deployment = Deployment::start(true);
     let executor = Executor::default();
     let follow = deployment.daemon.follow(program());
     async_io::block_on(executor.run(follow)).expect("a successor");
     deployment.daemon.retire();
-    std::thread::sleep(SUCCESSOR_LIFE);
+    std::thread::sleep(SUCCESSOR_LIFETIME);
     deployment.daemon.kill(DaemonProcess::Newer);
     // What the successor had accepted is lost with it.
-    let from = Instant::now() + KILL_NOTICE;
-    let attempts = deployment.connect_until(|daemon| daemon.poll_exit().is_some());
-    attempts.assert_nothing_is_lost(from, &deployment.daemon.log());
+    let from = Instant::now() + KILL_DELAY;
+    let connections = deployment.connect_until(|daemon| daemon.poll_exit().is_some());
+    connections.assert_none_lost(from, &deployment.daemon.log());
 }
 
 #[test]
-fn connections_are_answered_or_refused_where_a_new_version_comes_at_the_end() {
-    for delay in REQUESTS_FOR_LISTENERS {
+fn connections_get_a_response_or_are_refused_if_a_new_version_starts_during_the_shutdown() {
+    for delay in LISTENER_REQUEST_DELAYS {
         let mut deployment = Deployment::start(true);
-        let told_at = Instant::now();
+        let terminated_at = Instant::now();
         terminate(&deployment.daemon);
         let mut launched_at = None;
-        let attempts = deployment.connect_until(|daemon| {
-            if launched_at.is_none() && told_at.elapsed() >= delay {
+        let connections = deployment.connect_until(|daemon| {
+            if launched_at.is_none() && terminated_at.elapsed() >= delay {
                 daemon.launch(program()).expect("a new version");
                 launched_at = Some(Instant::now());
             }
             launched_at.is_some_and(|at| at.elapsed() > Duration::from_secs(1))
         });
         let log = deployment.daemon.log();
-        attempts.assert_nothing_is_lost(told_at, &log);
+        connections.assert_none_lost(terminated_at, &log);
         let ready = yokelift::testkit::clients::is_ready(deployment.daemon.listen);
         assert!(async_io::block_on(ready), "the new version serves: {log}");
     }
--- a/tests/response_time.rs
+++ b/tests/response_time.rs
@@ -1,5 +1,5 @@
-//! Guards against responses after their time: whatever else a connection carries, each request on it
-//! is answered by its own deadline. See docs/incidents/late-responses.md.
+//! Guards against late responses: whatever else a connection carries, each request on it gets its
+//! response by its own deadline. See docs/incidents/late-responses.md.
 use std::io::{ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
@@ -15,14 +15,14 @@
 use yokelift::testkit::stand_in_thread::StandInThread;
 use yokelift::testkit::{ExecutionLog, Executor};
 
-/// A response that comes later than this after the client's time is a lost request, by the platform's
-/// rules.
+/// A request whose response arrives later than this after the client's deadline is lost by the
+/// platform's rules.
 const LOST_AFTER: Duration = Duration::from_millis(500);
-/// How long the clients send.
+/// How long the clients send requests.
 const LOAD_DURATION: Duration = Duration::from_secs(3);
 
-/// One connection that never has more than the permitted number of requests open, before a daemon
-/// without engines: each request waits for its deadline.
+/// The load of one connection that never has more than the permitted number of requests open. The
+/// daemon has no engines, so that each request waits for its deadline.
 fn plan(interval: Duration, wait_ms: u64, cancelled_percent: u64) -> SustainedLoadPlan {
     SustainedLoadPlan {
         connections: 1,
@@ -85,28 +85,29 @@
         let started = async_io::block_on(executor.run(Daemon::start(program, options)));
         Deployment {
             _stand_ins: stand_ins,
-            daemon: started.expect("it starts"),
+            daemon: started.expect("the daemon starts"),
             http_listen,
         }
     }
 }
 
-fn play(plan: SustainedLoadPlan) -> SustainedLoadReport {
+fn run(plan: SustainedLoadPlan) -> SustainedLoadReport {
     let deployment = Deployment::start(0);
     let load = SustainedLoad::start(deployment.daemon.listen, plan);
     std::thread::sleep(LOAD_DURATION);
     load.finish()
 }
 
-/// Each request that was not cancelled has its response within its client's time and `LOST_AFTER`.
-fn assert_answered_in_time(report: &SustainedLoadReport) {
-    let owed = report
+/// Asserts that each request that was not cancelled got its response by its client's deadline and
+/// `LOST_AFTER`.
+fn assert_responses_in_time(report: &SustainedLoadReport) {
+    let not_cancelled = report
         .requests
         .iter()
         .filter(|it| it.cancelled_at.is_none());
     let mut latencies: Vec<Duration> = Vec::new();
     let mut late = 0;
-    for request in owed {
+    for request in not_cancelled {
         let Some((at, _)) = request.responses.first() else {
             late += 1;
             continue;
@@ -117,33 +118,33 @@
     }
     latencies.sort();
     println!(
-        "{} requests, {} answered, median {:?}, longest {:?}, lag {:?}",
+        "{} requests, {} with a response, median {:?}, longest {:?}, lag {:?}",
         report.requests.len(),
         latencies.len(),
         latencies.get(latencies.len() / 2),
         latencies.last(),
         report.lag
     );
-    assert!(!latencies.is_empty(), "the load has run");
+    assert!(!latencies.is_empty(), "the load has sent requests");
     assert_eq!(late, 0, "requests without a response in time");
 }
 
 #[test]
-fn rejections_do_not_delay_the_requests_behind_them() {
-    assert_answered_in_time(&play(plan(Duration::from_micros(3_300), 40, 0)));
+fn rejections_do_not_delay_the_requests_after_them() {
+    assert_responses_in_time(&run(plan(Duration::from_micros(3_300), 40, 0)));
 }
 
 #[test]
-fn rejections_do_not_delay_requests_of_a_longer_time() {
-    assert_answered_in_time(&play(plan(Duration::from_micros(4_500), 100, 0)));
+fn rejections_do_not_delay_requests_with_a_later_deadline() {
+    assert_responses_in_time(&run(plan(Duration::from_micros(4_500), 100, 0)));
 }
 
 #[test]
-fn cancellations_do_not_delay_the_requests_behind_them() {
-    assert_answered_in_time(&play(plan(Duration::from_millis(5), 100, 75)));
+fn cancellations_do_not_delay_the_requests_after_them() {
+    assert_responses_in_time(&run(plan(Duration::from_millis(5), 100, 75)));
 }
 
-/// What a client sends without pause.
+/// What a client sends continuously.
 #[derive(Clone, Copy, Debug)]
 enum Flood {
     Nothing,
@@ -162,7 +163,7 @@
 const ENGINES: u32 = 4;
 
 impl Flood {
-    /// The bytes that are sent again and again, with the number of their messages.
+    /// The bytes that are sent repeatedly, with the number of their messages.
     fn bytes(self) -> (Vec<u8>, usize) {
         const REPEATS: usize = 16;
         let message = match self {
@@ -182,7 +183,7 @@
             }
             Flood::UnknownClass => rpc_line(1, "none", "00000000000000f1", "billing-desk", 900, ""),
             Flood::Status => STATUS.to_vec(),
-            // Its time is over as soon as it is read.
+            // Its deadline has passed as soon as it is read.
             Flood::Rejections => rpc_line(
                 1,
                 "lookup",
@@ -202,9 +203,9 @@
     }
 }
 
-/// Sends without pause for the given time on one connection, and reads what comes; gives the number of
-/// messages that were taken.
-fn send_without_pause(addr: SocketAddr, flood: Flood) -> usize {
+/// Sends continuously for `FLOOD_DURATION` on one connection, and reads the responses. Returns the
+/// number of messages that were written.
+fn send_continuously(addr: SocketAddr, flood: Flood) -> usize {
     let (bytes, messages) = flood.bytes();
     if messages == 0 {
         std::thread::sleep(FLOOD_DURATION);
@@ -215,7 +216,7 @@
     std::thread::spawn(move || std::io::copy(&mut reader, &mut std::io::sink()));
     stream
         .set_write_timeout(Some(WRITE_TIMEOUT))
-        .expect("a socket");
+        .expect("the timeout is set");
     let (mut sent, mut offset) = (0, 0);
     let ends_at = Instant::now() + FLOOD_DURATION;
     while Instant::now() < ends_at {
@@ -245,11 +246,12 @@
     Duration::from_secs_f64(ticks / TICKS_PER_SECOND)
 }
 
-/// The daemon's load by one client that sends without pause beside 12 connections of 300 requests a
-/// second each, and what those get. Started by hand: it prints a line for each kind of messages.
+/// Measures the processor time that the daemon uses for one client that sends continuously, besides
+/// 12 connections of 300 requests a second each, and the latencies of those. Started by hand: it
+/// prints a line for each kind of messages.
 #[test]
 #[ignore = "measures processor time on a quiet machine: started by hand"]
-fn the_cost_of_a_client_that_sends_without_pause() {
+fn processor_time_of_a_client_that_sends_continuously() {
     for flood in [
         Flood::Nothing,
         Flood::CancelledRequests,
@@ -262,11 +264,11 @@
     ] {
         let deployment = Deployment::start(ENGINES);
         let daemon = &deployment.daemon;
-        let honest = SustainedLoadPlan {
+        let background_load = SustainedLoadPlan {
             connections: 12,
             ..plan(Duration::from_micros(3_333), 1_000, 0)
         };
-        let load = SustainedLoad::start(daemon.listen, honest);
+        let load = SustainedLoad::start(daemon.listen, background_load);
         std::thread::sleep(Duration::from_millis(500));
         let before = processor_time(daemon.pid());
         let addr = if flood.is_http() {
@@ -274,7 +276,7 @@
         } else {
             daemon.listen
         };
-        let sent = send_without_pause(addr, flood);
+        let sent = send_continuously(addr, flood);
         let used = processor_time(daemon.pid()) - before;
         let report = load.finish();
         let served: Vec<Duration> = report
--- a/tests/unit/net_client.rs
+++ b/tests/unit/net_client.rs
@@ -1,5 +1,6 @@
-//! Races on a client's connection, on real sockets: the actor is suspended until the byte, the close
-//! or the message is where the test needs it, and then continues. Both orders of each race.
+//! Races on a client connection, on real sockets. The actor is suspended until the input, the close
+//! or the message has arrived where the test needs it, and then continues. Both orders of each race
+//! are tested.
 use super::*;
 use crate::config::process::Names;
 use crate::dispatcher::ClientRequest;
@@ -15,7 +16,7 @@
 /// The request whose response throttles its client, and the bytes of that response.
 const THROTTLING_REQUEST: u64 = 900;
 const THROTTLING_RESPONSE_BYTES: usize = 16 << 20;
-/// Clients that connect while a listener closes, and how often that is played.
+/// Clients that connect while a listener closes, and how often that is repeated.
 const CONNECTING_CLIENTS: usize = 4;
 const LISTENER_CLOSES: usize = 8;
 /// A response that does not fit into the buffers of the sockets.
@@ -96,7 +97,7 @@
         .count()
 }
 
-/// An event that the dispatcher received, and the requests up to the end of that batch.
+/// An event that the dispatcher received, and the number of requests up to the end of that batch.
 struct Received<T> {
     event: T,
     requests: usize,
@@ -105,14 +106,14 @@
 #[path = "net_client_response_time.rs"]
 mod response_time;
 
-/// The actor of one connection, which runs only while the test waits for something, its client, and
-/// the events for the dispatcher.
+/// The actor of one connection, its client, and the events for the dispatcher. The actor runs only
+/// while the test waits for a condition.
 struct Fixture {
     shared: Rc<Shared>,
     events: Receiver<DispatcherEvent>,
     responses: Sender<(u64, Response)>,
     client: TcpStream,
-    /// A second descriptor of the daemon's end, to see which input has arrived there.
+    /// A second descriptor of the daemon's end, to check which input has arrived there.
     accepted: TcpStream,
 }
 
@@ -164,7 +165,8 @@
         assert!(held, "the condition never held");
     }
 
-    /// Runs the actor until it sends such an event; events before it are dropped, requests counted.
+    /// Runs the actor until it sends an event that `select` accepts. Other events are dropped, and
+    /// requests are counted.
     fn wait_for<T>(&self, select: impl Fn(DispatcherEvent) -> Option<T>) -> Received<T> {
         let (mut selected, mut requests) = (None, 0);
         self.run_until(|| {
@@ -214,7 +216,7 @@
         self.responses.try_send((tag, response)).expect("capacity");
     }
 
-    /// The process begins its last phase.
+    /// Begins the shutdown of the process, in its closing stage.
     fn shut_down(&self) {
         let lifecycle = || self.shared.lifecycle.borrow_mut();
         lifecycle().begin_shutdown(clock::turn());
@@ -244,14 +246,15 @@
                 Ok(0) => ended = true,
                 Ok(count) => text.extend_from_slice(&chunk[..count]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-                Err(error) => panic!("the connection did not end properly: {error}"),
+                Err(error) => panic!("the connection did not end gracefully: {error}"),
             }
             ended
         });
         String::from_utf8(text).expect("text")
     }
 
-    /// Has the client leave a large response unread: its input is deferred until it reads that.
+    /// Has the client leave a large response unread, so that its input is deferred until it reads
+    /// the response.
     fn throttle(&self) {
         self.open_request(THROTTLING_REQUEST);
         let response = Response::Completed(vec![b'x'; THROTTLING_RESPONSE_BYTES]);
@@ -275,8 +278,8 @@
         drop(self.client);
         drop(self.accepted);
         let shared = self.shared;
-        let gone = || shared.clients.borrow().is_empty() && shared.closing_sockets.get() == 0;
-        assert!(block_on(shared.executor.run(eventually(gone))));
+        let is_closed = || shared.clients.borrow().is_empty() && shared.closing_sockets.get() == 0;
+        assert!(block_on(shared.executor.run(eventually(is_closed))));
     }
 }
 
@@ -333,7 +336,8 @@
     fixture.open_request(1);
     fixture.respond(1, Response::Completed(vec![b'x'; LARGE_RESPONSE_BYTES]));
     fixture.shut_down();
-    // The client has not read a byte when the write side is shut down; its request crosses that.
+    // The client has not read a byte when the write side is shut down; its request crosses the
+    // close.
     fixture.wait_for_closing_socket();
 
     fixture.write(&request_line(2));
@@ -390,7 +394,8 @@
     let fixture = ListenerFixture::new();
     let shared = &fixture.shared;
     fixture.run_until(|| shared.listening.get() == 1);
-    // The clients connect while nothing is accepted, and the shutdown comes before that changes.
+    // The clients connect while no connection is accepted, and the shutdown begins before the
+    // listener runs again.
     let clients = fixture.connect(3);
     (&clients[0]).write_all(&request_line(7)).expect("written");
 
@@ -401,7 +406,7 @@
     fixture.run_until(|| shared.listening.get() == 0 && shared.closing_sockets.get() == 3);
     for (index, mut client) in clients.iter().enumerate() {
         let mut text = String::new();
-        client.read_to_string(&mut text).expect("a proper end");
+        client.read_to_string(&mut text).expect("a graceful close");
         assert_eq!(text.contains("\"code\":-32050"), index == 0, "{text}");
     }
     drop(clients);
@@ -409,7 +414,8 @@
     assert_eq!(count_requests(&fixture.events), 0);
 }
 
-/// Guards against work for nobody: also behind a request whose parsing is deferred.
+/// Guards against work whose response no client waits for, also if the cancellation follows a
+/// request whose parsing is deferred.
 #[test]
 fn a_cancellation_takes_effect_at_once_while_its_client_is_throttled() {
     let fixture = Fixture::connected();
@@ -429,7 +435,7 @@
     let cancelled = fixture.wait_for(cancelled_tag);
     assert_eq!(cancelled.event, 1);
     assert_eq!(cancelled.requests, 0, "the request before it is deferred");
-    // The request that was cancelled is never forwarded, the other one once the client reads.
+    // The cancelled request is never forwarded, the other one once the client reads.
     fixture.end_throttle();
     let requested = fixture.wait_for(requested_tag);
     assert_eq!((requested.event, requested.requests), (3, 1));
@@ -448,7 +454,7 @@
     fixture.close();
 }
 
-/// Also with more input before the end of stream than a connection defers.
+/// Also with more input before the end of stream than a connection may defer.
 #[test]
 fn a_disconnect_is_detected_while_the_client_is_throttled() {
     for input_bytes in [0, 80_000] {
@@ -481,9 +487,9 @@
     fixture.close();
 }
 
-/// The check at the instant of a dispatch.
+/// Tests the check that is made at the time of a dispatch.
 #[test]
-fn a_disconnect_is_detected_behind_unread_input() {
+fn a_disconnect_is_detected_after_unread_input() {
     let fixture = Fixture::connected();
     fixture.write(&request_line(1));
     fixture.wait_for_input(10);
@@ -491,19 +497,19 @@
 
     fixture.close_write_side();
 
-    let mut attempts = 0;
-    while !fixture.shared.client_disconnected(1) && attempts < 100_000 {
-        attempts += 1;
+    let mut checks = 0;
+    while !fixture.shared.client_disconnected(1) && checks < 100_000 {
+        checks += 1;
         std::thread::yield_now();
     }
     assert!(fixture.shared.client_disconnected(1));
     fixture.close();
 }
 
-/// Guards the sockets for new clients. Beyond the limit on closing sockets a connection is closed at
-/// once.
+/// Guards against closing connections that use up the sockets for new clients. Beyond the limit on
+/// closing sockets a connection is closed at once.
 #[test]
-fn connections_that_wait_for_their_client_to_close_are_no_client_sockets() {
+fn connections_that_wait_for_their_client_to_close_do_not_count_as_client_sockets() {
     let fixture = ListenerFixture::new();
     let shared = &fixture.shared;
     shared.max_closing_sockets.set(2);
@@ -521,9 +527,10 @@
     fixture.run_until(|| shared.closing_sockets.get() == 0);
 }
 
-/// Guards a throttled client's requests at the end of the process: its connection has to wake up then.
+/// Guards against requests of a throttled client without a response at the exit of the process: its
+/// connection has to wake up at the shutdown.
 #[test]
-fn the_deferred_input_of_a_throttled_client_is_answered_at_the_shutdown() {
+fn deferred_requests_of_a_throttled_client_get_a_response_at_the_shutdown() {
     let fixture = Fixture::connected();
     fixture.open_request(1);
     fixture.throttle();
@@ -542,10 +549,10 @@
     }
 }
 
-/// Guards against an offset of the search that outlives its input, which crashed the actor: see
-/// docs/incidents/crashed-connection.md.
+/// Guards against a search offset beyond the end of the deferred input, which made the actor panic:
+/// see docs/incidents/crashed-connection.md.
 #[test]
-fn a_throttled_client_gets_its_responses_when_the_memory_for_input_is_short() {
+fn a_throttled_client_gets_its_responses_when_the_memory_limit_for_input_is_exceeded() {
     let fixture = Fixture::connected();
     fixture.open_request(1);
     fixture.throttle();
@@ -554,7 +561,7 @@
     fixture.run_until(|| fixture.shared.unread_bytes.get() == deferred.len());
     assert!(deferred.len() > 4_096, "more than a connection may keep");
 
-    // Another client takes the memory, and this one goes on sending.
+    // Other clients use up the memory, and this one continues to send.
     fixture.shared.max_unread_bytes.set(0);
     fixture.write(&request_line(30));
     fixture.run_until(|| fixture.shared.unread_bytes.get() == 0);
@@ -571,10 +578,11 @@
     fixture.close();
 }
 
-/// Guards against the traces of an actor that crashes, for whatever reason: its client's requests would
-/// run for nobody, and its entry would count for ever.
+/// Guards against state that remains after an actor panics: its client's requests would run
+/// although no client waits for them, and its entry in the registry would count for the life of the
+/// process.
 #[test]
-fn a_connection_whose_actor_panics_leaves_nothing_behind() {
+fn a_connection_whose_actor_panics_is_removed_completely() {
     let fixture = Fixture::with_frontend(|_| PanickingFrontend);
     fixture.wait_for_connection();
     fixture.write(b"x");
@@ -592,14 +600,15 @@
     ];
     assert_eq!(counts, [0; 5]);
     assert_eq!(shared.actor_panics.get(), 1);
-    // The descriptor is gone too: without the test's own one the client sees the end.
+    // The descriptor is closed too: once the test's own one is dropped, the client reads the end of
+    // stream.
     let Fixture {
         accepted,
         mut client,
         ..
     } = fixture;
     drop(accepted);
-    assert_eq!(client.read(&mut [0; 8]).expect("a proper end"), 0);
+    assert_eq!(client.read(&mut [0; 8]).expect("a graceful close"), 0);
 }
 
 /// A protocol that panics at the first byte.
@@ -653,10 +662,10 @@
     }
 }
 
-/// Guards the end of a process: it waits for unwritten responses, not for clients that are slow to
-/// close their side.
+/// Guards against an exit that is delayed by clients that are slow to close their side: the process
+/// waits for unwritten responses alone.
 #[test]
-fn a_connection_that_waits_for_its_client_holds_nothing_unwritten() {
+fn a_connection_that_waits_for_its_client_to_close_counts_no_unwritten_output() {
     let fixture = Fixture::connected();
     fixture.open_request(1);
     fixture.shed();
@@ -668,8 +677,9 @@
     assert_eq!(fixture.shared.unwritten_bytes.get(), 0);
 }
 
-/// A client that connects without pause until it is refused; gives how many of its connections were
-/// reset. A request may cross the close of its connection, which the client then sees as a proper end.
+/// A client that connects continuously until it is refused. Returns how many of its connections
+/// were reset. A request may cross the close of its connection, which is then a graceful close for
+/// the client.
 fn connect_until_refused(addr: std::net::SocketAddr) -> usize {
     let mut resets = 0;
     while let Ok(mut stream) = TcpStream::connect(addr) {
@@ -681,10 +691,10 @@
     resets
 }
 
-/// Guards against a reset of connections that the system completes between the last look at the
-/// backlog and the close.
+/// Guards against a reset of connections that the system completes between the last accept and the
+/// close of the listener.
 #[test]
-fn connections_that_are_made_while_a_listener_closes_are_answered_or_refused() {
+fn connections_during_the_close_of_a_listener_get_a_response_or_are_refused() {
     for _ in 0..LISTENER_CLOSES {
         let fixture = ListenerFixture::new();
         let shared = &fixture.shared;
@@ -707,9 +717,9 @@
     }
 }
 
-/// Guards a client that reads its responses against those that do not.
+/// Guards against throttling a client that reads its responses because others do not read theirs.
 #[test]
-fn unread_responses_of_other_clients_defer_no_request() {
+fn unread_responses_of_other_clients_do_not_defer_requests() {
     let fixture = Fixture::connected();
     let shared = &fixture.shared;
     shared
--- a/tests/unit/net_client_input.rs
+++ b/tests/unit/net_client_input.rs
@@ -1,6 +1,6 @@
-//! Input of clients under limits: both frontends get random bytes, in random pieces, parsed at once or
-//! deferred, while memory runs short. The offset of the search and the buffers have to agree, and no
-//! frontend may panic.
+//! Client input under limits: both frontends receive random bytes in random pieces, parsed at once
+//! or deferred, while the memory limit may be exceeded. The search offset and the buffers have to
+//! be consistent, and no frontend may panic.
 use super::buffers::DeferredInput;
 use crate::clock::{MS, SEC};
 use crate::config::process::Names;
@@ -12,7 +12,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Pieces of messages, whole ones and noise.
+/// Complete messages, parts of messages, and invalid input.
 const FRAGMENTS: [&[u8]; 14] = [
     b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"lookup\",\"params\":{\"id\":\"0000000000000001\",\"wait\":900,\"tenant\":\"acme\",\"cost\":5.0,\"kb\":8,\"arg\":\"U0VMRUNUIDE=\"}}\n",
     b"{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"lookup\",\"params\":{\"id\":\"0000000000000002\",\"wait\":900,\"tenant\":\"acme\",\"arg\":\"U0VMRUNUIDE=\"}}\n",
@@ -30,24 +30,25 @@
     b"\x00\xff\xfe",
 ];
 
-/// What happens to a connection.
+/// An event on a connection.
 #[derive(Clone, Debug)]
 enum Step {
     /// Input is parsed at once.
     Feed(Vec<u8>),
-    /// Input waits while the client is throttled.
+    /// Input is deferred while the client is throttled.
     Defer(Vec<u8>),
-    /// A piece of what waits is parsed.
+    /// A chunk of the deferred input is parsed.
     ParseDeferred,
-    /// Memory is short: what waits is parsed, and the rest of a message dropped.
+    /// The memory limit is exceeded: the deferred input is parsed, and an incomplete message is
+    /// discarded.
     OutOfMemory,
-    /// The message was not complete in time.
+    /// The message was not completed in time.
     MessageTimeout,
     /// A request gets its response.
     Respond(u64),
 }
 
-/// A fragment from one offset to another.
+/// A fragment, or the part of one between two offsets.
 fn input() -> impl Strategy<Value = Vec<u8>> {
     let piece = (
         0..FRAGMENTS.len(),
@@ -57,7 +58,7 @@
     piece.prop_map(|(fragment, from, to)| {
         let fragment = FRAGMENTS[fragment];
         let (one, other) = (from.index(fragment.len() + 1), to.index(fragment.len() + 1));
-        // A third of all pieces are whole.
+        // A third of all pieces are whole fragments.
         if (one + other) % 3 == 0 {
             fragment.to_vec()
         } else {
@@ -77,8 +78,8 @@
     ]
 }
 
-/// Plays the steps as the connection's actor does.
-fn play(mut frontend: impl Frontend, steps: Vec<Step>) -> Result<(), TestCaseError> {
+/// Runs the steps as the connection's actor does.
+fn run_steps(mut frontend: impl Frontend, steps: Vec<Step>) -> Result<(), TestCaseError> {
     let (mut events, mut output) = (Vec::new(), Vec::new());
     let mut deferred = DeferredInput::default();
     let mut received = 0;
@@ -112,7 +113,7 @@
             }
         }
         deferred.search(&mut frontend, &mut events);
-        // Nothing is held that was not received.
+        // No more bytes are buffered than were received.
         prop_assert!(frontend.buffered_bytes() + deferred.len() <= received);
     }
     Ok(())
@@ -171,12 +172,12 @@
     #![proptest_config(config())]
 
     #[test]
-    fn json_rpc_input_and_its_search_agree(steps in prop::collection::vec(step(), 1..60)) {
-        play(json_rpc(), steps)?;
+    fn json_rpc_search_offset_stays_consistent(steps in prop::collection::vec(step(), 1..60)) {
+        run_steps(json_rpc(), steps)?;
     }
 
     #[test]
-    fn http_input_and_its_search_agree(steps in prop::collection::vec(step(), 1..60)) {
-        play(click_house(), steps)?;
+    fn http_search_offset_stays_consistent(steps in prop::collection::vec(step(), 1..60)) {
+        run_steps(click_house(), steps)?;
     }
 }
--- a/tests/unit/net_client_response_time.rs
+++ b/tests/unit/net_client_response_time.rs
@@ -1,24 +1,25 @@
-//! The time of each response on a connection that carries everything at once: requests of two tenants
-//! that complete, fail at their deadline or are rejected, cancellations and broken messages.
+//! Guards against late responses on a connection with mixed traffic: requests of two tenants that
+//! complete, fail at their deadline or are rejected, cancellations and invalid messages.
 use super::*;
 use crate::clock::Micros;
 use crate::dispatcher::Failure;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How late a response may be by the platform's rules: the grace of its settings, and 50 ms on sockets.
+/// How late a response may be by the platform's rules: the grace period of its settings, and 50 ms
+/// for the sockets.
 const RESPONSE_SLACK: Micros = 70 * MS;
-/// Requests that a client may have open.
+/// The most requests that a client may have open.
 const MAX_OPEN_REQUESTS: usize = 32;
 /// How long the test waits for the last response.
 const LAST_RESPONSE_TIMEOUT: Micros = 5_000 * MS;
-/// The time between two turns of the client.
-const TURN_MILLIS: u64 = 1;
+/// The interval between two steps of the client, in milliseconds.
+const STEP_MILLIS: u64 = 1;
 const TENANTS: [&str; 2] = ["acme", "globex"];
 
-/// How the dispatcher answers a request.
+/// How the dispatcher responds to a request.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Outcome {
     Completed,
     RejectedAtOnce,
     FailedAtDeadline,
@@ -31,7 +32,7 @@
     Request {
         tenant: usize,
         wait_ms: u64,
-        fate: Fate,
+        outcome: Outcome,
     },
     CancelLast,
     UnknownClass,
@@ -40,18 +41,18 @@
 }
 
 fn client_step() -> impl Strategy<Value = ClientStep> {
-    let fate = prop_oneof![
-        1 => Just(Fate::Completed),
-        4 => Just(Fate::RejectedAtOnce),
-        2 => Just(Fate::FailedAtDeadline),
+    let outcome = prop_oneof![
+        1 => Just(Outcome::Completed),
+        4 => Just(Outcome::RejectedAtOnce),
+        2 => Just(Outcome::FailedAtDeadline),
     ];
-    let request = (0..TENANTS.len(), 1..60u64, fate);
+    let request = (0..TENANTS.len(), 1..60u64, outcome);
     prop_oneof![
         2 => (1..8u64).prop_map(|milliseconds| ClientStep::Pause(milliseconds * MS)),
-        8 => request.prop_map(|(tenant, wait_ms, fate)| ClientStep::Request {
+        8 => request.prop_map(|(tenant, wait_ms, outcome)| ClientStep::Request {
             tenant,
             wait_ms,
-            fate
+            outcome
         }),
         3 => Just(ClientStep::CancelLast),
         1 => Just(ClientStep::UnknownClass),
@@ -62,7 +63,7 @@
 
 /// A request that the client has sent.
 struct SentRequest {
-    fate: Fate,
+    outcome: Outcome,
     due_at: Micros,
     responses: Vec<Micros>,
     cancelled: bool,
@@ -76,15 +77,17 @@
     last_id: u64,
     requests: BTreeMap<u64, SentRequest>,
     open: BTreeSet<u64>,
-    /// Messages that get an error or a status, and the number of those that came.
+    /// The number of messages that get an error or a status in response, and of the responses to
+    /// them that were received.
     other_messages: usize,
     other_responses: usize,
-    /// Responses that the dispatcher owes, by their time.
+    /// Responses that the dispatcher is still to send, by their time.
     scheduled: BTreeSet<(Micros, u64)>,
     input: Vec<u8>,
-    /// The longest time between two turns of this thread, which is not the actor's fault.
+    /// The longest time between two steps of this thread, which does not count as the actor's
+    /// delay.
     lag: Micros,
-    last_turn_at: Micros,
+    last_step_at: Micros,
 }
 
 impl Exchange {
@@ -103,28 +106,28 @@
             scheduled: BTreeSet::new(),
             input: Vec::new(),
             lag: 0,
-            last_turn_at: clock::turn(),
+            last_step_at: clock::turn(),
         }
     }
 
-    /// Plays all steps, and waits for the last response.
+    /// Runs all steps of the client, and waits for the last response.
     fn run(&mut self) {
-        let give_up_at = clock::turn() + LAST_RESPONSE_TIMEOUT;
+        let times_out_at = clock::turn() + LAST_RESPONSE_TIMEOUT;
         let shared = self.fixture.shared.clone();
         let executor = shared.executor.clone();
         block_on(executor.run(async {
-            while !self.turn() && clock::turn() < give_up_at {
-                crate::testkit::pause(TURN_MILLIS).await;
+            while !self.step() && clock::turn() < times_out_at {
+                crate::testkit::pause(STEP_MILLIS).await;
             }
         }));
     }
 
-    /// One turn of the client and of the dispatcher; whether nothing is left to do.
-    fn turn(&mut self) -> bool {
+    /// Runs the client and the dispatcher once. Returns whether nothing is left to do.
+    fn step(&mut self) -> bool {
         let now = clock::turn();
-        self.lag = self.lag.max(now - self.last_turn_at);
-        self.last_turn_at = now;
-        self.answer_requests(now);
+        self.lag = self.lag.max(now - self.last_step_at);
+        self.last_step_at = now;
+        self.respond_to_requests(now);
         self.read_responses(now);
         let mut has_steps = true;
         while has_steps && self.may_send(now) {
@@ -133,16 +136,16 @@
         !has_steps && self.open.is_empty() && self.other_responses == self.other_messages
     }
 
-    fn answer_requests(&mut self, now: Micros) {
+    fn respond_to_requests(&mut self, now: Micros) {
         while let Ok(event) = self.fixture.events.try_recv() {
             let Some(request) = as_request(&event) else {
                 continue;
             };
             let tag = request.origin.tag;
-            match self.requests[&tag].fate {
-                Fate::Completed => self.respond(tag, Response::Completed(b"1\n".to_vec())),
-                Fate::RejectedAtOnce => self.respond(tag, Response::Rejected(None)),
-                Fate::FailedAtDeadline => drop(self.scheduled.insert((request.deadline, tag))),
+            match self.requests[&tag].outcome {
+                Outcome::Completed => self.respond(tag, Response::Completed(b"1\n".to_vec())),
+                Outcome::RejectedAtOnce => self.respond(tag, Response::Rejected(None)),
+                Outcome::FailedAtDeadline => drop(self.scheduled.insert((request.deadline, tag))),
             }
         }
         while let Some((at, tag)) = self.scheduled.first().copied()
@@ -179,7 +182,7 @@
         self.paused_until <= now && self.open.len() < MAX_OPEN_REQUESTS
     }
 
-    /// Plays the next step; whether there was one.
+    /// Runs the next step of the client. Returns whether there was one.
     fn send_next(&mut self, now: Micros) -> bool {
         let Some(step) = self.steps.next() else {
             return false;
@@ -189,8 +192,8 @@
             ClientStep::Request {
                 tenant,
                 wait_ms,
-                fate,
-            } => self.send_request(now, TENANTS[tenant], wait_ms, fate),
+                outcome,
+            } => self.send_request(now, TENANTS[tenant], wait_ms, outcome),
             ClientStep::CancelLast => self.cancel_last(),
             ClientStep::UnknownClass => self.send_other("none", "00000000000000ff"),
             ClientStep::InvalidParameters => self.send_other("lookup", "no key"),
@@ -204,14 +207,14 @@
         self.last_id
     }
 
-    fn send_request(&mut self, now: Micros, tenant: &str, wait_ms: u64, fate: Fate) {
+    fn send_request(&mut self, now: Micros, tenant: &str, wait_ms: u64, outcome: Outcome) {
         let id = self.next_id();
         let key = format!("{id:016x}");
         let line = rpc_line(id, "lookup", &key, tenant, wait_ms, "SELECT 1");
         self.fixture.write(&line);
         self.open.insert(id);
         let request = SentRequest {
-            fate,
+            outcome,
             due_at: now + wait_ms * MS,
             responses: Vec::new(),
             cancelled: false,
@@ -237,7 +240,8 @@
         self.other_messages += 1;
     }
 
-    /// Each request that was not cancelled has one response, in time; a cancelled one at most one.
+    /// Checks that each request that was not cancelled has one response, in time, and a cancelled
+    /// one at most one.
     fn check(&self) -> Result<(), TestCaseError> {
         for (id, request) in &self.requests {
             let latest = request.due_at + RESPONSE_SLACK + self.lag;
@@ -247,7 +251,7 @@
                 let at = responses.first().copied().unwrap_or(Micros::MAX);
                 prop_assert!(
                     at <= latest,
-                    "{id}: due {}, answered {at}, lag {}",
+                    "{id}: due {}, response at {at}, lag {}",
                     request.due_at,
                     self.lag
                 );
@@ -267,9 +271,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against responses after their time where others on the connection are rejected.
+    /// Guards against late responses where other requests on the connection are rejected.
     #[test]
-    fn each_request_is_answered_in_its_time(
+    fn each_request_gets_its_response_in_time(
         steps in prop::collection::vec(client_step(), 300..900)
     ) {
         let mut exchange = Exchange::new(steps);
@@ -279,10 +283,10 @@
     }
 }
 
-/// Guards the others' share of the processor: whatever its messages are, a client that sends without
-/// pause is read from at a bounded rate.
+/// Guards against a client that takes the processor time of others: whatever its messages are,
+/// input of a client that sends continuously is parsed at a limited rate.
 #[test]
-fn a_client_that_sends_without_pause_is_read_from_at_a_bounded_rate() {
+fn input_of_a_client_that_sends_continuously_is_parsed_at_a_limited_rate() {
     let messages = [
         rpc_line(1, "none", "00000000000000ff", "acme", 1, ""),
         STATUS.to_vec(),
@@ -302,11 +306,11 @@
                 pacing.add(now, count);
                 parsed += count;
             }
-            now = pacing.resumes_at(now).expect("the client is deferred");
+            now = pacing.resumes_at(now).expect("the input is deferred");
         }
         // 50 intervals, each with at most the permitted number of messages and one chunk.
-        let most = 50 * (64 + chunk.len() / message.len()) as u64;
-        assert!(parsed <= most, "{parsed} messages in a second");
+        let max_parsed = 50 * (64 + chunk.len() / message.len()) as u64;
+        assert!(parsed <= max_parsed, "{parsed} messages in a second");
         assert!(parsed >= 50 * 64, "{parsed} messages in a second");
     }
 }
--- a/tests/unit/net_engine.rs
+++ b/tests/unit/net_engine.rs
@@ -1,4 +1,5 @@
-//! Which connection of an engine carries an attempt, and for which clients none is started.
+//! Which connection to an engine carries an attempt, and that no attempt is sent for a client that
+//! has disconnected.
 use super::connection_handle::{ConnectionHandle, ConnectionStatus};
 use super::{ConnectionOptions, EndpointHandle, EngineCommand, StartActor, bounded, spawn};
 use crate::backend::platform::Platform;
@@ -20,23 +21,23 @@
 
 const CLIENT: u64 = 7;
 
-fn attempt(single: bool) -> AttemptRequest {
+fn attempt(must_not_repeat: bool) -> AttemptRequest {
     AttemptRequest {
         id: RequestId(1),
         attempt: AttemptNo(0),
         client_request_id: "k".into(),
         class: "lookup".into(),
         statement: Rc::from(&b"select"[..]),
-        must_not_repeat: single,
+        must_not_repeat,
         deadline: 9 * SEC,
         ..AttemptRequest::default()
     }
 }
 
-/// A connection of four streams with at most one attempt on it.
+/// A connection of four streams with one attempt on it, or none.
 fn connection(in_use: bool, has_received: bool) -> ConnectionHandle {
     let (commands, mailbox) = bounded(8);
-    // The mailbox stays open: this stands for a connection's task.
+    // Keeps the mailbox open, as the task of a connection would.
     std::mem::forget(mailbox);
     let status = ConnectionStatus {
         free_streams: Cell::new(if in_use { 3 } else { 4 }),
@@ -83,18 +84,18 @@
 }
 
 /// An engine, and a client whose connection has an actor.
-struct Scene {
+struct EngineFixture {
     shared: Rc<Shared>,
     events: Receiver<DispatcherEvent>,
     engine: Async<TcpListener>,
     endpoint: Rc<EndpointHandle>,
     client: Option<TcpStream>,
     engine_connection: Option<TcpStream>,
-    /// What the engine has read.
+    /// The bytes that the engine has read.
     engine_input: Vec<u8>,
-    /// What was reported to the dispatcher of the client and of the attempt.
+    /// What was reported to the dispatcher about the client and the attempt.
     reported: Vec<String>,
-    /// Keeps the mailboxes of the client's actor open.
+    /// Events that keep the mailboxes of the client's actor open.
     responses: Vec<DispatcherEvent>,
 }
 
@@ -134,15 +135,15 @@
     })
 }
 
-impl Scene {
-    fn new() -> Scene {
+impl EngineFixture {
+    fn new() -> EngineFixture {
         let shared = Shared::new(64, 64);
         let (dispatcher, events) = async_channel::bounded(100);
         let (engine, addr) = listener();
         let start = platform_actor(&shared, &dispatcher);
         let endpoint = EndpointHandle::new(EngineId(1), addr, Readiness::Ready, start);
         let client = connect_client(&shared, &dispatcher);
-        Scene {
+        EngineFixture {
             shared,
             events,
             engine,
@@ -155,14 +156,14 @@
         }
     }
 
-    fn run_until(&mut self, mut condition: impl FnMut(&mut Scene) -> bool) {
+    fn run_until(&mut self, mut condition: impl FnMut(&mut EngineFixture) -> bool) {
         let executor = self.shared.executor.clone();
         let reached = async_io::block_on(executor.run(eventually(|| condition(self))));
         assert!(reached, "the condition was never met");
     }
 
-    /// The client writes part of a message and disconnects. Its actor is delayed: the end of its
-    /// input is behind bytes that nobody has read.
+    /// The client writes a part of a message and disconnects. Its actor is delayed: the end of
+    /// stream follows bytes that are not read yet.
     fn disconnect_client(&mut self) {
         let mut client = self.client.take().expect("a client");
         client.write_all(b"{\"jsonrpc\":").expect("written");
@@ -205,11 +206,11 @@
     }
 }
 
-/// Starts an attempt for a client that disconnects, and gives what the engine read and what was
+/// Starts an attempt for a client that disconnects. Returns what the engine read and what was
 /// reported to the dispatcher.
 fn dispatch(disconnect: Disconnect) -> (String, Vec<String>) {
-    let mut scene = Scene::new();
-    scene.run_until(|scene| scene.shared.clients.borrow().contains_key(&CLIENT));
+    let mut fixture = EngineFixture::new();
+    fixture.run_until(|fixture| fixture.shared.clients.borrow().contains_key(&CLIENT));
     let request = AttemptRequest {
         client_connection: CLIENT,
         statement: Rc::from(&b"SELECT 1"[..]),
@@ -218,23 +219,24 @@
     };
     let disconnects_before = disconnect == Disconnect::BeforeFirstByte;
     if disconnects_before {
-        scene.disconnect_client();
+        fixture.disconnect_client();
     }
-    assert_eq!(scene.endpoint.send(EngineCommand::Start(request)), Ok(()));
-    scene.run_until(|scene| {
-        scene.poll_engine();
-        scene.poll_dispatcher();
-        if scene.engine_input.ends_with(b"SELECT 1\r\n") && scene.client.is_some() {
-            scene.disconnect_client();
+    assert_eq!(fixture.endpoint.send(EngineCommand::Start(request)), Ok(()));
+    fixture.run_until(|fixture| {
+        fixture.poll_engine();
+        fixture.poll_dispatcher();
+        if fixture.engine_input.ends_with(b"SELECT 1\r\n") && fixture.client.is_some() {
+            fixture.disconnect_client();
         }
-        !scene.reported.is_empty() && scene.reported_unsent() == disconnects_before
+        !fixture.reported.is_empty() && fixture.reported_unsent() == disconnects_before
     });
-    let text = String::from_utf8(scene.engine_input).expect("text");
-    (text, scene.reported)
+    let text = String::from_utf8(fixture.engine_input).expect("text");
+    (text, fixture.reported)
 }
 
-/// No work is done for a client that disconnected before the first byte, and the dispatcher learns
-/// of the client before it learns of the attempt, lest it retries.
+/// Guards against work for a client that disconnected before the first byte. The disconnect is
+/// reported to the dispatcher before the end of the attempt, so that the dispatcher does not retry
+/// it.
 #[test]
 fn no_attempt_is_sent_for_a_client_that_has_disconnected() {
     let (engine_input, reported) = dispatch(Disconnect::BeforeFirstByte);
@@ -242,16 +244,16 @@
     assert_eq!(engine_input, "");
     let position = |wanted: &str| reported.iter().position(|line| line == wanted);
     let disconnected = position("client 7 disconnected");
-    let withdrawn = position("Cancelled Unsent");
+    let cancelled = position("Cancelled Unsent");
     assert!(
-        disconnected < withdrawn && disconnected.is_some(),
+        disconnected < cancelled && disconnected.is_some(),
         "{reported:?}"
     );
 }
 
-/// An attempt whose first byte was written is completed, and sent once.
+/// An attempt whose first byte was written is sent completely, and once.
 #[test]
-fn an_attempt_that_has_begun_is_sent_completely_though_its_client_disconnects() {
+fn an_attempt_whose_first_byte_was_sent_is_sent_completely_if_its_client_disconnects() {
     let (engine_input, reported) = dispatch(Disconnect::AfterFirstByte);
 
     assert_eq!(engine_input.matches("do k ").count(), 1, "{engine_input}");
--- a/tests/unit/net_engine_endpoint.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -1,6 +1,6 @@
-//! The actor of an engine exists while something is in flight or queued there. Events that may
-//! cross its start or its end are forced here after every number of steps that the actors can have
-//! taken, so that each order of the two is covered.
+//! The actor of an engine exists while something is in flight or queued for the engine. Events that
+//! race with its start or its end are caused here after every number of steps that the actors can
+//! have taken, so that each order of the two is covered.
 use super::{
     ConnectionOptions, EndpointHandle, EngineCommand, MAILBOX_CAPACITY, StartActor, bounded, spawn,
 };
@@ -20,20 +20,20 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// More steps than any of the crossings takes.
+/// More steps than any of the races takes.
 const MAX_STEPS: usize = 24;
 const CLIENT: u64 = 7;
 
-/// The end of an attempt.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct End {
+struct AttemptEnd {
     id: RequestId,
     termination: Termination,
     progress: TransmitProgress,
 }
 
 /// An engine, and a dispatcher that records what is reported to it.
-struct Scene {
+struct EndpointFixture {
     shared: Rc<Shared>,
     dispatcher: Sender<DispatcherEvent>,
     events: Receiver<DispatcherEvent>,
@@ -42,22 +42,22 @@
     /// What the engine has read, over all connections.
     engine_input: String,
     engine_connections: Vec<TcpStream>,
-    /// The engine closes a connection once it has read a whole command.
+    /// Whether the engine closes a connection once it has read a whole command.
     closes_after_command: bool,
-    /// The engine closes all connections.
+    /// Whether the engine closes all connections.
     closes_all: bool,
-    ends: Vec<End>,
+    ends: Vec<AttemptEnd>,
     probes: Vec<OutcomeKind>,
     _client: (Rc<Async<TcpStream>>, TcpStream),
 }
 
-impl Scene {
-    fn new() -> Scene {
+impl EndpointFixture {
+    fn new() -> EndpointFixture {
         let shared = Shared::new(64, 64);
         let (dispatcher, events) = async_channel::bounded(1_000);
         let client = register_client(&shared, CLIENT);
         let (engine, addr) = listener();
-        Scene {
+        EndpointFixture {
             shared,
             dispatcher,
             events,
@@ -126,7 +126,7 @@
     fn poll_dispatcher(&mut self) {
         while let Ok(event) = self.events.try_recv() {
             match event {
-                DispatcherEvent::AttemptFinished(result) => self.ends.push(End {
+                DispatcherEvent::AttemptFinished(result) => self.ends.push(AttemptEnd {
                     id: result.id,
                     termination: result.termination,
                     progress: result.progress,
@@ -137,7 +137,7 @@
         }
     }
 
-    fn run_until(&mut self, mut condition: impl FnMut(&Scene) -> bool) {
+    fn run_until(&mut self, mut condition: impl FnMut(&EndpointFixture) -> bool) {
         let executor = self.shared.executor.clone();
         let reached = async_io::block_on(executor.run(eventually(|| {
             self.poll_engine();
@@ -155,22 +155,23 @@
         self.ends.iter().any(|end| end.id == RequestId(id))
     }
 
-    fn ends_of(&self, id: u32) -> Vec<End> {
-        let of_request = |end: &&End| end.id == RequestId(id);
+    fn ends_of(&self, id: u32) -> Vec<AttemptEnd> {
+        let of_request = |end: &&AttemptEnd| end.id == RequestId(id);
         self.ends.iter().filter(of_request).copied().collect()
     }
 
-    fn end_of(&self, id: u32) -> End {
+    fn end_of(&self, id: u32) -> AttemptEnd {
         *self.ends_of(id).first().expect("an end")
     }
 
-    /// Runs until those requests have ended and, with all connections closed by the engine, no
-    /// actor is left. Each has ended once, and what was never sent was never read.
-    fn settle(&mut self, ids: &[u32]) {
-        self.run_until(|scene| ids.iter().all(|id| scene.has_ended(*id)));
+    /// Runs until the attempts of those requests have ended and, with all connections closed by the
+    /// engine, no actor is left. Asserts that each ended once, and that the engine read at most
+    /// once what was sent, and never what was not.
+    fn finish_and_check(&mut self, ids: &[u32]) {
+        self.run_until(|fixture| ids.iter().all(|id| fixture.has_ended(*id)));
         self.closes_all = true;
-        self.run_until(|scene| {
-            let shared = &scene.shared;
+        self.run_until(|fixture| {
+            let shared = &fixture.shared;
             shared.engine_actors.get() == 0 && shared.engine_sockets.get() == 0
         });
         self.closes_all = false;
@@ -205,12 +206,12 @@
     }
 }
 
-/// Bounds memory: an engine that nobody uses has no actor, and has none again once the connections
-/// of its last use have ended.
+/// Limits memory: an unused engine has no actor, and has none again once the connections of its
+/// last use are closed.
 #[test]
 fn an_actor_exists_while_something_is_in_flight() {
-    let mut scene = Scene::new();
-    let endpoint = scene.endpoint();
+    let mut fixture = EndpointFixture::new();
+    let endpoint = fixture.endpoint();
     for command in [cancel(1), EngineCommand::CloseIdle] {
         assert_eq!(
             endpoint.send(command),
@@ -218,62 +219,63 @@
             "nothing is in flight: there is nothing to do"
         );
     }
-    scene.run_steps(MAX_STEPS);
+    fixture.run_steps(MAX_STEPS);
     assert!(!endpoint.is_active());
-    assert_eq!(scene.shared.engine_actors.get(), 0);
+    assert_eq!(fixture.shared.engine_actors.get(), 0);
 
     for id in 1..4 {
         assert_eq!(endpoint.send(start(id)), Ok(()));
         assert!(endpoint.is_active());
-        scene.settle(&[id]);
+        fixture.finish_and_check(&[id]);
         assert!(!endpoint.is_active());
-        assert!(!endpoint.is_closed(), "it is still in the list");
+        assert!(!endpoint.is_closed(), "it is still in the endpoint list");
     }
 }
 
-/// Drains an engine after `steps` of the actors since its first use, and gives the progress of the
+/// Drains an engine after `steps` of the actors since its first use. Returns the progress of the
 /// attempt.
 fn drain_after(steps: usize) -> TransmitProgress {
-    let mut scene = Scene::new();
-    let endpoint = scene.endpoint();
+    let mut fixture = EndpointFixture::new();
+    let endpoint = fixture.endpoint();
     assert_eq!(endpoint.send(start(1)), Ok(()));
-    scene.run_steps(steps);
+    fixture.run_steps(steps);
     if steps == MAX_STEPS {
-        scene.run_until(|scene| !scene.engine_input.is_empty());
+        fixture.run_until(|fixture| !fixture.engine_input.is_empty());
     }
 
     endpoint.set_readiness(Readiness::Draining);
     let later_attempt = endpoint.send(start(2));
 
     if later_attempt.is_ok() {
-        scene.settle(&[1, 2]);
-        let end = scene.end_of(2);
+        fixture.finish_and_check(&[1, 2]);
+        let end = fixture.end_of(2);
         assert_eq!(
             (end.termination, end.progress),
             (Termination::Drained, TransmitProgress::Unsent)
         );
     } else {
-        scene.settle(&[1]);
+        fixture.finish_and_check(&[1]);
     }
-    let end = scene.end_of(1);
+    let end = fixture.end_of(1);
     assert_eq!(
         end.termination == Termination::Drained,
         end.progress == TransmitProgress::Unsent,
         "{end:?}"
     );
-    // Without an actor the drain applies as well, until the engine is in service again.
+    // The drain applies without an actor too, until the engine is ready again.
     assert_eq!(endpoint.send(start(3)), Err(Termination::Drained));
     endpoint.set_readiness(Readiness::Ready);
     assert_eq!(endpoint.send(start(4)), Ok(()));
-    scene.settle(&[4]);
-    assert_ne!(scene.end_of(4).progress, TransmitProgress::Unsent);
+    fixture.finish_and_check(&[4]);
+    assert_ne!(fixture.end_of(4).progress, TransmitProgress::Unsent);
     end.progress
 }
 
-/// An engine drains while its actor is started, while it connects, and after the first byte. What
-/// was not sent by then is not sent, and nothing starts afterwards, with or without an actor.
+/// An engine drains while its actor is started, while it connects, and after the first byte. An
+/// attempt that was not sent by then is not sent, and none starts afterwards, with or without an
+/// actor.
 #[test]
-fn a_drain_during_the_first_use_withdraws_what_is_unsent() {
+fn a_drain_during_the_first_use_ends_unsent_attempts() {
     let progress: Vec<TransmitProgress> = (0..=MAX_STEPS).map(drain_after).collect();
 
     assert_eq!(progress[0], TransmitProgress::Unsent, "{progress:?}");
@@ -284,82 +286,87 @@
     );
 }
 
-/// Commands that may cross the end of an actor.
+/// Commands that may race with the end of an actor.
 #[derive(Clone, Copy)]
-enum Crossing {
+enum RacingCommand {
     Start,
     Probe,
     Cancel,
 }
 
-fn cross_the_end_of_an_actor(crossing: Crossing, steps: usize) {
-    let mut scene = Scene::new();
-    let endpoint = scene.endpoint();
+fn send_during_the_end_of_an_actor(command: RacingCommand, steps: usize) {
+    let mut fixture = EndpointFixture::new();
+    let endpoint = fixture.endpoint();
     assert_eq!(endpoint.send(start(1)), Ok(()));
-    // The engine closes the connection as it has read this; the actors have not noticed yet.
-    scene.run_until(|scene| scene.engine_input.ends_with("\r\n"));
-    scene.run_steps(steps);
-    match crossing {
-        Crossing::Start => {
+    // The engine closes the connection after reading this; the actors have not processed the close
+    // yet.
+    fixture.run_until(|fixture| fixture.engine_input.ends_with("\r\n"));
+    fixture.run_steps(steps);
+    match command {
+        RacingCommand::Start => {
             assert_eq!(endpoint.send(start(2)), Ok(()));
-            scene.settle(&[1, 2]);
+            fixture.finish_and_check(&[1, 2]);
         }
-        Crossing::Probe => {
+        RacingCommand::Probe => {
             let probe = EngineCommand::Probe {
                 not_after: u64::MAX,
             };
             assert_eq!(endpoint.send(probe), Ok(()));
-            scene.run_until(|scene| !scene.probes.is_empty());
-            scene.settle(&[1]);
-            assert_eq!(scene.probes.len(), 1);
+            fixture.run_until(|fixture| !fixture.probes.is_empty());
+            fixture.finish_and_check(&[1]);
+            assert_eq!(fixture.probes.len(), 1);
         }
-        Crossing::Cancel => {
+        RacingCommand::Cancel => {
             assert_eq!(endpoint.send(cancel(1)), Ok(()));
-            scene.settle(&[1]);
+            fixture.finish_and_check(&[1]);
         }
     }
 }
 
-/// An attempt, a health check or a cancellation comes while the last connection ends and with it
-/// the actor. Nothing that was accepted is lost, and nothing ends twice.
+/// An attempt, a load probe or a cancellation is sent while the last connection is closed and the
+/// actor ends. No accepted command is lost, and no attempt or load probe ends twice.
 #[test]
 fn a_command_during_the_end_of_an_idle_actor_is_not_lost() {
     for steps in 0..=MAX_STEPS {
-        for crossing in [Crossing::Start, Crossing::Probe, Crossing::Cancel] {
-            cross_the_end_of_an_actor(crossing, steps);
+        for command in [
+            RacingCommand::Start,
+            RacingCommand::Probe,
+            RacingCommand::Cancel,
+        ] {
+            send_during_the_end_of_an_actor(command, steps);
         }
     }
 }
 
 fn replace_engine(steps: usize, removed_before: bool) {
-    let mut scene = Scene::new();
-    scene.closes_after_command = false;
-    let old = scene.endpoint();
+    let mut fixture = EndpointFixture::new();
+    fixture.closes_after_command = false;
+    let old = fixture.endpoint();
     assert_eq!(old.send(start(1)), Ok(()));
-    scene.run_steps(steps);
+    fixture.run_steps(steps);
     if removed_before {
         old.set_readiness(Readiness::Removed);
     }
 
     old.close();
-    let new = scene.endpoint();
+    let new = fixture.endpoint();
     assert_eq!(new.send(start(2)), Ok(()));
 
     assert!(old.send(start(3)).is_err());
     assert!(old.is_closed());
-    scene.run_until(|scene| scene.engine_input.contains("do k2 ") && scene.has_ended(1));
+    fixture.run_until(|fixture| fixture.engine_input.contains("do k2 ") && fixture.has_ended(1));
     assert!(
-        !scene.has_ended(2),
-        "the attempt on the new one is in flight"
+        !fixture.has_ended(2),
+        "the attempt on the new engine is in flight"
     );
-    scene.closes_after_command = true;
-    scene.engine_connections.clear();
-    scene.settle(&[1, 2]);
+    fixture.closes_after_command = true;
+    fixture.engine_connections.clear();
+    fixture.finish_and_check(&[1, 2]);
 }
 
 /// An engine is removed and another process gets its address while the actor of the first ends.
-/// Attempts on the first end, as nobody could cancel them any more; the attempt on the second is
-/// sent on a connection of its own.
+/// Attempts on the first end, as they can no longer be cancelled; the attempt on the second is sent
+/// on a connection of its own.
 #[test]
 fn a_replaced_engine_ends_its_attempts_while_its_actor_ends() {
     for steps in 0..=MAX_STEPS {
@@ -369,34 +376,34 @@
     }
 }
 
-/// Without a descriptor at the first use the attempt ends unsent, which is no fault of the engine;
-/// the actor ends too, and the next use finds a descriptor again.
+/// If no descriptor is free at the first use, the attempt ends unsent, which does not count as a
+/// failure of the engine. The actor ends too, and the next use succeeds once a descriptor is free.
 #[test]
 fn an_attempt_without_a_descriptor_ends_unsent() {
-    let mut scene = Scene::new();
-    let endpoint = scene.endpoint();
-    let max_sockets = scene.shared.max_engine_sockets.replace(0);
+    let mut fixture = EndpointFixture::new();
+    let endpoint = fixture.endpoint();
+    let max_sockets = fixture.shared.max_engine_sockets.replace(0);
 
     assert_eq!(endpoint.send(start(1)), Ok(()));
-    scene.settle(&[1]);
-    let end = scene.end_of(1);
+    fixture.finish_and_check(&[1]);
+    let end = fixture.end_of(1);
     assert_eq!(
         (end.termination, end.progress),
         (Termination::LocalLimit, TransmitProgress::Unsent)
     );
 
-    scene.shared.max_engine_sockets.set(max_sockets);
+    fixture.shared.max_engine_sockets.set(max_sockets);
     assert_eq!(endpoint.send(start(2)), Ok(()));
-    scene.settle(&[2]);
-    assert_ne!(scene.end_of(2).progress, TransmitProgress::Unsent);
+    fixture.finish_and_check(&[2]);
+    assert_ne!(fixture.end_of(2).progress, TransmitProgress::Unsent);
 }
 
-/// What waits for an engine is bounded: an attempt beyond the bound is not accepted, and neither is
-/// a cancellation, after which the dispatcher aborts the actor with its connections.
+/// The number of queued commands is limited: an attempt beyond the limit is not accepted, and
+/// neither is a cancellation, after which the dispatcher aborts the actor with its connections.
 #[test]
 fn a_full_mailbox_rejects_commands() {
-    let mut scene = Scene::new();
-    let endpoint = scene.endpoint();
+    let mut fixture = EndpointFixture::new();
+    let endpoint = fixture.endpoint();
 
     let accepted = (1..)
         .take_while(|id| endpoint.send(start(*id)).is_ok())
@@ -407,8 +414,10 @@
     endpoint.abort();
     assert!(!endpoint.is_active());
     assert!(!endpoint.is_closed());
-    scene.closes_after_command = false;
-    scene.run_until(|scene| scene.shared.engine_actors.get() == 0 && scene.ends.len() == accepted);
+    fixture.closes_after_command = false;
+    fixture.run_until(|fixture| {
+        fixture.shared.engine_actors.get() == 0 && fixture.ends.len() == accepted
+    });
 }
 
 #[test]
