--- a/src/net/client/connection_registry.rs
+++ b/src/net/client/connection_registry.rs
@@ -15,8 +15,8 @@
 pub struct ConnectionStatus {
     /// The client has sent at least one valid message.
     pub(super) has_valid_message: Cell<bool>,
-    /// Since when no request is open on the connection and no output is to be written; `None` if
-    /// either is the case.
+    /// Since when no request is open on the connection and no output is to be written; `None` while
+    /// a request is open or output is to be written.
     pub(super) idle_since: Cell<Option<Micros>>,
     /// The connection is to close as soon as it is quiet, so that no request is lost.
     pub(super) draining: Cell<bool>,
--- a/src/net/client/graceful_close.rs
+++ b/src/net/client/graceful_close.rs
@@ -20,8 +20,8 @@
 
 impl<F: Frontend> ClientConnection<'_, F> {
     /// Writes the remaining output, shuts down the write side, and reads and discards what the
-    /// client still sends, within limits. A client sends a request that crosses the close again
-    /// elsewhere. Returns `reason`.
+    /// client still sends, within limits. A request that crosses the close is sent again elsewhere
+    /// by its client. Returns `reason`.
     pub(super) async fn close_gracefully(self, reason: Termination) -> Termination {
         let final_write = CountGuard::new(&self.shared.connections_with_unwritten_output);
         let write_side_closed = self.write_remaining_output().await
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -23,7 +23,7 @@
 const NO_DESCRIPTOR_PAUSE: Duration = Duration::from_millis(10);
 
 /// Binds a listener. Its backlog is larger than the default: a connection that does not fit into
-/// the backlog is established for the client, but accepted only seconds later.
+/// the backlog is established for the client, but served only seconds later.
 ///
 /// # Errors
 /// Those of the system, such as an address in use.
