--- a/src/policy/api/action.rs
+++ b/src/policy/api/action.rs
@@ -1,8 +1,8 @@
-//! What the module orders its host to do.
+//! Actions that the module orders its host to carry out.
 
 use super::{AttemptNo, EngineId, Nanos, RejectionReason, RequestId};
 
-/// An action that the module orders in response to an event. The host carries actions out in order.
+/// An action that the module orders in response to an event. The host carries out actions in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the next attempt of a request; attempts are numbered in the order of these actions.
@@ -11,7 +11,7 @@
         id: RequestId,
         /// The engine to send it to.
         engine: EngineId,
-        /// Time after which the attempt ends as timed out; 0 leaves it until the deadline.
+        /// Time after which the attempt ends as timed out; 0 if only the deadline limits it.
         timeout: Nanos,
     },
     /// Set the options of a request's next attempts. The priority also applies to attempts that
@@ -31,16 +31,17 @@
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Final response: rejected. Promises that a retry is harmless (invariant 2).
+    /// Final response: the request is rejected, which promises that a retry is harmless
+    /// (invariant 2).
     Reject {
         /// The request.
         id: RequestId,
-        /// Retry-After time to state; 0 for none.
+        /// Retry-After time of the response; 0 for none.
         retry_after: Nanos,
-        /// Why; for the operators alone.
+        /// Why it is rejected; reported to operators, not to the client.
         reason: RejectionReason,
     },
-    /// Final response: failed. Nothing is promised about a retry: the request may have run.
+    /// Final response: the request failed. It may have run, so nothing is promised about a retry.
     Fail {
         /// The request.
         id: RequestId,
@@ -62,16 +63,16 @@
         /// The engine.
         engine: EngineId,
     },
-    /// Send a message to one gateway or to all.
+    /// Send a message to one other gateway or to all of them.
     SendToPeer {
-        /// The index of that gateway; `None` for all.
+        /// The index of the receiving gateway; `None` for all.
         peer: Option<u32>,
         /// The content, at most 256 bytes.
         data: Vec<u8>,
     },
     /// Fetch the complete endpoint list once.
     FetchEndpointList,
-    /// Begin (`true`) or end (`false`) to watch the endpoint list for changes.
+    /// Start (`true`) or stop (`false`) watching the endpoint list for changes.
     WatchEndpointList(bool),
     /// Write a line to the log.
     Log(String),
--- a/src/policy/api/event.rs
+++ b/src/policy/api/event.rs
@@ -1,4 +1,4 @@
-//! What the module is informed of.
+//! Events that the module receives.
 
 use super::{
     AttemptNo, CellId, ClassId, EngineId, MachineTypeId, Nanos, OrderKey, RequestId, TenantId,
@@ -26,26 +26,26 @@
     pub zone: ZoneId,
     /// The type of its machine.
     pub machine_type: MachineTypeId,
-    /// The cell whose engines recognise its requests.
+    /// The cell whose engines recognize duplicates of its requests.
     pub cell: CellId,
     /// Whether it accepts attempts.
     pub readiness: Readiness,
-    /// The deployment's own figure of size or load; the module makes no use of it.
+    /// The deployment's own measure of size or load; the module does not use it.
     pub weight: f64,
-    /// When it last started, on the clock of the events; 0 for long ago, past its slow start.
+    /// When it last started, on the clock of the events; 0 if its slow start ended long ago.
     pub started_at: Nanos,
 }
 
-/// How an update relates to the endpoint list that the module has.
+/// How an update of the endpoint list relates to the list that the module holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// Complete but possibly out of date: what this gateway had stored.
+    /// Complete but possibly stale: the list that this gateway had stored.
     Cached,
     /// Only the entries that changed.
     Changes,
     /// Complete and current; an engine that is missing has been removed.
     Full,
-    /// A poll failed or the watch broke; the update has no entries and changes nothing.
+    /// A poll or the watch failed; the update has no entries and changes nothing.
     Failed,
 }
 
@@ -58,20 +58,20 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
-    /// The key it is ordered by, where its class is
+    /// The key by which it is ordered if its class is
     /// [`serial_per_key`](super::ClassSpec::serial_per_key).
     pub key: Option<OrderKey>,
     /// The point in time at which the client stops waiting for it.
     pub deadline: Nanos,
-    /// The client's estimate of its work: run time summed over all threads.
+    /// The client's estimate of its work: run time in nanoseconds, summed over all threads.
     pub work_hint: Option<Nanos>,
     /// The client's estimate of its memory, in MB.
     pub memory_hint_mb: Option<f64>,
     /// The data set that it reads; 0 if unknown.
     pub data_set: u64,
-    /// The client marked it as a retry of its own.
+    /// The client marked it as a retry of an earlier request.
     pub is_retry: bool,
-    /// It must not run twice, whatever its class allows: it has no idempotency key.
+    /// It has no idempotency key, so it must not run twice, even if its class allows that.
     pub must_not_repeat: bool,
 }
 
@@ -88,11 +88,11 @@
     Timeout,
     /// No connection was made; the attempt never ran.
     ConnectFailed,
-    /// The connection broke; the attempt may still run.
+    /// The connection was reset; the attempt may still run.
     Reset,
     /// It was cancelled; it may have run, and may still run.
     Cancelled,
-    /// The host did not send it; it never ran and counts for no budget.
+    /// The host did not send it; it never ran and counts against no budget.
     NeverSent,
 }
 
@@ -120,18 +120,18 @@
         &self.values[..self.len]
     }
 
-    /// Whether the engine reported no value at all.
+    /// Whether the engine reported no value.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 }
 
-/// What an engine reports of an attempt that runs.
+/// What an engine reports about a running attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProgressUpdate {
-    /// Fraction of the query that is done, 0 to 1.
+    /// Completed fraction of the query, 0 to 1.
     Progress(f64),
-    /// The query spills to disk; the memory that it lacks, in MB.
+    /// The query spills to disk; holds the memory that it lacks, in MB.
     Spill(f64),
     /// The query waits for memory.
     WaitsForMemory,
@@ -152,32 +152,32 @@
     pub kind: OutcomeKind,
     /// Time since it was sent.
     pub latency: Nanos,
-    /// The request has its final response, from this attempt or from an earlier event.
+    /// The request has received its final response, from this attempt or from an earlier event.
     pub request_finished: bool,
-    /// The query's work, summed over all threads, if the engine stated it.
+    /// The query's work, summed over all threads, if the engine reported it.
     pub work: Option<Nanos>,
-    /// The memory that the query needed, in MB, if the engine stated it.
+    /// The memory that the query needed, in MB, if the engine reported it.
     pub memory_mb: Option<f64>,
-    /// The engine's load at the time; empty if it stated none.
+    /// The engine's load at the end of the attempt; empty if it reported none.
     pub load: LoadReport,
 }
 
-/// An event that the module is informed of.
+/// An event that the module handles.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An update of the endpoint list.
     EndpointList {
-        /// How the entries relate to the list that the module has.
+        /// How the entries relate to the list that the module holds.
         kind: EndpointListKind,
         /// The entries; none for [`EndpointListKind::Failed`].
         entries: Vec<Endpoint>,
     },
-    /// A request was received.
+    /// A request was received from a client.
     Request(Request),
     /// An attempt ended.
     Outcome(Outcome),
-    /// The first byte of a response was passed to the client; only this attempt can complete the
-    /// request from then on.
+    /// The first byte of a response was forwarded to the client; from then on only this attempt can
+    /// complete the request.
     FirstByte {
         /// The request.
         id: RequestId,
@@ -193,7 +193,7 @@
         /// What it reported.
         update: ProgressUpdate,
     },
-    /// The client of a request disconnected or withdrew it; no response is expected.
+    /// The client of a request disconnected or canceled it; no response is expected.
     ClientDisconnected(RequestId),
     /// A timer fired; the token is that of [`Action::StartTimer`](super::Action::StartTimer).
     TimerFired(u64),
@@ -205,12 +205,12 @@
         kind: OutcomeKind,
         /// Time since it was sent.
         latency: Nanos,
-        /// The engine's load; empty if it stated none.
+        /// The engine's load; empty if it reported none.
         load: LoadReport,
     },
     /// A message from another gateway.
     PeerMessage {
-        /// The index of that gateway.
+        /// The index of the sending gateway.
         from: u32,
         /// The content.
         data: Vec<u8>,
--- a/src/policy/api/ids.rs
+++ b/src/policy/api/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers, and the unit of time.
+//! Identifiers and the unit of time.
 
 /// A point in time or a duration, in nanoseconds. Points in time are read from one monotonic clock
 /// of the host; the module never reads a clock itself.
@@ -13,8 +13,8 @@
 }
 
 ids! {
-    /// An engine, that is one process of the query engine. The number is opaque: it encodes neither
-    /// place nor order.
+    /// An engine: one process of the query engine. The number is opaque: it encodes neither
+    /// location nor order.
     EngineId(u64);
     /// A request of a client at one gateway. Never reused; a client's own retry is a new request.
     RequestId(u32);
@@ -26,7 +26,7 @@
     ZoneId(u16);
     /// A machine type: an index into [`Settings::machine_types`](super::Settings::machine_types).
     MachineTypeId(u16);
-    /// A cell: a set of engines that share their memory of idempotency keys, so each recognises a
+    /// A cell: a set of engines that share their records of idempotency keys, so each recognizes a
     /// duplicate of a request that another one ran.
     CellId(u16);
     /// The key by which requests of a [`serial_per_key`](super::ClassSpec::serial_per_key) class are
--- a/src/policy/api/mod.rs
+++ b/src/policy/api/mod.rs
@@ -1,32 +1,32 @@
-//! The interface of the decision module: plain data that crosses its edge, without logic.
+//! The interface of the decision module: plain data types without logic.
 //!
 //! - `ids`: identifiers and the unit of time;
-//! - `settings`: what the module is configured with, and the invariants it has to keep;
-//! - `event`: what the module is informed of (endpoint lists, requests, outcomes, timers);
-//! - `action`: what the module orders in response;
-//! - `rejection`: why it rejects requests.
+//! - `settings`: the configuration of the module and the parameters of its invariants;
+//! - `event`: events that the module receives (endpoint lists, requests, outcomes, timers);
+//! - `action`: actions that the module orders in response;
+//! - `rejection`: reasons for which it rejects requests.
 //!
-//! Every item is re-exported here, so callers name it `policy::api::Item`.
+//! Every item is re-exported here, so callers refer to it as `policy::api::Item`.
 //!
 //! # Invariants
 //!
-//! The protocol between the module and its host states seven invariants that hold for every
+//! The protocol between the module and its host defines seven invariants that hold for every
 //! sequence of events. The code refers to them by number; `tests/rules` checks them with random
 //! events.
 //!
 //! 1. Each request gets exactly one final response, at the latest
 //!    [`response_grace`](Invariants::response_grace) after its deadline, and no attempt starts after
 //!    its deadline.
-//! 2. An attempt that may have run is repeated only as the class's [`Idempotency`] allows, and a
-//!    request is rejected, which promises that a retry is harmless, only if it can't run twice by
-//!    that.
+//! 2. An attempt that may have run is repeated only as the class's [`Idempotency`] allows. A
+//!    request is rejected, which promises that a retry is harmless, only if a retry can't make it
+//!    run twice against that rule.
 //! 3. No attempt starts on an engine that is not [`Ready`](Readiness::Ready);
-//!    [`drain_grace`](Invariants::drain_grace) covers the time until the update is received.
-//! 4. The work that all gateways together send to an engine in its slow start stays within its
-//!    budget: see [`overload_multiple`](Invariants::overload_multiple).
+//!    [`drain_grace`](Invariants::drain_grace) allows for the time until the update is received.
+//! 4. The work that all gateways together send to an engine in slow start stays within its budget:
+//!    see [`overload_multiple`](Invariants::overload_multiple).
 //! 5. Requests of a [`serial_per_key`](ClassSpec::serial_per_key) class with the same key run one at
-//!    a time, in order of arrival, with a [`key_cooldown`](Invariants::key_cooldown) after an attempt
-//!    that may still run.
+//!    a time, in order of arrival, and a [`key_cooldown`](Invariants::key_cooldown) follows each
+//!    attempt that may still run.
 //! 6. Attempts go only to the zones and machine types that the class allows.
 //! 7. Attempts beyond the first stay within the [`RetryBudget`], if there is one.
 
--- a/src/policy/api/rejection.rs
+++ b/src/policy/api/rejection.rs
@@ -1,28 +1,28 @@
-//! Why the module rejects requests.
+//! Reasons for which the module rejects requests.
 
-/// Why a request is rejected, as the place that decides it knows.
+/// Why a request is rejected, set where that is decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionReason {
-    /// It arrived when the process had too little time left for it.
+    /// It arrived when the process had too little time left before its exit.
     ProcessStops,
-    /// The work queued ahead of it leaves it no time.
+    /// The work queued ahead of it takes too long for it to complete in time.
     BacklogTooLong,
-    /// Its deadline is near, and no engine had capacity for it.
+    /// Its deadline is near, and no engine has had capacity for it.
     DeadlineNear,
-    /// No engine is known, and the process stops.
+    /// No engine is available, and the process shuts down.
     NoEngineWhileStopping,
-    /// It had all its attempts.
+    /// It has used up its attempts.
     AttemptsExhausted,
-    /// An attempt ended, and too little time is left for another one.
+    /// An attempt ended, and too little time is left for a retry.
     NoTimeToRetry,
-    /// An attempt ended, and its idempotency permits no other one now.
+    /// An attempt ended, and its idempotency does not allow a retry now.
     RetryNotAllowed,
     /// Its attempt made too little progress.
     PlanAbandoned,
 }
 
 impl RejectionReason {
-    /// Its name among the metrics and in the log.
+    /// The name of the reason in metrics and in the log.
     pub fn as_str(self) -> &'static str {
         match self {
             RejectionReason::ProcessStops => "process_stops",
--- a/src/policy/api/settings.rs
+++ b/src/policy/api/settings.rs
@@ -1,16 +1,16 @@
-//! What the module is configured with: classes, machine types, tenants, limits and invariants.
+//! Configuration of the module: classes, machine types, tenants, limits and invariants.
 
 use super::{MachineTypeId, Nanos, ZoneId};
 
-/// Whether a request may run more than once. Basis of invariant 2.
+/// Whether a request may run more than once; invariant 2 depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Running it several times has the same effect as running it once.
     Idempotent,
-    /// It carries an idempotency key. A repeat is safe on engines that know the key, while they
-    /// know it.
+    /// It carries an idempotency key. A repeat is safe on engines that recognize the key, for as
+    /// long as they keep it.
     WithKey {
-        /// The engines that recognise a repeat.
+        /// The engines that recognize a repeat.
         scope: DeduplicationScope,
         /// How long engines keep the key, counted from the first attempt that may have run.
         window: Nanos,
@@ -38,13 +38,13 @@
     /// Value of one request that is completed within its latency objective, relative to other
     /// classes.
     pub priority_weight: f64,
-    /// Fraction of `priority_weight`, 0 to 1, that a response after the objective still earns.
+    /// Fraction of `priority_weight`, 0 to 1, that a response is worth after the latency objective.
     pub late_priority_weight: f64,
     /// Fixed part of the latency objective.
     pub base_latency_objective: Nanos,
     /// Factor of the ideal run time (work over threads) in the latency objective.
     pub objective_slowdown: f64,
-    /// How long a client waits, over all of its own retries.
+    /// How long a client waits, its own retries included.
     pub deadline: Nanos,
     /// Whether its requests may be repeated (invariant 2).
     pub idempotency: Idempotency,
@@ -52,11 +52,12 @@
     pub serial_per_key: bool,
     /// Threads that one query runs on.
     pub threads: f64,
-    /// A load: its query locks its data set on its engine while it runs.
+    /// Its queries are loads: each locks its data set on its engine while it runs.
     pub loads_data_set: bool,
     /// Its queries make no progress while a load holds the lock of their data set on that engine.
     pub blocked_by_loads: bool,
-    /// The response arrives as a stream; from its first byte the attempt is bound to the client.
+    /// The response is streamed; from its first byte on, only that attempt can complete the
+    /// request.
     pub streams_response: bool,
     /// The zones it may run in; `None` allows all (invariant 6).
     pub allowed_zones: Option<Vec<ZoneId>>,
@@ -73,23 +74,23 @@
     pub memory_mb: f64,
 }
 
-/// A tenant, with its quota over all gateways together.
+/// A tenant, with its quota summed over all gateways.
 #[derive(Clone, Copy, Debug)]
 pub struct TenantSpec {
     /// Requests per second within its quota; 0 if the tenant has none.
     pub quota_per_s: f64,
-    /// Its fraction of the service, 0 to 1. The module acts on the quota alone.
+    /// Its fraction of the service, 0 to 1. The module uses the quota alone.
     pub share: f64,
 }
 
-/// What an engine does when queries need more memory than it has.
+/// How an engine handles queries that need more memory than it has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemoryExhaustionPolicy {
     /// The query waits until memory is released.
     Wait,
-    /// The query is granted what is left, and spills to disk.
+    /// The query is granted the remaining memory and spills to disk.
     Shrink,
-    /// The machine pages, which slows down all of its queries.
+    /// The machine swaps memory pages, which slows down all of its queries.
     Page,
 }
 
@@ -98,24 +99,24 @@
 pub struct Invariants {
     /// Invariant 1: how long after a request's deadline its final response is still accepted.
     pub response_grace: Nanos,
-    /// Invariant 3: how long attempts may still start after an engine began to drain, as the update
-    /// takes time to arrive.
+    /// Invariant 3: how long attempts may still start after an engine began to drain, because the
+    /// update takes time to arrive.
     pub drain_grace: Nanos,
-    /// Invariant 4: fraction of its capacity that an engine has at least when it starts, 0 to 1.
+    /// Invariant 4: the least fraction of its capacity that an engine has when it starts, 0 to 1.
     pub slow_start_initial_fraction: f64,
-    /// Invariant 4: how long after its start an engine has its full capacity at the latest.
+    /// Invariant 4: the time after its start by which an engine has its full capacity.
     pub slow_start_duration: Nanos,
     /// Invariant 4: an engine in slow start is overloaded by work of more than this multiple of its
     /// present capacity, sent within [`overload_window`](Invariants::overload_window).
     pub overload_multiple: f64,
-    /// Invariant 4: the window over which that work is added up.
+    /// Invariant 4: the window over which that work is summed.
     pub overload_window: Nanos,
-    /// Invariant 5: how long the next request with the same key is withheld after an attempt ended
-    /// in a way that leaves it possibly running (timeout, reset, cancellation).
+    /// Invariant 5: how long the next request with the same key is delayed after an attempt ended
+    /// in a way in which it may still run (timeout, reset, cancellation).
     pub key_cooldown: Nanos,
     /// Invariant 7: the budget of attempts beyond the first; `None` for no limit.
     pub retry_budget: Option<RetryBudget>,
-    /// Where the endpoint list is polled: the longest permitted time between two polls.
+    /// The longest permitted time between two polls of the endpoint list, if it is polled.
     pub max_poll_interval: Nanos,
 }
 
@@ -123,7 +124,7 @@
 /// `allowance + ratio * requests received in it` of them.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Number of attempts that are allowed whatever the traffic.
+    /// Number of attempts that are allowed regardless of traffic.
     pub allowance: f64,
     /// Additional attempts per request received.
     pub ratio: f64,
@@ -134,7 +135,7 @@
 /// What the deployment permits.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Greatest number of attempts of one request, the first included.
+    /// Maximum number of attempts of one request, the first included.
     pub max_attempts: u32,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
@@ -150,12 +151,12 @@
     pub hedging: bool,
 }
 
-/// A value that engines state in a load report.
+/// A value that engines report in a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
     /// Number of queries in flight on the engine, from all gateways.
     QueriesInFlight,
-    /// Number of queries that wait for memory.
+    /// Number of queries that are queued for memory.
     QueriesQueued,
     /// Fraction of its CPU time in use, 0 to 1.
     CpuUtilization,
@@ -169,11 +170,11 @@
     MemoryGrantedFraction,
     /// Fraction of time in which its disks are busy, 0 to 1.
     DiskUtilization,
-    /// A value with a name that the module does not know; ignored.
+    /// A value with an unknown name; ignored.
     Unknown,
 }
 
-/// The configuration that a gateway starts with.
+/// The configuration of a gateway.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This gateway's index among all gateways, from 0.
@@ -182,8 +183,8 @@
     pub gateways: u32,
     /// The zone of this gateway.
     pub zone: ZoneId,
-    /// The shortest time between two batches of events; an action takes effect that much later at
-    /// most.
+    /// The shortest time between two batches of events; an action takes effect at most this much
+    /// later.
     pub batch_interval: Nanos,
     /// Classes of requests, indexed by [`ClassId`](super::ClassId).
     pub classes: Vec<ClassSpec>,
@@ -194,11 +195,11 @@
     /// Value of a request beyond its tenant's quota, as a fraction of its class's
     /// [`priority_weight`](ClassSpec::priority_weight).
     pub over_quota_weight: f64,
-    /// The endpoint list has to be polled; otherwise updates are pushed.
+    /// The endpoint list has to be polled; if `false`, updates are pushed.
     pub poll_endpoint_list: bool,
     /// The values of a [`LoadReport`](super::LoadReport), in order.
     pub load_fields: Vec<LoadField>,
-    /// Attempts that leave the gateway's zone have a price.
+    /// Attempts to engines in other zones are charged.
     pub cross_zone_is_charged: bool,
     /// Price of one load probe per query, as a fraction of the value of all requests.
     pub probe_price: f64,
@@ -206,13 +207,13 @@
     pub memory_grants_supported: bool,
     /// Engines respect the priority of an attempt.
     pub priorities_supported: bool,
-    /// Greatest fraction of an engine's memory that one query may be granted, 0 to 1.
+    /// Maximum fraction of an engine's memory that one query may be granted, 0 to 1.
     pub max_memory_share: f64,
     /// What engines do when their memory is exhausted.
     pub memory_exhaustion: MemoryExhaustionPolicy,
     /// Time between two progress updates of a running attempt; 0 if engines send none.
     pub progress_period: Nanos,
-    /// Responses state the work and the memory of the query.
+    /// Responses report the work and the memory of the query.
     pub reports_cost: bool,
     /// Parameters of the invariants.
     pub invariants: Invariants,
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -152,7 +152,7 @@
         // An engine far slower than its peers gets less, to clear its jam. This is wrong for a
         // while after work was underestimated.
         let jam = (JAM_SLOWDOWN * self.fleet.median_slowdown / engine.slowdown).min(1.0);
-        let usable_share = jam * engine.warmth(now, &self.settings.invariants);
+        let usable_share = jam * engine.capacity_fraction(now, &self.settings.invariants);
         let threads = self.query_threads(request);
         if self.has_share_below(engine, threads) {
             return self.has_shared_capacity(now, request, engine, usable_share);
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -84,7 +84,7 @@
             })
             .collect();
         self.engines
-            .retain(|id, engine| !engine.is_gone() || referenced.contains(id));
+            .retain(|id, engine| !engine.is_removed() || referenced.contains(id));
         let engines = &self.engines;
         self.load_reports
             .retain(|id| engines.get(&id).is_some_and(Engine::is_ready));
@@ -115,8 +115,8 @@
         let budget = self.settings.invariants.retry_budget;
         let window = budget.map_or(0, |budget| budget.window);
         let start = now.saturating_sub(window + SWEEP_INTERVAL);
-        self.retries.forget_before(start);
-        self.ordered_queues.forget_idle(now);
+        self.retries.drop_before(start);
+        self.ordered_queues.remove_idle(now);
     }
 
     fn update_mean_running(&mut self, now: Nanos) {
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -239,7 +239,7 @@
         let threads = self.query_threads(request);
         let median = self.fleet.median_slowdown.max(0.1);
         let relative_slowdown = (engine.slowdown / median).max(MIN_RELATIVE_SLOWDOWN);
-        let whole_limit = engine.limit * engine.warmth(now, &self.settings.invariants);
+        let whole_limit = engine.limit * engine.capacity_fraction(now, &self.settings.invariants);
         let (load, limit) = if self.has_share_below(engine, threads) {
             (self.estimated_load(now, engine), whole_limit)
         } else {
--- a/src/policy/fleet_scan.rs
+++ b/src/policy/fleet_scan.rs
@@ -45,7 +45,7 @@
         let ids = self.fleet.warming_up.iter();
         let engines = ids.filter_map(|id| self.engines.get(id));
         engines
-            .map(|engine| engine.limit * engine.warmth(now, rules))
+            .map(|engine| engine.limit * engine.capacity_fraction(now, rules))
             .sum()
     }
 
--- a/src/policy/learning.rs
+++ b/src/policy/learning.rs
@@ -1,6 +1,6 @@
 //! What an answer shows of its engine's speed and of its class's work.
 use super::Gateway;
-use super::state::class_estimates::{AnswerSample, MIN_SAMPLES, latency_objective};
+use super::state::class_estimates::{MIN_SAMPLES, ResponseSample, latency_objective};
 use super::state::request::Attempt;
 use super::state::smooth;
 use super::state::units::seconds;
@@ -50,7 +50,7 @@
             .threads_per_core
             .max(self.load_reports.threads_per_core())
             .max(1.0);
-        let sample = AnswerSample {
+        let sample = ResponseSample {
             latency,
             unloaded_seconds: attempt.unloaded_seconds,
             work: reported_work.unwrap_or(latency * threads / crowd),
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -202,7 +202,7 @@
     /// Number of listed engines that get no ordinary work now: those that drain, and outliers.
     pub fn unavailable_engines(&self) -> usize {
         let engines = self.engines.values();
-        let listed = engines.filter(|engine| !engine.is_gone());
+        let listed = engines.filter(|engine| !engine.is_removed());
         listed
             .filter(|engine| !engine.is_ready() || !engine.circuit.is_closed())
             .count()
--- a/src/policy/request_lifecycle.rs
+++ b/src/policy/request_lifecycle.rs
@@ -125,7 +125,7 @@
         let report = engine.report;
         let is_in_report = report.is_some_and(|report| report.at > attempt.sent_at);
         if !is_in_report {
-            engine.forget_sent_threads(attempt.running.threads);
+            engine.subtract_sent_threads(attempt.running.threads);
         }
         if class.loads_data_set {
             engine.finish_load(request.data_set);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -32,7 +32,7 @@
         engine: &Engine,
     ) -> bool {
         let rules = &self.settings.invariants;
-        let warmth = engine.warmth(now, rules);
+        let warmth = engine.capacity_fraction(now, rules);
         if warmth >= 1.0 {
             return true;
         }
--- a/src/policy/stall_detection.rs
+++ b/src/policy/stall_detection.rs
@@ -252,7 +252,7 @@
         if let Some(engine) = self.engines.get_mut(&lost.engine)
             && engine.report.is_none()
         {
-            engine.forget_sent_threads(released.threads);
+            engine.subtract_sent_threads(released.threads);
         }
         self.record_running(now, lost.engine, released, -1.0);
     }
--- a/src/policy/state/admission_queue.rs
+++ b/src/policy/state/admission_queue.rs
@@ -1,17 +1,18 @@
-//! Requests that wait for capacity, in the order of their rank.
+//! The queue of requests that wait for capacity, in order of rank.
 use crate::policy::api::{ClassId, RequestId};
 
 /// A request that waits for capacity.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueuedRequest {
-    /// Priority weight per second of work, as of the last review; highest first.
+    /// Priority weight per second of work, computed when the entry was added and at each scan of
+    /// the queue; the highest rank is first.
     pub(crate) rank: f64,
     pub(crate) id: RequestId,
     pub(crate) class: ClassId,
 }
 
-/// Requests that wait for capacity. They are sorted at each review; those added since stand at
-/// the end.
+/// Requests that wait for capacity. Each scan of the queue sorts them; requests added after it are
+/// at the end.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AdmissionQueue {
     entries: Vec<QueuedRequest>,
@@ -35,12 +36,12 @@
         self.entries.remove(position);
     }
 
-    /// Empties the queue.
+    /// Removes and returns all entries.
     pub(crate) fn take(&mut self) -> Vec<QueuedRequest> {
         std::mem::take(&mut self.entries)
     }
 
-    /// Sorts by rank, highest first; equal ranks by id.
+    /// Sorts by rank, highest first, then by id.
     pub(crate) fn sort(&mut self) {
         let by_rank = |left: &QueuedRequest, right: &QueuedRequest| {
             let rank = right.rank.total_cmp(&left.rank);
@@ -49,8 +50,8 @@
         self.entries.sort_by(by_rank);
     }
 
-    /// Time in seconds that this gateway's share of the fleet needs for what waits, as of the last
-    /// review.
+    /// Time in seconds that this gateway's share of the fleet needs for the queued requests, as of
+    /// the last scan of the queue.
     pub(crate) fn backlog_seconds(&self) -> f64 {
         self.backlog_seconds
     }
--- a/src/policy/state/cancel_budget.rs
+++ b/src/policy/state/cancel_budget.rs
@@ -1,20 +1,20 @@
-//! Token bucket of cancellations and hedged requests: engines that are slow as a whole must not
-//! cause a storm of retries.
+//! Token bucket that limits cancellations and hedged attempts, so that a fleet that is slow as a
+//! whole causes no retry storm.
 
-/// Tokens earned by each request that arrives.
+/// Tokens added by each request that arrives.
 const TOKENS_PER_REQUEST: f64 = 0.1;
 
-/// Tokens that may be saved up.
+/// Maximum number of tokens in the bucket.
 const CAPACITY: f64 = 6.0;
 
-/// Token bucket; one cancellation or hedged request costs one token.
+/// Token bucket; a cancellation or a hedged attempt costs one token.
 #[derive(Clone, Debug)]
 pub(crate) struct CancelBudget {
     tokens: f64,
 }
 
 impl CancelBudget {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new() -> CancelBudget {
         CancelBudget { tokens: CAPACITY }
     }
@@ -27,13 +27,13 @@
         self.tokens -= 1.0;
     }
 
-    /// Adds the share of a token that an arriving request earns.
+    /// Adds the fraction of a token for a request that arrived.
     pub(crate) fn record_request(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(CAPACITY);
     }
 
-    /// Gives back the token of a retry that succeeded: lost messages then do not use up the
-    /// bucket, slow engines do.
+    /// Returns the token of a retry that succeeded, so that slow engines use up the bucket, but
+    /// lost messages do not.
     pub(crate) fn refund(&mut self) {
         self.tokens = (self.tokens + 1.0).min(CAPACITY);
     }
--- a/src/policy/state/class_estimates.rs
+++ b/src/policy/state/class_estimates.rs
@@ -1,26 +1,27 @@
-//! What answers show of a class of requests: its work, the error of its hints, its tail latency.
+//! Estimates for a class of requests, learned from responses: its work, the bias of its hints, its
+//! tail latency.
 use super::units::seconds;
 use crate::policy::api::{ClassSpec, Nanos};
 
-/// Number of samples from which an estimate is trusted: of a class's work, and of the control
-/// window of all engines together.
+/// Minimum number of samples for an estimate to be used: for the work of a class, and for the
+/// control window of all engines together.
 pub(crate) const MIN_SAMPLES: u32 = 5;
 
-/// Least weight of a sample in an estimate: about the last fifty samples count.
+/// Minimum weight of a sample in an estimate: about the last fifty samples count.
 pub(crate) const LEARNING_RATE: f64 = 0.02;
 
-/// Tail factor before answers were seen, and its lower bound where capacity is scarce: a retry
-/// makes the request run twice.
+/// Tail factor before the first response, and its lower bound where capacity is scarce, because a
+/// retry makes the request run twice.
 pub(crate) const INITIAL_TAIL_FACTOR: f64 = 4.0;
 
-/// Share of a class's answers that take longer than its tail.
+/// Fraction of a class's responses that take longer than its tail latency.
 const TAIL_SHARE: f64 = 0.05;
 
-/// Step of the tail factor for one answer: a fifth up beyond the tail, a hundredth down within it,
-/// which settles at [`TAIL_SHARE`].
+/// Step of the tail factor for one response: up by about a fifth if it exceeds the tail, down by a
+/// hundredth if not, so that the fraction that exceeds it settles at [`TAIL_SHARE`].
 const TAIL_STEP: f64 = 0.2;
 
-/// Largest factor by which one sample of work may exceed the estimate.
+/// Maximum ratio of one sample of work to the estimate; larger samples are clipped.
 const MAX_WORK_RATIO: f64 = 10.0;
 
 /// Estimates for one class of requests.
@@ -28,32 +29,32 @@
 pub(crate) struct ClassEstimates {
     /// Mean work of a request, in seconds on one core.
     pub(crate) work: f64,
-    /// Number of answers seen.
+    /// Number of responses recorded.
     pub(crate) samples: u32,
-    /// Mean of work over the client's hint.
+    /// Mean ratio of the work to the client's hint.
     hint_bias: f64,
-    /// Latency over unloaded time that only [`TAIL_SHARE`] of the answers exceed.
+    /// Ratio of latency to unloaded time that only [`TAIL_SHARE`] of the responses exceed.
     pub(crate) tail_factor: f64,
 }
 
-/// What one answer shows of its class.
+/// Measurements of one response, from which the estimates are updated.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AnswerSample {
-    /// Latency of the answer, in seconds.
+pub(crate) struct ResponseSample {
+    /// Latency of the response, in seconds.
     pub(crate) latency: f64,
     /// Expected time on an idle engine, in seconds.
     pub(crate) unloaded_seconds: f64,
-    /// Work in seconds on one core: as reported, or estimated from the latency.
+    /// Work in seconds on one core: reported, or estimated from the latency.
     pub(crate) work: f64,
-    /// Whether `work` may be learned from; under pressure an estimate from the latency may not.
+    /// Whether `work` updates the estimate; under load, work estimated from the latency does not.
     pub(crate) counts_as_work: bool,
-    /// Hint of the client, where the engine reported the work to compare it with.
+    /// Hint of the client, if the engine reported the work to compare it with.
     pub(crate) compared_hint: Option<Nanos>,
 }
 
 impl ClassEstimates {
-    /// Estimates before any answer: the fixed latency objective on all threads stands for the work,
-    /// which is pessimistic.
+    /// Estimates before the first response: the work is taken as the fixed part of the latency
+    /// objective on all threads, which is pessimistic.
     pub(crate) fn initial(class: &ClassSpec) -> ClassEstimates {
         ClassEstimates {
             work: seconds(class.base_latency_objective) * class.threads.max(1.0),
@@ -63,13 +64,13 @@
         }
     }
 
-    /// Expected work of a request with that hint, in seconds on one core.
+    /// Expected work of a request with this hint, in seconds on one core.
     pub(crate) fn expected_work(&self, work_hint: Option<Nanos>) -> f64 {
         work_hint.map_or(self.work, |hint| seconds(hint) * self.hint_bias)
     }
 
-    /// Takes in one answer.
-    pub(crate) fn record(&mut self, sample: AnswerSample) {
+    /// Updates the estimates with one response.
+    pub(crate) fn record(&mut self, sample: ResponseSample) {
         self.samples += 1;
         let weight = (1.0 / f64::from(self.samples)).max(LEARNING_RATE);
         self.record_latency(sample.latency, sample.unloaded_seconds);
@@ -91,7 +92,7 @@
     }
 }
 
-/// The latency objective in seconds of a query with `work` seconds on one core.
+/// The latency objective, in seconds, of a query with `work` seconds on one core.
 pub(crate) fn latency_objective(class: &ClassSpec, work: f64) -> f64 {
     let fixed = seconds(class.base_latency_objective);
     (fixed + class.objective_slowdown * work / class.threads.max(1.0)).max(1e-3)
--- a/src/policy/state/control_window.rs
+++ b/src/policy/state/control_window.rs
@@ -1,50 +1,53 @@
-//! One observation window of the concurrency control law ECC09, formula (5).
+//! Observation window of the concurrency control law ECC09, formula (5).
 use super::running::Running;
 
-/// Lowest concurrency limit as a share of the initial one (from the design of the control law);
-/// also the lowest value of the law's divisor, so one window at most doubles or halves the limit.
+/// Minimum concurrency limit as a fraction of the initial one (from the design of the control law).
+/// Also the minimum of the law's divisor, so that the target is at most twice and at least half the
+/// mean number of running threads.
 pub(crate) const MIN_LIMIT_SHARE: f64 = 0.5;
 
-/// Gain of formula (5), in queries a second: an imbalance of a tenth over the demand of a usual
+/// Gain of formula (5), in queries per second: an imbalance of a tenth of the demand of a typical
 /// engine.
 const GAIN: f64 = 1.0;
 
-/// Least |Ti - To| used in formula (5), in queries a second. Below it the quotient follows noise
-/// and the limit would jump.
+/// Minimum |Ti - To| in formula (5), in queries per second. With a smaller value, noise would
+/// dominate the quotient and make the limit jump.
 const MIN_IMBALANCE: f64 = 1.0;
 
 /// Sums over one window of the control law.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ControlWindow {
-    /// Integral of running queries, in query-seconds.
+    /// Time integral of the running queries, in query-seconds.
     pub(crate) query_seconds: f64,
-    /// Integral of running threads, in thread-seconds: the law's Ne once divided by the period.
+    /// Time integral of the running threads, in thread-seconds; divided by the period, the law's
+    /// Ne.
     pub(crate) thread_seconds: f64,
-    /// Queries completed: the law's To once divided by the period.
+    /// Queries completed; divided by the period, the law's To.
     pub(crate) completed: f64,
-    /// Queries that arrived and fit this engine best: the law's Ti once divided by the period.
+    /// Queries for which this engine had the most free capacity of all candidates when they
+    /// arrived; divided by the period, the law's Ti.
     pub(crate) arrived: f64,
-    /// Sum of latency over the latency objective.
+    /// Sum of the ratios of latency to latency objective.
     pub(crate) lateness: f64,
-    /// Number of summands in `lateness`.
+    /// Number of ratios in the sum `lateness`.
     pub(crate) samples: f64,
 }
 
 impl ControlWindow {
-    /// Adds the time integrals of `running` over `duration_seconds`.
+    /// Adds the time integrals of `running` over the last `duration_seconds`.
     pub(crate) fn integrate(&mut self, running: &Running, duration_seconds: f64) {
         self.query_seconds += running.queries * duration_seconds;
         self.thread_seconds += running.threads * duration_seconds;
     }
 
-    /// Adds a query that took `lateness` times its latency objective.
+    /// Adds a query whose latency was `lateness` times its objective.
     pub(crate) fn record_lateness(&mut self, lateness: f64) {
         self.samples += 1.0;
         self.lateness += lateness;
     }
 
-    /// Adds another window. Its counts and integrals are scaled by `factor`; lateness is a mean
-    /// over samples and needs no scaling.
+    /// Adds another window. Its counts and integrals are scaled by `factor`; lateness is used as a
+    /// mean over samples and needs no scaling.
     pub(crate) fn add_scaled(&mut self, other: &ControlWindow, factor: f64) {
         self.query_seconds += other.query_seconds * factor;
         self.thread_seconds += other.thread_seconds * factor;
@@ -54,7 +57,7 @@
         self.samples += other.samples;
     }
 
-    /// The limit in threads that formula (5) asks for after a window of `period_seconds`:
+    /// The limit in threads that formula (5) gives after a window of `period_seconds`:
     /// MPL = Ne / (1 + gain (L' - 1) / (Ti - To)).
     pub(crate) fn target_threads(&self, period_seconds: f64) -> f64 {
         let lateness = self.lateness / self.samples.max(1.0);
@@ -65,7 +68,8 @@
         self.thread_seconds / period_seconds / divisor
     }
 
-    /// Whether the limit may fall: only while answers are late and more arrives than completes.
+    /// Whether the limit may decrease: only if responses are late on average and more queries
+    /// arrive than complete.
     pub(crate) fn allows_decrease(&self) -> bool {
         self.lateness > self.samples && self.arrived > self.completed
     }
--- a/src/policy/state/fleet_totals.rs
+++ b/src/policy/state/fleet_totals.rs
@@ -1,4 +1,4 @@
-//! Totals over all engines, kept between scans so that no request has to visit the whole fleet.
+//! Totals over all engines, kept between scans so that no request causes a scan of the whole fleet.
 use super::control_window::ControlWindow;
 use super::running::Running;
 use super::running_median::RunningMedian;
@@ -9,51 +9,52 @@
 /// Totals over all engines.
 #[derive(Default)]
 pub(crate) struct FleetTotals {
-    /// Engines that take work, in the order of their ids.
+    /// Engines that are ready, in the order of their ids.
     pub(crate) ready: Vec<EngineId>,
     /// Engines where this gateway has an unused turn, as of the last refresh, in the order of
     /// their ids.
     pub(crate) turns: Vec<EngineId>,
-    /// Engines of `turns` that were sent to since the last refresh.
+    /// Engines of `turns` to which requests were sent since the last refresh.
     used_turns: BTreeSet<EngineId>,
-    /// Cores of the engines that are ready and not ejected.
+    /// Cores of the engines that are ready and whose circuit is closed.
     pub(crate) cores: f64,
-    /// Sum of their concurrency limits, in threads, scaled by warmth.
+    /// Sum of their concurrency limits, in threads; that of an engine in slow start is scaled by
+    /// its capacity fraction, or left out if engines are not probed.
     pub(crate) limit: f64,
-    /// The part of `limit` that time alone does not change.
+    /// The part of `limit` that comes from warm engines, which does not change with time alone.
     warm_limit: f64,
-    /// Engines among them that warm up.
+    /// The engines among them that are in slow start.
     pub(crate) warming_up: Vec<EngineId>,
-    /// Slowdowns of the engines that are ready.
+    /// Slowdowns of the ready engines.
     pub(crate) slowdowns: RunningMedian,
-    /// When the next scan is due; 0 once something changed that a scan reads.
+    /// When the next scan is due; 0 if something that a scan reads has changed.
     next_scan_at: Nanos,
     /// Number of scans.
     pub(crate) scans: u64,
     /// Number of engines visited by scans and refreshes.
     pub(crate) visited_engines: u64,
-    /// Own queries that run on all engines.
+    /// This gateway's running queries, over all engines.
     pub(crate) running: Running,
     /// Mean of `running` over about one control period.
     pub(crate) mean_running: Running,
-    /// Smoothed sum of the queries sent, weighted by their unloaded time: threads per query of
-    /// what engines hold.
+    /// Exponentially decayed sum of the queries sent, weighted by their unloaded time. It gives the
+    /// threads per query of the queries that run on engines.
     pub(crate) sent_mix: Running,
-    /// Observations of all engines together, for engines of which this gateway has less than one
-    /// thread.
+    /// Observations of all engines together, used for engines on which this gateway's share is less
+    /// than one thread.
     pub(crate) window: ControlWindow,
-    /// Start of that window.
+    /// Start of `window`.
     pub(crate) window_started_at: Nanos,
-    /// Smoothed slowdown over all own queries.
+    /// Smoothed slowdown over all queries of this gateway.
     pub(crate) slowdown: f64,
-    /// Median slowdown of the engines that are ready.
+    /// Median slowdown of the ready engines.
     pub(crate) median_slowdown: f64,
-    /// Lowest slowdown seen; it rises slowly while no engine reaches it.
+    /// Lowest slowdown observed; it rises slowly while every ready engine is slower.
     pub(crate) best_slowdown: f64,
 }
 
 impl FleetTotals {
-    /// A fleet without history: as fast as expected, and without a best slowdown to compare with.
+    /// Totals without history: slowdowns of 1, and no best slowdown yet.
     pub(crate) fn new(now: Nanos) -> FleetTotals {
         FleetTotals {
             slowdown: 1.0,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Requests a scan: something changed that a scan reads.
+    /// Makes a scan due, because something that a scan reads has changed.
     pub(crate) fn mark_changed(&mut self) {
         self.next_scan_at = 0;
     }
@@ -73,7 +74,7 @@
         now >= self.next_scan_at
     }
 
-    /// Replaces the totals by those of a scan that visited `visited_engines`.
+    /// Replaces the totals with the result of a scan that visited `visited_engines`.
     pub(crate) fn apply_scan(&mut self, scan: FleetScan, visited_engines: usize) {
         self.turns = scan.turns;
         self.cores = scan.cores;
@@ -86,7 +87,7 @@
         self.visited_engines += visited_engines as u64;
     }
 
-    /// Notes a send to `engine`: a turn there is used from the next refresh on.
+    /// Records a send to `engine`: a turn there counts as used from the next refresh on.
     pub(crate) fn record_send(&mut self, engine: EngineId) {
         if self.turns.binary_search(&engine).is_ok() {
             self.used_turns.insert(engine);
@@ -103,14 +104,14 @@
         }
     }
 
-    /// Recomputes the sum of the limits; `warming_up_limit` is that of the engines that warm up.
+    /// Recomputes the sum of the limits; `warming_up_limit` is that of the engines in slow start.
     pub(crate) fn set_warming_up_limit(&mut self, warming_up_limit: f64) {
         self.limit = self.warm_limit + warming_up_limit;
     }
 
     /// Up to `max_engines` ready engines that this gateway prefers: an arc of the ring of ready
-    /// engines, where the arcs of all gateways are spaced evenly. Iteration starts at `offset`
-    /// within the arc.
+    /// engines; the arcs of all gateways are spaced evenly. Iteration starts at `offset` within the
+    /// arc.
     pub(crate) fn preferred_engines(
         &self,
         gateway: GatewayPosition,
@@ -129,7 +130,7 @@
     }
 }
 
-/// What one scan over the whole fleet finds.
+/// The result of one scan of the whole fleet.
 #[derive(Default)]
 pub(crate) struct FleetScan {
     /// Ready engines where this gateway has an unused turn, in the order of their ids.
@@ -138,10 +139,11 @@
     pub(crate) slowdowns: Vec<f64>,
     /// Cores of the engines that are ready and whose circuit is closed.
     pub(crate) cores: f64,
-    /// Sum of the limits of the warm ones among those.
+    /// Sum of the limits of the warm engines among these.
     pub(crate) warm_limit: f64,
-    /// Those among them that warm up.
+    /// The engines among these that are in slow start.
     pub(crate) warming_up: Vec<EngineId>,
-    /// The next time at which time alone changes any of it but warmth.
+    /// When the next scan is due: the next time at which time alone changes any of these totals,
+    /// other than by the capacity fractions of engines in slow start.
     pub(crate) next_scan_at: Nanos,
 }
--- a/src/policy/state/idempotency.rs
+++ b/src/policy/state/idempotency.rs
@@ -1,8 +1,8 @@
-//! Rule 2: when a request may be repeated, and when a rejection may promise that it is harmless to
-//! try again.
+//! Invariant 2: when a request may be repeated, and when it may be rejected, which promises that a
+//! retry is harmless.
 use crate::policy::api::{DeduplicationScope, Endpoint, Idempotency, Nanos};
 
-/// Where a request may have been executed, and where a repeat would go.
+/// The endpoint where a request may have been executed, and the one where a repeat would run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RepeatTargets {
     /// Endpoint of the first attempt that may have been executed.
@@ -11,10 +11,10 @@
     pub(crate) next: Endpoint,
 }
 
-/// Whether a request that was sent at `sent` and may have been executed may be sent again. A keyed
-/// request may go only to engines that discard its duplicates, within the window in which they
-/// remember the key. `targets` is `None` while either endpoint is unknown or not chosen yet: then
-/// only the window decides.
+/// Whether a request that was sent at `sent` and may have been executed may be sent again. A
+/// request with an idempotency key may be sent only to engines that discard its duplicates, within
+/// the window in which they keep the key. `targets` is `None` if either endpoint is unknown or not
+/// yet chosen; then only the window is checked.
 pub(crate) fn may_repeat(
     idempotency: Idempotency,
     sent: Nanos,
@@ -32,7 +32,7 @@
 }
 
 impl RepeatTargets {
-    /// Whether both endpoints recognise each other's requests.
+    /// Whether both endpoints recognize duplicates of each other's requests.
     fn share_scope(&self, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::All => true,
@@ -42,8 +42,8 @@
     }
 }
 
-/// Whether a request may be rejected, which promises that trying again is harmless: one that may
-/// have been executed, only where it may be repeated on any engine.
+/// Whether a request may be rejected, which promises that a retry is harmless. One that may have
+/// been executed may be rejected only if it may be repeated on any engine.
 pub(crate) fn may_reject(idempotency: Idempotency, may_have_run: bool) -> bool {
     let repeatable_anywhere = match idempotency {
         Idempotency::Idempotent => true,
--- a/src/policy/state/load_reports.rs
+++ b/src/policy/state/load_reports.rs
@@ -1,4 +1,4 @@
-//! What the gateway knows of the load of the fleet as a whole, and its load probes in flight.
+//! Load reports of the fleet as a whole, and the load probes in flight.
 use super::probe_stats::ProbeStats;
 use super::smooth;
 use crate::policy::api::{EngineId, Nanos};
@@ -6,7 +6,7 @@
 
 /// Load reports and probes of all engines.
 pub(crate) struct LoadReports {
-    /// Engines with the newest reports, newest first.
+    /// Engines with the latest reports, newest first.
     recent: VecDeque<EngineId>,
     /// Smoothed threads per core that engines reported.
     threads_per_core: f64,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Engines with the newest reports, newest first.
+    /// Engines with the latest reports, newest first.
     pub(crate) fn recent(&self) -> &VecDeque<EngineId> {
         &self.recent
     }
@@ -36,7 +36,7 @@
         self.threads_per_core
     }
 
-    /// Takes in a report of `engine` and keeps the `max_recent` newest engines.
+    /// Records a report of `engine`. Of the engines with the latest reports, `max_recent` are kept.
     pub(crate) fn record(&mut self, engine: EngineId, threads_per_core: f64, max_recent: usize) {
         smooth(&mut self.threads_per_core, threads_per_core);
         self.recent.retain(|id| *id != engine);
@@ -44,7 +44,7 @@
         self.recent.truncate(max_recent);
     }
 
-    /// Keeps only the reports of engines that `is_listed`.
+    /// Removes the engines for which `is_listed` returns `false`.
     pub(crate) fn retain(&mut self, is_listed: impl Fn(EngineId) -> bool) {
         self.recent.retain(|id| is_listed(*id));
     }
--- a/src/policy/state/mod.rs
+++ b/src/policy/state/mod.rs
@@ -1,5 +1,5 @@
-//! State of the decision module: each part keeps its own figures and the rules on them, and can be
-//! tested alone. The decisions that combine them are made in `src/policy/`.
+//! State of the decision module. Each submodule holds one part of the state with its rules and can
+//! be tested on its own; the decisions that combine the parts are made in `src/policy/`.
 pub(crate) mod admission_queue;
 pub(crate) mod cancel_budget;
 pub(crate) mod circuit_breaker;
@@ -22,10 +22,11 @@
 
 pub(crate) use idempotency::{RepeatTargets, may_reject, may_repeat};
 
-/// Weight of a new sample in smoothed figures: about the last ten samples count.
+/// Weight of a new sample in exponentially weighted moving averages: about the last ten samples
+/// count.
 const SMOOTHING: f64 = 0.1;
 
-/// Moves `average` toward `sample`: exponential smoothing.
+/// Adds `sample` to the exponentially weighted moving average `average`.
 pub(crate) fn smooth(average: &mut f64, sample: f64) {
     *average += SMOOTHING * (sample - *average);
 }
--- a/src/policy/state/ordered_queues.rs
+++ b/src/policy/state/ordered_queues.rs
@@ -1,4 +1,4 @@
-//! Rule 5: requests with the same key run one at a time, in the order of their arrival.
+//! Invariant 5: requests with the same key run one at a time, in order of arrival.
 use crate::policy::api::{Nanos, OrderKey, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,11 +6,12 @@
 #[derive(Clone, Debug, Default)]
 struct OrderedQueue {
     requests: VecDeque<RequestId>,
-    /// No request may start earlier: an attempt that ended without an answer may still run.
+    /// No request may start before this time, because an attempt that ended without a response may
+    /// still run.
     cooldown_until: Nanos,
 }
 
-/// Queues of all keys in use.
+/// The queues of all keys in use.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OrderedQueues {
     queues: BTreeMap<OrderKey, OrderedQueue>,
@@ -22,7 +23,7 @@
         queue.requests.push_back(request);
     }
 
-    /// Whether the request is the oldest of its key and the cooldown of the key is over.
+    /// Whether the request is the oldest of its key and the cooldown of the key has ended.
     pub(crate) fn is_next(&self, now: Nanos, key: OrderKey, request: RequestId) -> bool {
         let queue = self.queues.get(&key);
         queue.is_some_and(|queue| {
@@ -30,22 +31,22 @@
         })
     }
 
-    /// Removes a request that is over.
+    /// Removes a request that has ended.
     pub(crate) fn remove(&mut self, key: OrderKey, request: RequestId) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.requests.retain(|queued| *queued != request);
         }
     }
 
-    /// Lets no request of the key start before `until`.
+    /// Delays the requests of the key until `until`.
     pub(crate) fn start_cooldown(&mut self, key: OrderKey, until: Nanos) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.cooldown_until = until;
         }
     }
 
-    /// Drops the keys without requests whose cooldown is over.
-    pub(crate) fn forget_idle(&mut self, now: Nanos) {
+    /// Removes keys that have no requests and whose cooldown has ended.
+    pub(crate) fn remove_idle(&mut self, now: Nanos) {
         self.queues
             .retain(|_, queue| !queue.requests.is_empty() || queue.cooldown_until > now);
     }
--- a/src/policy/state/probe_stats.rs
+++ b/src/policy/state/probe_stats.rs
@@ -1,14 +1,16 @@
-//! Latency of load probes: an engine in trouble may report idle cores while its queries wait for
-//! disks, and the delay of a probe then shows the load.
+//! Latency of load probes. An overloaded engine may report idle cores while its queries wait for
+//! disks; the delay of a probe then shows the load.
 use super::smooth;
 
-/// Times the usual delay that one sample counts at most: one slow probe must not decide.
+/// Maximum of one sample, as a multiple of the usual delay, so that a single slow probe has a
+/// limited effect.
 pub(crate) const MAX_SAMPLE_RATIO: f64 = 3.0;
 
-/// Factor by which a baseline rises with each probe, so that it follows a longer route.
+/// Factor by which a baseline rises with each probe, so that it adapts to a longer route.
 const BASELINE_GROWTH: f64 = 1.001;
 
-/// Least usual delay, as a share of the baseline: delays far under the round trip are noise.
+/// Minimum usual delay, as a fraction of the baseline: delays far below the round-trip time are
+/// noise.
 const MIN_DELAY_SHARE: f64 = 0.25;
 
 /// Whether a probe stays within the gateway's zone.
@@ -18,12 +20,12 @@
     CrossZone,
 }
 
-/// Baselines and usual delay of probes.
+/// Baselines and the usual delay of probes.
 #[derive(Clone, Debug)]
 pub(crate) struct ProbeStats {
-    /// Shortest probe within the zone, in seconds.
+    /// Latency of the fastest probe within the zone, in seconds; it rises slowly.
     same_zone_baseline: f64,
-    /// Shortest probe to other zones, in seconds.
+    /// Latency of the fastest probe to other zones, in seconds; it rises slowly.
     cross_zone_baseline: f64,
     /// Smoothed delay beyond the baseline, in seconds.
     usual_delay: f64,
@@ -38,8 +40,8 @@
         }
     }
 
-    /// Takes in a probe of `latency` seconds. Returns its delay beyond the baseline as a multiple
-    /// of the usual delay.
+    /// Records a probe that took `latency` seconds. Returns its delay beyond the baseline as a
+    /// multiple of the usual delay.
     pub(crate) fn record(&mut self, route: ProbeRoute, latency: f64) -> f64 {
         let baseline = match route {
             ProbeRoute::SameZone => &mut self.same_zone_baseline,
--- a/src/policy/state/request.rs
+++ b/src/policy/state/request.rs
@@ -1,4 +1,4 @@
-//! What the gateway remembers of one request and its attempts.
+//! State of one request and its attempts.
 use super::running::Running;
 use crate::policy::api::{
     AttemptNo, ClassId, ClassSpec, Endpoint, EngineId, Idempotency, Nanos, OrderKey, Request,
@@ -14,15 +14,15 @@
     pub(crate) sent_at: Nanos,
     /// Expected time on an idle engine, in seconds.
     pub(crate) unloaded_seconds: f64,
-    /// Expected time at the slowdown that the engine had at the send, in seconds.
+    /// Expected time at the slowdown that the engine had when it was sent, in seconds.
     pub(crate) expected_seconds: f64,
-    /// Capacity that it holds; nothing once it is presumed lost.
+    /// Capacity that it uses; zero once it is presumed lost.
     pub(crate) running: Running,
-    /// Threads per core that its engine was estimated to run at the send.
+    /// Threads per core that its engine was estimated to run when it was sent.
     pub(crate) threads_per_core: f64,
     /// When it was sent or last reported progress.
     pub(crate) last_activity_at: Nanos,
-    /// A cancellation is on its way.
+    /// A cancellation was ordered.
     pub(crate) cancelling: bool,
 }
 
@@ -33,27 +33,27 @@
     pub(crate) sent_at: Nanos,
 }
 
-/// A request that has no final answer yet, or still has attempts in flight.
+/// A request that has no final response yet or has attempts in flight.
 #[derive(Default)]
 pub(crate) struct PendingRequest {
     /// The request as the client sent it.
     pub(crate) request: Request,
     pub(crate) arrived_at: Nanos,
-    /// It arrived beyond its tenant's quota.
+    /// It exceeded its tenant's quota when it arrived.
     pub(crate) over_quota: bool,
-    /// It has its final answer; it is kept only while attempts are in flight.
+    /// It has its final response; it is kept only while attempts are in flight.
     pub(crate) finished: bool,
-    /// Number of attempts so far, in flight or ended.
+    /// Number of attempts started so far, in flight or ended.
     pub(crate) attempts_started: u32,
-    /// The limit of the settings in force when it arrived.
+    /// Maximum number of attempts, from the settings at its arrival.
     pub(crate) max_attempts: u32,
-    /// Attempts in flight: two while a hedged request runs.
+    /// Attempts in flight; two while a hedged attempt runs.
     pub(crate) attempts: Vec<Attempt>,
     /// The earliest ended attempt that may have been executed.
     pub(crate) possible_execution: Option<PossibleExecution>,
     /// Engines of all attempts so far.
     pub(crate) tried_engines: BTreeSet<EngineId>,
-    /// It waits for load probes until then.
+    /// Until when it waits for load probes.
     pub(crate) awaiting_probes_until: Nanos,
     /// Number of its attempts that were cancelled.
     pub(crate) cancellations: u32,
@@ -68,27 +68,27 @@
         self.request.class
     }
 
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub(crate) fn deadline(&self) -> Nanos {
         self.request.deadline
     }
 
-    /// The data set that it reads; 0 if that is not known.
+    /// The data set that it reads; 0 if unknown.
     pub(crate) fn data_set(&self) -> u64 {
         self.request.data_set
     }
 
-    /// Its key, for classes in order.
+    /// The key by which it is ordered, for classes that are serial per key.
     pub(crate) fn key(&self) -> Option<OrderKey> {
         self.request.key
     }
 
-    /// Whether it waits for an attempt: neither answered nor in flight.
+    /// Whether it waits for an attempt: it has no final response and no attempt in flight.
     pub(crate) fn is_waiting(&self) -> bool {
         !self.finished && self.attempts.is_empty()
     }
 
-    /// Whether its attempts are not used up; one is always allowed.
+    /// Whether it has attempts left; one is always allowed.
     pub(crate) fn may_start_attempt(&self) -> bool {
         self.attempts_started < self.max_attempts.max(1)
     }
@@ -103,8 +103,8 @@
         possible.min_by_key(|execution| execution.sent_at)
     }
 
-    /// Notes an ended attempt that may have been executed. The earliest one counts, as engines
-    /// know the idempotency key from then on.
+    /// Records an ended attempt that may have been executed. The earliest one is kept, because
+    /// engines know the idempotency key from that time on.
     pub(crate) fn record_possible_execution(&mut self, execution: PossibleExecution) {
         let known = self.possible_execution.into_iter();
         let earliest = known
@@ -113,20 +113,20 @@
         self.possible_execution = earliest;
     }
 
-    /// The attempt in flight with that number.
+    /// The attempt in flight with this number.
     pub(crate) fn attempt_mut(&mut self, number: AttemptNo) -> Option<&mut Attempt> {
         let mut attempts = self.attempts.iter_mut();
         attempts.find(|attempt| attempt.number == number)
     }
 
-    /// Removes and returns the attempt in flight with that number.
+    /// Removes and returns the attempt in flight with this number.
     pub(crate) fn take_attempt(&mut self, number: AttemptNo) -> Option<Attempt> {
         let mut attempts = self.attempts.iter();
         let position = attempts.position(|attempt| attempt.number == number)?;
         Some(self.attempts.remove(position))
     }
 
-    /// What may be repeated: as its class has it, unless the request itself forbids it.
+    /// Its idempotency: that of its class, unless the request itself must not be repeated.
     pub(crate) fn idempotency(&self, class: &ClassSpec) -> Idempotency {
         if self.request.must_not_repeat {
             Idempotency::NonIdempotent
@@ -136,7 +136,7 @@
     }
 }
 
-/// Rule 6: whether the class may use the endpoint, by the zones and machine kinds it is bound to.
+/// Invariant 6: whether the class may use the endpoint, by its allowed zones and machine types.
 pub(crate) fn is_placement_allowed(class: &ClassSpec, endpoint: &Endpoint) -> bool {
     let zones = class.allowed_zones.as_ref();
     let machine_types = class.allowed_machine_types.as_ref();
--- a/src/policy/state/retry_window.rs
+++ b/src/policy/state/retry_window.rs
@@ -1,4 +1,4 @@
-//! Rule 7: the budget of attempts beyond the first, over a sliding window.
+//! Invariant 7: the budget of attempts beyond the first, over a sliding window.
 use crate::policy::api::{Nanos, RetryBudget};
 use std::collections::VecDeque;
 
@@ -18,8 +18,8 @@
         self.retries.push_back(now);
     }
 
-    /// Whether one more retry is within `budget`, over the window that ends now. Without a budget
-    /// it always is.
+    /// Whether one more retry is within `budget`, over the window that ends at `now`. Always `true`
+    /// without a budget.
     pub(crate) fn allows_retry(&self, now: Nanos, budget: Option<RetryBudget>) -> bool {
         let Some(budget) = budget else {
             return true;
@@ -31,8 +31,8 @@
         retries as f64 + 1.0 <= budget.allowance + budget.ratio * arrivals as f64
     }
 
-    /// Drops what happened before `start`.
-    pub(crate) fn forget_before(&mut self, start: Nanos) {
+    /// Drops the arrivals and retries before `start`.
+    pub(crate) fn drop_before(&mut self, start: Nanos) {
         for times in [&mut self.arrivals, &mut self.retries] {
             let expired = times.partition_point(|at| *at < start);
             times.drain(..expired);
--- a/src/policy/state/tenant_quotas.rs
+++ b/src/policy/state/tenant_quotas.rs
@@ -1,22 +1,23 @@
-//! Quotas of tenants: one token bucket a tenant.
+//! Tenant quotas: one token bucket per tenant.
 use super::units::seconds;
 use crate::policy::api::{Nanos, TenantId, TenantSpec};
 
-/// Length of a burst within the quota, in seconds of its rate.
+/// Capacity of a bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 2.0;
 
-/// Least capacity of a bucket, in requests: a small share of a rate still comes in whole requests.
+/// Minimum capacity of a bucket, in requests: even a small share of a rate arrives as whole
+/// requests.
 const MIN_BURST: f64 = 6.0;
 
 #[derive(Clone, Debug)]
 struct TenantQuota {
-    /// Requests a second over all gateways; 0 if the tenant has no quota.
+    /// Requests per second over all gateways; 0 if the tenant has no quota.
     rate: f64,
     tokens: f64,
     refilled_at: Nanos,
 }
 
-/// Token buckets of all tenants, by [`TenantId`].
+/// Token buckets of all tenants, indexed by [`TenantId`].
 #[derive(Clone, Debug)]
 pub(crate) struct TenantQuotas {
     tenants: Vec<TenantQuota>,
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Takes over changed quotas and new tenants. Known tenants keep their tokens.
+    /// Applies changed quotas and adds new tenants. Known tenants keep their tokens.
     pub(crate) fn update(&mut self, now: Nanos, tenants: &[TenantSpec]) {
         for (index, tenant) in tenants.iter().enumerate() {
             match self.tenants.get_mut(index) {
@@ -41,7 +42,7 @@
     }
 
     /// Counts a request of `tenant` at this gateway, one of `active_gateways`, and returns whether
-    /// it exceeds the quota. A retry by the client was counted at its first try.
+    /// it exceeds the quota. A client's retry is not counted, as its original request was.
     pub(crate) fn charge(
         &mut self,
         now: Nanos,
@@ -64,8 +65,8 @@
         false
     }
 
-    /// Gives back the token of a rejected request: it will be sent and counted again, and retries
-    /// must not use up the quota.
+    /// Returns the token of a rejected request: the client sends it again and it is counted again,
+    /// and retries must not use up the quota.
     pub(crate) fn refund(&mut self, tenant: TenantId) {
         if let Some(quota) = self.tenants.get_mut(usize::from(tenant.0)) {
             quota.tokens += 1.0;
--- a/src/policy/state/turns.rs
+++ b/src/policy/state/turns.rs
@@ -1,11 +1,11 @@
-//! Turns: where a gateway's share of an engine is less than one query, whole gateways take turns
-//! there, without coordination between them.
+//! Turns: where a gateway's share of an engine is less than one query, gateways use the engine in
+//! turns (time slots), without coordination between them.
 use crate::policy::api::{EngineId, Nanos};
 
-/// 2^64 over the golden ratio: its multiples spread evenly on a circle.
+/// 2^64 divided by the golden ratio: its multiples are spread evenly on a circle.
 const GOLDEN_RATIO_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// Position of a gateway among its peers.
+/// Position of a gateway among all gateways.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GatewayPosition {
     pub(crate) index: u32,
@@ -13,25 +13,26 @@
     pub(crate) count: u32,
 }
 
-/// One division of the time into turns.
+/// A division of time into turns.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Turn {
     /// Length of a turn.
     pub(crate) duration: Nanos,
-    /// Number of gateways that have the same turn, on average; it may be a fraction.
+    /// Average number of gateways that have the same turn; may be a fraction.
     pub(crate) holders: f64,
-    /// Shift on the circle, from 0 to 1: different shifts give different gateways the turn.
+    /// Offset on the circle, 0 to 1: with different offsets, different gateways have the turn.
     pub(crate) offset: f64,
 }
 
 impl Turn {
-    /// The number of the turn at `at`.
+    /// The index of the turn at the time `at`.
     pub(crate) fn index(&self, at: Nanos) -> u64 {
         at / self.duration.max(1)
     }
 
-    /// Whether `gateway` has the turn on `engine` at `now`. Gateways stand evenly on a circle. An arc of `holders` of them has the turn, and moves by the golden ratio
-    /// with each turn: whole gateways, `holders` of them on average.
+    /// Whether `gateway` has the turn on `engine` at `now`. Gateways are spaced evenly on a circle.
+    /// The gateways on an arc that spans `holders` of them on average have the turn; with each turn
+    /// the arc moves by the golden ratio.
     pub(crate) fn belongs_to(
         &self,
         now: Nanos,
--- a/src/policy/state/warm_up_window.rs
+++ b/src/policy/state/warm_up_window.rs
@@ -1,8 +1,8 @@
-//! Work sent to an engine while it warms up, over the window of the overload rule.
+//! Work sent to an engine in slow start, over the window of invariant 4.
 use crate::policy::api::Nanos;
 use std::collections::VecDeque;
 
-/// One send to an engine that warms up.
+/// One send to an engine in slow start.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WarmUpSend {
     pub(crate) at: Nanos,
@@ -10,20 +10,20 @@
     pub(crate) work: f64,
 }
 
-/// Sends of the last window, oldest first.
+/// Sends within the last window, oldest first.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WarmUpWindow {
     sends: VecDeque<WarmUpSend>,
 }
 
 impl WarmUpWindow {
-    /// Adds a send; `now` never decreases.
+    /// Adds a send; `now` must not decrease between calls.
     pub(crate) fn record(&mut self, now: Nanos, work: f64) {
         self.sends.push_back(WarmUpSend { at: now, work });
     }
 
     /// Drops the sends before `start`.
-    pub(crate) fn forget_before(&mut self, start: Nanos) {
+    pub(crate) fn drop_before(&mut self, start: Nanos) {
         let expired = self.sends.partition_point(|send| send.at < start);
         self.sends.drain(..expired);
     }
@@ -34,9 +34,9 @@
         recent.map(|send| send.work).sum()
     }
 
-    /// The oldest and the newest send.
+    /// The oldest and the newest send, if there is any.
     #[cfg(test)]
-    pub(crate) fn ends(&self) -> Option<(WarmUpSend, WarmUpSend)> {
+    pub(crate) fn oldest_and_newest(&self) -> Option<(WarmUpSend, WarmUpSend)> {
         let oldest = self.sends.front()?;
         let newest = self.sends.back()?;
         Some((*oldest, *newest))
--- a/tests/unit/class_estimates.rs
+++ b/tests/unit/class_estimates.rs
@@ -2,8 +2,8 @@
 use super::*;
 use crate::policy_builders::{SECOND, class};
 
-fn sample(latency: f64, work: f64) -> AnswerSample {
-    AnswerSample {
+fn sample(latency: f64, work: f64) -> ResponseSample {
+    ResponseSample {
         latency,
         unloaded_seconds: 1.0,
         work,
@@ -34,7 +34,7 @@
 #[test]
 fn work_that_may_not_count_is_left_out() {
     let mut estimates = ClassEstimates::initial(&class());
-    estimates.record(AnswerSample {
+    estimates.record(ResponseSample {
         counts_as_work: false,
         ..sample(1.0, 0.25)
     });
@@ -45,7 +45,7 @@
 #[test]
 fn hints_are_scaled_by_how_far_they_were_off() {
     let mut estimates = ClassEstimates::initial(&class());
-    estimates.record(AnswerSample {
+    estimates.record(ResponseSample {
         compared_hint: Some(SECOND),
         ..sample(1.0, 3.0)
     });
--- a/tests/unit/fleet_scan.rs
+++ b/tests/unit/fleet_scan.rs
@@ -224,8 +224,8 @@
                 0.0
             }
         };
-        let limits =
-            usable().map(|engine| engine.limit * counted_share(engine.warmth(now, &rules)));
+        let limits = usable()
+            .map(|engine| engine.limit * counted_share(engine.capacity_fraction(now, &rules)));
         let limit: f64 = limits.sum();
         assert!(
             (fleet.limit - limit).abs() <= 1e-9 * limit,
@@ -243,7 +243,7 @@
             assert!(
                 engine
                     .warm_up
-                    .ends()
+                    .oldest_and_newest()
                     .is_none_or(|(oldest, newest)| oldest.at + window >= newest.at),
                 "one window is kept, {context}"
             );
--- a/tests/unit/ordered_queues.rs
+++ b/tests/unit/ordered_queues.rs
@@ -35,13 +35,13 @@
 fn a_key_is_forgotten_once_it_has_neither_requests_nor_a_cooldown() {
     let mut queues = two_requests();
     queues.start_cooldown(KEY, 10);
-    queues.forget_idle(20);
+    queues.remove_idle(20);
     assert!(queues.is_next(20, KEY, FIRST), "requests keep it");
 
     queues.remove(KEY, FIRST);
     queues.remove(KEY, SECOND);
-    queues.forget_idle(9);
+    queues.remove_idle(9);
     assert_eq!(queues.queues.len(), 1, "the cooldown keeps it");
-    queues.forget_idle(10);
+    queues.remove_idle(10);
     assert!(queues.queues.is_empty());
 }
--- a/tests/unit/retry_window.rs
+++ b/tests/unit/retry_window.rs
@@ -49,7 +49,7 @@
         window.record_arrival(at);
         window.record_retry(at);
     }
-    window.forget_before(20);
+    window.drop_before(20);
     assert_eq!(window.arrivals, [20, 30]);
     assert_eq!(window.retries, [20, 30]);
 }
--- a/tests/unit/warm_up_window.rs
+++ b/tests/unit/warm_up_window.rs
@@ -16,9 +16,9 @@
     let mut window = WarmUpWindow::default();
     window.record(10, 1.0);
     window.record(20, 2.0);
-    window.forget_before(20);
-    let (oldest, newest) = window.ends().expect("one send is left");
+    window.drop_before(20);
+    let (oldest, newest) = window.oldest_and_newest().expect("one send is left");
     assert_eq!((oldest.at, newest.at), (20, 20));
-    window.forget_before(21);
-    assert!(window.ends().is_none());
+    window.drop_before(21);
+    assert!(window.oldest_and_newest().is_none());
 }
