--- a/src/bin/yokelift-sim-adapter/host.rs
+++ b/src/bin/yokelift-sim-adapter/host.rs
@@ -1,4 +1,4 @@
-//! The running instances, each one gateway, and the endpoint lists that they share.
+//! The running instances, each of which is one gateway, and the endpoint lists that they share.
 
 use crate::error::FrameError;
 use crate::reader::FrameReader;
@@ -9,7 +9,7 @@
 use yokelift::policy::Gateway;
 use yokelift::policy::api::{Endpoint, Event, Nanos};
 
-/// Bytes of a reply's header: the length of what follows and the number of actions, each a `u32`.
+/// Bytes of a reply's header: the length of the actions and their number, each a `u32`.
 const REPLY_HEADER_BYTES: usize = 8;
 
 struct Instance {
@@ -17,7 +17,7 @@
     class_count: usize,
 }
 
-/// An event, and the number of the instance that it is for.
+/// An event and the number of the instance that receives it.
 struct InstanceEvent {
     instance: u32,
     event: Event,
@@ -30,8 +30,8 @@
 }
 
 impl Host {
-    /// Handles a batch, the part of a frame after its length field, and writes the whole reply
-    /// frame to `reply`.
+    /// Handles a batch, which is the part of a frame after its length field, and writes the
+    /// complete reply frame to `reply`.
     pub(crate) fn handle_batch(
         &mut self,
         body: &[u8],
@@ -68,8 +68,8 @@
         Ok(())
     }
 
-    /// Reads one record. Returns the event for an instance; records that concern the host are
-    /// carried out here.
+    /// Reads one record. Returns its event if it is for an instance; records for the host are
+    /// handled here, and `None` is returned.
     fn read_record(
         &mut self,
         reader: &mut FrameReader,
@@ -107,13 +107,13 @@
                 return Ok(None);
             }
             RecordCode::StartInstance | RecordCode::EndpointList => {
-                unreachable!("records that concern the host are handled above")
+                unreachable!("records for the host are handled above")
             }
         };
         Ok(Some(InstanceEvent { instance, event }))
     }
 
-    /// Starts an instance; one of the same number is replaced.
+    /// Starts an instance; it replaces one with the same number.
     fn start_instance(
         &mut self,
         reader: &mut FrameReader,
--- a/src/bin/yokelift-sim-adapter/main.rs
+++ b/src/bin/yokelift-sim-adapter/main.rs
@@ -1,9 +1,9 @@
-//! Simulator adapter: runs many independent gateways of the decision module behind binary frames on
-//! standard input and output.
+//! Simulator adapter: runs independent gateways of the decision module, which are controlled by
+//! binary frames on standard input and output.
 //!
-//! Each input frame is a batch of records with one time; the reply holds the actions that the
-//! gateways ordered in response. A malformed frame ends the program with a message that names the
-//! byte and the field.
+//! Each input frame is a batch of records that share one time; the reply holds the actions that the
+//! gateways order in response. A malformed frame ends the program with an error message that names
+//! the byte position and the field.
 #![forbid(unsafe_code)]
 
 mod error;
@@ -18,14 +18,14 @@
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
-/// Bytes of a batch's header after its length field: the time and the number of records. The length
-/// field does not count them.
+/// Bytes of a batch's header after its length field: the time and the number of records. The value
+/// of the length field does not include them.
 const HEADER_REST_BYTES: usize = 12;
 
-/// A longer frame is taken for a corrupt length field.
+/// Maximum length of a frame; a greater length is taken for a corrupt length field.
 const MAX_FRAME_BYTES: usize = 1 << 30;
 
-/// Reads the length field of a frame. Returns `None` if the input ends before it.
+/// Reads the length field of a frame. Returns `None` at the end of the input.
 fn read_length(input: &mut impl Read) -> Result<Option<u32>, AdapterError> {
     let mut length = [0; LENGTH_BYTES];
     let mut received = 0;
@@ -42,8 +42,8 @@
     Ok(Some(u32::from_be_bytes(length)))
 }
 
-/// Reads the part of a frame after its length field into `body`. Returns whether there was a frame:
-/// `false` at the end of the input.
+/// Reads the part of a frame after its length field into `body`. Returns `false` at the end of the
+/// input.
 fn read_frame(input: &mut impl Read, body: &mut Vec<u8>) -> Result<bool, AdapterError> {
     let Some(records_length) = read_length(input)? else {
         return Ok(false);
@@ -66,8 +66,8 @@
     Ok(true)
 }
 
-/// Answers frames until the input ends.
-fn serve() -> Result<(), AdapterError> {
+/// Handles frames and writes their replies until the input ends.
+fn run() -> Result<(), AdapterError> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
     let mut host = Host::default();
@@ -82,7 +82,7 @@
 }
 
 fn main() -> ExitCode {
-    match serve() {
+    match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("yokelift-sim-adapter: {error}");
--- a/src/bin/yokelift-sim-adapter/reader.rs
+++ b/src/bin/yokelift-sim-adapter/reader.rs
@@ -1,28 +1,28 @@
-//! Reads the fields of one frame: big-endian, without padding.
+//! Reads the fields of a frame: big-endian, without padding.
 
 use crate::error::FrameError;
 use crate::records::RecordCode;
 use bytes::Buf;
 use yokelift::policy::api::{EngineId, LoadReport, OutcomeKind};
 
-/// Bytes of a frame's length field, which positions include.
+/// Bytes of a frame's length field; positions include them.
 pub(crate) const LENGTH_BYTES: usize = 4;
 
 /// Bytes of an engine's address: IPv4 and port.
 const ENGINE_BYTES: usize = 6;
 
-/// Bits of a port, the low part of an engine's id.
+/// Bits of a port, which is the low part of an engine's id.
 const PORT_BITS: u32 = 16;
 
-/// Reads fields off one frame and knows its position for error messages. Each method takes the name
-/// of the field in the simulator's protocol.
+/// Reads the fields of one frame in order and tracks the position for error messages. Methods take
+/// the name of the field in the simulator's protocol.
 pub(crate) struct FrameReader<'a> {
     body_length: usize,
     rest: &'a [u8],
 }
 
 impl<'a> FrameReader<'a> {
-    /// Starts at the first byte after the frame's length field.
+    /// Creates a reader of `body`, which starts after the frame's length field.
     pub(crate) fn new(body: &'a [u8]) -> FrameReader<'a> {
         FrameReader {
             body_length: body.len(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Byte position within the frame, its length field included.
+    /// Byte position within the frame, including its length field.
     pub(crate) fn position(&self) -> usize {
         LENGTH_BYTES + self.body_length - self.rest.len()
     }
@@ -40,7 +40,7 @@
         self.rest.is_empty()
     }
 
-    /// Fails unless `count` bytes are left.
+    /// Returns an error unless `count` bytes are left.
     pub(crate) fn require(&self, count: usize, field: &'static str) -> Result<(), FrameError> {
         if self.rest.len() < count {
             let position = self.position();
@@ -74,7 +74,7 @@
         Ok(self.rest.get_f32())
     }
 
-    /// The next `count` bytes.
+    /// Reads the next `count` bytes.
     pub(crate) fn bytes(
         &mut self,
         count: usize,
@@ -86,7 +86,7 @@
         Ok(head)
     }
 
-    /// An engine's address, whose bytes in order are the engine's id.
+    /// Reads an engine's address, whose bytes in order are the engine's id.
     pub(crate) fn engine(&mut self, field: &'static str) -> Result<EngineId, FrameError> {
         self.require(ENGINE_BYTES, field)?;
         let address = u64::from(self.rest.get_u32());
@@ -94,14 +94,14 @@
         Ok(EngineId(address << PORT_BITS | port))
     }
 
-    /// The kind of a record.
+    /// Reads the code of a record.
     pub(crate) fn record_code(&mut self) -> Result<RecordCode, FrameError> {
         let position = self.position();
         let code = self.u8("code")?;
         RecordCode::from_wire(code).ok_or(FrameError::UnknownRecord { position, code })
     }
 
-    /// The kind of an outcome.
+    /// Reads the code of an outcome.
     pub(crate) fn outcome_kind(&mut self, field: &'static str) -> Result<OutcomeKind, FrameError> {
         let position = self.position();
         match self.u16(field)? {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// A load report: the number of its values, then the values.
+    /// Reads a load report: the number of its values, then the values.
     pub(crate) fn load_report(&mut self, field: &'static str) -> Result<LoadReport, FrameError> {
         let count = self.u8(field)?;
         let mut values = Vec::with_capacity(usize::from(count));
--- a/src/bin/yokelift-sim-adapter/records.rs
+++ b/src/bin/yokelift-sim-adapter/records.rs
@@ -1,5 +1,5 @@
-//! Decodes the records of a frame, one function a kind. Field names in calls and errors are those
-//! of the simulator's protocol.
+//! Decodes the records of a frame, with one function per kind of record. Field names in calls and
+//! errors are those of the simulator's protocol.
 
 use crate::error::FrameError;
 use crate::reader::FrameReader;
@@ -14,36 +14,36 @@
 /// Bytes of one entry of an endpoint list.
 const ENDPOINT_BYTES: usize = 24;
 
-/// Bit of a request's `marks`: its estimated work is known.
+/// Bit of a request's `marks`: the client's estimate of its work is known.
 const MARK_WORK_KNOWN: u16 = 1;
 
-/// Bit of a request's `marks`: it is a retry of the client.
+/// Bit of a request's `marks`: it is a client's retry.
 const MARK_RETRY: u16 = 2;
 
-/// An outcome's `note` is the work in milliseconds times this, plus the memory in
+/// An outcome's `note` is the work in milliseconds times this factor, plus the memory in units of
 /// [`NOTE_MEMORY_UNIT_MB`].
 const NOTE_WORK_FACTOR: u32 = 4096;
 
 /// Unit of the memory in an outcome's `note`, in MB.
 const NOTE_MEMORY_UNIT_MB: f64 = 4.0;
 
-/// Nanoseconds of a millisecond.
+/// Nanoseconds per millisecond.
 const NANOS_PER_MILLI: u64 = 1_000_000;
 
-/// Topic of a progress record whose amount is the fraction done.
+/// Topic of a progress record whose amount is the completed fraction.
 const TOPIC_PROGRESS: u8 = 1;
 
 /// Topic of a progress record whose amount is the memory spilled, in MB.
 const TOPIC_SPILL: u8 = 2;
 
-/// Topic of a progress record whose amount says what the query waits for: 1 for memory, 2 for a
+/// Topic of a progress record whose amount states what the query waits for: 1 for memory, 2 for a
 /// load.
 const TOPIC_WAIT: u8 = 3;
 
-/// Amounts of [`TOPIC_WAIT`] from here on stand for a load.
+/// Amounts of [`TOPIC_WAIT`] that are at least this mean a load, smaller ones mean memory.
 const WAIT_FOR_LOAD_FROM: f64 = 1.5;
 
-/// The kind of a record, by its code on the wire.
+/// The kind of a record; the discriminant is its code on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RecordCode {
     StartInstance = 1,
@@ -76,7 +76,7 @@
         RecordCode::EndpointList,
     ];
 
-    /// The kind with this code, if the protocol has one.
+    /// Returns the kind with this code, if there is one.
     pub(crate) fn from_wire(code: u8) -> Option<RecordCode> {
         RecordCode::ALL
             .into_iter()
@@ -84,19 +84,19 @@
     }
 }
 
-/// The start of an instance.
+/// The content of a `START` record.
 pub(crate) struct StartInstance {
     pub(crate) seed: u64,
     pub(crate) settings: Settings,
 }
 
-/// An endpoint list, which updates of instances refer to by its number.
+/// An endpoint list, to which updates of instances refer by its number.
 pub(crate) struct NumberedEndpointList {
     pub(crate) number: u16,
     pub(crate) entries: Vec<Endpoint>,
 }
 
-/// `START`: the seed of the gateway's random numbers and its settings as JSON.
+/// Decodes `START`: the seed of the gateway's random numbers and its settings as JSON.
 pub(crate) fn start_instance(reader: &mut FrameReader) -> Result<StartInstance, FrameError> {
     let seed = reader.u64("START entropy")?;
     let length = reader.u32("START boot_info")? as usize;
@@ -111,7 +111,7 @@
     }
 }
 
-/// `LIST`: an endpoint list, for updates of all instances to refer to.
+/// Decodes `LIST`: an endpoint list to which updates of all instances may refer.
 pub(crate) fn endpoint_list(reader: &mut FrameReader) -> Result<NumberedEndpointList, FrameError> {
     let number = reader.u16("LIST set_id")?;
     let count = reader.u32("LIST rows")? as usize;
@@ -123,8 +123,8 @@
     Ok(NumberedEndpointList { number, entries })
 }
 
-/// One entry of an endpoint list. Struct fields are read in the order in which they are written
-/// here, which is that of the wire.
+/// Decodes one entry of an endpoint list. The initializers of the struct are evaluated in the order
+/// in which they are written, which is the order on the wire.
 fn endpoint(reader: &mut FrameReader) -> Result<Endpoint, FrameError> {
     Ok(Endpoint {
         id: reader.engine("rows engine")?,
@@ -152,7 +152,8 @@
     }
 }
 
-/// `TARGETS`: an update of an instance's endpoint list, whose entries are those of a `LIST` record.
+/// Decodes `TARGETS`: an update of an instance's endpoint list, whose entries are those of a `LIST`
+/// record.
 pub(crate) fn endpoint_list_update(
     reader: &mut FrameReader,
     lists: &BTreeMap<u16, Vec<Endpoint>>,
@@ -185,7 +186,7 @@
     }
 }
 
-/// `NEW_REQUEST`, of one of the instance's `class_count` classes.
+/// Decodes `NEW_REQUEST`: a request of one of the instance's `class_count` classes.
 pub(crate) fn request(reader: &mut FrameReader, class_count: usize) -> Result<Event, FrameError> {
     let id = RequestId(reader.u32("NEW_REQUEST corr")?);
     let position = reader.position();
@@ -209,14 +210,14 @@
         deadline,
         work_hint: work_known.then_some(work),
         memory_hint_mb: (memory_mb > 0.0).then_some(memory_mb),
-        // The group is opaque; one is added as 0 stands for an unknown data set.
+        // The group is opaque. One is added because 0 means an unknown data set.
         data_set: u64::from(table_group.to_bits()) + 1,
         is_retry: marks & MARK_RETRY != 0,
         must_not_repeat: false,
     }))
 }
 
-/// `STREAMING`: the first byte of a response was passed to the client.
+/// Decodes `STREAMING`: the first byte of a response was forwarded to the client.
 pub(crate) fn first_byte(reader: &mut FrameReader) -> Result<Event, FrameError> {
     let id = RequestId(reader.u32("STREAMING corr")?);
     let attempt = AttemptNo(reader.u16("STREAMING leg")?);
@@ -225,8 +226,8 @@
     Ok(Event::FirstByte { id, attempt })
 }
 
-/// `OUTCOME`: the end of an attempt. Its `note` is 0 or states the query's work and memory; see
-/// [`NOTE_WORK_FACTOR`].
+/// Decodes `OUTCOME`: the end of an attempt. Its `note` is 0 or holds the query's work and memory;
+/// see [`NOTE_WORK_FACTOR`].
 pub(crate) fn outcome(reader: &mut FrameReader) -> Result<Event, FrameError> {
     let id = RequestId(reader.u32("OUTCOME corr")?);
     let attempt = AttemptNo(reader.u16("OUTCOME leg")?);
@@ -252,19 +253,19 @@
     }))
 }
 
-/// `VANISHED`: the client of a request disconnected.
+/// Decodes `VANISHED`: the client of a request disconnected.
 pub(crate) fn client_disconnected(reader: &mut FrameReader) -> Result<Event, FrameError> {
     let id = RequestId(reader.u32("VANISHED corr")?);
     Ok(Event::ClientDisconnected(id))
 }
 
-/// `DUE`: a timer fired.
+/// Decodes `DUE`: a timer fired.
 pub(crate) fn timer_fired(reader: &mut FrameReader) -> Result<Event, FrameError> {
     let token = reader.u64("DUE ref")?;
     Ok(Event::TimerFired(token))
 }
 
-/// `CHECKED`: a load probe ended.
+/// Decodes `CHECKED`: a load probe ended.
 pub(crate) fn probe_completed(reader: &mut FrameReader) -> Result<Event, FrameError> {
     let latency = reader.u64("CHECKED wait_time_ns")?;
     let kind = reader.outcome_kind("CHECKED code")?;
@@ -278,7 +279,7 @@
     })
 }
 
-/// `NEIGHBOUR_SAYS`: a message from another gateway.
+/// Decodes `NEIGHBOUR_SAYS`: a message from another gateway.
 pub(crate) fn peer_message(reader: &mut FrameReader) -> Result<Event, FrameError> {
     let from = u32::from(reader.u16("NEIGHBOUR_SAYS src")?);
     let length = usize::from(reader.u16("NEIGHBOUR_SAYS octets")?);
@@ -286,7 +287,7 @@
     Ok(Event::PeerMessage { from, data })
 }
 
-/// `INTERIM`: progress of a running attempt.
+/// Decodes `INTERIM`: progress of a running attempt.
 pub(crate) fn progress(reader: &mut FrameReader) -> Result<Event, FrameError> {
     let id = RequestId(reader.u32("INTERIM corr")?);
     let attempt = AttemptNo(reader.u16("INTERIM leg")?);
--- a/src/bin/yokelift-sim-adapter/writer.rs
+++ b/src/bin/yokelift-sim-adapter/writer.rs
@@ -1,12 +1,12 @@
-//! Writes actions to a reply: big-endian, without padding.
+//! Encodes actions in a reply: big-endian, without padding.
 
 use bytes::BufMut;
 use yokelift::policy::api::{Action, EngineId};
 
-/// The peer of a message for all gateways.
+/// Value of the peer field of a message to all gateways.
 const ALL_PEERS: u16 = u16::MAX;
 
-/// The code of an action on the wire. Code 3 is not used.
+/// The code of an action on the wire. Code 3 is unused.
 fn action_code(action: &Action) -> u8 {
     match action {
         Action::Log(_) => 1,
@@ -24,13 +24,13 @@
     }
 }
 
-/// The address of an engine, which its id holds as IPv4 and port.
+/// Appends the address of an engine: IPv4 and port, which its id holds.
 fn put_engine(reply: &mut Vec<u8>, engine: EngineId) {
     reply.put_u32((engine.0 >> 16) as u32);
     reply.put_u16(engine.0 as u16);
 }
 
-/// Bytes after their number, cut to what that can count.
+/// Appends `data` after its length as a `u16`; longer data is truncated to the maximum length.
 fn put_counted_bytes(reply: &mut Vec<u8>, data: &[u8]) {
     let data = &data[..data.len().min(usize::from(u16::MAX))];
     reply.put_u16(data.len() as u16);
