--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The built adapter, driven with frames written here field by field.
+//! The adapter's executable, tested with frames that are encoded here field by field.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -8,7 +8,7 @@
 "invariants":{"answer_slack_ns":20000000,"drain_grace_ns":250000000,"cold_from":0.3,"warm_within_ns":15000000000,
 "fall_multiple":2.0,"fall_ns":2000000000},"limits":{"send_cap":3,"may_cancel":true}}"#;
 
-/// Code of a record on the wire.
+/// Codes of records on the wire.
 mod record {
     pub(crate) const START_INSTANCE: u8 = 1;
     pub(crate) const ENDPOINT_LIST_UPDATE: u8 = 2;
@@ -19,13 +19,13 @@
     pub(crate) const UNKNOWN: u8 = 99;
 }
 
-/// Code of an action on the wire: start an attempt.
+/// Code on the wire of the action that starts an attempt.
 const ACTION_SEND: u8 = 13;
-/// Bytes of that action in a reply.
+/// Length of that action in a reply, in bytes.
 const ACTION_SEND_BYTES: usize = 23;
 /// The time of the batches.
 const NOW: u64 = 1_000_000_000;
-/// The instance of tests with one.
+/// The instance of tests that use a single one.
 const INSTANCE: u32 = 3;
 
 /// A batch, built record by record.
@@ -66,8 +66,8 @@
         self.record(&[&[record::STOP_INSTANCE], &instance.to_be_bytes()])
     }
 
-    /// One engine, 10.18.74.7:5003, ready since long ago, as list 0; then that as the cached list
-    /// of an instance.
+    /// Adds list 0 with one engine, 10.18.74.7:5003, which is ready and started long ago, and an
+    /// update that gives this list to an instance as its cached list.
     fn cached_engine(self, instance: u32) -> Frame {
         let list_number = 0u16.to_be_bytes();
         let entry: &[&[u8]] = &[
@@ -130,10 +130,10 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // A broken pipe is no fault of the test: the adapter may have stopped at bad input before
-    // reading on.
+    // The write may fail with a broken pipe, because the adapter exits at malformed input without
+    // reading the rest.
     let _ = child.stdin.take().expect("piped").write_all(input);
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("the adapter exits")
 }
 
 fn error_message(input: &[u8]) -> String {
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_the_input_is_a_success() {
+fn an_empty_batch_gets_an_empty_reply_and_the_adapter_exits_with_success_at_end_of_input() {
     let output = run_adapter(&Frame::new().encode(NOW));
 
     assert!(output.status.success());
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_request_starts_an_attempt_on_the_listed_engine_with_its_ids_unchanged() {
+fn a_request_starts_an_attempt_on_the_listed_engine_with_unchanged_ids() {
     let frame = Frame::new()
         .start_instance(INSTANCE, SETTINGS)
         .cached_engine(INSTANCE)
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn an_instance_stopped_and_started_in_one_batch_keeps_no_state() {
+fn an_instance_stopped_and_restarted_in_one_batch_keeps_no_state() {
     let frame = Frame::new()
         .start_instance(INSTANCE, SETTINGS)
         .cached_engine(INSTANCE)
@@ -198,12 +198,12 @@
     assert!(output.status.success());
     assert!(
         !output.stdout.contains(&ACTION_SEND),
-        "the new instance knows no engine, so nothing is sent"
+        "the new instance has no endpoint list, so it starts no attempt"
     );
 }
 
 #[test]
-fn several_instances_act_as_each_would_alone() {
+fn an_instance_orders_the_same_actions_beside_others_as_alone() {
     let both = Frame::new()
         .start_instance(1, SETTINGS)
         .cached_engine(1)
@@ -223,7 +223,7 @@
     assert!(both.ends_with(last_action));
 }
 
-/// Malformed input, and what the message has to contain.
+/// Malformed input, and a text that the error message must contain.
 struct MalformedInput {
     input: Vec<u8>,
     expected: &'static str,
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn malformed_input_fails_with_the_field_and_the_byte_position() {
+fn the_error_for_malformed_input_names_the_field_and_the_byte_position() {
     for MalformedInput { input, expected } in malformed_inputs() {
         let text = error_message(&input);
         assert!(
--- a/tests/fleet/builders.rs
+++ b/tests/fleet/builders.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// Settings of `gateways` gateways whose load probes are too expensive to send.
+/// Settings of one of `gateways` gateways, with load probes that are too expensive to send.
 pub(crate) fn expensive_probe_settings(gateways: u32) -> Settings {
     Settings {
         probe_price: 0.08,
@@ -23,7 +23,8 @@
     }
 }
 
-/// Settings of a large fleet that may not probe: engines report these values in responses alone.
+/// Settings of a large fleet that may not send probes: engines report these values in responses
+/// only.
 pub(crate) fn settings_without_probes(load_fields: Vec<LoadField>) -> Settings {
     let mut settings = large_fleet_settings();
     settings.load_fields = load_fields;
@@ -41,7 +42,7 @@
     GatewayHarness::with_seed(settings, entries, u64::from(index))
 }
 
-/// A load probe that reports this number of queries in flight.
+/// The completion of a load probe that reports this number of queries in flight.
 pub(crate) fn probe_completed(engine: u64, queries: f32) -> Event {
     Event::ProbeCompleted {
         engine: EngineId(engine),
@@ -51,8 +52,8 @@
     }
 }
 
-/// Completes every probe among the actions with this number of queries in flight. Returns the
-/// attempts started by the actions and in response to the probes.
+/// Completes every probe among the actions with a report of this number of queries in flight.
+/// Returns the attempts started by the actions and in response to the probes.
 pub(crate) fn complete_probes(
     gateway: &mut GatewayHarness,
     actions: Vec<Action>,
--- a/tests/fleet/capacity.rs
+++ b/tests/fleet/capacity.rs
@@ -1,4 +1,4 @@
-//! Capacity that gateways account for by themselves, without load reports.
+//! Capacity accounting of gateways without load reports.
 use crate::builders::*;
 use crate::common::*;
 use yokelift::policy::api::*;
@@ -20,11 +20,14 @@
         id += 1;
         id - before
     };
-    // A gateway that has just started holds back more.
+    // A gateway that has just started uses less capacity.
     gateway.advance(2100 * MILLISECOND);
     let first = fill(&mut gateway);
     gateway.advance(SECOND);
-    assert!(fill(&mut gateway) < first / 2, "no capacity yet");
+    assert!(
+        fill(&mut gateway) < first / 2,
+        "no capacity is released yet"
+    );
     gateway.advance(12 * SECOND);
     assert!(
         fill(&mut gateway) > first / 2,
@@ -33,8 +36,8 @@
 }
 
 #[test]
-fn a_query_that_reports_to_wait_for_memory_is_not_unresponsive() {
-    let play = |notes: bool| {
+fn a_query_that_reports_waiting_for_memory_is_not_unresponsive() {
+    let run = |reports_progress: bool| {
         let mut gateway = GatewayHarness::new(test_settings(), warm_endpoints(1..=4));
         let mut started = Vec::new();
         (0..2).for_each(|id| {
@@ -45,17 +48,17 @@
                 SECOND,
             )))
         });
-        let mut withdrawn = 0;
+        let mut cancellations = 0;
         for _ in 0..10 {
-            withdrawn += cancellation_count(&gateway.advance(500 * MILLISECOND));
-            for id in (0..2).filter(|_| notes) {
+            cancellations += cancellation_count(&gateway.advance(500 * MILLISECOND));
+            for id in (0..2).filter(|_| reports_progress) {
                 gateway.report_progress(id, ProgressUpdate::WaitsForMemory);
             }
         }
-        withdrawn
+        cancellations
     };
-    assert_eq!(play(true), 0);
-    assert!(play(false) > 0);
+    assert_eq!(run(true), 0);
+    assert!(run(false) > 0);
 }
 
 #[test]
@@ -69,13 +72,13 @@
         (10_000, 70_000),
         (300, u32::MAX),
     ] {
-        for may_tell in [false, true] {
+        for may_message_peers in [false, true] {
             let mut settings = large_fleet_settings();
             (
                 settings.gateways,
                 settings.gateway_index,
                 settings.limits.may_message_peers,
-            ) = (gateways, index, may_tell);
+            ) = (gateways, index, may_message_peers);
             let mut gateway = GatewayHarness::new(settings, vec![endpoint(1, 0, 0)]);
             let mut actions = Vec::new();
             for id in 0..8 {
@@ -103,12 +106,12 @@
 }
 
 #[test]
-fn no_attempt_starts_that_the_clients_deadline_cannot_cover() {
-    // The request's own deadline decides, not that of its class; an estimate may be twice too high,
-    // but not five times.
+fn no_attempt_starts_that_cannot_complete_before_the_clients_deadline() {
+    // The deadline of the request counts, not that of its class. An estimated time of up to
+    // twice the time left is tolerated, because the estimate may be too high; five times is not.
     let mut gateway = GatewayHarness::new(test_settings(), vec![endpoint(1, 0, 0)]);
     let mut sent =
-        |id, patience| attempts_started(&gateway.submit(id, SHORT, patience, SECOND)).len();
+        |id, time_left| attempts_started(&gateway.submit(id, SHORT, time_left, SECOND)).len();
     assert_eq!(
         (
             sent(1, 200 * MILLISECOND),
@@ -120,7 +123,7 @@
 }
 
 #[test]
-fn a_pause_without_probes_does_not_make_engines_look_full() {
+fn engines_do_not_count_as_full_after_a_pause_without_load_reports() {
     let mut gateway = gateway_at(
         3,
         settings_without_probes(vec![LoadField::CpuUtilization]),
@@ -142,20 +145,20 @@
 
 #[test]
 fn a_capacity_share_of_a_few_queries_is_kept_on_average() {
-    // 60 engines of 16 threads over 160 gateways are six threads each. Two queries of four threads
-    // run together, but not all the time.
+    // 60 engines of 16 threads, shared by 160 gateways, are six threads per gateway. Two queries of
+    // four threads may run at once, but not all the time.
     let mut settings = settings_without_probes(vec![]);
     settings.gateways = 160;
     let mut gateway = gateway_at(3, settings, warm_endpoints(1..=60));
     gateway.advance(3 * SECOND);
-    let send = |gateway: &mut GatewayHarness, id| {
+    let attempts_on_submit = |gateway: &mut GatewayHarness, id| {
         attempts_started(&gateway.submit(id, LONG, 15 * SECOND, 40 * SECOND)).len()
     };
     assert_eq!(
         (
-            send(&mut gateway, 1),
-            send(&mut gateway, 2),
-            send(&mut gateway, 3)
+            attempts_on_submit(&mut gateway, 1),
+            attempts_on_submit(&mut gateway, 2),
+            attempts_on_submit(&mut gateway, 3)
         ),
         (1, 1, 0)
     );
@@ -167,6 +170,9 @@
     let engine = EngineId(1);
     let sent = attempts_started(&gateway.end_attempt(1, 0, engine, OutcomeKind::Ok, 4 * SECOND))
         .len()
-        + send(&mut gateway, 4);
-    assert_eq!(sent, 0, "four seconds above its part are given back first");
+        + attempts_on_submit(&mut gateway, 4);
+    assert_eq!(
+        sent, 0,
+        "after four seconds above its share, the gateway stays below it first"
+    );
 }
--- a/tests/fleet/endpoint_lists.rs
+++ b/tests/fleet/endpoint_lists.rs
@@ -1,16 +1,16 @@
-//! Endpoint lists of a faulty coordinator, at the size of a large fleet.
+//! Inconsistent endpoint lists from a faulty coordinator, for a large fleet.
 use crate::builders::*;
 use crate::common::*;
 use std::collections::{BTreeMap, BTreeSet};
 use yokelift::policy::api::*;
 
-/// Number of lists that the gateway receives.
+/// Number of endpoint lists that the gateway receives.
 const ROUNDS: u64 = 60;
 /// Number of engines of the fleet.
 const ENGINES: u64 = 60;
 /// Requests submitted after each list.
 const REQUESTS_PER_ROUND: u32 = 5;
-/// Steps after each list at least; more follow until no attempt is started.
+/// Minimum number of steps after each list; more follow until no attempt is started.
 const MIN_STEPS: u64 = 10;
 
 fn draining(endpoint: Endpoint) -> Endpoint {
@@ -36,7 +36,7 @@
     }
 }
 
-/// The engines that a list names as ready; the last entry of an engine counts.
+/// The engines that are ready in a list; if an engine has several entries, the last one counts.
 fn ready_engines(entries: &[Endpoint]) -> BTreeSet<EngineId> {
     let last_entries: BTreeMap<EngineId, Readiness> = entries
         .iter()
@@ -49,12 +49,12 @@
         .collect()
 }
 
-/// A gateway whose engines refuse every other connection.
+/// A gateway with a faulty coordinator, whose engines refuse every other connection.
 struct FaultyCoordinatorModel {
     gateway: GatewayHarness,
     ready: BTreeSet<EngineId>,
     attempt_counts: BTreeMap<u32, u16>,
-    /// How often each request ended.
+    /// Number of times that each request ended.
     end_counts: BTreeMap<u32, usize>,
     next_request: u32,
 }
@@ -73,7 +73,7 @@
         }
     }
 
-    fn play_round(&mut self, round: u64) {
+    fn run_round(&mut self, round: u64) {
         let entries = inconsistent_list(round);
         self.ready = ready_engines(&entries);
         let mut actions = self
@@ -127,14 +127,14 @@
     }
 }
 
-/// Attempts go only to engines that the list names as ready, every request ends once after three
-/// attempts at most, and queued requests cause no retry storm.
+/// Attempts go only to engines that are ready in the last list, every request ends exactly once
+/// after at most three attempts, and queued requests cause no retry storm.
 #[test]
 fn inconsistent_endpoint_lists_violate_no_invariant_and_cause_no_retry_storm() {
     let mut model = FaultyCoordinatorModel::new();
 
     for round in 0..ROUNDS {
-        model.play_round(round);
+        model.run_round(round);
     }
     let remaining = model.gateway.advance(6 * SECOND);
     model.count_final_responses(&remaining);
--- a/tests/fleet/load_reports.rs
+++ b/tests/fleet/load_reports.rs
@@ -1,11 +1,11 @@
-//! What gateways conclude from load reports.
+//! How load reports affect the engine selection and the capacity use of gateways.
 use crate::builders::*;
 use crate::common::*;
 use yokelift::policy::api::*;
 
 #[test]
 fn gateways_with_equal_load_reports_choose_different_engines() {
-    // All gateways receive equal reports of forty engines; their choices differ.
+    // All gateways receive the same reports of forty engines.
     let mut count = [0; 41];
     for index in 0..GATEWAYS {
         let mut gateway = gateway_at(index, large_fleet_settings(), warm_endpoints(1..=40));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_expired_load_report_is_ignored() {
+fn a_stale_load_report_is_ignored() {
     let mut gateway = gateway_at(
         3,
         large_fleet_settings(),
@@ -33,12 +33,12 @@
     let started = attempts_started(&gateway.submit(1, SHORT, 6 * SECOND, 200 * MILLISECOND));
     assert!(
         started.iter().all(|(_, e)| *e == EngineId(2)),
-        "engine 1 was idle three seconds ago: {started:?}"
+        "the report of engine 1 is three seconds old: {started:?}"
     );
 }
 
 #[test]
-fn an_engine_that_responds_to_probes_late_is_avoided_despite_idle_cores() {
+fn an_engine_with_slow_probe_responses_is_avoided_even_if_it_reports_idle_cores() {
     let mut settings = large_fleet_settings();
     settings.load_fields = vec![LoadField::CpuUtilization];
     let mut gateway = gateway_at(3, settings, warm_endpoints(1..=4));
@@ -64,23 +64,23 @@
         }
         gateway.advance(100 * MILLISECOND);
     }
-    let late = started
+    let sent_to_slow = started
         .iter()
         .skip(5)
         .filter(|(_, e)| *e == EngineId(1))
         .count();
     assert!(
-        started.len() > 10 && late == 0,
-        "{late} of {} went to the jammed engine",
+        started.len() > 10 && sent_to_slow == 0,
+        "{sent_to_slow} of {} attempts went to the slow engine",
         started.len()
     );
 }
 
 #[test]
-fn reported_queries_are_counted_with_the_threads_of_the_current_mix() {
-    // Half the requests are long and may not run on the only engine; short ones do. Then an engine
-    // for long ones is added and reports ten queries: of one thread each, so that a long one fits
-    // below its 16 threads.
+fn reported_queries_are_counted_with_the_threads_per_query_of_the_queries_sent() {
+    // Half of the requests are long and may not run on the only engine, so all queries that are
+    // sent are short. Then an engine for long queries is added and reports ten queries. They count
+    // as one thread each, so that a long query fits below its limit of 16 threads.
     let mut gateway = gateway_at(3, large_fleet_settings(), vec![endpoint(1, 1, 0)]);
     gateway.advance(3 * SECOND);
     let mut sent = 0;
@@ -101,7 +101,7 @@
             gateway.end_attempt(id, 0, engine, OutcomeKind::Ok, 200 * MILLISECOND);
         }
     }
-    assert!(sent >= 50, "look-ups were served: {sent}");
+    assert!(sent >= 50, "short queries were sent: {sent}");
     gateway.advance(20 * SECOND);
     gateway.update_endpoints(EndpointListKind::Changes, vec![endpoint(2, 0, 0)]);
     let actions = gateway.submit(999, LONG, 15 * SECOND, SECOND);
@@ -114,7 +114,7 @@
 
 #[test]
 fn the_capacity_share_grows_only_with_reports_of_both_cores_and_disks() {
-    // Idle cores may hide busy disks; idle cores with idle disks do not.
+    // Idle cores alone do not show that an engine has free capacity, because its disks may be busy.
     let sent_with = |fields: Vec<LoadField>| {
         let mut settings = settings_without_probes(fields);
         settings.gateways = 160;
@@ -131,35 +131,36 @@
         }
         count
     };
-    let (cores, both) = (
+    let (cores_only, both) = (
         sent_with(vec![LoadField::CpuUtilization]),
         sent_with(vec![LoadField::CpuUtilization, LoadField::DiskUtilization]),
     );
     assert!(
-        both >= cores + 3,
-        "{cores} with cores alone, {both} with both"
+        both >= cores_only + 3,
+        "{cores_only} with cores only, {both} with both"
     );
 }
 
 #[test]
-fn an_ordinary_fraction_of_granted_memory_does_not_make_an_engine_look_full() {
-    // A gateway that has just started is cautious: above half the limit it needs a time slot, which
-    // few of 300 have.
-    let mut served = 0;
+fn an_engine_with_an_ordinary_fraction_of_granted_memory_does_not_count_as_full() {
+    // A gateway that has just started needs a turn on an engine that is loaded above half its
+    // limit, and few of 300 gateways have one.
+    let mut started = 0;
     for index in 0..40 {
         let mut settings = large_fleet_settings();
         settings.load_fields = vec![LoadField::MemoryGrantedFraction];
         let mut gateway = gateway_at(index, settings, vec![endpoint(1, 0, 0)]);
         gateway.handle(probe_completed(1, 0.7));
         let actions = gateway.submit(1, SHORT, 6 * SECOND, 200 * MILLISECOND);
-        served += complete_probes(&mut gateway, actions, 0.7).len();
+        started += complete_probes(&mut gateway, actions, 0.7).len();
     }
-    assert_eq!(served, 40);
+    assert_eq!(started, 40);
 }
 
 #[test]
 fn a_busy_gateway_uses_capacity_that_others_leave_idle_where_queries_are_reported() {
-    // Sixteen times the mean traffic at one of 160 gateways, whose capacity share is six threads.
+    // One of 160 gateways, whose capacity share is six threads, receives sixteen times the mean
+    // traffic.
     let sent_with = |queries: f32| {
         let mut settings = large_fleet_settings();
         settings.gateways = 160;
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Gateways of a large fleet, side by side, each with its own clock and seed.
+//! Gateways of a large fleet, each with its own clock and seed.
 mod builders;
 mod capacity;
 #[path = "../common/mod.rs"]
--- a/tests/fleet/simulation.rs
+++ b/tests/fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! A whole fleet of gateways, engines and clients on one clock.
+//! Simulation of a fleet of gateways, engines and clients on one clock.
 use crate::builders::*;
 use crate::common::*;
 use std::collections::BTreeMap;
@@ -6,11 +6,11 @@
 
 /// Number of gateways of the simulated fleet.
 const SIMULATED_GATEWAYS: u32 = 150;
-/// Time between two steps of the simulation.
+/// Duration of one step of the simulation.
 const STEP: Nanos = 20 * MILLISECOND;
-/// Steps in a second.
+/// Steps per second.
 const STEPS_PER_SECOND: u64 = SECOND / STEP;
-/// How long an engine takes for a query.
+/// Service time of each query on an engine.
 const SERVICE_TIME: Nanos = 300 * MILLISECOND;
 
 /// An attempt that a gateway started.
@@ -29,7 +29,7 @@
     engine: EngineId,
 }
 
-/// Gateways side by side on one clock, their engines, of which some may be dead, and the clients.
+/// Gateways on one clock, their engines, some of which may be dead, and the clients.
 struct FleetSimulation {
     gateways: Vec<GatewayHarness>,
     dead_engines: Vec<u64>,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Answers a load probe: a dead engine refuses the connection, another one reports its queries.
+    /// Completes a load probe: a dead engine refuses the connection, any other reports its queries.
     fn probe(&mut self, gateway: usize, engine: EngineId) -> Vec<Action> {
         let event = if self.dead_engines.contains(&engine.0) {
             Event::ProbeCompleted {
@@ -84,8 +84,11 @@
                 load: LoadReport::default(),
             }
         } else {
-            let there = |attempt: &&RunningAttempt| attempt.engine == engine;
-            probe_completed(engine.0, self.running.iter().filter(there).count() as f32)
+            let on_engine = |attempt: &&RunningAttempt| attempt.engine == engine;
+            probe_completed(
+                engine.0,
+                self.running.iter().filter(on_engine).count() as f32,
+            )
         };
         self.gateways[gateway].handle(event)
     }
@@ -116,7 +119,8 @@
         Vec::new()
     }
 
-    /// Advances the clock, with this number of short requests per second at gateways in turn.
+    /// Advances the clock by `span`, with this number of short requests per second, spread over the
+    /// gateways.
     fn run(&mut self, span: Nanos, requests_per_second: u64) {
         for step in 0..span / STEP {
             for gateway in 0..self.gateways.len() {
@@ -158,7 +162,7 @@
         self.carry_out(gateway, actions);
     }
 
-    /// Number of attempts started since `from` that match.
+    /// Number of matching attempts started since `from`.
     fn started_since(&self, from: Nanos, matches: impl Fn(&StartedAttempt) -> bool) -> usize {
         self.started
             .iter()
@@ -176,51 +180,52 @@
         fleet.dead_engines = (1..=dead).collect();
         let from = fleet.now();
         fleet.run(4 * SECOND, 800);
-        let (all, lost) = (
+        let (all, to_dead) = (
             fleet.started_since(from, |_| true),
             fleet.started_since(from, |attempt| attempt.engine_was_dead),
         );
         assert!(
-            lost * 6 < all,
-            "{dead} of 20 engines dead: {lost} of {all} attempts went to them"
+            to_dead * 6 < all,
+            "{dead} of 20 engines dead: {to_dead} of {all} attempts went to them"
         );
-        // The first failures are attempts in flight and those based on older reports; after that
+        // At first attempts fail that were in flight or were based on older reports; after that,
         // probes show which engines are dead.
-        let late = fleet.started_since(from + 2 * SECOND, |attempt| attempt.engine_was_dead);
+        let late_to_dead =
+            fleet.started_since(from + 2 * SECOND, |attempt| attempt.engine_was_dead);
         assert!(
-            late < 10,
-            "{dead} of 20 engines dead for two seconds: {late} attempts since"
+            late_to_dead < 10,
+            "{dead} of 20 engines dead for two seconds: {late_to_dead} attempts since"
         );
     }
 }
 
 #[test]
-fn several_engines_that_return_in_slow_start_receive_work_within_seconds() {
+fn engines_that_restart_at_once_receive_work_in_slow_start_within_seconds() {
     let mut fleet = FleetSimulation::new(&warm_endpoints(1..=5));
     // The five engines are almost full, so that requests queue.
     fleet.run(3 * SECOND, 320);
     let now = fleet.now();
-    let back: Vec<Endpoint> = (6..=10).map(|i| endpoint(i, 0, now)).collect();
+    let restarted: Vec<Endpoint> = (6..=10).map(|i| endpoint(i, 0, now)).collect();
     for index in 0..fleet.gateways.len() {
         let actions =
-            fleet.gateways[index].update_endpoints(EndpointListKind::Changes, back.clone());
+            fleet.gateways[index].update_endpoints(EndpointListKind::Changes, restarted.clone());
         fleet.carry_out(index, actions);
     }
     fleet.run(4 * SECOND, 320);
-    let cold = fleet.started_since(now, |attempt| attempt.engine.0 > 5);
-    // Five engines at 0.3 of 6.4 cores could do 48 such queries a second; twice that would overload
-    // them.
-    let per_second = cold as f64 / 4.0;
+    let on_restarted = fleet.started_since(now, |attempt| attempt.engine.0 > 5);
+    // Five engines with 0.3 of 6.4 cores each can run 48 such queries per second; twice as many
+    // would overload them.
+    let per_second = on_restarted as f64 / 4.0;
     assert!(
         (12.0..96.0).contains(&per_second),
-        "{per_second:.1} queries a second on five cold engines"
+        "{per_second:.1} queries per second on five engines in slow start"
     );
 }
 
 #[test]
-fn a_network_failure_that_hits_all_engines_ejects_none_for_good() {
-    // Every engine refuses all connections for five seconds. Gateways go on trying some, and resume
-    // at once when that ends.
+fn engines_are_used_again_at_once_after_a_network_failure_of_all_of_them() {
+    // All engines refuse connections for five seconds. Gateways still start attempts on some, and
+    // resume at once when the failure ends.
     let engines = warm_endpoints(1..=20);
     let mut fleet = FleetSimulation::new(&engines);
     fleet.run(2 * SECOND, 150);
--- a/tests/fleet/tenants.rs
+++ b/tests/fleet/tenants.rs
@@ -1,12 +1,12 @@
-//! Tenant quotas, of which each gateway has a part.
+//! Tenant quotas, of which each gateway has a share.
 use crate::builders::*;
 use crate::common::*;
 use yokelift::policy::api::*;
 
 #[test]
-fn two_close_requests_within_a_small_part_of_the_quota_keep_their_priority() {
-    // 41 a second over 300 gateways is one in seven seconds for each; two close together both keep
-    // their priority.
+fn a_burst_within_a_small_share_of_the_quota_keeps_its_priority() {
+    // A quota of 41 requests per second over 300 gateways is one request in seven seconds for each.
+    // Requests that arrive close together keep their priority.
     let mut settings = test_settings();
     settings.gateways = GATEWAYS;
     settings.priorities_supported = true;
@@ -17,21 +17,21 @@
     }];
     let mut gateway = gateway_at(1, settings, warm_endpoints(1..=6));
     gateway.advance(3 * SECOND);
-    let mut low = 0;
+    let mut low_priority_count = 0;
     for id in 0..4 {
         let actions = gateway.submit(id, SHORT, 6 * SECOND, 200 * MILLISECOND);
-        low += actions
+        low_priority_count += actions
             .iter()
             .filter(|a| matches!(a, Action::SetAttemptOptions { priority: 0, .. }))
             .count();
     }
-    assert_eq!(low, 0);
+    assert_eq!(low_priority_count, 0);
 }
 
 #[test]
 fn marked_retries_do_not_count_against_the_tenants_quota() {
-    // One gateway with a quota of two a second and six tokens in the bucket; twelve retries come
-    // before a new request.
+    // One gateway with a quota of two requests per second and six tokens in the bucket. Twelve
+    // retries arrive before a new request.
     let mut settings = test_settings();
     settings.priorities_supported = true;
     settings.limits.may_probe = false;
@@ -39,15 +39,15 @@
         quota_per_s: 2.0,
         share: 1.0,
     }];
-    let low_after = |repeated: bool| {
+    let low_priority_count = |is_retry: bool| {
         let mut gateway = GatewayHarness::new(settings.clone(), warm_endpoints(1..=6));
         gateway.advance(3 * SECOND);
         for id in 0..12 {
-            let again = Request {
-                is_retry: repeated,
+            let retry = Request {
+                is_retry,
                 ..request(id, SHORT, gateway.now, 6 * SECOND, 200 * MILLISECOND)
             };
-            gateway.receive(again);
+            gateway.receive(retry);
         }
         let actions = gateway.submit(20, SHORT, 6 * SECOND, 200 * MILLISECOND);
         actions
@@ -55,13 +55,16 @@
             .filter(|a| matches!(a, Action::SetAttemptOptions { priority: 0, .. }))
             .count()
     };
-    assert_eq!((low_after(true), low_after(false)), (0, 1));
+    assert_eq!(
+        (low_priority_count(true), low_priority_count(false)),
+        (0, 1)
+    );
 }
 
 #[test]
 fn a_rejection_returns_the_tenants_quota_token() {
-    // Twelve requests are rejected as there is no engine; their retries, unmarked, count against
-    // the quota then.
+    // Twelve requests are rejected because there is no engine. A later request, which is not marked
+    // as a retry, counts against the quota.
     let mut settings = test_settings();
     settings.priorities_supported = true;
     settings.limits.may_probe = false;
@@ -70,13 +73,13 @@
         share: 1.0,
     }];
     let mut gateway = GatewayHarness::new(settings, vec![]);
-    let mut refused = 0;
+    let mut rejected = 0;
     for id in 0..12 {
         let mut actions = gateway.submit(id, SHORT, 300 * MILLISECOND, 200 * MILLISECOND);
         actions.extend(gateway.advance(400 * MILLISECOND));
-        refused += final_responses(&actions).len();
+        rejected += final_responses(&actions).len();
     }
-    assert_eq!(refused, 12);
+    assert_eq!(rejected, 12);
     gateway.update_endpoints(EndpointListKind::Full, vec![endpoint(1, 0, 0)]);
     let actions = gateway.submit(20, SHORT, 6 * SECOND, 200 * MILLISECOND);
     assert_eq!(attempts_started(&actions).len(), 1);
@@ -84,6 +87,6 @@
         !actions
             .iter()
             .any(|a| matches!(a, Action::SetAttemptOptions { priority: 0, .. })),
-        "within its share: {actions:?}"
+        "the request is within the quota: {actions:?}"
     );
 }
--- a/tests/fleet/turns.rs
+++ b/tests/fleet/turns.rs
@@ -1,10 +1,10 @@
-//! Capacity shares below one query, which gateways use in time slots.
+//! Capacity shares of less than one query, which gateways use in turns.
 use crate::builders::*;
 use crate::common::*;
 use yokelift::policy::api::*;
 
 #[test]
-fn requests_never_wait_for_a_time_slot_in_an_idle_fleet() {
+fn requests_do_not_wait_for_a_turn_in_an_idle_fleet() {
     let engines = warm_endpoints(1..=60);
     for index in [0, 7, 150, 299] {
         let mut gateway = gateway_at(index, large_fleet_settings(), engines.clone());
@@ -21,22 +21,23 @@
 }
 
 #[test]
-fn under_pressure_time_slots_admit_as_many_gateways_as_the_concurrency_limit_allows() {
-    // An engine of 8 cores reports its initial limit of 16 threads in use; each of 300 gateways has
-    // one short request.
+fn under_load_a_turn_admits_as_many_gateways_as_the_concurrency_limit_allows() {
+    // An engine of 8 cores reports that its initial limit of 16 threads is in use. Each of 300
+    // gateways has one short request.
     let mut admitted = Vec::new();
-    for slot in 0..6 {
+    for turn in 0..6 {
         let mut count = 0;
         for index in 0..GATEWAYS {
             let mut gateway = gateway_at(index, large_fleet_settings(), vec![endpoint(1, 0, 0)]);
-            gateway.now += slot * 500 * MILLISECOND;
+            gateway.now += turn * 500 * MILLISECOND;
             gateway.handle(probe_completed(1, 16.0));
             let actions = gateway.submit(1, SHORT, 6 * SECOND, 200 * MILLISECOND);
             count += complete_probes(&mut gateway, actions, 16.0).len();
         }
         admitted.push(count);
     }
-    // Short queries may use 1.4 times the limit: 22.4 threads, so 22 or 23 of 300 gateways.
+    // Short queries may use 1.4 times the limit, 22.4 threads, so 22 or 23 of 300 gateways have a
+    // turn.
     assert!(
         admitted.iter().all(|n| (22..=23).contains(n)),
         "{admitted:?}"
@@ -44,33 +45,30 @@
 }
 
 #[test]
-fn every_gateway_receives_a_time_slot() {
+fn every_gateway_receives_a_turn_within_half_a_minute() {
     let mut waited: u64 = 0;
     for index in 0..GATEWAYS {
         let mut gateway = gateway_at(index, large_fleet_settings(), vec![endpoint(1, 0, 0)]);
         let mut actions = gateway.submit(1, SHORT, 60 * SECOND, 200 * MILLISECOND);
-        let mut slots = 0;
+        let mut turns = 0;
         while complete_probes(&mut gateway, actions, 16.0).is_empty() {
             actions = gateway.advance(500 * MILLISECOND);
-            slots += 1;
-            assert!(
-                slots < 60,
-                "gateway {index} has no time slot in half a minute"
-            );
+            turns += 1;
+            assert!(turns < 60, "gateway {index} has no turn in half a minute");
         }
-        waited += slots;
+        waited += turns;
     }
     assert!(
         waited / u64::from(GATEWAYS) < 20,
-        "mean wait of {} slots",
+        "mean wait of {} turns",
         waited / u64::from(GATEWAYS)
     );
 }
 
 #[test]
 fn all_gateways_together_stay_within_the_slow_start_budget_and_use_it() {
-    // One engine of 8 cores that starts now, and 300 gateways whose clocks are up to a second
-    // apart.
+    // One engine of 8 cores that starts now, and 300 gateways whose clocks differ by up to a
+    // second.
     let mut settings = large_fleet_settings();
     settings.limits.may_probe = false;
     let offset = |index: u32| u64::from(index % 11) * 100 * MILLISECOND;
@@ -105,20 +103,23 @@
             }
         }
     }
-    // Invariant 4: at most twice its present capacity, over two seconds; at first that is 0.3 of
-    // 6.4 cores.
+    // Invariant 4: at most twice the engine's present capacity, over two seconds; at the start the
+    // capacity is 0.3 of 6.4 cores.
     for &(from, _) in &sent {
         let sum: f64 = sent
             .iter()
             .filter(|(t, _)| *t >= from && *t < from + 2.0)
             .map(|(_, w)| w)
             .sum();
-        let share = 0.3 + 0.7 * (from / 15.0) * (from / 15.0);
+        let capacity_fraction = 0.3 + 0.7 * (from / 15.0) * (from / 15.0);
         assert!(
-            sum <= 2.0 * 2.0 * share * 8.0 * 0.8,
+            sum <= 2.0 * 2.0 * capacity_fraction * 8.0 * 0.8,
             "{sum:.1} s of work in the two seconds from {from:.2}"
         );
     }
     let used: f64 = sent.iter().map(|(_, w)| w).sum();
-    assert!(used > 1.0, "a new engine gets work: {used:.1} s in eight");
+    assert!(
+        used > 1.0,
+        "the new engine got {used:.1} s of work in eight seconds"
+    );
 }
--- a/tests/recorded_run.rs
+++ b/tests/recorded_run.rs
@@ -1,6 +1,6 @@
-//! A recorded run of the decision module: random events of all kinds under fixed seeds, and a
-//! digest of all actions so far after each thousand events. A change that only moves or renames
-//! code leaves every digest as it is.
+//! A recorded run of the decision module: random events of all kinds with fixed seeds, and a digest
+//! of all actions so far after each thousand events. A change that only moves or renames code
+//! leaves all digests unchanged.
 mod common;
 use common::*;
 use rand_core::{Rng, SeedableRng};
@@ -9,12 +9,12 @@
 use yokelift::policy::Gateway;
 use yokelift::policy::api::*;
 
-/// Events of one deployment's run.
+/// Number of events of one run.
 const EVENTS: usize = 8_000;
-/// Events between two digests.
+/// Number of events between two digests.
 const DIGEST_EVERY: usize = 1_000;
 
-/// An attempt that the module sent and that has not ended.
+/// An attempt that the module started and that has not ended.
 struct RunningAttempt {
     id: RequestId,
     attempt: AttemptNo,
@@ -22,7 +22,7 @@
     sent: Nanos,
 }
 
-/// One gateway under random events.
+/// A gateway that handles random events, and the digest of its actions.
 struct Recording {
     gateway: Gateway,
     settings: Settings,
@@ -56,7 +56,7 @@
         recording
     }
 
-    /// A number below `limit`.
+    /// A random number below `limit`.
     fn draw(&mut self, limit: u32) -> u32 {
         self.random.next_u32() % limit
     }
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Adds an action to the digest, independent of the names of types and fields.
+    /// Adds an action to the digest, regardless of the names of types and fields.
     fn record(&mut self, action: &Action) {
         let (code, words): (u8, Vec<u64>) = match action {
             Action::Send {
@@ -108,7 +108,7 @@
                 (9, vec![peer.map_or(u64::MAX, u64::from), data.len() as u64])
             }
             Action::FetchEndpointList => (10, vec![]),
-            Action::WatchEndpointList(on) => (11, vec![u64::from(*on)]),
+            Action::WatchEndpointList(enabled) => (11, vec![u64::from(*enabled)]),
             Action::Log(line) => (12, vec![line.len() as u64]),
         };
         self.digest.update(&[code]);
@@ -134,7 +134,7 @@
                     .running
                     .iter()
                     .position(|running| (running.id, running.attempt) == (id, attempt));
-                // Some cancels cross an end that is on its way.
+                // Some cancellations have no effect, as if the end of the attempt were in transit.
                 if let Some(at) = at.filter(|_| id.0 % 5 != 0) {
                     self.end_attempt(at, OutcomeKind::Cancelled);
                 }
@@ -191,14 +191,15 @@
         }));
     }
 
-    /// An attempt ends; one of five engines fails most of what it gets, for some seconds at a time.
+    /// Ends a random attempt. At any time about one of five engines fails half of its attempts;
+    /// which one changes every four seconds.
     fn end_random_attempt(&mut self) {
         if self.running.is_empty() {
             return;
         }
         let at = self.draw(self.running.len() as u32) as usize;
         let engine = self.running[at].engine.0;
-        let bad = (engine + self.now / (4 * SECOND)).is_multiple_of(5);
+        let is_failing = (engine + self.now / (4 * SECOND)).is_multiple_of(5);
         let kinds = [
             OutcomeKind::Error,
             OutcomeKind::Rejected,
@@ -207,7 +208,7 @@
             OutcomeKind::Reset,
             OutcomeKind::NeverSent,
         ];
-        let fails = self.draw(if bad { 2 } else { 25 }) == 0;
+        let fails = self.draw(if is_failing { 2 } else { 25 }) == 0;
         let kind = if fails {
             kinds[self.draw(6) as usize]
         } else {
@@ -282,7 +283,7 @@
         });
     }
 
-    /// What operators change while the module runs.
+    /// Changes a setting that operators may change while the module runs.
     fn reconfigure(&mut self) {
         match self.draw(4) {
             0 => self
@@ -290,8 +291,8 @@
                 .set_capacity_share([0.25, 0.5, 1.0][self.attempts.len() % 3]),
             1 => {
                 let gateways = self.settings.gateways;
-                let serving = self.draw(gateways) + 1;
-                self.gateway.set_active_gateways(serving);
+                let active = self.draw(gateways) + 1;
+                self.gateway.set_active_gateways(active);
             }
             2 => {
                 let quota_per_s = f64::from(self.draw(60) + 1);
@@ -303,13 +304,13 @@
                 );
             }
             _ if self.settings.classes.len() < 8 => {
-                let of = self.draw(self.settings.classes.len() as u32) as u16;
-                let class = self.settings.classes[usize::from(of)].clone();
+                let original = self.draw(self.settings.classes.len() as u32) as u16;
+                let class = self.settings.classes[usize::from(original)].clone();
                 self.settings.classes.push(class);
                 let new = ClassId(self.settings.classes.len() as u16 - 1);
-                let heir_of = Some(ClassId(of)).filter(|_| of.is_multiple_of(2));
+                let inherited_from = Some(ClassId(original)).filter(|_| original.is_multiple_of(2));
                 self.gateway
-                    .reconfigure(self.settings.clone(), &[(new, heir_of)]);
+                    .reconfigure(self.settings.clone(), &[(new, inherited_from)]);
             }
             _ => {}
         }
@@ -336,7 +337,7 @@
                 from: 1,
                 data: vec![1, 2],
             }),
-            // A stall of this manager itself.
+            // The manager itself stalls.
             824 => self.now += 200 * MILLISECOND,
             825..=829 => self.now += 40 * MILLISECOND,
             _ => self.handle(Event::TimerFired(SWEEP_TIMER)),
@@ -412,7 +413,7 @@
 }
 
 #[test]
-fn the_recorded_run_produces_the_recorded_actions() {
+fn a_run_with_fixed_seeds_produces_the_recorded_action_digests() {
     let runs = [
         ("hedged", hedged_settings(), 6),
         ("ordered-loads", ordered_load_settings(), 5),
--- a/tests/unit/admission_queue.rs
+++ b/tests/unit/admission_queue.rs
@@ -1,4 +1,4 @@
-//! The order of requests that wait for capacity.
+//! Order of the queue of requests that wait for capacity.
 use super::*;
 
 fn queued(rank: f64, id: u32) -> QueuedRequest {
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn sorting_puts_the_highest_rank_first_and_breaks_ties_by_id() {
+fn sort_puts_the_highest_rank_first_and_breaks_ties_by_id() {
     let mut queue = AdmissionQueue::default();
     for entry in [queued(1.0, 4), queued(2.0, 9), queued(1.0, 3)] {
         queue.push(entry);
@@ -20,11 +20,11 @@
 
     let ids: Vec<u32> = queue.take().iter().map(|entry| entry.id.0).collect();
     assert_eq!(ids, [9, 3, 4]);
-    assert!(queue.first().is_none(), "taking empties the queue");
+    assert!(queue.first().is_none(), "take empties the queue");
 }
 
 #[test]
-fn entries_added_after_a_sort_stand_at_the_end() {
+fn entries_added_after_a_sort_are_at_the_end() {
     let mut queue = AdmissionQueue::default();
     queue.push(queued(1.0, 1));
     queue.sort();
--- a/tests/unit/cancel_budget.rs
+++ b/tests/unit/cancel_budget.rs
@@ -1,8 +1,8 @@
-//! The token bucket of cancellations and hedged requests.
+//! The token bucket that limits cancellations and hedged attempts.
 use super::*;
 
 #[test]
-fn a_full_bucket_allows_its_capacity_and_no_more() {
+fn a_full_bucket_allows_as_many_spends_as_its_capacity() {
     let mut budget = CancelBudget::new();
     for spent in 0..CAPACITY as u32 {
         assert!(budget.is_available(), "after {spent}");
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn requests_earn_a_tenth_of_a_token_each() {
+fn each_request_adds_a_tenth_of_a_token() {
     let mut budget = CancelBudget { tokens: 0.0 };
     for _ in 0..9 {
         budget.record_request();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn neither_requests_nor_refunds_exceed_the_capacity() {
+fn requests_and_refunds_do_not_exceed_the_capacity() {
     let mut budget = CancelBudget::new();
     budget.record_request();
     budget.refund();
--- a/tests/unit/circuit_breaker.rs
+++ b/tests/unit/circuit_breaker.rs
@@ -1,10 +1,10 @@
-//! Ejection, trial and recovery of one engine.
+//! States of the circuit breaker of one engine: ejection, trial request and recovery.
 use super::*;
 
 const MILLISECOND: Nanos = 1_000_000;
 const TRIAL: RequestId = RequestId(7);
 
-/// A breaker whose first ejection is over at the returned time.
+/// A breaker that is half-open after its first ejection, and the time at which that ejection ended.
 fn half_open() -> (CircuitBreaker, Nanos) {
     let mut breaker = CircuitBreaker::default();
     breaker.eject(0);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn an_ejection_ends_half_open_and_not_earlier() {
+fn the_circuit_becomes_half_open_when_the_ejection_ends_and_not_earlier() {
     let mut breaker = CircuitBreaker::default();
     breaker.eject(0);
     breaker.expire(BASE_EJECTION - 1);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn ejections_double_up_to_eight_times_the_first() {
+fn ejection_times_double_up_to_eight_times_the_first() {
     let mut breaker = CircuitBreaker::default();
     let durations = [1, 2, 4, 8, 8].map(|factor| factor * BASE_EJECTION);
     for duration in durations {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn one_request_at_a_time_is_the_trial() {
+fn only_the_first_request_while_half_open_is_the_trial() {
     let (mut breaker, _) = half_open();
     breaker.on_send(TRIAL);
     breaker.on_send(RequestId(8));
@@ -43,14 +43,17 @@
     assert!(!breaker.is_trial(RequestId(8)));
 
     breaker.retry_trial();
-    assert!(breaker.awaits_trial(), "without a verdict, another follows");
+    assert!(
+        breaker.awaits_trial(),
+        "another trial follows an inconclusive one"
+    );
 
     breaker.close();
     assert!(breaker.is_closed());
 }
 
 #[test]
-fn a_request_to_a_closed_engine_is_no_trial() {
+fn a_request_sent_while_the_circuit_is_closed_is_no_trial() {
     let mut breaker = CircuitBreaker::default();
     breaker.on_send(TRIAL);
     assert!(breaker.is_closed());
@@ -58,7 +61,7 @@
 }
 
 #[test]
-fn three_failures_in_a_row_make_an_outlier_and_an_ejection_forgets_them() {
+fn three_failures_in_a_row_mark_an_outlier_and_an_ejection_resets_the_failure_rate() {
     let mut breaker = CircuitBreaker::default();
     for _ in 0..2 {
         breaker.record_outcome(true, 0.2);
@@ -72,7 +75,7 @@
 }
 
 #[test]
-fn resets_within_the_window_are_repeated() {
+fn resets_within_the_window_of_a_counted_reset_are_repeated() {
     let mut breaker = CircuitBreaker::default();
     let window = 20 * MILLISECOND;
     let reset_at = 100 * MILLISECOND;
--- a/tests/unit/class_estimates.rs
+++ b/tests/unit/class_estimates.rs
@@ -1,4 +1,4 @@
-//! What answers teach of a class.
+//! Estimates for a class, updated by responses.
 use super::*;
 use crate::policy_builders::{SECOND, class};
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn before_any_answer_the_latency_objective_on_all_threads_is_the_work() {
+fn the_initial_work_is_the_fixed_latency_objective_on_all_threads() {
     let class = ClassSpec {
         threads: 4.0,
         ..class()
@@ -25,14 +25,14 @@
 }
 
 #[test]
-fn the_first_answer_replaces_the_assumed_work() {
+fn the_first_response_replaces_the_initial_work() {
     let mut estimates = ClassEstimates::initial(&class());
     estimates.record(sample(1.0, 0.25));
     assert_eq!(estimates.work, 0.25);
 }
 
 #[test]
-fn work_that_may_not_count_is_left_out() {
+fn work_that_does_not_count_leaves_the_estimate_unchanged() {
     let mut estimates = ClassEstimates::initial(&class());
     estimates.record(ResponseSample {
         counts_as_work: false,
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn hints_are_scaled_by_how_far_they_were_off() {
+fn hints_are_scaled_by_the_mean_ratio_of_work_to_hint() {
     let mut estimates = ClassEstimates::initial(&class());
     estimates.record(ResponseSample {
         compared_hint: Some(SECOND),
@@ -53,20 +53,20 @@
 }
 
 #[test]
-fn the_tail_rises_beyond_it_and_falls_slowly_within() {
+fn the_tail_factor_rises_for_a_latency_above_it_and_falls_slowly_for_one_below() {
     let mut estimates = ClassEstimates::initial(&class());
     estimates.record(sample(100.0, 1.0));
-    let risen = estimates.tail_factor / INITIAL_TAIL_FACTOR;
-    assert!((risen - 1.19).abs() < 1e-12, "{risen}");
+    let rise = estimates.tail_factor / INITIAL_TAIL_FACTOR;
+    assert!((rise - 1.19).abs() < 1e-12, "{rise}");
 
     let before = estimates.tail_factor;
     estimates.record(sample(1.0, 1.0));
-    let fallen = estimates.tail_factor / before;
-    assert!((fallen - 0.99).abs() < 1e-12, "{fallen}");
+    let fall = estimates.tail_factor / before;
+    assert!((fall - 0.99).abs() < 1e-12, "{fall}");
 }
 
 #[test]
-fn the_objective_grows_with_the_work_per_thread() {
+fn the_latency_objective_grows_with_the_work_per_thread() {
     let class = ClassSpec {
         threads: 2.0,
         ..class()
--- a/tests/unit/control_window.rs
+++ b/tests/unit/control_window.rs
@@ -1,7 +1,8 @@
-//! Formula (5) on single windows.
+//! Formula (5) of the control law, applied to single windows.
 use super::*;
 
-/// Two seconds in which four threads ran, with the given mean lateness, arrivals and completions.
+/// A window of two seconds in which four threads ran, with the given mean lateness, arrivals and
+/// completions.
 fn window(lateness: f64, arrived: f64, completed: f64) -> ControlWindow {
     let mut window = ControlWindow {
         arrived,
@@ -19,15 +20,15 @@
 }
 
 #[test]
-fn answers_on_time_ask_for_the_threads_that_ran() {
+fn responses_at_the_objective_give_the_threads_that_ran_as_target() {
     let target = window(1.0, 20.0, 10.0).target_threads(2.0);
     assert!((target - 4.0).abs() < 1e-12, "{target}");
 }
 
 #[test]
-fn late_answers_while_more_arrives_than_completes_ask_for_less() {
+fn late_responses_lower_the_target_while_more_queries_arrive_than_complete() {
     let window = window(1.5, 20.0, 10.0);
-    // Ti - To is 5 queries a second: 4 / (1 + 0.5 / 5).
+    // Ti - To is 5 queries per second: 4 / (1 + 0.5 / 5).
     let target = window.target_threads(2.0);
     assert!((target - 4.0 / 1.1).abs() < 1e-12, "{target}");
     assert!(window.allows_decrease());
@@ -42,16 +43,16 @@
 }
 
 #[test]
-fn a_small_imbalance_counts_as_the_least_one() {
+fn a_small_imbalance_counts_as_the_minimum_one() {
     let window = window(1.5, 10.1, 10.0);
-    // 4 / (1 + 0.5 / 1) in place of a division by 0.05.
+    // 4 / (1 + 0.5 / 1) instead of a division by 0.05.
     let target = window.target_threads(2.0);
     assert!((target - 4.0 / 1.5).abs() < 1e-12, "{target}");
 }
 
 #[test]
-fn the_limit_may_fall_only_for_late_answers_and_growing_queues() {
-    assert!(!window(0.9, 20.0, 10.0).allows_decrease(), "in time");
+fn the_limit_may_decrease_only_with_late_responses_and_a_growing_queue() {
+    assert!(!window(0.9, 20.0, 10.0).allows_decrease(), "on time");
     assert!(
         !window(1.5, 10.0, 20.0).allows_decrease(),
         "shrinking queue"
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn adding_windows_scales_counts_but_not_lateness() {
+fn add_scaled_scales_counts_but_not_lateness() {
     let mut sum = ControlWindow::default();
     sum.add_scaled(&window(1.5, 20.0, 10.0), 0.5);
     assert_eq!(sum.thread_seconds, 4.0);
--- a/tests/unit/idempotency.rs
+++ b/tests/unit/idempotency.rs
@@ -1,4 +1,4 @@
-//! Rule 2 on single requests.
+//! Invariant 2 on single requests: when they may be repeated or rejected.
 use super::*;
 use crate::policy::api::{CellId, ZoneId};
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn only_the_window_of_a_key_limits_when_it_is_repeated() {
+fn a_keyed_request_may_be_repeated_only_within_the_window_of_its_key() {
     let late = SENT + 10 * WINDOW;
     assert!(may_repeat(Idempotency::Idempotent, SENT, None, late));
     assert!(!may_repeat(Idempotency::NonIdempotent, SENT, None, SENT));
@@ -45,12 +45,12 @@
 }
 
 #[test]
-fn a_keyed_request_is_repeated_only_where_its_key_is_known() {
+fn a_keyed_request_may_be_repeated_only_on_engines_that_know_its_key() {
     let same_zone = targets(endpoint(1, 1), endpoint(1, 2));
     let same_cell = targets(endpoint(1, 1), endpoint(2, 1));
-    let elsewhere = targets(endpoint(1, 1), endpoint(2, 2));
+    let other_zone_and_cell = targets(endpoint(1, 1), endpoint(2, 2));
     let allowed = |scope, targets| may_repeat(keyed(scope), SENT, targets, SENT);
-    assert!(allowed(DeduplicationScope::All, elsewhere));
+    assert!(allowed(DeduplicationScope::All, other_zone_and_cell));
     assert!(allowed(DeduplicationScope::Zone, same_zone));
     assert!(!allowed(DeduplicationScope::Zone, same_cell));
     assert!(allowed(DeduplicationScope::Cell, same_cell));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_rejected_only_if_any_engine_may_repeat_it() {
+fn a_request_that_may_have_run_is_rejected_only_if_any_engine_may_repeat_it() {
     let all = [
         (Idempotency::Idempotent, true),
         (keyed(DeduplicationScope::All), true),
--- a/tests/unit/load_reports.rs
+++ b/tests/unit/load_reports.rs
@@ -1,8 +1,8 @@
-//! Reports of the fleet and probes in flight.
+//! Latest load reports of the fleet, and probes in flight.
 use super::*;
 
 #[test]
-fn the_newest_reports_stand_first_and_once() {
+fn engines_with_the_latest_reports_are_listed_once_newest_first() {
     let mut reports = LoadReports::new();
     for id in [1, 2, 1, 3] {
         reports.record(EngineId(id), 1.0, 2);
@@ -30,5 +30,8 @@
     reports.finish_probe();
     assert!(!reports.are_probes_in_flight());
     reports.finish_probe();
-    assert!(!reports.are_probes_in_flight(), "a late result is ignored");
+    assert!(
+        !reports.are_probes_in_flight(),
+        "an extra result is ignored"
+    );
 }
--- a/tests/unit/ordered_queues.rs
+++ b/tests/unit/ordered_queues.rs
@@ -1,4 +1,4 @@
-//! Rule 5: one request of a key at a time, in the order of arrival.
+//! Invariant 5: requests with the same key run one at a time, in order of arrival.
 use super::*;
 
 const KEY: OrderKey = OrderKey(3);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_oldest_request_of_a_key_is_next_until_it_is_over() {
+fn the_oldest_request_of_a_key_is_next_until_it_is_removed() {
     let mut queues = two_requests();
     assert!(queues.is_next(0, KEY, FIRST));
     assert!(!queues.is_next(0, KEY, SECOND));
@@ -32,16 +32,16 @@
 }
 
 #[test]
-fn a_key_is_forgotten_once_it_has_neither_requests_nor_a_cooldown() {
+fn a_key_is_removed_once_it_has_neither_requests_nor_a_cooldown() {
     let mut queues = two_requests();
     queues.start_cooldown(KEY, 10);
     queues.remove_idle(20);
-    assert!(queues.is_next(20, KEY, FIRST), "requests keep it");
+    assert!(queues.is_next(20, KEY, FIRST), "its requests keep the key");
 
     queues.remove(KEY, FIRST);
     queues.remove(KEY, SECOND);
     queues.remove_idle(9);
-    assert_eq!(queues.queues.len(), 1, "the cooldown keeps it");
+    assert_eq!(queues.queues.len(), 1, "its cooldown keeps the key");
     queues.remove_idle(10);
     assert!(queues.queues.is_empty());
 }
--- a/tests/unit/policy_builders.rs
+++ b/tests/unit/policy_builders.rs
@@ -1,4 +1,4 @@
-//! Builders that the unit tests of the decision module share.
+//! Builders shared by the unit tests of the decision module.
 use crate::policy::api::{
     AttemptNo, ClassSpec, Endpoint, EngineId, Idempotency, Invariants, Limits, LoadReport,
     MachineTypeSpec, MemoryExhaustionPolicy, Nanos, Outcome, OutcomeKind, Readiness, Request,
@@ -7,16 +7,17 @@
 
 pub(crate) const SECOND: Nanos = 1_000_000_000;
 
-/// Interval of the sweep.
+/// Interval of the periodic sweep.
 pub(crate) const SWEEP: Nanos = SECOND / 50;
 
-/// Start of each simulated run; time 0 stands for "long ago" in the interface.
+/// Start of each simulated run; in the interface time 0 means "long ago".
 pub(crate) const START: Nanos = 100 * SECOND;
 
-/// Token of the sweep's timer.
+/// Token of the timer of the periodic sweep.
 pub(crate) const SWEEP_TIMER: u64 = 1;
 
-/// One of 300 gateways, with one class of idempotent requests on one thread; probing is forbidden.
+/// Settings of one of 300 gateways, with one class of idempotent single-threaded requests; probing
+/// is not allowed.
 pub(crate) fn settings() -> Settings {
     Settings {
         gateway_index: 7,
@@ -98,7 +99,7 @@
     }
 }
 
-/// A ready endpoint that is warm.
+/// A ready endpoint whose slow start ended long ago.
 pub(crate) fn ready_endpoint(id: u64) -> Endpoint {
     endpoint(id, Readiness::Ready, 0)
 }
@@ -111,8 +112,8 @@
     }
 }
 
-/// The end of the first attempt of a request, which ends the request; without reported cost or
-/// load.
+/// The outcome of the first attempt of a request, which finishes the request, without reported cost
+/// or load.
 pub(crate) fn final_outcome(
     id: RequestId,
     engine: EngineId,
--- a/tests/unit/probe_stats.rs
+++ b/tests/unit/probe_stats.rs
@@ -1,4 +1,4 @@
-//! Delays of load probes.
+//! Relative delays of load probes.
 use super::*;
 
 #[test]
@@ -9,16 +9,16 @@
 }
 
 #[test]
-fn a_delay_is_measured_against_a_quarter_of_the_baseline_at_least() {
+fn the_usual_delay_is_at_least_a_quarter_of_the_baseline() {
     let mut stats = ProbeStats::new();
     stats.record(ProbeRoute::SameZone, 0.004);
     let relative_delay = stats.record(ProbeRoute::SameZone, 0.006);
-    // 2 ms of delay over 1 ms, with the baseline risen by a thousandth.
+    // A delay of 2 ms relative to 1 ms; the baseline has risen by a thousandth.
     assert!((relative_delay - 2.0).abs() < 0.01, "{relative_delay}");
 }
 
 #[test]
-fn delays_that_are_usual_count_less_with_time() {
+fn the_relative_delay_falls_as_a_delay_becomes_usual() {
     let mut stats = ProbeStats::new();
     stats.record(ProbeRoute::SameZone, 0.001);
     let first = stats.record(ProbeRoute::SameZone, 0.003);
--- a/tests/unit/retry_window.rs
+++ b/tests/unit/retry_window.rs
@@ -1,4 +1,4 @@
-//! Rule 7: the budget of retries over a sliding window.
+//! Invariant 7: the budget of retries over a sliding window.
 use super::*;
 
 const BUDGET: RetryBudget = RetryBudget {
@@ -17,20 +17,26 @@
 }
 
 #[test]
-fn arrivals_add_their_ratio_to_the_allowance() {
+fn each_arrival_adds_its_ratio_to_the_allowance() {
     let mut window = RetryWindow::default();
     window.record_retry(1_000);
-    assert!(!window.allows_retry(1_000, Some(BUDGET)), "one is allowed");
+    assert!(
+        !window.allows_retry(1_000, Some(BUDGET)),
+        "the allowance is one retry"
+    );
 
     window.record_arrival(1_000);
-    assert!(!window.allows_retry(1_000, Some(BUDGET)), "half a retry");
+    assert!(
+        !window.allows_retry(1_000, Some(BUDGET)),
+        "one arrival adds half a retry"
+    );
 
     window.record_arrival(1_000);
     assert!(window.allows_retry(1_000, Some(BUDGET)));
 }
 
 #[test]
-fn a_retry_counts_to_the_end_of_the_window_and_an_arrival_one_instant_less() {
+fn a_retry_counts_to_the_end_of_the_window_and_an_arrival_one_nanosecond_less() {
     let mut window = RetryWindow::default();
     window.record_retry(1_000);
     assert!(!window.allows_retry(1_100, Some(BUDGET)));
@@ -43,7 +49,7 @@
 }
 
 #[test]
-fn what_happened_before_the_start_is_dropped() {
+fn drop_before_removes_earlier_arrivals_and_retries() {
     let mut window = RetryWindow::default();
     for at in [10, 20, 30] {
         window.record_arrival(at);
--- a/tests/unit/running.rs
+++ b/tests/unit/running.rs
@@ -1,4 +1,4 @@
-//! The split of a limit between short and long queries.
+//! The division of a concurrency limit between short and long queries.
 use super::*;
 
 fn running(short_threads: f64, long_threads: f64) -> Running {
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn short_queries_keep_half_of_the_limit_beside_long_ones() {
+fn half_of_the_limit_is_reserved_for_short_queries() {
     let long_only = running(0.0, 10.0);
     assert!(long_only.fits(5.0, false, 10.0));
     assert!(!long_only.fits(6.0, false, 10.0));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn long_queries_keep_half_of_the_limit_beside_short_ones() {
+fn half_of_the_limit_is_reserved_for_long_queries() {
     let short_only = running(10.0, 0.0);
     assert!(short_only.fits(5.0, true, 10.0));
     assert!(!short_only.fits(6.0, true, 10.0));
@@ -33,18 +33,21 @@
 fn long_queries_borrow_idle_capacity_up_to_nine_tenths() {
     assert!(running(1.0, 0.0).fits(9.0, true, 10.0));
     assert!(!running(0.0, 0.0).fits(10.0, true, 10.0));
-    assert!(!running(2.0, 0.0).fits(9.0, true, 10.0), "not idle");
+    assert!(
+        !running(2.0, 0.0).fits(9.0, true, 10.0),
+        "the capacity is not idle"
+    );
 }
 
 #[test]
-fn no_figure_falls_below_zero() {
+fn no_value_falls_below_zero() {
     let mut sum = running(1.0, 1.0);
     sum.add_scaled(running(2.0, 2.0), -1.0);
     assert_eq!(sum, Running::default());
 }
 
 #[test]
-fn smoothing_moves_by_the_weight_of_the_difference() {
+fn smooth_toward_moves_by_a_fraction_of_the_difference() {
     let mut mean = running(4.0, 0.0);
     mean.smooth_toward(running(0.0, 8.0), 0.25);
     assert_eq!(mean.threads, 5.0);
--- a/tests/unit/tenant_quotas.rs
+++ b/tests/unit/tenant_quotas.rs
@@ -1,4 +1,4 @@
-//! Token buckets of tenants.
+//! Token buckets of tenant quotas.
 use super::*;
 
 const SECOND: Nanos = 1_000_000_000;
@@ -11,7 +11,7 @@
     }
 }
 
-/// Number of requests at `now` until one exceeds the quota, at one gateway of `gateways`.
+/// Number of requests at `now` before one exceeds the quota, at one of `gateways` gateways.
 fn requests_within_quota(quotas: &mut TenantQuotas, now: Nanos, gateways: f64) -> usize {
     let mut requests = 0;
     while !quotas.charge(now, TENANT, gateways, false) {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_bucket_holds_two_seconds_of_the_rate_or_six_requests() {
+fn a_bucket_holds_two_seconds_of_the_rate_and_at_least_six_requests() {
     let mut quotas = TenantQuotas::new(0, &[tenant(10.0)]);
     assert_eq!(requests_within_quota(&mut quotas, 0, 1.0), 6);
     assert_eq!(requests_within_quota(&mut quotas, 100 * SECOND, 1.0), 20);
@@ -39,13 +39,16 @@
 }
 
 #[test]
-fn a_retry_by_the_client_is_not_counted_again() {
+fn a_clients_retry_is_not_counted() {
     let mut quotas = TenantQuotas::new(0, &[tenant(1.0)]);
     for _ in 0..100 {
         assert!(!quotas.charge(0, TENANT, 1.0, true));
     }
     assert_eq!(requests_within_quota(&mut quotas, 0, 1.0), 6);
-    assert!(!quotas.charge(0, TENANT, 1.0, true), "nor beyond the quota");
+    assert!(
+        !quotas.charge(0, TENANT, 1.0, true),
+        "not counted beyond the quota either"
+    );
 }
 
 #[test]
@@ -63,7 +66,10 @@
 
     quotas.update(0, &[tenant(5.0), tenant(1.0)]);
 
-    assert!(quotas.charge(0, TENANT, 1.0, false), "its tokens are spent");
+    assert!(
+        quotas.charge(0, TENANT, 1.0, false),
+        "its tokens stay spent"
+    );
     assert!(!quotas.charge(0, TenantId(1), 1.0, false));
     assert_eq!(requests_within_quota(&mut quotas, SECOND, 1.0), 5);
 }
--- a/tests/unit/turns.rs
+++ b/tests/unit/turns.rs
@@ -1,4 +1,4 @@
-//! Turns of gateways on an engine.
+//! Turns of gateways on one engine.
 use super::*;
 
 const GATEWAYS: u32 = 300;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_fraction_of_a_holder_is_kept_on_average() {
+fn the_average_number_of_holders_may_be_a_fraction() {
     let turns = 4_000;
     let fraction = turn(0.25, 0.0);
     let counts = (0..turns).map(|index| holders(&fraction, index * DURATION).len());
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn all_gateways_get_turns() {
+fn every_gateway_gets_turns() {
     let mut seen = vec![false; GATEWAYS as usize];
     for index in 0..1_000 {
         for gateway in holders(&turn(4.0, 0.0), index * DURATION) {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn half_a_circle_apart_other_gateways_have_the_turn() {
+fn with_an_offset_of_half_a_circle_other_gateways_have_the_turn() {
     let now = 17 * DURATION;
     let others = holders(&turn(4.0, 0.5), now);
     assert!(!others.is_empty());
--- a/tests/unit/warm_up_window.rs
+++ b/tests/unit/warm_up_window.rs
@@ -1,8 +1,8 @@
-//! Work sent to an engine that warms up.
+//! Work sent to an engine in slow start, over a sliding window.
 use super::*;
 
 #[test]
-fn work_counts_from_the_start_of_the_window() {
+fn work_since_includes_sends_at_the_start_of_the_window() {
     let mut window = WarmUpWindow::default();
     window.record(10, 1.0);
     window.record(20, 2.0);
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn sends_before_the_start_are_dropped() {
+fn drop_before_removes_earlier_sends() {
     let mut window = WarmUpWindow::default();
     window.record(10, 1.0);
     window.record(20, 2.0);
