--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -155,7 +155,8 @@
         // work was underestimated this reduction is wrong for a while.
         let congestion_factor =
             (CONGESTED_SLOWDOWN * self.fleet.median_slowdown / engine.slowdown).min(1.0);
-        let usable_share = congestion_factor * engine.warmth(now, &self.settings.invariants);
+        let usable_share =
+            congestion_factor * engine.capacity_fraction(now, &self.settings.invariants);
         let threads = self.query_threads(request);
         if self.has_share_below(engine, threads) {
             return self.has_shared_capacity(now, request, engine, usable_share);
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -116,8 +116,8 @@
         let budget = self.settings.invariants.retry_budget;
         let window = budget.map_or(0, |budget| budget.window);
         let start = now.saturating_sub(window + TICK_INTERVAL);
-        self.retries.forget_before(start);
-        self.ordered_queues.forget_idle(now);
+        self.retries.drop_before(start);
+        self.ordered_queues.remove_idle(now);
     }
 
     fn update_mean_running(&mut self, now: Nanos) {
--- a/src/policy/learning.rs
+++ b/src/policy/learning.rs
@@ -1,6 +1,6 @@
 //! Updates of an engine's slowdown and of a class's work from a response.
 use super::Gateway;
-use super::state::class_estimates::{AnswerSample, MIN_SAMPLES, latency_objective};
+use super::state::class_estimates::{MIN_SAMPLES, ResponseSample, latency_objective};
 use super::state::request::Attempt;
 use super::state::smooth;
 use super::state::units::seconds;
@@ -51,7 +51,7 @@
             .threads_per_core
             .max(self.load_reports.threads_per_core())
             .max(1.0);
-        let sample = AnswerSample {
+        let sample = ResponseSample {
             latency,
             unloaded_seconds: attempt.unloaded_seconds,
             work: reported_work.unwrap_or(latency * threads / threads_per_core),
--- a/tests/unit/warm_up_window.rs
+++ b/tests/unit/warm_up_window.rs
@@ -1,8 +1,8 @@
-//! Work sent to an engine that warms up.
+//! Work sent to an engine in slow start, over a sliding window.
 use super::*;
 
 #[test]
-fn work_counts_from_the_start_of_the_window() {
+fn work_since_includes_sends_at_the_start_of_the_window() {
     let mut window = WarmUpWindow::default();
     window.record(10, 1.0);
     window.record(20, 2.0);
@@ -12,13 +12,13 @@
 }
 
 #[test]
-fn sends_before_the_start_are_dropped() {
+fn drop_before_removes_earlier_sends() {
     let mut window = WarmUpWindow::default();
     window.record(10, 1.0);
     window.record(20, 2.0);
-    window.forget_before(20);
-    let (oldest, newest) = window.ends().expect("one send is left");
+    window.drop_before(20);
+    let (oldest, newest) = window.oldest_and_newest().expect("one send is left");
     assert_eq!((oldest.at, newest.at), (20, 20));
-    window.forget_before(21);
-    assert!(window.ends().is_none());
+    window.drop_before(21);
+    assert!(window.oldest_and_newest().is_none());
 }
