--- a/src/lease/candidate.rs
+++ b/src/lease/candidate.rs
@@ -1,4 +1,4 @@
-//! The candidate: requests leases from the voters, renews and releases them, and knows which ones
+//! The candidate: requests leases from the voters, renews and releases them, and tracks which ones
 //! this manager holds.
 use super::{
     FencingGuard, FencingToken, Holder, LeaseRequest, LeaseTiming, Resource, Vote, VoteReply,
@@ -12,7 +12,7 @@
 const NEEDED_FOR_LEASE_DURATIONS: u64 = 2;
 
 /// A voting round without a majority ends after this fraction of the lease duration: a vote that
-/// is missing then is lost, or would leave little of the lease.
+/// has not arrived by then is lost, or so late that little of the lease would remain.
 const ROUND_TIMEOUT_DIVISOR: u64 = 4;
 
 /// A lease is renewed after this fraction of the lease duration.
@@ -33,7 +33,7 @@
     pub expires_at: Micros,
 }
 
-/// What the candidate wants to have sent or reported.
+/// An action that the candidate's caller has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
     /// Send a request to a voter.
@@ -59,7 +59,7 @@
         /// The token of the lease.
         token: FencingToken,
     },
-    /// This manager holds the lease no longer: it expired or was released.
+    /// This manager no longer holds the lease: it expired or was released.
     Lost {
         /// The resource.
         resource: Resource,
@@ -71,8 +71,8 @@
 /// A request for a lease, or for its renewal, that the voters have not decided yet.
 #[derive(Clone, Debug)]
 struct VotingRound {
-    /// Votes carry the number of their round. Without it a late vote on an earlier request under
-    /// the same token would count for a duration that the voter never granted.
+    /// Votes carry the number of their round. Without it, a late vote on an earlier request under
+    /// the same token would count toward a later expiry than the voter granted.
     number: u32,
     sent_at: Micros,
     token: FencingToken,
@@ -83,11 +83,11 @@
 struct LeaseState {
     held: Option<HeldLease>,
     round: Option<VotingRound>,
-    /// When the resource stops being needed, unless it is requested again.
+    /// The resource is needed until this time, unless it is requested again.
     needed_until: Micros,
     /// The earliest start of the next voting round.
     next_round_at: Micros,
-    /// Since when another member has been the preferred owner.
+    /// The time since which another member has been the preferred owner.
     preferred_elsewhere_since: Option<Micros>,
 }
 
@@ -101,7 +101,7 @@
         self.round.is_none() && now >= self.next_round_at
     }
 
-    /// Ends a round that has not found a majority in time.
+    /// Ends a round that did not get a majority before the timeout.
     fn expire_round(&mut self, timeout: Micros, now: Micros) {
         self.round.take_if(|round| now >= round.sent_at + timeout);
     }
@@ -114,8 +114,9 @@
         };
     }
 
-    /// Whether the lease should be released: nobody needs it, or another member has been the
-    /// preferred owner for a whole lease duration. A member that only flaps moves no lease.
+    /// Whether the lease should be released: it is no longer needed, or another member has been the
+    /// preferred owner for a whole lease duration. A member whose state flaps therefore does not
+    /// move a lease.
     fn should_release(&self, grant_duration: Micros, now: Micros) -> bool {
         let prefers_other = self
             .preferred_elsewhere_since
@@ -123,14 +124,14 @@
         now >= self.needed_until || prefers_other
     }
 
-    /// Whether there is still something to remember.
+    /// Whether the state still has to be kept.
     fn is_active(&self, now: Micros) -> bool {
         let is_pending = self.held.is_some() || self.round.is_some();
         is_pending || now < self.needed_until.max(self.next_round_at)
     }
 }
 
-/// The candidate of a manager, and the holder of the leases that it was granted.
+/// The candidate of a manager, which also tracks the leases that it was granted.
 pub struct Candidate {
     holder: Holder,
     voters: Vec<String>,
@@ -141,7 +142,7 @@
 }
 
 impl Candidate {
-    /// A candidate that holds nothing. The seed is that of the random backoff between rounds.
+    /// Creates a candidate without leases. `seed` determines the random backoff between rounds.
     pub fn new(holder: Holder, voters: Vec<String>, timing: LeaseTiming, seed: u64) -> Candidate {
         Candidate {
             holder,
@@ -153,24 +154,24 @@
         }
     }
 
-    /// Its identity in requests.
+    /// The identity of this manager in requests.
     pub fn holder(&self) -> &Holder {
         &self.holder
     }
 
-    /// The token under which this manager holds a resource now. To be looked up before every
-    /// action under the lease, and again after every wait.
+    /// The token under which this manager holds a resource at `now`. Callers look it up before
+    /// every action under the lease, and again after every wait.
     pub fn token_if_held(&self, resource: Resource, now: Micros) -> Option<FencingToken> {
         self.held_lease(resource, now).map(|lease| lease.token)
     }
 
-    /// The lease on a resource, if this manager holds it now.
+    /// The lease on a resource, if this manager holds it at `now`.
     pub fn held_lease(&self, resource: Resource, now: Micros) -> Option<HeldLease> {
         let held = self.leases.get(&resource)?.held;
         held.filter(|lease| now < lease.expires_at)
     }
 
-    /// All leases that this manager holds now.
+    /// All leases that this manager holds at `now`.
     pub fn held_leases(&self, now: Micros) -> impl Iterator<Item = HeldLease> {
         self.leases
             .values()
@@ -178,8 +179,8 @@
             .filter(move |lease| now < lease.expires_at)
     }
 
-    /// Says that the resource is needed and that this manager should hold it: the lease is
-    /// requested, and renewed until it was not needed for two lease durations.
+    /// Records that the resource is needed and that this manager should hold it. The lease is
+    /// requested, and renewed until two lease durations have passed without another call.
     pub fn request_lease(
         &mut self,
         resource: Resource,
@@ -225,13 +226,13 @@
     }
 
     /// The time until the next round on the same resource may begin. It is random because
-    /// candidates in lockstep would split the votes again and again.
+    /// candidates that start their rounds at the same times would split the votes repeatedly.
     fn round_backoff(&mut self) -> Micros {
         let base = self.timing.grant_duration() / ROUND_BACKOFF_DIVISOR;
         base + u64::from(self.random.next_u32()) % base.max(1)
     }
 
-    /// A vote came in. With grants of a majority in the present round the lease is held, or
+    /// Handles a vote. Once a majority has granted the current round, the lease is held, or
     /// renewed.
     pub fn on_vote(
         &mut self,
@@ -278,8 +279,8 @@
         }
     }
 
-    /// Lets time pass: leases expire, are renewed while they are needed and this manager is their
-    /// preferred owner, or are released.
+    /// Advances the time: leases expire, are renewed while they are needed and this manager is
+    /// their preferred owner, or are released.
     pub fn tick(
         &mut self,
         is_preferred_owner: impl Fn(Resource) -> bool,
@@ -329,7 +330,7 @@
         }));
     }
 
-    /// Releases every lease at once: the manager shuts down or takes no more clients.
+    /// Releases every lease immediately, when the manager shuts down or accepts no more clients.
     pub fn release_all(&mut self, actions: &mut Vec<LeaseAction>) {
         let held: Vec<HeldLease> = self
             .leases
@@ -342,7 +343,7 @@
         self.leases.clear();
     }
 
-    /// When [`tick`](Self::tick) has something to do next; `None` without leases.
+    /// The time of the next [`tick`](Self::tick) that has work to do; `None` without leases.
     pub fn next_wakeup(&self) -> Option<Micros> {
         self.leases
             .values()
@@ -369,7 +370,7 @@
         self.timing.grant_duration() / ROUND_TIMEOUT_DIVISOR
     }
 
-    /// A lease is due for renewal from this long before its end on.
+    /// A lease becomes due for renewal this long before it expires.
     fn renewal_window(&self) -> Micros {
         self.timing.holder_validity() - self.timing.grant_duration() / RENEWAL_DIVISOR
     }
--- a/src/lease/codec.rs
+++ b/src/lease/codec.rs
@@ -1,6 +1,7 @@
-//! The datagrams of leases: postcard behind a format tag, on the same socket as the membership's.
+//! The encoding of lease datagrams: a format tag followed by postcard. They share the socket of the
+//! membership datagrams.
 //!
-//! Postcard writes the order of variants and fields and no names: reordering them changes the
+//! Postcard encodes variants and fields by position, without names: reordering them changes the
 //! wire format, renaming them does not.
 use super::shared_probe::{ProbeReport, ProbeRequestId};
 use super::{FencingToken, Holder, LeaseRequest, Resource, VoteReply};
@@ -11,7 +12,7 @@
 /// The first bytes of each datagram.
 pub const TAG: [u8; 4] = *b"YLD1";
 
-/// A message between managers about leases and the probes that they protect.
+/// A message between managers about leases and the probes made under them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LeaseMessage {
     /// To a voter: a request for a lease, or for its renewal.
@@ -35,12 +36,12 @@
     NotOwner {
         /// The request.
         request: ProbeRequestId,
-        /// The highest token that the receiver has seen for the resource.
+        /// The highest token that the receiver has observed for the resource.
         highest_token: FencingToken,
     },
 }
 
-/// An encoded message on its way to another manager.
+/// An encoded message to another manager.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     /// The address of the receiver.
@@ -50,19 +51,19 @@
 }
 
 impl Datagram {
-    /// The datagram of a message for that address.
+    /// Encodes a message for the receiver at `to`.
     pub fn new(to: SocketAddr, message: &LeaseMessage) -> Datagram {
         let bytes = encode(message);
         Datagram { to, bytes }
     }
 }
 
-/// The payload of a message.
+/// Encodes a message as the payload of a datagram.
 pub fn encode(message: &LeaseMessage) -> Vec<u8> {
     codec::pack(TAG, message)
 }
 
-/// The message of a datagram of at most `max_bytes`.
+/// Decodes a datagram of at most `max_bytes`.
 ///
 /// # Errors
 /// A [`DecodeError`] if it is too large, of another format, or malformed.
--- a/src/lease/fencing.rs
+++ b/src/lease/fencing.rs
@@ -1,14 +1,15 @@
-//! Fencing tokens: monotonic numbers that tell a current lease holder from a deposed one (the
-//! sequencers of Chubby).
+//! Fencing tokens: monotonically increasing numbers that distinguish the current lease holder from
+//! a deposed one (the sequencers of Chubby).
 use super::Resource;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The most resources whose tokens and grants are tracked one by one.
+/// The maximum number of resources whose tokens and grants are tracked individually.
 pub const MAX_TRACKED_RESOURCES: usize = 1_024;
 
-/// Increases with each new lease on a resource. Zero stands for a resource that was never leased.
+/// A number that increases with each new lease on a resource. Zero means that the resource was
+/// never leased.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -28,9 +29,9 @@
     }
 }
 
-/// High-water marks of fencing tokens, kept for at most [`MAX_TRACKED_RESOURCES`] resources. When
-/// an entry is evicted its token raises `floor`, so a token never decreases for any resource,
-/// tracked or not.
+/// High-water marks of fencing tokens, kept for at most [`MAX_TRACKED_RESOURCES`] resources. The
+/// token of an evicted entry raises `floor`, so the high-water mark of a resource never decreases,
+/// whether the resource is tracked or not.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenHighWaterMarks {
     by_resource: BTreeMap<Resource, FencingToken>,
@@ -38,7 +39,7 @@
 }
 
 impl TokenHighWaterMarks {
-    /// The highest token known for a resource; the floor for one that is not tracked.
+    /// The highest token recorded for a resource; `floor` if the resource is not tracked.
     pub fn get(&self, resource: Resource) -> FencingToken {
         self.by_resource
             .get(&resource)
@@ -46,7 +47,8 @@
             .unwrap_or(self.floor)
     }
 
-    /// Records a token that was seen or granted. Lower tokens than the known one change nothing.
+    /// Records a token that was observed or granted. A token that does not exceed the recorded one
+    /// changes nothing.
     pub fn observe(&mut self, resource: Resource, token: FencingToken) {
         if token <= self.get(resource) {
             return;
@@ -73,8 +75,8 @@
     }
 }
 
-/// Rejects what a deposed lease holder still sends: remembers the highest token seen for each
-/// resource and accepts nothing under a lower one.
+/// Rejects messages of a deposed lease holder: it records the highest token observed for each
+/// resource and accepts no message under a lower one.
 #[derive(Clone, Debug, Default)]
 pub struct FencingGuard {
     highest: TokenHighWaterMarks,
@@ -82,8 +84,8 @@
 }
 
 impl FencingGuard {
-    /// Whether a message under that token is to be accepted. The token is recorded, a rejection is
-    /// counted.
+    /// Returns whether a message under `token` is accepted. Records the token and counts a
+    /// rejection.
     pub fn accepts(&mut self, resource: Resource, token: FencingToken) -> bool {
         let is_current = token >= self.highest.get(resource);
         if !is_current {
@@ -93,22 +95,22 @@
         is_current
     }
 
-    /// Records a token that was seen in use.
+    /// Records a token from another source than an accepted message, such as a vote.
     pub fn observe(&mut self, resource: Resource, token: FencingToken) {
         self.highest.observe(resource, token);
     }
 
-    /// The highest token seen for a resource.
+    /// The highest token observed for a resource.
     pub fn highest(&self, resource: Resource) -> FencingToken {
         self.highest.get(resource)
     }
 
-    /// The tracked resources with the highest tokens seen.
+    /// The tracked resources with the highest tokens observed.
     pub fn iter(&self) -> impl Iterator<Item = (Resource, FencingToken)> {
         self.highest.iter()
     }
 
-    /// How many messages were rejected for their token.
+    /// The number of messages rejected because of their token.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
--- a/src/lease/shared_probe/action.rs
+++ b/src/lease/shared_probe/action.rs
@@ -1,20 +1,20 @@
-//! What managers ask each other for, and what the prober wants to have done.
+//! The requests and reports between managers, and the actions of the prober.
 use super::ProbeResult;
 use crate::clock::Micros;
 use crate::lease::FencingToken;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Names a request for an engine's load; the answer repeats it.
+/// Identifies a request for an engine's load; the reply contains the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbeRequestId {
     /// The id of the engine.
     pub engine: u64,
-    /// The number that the requester gave it.
+    /// The number that the requester assigned to the request.
     pub number: u32,
 }
 
-/// A lease holder's answer to a request for an engine's load.
+/// A lease holder's reply to a request for an engine's load.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProbeReport {
     /// The request.
@@ -25,7 +25,7 @@
     pub result: ProbeResult,
 }
 
-/// What the prober wants to have done.
+/// An action that the prober's caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProbeAction {
     /// Probe the engine for this manager's decision module.
@@ -33,32 +33,32 @@
         /// The id of the engine.
         engine: u64,
     },
-    /// Probe the engine for peers that wait.
+    /// Probe the engine for the waiting peers.
     ProbeForPeers {
         /// The id of the engine.
         engine: u64,
-        /// The end of the lease: the probe must not be sent from then on.
+        /// The end of the lease; the probe must not be sent at or after this time.
         deadline: Micros,
     },
-    /// Give a result to this manager's decision module.
+    /// Deliver a result to this manager's decision module.
     Deliver {
         /// The id of the engine.
         engine: u64,
         /// The result.
         result: ProbeResult,
     },
-    /// Ask the preferred owner.
+    /// Request the load from the preferred owner.
     RequestFromOwner {
         /// The name of the owner.
         owner: String,
         /// The request.
         request: ProbeRequestId,
     },
-    /// Answer a peer.
+    /// Report the result to a peer.
     Report {
         /// The peer's address.
         to: SocketAddr,
-        /// The answer.
+        /// The report.
         report: ProbeReport,
     },
     /// Reject a peer's request: this manager does not hold the lease, or has no result.
--- a/src/lease/shared_probe/mod.rs
+++ b/src/lease/shared_probe/mod.rs
@@ -1,10 +1,11 @@
-//! Probes that managers share: the lease holder of an engine probes it for all, the others ask the
-//! lease holder.
+//! Probes shared between managers: the lease holder of an engine probes it for all managers, and
+//! the others request the result from the lease holder.
 //!
-//! A manager whose decision module wants an engine's load asks the preferred owner of that probe.
-//! The owner probes the engine once for all that wait, reports the result under its fencing token,
-//! and answers from that result for a short while. Where no manager holds the lease, or the holder
-//! does not answer in time, each manager probes the engine itself, as it does without leases.
+//! A manager whose decision module requests an engine's load sends a request to the preferred owner
+//! of that probe. The owner probes the engine once for all waiting peers, reports the result under
+//! its fencing token, and serves later requests from that result for a short time. If no manager
+//! holds the lease, or the holder does not reply before the timeout, each manager probes the engine
+//! itself, as it does without leases.
 mod action;
 mod result;
 
@@ -16,16 +17,18 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How long the result of a probe answers further requests.
+/// How long the result of a probe is reported for further requests.
 const RESULT_CACHE_MICROS: Micros = 100 * MS;
-/// How long a lease holder that did not answer is not asked again.
+/// How long requests for an engine are not sent to its preferred owner after the owner rejected one
+/// or did not reply.
 const UNRESPONSIVE_OWNER_MICROS: Micros = 1_000 * MS;
-/// How long waiting peers wait for the engine before they are rejected, so that the next request
-/// probes it again.
+/// How long peers wait for a probe of the engine before they are rejected, so that the next request
+/// starts a new probe.
 const STUCK_PROBE_MICROS: Micros = 1_000 * MS;
-/// The most peers that wait for one engine; further ones are rejected and probe it themselves.
+/// The maximum number of peers that wait for one engine; further ones are rejected and probe it
+/// themselves.
 const MAX_WAITING_PEERS: usize = 1_024;
-/// What [`SharedProber`] and [`Candidate`] want to have done after an event, each in its order.
+/// The actions of [`SharedProber`] and [`Candidate`] after an event, each list in its order.
 #[derive(Debug, Default)]
 pub struct PendingActions {
     /// The candidate's actions.
@@ -34,15 +37,15 @@
     pub probe: Vec<ProbeAction>,
 }
 
-/// What an event of the prober may read and change beside the prober itself.
+/// The state that an event handler of the prober may read and change besides the prober itself.
 pub struct ProbeContext<'a> {
     /// The leases of this manager.
     pub candidate: &'a mut Candidate,
-    /// The fencing tokens seen.
+    /// The fencing tokens observed.
     pub fence: &'a mut FencingGuard,
     /// The time of the event.
     pub now: Micros,
-    /// Collects what is to be done.
+    /// Collects the actions to carry out.
     pub actions: &'a mut PendingActions,
 }
 
@@ -62,11 +65,11 @@
     }
 }
 
-/// A request to the owner that is not answered yet.
+/// A request to the owner without a reply so far.
 struct PendingProbe {
     number: u32,
     sent_at: Micros,
-    /// How often the decision module has asked for the result.
+    /// How many times the decision module has requested the result.
     requests: u32,
 }
 
@@ -75,7 +78,7 @@
     received_at: Micros,
 }
 
-/// Peers that wait for an engine which this manager probes.
+/// Peers that wait for the result of a probe by this manager.
 struct WaitingPeers {
     since: Micros,
     peers: Vec<WaitingPeer>,
@@ -86,21 +89,22 @@
     request: ProbeRequestId,
 }
 
-/// Both sides of shared probes: the manager that wants a result, and the lease holder. The maps
-/// are by the id of the engine.
+/// Both sides of shared probes: the manager that requests a result, and the lease holder. The maps
+/// are keyed by the id of the engine.
 #[derive(Default)]
 pub struct SharedProber {
     owner_timeout: Micros,
     last_number: u32,
     pending: BTreeMap<u64, PendingProbe>,
-    /// The engines whose owner did not answer, and until when it is not asked.
+    /// The engines whose owner rejected a request or did not reply, with the time until which no
+    /// request is sent to it.
     unresponsive_until: BTreeMap<u64, Micros>,
     cache: BTreeMap<u64, CachedResult>,
     waiting: BTreeMap<u64, WaitingPeers>,
 }
 
 impl SharedProber {
-    /// A prober that waits that long for an owner's answer.
+    /// Creates a prober that waits at most `owner_timeout` for an owner's reply.
     pub fn new(owner_timeout: Micros) -> SharedProber {
         SharedProber {
             owner_timeout,
@@ -108,8 +112,8 @@
         }
     }
 
-    /// The decision module wants an engine's load. `remote_owner` is the preferred owner of the
-    /// probe, `None` if that is this manager.
+    /// Handles a request of the decision module for an engine's load. `remote_owner` is the
+    /// preferred owner of the probe, `None` if that is this manager.
     pub fn request_load(
         &mut self,
         engine: u64,
@@ -168,8 +172,8 @@
         (now < cached.received_at + RESULT_CACHE_MICROS).then_some(cached.result)
     }
 
-    /// A peer asks for an engine's load. `is_preferred_owner` says whether this manager should hold
-    /// the lease.
+    /// Handles a peer's request for an engine's load. `is_preferred_owner` tells whether this
+    /// manager should hold the lease.
     pub fn on_request(
         &mut self,
         from: SocketAddr,
@@ -213,8 +217,9 @@
         waiting.peers.push(WaitingPeer { addr, request });
     }
 
-    /// This manager's own probe of an engine has ended; `None` if it could not be sent. Waiting
-    /// peers get the result only if the lease is still held after the wait.
+    /// Handles the end of this manager's own probe of an engine; `result` is `None` if the probe
+    /// could not be sent. Waiting peers receive the result only if the lease is still held at that
+    /// time.
     pub fn on_probe_finished(
         &mut self,
         engine: u64,
@@ -248,8 +253,8 @@
         }
     }
 
-    /// A lease holder has answered. The answer counts if it belongs to the pending request and no
-    /// higher token was seen.
+    /// Handles a lease holder's report. It is accepted if it belongs to the pending request and no
+    /// higher token was observed.
     pub fn on_report(&mut self, report: &ProbeReport, context: &mut ProbeContext) {
         let engine = report.request.engine;
         if !self.is_pending(report.request)
@@ -266,7 +271,8 @@
         }
     }
 
-    /// The manager that was asked does not hold the lease.
+    /// Handles the rejection of a request by a manager that does not hold the lease or has no
+    /// result.
     pub fn on_not_owner(
         &mut self,
         request: ProbeRequestId,
@@ -283,7 +289,8 @@
         pending.is_some_and(|pending| pending.number == request.number)
     }
 
-    /// Removes the pending request. How often the decision module has asked for its result.
+    /// Removes the pending request and returns how many times the decision module has requested its
+    /// result.
     fn take_pending(&mut self, engine: u64) -> u32 {
         let pending = self.pending.remove(&engine);
         pending.map_or(0, |pending| pending.requests)
@@ -298,8 +305,8 @@
         }
     }
 
-    /// Lets time pass: gives up on owners that did not answer and on probes that did not end, and
-    /// drops what has expired.
+    /// Advances the time: times out requests to owners and probes that did not end, and removes
+    /// expired entries.
     pub fn tick(&mut self, now: Micros, actions: &mut Vec<ProbeAction>) {
         let timed_out: Vec<u64> = self
             .pending
@@ -316,7 +323,7 @@
             .retain(|_, cached| now < cached.received_at + RESULT_CACHE_MICROS);
     }
 
-    /// Rejects peers that wait for a probe whose end never came.
+    /// Rejects peers that wait for a probe whose end was not reported in time.
     fn reject_stuck_peers(&mut self, now: Micros, actions: &mut Vec<ProbeAction>) {
         let is_stuck =
             |_: &u64, waiting: &mut WaitingPeers| now >= waiting.since + STUCK_PROBE_MICROS;
@@ -327,7 +334,7 @@
         }
     }
 
-    /// When [`tick`](Self::tick) has something to do next.
+    /// The time of the next [`tick`](Self::tick) that has work to do.
     pub fn next_wakeup(&self) -> Option<Micros> {
         let owner_timeouts = self
             .pending
--- a/src/lease/shared_probe/result.rs
+++ b/src/lease/shared_probe/result.rs
@@ -1,4 +1,4 @@
-//! The result of a probe, as managers report it to each other.
+//! The result of a probe, which managers report to each other.
 use crate::clock::Micros;
 use crate::policy::api::{LoadReport, MAX_LOAD_FIELDS, OutcomeKind};
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,7 @@
 /// How a probe ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ProbeStatus {
-    /// The engine answered as it should.
+    /// The engine returned a valid response.
     Succeeded,
     /// No connection to the engine could be made.
     Unreachable,
@@ -23,14 +23,14 @@
     pub status: ProbeStatus,
     /// How long it took.
     pub latency: Micros,
-    /// How many figures of `load` are valid.
+    /// The number of valid values in `load`.
     pub load_fields: u8,
     /// The engine's load, in the order of the settings' `load_fields`.
     pub load: [f32; MAX_LOAD_FIELDS],
 }
 
 impl ProbeResult {
-    /// The result of a probe that this manager made.
+    /// Creates the result of a probe made by this manager.
     pub fn new(kind: OutcomeKind, latency: Micros, load: &LoadReport) -> ProbeResult {
         let status = match kind {
             OutcomeKind::Ok => ProbeStatus::Succeeded,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The outcome as the decision module knows it.
+    /// The outcome in the decision module's type.
     pub fn outcome_kind(&self) -> OutcomeKind {
         match self.status {
             ProbeStatus::Succeeded => OutcomeKind::Ok,
@@ -57,14 +57,14 @@
         }
     }
 
-    /// The load as the decision module knows it.
+    /// The load in the decision module's type.
     pub fn load_report(&self) -> LoadReport {
         let valid = usize::from(self.load_fields).min(MAX_LOAD_FIELDS);
         LoadReport::from_values(&self.load[..valid])
     }
 }
 
-/// [`ProbeResult`] in datagrams: the status is two flags there.
+/// The format of [`ProbeResult`] in datagrams, where two flags encode the status.
 #[derive(Serialize, Deserialize)]
 struct ProbeResultFormat {
     succeeded: bool,
--- a/src/lease/timing.rs
+++ b/src/lease/timing.rs
@@ -1,4 +1,4 @@
-//! Durations of leases and the bounds under which they are safe.
+//! The timing parameters of leases and the conditions under which they are safe.
 use crate::clock::{MS, Micros};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -6,23 +6,22 @@
 /// The longest lease that may be configured, in milliseconds.
 const MAX_LEASE_DURATION_MS: u64 = 600_000;
 
-/// `[duties.terms]` of the operator's fleet file. All voters and candidates have to be given the
-/// same values.
+/// `[duties.terms]` of the operator's fleet file. All voters and candidates must be configured with
+/// the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LeaseTiming {
     /// How long a voter's grant is valid unless it is renewed, in milliseconds.
     #[serde(rename = "term_ms")]
     pub lease_duration_ms: u64,
-    /// The bound on how far the clocks of two managers drift apart, in thousandths of the elapsed
-    /// time.
+    /// The maximum drift between the clocks of two managers, in thousandths of the elapsed time.
     #[serde(rename = "drift")]
     pub clock_drift_per_mille: u64,
-    /// How long before its end a holder stops using a lease, in milliseconds: what it sent just
-    /// before has left the process by then.
+    /// How long before its end a holder stops using a lease, in milliseconds, so that the last
+    /// messages under the lease have left the process when it ends.
     #[serde(rename = "margin_ms")]
     pub safety_margin_ms: u64,
-    /// How long a manager waits for a lease holder to answer a probe request before it probes the
+    /// How long a manager waits for a lease holder's reply to a probe request before it probes the
     /// engine itself, in milliseconds. The decision module waits 30 ms for its probes.
     #[serde(rename = "ask_ms")]
     pub probe_request_timeout_ms: u64,
@@ -48,7 +47,7 @@
         /// The configured lease duration in milliseconds.
         term_ms: u64,
     },
-    /// Drift and margin use up more than half of the lease duration.
+    /// Drift and margin take more than half of the lease duration.
     #[error(
         "fleet: duties: drift and margin_ms have to leave half of term_ms: \
          drift = {drift}, margin_ms = {margin_ms}, term_ms = {term_ms}"
@@ -67,7 +66,7 @@
     /// Checks that a holder has at least half of the lease duration left after drift and margin.
     ///
     /// # Errors
-    /// A [`LeaseTimingError`] with the values that do not fit together.
+    /// A [`LeaseTimingError`] with the values that are out of range or inconsistent.
     pub fn validate(&self) -> Result<(), LeaseTimingError> {
         let term_ms = self.lease_duration_ms;
         if term_ms == 0 || term_ms > MAX_LEASE_DURATION_MS {
@@ -84,13 +83,13 @@
         Ok(())
     }
 
-    /// How long a holder may use a lease, counted from when it sent the request.
+    /// How long a holder may use a lease, starting when it sent the request.
     pub fn holder_validity(&self) -> Micros {
         self.lease_duration_ms.saturating_sub(self.deducted_ms()) * MS
     }
 
-    /// What drift and margin take of the lease duration, in milliseconds. Drift counts in full
-    /// milliseconds, upwards.
+    /// The part of the lease duration taken by drift and margin, in milliseconds. The drift is
+    /// rounded up to full milliseconds.
     fn deducted_ms(&self) -> u64 {
         let drift = self
             .lease_duration_ms
@@ -98,7 +97,7 @@
         drift.div_ceil(1_000).saturating_add(self.safety_margin_ms)
     }
 
-    /// How long a voter's grant is valid, counted from when it granted.
+    /// How long a voter's grant is valid, starting when the voter granted the request.
     pub fn grant_duration(&self) -> Micros {
         self.lease_duration_ms * MS
     }
--- a/src/lease/voter.rs
+++ b/src/lease/voter.rs
@@ -1,4 +1,4 @@
-//! The voter: grants a resource to one holder at a time, under increasing fencing tokens.
+//! The voter, which grants a resource to one holder at a time, under increasing fencing tokens.
 use super::{
     FencingToken, Holder, LeaseTiming, MAX_TRACKED_RESOURCES, Resource, TokenHighWaterMarks,
 };
@@ -9,11 +9,11 @@
 /// A candidate's request for a new lease, or a holder's request to renew one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Who is to hold the lease.
+    /// The candidate that would hold the lease.
     pub holder: Holder,
     /// The resource.
     pub resource: Resource,
-    /// The token of the lease: a new one, or the present one to renew.
+    /// The token of the lease: a new one, or the current one for a renewal.
     pub token: FencingToken,
     /// The number of the candidate's voting round; the reply carries it.
     pub round: u32,
@@ -22,7 +22,7 @@
 /// A voter's decision on a [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Vote {
-    /// The holder has this voter's grant for one lease duration from now on.
+    /// The voter grants the lease to the holder for one lease duration, starting at its decision.
     Granted,
     /// The request was refused.
     Refused {
@@ -31,7 +31,7 @@
     },
 }
 
-/// A [`Vote`] on its way back to the candidate.
+/// A [`Vote`] as sent to the candidate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteReply {
     /// The name of the voter.
@@ -44,12 +44,12 @@
     pub vote: Vote,
 }
 
-/// What [`Voter::request`] decided.
+/// The result of [`Voter::request`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VoteOutcome {
     /// The decision.
     pub vote: Vote,
-    /// Whether the high-water marks have changed: they have to be stored before the vote is sent.
+    /// Whether the high-water marks have changed and must be stored before the vote is sent.
     pub must_store: bool,
 }
 
@@ -79,26 +79,26 @@
 #[derive(Clone, Debug)]
 pub struct Voter {
     timing: LeaseTiming,
-    /// Until then a grant of an earlier incarnation of this voter may be valid.
-    quiet_until: Micros,
+    /// Until this time, a grant of an earlier incarnation of this voter may be valid.
+    grants_blocked_until: Micros,
     grants: BTreeMap<Resource, Grant>,
     high_water_marks: TokenHighWaterMarks,
 }
 
 impl Voter {
-    /// A voter that starts now with the high-water marks that its earlier incarnations stored. It
-    /// grants nothing for one lease duration, since an earlier incarnation may have granted
-    /// something just before it ended.
+    /// Creates a voter that starts at `now` with the high-water marks stored by its earlier
+    /// incarnations. It grants nothing for one lease duration, because an earlier incarnation may
+    /// have granted a lease just before it ended.
     pub fn new(timing: LeaseTiming, stored: TokenHighWaterMarks, now: Micros) -> Voter {
         Voter {
             timing,
-            quiet_until: now + timing.grant_duration(),
+            grants_blocked_until: now + timing.grant_duration(),
             grants: BTreeMap::new(),
             high_water_marks: stored,
         }
     }
 
-    /// The highest tokens granted. They have to be on disk before a grant under a new token is
+    /// The highest tokens granted. They must be stored on disk before a grant under a new token is
     /// sent; otherwise a restarted voter could grant the same token again.
     pub fn high_water_marks(&self) -> &TokenHighWaterMarks {
         &self.high_water_marks
@@ -125,8 +125,9 @@
         }
     }
 
-    /// Whether a request may be granted, once expired grants are removed. An expired lease is not
-    /// renewed under its old token: another holder may have had the resource in between.
+    /// Whether a request may be granted; expired grants must have been removed before. An expired
+    /// lease is not renewed under its old token, because another holder may have held the resource
+    /// in the meantime.
     fn may_grant(&self, request: &LeaseRequest, highest: FencingToken, now: Micros) -> bool {
         let is_new_token = request.token > highest;
         match self.grants.get(&request.resource) {
@@ -136,12 +137,13 @@
             Some(_) => false,
             None => {
                 let has_capacity = self.grants.len() < MAX_TRACKED_RESOURCES;
-                now >= self.quiet_until && is_new_token && has_capacity
+                now >= self.grants_blocked_until && is_new_token && has_capacity
             }
         }
     }
 
-    /// A holder releases its lease before the end. A release of any other lease changes nothing.
+    /// Releases a holder's lease before its end. A release that does not match the current grant
+    /// changes nothing.
     pub fn release(&mut self, resource: Resource, holder: &Holder, token: FencingToken) {
         let grant = self.grants.get(&resource);
         if grant.is_some_and(|grant| grant.belongs_to(holder, token)) {
--- a/src/membership/codec.rs
+++ b/src/membership/codec.rs
@@ -1,5 +1,5 @@
-//! The encoding of datagrams between managers: a format tag followed by postcard. No input makes
-//! decoding panic.
+//! The encoding of datagrams between managers: a format tag followed by postcard. Decoding does not
+//! panic on any input.
 use super::message::{MemberUpdate, Message};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -8,20 +8,20 @@
 /// another version are dropped.
 pub const TAG: [u8; 4] = *b"YLM2";
 
-/// The size assumed for a value that does not serialize: larger than any datagram, yet safe to add
-/// to.
+/// The size assumed for a value that does not serialize: larger than any datagram, but small enough
+/// that sums with it do not overflow.
 const UNENCODABLE_BYTES: usize = usize::MAX / 2;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Of another protocol, or of another version of the format.
+    /// The datagram is of another protocol, or of another version of the format.
     #[error("of another format")]
     Foreign,
-    /// Of this format, but truncated or corrupted.
+    /// The datagram is of this format, but truncated or corrupted.
     #[error("malformed")]
     Malformed,
-    /// Larger than the configured limit.
+    /// The datagram is larger than the configured limit.
     #[error("too large")]
     Oversized,
 }
@@ -34,7 +34,7 @@
 /// Encodes a value behind a format tag.
 pub fn pack<T: Serialize>(tag: [u8; 4], value: &T) -> Vec<u8> {
     let mut datagram = tag.to_vec();
-    // The messages between managers contain nothing that postcard can't serialize.
+    // All values in messages between managers are of types that postcard serializes without errors.
     datagram.extend(postcard::to_allocvec(value).unwrap_or_default());
     datagram
 }
@@ -42,7 +42,7 @@
 /// Decodes a datagram of at most `max_bytes`.
 ///
 /// # Errors
-/// The reason to drop the datagram.
+/// The reason for which the datagram has to be dropped.
 pub fn decode(datagram: &[u8], max_bytes: usize) -> Result<Message, DecodeError> {
     unpack(TAG, datagram, max_bytes)
 }
@@ -50,7 +50,7 @@
 /// Decodes the value behind a format tag in a datagram of at most `max_bytes`.
 ///
 /// # Errors
-/// The reason to drop the datagram.
+/// The reason for which the datagram has to be dropped.
 pub fn unpack<T: DeserializeOwned>(
     tag: [u8; 4],
     datagram: &[u8],
--- a/src/membership/gossip_queue.rs
+++ b/src/membership/gossip_queue.rs
@@ -8,15 +8,16 @@
     transmissions_left: u64,
 }
 
-/// The members whose updates are to be disseminated, each for a bounded number of transmissions.
-/// The queue holds names: the update itself is looked up when it is sent, so that it is current.
+/// The members whose updates are disseminated, each for a limited number of transmissions. The
+/// queue holds only the names; an update is looked up when it is sent, so that the latest one is
+/// sent.
 #[derive(Default)]
 pub(super) struct GossipQueue {
     pending: VecDeque<PendingUpdate>,
 }
 
 impl GossipQueue {
-    /// Queues the member's update for `transmissions` datagrams, in place of its earlier entry.
+    /// Queues the member's update for `transmissions` datagrams and replaces its earlier entry.
     pub(super) fn enqueue(&mut self, member: &str, transmissions: u64) {
         self.pending.retain(|pending| pending.member != member);
         self.pending.push_front(PendingUpdate {
@@ -25,8 +26,8 @@
         });
     }
 
-    /// Takes the updates that fit into `free_bytes`, the least transmitted first. Members that
-    /// `find_update` does not know are removed from the queue.
+    /// Takes the updates that fit into `free_bytes`, those with the fewest transmissions first.
+    /// Members for which `find_update` returns `None` are removed from the queue.
     pub(super) fn take_fitting<'a>(
         &mut self,
         mut free_bytes: usize,
--- a/src/membership/message.rs
+++ b/src/membership/message.rs
@@ -8,12 +8,12 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The state of a member, as another member sees it.
+/// The state of a member, as recorded by another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers probes.
+    /// It responds to probes.
     Alive,
-    /// It failed to answer its probes and may still refute the suspicion.
+    /// It did not respond to its probes and may still refute the suspicion.
     Suspect,
     /// It did not refute the suspicion in time.
     Dead,
@@ -23,11 +23,11 @@
 
 impl MemberState {
     /// Whether the member is no longer part of the fleet: dead or departed.
-    pub fn is_gone(self) -> bool {
+    pub fn is_dead_or_left(self) -> bool {
         matches!(self, MemberState::Dead | MemberState::Left)
     }
 
-    /// The state's name in the log and in the report of the audit.
+    /// The name of the state in the log and in the audit report.
     pub fn as_str(self) -> &'static str {
         match self {
             MemberState::Alive => "Alive",
@@ -47,12 +47,12 @@
 /// The state of one member at one incarnation: the unit of gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The member's name, which survives a restart.
+    /// The member's name, which stays the same after a restart.
     pub name: String,
     /// The address that receives its datagrams.
     pub addr: SocketAddr,
-    /// Grows with each start of the member's process, and within a process with each refutation and
-    /// each change of versions.
+    /// Increases with each start of the member's process, and within a process with each refutation
+    /// and each change of versions.
     pub incarnation: u64,
     /// The member's state.
     #[serde(rename = "health")]
@@ -64,13 +64,15 @@
 impl MemberUpdate {
     /// Whether this update replaces `known`, by the precedence rules of SWIM: a higher incarnation
     /// always wins; at the same incarnation `Suspect` overrides `Alive`, and `Dead` and `Left`
-    /// override both. Only a higher incarnation brings a dead member back.
+    /// override both. A dead member returns to the fleet only with a higher incarnation.
     pub fn supersedes(&self, known: &MemberUpdate) -> bool {
         let newer = self.incarnation > known.incarnation;
         let same = self.incarnation == known.incarnation;
         match (self.state, known.state) {
             (MemberState::Suspect, MemberState::Alive) => newer || same,
-            (MemberState::Dead | MemberState::Left, state) if !state.is_gone() => newer || same,
+            (MemberState::Dead | MemberState::Left, state) if !state.is_dead_or_left() => {
+                newer || same
+            }
             _ => newer,
         }
     }
@@ -79,12 +81,12 @@
 /// The request or the response that a message carries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Asks for an `Ack` with this sequence number.
+    /// Requests an `Ack` with this sequence number.
     Ping(u32),
-    /// Answers the ping with this sequence number.
+    /// Acknowledges the ping with this sequence number.
     Ack(u32),
-    /// Asks the receiver to ping `target` and to forward the ack under the sender's `sequence`: the
-    /// indirect probe of SWIM.
+    /// Requests that the receiver ping `target` and forward the ack under the sender's `sequence`:
+    /// the indirect probe of SWIM.
     PingReq {
         /// The sequence number of the sender's probe.
         sequence: u32,
@@ -93,9 +95,9 @@
     },
     /// Announces the departure of the sender.
     Leave,
-    /// Asks for the page of members whose names sort after this one; empty for the first page.
+    /// Requests the page of members whose names sort after this one; empty for the first page.
     Sync(String),
-    /// One page of the sender's members, which travel as the message's gossip.
+    /// One page of the sender's members, which are sent as the gossip of the message.
     Page {
         /// The last name on the page, from which the next page continues.
         last_name: String,
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,18 +1,18 @@
 //! Membership of the fleet's managers: a variant of SWIM (Das, Gupta and Motivala, 2002) with
 //! suspicion, gossip dissemination and anti-entropy.
 //!
-//! Each period a manager pings one member, in a shuffled round robin. Without an ack in time it
-//! asks `k` others to ping the member on its behalf. A member that fails two such probes in a row
-//! becomes a suspect, and is declared dead unless it refutes the suspicion in time with a higher
-//! incarnation. Updates ride piggybacked on the protocol's own datagrams, each a bounded number of
-//! times within a bounded size.
+//! Each period a manager pings one member, in a shuffled round robin. If no ack arrives before the
+//! timeout, it requests `k` others to ping the member on its behalf. A member that fails two such
+//! probes in a row becomes a suspect, and is declared dead unless it refutes the suspicion with a
+//! higher incarnation before the suspicion timeout. Updates are piggybacked on the protocol's own
+//! datagrams; the number of transmissions of an update and the size of a datagram are limited.
 //!
 //! Every update carries the member's [`RunningVersions`]. From these, [`Straggler`] detects that a
-//! manager lags behind the fleet's majority, and [`ActiveGatewayCount`] counts the managers that
+//! manager is behind the fleet's majority, and [`ActiveGatewayCount`] counts the managers that
 //! share the engines.
 //!
-//! Everything here is a pure state machine or a codec; the socket and the clock belong to the actor
-//! in `crate::net::fleet::membership`.
+//! Everything here is a pure state machine or a codec; the socket and the clock are in the actor in
+//! `crate::net::fleet::membership`.
 mod active_gateways;
 pub mod codec;
 mod gossip_queue;
--- a/src/membership/straggler.rs
+++ b/src/membership/straggler.rs
@@ -1,4 +1,4 @@
-//! Detects that this manager lags behind the versions of the fleet's majority.
+//! Detects that this manager's versions are behind those of the fleet's majority.
 use super::version::{MajorityVersions, RunningVersions};
 use crate::clock::Micros;
 use serde::Serialize;
@@ -6,28 +6,30 @@
 /// How this manager's versions compare to those of the fleet's majority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum VersionStatus {
-    /// It runs what the majority runs, or no majority is ahead of it.
+    /// It runs the versions of the majority, or no majority is ahead of it.
     InStep,
     /// It has been behind for less than the grace period.
     Behind,
-    /// It has been behind for the grace period: it should reload its settings and its list.
+    /// It has been behind for the grace period: it should reload its settings and refresh its
+    /// endpoint list.
     BringUp,
     /// It has been behind for twice the grace period: it should accept no work.
     ShutOut,
 }
 
-/// An endpoint list version that the majority had reached before this manager.
+/// An endpoint list version that the majority reached before this manager.
 #[derive(Clone, Copy, Debug)]
 struct ListTarget {
     version: u64,
     since: Micros,
 }
 
-/// Tracks for how long this manager has been behind the majority.
+/// Tracks how long this manager has been behind the majority.
 ///
 /// The grace period runs while the settings differ from the majority's, or while the list is older
-/// than a version the majority had reached when the lag began. A list that keeps changing is
-/// therefore no lag as long as the manager reaches each target.
+/// than the version that the majority had reached when the manager fell behind. A list that changes
+/// continuously therefore does not make the manager a straggler, as long as it reaches each of
+/// these versions.
 #[derive(Clone, Debug, Default)]
 pub struct Straggler {
     settings_differ_since: Option<Micros>,
@@ -37,7 +39,7 @@
 impl Straggler {
     /// Compares this manager's versions to those of all `others` that have not left, and returns
     /// the status at `now`.
-    pub fn judge(
+    pub fn evaluate(
         &mut self,
         me: &RunningVersions,
         others: &[&RunningVersions],
--- a/src/membership/swim/anti_entropy.rs
+++ b/src/membership/swim/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: a manager reads the members of others page by page. This repairs what gossip did
-//! not deliver, as for a manager that joins or returns after a long time.
+//! Anti-entropy: a manager reads the member lists of others page by page. This delivers updates
+//! that gossip did not, for example to a manager that joins or returns after a long time.
 use super::{Action, Membership};
 use crate::membership::codec;
 use crate::membership::message::{MemberUpdate, Message, MessageBody};
@@ -9,11 +9,11 @@
 /// The interval between sync requests, in periods, once a complete sync found no new member.
 const IDLE_SYNC_PERIODS: u64 = 8;
 
-/// The bytes by which the page's last name may grow beyond the requested one, apart from the name
-/// itself: the length prefix and the flag.
+/// The bytes by which the page's header may grow beyond that with the requested name, apart from
+/// the name itself: the length prefix and the flag.
 const PAGE_HEADER_SLACK_BYTES: usize = 2;
 
-/// The progress of reading all members of others.
+/// The progress of reading the member lists of others.
 #[derive(Default)]
 pub(super) struct SyncProgress {
     /// The last name read, empty at the start of a sync.
@@ -32,15 +32,15 @@
             return;
         }
         self.last_name.clear();
-        // A sync that found members does not count: when the whole fleet starts at once, the first
-        // members that answer know only a few others.
+        // A sync that found members does not count as converged: when the whole fleet starts at the
+        // same time, the first members that respond have only discovered a few others.
         self.converged = !std::mem::take(&mut self.found_member);
     }
 }
 
 impl Membership {
-    /// Requests the next page from a random member: each period until a sync finds nobody new, then
-    /// every [`IDLE_SYNC_PERIODS`].
+    /// Requests the next page from a random member: in each period until a sync finds no new
+    /// member, then every [`IDLE_SYNC_PERIODS`].
     pub(super) fn request_sync(&mut self, out: &mut Vec<Action>) {
         if self.sync.converged && !self.periods.is_multiple_of(IDLE_SYNC_PERIODS) {
             return;
@@ -54,18 +54,19 @@
         self.send(receiver, MessageBody::Sync(after), out);
     }
 
-    /// Answers a sync request.
+    /// Responds to a sync request with a page.
     pub(super) fn receive_sync(&self, from: SocketAddr, after: String, out: &mut Vec<Action>) {
         let message = Box::new(self.page(after));
         out.push(Action::Send { to: from, message });
     }
 
-    /// Takes note of how far the page of another member reached; its updates are merged already.
+    /// Records the position reached by another member's page, whose updates have already been
+    /// merged.
     pub(super) fn receive_page(&mut self, last_name: String, is_final: bool) {
         self.sync.advance(last_name, is_final);
     }
 
-    /// The message with the members whose names sort after `after`, as many as fit.
+    /// The message with as many of the members whose names sort after `after` as fit.
     fn page(&self, after: String) -> Message {
         let mut free_bytes = self.free_page_bytes(&after);
         let mut gossip: Vec<MemberUpdate> = Vec::new();
@@ -93,7 +94,8 @@
         }
     }
 
-    /// The bytes for updates on a page, whose header may have to hold the longest known name.
+    /// The number of bytes available for updates on a page, whose header may have to contain the
+    /// longest known name.
     fn free_page_bytes(&self, after: &str) -> usize {
         let header = Message {
             from: self.me.clone(),
--- a/src/membership/swim/mod.rs
+++ b/src/membership/swim/mod.rs
@@ -1,9 +1,8 @@
-//! The state machine of the membership protocol: the members as this manager knows them, and the
-//! precedence of updates.
+//! The state machine of the membership protocol: the members as recorded by this manager, and how
+//! updates are merged.
 //!
 //! It performs no input or output. Its actor passes in datagrams and the time, and carries out the
-//! [`Action`]s that come back. All randomness comes from one seeded generator, so a run is
-//! reproducible.
+//! returned [`Action`]s. All randomness comes from one seeded generator, so a run is reproducible.
 mod anti_entropy;
 mod probing;
 mod receive;
@@ -21,7 +20,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What the state machine asks its actor to do.
+/// An action that the state machine's actor has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a datagram.
@@ -40,18 +39,18 @@
     },
 }
 
-/// How far the failure detection of one member has proceeded.
+/// The phase of the failure detection of one member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DetectionPhase {
     /// Its last round of probes succeeded, or its state is decided.
     Regular,
     /// It is alive but failed one round of probes: it is probed again before it is suspected.
     FailedOnce,
-    /// It is a suspect whose suspicion timed out: the final probe is on its way.
+    /// It is a suspect whose suspicion timed out, and the final probe is pending.
     FinalProbe,
 }
 
-/// A member as this manager knows it.
+/// A member as recorded by this manager.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// The member's latest update.
@@ -70,7 +69,7 @@
         }
     }
 
-    /// Whether it is a suspect whose suspicion can still time out.
+    /// Whether it is a suspect whose suspicion has not timed out so far.
     fn has_running_suspicion(&self) -> bool {
         self.update.state == MemberState::Suspect && self.phase != DetectionPhase::FinalProbe
     }
@@ -80,8 +79,8 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Dissemination {
     Gossip,
-    /// A page of anti-entropy holds updates that were disseminated when they were new.
-    Silent,
+    /// For the updates on a page of anti-entropy, which were disseminated when they were new.
+    MergeOnly,
 }
 
 /// The membership protocol of one manager.
@@ -89,7 +88,7 @@
     me: MemberUpdate,
     timing: Timing,
     members: BTreeMap<String, Member>,
-    /// The seed addresses of which no member is known yet.
+    /// The seed addresses at which no member is known.
     unknown_seeds: Vec<SocketAddr>,
     gossip: GossipQueue,
     /// The probes without an ack, by sequence number.
@@ -196,8 +195,8 @@
         }
     }
 
-    /// Merges an update into the known members if it supersedes what is known. Returns whether it
-    /// did.
+    /// Merges an update into the known members if it supersedes the known update of the same
+    /// member. Returns whether it did.
     fn merge(
         &mut self,
         update: MemberUpdate,
@@ -240,7 +239,7 @@
         }
     }
 
-    /// Sets a member's state as this manager's own finding, and disseminates it.
+    /// Sets a member's state that this manager detected itself, and disseminates it.
     fn set_state(&mut self, name: &str, state: MemberState, now: Micros, out: &mut Vec<Action>) {
         let Some(member) = self.members.get_mut(name) else {
             return;
@@ -264,7 +263,7 @@
             .filter(|member| member.update.state == MemberState::Alive)
     }
 
-    /// The number of all known members with this manager.
+    /// The number of all known members, including this manager.
     fn fleet_size(&self) -> usize {
         self.members.len() + 1
     }
@@ -293,8 +292,8 @@
         self.gossip.enqueue(name, transmissions);
     }
 
-    /// Sends a message with gossip. A receiver that is not known to be alive gets its own state
-    /// first, so that it can refute at once.
+    /// Sends a message with gossip. If the receiver is a known member that is not alive, the gossip
+    /// starts with its own state, so that it can refute immediately.
     fn send(&mut self, to: SocketAddr, body: MessageBody, out: &mut Vec<Action>) {
         let receiver_state = self
             .members
@@ -305,7 +304,7 @@
         out.push(Action::Send { to, message });
     }
 
-    /// Composes a message with as much gossip as the datagram holds, behind `first`.
+    /// Composes a message with `first`, followed by as much gossip as fits into the datagram.
     fn compose(&mut self, body: MessageBody, first: Option<MemberUpdate>) -> Message {
         let mut message = Message {
             from: self.me.clone(),
--- a/src/membership/swim/probing.rs
+++ b/src/membership/swim/probing.rs
@@ -6,18 +6,18 @@
 use crate::membership::timing::Timing;
 use std::net::SocketAddr;
 
-/// The purpose of a ping, which decides what happens when it is not acked.
+/// The purpose of a ping, which determines what happens if it is not acked.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ProbeKind {
     /// This period's direct ping.
     Direct,
-    /// This period's probe after the direct ping timed out: others ping as well.
+    /// This period's probe after the direct ping timed out: other members ping the target as well.
     Indirect,
-    /// The last probe, direct and indirect at once, before a suspect is declared dead.
+    /// The last probe, direct and indirect at the same time, before a suspect is declared dead.
     Final,
     /// A ping on behalf of another member.
     Relayed {
-        /// The address of the member that asked for it.
+        /// The address of the member that requested it.
         requester: SocketAddr,
         /// The sequence number of that member's probe.
         sequence: u32,
@@ -45,7 +45,7 @@
 struct TimedOutProbes {
     /// Direct pings to continue as indirect probes.
     direct: Vec<UnackedPing>,
-    /// The members that failed a whole round of probes.
+    /// The members that failed a complete round of probes.
     failed_round: Vec<String>,
     /// The members that failed their final probe.
     failed_final: Vec<String>,
@@ -62,14 +62,15 @@
 }
 
 impl Membership {
-    /// One protocol period: a sync request, greetings to unknown seeds and dead members, and the
-    /// probe of the next member.
+    /// Runs one protocol period: a sync request, a ping to one unknown seed and to one dead member,
+    /// and the probe of the next member.
     pub(super) fn run_period(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.periods += 1;
         self.request_sync(out);
         self.ping_random(&self.unknown_seeds.clone(), out);
-        // A dead member that lives after all learns its state this way and refutes, and so does
-        // this manager. It heals a partition in which both sides declared each other dead.
+        // A running member that was declared dead receives its state in this ping and refutes it;
+        // its reply does the same for this manager. This reconnects the two sides of a partition
+        // that declared each other dead.
         self.ping_random(&self.dead_addresses(), out);
         let Some(target) = self.next_probe_target() else {
             return;
@@ -84,7 +85,7 @@
         self.send(target.addr, MessageBody::Ping(sequence), out);
     }
 
-    /// Pings one of the addresses without expecting an ack.
+    /// Pings a random one of the addresses without tracking the ack.
     fn ping_random(&mut self, addresses: &[SocketAddr], out: &mut Vec<Action>) {
         if addresses.is_empty() {
             return;
@@ -102,7 +103,8 @@
             .collect()
     }
 
-    /// The next member of the round that is not gone; an exhausted round is followed by a new one.
+    /// The next member of the round that is neither dead nor departed. A new round starts after the
+    /// last member.
     fn next_probe_target(&mut self) -> Option<ProbeTarget> {
         loop {
             let Some(name) = self.probe_round.pop() else {
@@ -113,7 +115,7 @@
                 continue;
             };
             if let Some(member) = self.members.get(&name)
-                && !member.update.state.is_gone()
+                && !member.update.state.is_dead_or_left()
             {
                 return Some(ProbeTarget {
                     name,
@@ -123,12 +125,12 @@
         }
     }
 
-    /// All members that are not gone, in random order (Fisher and Yates).
+    /// All members that are neither dead nor departed, in random order (Fisher and Yates).
     fn shuffled_round(&mut self) -> Vec<String> {
         let mut round: Vec<String> = self
             .members
             .values()
-            .filter(|member| !member.update.state.is_gone())
+            .filter(|member| !member.update.state.is_dead_or_left())
             .map(|member| member.update.name.clone())
             .collect();
         for last in (1..round.len()).rev() {
@@ -137,7 +139,7 @@
         round
     }
 
-    /// Asks random members to ping the target: the indirect probe.
+    /// Requests random members to ping the target: the indirect probe.
     fn request_indirect_probes(&mut self, sequence: u32, target: &str, out: &mut Vec<Action>) {
         let Some(target_addr) = self.members.get(target).map(|member| member.update.addr) else {
             return;
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Removes the probes whose period is over, and turns direct probes that timed out into
+    /// Removes the probes whose period has ended, and changes direct probes that timed out to
     /// indirect ones.
     fn take_timed_out_probes(&mut self, now: Micros) -> TimedOutProbes {
         let mut timed_out = TimedOutProbes::default();
@@ -209,9 +211,9 @@
     /// A member that failed two rounds of probes in a row becomes a suspect; after the first one it
     /// is probed again in the next period.
     ///
-    /// With a fifth of all datagrams lost, one round in thirteen fails. If one failure sufficed, a
-    /// fleet of 300 would suspect twenty members a period, more than gossip can carry refutations
-    /// of.
+    /// With a fifth of all datagrams lost, one round in thirteen fails. If one failure were
+    /// sufficient, a fleet of 300 would suspect twenty members per period, more than gossip can
+    /// disseminate refutations for.
     fn record_failed_round(&mut self, target: String, now: Micros, out: &mut Vec<Action>) {
         let Some(member) = self.members.get_mut(&target) else {
             return;
@@ -253,8 +255,8 @@
     }
 
     /// Pings a suspect once more, directly and through others at once, before it is declared dead.
-    /// It covers lost refutations: with a fifth of all datagrams lost, about one suspicion in a few
-    /// hundred times out unrefuted.
+    /// This compensates for lost refutations: with a fifth of all datagrams lost, about one
+    /// suspicion in a few hundred times out without a refutation.
     fn send_final_probe(&mut self, name: &str, now: Micros, out: &mut Vec<Action>) {
         let Some(member) = self.members.get_mut(name) else {
             return;
@@ -272,7 +274,7 @@
         self.request_indirect_probes(sequence, name, out);
     }
 
-    /// Forgets this manager's own probes of a member; those on behalf of others continue.
+    /// Cancels this manager's own probes of a member; those on behalf of others continue.
     pub(super) fn cancel_own_probes(&mut self, name: &str) {
         self.probes.retain(|_, probe| {
             probe.target != name || matches!(probe.kind, ProbeKind::Relayed { .. })
--- a/src/membership/swim/receive.rs
+++ b/src/membership/swim/receive.rs
@@ -5,11 +5,11 @@
 use crate::membership::message::{MemberState, MemberUpdate, Message, MessageBody};
 use std::net::SocketAddr;
 
-/// The sequence number of an ack that answers no ping: it only carries an update.
+/// The sequence number of an ack without a ping, which only carries an update.
 const UNSOLICITED_ACK: u32 = 0;
 
 impl Membership {
-    /// Handles a datagram that arrived from `from`.
+    /// Handles a message received from `from`.
     pub fn receive(
         &mut self,
         from: SocketAddr,
@@ -18,7 +18,7 @@
         out: &mut Vec<Action>,
     ) {
         if message.from.name == self.me.name {
-            // An echo, or another process under this manager's name.
+            // The datagram was sent by this manager itself, or by another process under its name.
             self.dropped_datagrams += 1;
             return;
         }
@@ -29,7 +29,7 @@
             return;
         }
         let dissemination = match message.body {
-            MessageBody::Page { .. } => Dissemination::Silent,
+            MessageBody::Page { .. } => Dissemination::MergeOnly,
             _ => Dissemination::Gossip,
         };
         for update in message.gossip {
@@ -55,18 +55,18 @@
     }
 
     /// Whether a datagram is from an earlier incarnation of its sender, or from a sender that is
-    /// known to be gone and has not refuted that. `is_new` tells whether the sender's update was
-    /// merged.
+    /// known as dead or departed and has not refuted that. `is_new` tells whether the sender's
+    /// update was merged.
     fn is_stale(&self, sender: &MemberUpdate, is_new: bool) -> bool {
         self.members.get(&sender.name).is_some_and(|member| {
             let known = &member.update;
-            sender.incarnation < known.incarnation || !is_new && known.state.is_gone()
+            sender.incarnation < known.incarnation || !is_new && known.state.is_dead_or_left()
         })
     }
 
-    /// Drops a stale datagram but for what it claims of this manager, which has to be able to
-    /// refute when both sides have declared each other dead. A sender known as dead at its present
-    /// incarnation is sent that state, so that it can refute as well.
+    /// Drops a stale datagram except for updates about this manager, which it must be able to
+    /// refute if both sides have declared each other dead. If the sender is known as dead at its
+    /// current incarnation, that state is sent back, so that the sender can refute it as well.
     fn receive_stale(
         &mut self,
         from: SocketAddr,
@@ -100,9 +100,9 @@
         }
     }
 
-    /// Completes a probe, and forwards the ack if the probe was done for another member. An ack
-    /// restarts the suspicion timeout; only the member's own refutation ends the suspicion
-    /// everywhere.
+    /// Completes a probe, and forwards the ack if the probe was on behalf of another member. An ack
+    /// restarts the suspicion timeout; only a refutation by the member itself ends the suspicion on
+    /// all members.
     fn receive_ack(&mut self, sequence: u32, now: Micros, out: &mut Vec<Action>) {
         let Some(probe) = self.probes.remove(&sequence) else {
             return;
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Pings the target of an indirect probe for the member that requested it.
+    /// Pings the target of an indirect probe on behalf of the member that requested it.
     fn receive_ping_request(
         &mut self,
         kind: ProbeKind,
@@ -148,8 +148,8 @@
     }
 }
 
-/// The update of a message's sender: its state follows from the message, its address from the
-/// datagram.
+/// The update of a message's sender, with the state that the message implies and the datagram's
+/// source address.
 fn sender_update(from: SocketAddr, message: &Message) -> MemberUpdate {
     let state = match message.body {
         MessageBody::Leave => MemberState::Left,
--- a/src/membership/timing.rs
+++ b/src/membership/timing.rs
@@ -1,9 +1,8 @@
-//! The timing parameters of the protocol, and the bounds on detection time and traffic that follow
-//! from them.
+//! The timing parameters of the protocol, and the resulting bounds on detection time and traffic.
 use crate::clock::{MS, Micros, SEC};
 use serde::{Deserialize, Serialize};
 
-/// The smallest accepted [`Timing::max_datagram_bytes`]: a message with one update fits.
+/// The smallest accepted [`Timing::max_datagram_bytes`]: a message with one update fits into it.
 const MIN_DATAGRAM_BYTES: usize = 256;
 /// The largest accepted [`Timing::max_datagram_bytes`]: below the limit of a UDP datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_000;
@@ -17,7 +16,7 @@
     pub period_ms: u64,
     /// The timeout of the direct ping in milliseconds, within the period.
     pub probe_ms: u64,
-    /// The number of members asked for an indirect probe: SWIM's `k`.
+    /// The number of members that are requested to do an indirect probe: SWIM's `k`.
     #[serde(rename = "indirect")]
     pub indirect_probes: usize,
     /// The suspicion timeout in periods, multiplied by log2 of the fleet's size.
@@ -28,7 +27,7 @@
     /// The largest datagram in bytes.
     #[serde(rename = "datagram")]
     pub max_datagram_bytes: usize,
-    /// How long a manager may lag behind the fleet's majority before it reloads, in milliseconds;
+    /// How long a manager may be behind the fleet's majority before it reloads, in milliseconds;
     /// after twice this time it is shut out.
     pub grace_ms: u64,
 }
@@ -75,7 +74,7 @@
 }
 
 impl Timing {
-    /// Checks that the parameters fit together.
+    /// Checks that the parameters are in range and consistent.
     ///
     /// # Errors
     /// The first parameter that is out of its range.
@@ -123,9 +122,9 @@
     u64::from((fleet_size as u64 + 1).ilog2()).max(1)
 }
 
-/// An upper bound on the membership traffic of one manager in bytes a second while no member
-/// fails. On average each period brings three datagrams: the manager's own ping, one ack to the
-/// ping of another, and one sync request or page.
+/// An upper bound on the membership traffic of one manager in bytes per second while no member
+/// fails. On average a manager sends three datagrams per period: its own ping, one ack to the ping
+/// of another member, and one sync request or page.
 pub fn bandwidth_budget(timing: &Timing) -> u64 {
     3 * timing.max_datagram_bytes as u64 * SEC / timing.period()
 }
@@ -133,9 +132,9 @@
 /// The time from a member's crash within which every other member that receives gossip has declared
 /// it dead, exceeded by about one crash in fifty.
 ///
-/// The sum, in periods: four until some member probes it, exceeded with probability `e^-4`; one for
-/// that probe and one for the second probe before the suspicion; the suspicion timeout; one for the
-/// final probe; and log2 of the fleet's size for dissemination.
+/// It is the sum of these, in periods: four until any member probes it, exceeded with probability
+/// `e^-4`; one for that probe and one for the second probe before the suspicion; the suspicion
+/// timeout; one for the final probe; and log2 of the fleet's size for dissemination.
 pub fn detection_bound(timing: &Timing, members: usize) -> Micros {
     let dissemination_periods = fleet_scale(members);
     timing.suspicion_timeout(members) + (7 + dissemination_periods) * timing.period()
--- a/src/membership/version.rs
+++ b/src/membership/version.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 /// The [`RunningVersions::stage`] of a manager that excluded itself from the fleet's work because
-/// it is too far behind the majority.
+/// it has been behind the majority for too long.
 pub const SHUT_OUT: &str = "shut-out";
 
 /// The build, the settings and the endpoint list that a manager runs with.
@@ -12,9 +12,9 @@
     /// The build of the program.
     pub build: String,
     /// The generation of the settings: 1 at the start of the process, incremented by each reload.
-    /// Local to a process, so generations of two managers do not compare.
+    /// Local to a process, so the generations of two managers are not comparable.
     pub generation: u64,
-    /// The hash of the settings, which compares between managers.
+    /// The hash of the settings, which is comparable between managers.
     pub settings: u64,
     /// The number of the last event applied from the endpoint list.
     pub list: u64,
@@ -22,10 +22,10 @@
     pub stage: String,
 }
 
-/// The versions that more than half of the members run with.
+/// The versions of more than half of the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MajorityVersions {
-    /// The settings hash that more than half of the members share, if there is one.
+    /// The settings hash that more than half of the members have, if any.
     pub settings: Option<u64>,
     /// The newest endpoint list version that more than half of the members have reached; 0 without
     /// members.
@@ -33,8 +33,8 @@
 }
 
 impl MajorityVersions {
-    /// The majority among `members`, which should include dead members: a majority of the
-    /// reachable members alone may be a minority of the fleet.
+    /// The versions of the majority of `members`, which should include dead members: a majority of
+    /// the reachable members alone may be a minority of the fleet.
     pub fn of(members: &[&RunningVersions]) -> MajorityVersions {
         let half = members.len() / 2;
         MajorityVersions {
--- a/src/net/fleet/membership/version_guard.rs
+++ b/src/net/fleet/membership/version_guard.rs
@@ -42,7 +42,7 @@
             .map(|member| &member.update.versions)
             .collect();
         let me = &membership.me().versions;
-        let status = self.straggler.judge(me, &others, self.grace, now);
+        let status = self.straggler.evaluate(me, &others, self.grace, now);
         set_shut_out(shared, status == VersionStatus::ShutOut);
         match status {
             VersionStatus::BringUp if !self.reload_requested => {
--- a/tests/unit/membership.rs
+++ b/tests/unit/membership.rs
@@ -199,8 +199,8 @@
 /// The status at `now` of a manager that has run `me` among `others` since time 0.
 fn status_at(now: Micros, me: &RunningVersions, others: &[&RunningVersions]) -> VersionStatus {
     let mut straggler = Straggler::default();
-    straggler.judge(me, others, GRACE, 0);
-    straggler.judge(me, others, GRACE, now)
+    straggler.evaluate(me, others, GRACE, 0);
+    straggler.evaluate(me, others, GRACE, now)
 }
 
 #[test]
@@ -242,11 +242,11 @@
     let (me, ahead) = (versions(1, 3), versions(1, 9));
     let others = [&ahead, &ahead, &ahead, &me];
     assert_eq!(
-        straggler.judge(&me, &others, GRACE, 0),
+        straggler.evaluate(&me, &others, GRACE, 0),
         VersionStatus::Behind
     );
     assert_eq!(
-        straggler.judge(&me, &others, GRACE, GRACE),
+        straggler.evaluate(&me, &others, GRACE, GRACE),
         VersionStatus::BringUp
     );
 
@@ -254,11 +254,11 @@
     let others = [&moved_on, &moved_on];
 
     assert_eq!(
-        straggler.judge(&caught_up, &others, GRACE, 2 * GRACE),
+        straggler.evaluate(&caught_up, &others, GRACE, 2 * GRACE),
         VersionStatus::Behind
     );
     assert_eq!(
-        straggler.judge(&moved_on, &others, GRACE, 3 * GRACE),
+        straggler.evaluate(&moved_on, &others, GRACE, 3 * GRACE),
         VersionStatus::InStep
     );
 }
