--- a/src/net/dispatcher/commands.rs
+++ b/src/net/dispatcher/commands.rs
@@ -105,7 +105,7 @@
     fn request_probe(&mut self, now: Micros, engine: EngineId) {
         let is_delegated = self.lease_requests.as_ref().is_some_and(|lease_requests| {
             lease_requests
-                .try_send(ProbeRequest::LoadWanted { engine: engine.0 })
+                .try_send(ProbeRequest::LoadRequested { engine: engine.0 })
                 .is_ok()
         });
         if !is_delegated {
--- a/src/net/fleet/lease.rs
+++ b/src/net/fleet/lease.rs
@@ -1,5 +1,5 @@
-//! The leases of this manager on the fleet's socket: runs the voter, the candidate and the shared
-//! prober of [`crate::lease`] for the membership's actor. Started only with `[duties]` in the
+//! The lease service: runs the voter, the candidate and the shared prober of [`crate::lease`] for
+//! the membership actor, on the actor's socket. It is started only with `[duties]` in the
 //! operator's fleet file.
 use super::lease_members::{address_of, is_preferred_owner, preferred_member};
 use super::lease_view;
@@ -27,19 +27,20 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// The most requests of the dispatcher that wait. For further ones it probes engines itself.
+/// The maximum number of the dispatcher's requests that are queued. Beyond it the dispatcher probes
+/// engines itself.
 const MAX_PENDING_PROBE_REQUESTS: usize = 1_024;
-/// How long after the dispatcher's mailbox was full its events are sent again.
+/// The delay before undelivered events are sent again to the dispatcher after its mailbox was full.
 const REDELIVERY_MICROS: Micros = 5 * MS;
-/// The candidate is run at least this often while it has leases, because their preferred owners
-/// change with the fleet.
+/// The maximum interval between runs of the candidate while it has leases, because their preferred
+/// owners change with the fleet's members.
 const MAX_TICK_INTERVAL_MICROS: Micros = 50 * MS;
 
-/// What the dispatcher asks of or reports to the lease service.
+/// A request or a report of the dispatcher to the lease service.
 #[derive(Clone)]
 pub enum ProbeRequest {
-    /// The decision module wants an engine's load.
-    LoadWanted {
+    /// The decision module requests an engine's load.
+    LoadRequested {
         /// The id of the engine.
         engine: u64,
     },
@@ -47,7 +48,7 @@
     ProbeFinished {
         /// The id of the engine.
         engine: u64,
-        /// Its result; `None` if it could not be sent.
+        /// The result; `None` if the probe could not be sent.
         result: Option<ProbeResult>,
     },
 }
@@ -55,17 +56,19 @@
 /// Why the lease service could not start.
 #[derive(Debug, Error)]
 pub enum LeaseServiceError {
-    /// There is no folder for the voter's file.
+    /// The folder for the voter's file is not set.
     #[error(transparent)]
     StateFolder(#[from] StateFolderUnset),
     /// The thread that stores votes could not be started.
-    #[error("fleet: the votes' thread: {0}")]
+    #[error("fleet: failed to start the thread that stores votes: {0}")]
     VoteThread(#[source] io::Error),
 }
 
-/// The voter, the candidate and the prober of this manager, and their way to the dispatcher.
+/// The voter, the candidate and the prober of this manager, with their channels to and from the
+/// dispatcher.
 pub struct LeaseService {
-    /// `None` if this manager is not a voter, or must not vote.
+    /// `None` if this manager is not a voter, or must not vote because its stored votes can't be
+    /// read.
     voter: Option<Voter>,
     vote_store: VoteStore,
     candidate: Candidate,
@@ -73,18 +76,19 @@
     prober: SharedProber,
     probe_requests: Receiver<ProbeRequest>,
     dispatcher: Sender<DispatcherEvent>,
-    /// Events for which the dispatcher had no room yet. None may be dropped: the decision module
-    /// counts the probes that it ordered.
+    /// Events that the dispatcher's mailbox could not take so far. None may be dropped, because the
+    /// decision module counts the probes that it requested.
     undelivered: VecDeque<DispatcherEvent>,
     candidate_ran_at: Micros,
 }
 
 impl LeaseService {
-    /// Starts the service with the high-water marks that earlier incarnations of this voter
-    /// stored. The datagrams of votes that had to be stored first are given to `send`.
+    /// Starts the service with the high-water marks stored by earlier incarnations of this voter.
+    /// `send` is called with the datagrams of votes that had to be stored first.
     ///
     /// # Errors
-    /// If there is no folder for the voter's file, or its thread can't be started.
+    /// The folder for the voter's file is not set, or the thread that stores votes can't be
+    /// started.
     pub fn open(
         shared: &Rc<Shared>,
         holder: Holder,
@@ -119,13 +123,13 @@
         })
     }
 
-    /// The requests of the dispatcher, to be given to
+    /// The receiver of the dispatcher's requests, which the caller passes to
     /// [`on_probe_request`](Self::on_probe_request).
     pub fn probe_requests(&self) -> Receiver<ProbeRequest> {
         self.probe_requests.clone()
     }
 
-    /// When [`tick`](Self::tick) has something to do next.
+    /// The time of the next [`tick`](Self::tick) that has work to do.
     pub fn next_wakeup(&self) -> Option<Micros> {
         let redelivery = (!self.undelivered.is_empty()).then(|| clock::now() + REDELIVERY_MICROS);
         let wakeups = [
@@ -157,13 +161,14 @@
             actions: &mut actions,
         };
         match request {
-            ProbeRequest::LoadWanted { engine } => {
+            ProbeRequest::LoadRequested { engine } => {
                 match preferred_member(fleet, Resource::Probe(engine)) {
                     Some(owner) => {
                         let remote_owner = Some(owner).filter(|owner| *owner != fleet.me().name);
                         self.prober.request_load(engine, remote_owner, &mut context);
                     }
-                    // No member serves, as far as is known: as without leases.
+                    // Without a ready member this manager probes the engine itself, as it does
+                    // without leases.
                     None => actions.probe.push(ProbeAction::ProbeEngine { engine }),
                 }
             }
@@ -251,7 +256,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the time of the prober and of the candidate.
     pub fn tick(&mut self, fleet: &Membership, now: Micros, datagrams: &mut Vec<Datagram>) {
         let mut actions = PendingActions::default();
         self.prober.tick(now, &mut actions.probe);
@@ -273,7 +278,7 @@
         self.candidate.tick(is_preferred, now, actions);
     }
 
-    /// Releases every lease at once: the manager shuts down or takes no more clients.
+    /// Releases every lease immediately, when the manager shuts down or accepts no more clients.
     pub fn release_all(&mut self, fleet: &Membership, datagrams: &mut Vec<Datagram>) {
         let mut actions = PendingActions::default();
         self.candidate.release_all(&mut actions.lease);
@@ -303,8 +308,8 @@
     ) {
         match action {
             LeaseAction::Request { voter, request } => {
-                // This manager's own vote goes through the socket too: under a new token it has to
-                // be stored first, like any other.
+                // This manager's own vote is sent over the socket too, because under a new token it
+                // has to be stored first, like any other vote.
                 let to = if voter == fleet.me().name {
                     Some(fleet.me().addr)
                 } else {
@@ -388,7 +393,7 @@
         }
     }
 
-    /// Gives the dispatcher as many of the waiting events as it has room for.
+    /// Sends the undelivered events to the dispatcher until its mailbox is full.
     fn deliver_events(&mut self) {
         while let Some(event) = self.undelivered.pop_front() {
             match self.dispatcher.try_send(event) {
@@ -399,7 +404,8 @@
         }
     }
 
-    /// JSON lines for `GET /duties`: the leases held here first, then the others that were seen.
+    /// JSON lines for `GET /duties`: first the leases that this manager holds, then the others that
+    /// it has observed.
     pub fn view(&self, fleet: &Membership, now: Micros) -> String {
         let preferred_owner = |resource| preferred_member(fleet, resource).unwrap_or("");
         lease_view::json_lines(&self.candidate, &self.fence, preferred_owner, now)
@@ -418,8 +424,8 @@
     }
 }
 
-/// The voter with its stored high-water marks; `None` if they can't be read, since it could grant
-/// a token a second time without them.
+/// Creates the voter with its stored high-water marks. Returns `None` if they can't be read,
+/// because without them the voter could grant a token a second time.
 fn open_voter(path: &Path, config: &LeaseConfig, now: Micros) -> Option<Voter> {
     match load_votes(path) {
         Ok(stored) => Some(Voter::new(config.terms, stored, now)),
--- a/src/net/fleet/lease_members.rs
+++ b/src/net/fleet/lease_members.rs
@@ -1,10 +1,10 @@
-//! What the lease service reads of the membership: preferred owners and addresses.
+//! The membership data that the lease service uses: preferred owners and addresses.
 use crate::lease::{Resource, preferred_owner};
 use crate::membership::{MemberState, Membership};
 use std::net::SocketAddr;
 
-/// The member that should hold the lease on a resource, among all that are alive and ready, this
-/// manager included; `None` if no member is.
+/// The member that should hold the lease on a resource, among all members that are alive or
+/// suspected and whose stage is `ready`, including this manager; `None` if there is none.
 pub(super) fn preferred_member(fleet: &Membership, resource: Resource) -> Option<&str> {
     let is_alive = |state: MemberState| matches!(state, MemberState::Alive | MemberState::Suspect);
     let live_peers = fleet
@@ -23,7 +23,7 @@
     preferred_member(fleet, resource) == Some(&fleet.me().name)
 }
 
-/// The address of a member other than this one.
+/// The address of another member, by its name.
 pub(super) fn address_of(fleet: &Membership, name: &str) -> Option<SocketAddr> {
     fleet.members().get(name).map(|member| member.update.addr)
 }
--- a/src/net/fleet/lease_view.rs
+++ b/src/net/fleet/lease_view.rs
@@ -3,17 +3,17 @@
 use crate::lease::{Candidate, FencingGuard, FencingToken, HeldLease, Resource};
 use serde::Serialize;
 
-/// One row of `GET /duties`: a lease, as this manager knows it.
+/// One row of `GET /duties`: a lease, as recorded by this manager.
 #[derive(Serialize)]
 pub(super) struct LeaseRow {
     #[serde(rename = "duty")]
     pub(super) resource: String,
-    /// This manager if it holds the lease; else the preferred owner.
+    /// This manager if it holds the lease, otherwise the preferred owner.
     pub(super) member: String,
     /// Whether this manager holds the lease.
     #[serde(rename = "owns")]
     pub(super) is_held: bool,
-    /// The token of the held lease, or the highest token seen.
+    /// The token of the held lease, otherwise the highest token observed.
     pub(super) token: FencingToken,
     /// The time until the held lease expires, unless it is renewed, in milliseconds.
     #[serde(rename = "left_ms", skip_serializing_if = "Option::is_none")]
@@ -47,7 +47,7 @@
 }
 
 /// The rows as JSON lines: first the leases that this manager holds, then the others that it has
-/// seen, each by resource.
+/// observed, both ordered by resource.
 pub(super) fn json_lines<'a>(
     candidate: &Candidate,
     fence: &FencingGuard,
--- a/src/net/fleet/membership/actor.rs
+++ b/src/net/fleet/membership/actor.rs
@@ -1,5 +1,5 @@
-//! The event loop of the fleet's actor: it waits for a datagram, a request of the dispatcher or a
-//! timeout, passes it to the state machines, and carries out what they ask for.
+//! The event loop of the membership actor: it waits for a datagram, a request of the dispatcher or
+//! a timeout, passes it to the state machines, and carries out the actions that they return.
 use super::MembershipService;
 use super::gateway_count::GatewayCountPublisher;
 use super::version_guard::VersionGuard;
@@ -22,13 +22,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The minimum interval between two lease views, each of which ranks all members for each lease.
+/// The minimum interval between two lease views, because each one ranks all members for each lease.
 const LEASE_VIEW_INTERVAL: Micros = 200 * MS;
-/// How long nothing is received after an error of the socket.
+/// How long the actor pauses receiving after a socket error.
 const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(100);
-/// The interval between two fleet views while no member changes its state.
+/// The minimum interval between two fleet views while no member changes its state.
 const FLEET_VIEW_INTERVAL: Micros = 100 * MS;
-/// Why the actor woke up.
+/// The reason why the actor woke up.
 enum WakeReason {
     /// A datagram of `length` bytes is in the buffer.
     Datagram { length: usize, from: SocketAddr },
@@ -54,14 +54,14 @@
     }
 }
 
-/// What one turn of the actor has to carry out.
+/// The datagrams and actions to carry out after one event.
 #[derive(Default)]
 struct Outbox {
     lease_datagrams: Vec<LeaseDatagram>,
     actions: Vec<Action>,
 }
 
-/// The state machines of the fleet with the socket that they share.
+/// The state machines of membership and leases, with their shared socket.
 pub(super) struct MembershipActor {
     shared: Rc<Shared>,
     socket: Rc<Async<UdpSocket>>,
@@ -107,9 +107,9 @@
         }
     }
 
-    /// Handles events until the process stops, and announces the departure then.
+    /// Handles events until the process stops, then announces this manager's departure.
     pub(super) async fn run(mut self) {
-        // One byte more than the limit, so that a longer datagram is recognized.
+        // One byte more than the limit, so that a datagram over the limit is detected.
         let mut buffer = vec![0; self.max_datagram_bytes + 1];
         loop {
             let reason = self.next_event(&mut buffer).await;
@@ -139,7 +139,7 @@
         let datagram = async {
             match self.socket.recv_from(buffer).await {
                 Ok((length, from)) => WakeReason::Datagram { length, from },
-                // An error that lasts must not make this loop spin.
+                // The pause keeps a persistent error from causing a busy loop.
                 Err(_) => {
                     Timer::after(RECEIVE_ERROR_PAUSE).await;
                     WakeReason::Timer
@@ -209,7 +209,7 @@
             return;
         };
         leases.tick(&self.membership, now, &mut out.lease_datagrams);
-        // A manager that accepts no clients releases its leases at once.
+        // A manager that accepts no clients releases its leases immediately.
         if !self.shared.lifecycle.borrow().is_ready() {
             leases.release_all(&self.membership, &mut out.lease_datagrams);
         }
@@ -237,8 +237,8 @@
         self.shared.traffic.send(self.socket.get_ref(), to, bytes);
     }
 
-    /// Publishes what follows from the members: the version status, the number of active gateways
-    /// and the views of the admin endpoint.
+    /// Publishes the values derived from the members: the version status, the number of active
+    /// gateways and the views of the admin endpoint.
     fn publish(&mut self, state_changed: bool, now: Micros) {
         let version_status = self
             .version_guard
@@ -295,7 +295,8 @@
     }
 }
 
-/// Opens the leases on the actor's socket. On failure the manager does all fleet work itself.
+/// Starts the lease service on the actor's socket. If that fails, leases are disabled and the
+/// manager probes engines itself.
 fn open_leases(
     config: &LeaseConfig,
     service: &MembershipService,
--- a/src/net/fleet/membership/gateway_count.rs
+++ b/src/net/fleet/membership/gateway_count.rs
@@ -1,4 +1,4 @@
-//! Publishes the number of managers that share the engines to the dispatcher.
+//! Sends the number of managers that share the engines to the dispatcher.
 use crate::clock::Micros;
 use crate::log;
 use crate::membership::{ActiveGatewayCount, Membership};
@@ -9,13 +9,14 @@
     count: ActiveGatewayCount,
     grace: Micros,
     configured: u32,
-    /// The count that the dispatcher knows.
+    /// The count that was last sent to the dispatcher.
     published: u32,
     dispatcher: Sender<DispatcherEvent>,
 }
 
 impl GatewayCountPublisher {
-    /// Starts with the number of managers in the settings, which the dispatcher knows.
+    /// Starts with the number of managers in the settings, which the dispatcher starts with as
+    /// well.
     pub(super) fn new(
         configured: u32,
         grace: Micros,
@@ -30,8 +31,8 @@
         }
     }
 
-    /// Counts at `now` and publishes a changed count. If the dispatcher's mailbox is full, a later
-    /// update publishes it: this actor never waits for the dispatcher.
+    /// Updates the count at `now` and sends it if it changed. If the dispatcher's mailbox is full,
+    /// a later update sends it, because the membership actor never waits for the dispatcher.
     pub(super) fn update(&mut self, membership: &Membership, now: Micros) {
         let others = membership.members().values().map(|member| &member.update);
         let count = self.count.count(membership.me(), others, self.grace, now);
--- a/src/net/fleet/membership/mod.rs
+++ b/src/net/fleet/membership/mod.rs
@@ -1,6 +1,6 @@
-//! The actor of the fleet: it owns the UDP socket between managers and drives the membership
-//! protocol of [`crate::membership`] and, if configured, the leases of [`crate::lease`]. It runs
-//! only with a fleet file.
+//! The membership actor: it owns the UDP socket for datagrams between managers and runs the
+//! membership protocol of [`crate::membership`] and, if configured, the leases of [`crate::lease`].
+//! It runs only with a fleet file.
 mod actor;
 mod gateway_count;
 mod version_guard;
@@ -22,12 +22,12 @@
 use std::rc::Rc;
 pub use view::{FleetView, MemberRow};
 
-/// The interval between attempts to bind an address that the previous process still holds.
+/// The interval between attempts to bind an address that the predecessor still uses.
 const BIND_RETRY_INTERVAL: Micros = 100 * MS;
 
 /// The address can't be bound.
 #[derive(Debug, thiserror::Error)]
-#[error("fleet: can't take datagrams at {address}: {source}")]
+#[error("fleet: failed to bind the UDP socket for datagrams at {address}: {source}")]
 pub struct BindError {
     /// The local address.
     pub address: SocketAddr,
@@ -45,16 +45,17 @@
         .map_err(|source| BindError { address, source })
 }
 
-/// What makes a manager a hollow node: one of many managers in one process, without engines and
-/// clients.
+/// The state of a manager that is a hollow node: one of many managers in one process, without
+/// engines and clients.
 pub struct Hollow {
-    /// The directory for the files that it reads again after a restart.
+    /// The directory for the files that the manager reads after a restart.
     pub folder: PathBuf,
-    /// The number of requested reloads, which take the place of SIGHUP to the process.
+    /// The number of requested reloads, which are counted here instead of sending SIGHUP to the
+    /// process.
     pub reloads: Cell<u64>,
 }
 
-/// The parameters of the fleet's actor.
+/// The parameters of the membership actor.
 pub struct MembershipService {
     /// The manager's name.
     pub name: String,
@@ -67,13 +68,14 @@
     pub configured_gateways: u32,
     /// The dispatcher, which is notified of the number of active gateways and of leases.
     pub dispatcher: Sender<DispatcherEvent>,
-    /// The coordinator's actor, which reads the endpoint list again when it is behind.
+    /// The coordinator's actor, which is told to read the endpoint list again when this manager is
+    /// behind the majority.
     pub coordinator: Sender<CoordinatorMigration>,
 }
 
 impl MembershipService {
-    /// Runs until the process stops. Without a socket it first waits until the previous process
-    /// releases `bind_address`.
+    /// Runs until the process stops. Without a socket it first retries until it can bind
+    /// `bind_address`, which the predecessor uses until it exits.
     pub async fn run(
         self,
         shared: Rc<Shared>,
--- a/src/net/fleet/membership/version_guard.rs
+++ b/src/net/fleet/membership/version_guard.rs
@@ -1,5 +1,5 @@
-//! Keeps this manager on the versions of the fleet's majority: a straggler reloads, and is shut out
-//! while it stays behind.
+//! Keeps this manager at the versions of the fleet's majority: a straggler reloads, and is shut out
+//! if it remains behind.
 use crate::clock::Micros;
 use crate::log;
 use crate::membership::{MemberState, Membership, RunningVersions, Straggler, VersionStatus};
@@ -12,7 +12,7 @@
 pub(super) struct VersionGuard {
     straggler: Straggler,
     grace: Micros,
-    /// Whether a reload was requested since the manager was last in step.
+    /// Whether a reload was requested since the status was last `InStep`.
     reload_requested: bool,
     /// The coordinator's actor, which reconnects to read the endpoint list again.
     coordinator: Sender<CoordinatorMigration>,
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Judges the versions at `now`, reacts, and returns the status.
+    /// Evaluates the versions at `now`, carries out the required reload or exclusion, and returns
+    /// the status.
     pub(super) fn update(
         &mut self,
         shared: &Shared,
@@ -55,14 +56,16 @@
         status
     }
 
-    /// Reloads the settings as SIGHUP does, and reads the endpoint list on a new connection.
+    /// Reloads the settings as SIGHUP does, and reads the endpoint list over a new connection to
+    /// the coordinator.
     fn request_reload(&self, shared: &Shared) {
-        log!("fleet: behind the majority: reading the configuration and the list again");
+        log!("fleet: behind the majority: reloading the settings and the endpoint list");
         let reconnect = CoordinatorMigration {
             addr: None,
             known: Vec::new(),
         };
-        // A full mailbox holds another migration, which reads the list again as well.
+        // A full mailbox contains another migration, which causes the list to be read again as
+        // well.
         let _ = self.coordinator.try_send(reconnect);
         match shared.hollow.get() {
             Some(hollow) => hollow.reloads.set(hollow.reloads.get() + 1),
@@ -80,8 +83,8 @@
     }
     shared.lifecycle.borrow_mut().set_excluded(shut_out);
     if shut_out {
-        log!("fleet: behind the majority: shut out");
+        log!("fleet: still behind the majority: this manager shuts itself out");
     } else {
-        log!("fleet: in step with the majority again");
+        log!("fleet: no longer shut out");
     }
 }
--- a/src/net/fleet/membership/view.rs
+++ b/src/net/fleet/membership/view.rs
@@ -1,4 +1,4 @@
-//! What `GET /fleet` shows: the members as this manager sees them.
+//! The rows of `GET /fleet`: the members as recorded by this manager.
 use crate::clock::{MS, Micros};
 use crate::membership::{MemberUpdate, Membership, VersionStatus};
 use serde::Serialize;
@@ -6,21 +6,21 @@
 /// One member: a line of `GET /fleet`.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberRow {
-    /// Whether it is the manager that answers.
+    /// Whether it is the manager that returns the row.
     #[serde(rename = "self")]
     pub is_self: bool,
     /// The member's latest update.
     #[serde(flatten)]
     pub update: MemberUpdate,
-    /// The time since the member entered its state, in milliseconds; 0 for the manager that
-    /// answers.
+    /// The time since the member entered its state, in milliseconds; 0 for the manager that returns
+    /// the row.
     pub since_ms: u64,
 }
 
 /// A snapshot of the fleet.
 #[derive(Clone, Debug, Serialize)]
 pub struct FleetView {
-    /// The manager that answers first, then the others by name.
+    /// This manager first, then the others by name.
     pub members: Vec<MemberRow>,
     /// How this manager's versions compare to the majority's.
     #[serde(rename = "standing")]
--- a/src/net/fleet/mod.rs
+++ b/src/net/fleet/mod.rs
@@ -1,5 +1,4 @@
-//! The actors of the fleet: membership, leases, and the accounting of the datagrams between
-//! managers.
+//! Membership and leases over the network, and the accounting of the datagrams between managers.
 pub mod lease;
 mod lease_members;
 mod lease_view;
--- a/src/net/fleet/traffic.rs
+++ b/src/net/fleet/traffic.rs
@@ -1,5 +1,5 @@
-//! Accounting of the datagrams that the fleet's actor sends and receives. Tests read the counts, and
-//! may block datagrams on their way out to simulate a partition.
+//! Accounting of the datagrams that the membership actor sends and receives. Tests read the counts,
+//! and may block outgoing datagrams to simulate a partition.
 use crate::lease::codec as lease_codec;
 use serde::Serialize;
 use std::cell::{Cell, OnceCell};
@@ -8,17 +8,17 @@
 /// The bytes of the IPv4 and UDP headers of one datagram.
 pub const IP_UDP_HEADER_BYTES: u64 = 28;
 
-/// A number of datagrams and the size of their payloads.
+/// A number of datagrams and the total size of their payloads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Flow {
     /// The number of datagrams.
     pub datagrams: u64,
-    /// The payloads in bytes.
+    /// The total size of the payloads in bytes.
     pub bytes: u64,
 }
 
 impl Flow {
-    /// This flow with one more datagram of `bytes`.
+    /// Returns this flow with one more datagram of `bytes` added.
     #[must_use]
     pub fn with_datagram(self, bytes: usize) -> Flow {
         Flow {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The size in bytes with the headers of IP and UDP.
+    /// The size in bytes, including the IP and UDP headers.
     pub fn wire_bytes(self) -> u64 {
         self.bytes + self.datagrams * IP_UDP_HEADER_BYTES
     }
@@ -64,10 +64,10 @@
     /// Received lease datagrams.
     #[serde(rename = "duties_received")]
     pub lease_received: Flow,
-    /// The part of the sent datagrams that the filter blocked.
+    /// The sent datagrams that the filter blocked.
     #[serde(rename = "cut")]
     pub blocked: Flow,
-    /// Datagrams that the socket did not accept, which are not counted as sent.
+    /// Datagrams that the socket did not accept. They are not counted as sent.
     #[serde(rename = "refused")]
     pub send_failed: Flow,
 }
@@ -83,7 +83,7 @@
         self.membership_received.plus(self.lease_received)
     }
 
-    /// The sum of two readings, as of a manager before and after its restart.
+    /// The sum of two readings, for example of a manager before and after its restart.
     #[must_use]
     pub fn plus(&self, other: &TrafficCounts) -> TrafficCounts {
         self.combine(other, Flow::plus)
@@ -111,7 +111,7 @@
     }
 }
 
-/// Tells whether datagrams to an address are blocked.
+/// A function that returns whether datagrams to an address are blocked.
 type BlockFilter = Box<dyn Fn(SocketAddr) -> bool>;
 
 /// The counters of one manager.
@@ -128,13 +128,13 @@
     }
 
     /// Blocks all further datagrams to the addresses for which `is_blocked` returns true. The first
-    /// filter stays for good.
+    /// filter can't be replaced.
     pub fn block(&self, is_blocked: impl Fn(SocketAddr) -> bool + 'static) {
         let _ = self.block_filter.set(Box::new(is_blocked));
     }
 
-    /// Sends a datagram and counts it. A full socket buffer loses the datagram, as the network may;
-    /// the protocols tolerate that.
+    /// Sends a datagram and counts it. If the socket buffer is full, the datagram is lost, which
+    /// the protocols tolerate like a loss in the network.
     pub fn send(&self, socket: &UdpSocket, to: SocketAddr, bytes: &[u8]) {
         let is_blocked = self
             .block_filter
--- a/src/net/fleet/versions.rs
+++ b/src/net/fleet/versions.rs
@@ -1,20 +1,21 @@
-//! The versions that this process runs with: its build, the hash of its settings, its stage.
+//! The versions that this process runs with, which include its build, the hash of its settings and
+//! its stage.
 use crate::audit::ActiveConfiguration;
 use crate::membership::{RunningVersions, SHUT_OUT};
 use crate::net::Shared;
 use sha2::{Digest, Sha256};
 
-/// The build id unless `YOKELIFT_BUILD_ID` was set when the program was compiled.
+/// The build id if `YOKELIFT_BUILD_ID` was not set when the program was compiled.
 const LOCAL_BUILD_ID: &str = "local";
 
-/// The build of this program: the version of the package and the id that was given to the build.
+/// The build of this program: the version of the package and the build id.
 pub fn build_id() -> String {
     let id = option_env!("YOKELIFT_BUILD_ID").unwrap_or(LOCAL_BUILD_ID);
     format!("{}+{id}", env!("CARGO_PKG_VERSION"))
 }
 
-/// A hash of the settings in a configuration. It leaves out the manager's own name and addresses,
-/// so it is equal on all managers with equal settings.
+/// A hash of the settings in a configuration. It excludes the manager's own name and addresses, so
+/// it is equal on all managers with equal settings.
 pub fn settings_hash(config: &serde_json::Value) -> u64 {
     let settings = config.get("settings").unwrap_or(config);
     let digest = Sha256::digest(settings.to_string().as_bytes());
@@ -23,7 +24,7 @@
     u64::from_be_bytes(prefix)
 }
 
-/// The versions that the process of `shared` runs with now.
+/// The versions that the process of `shared` currently runs with.
 pub(super) fn running_versions(shared: &Shared) -> RunningVersions {
     let ActiveConfiguration {
         generation,
--- a/src/net/fleet/vote_store.rs
+++ b/src/net/fleet/vote_store.rs
@@ -1,5 +1,5 @@
-//! The file in which a voter keeps its token high-water marks over restarts, and the thread that
-//! writes it: a vote under a new token is sent once the token is on disk.
+//! The file that preserves a voter's token high-water marks across restarts, and the thread that
+//! writes it. A vote under a new token is sent only after the token was written to the file.
 use crate::clock;
 use crate::lease::TokenHighWaterMarks;
 use crate::lease::codec::Datagram;
@@ -9,16 +9,16 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The most votes that wait to be stored. Further ones are dropped, as if their datagrams were
-/// lost.
+/// The maximum number of votes that wait to be stored. Further ones are dropped, as if their
+/// datagrams were lost.
 const MAX_PENDING_VOTES: usize = 64;
 
 const CHECKSUM: crc::Crc<u32> = crc::Crc::<u32>::new(&crc::CRC_32_ISCSI);
 
-/// Why the stored high-water marks can't be used.
+/// The reason why the stored high-water marks can't be used.
 #[derive(Debug, Error)]
 pub(super) enum VoteStoreError {
-    /// The file is there but can't be read.
+    /// The file exists but can't be read.
     #[error("{}: {source}", path.display())]
     Read {
         /// The file.
@@ -36,12 +36,12 @@
     },
 }
 
-/// The high-water marks that an earlier incarnation of this voter stored; none if there is no
-/// file.
+/// Loads the high-water marks that an earlier incarnation of this voter stored; there are none
+/// without a file.
 ///
 /// # Errors
-/// If the file is there but can't be read. This manager must not vote then: the file may have held
-/// higher tokens than the voter would start with.
+/// The file exists but can't be read, or is damaged. This manager must not vote then, because the
+/// file may contain higher tokens than the voter would start with.
 pub(super) fn load_votes(path: &Path) -> Result<TokenHighWaterMarks, VoteStoreError> {
     let bytes = match std::fs::read(path) {
         Ok(bytes) => bytes,
@@ -59,7 +59,7 @@
     })
 }
 
-/// Replaces the file as a whole: a reader finds the old content or the new one.
+/// Replaces the file atomically: a reader finds either the old content or the new one.
 pub(super) fn store_votes(path: &Path, high_water_marks: &TokenHighWaterMarks) -> io::Result<()> {
     let bytes = postcard::to_allocvec_crc32(high_water_marks, CHECKSUM.digest())
         .map_err(io::Error::other)?;
@@ -74,29 +74,29 @@
     datagram: Datagram,
 }
 
-/// The way to the thread that stores votes. The thread ends when this is dropped.
+/// The handle of the thread that stores votes. The thread ends when it is dropped.
 pub(super) struct VoteStore {
     pending: Sender<PendingVote>,
 }
 
 impl VoteStore {
-    /// Starts the thread that writes the file. The datagrams of votes that were stored come out of
-    /// the receiver.
+    /// Starts the thread that writes the file. The receiver returns the datagrams of the votes that
+    /// were stored.
     ///
     /// # Errors
-    /// If the thread can't be started.
+    /// The thread can't be started.
     pub(super) fn start(path: PathBuf) -> io::Result<(VoteStore, Receiver<Datagram>)> {
         let (pending, pending_votes) = bounded::<PendingVote>(MAX_PENDING_VOTES);
         let (stored, stored_votes) = bounded::<Datagram>(MAX_PENDING_VOTES);
         let write_votes = move || {
             while let Ok(vote) = pending_votes.recv_blocking() {
                 clock::turn();
-                // A vote that can't be stored is not sent: after a restart this voter could give
-                // the same token to another holder.
+                // A vote that can't be stored is not sent, because after a restart this voter could
+                // grant the same token to another holder.
                 match store_votes(&path, &vote.high_water_marks) {
                     Ok(()) => drop(stored.try_send(vote.datagram)),
                     Err(error) => log!(
-                        "lease: votes can't be stored in {}: {error}",
+                        "lease: failed to store votes in {}: {error}",
                         path.display()
                     ),
                 }
@@ -108,8 +108,8 @@
         Ok((VoteStore { pending }, stored_votes))
     }
 
-    /// Stores the high-water marks, then releases the datagram of the vote. Without room the vote
-    /// is dropped, as if the datagram were lost.
+    /// Stores the high-water marks, then passes the datagram of the vote to the receiver. If the
+    /// queue is full, the vote is dropped, as if the datagram were lost.
     pub(super) fn store_then_send(
         &self,
         high_water_marks: TokenHighWaterMarks,
--- a/src/testkit/scale/hollow_module.rs
+++ b/src/testkit/scale/hollow_module.rs
@@ -116,7 +116,7 @@
     fn want_some_load(&mut self) {
         self.counters.wants.set(self.counters.wants.get() + 1);
         let engine = 1 + self.random_below(self.plan.engines);
-        self.send(ProbeRequest::LoadWanted { engine });
+        self.send(ProbeRequest::LoadRequested { engine });
     }
 
     /// Sends a request to the node's lease service, if it has one.
