--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -1,7 +1,7 @@
 //! Leases between real daemons on loopback: the lease holder of an engine probes it on behalf of
-//! five managers; a holder that is suspended past the end of its lease, cut off, killed or shut
-//! down does no harm, and another one takes over. The stand-in engines tell managers apart by the
-//! address they connect to.
+//! five managers. If the holder is suspended past the end of its lease, partitioned, killed or shut
+//! down, another manager acquires the lease under a higher token, and no token is held twice. The
+//! stand-in engines distinguish managers by the address that they connect to.
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use std::cell::Cell;
@@ -24,19 +24,19 @@
     token: u64,
 }
 
-/// When a lease was acquired, as the audit tells.
+/// A lease acquisition from the audit report.
 struct AcquiredLease {
     member: String,
     /// In microseconds of Unix time.
     acquired_at: u64,
 }
 
-/// Five managers that take themselves for some of 300, so that each wants load reports before it
-/// dispatches. All five are voters.
+/// Starts five managers whose settings name 300 managers, so that each requests load reports before
+/// it dispatches. All five are voters.
 fn start(tag: &str, seed: u64) -> Fleet {
     let voters: Vec<String> = ALL.iter().map(|i| format!("\"{tag}{i}\"")).collect();
-    // A lease holder gets all the time that a slow machine needs to answer: whoever is not answered
-    // probes the engine itself, and that is counted here.
+    // The long timeout lets a lease holder reply even on a slow machine: a manager without a reply
+    // probes the engine itself, and the tests count such probes.
     let timing = "[duties.terms]\nterm_ms = 1000\ndrift = 20\nmargin_ms = 50\nask_ms = 20000\n";
     let fleet_file = format!(
         "[audit]\n[duties]\nvoters = [{}]\n{timing}",
@@ -55,14 +55,14 @@
     fleet
 }
 
-/// All members but one.
-fn others_than(excluded: usize) -> Vec<usize> {
+/// All members except one.
+fn all_except(excluded: usize) -> Vec<usize> {
     ALL.into_iter()
         .filter(|member| *member != excluded)
         .collect()
 }
 
-/// Sends each of the members a query, for which it may want the engines' loads.
+/// Sends each of the members a query, for which it may request the engines' loads.
 fn send_queries(fleet: &Fleet, members: &[usize]) {
     for member in members {
         let number = NEXT_REQUEST.with(|next| next.replace(next.get() + 1));
@@ -75,7 +75,7 @@
     }
 }
 
-/// The token under which a member says that it holds the lease.
+/// The token under which a member reports that it holds the lease.
 fn held_token(fleet: &Fleet, member: usize) -> Option<u64> {
     let (status, body) = fleet.admin_get(member, "/duties")?;
     if status != 200 {
@@ -88,7 +88,7 @@
     row["token"].as_u64()
 }
 
-/// The members that say that they hold the lease.
+/// The members that report that they hold the lease.
 fn lease_holders(fleet: &Fleet, members: &[usize]) -> Vec<LeaseHolder> {
     let holder = |member: &usize| {
         let member = *member;
@@ -97,7 +97,7 @@
     members.iter().filter_map(holder).collect()
 }
 
-/// Sends queries to all these members until one of them holds the lease.
+/// Sends queries to all `members` until one of them holds the lease.
 fn await_lease_holder(fleet: &Fleet, members: &[usize]) -> LeaseHolder {
     await_lease_holder_among(fleet, members, members)
 }
@@ -112,13 +112,13 @@
     };
     assert!(
         eventually(is_found),
-        "nobody holds the lease: {}",
+        "no member holds the lease: {}",
         fleet.logs()
     );
     found.get().expect("found")
 }
 
-/// How many probes of each member have reached the engine.
+/// The number of probes from each member that reached the engine.
 fn probes_by_member(fleet: &Fleet) -> Vec<usize> {
     fleet.with_stand_ins(|world| {
         ALL.iter()
@@ -127,8 +127,8 @@
     })
 }
 
-/// The leases on [`RESOURCE`] by token, from the audit of all members that answer. Fails if a token
-/// was held twice, or a higher token was acquired before a lower one.
+/// The leases on [`RESOURCE`] by token, from the audit of all members that respond. Fails if a
+/// token was held twice, or a higher token was acquired before a lower one.
 fn lease_history(fleet: &Fleet) -> BTreeMap<u64, AcquiredLease> {
     let mut command = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
     command
@@ -152,7 +152,8 @@
     history
 }
 
-/// While one manager holds the lease, no other one probes the engine, and all requests are served.
+/// While one manager holds the lease, no other one probes the engine, and no request is rejected or
+/// cut off.
 #[test]
 fn only_the_lease_holder_probes_an_engine() {
     let fleet = start("one", 21);
@@ -163,11 +164,11 @@
             send_queries(&fleet, &ALL);
         }
         let after = probes_by_member(&fleet);
-        // It takes until all have found the holder: one that found none a moment ago probes the
+        // The members need some time to find the holder: one that did not find it before probes the
         // engine itself for a second.
         let holder_stayed = lease_holders(&fleet, &ALL) == [holder];
         let holder_probed = after[holder.member] > before[holder.member];
-        let mut others = others_than(holder.member).into_iter();
+        let mut others = all_except(holder.member).into_iter();
         holder_stayed && holder_probed && others.all(|member| after[member] == before[member])
     };
 
@@ -175,17 +176,17 @@
     assert!(!lease_history(&fleet).is_empty());
 }
 
-/// The holder is suspended past the end of its lease while others ask it, and another manager
-/// acquires the lease. When the first one resumes, the requests that wait in its socket make it
-/// probe nothing and report nothing that is accepted.
+/// The holder is suspended past the end of its lease while others send it requests, and another
+/// manager acquires the lease. When the first one resumes and receives the requests queued in its
+/// socket, it neither probes the engine nor reports a result that is accepted.
 #[test]
 fn a_lease_holder_suspended_past_its_lease_probes_nothing_when_it_resumes() {
     let fleet = start("late", 22);
     let first = await_lease_holder(&fleet, &ALL);
-    let others = others_than(first.member);
+    let others = all_except(first.member);
 
     fleet.signal(first.member, Signal::STOP);
-    // The others ask it once more, and wait in vain.
+    // The others send it further requests, which remain without a reply.
     send_queries(&fleet, &others);
     let second = await_lease_holder(&fleet, &others);
     assert!(
@@ -198,7 +199,7 @@
     let ended = format!("lease: ended {RESOURCE}, fencing token {}", first.token);
     assert!(eventually(|| fleet.log(first.member).contains(&ended)));
 
-    // It answers the requests that had waited by saying that it does not hold the lease.
+    // It rejects the queued requests, because it does not hold the lease.
     let after = probes_by_member(&fleet);
     assert_eq!(
         after[first.member],
@@ -212,25 +213,26 @@
     assert_eq!(holder_under(second.token), Some(fleet.name(second.member)));
 }
 
-/// A holder on the minority side can't renew and holds nothing once its lease has ended; the
-/// majority side has another holder under a higher token; after the partition there is one holder.
+/// A holder on the minority side can't renew its lease and holds none after its end; the majority
+/// side has another holder under a higher token; after the partition there is one holder.
 #[test]
 fn the_minority_side_of_a_partition_holds_no_lease() {
     let fleet = start("sides", 23);
     let first = await_lease_holder(&fleet, &ALL);
-    let companion = (first.member + 1) % MEMBERS;
+    let minority_peer = (first.member + 1) % MEMBERS;
     let (minority, majority): (Vec<usize>, Vec<usize>) = ALL
         .into_iter()
-        .partition(|member| [first.member, companion].contains(member));
+        .partition(|member| [first.member, minority_peer].contains(member));
 
     let mut faults = Faults::default();
     faults.partition(&minority, &majority);
     fleet.fault_proxy.set_faults(faults);
-    // The minority is queried all along: its holder has no other cause to release the lease.
+    // The minority receives queries during the whole partition, so that its holder has no other
+    // reason to release the lease.
     let second = await_lease_holder_among(&fleet, &ALL, &majority);
 
     assert!(second.token > first.token, "{second:?} after {first:?}");
-    // The minority's members go on probing engines themselves; none of them holds the lease.
+    // The minority's members continue to probe engines themselves; none of them holds the lease.
     for _ in 0..20 {
         send_queries(&fleet, &minority);
         assert!(
@@ -250,15 +252,15 @@
     lease_history(&fleet);
 }
 
-/// After SIGTERM and after SIGKILL of the holder another manager acquires the lease under a higher
-/// token, and a restarted voter has kept what it granted.
+/// After SIGTERM and after SIGKILL of the holder, another manager acquires the lease under a higher
+/// token, also when a voter has been restarted.
 #[test]
-fn a_lease_passes_on_when_its_holder_is_shut_down_or_killed() {
+fn another_member_acquires_the_lease_when_its_holder_is_shut_down_or_killed() {
     let mut fleet = start("ends", 24);
     let first = await_lease_holder(&fleet, &ALL);
 
     fleet.signal(first.member, Signal::TERM);
-    let second = await_lease_holder(&fleet, &others_than(first.member));
+    let second = await_lease_holder(&fleet, &all_except(first.member));
     assert!(second.member != first.member && second.token > first.token);
     fleet.kill(first.member);
     fleet.kill(second.member);
@@ -268,7 +270,7 @@
         "{}",
         fleet.log(first.member)
     );
-    let third = await_lease_holder(&fleet, &others_than(second.member));
+    let third = await_lease_holder(&fleet, &all_except(second.member));
 
     assert!(third.token > second.token, "{third:?} after {second:?}");
     lease_history(&fleet);
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,6 +1,6 @@
-//! Membership between real daemons on loopback, with a fault proxy between them: stops, kills,
-//! restarts, a hot restart, partitions and stragglers. Each manager's view is read from `GET /fleet`
-//! of its admin endpoint.
+//! Membership between real daemons on loopback, connected through a fault proxy: stopped, killed
+//! and restarted daemons, a hot restart, datagram loss, a partition and stragglers. The tests read
+//! each manager's view from `GET /fleet` of its admin endpoint.
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::path::Path;
@@ -13,12 +13,12 @@
 /// Shares that differ from those of the start.
 const NEW_SHARES: TenantShares = TenantShares::new(0.55, 0.45);
 
-/// Starts a fleet and waits until all managers know each other.
+/// Starts a fleet and waits until it has converged.
 fn converged_fleet(tag: &str, seed: u64) -> Fleet {
     let fleet = Fleet::start(Path::new(env!("CARGO_BIN_EXE_yokelift")), tag, seed);
     assert!(
         eventually(|| fleet.has_converged(&ALL)),
-        "no agreement: {}",
+        "the fleet did not converge: {}",
         fleet.logs()
     );
     fleet
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_new_settings_generation_is_seen_by_the_other_daemons() {
+fn a_new_settings_generation_reaches_the_other_daemons() {
     let fleet = converged_fleet("gen", 1);
     assert!(eventually(|| generation(&fleet, 4, 1) == Some(1)));
 
@@ -89,13 +89,16 @@
         .all(
             |observer| fleet.state_of(*observer, 2).as_deref() == Some("Dead")
         )));
-    assert!(fleet.has_converged(&others), "a live one was declared dead");
+    assert!(
+        fleet.has_converged(&others),
+        "a running member was declared dead"
+    );
 
     fleet.signal(2, Signal::CONT);
 
     assert!(
         eventually(|| fleet.has_converged(&ALL)),
-        "it did not come back"
+        "the stopped member did not rejoin"
     );
 }
 
@@ -114,14 +117,14 @@
     assert!(incarnation(&fleet, 0, 3).expect("known") > first);
 }
 
-/// The successor of a hot restart starts while the older process still holds the fleet's address,
-/// and becomes the member, under a higher incarnation, once that process has ended.
+/// The successor of a hot restart starts while the predecessor still uses the fleet's address, and
+/// becomes the member, under a higher incarnation, after the predecessor has exited.
 #[test]
-fn a_hot_restart_hands_the_membership_to_the_successor() {
+fn a_hot_restart_transfers_the_membership_to_the_successor() {
     let mut fleet = converged_fleet("seat", 7);
     let first = incarnation(&fleet, 0, 1).expect("known");
 
-    let mut older = fleet.start_successor(1).expect("it runs");
+    let mut predecessor = fleet.start_successor(1).expect("the successor starts");
     assert!(
         eventually(|| fleet.readiness_status(1) == Some(200)),
         "{}",
@@ -130,11 +133,16 @@
     assert_eq!(
         fleet.admin_get(1, "/fleet").map(|(status, _)| status),
         Some(404),
-        "the older process is still the member"
+        "the predecessor is still the member"
     );
-    let pid = Pid::from_raw(older.id() as i32).expect("a pid");
+    let pid = Pid::from_raw(predecessor.id() as i32).expect("a pid");
     kill_process(pid, Signal::TERM).expect("signalled");
-    assert!(older.wait().expect("its end").success());
+    assert!(
+        predecessor
+            .wait()
+            .expect("the exit status of the predecessor")
+            .success()
+    );
 
     assert!(
         eventually(|| incarnation(&fleet, 0, 1) > Some(first) && fleet.has_converged(&ALL)),
@@ -184,14 +192,15 @@
 
     assert!(
         eventually(|| fleet.has_converged(&ALL)),
-        "no agreement after the heal"
+        "the fleet did not converge after the partition"
     );
 }
 
-/// A manager that missed its SIGHUP reloads by itself; one whose configuration stays old is shut
-/// out (not ready) after twice the grace, and is back once its configuration is updated.
+/// A manager that missed its SIGHUP reloads by itself. One whose configuration remains outdated is
+/// shut out (not ready) after twice the grace period, and becomes ready again after its
+/// configuration is updated.
 #[test]
-fn stragglers_are_brought_up_or_shut_out() {
+fn stragglers_reload_or_are_shut_out() {
     let fleet = converged_fleet("lag", 6);
     let (missed_signal, old_configuration) = (3, 4);
 
@@ -202,7 +211,7 @@
 
     assert!(
         eventually(|| generation(&fleet, missed_signal, missed_signal) == Some(2)),
-        "not brought up: {}",
+        "it did not reload: {}",
         fleet.log(missed_signal)
     );
     assert!(
@@ -216,6 +225,6 @@
 
     assert!(
         eventually(|| fleet.readiness_status(old_configuration) == Some(200)),
-        "not back"
+        "it is still not ready"
     );
 }
--- a/tests/unit/gossip_queue.rs
+++ b/tests/unit/gossip_queue.rs
@@ -1,9 +1,9 @@
-//! The queue of piggybacked updates: bounded retransmission, priority and size.
+//! The queue of piggybacked updates: limited retransmission, priority and size.
 use super::GossipQueue;
 use crate::membership::{MemberUpdate, codec};
 use crate::testkit::membership_simulation::joining_update;
 
-/// Room for any number of updates.
+/// Enough bytes for any number of updates.
 const UNLIMITED_BYTES: usize = usize::MAX;
 
 /// Takes the names of the updates that fit, from a fleet of members 0 to 2.
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn an_update_is_transmitted_a_bounded_number_of_times() {
+fn an_update_is_transmitted_a_limited_number_of_times() {
     let mut queue = GossipQueue::default();
     queue.enqueue("m0", 2);
 
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn nothing_is_taken_beyond_the_free_bytes_and_unknown_members_are_forgotten() {
+fn no_more_than_the_free_bytes_are_taken_and_unknown_members_are_removed() {
     let one_update = codec::update_size(&joining_update(0, 1));
     let mut queue = GossipQueue::default();
     queue.enqueue("m0", 1);
--- a/tests/unit/lease.rs
+++ b/tests/unit/lease.rs
@@ -1,4 +1,4 @@
-//! Tests of the leases' state machines, a file for each part, and the builders they share.
+//! Tests of the state machines of leases, one file for each, and their shared builders.
 use super::*;
 use crate::clock::{MS, Micros};
 use rand_core::{Rng, SeedableRng};
@@ -53,7 +53,7 @@
     }
 }
 
-/// A grant under a new token, which has to be stored before the vote is sent.
+/// A grant under a new token, which must be stored before the vote is sent.
 fn granted() -> VoteOutcome {
     VoteOutcome {
         vote: Vote::Granted,
@@ -61,7 +61,7 @@
     }
 }
 
-/// A grant under the present token.
+/// A grant under the current token.
 fn renewed() -> VoteOutcome {
     VoteOutcome {
         vote: Vote::Granted,
@@ -69,10 +69,10 @@
     }
 }
 
-/// Guards against a validity below zero, which would be almost endless: whatever passes the check
-/// leaves a holder at least half of the lease.
+/// Guards against an underflow of the validity, which would make a lease almost endless: every
+/// timing that passes `validate` leaves a holder at least half of the lease duration.
 #[test]
-fn a_timing_that_passes_leaves_half_of_the_lease() {
+fn a_valid_timing_leaves_a_holder_half_of_the_lease_duration() {
     for lease_duration_ms in [1, 2, 3, 10, 3_000, 600_000] {
         for clock_drift_per_mille in [0, 20, 500, 999, 1_000, 2_000, u64::MAX] {
             for safety_margin_ms in [0, 1, 2, 100, 1_500, u64::MAX] {
--- a/tests/unit/lease/fencing.rs
+++ b/tests/unit/lease/fencing.rs
@@ -2,14 +2,14 @@
 use super::*;
 use std::collections::BTreeMap;
 
-/// High-water marks, and the highest token of each resource without any eviction.
+/// High-water marks, and the highest observed token of each resource, recorded without eviction.
 pub(super) struct Observed {
     pub(super) high_water_marks: TokenHighWaterMarks,
     expected: BTreeMap<Resource, FencingToken>,
 }
 
 /// Observes tokens of many more resources than are tracked, in random order.
-pub(super) fn observed_in_a_random_walk() -> Observed {
+pub(super) fn observe_random_tokens() -> Observed {
     let mut high_water_marks = TokenHighWaterMarks::default();
     let mut expected = BTreeMap::new();
     let mut random = Pcg32::seed_from_u64(9);
@@ -29,13 +29,14 @@
     }
 }
 
-/// Memory and the stored file are bounded, and an evicted resource's token never decreases.
+/// The number of tracked resources is limited, and so are memory and the stored file; an eviction
+/// never decreases the token of the evicted resource.
 #[test]
 fn evicting_a_resource_never_lowers_its_token() {
     let Observed {
         high_water_marks,
         expected,
-    } = observed_in_a_random_walk();
+    } = observe_random_tokens();
 
     assert!(expected.len() > 2 * MAX_TRACKED_RESOURCES);
     assert!(
--- a/tests/unit/lease/placement.rs
+++ b/tests/unit/lease/placement.rs
@@ -6,7 +6,7 @@
 const MEMBERS: usize = 300;
 const RESOURCES: u64 = 80;
 
-/// The preferred owner of each resource among the members without the one of that name.
+/// The preferred owner of each resource among all members except `absent`.
 fn owners_without(absent: &str) -> Vec<String> {
     let names: Vec<String> = (0..MEMBERS).map(member_name).collect();
     let present = || {
@@ -24,12 +24,12 @@
 #[test]
 fn a_member_that_leaves_moves_only_its_own_resources() {
     let owners = owners_without("");
-    let leaver = owners[5].clone();
+    let departed = owners[5].clone();
 
-    let owners_after = owners_without(&leaver);
+    let owners_after = owners_without(&departed);
 
     for (before, after) in owners.iter().zip(&owners_after) {
-        assert_eq!(before == after, *before != leaver);
+        assert_eq!(before == after, *before != departed);
     }
 }
 
--- a/tests/unit/lease/safety.rs
+++ b/tests/unit/lease/safety.rs
@@ -1,5 +1,5 @@
-//! Safety and liveness of leases in the simulated fleet, under random faults and in the cases that
-//! matter most.
+//! Safety and liveness of leases in the simulated fleet, under random faults, after a holder is
+//! paused past the end of its lease, and after a release.
 use super::simulation::{MEMBERS, SimulatedFleet};
 use super::*;
 use proptest::prelude::*;
@@ -13,14 +13,14 @@
     Resume(usize),
     Kill(usize),
     Restart(usize),
-    CutLink(usize, usize),
+    BlockLink(usize, usize),
     Partition(usize),
     LossPercent(u32),
     LongDelays(bool),
     Prefer(usize),
-    /// A member takes itself for the preferred owner as well.
+    /// The member considers itself the preferred owner as well.
     AlsoPrefer(usize),
-    HealLinks,
+    UnblockLinks,
 }
 
 impl Fault {
@@ -31,13 +31,13 @@
             Fault::Resume(member) => fleet.resume(member),
             Fault::Kill(member) => fleet.members[member].is_dead = true,
             Fault::Restart(member) => fleet.restart(member),
-            Fault::CutLink(from, to) => drop(fleet.cut_links.insert((from, to))),
+            Fault::BlockLink(from, to) => drop(fleet.blocked_links.insert((from, to))),
             Fault::Partition(boundary) => fleet.partition(boundary),
             Fault::LossPercent(percent) => fleet.loss_percent = percent,
             Fault::LongDelays(long) => fleet.has_long_delays = long,
             Fault::Prefer(member) => fleet.prefer(member),
-            Fault::AlsoPrefer(member) => fleet.members[member].wants_lease = true,
-            Fault::HealLinks => fleet.cut_links.clear(),
+            Fault::AlsoPrefer(member) => fleet.members[member].requests_lease = true,
+            Fault::UnblockLinks => fleet.blocked_links.clear(),
         }
         Ok(())
     }
@@ -51,13 +51,13 @@
         2 => member().prop_map(Fault::Resume),
         1 => member().prop_map(Fault::Kill),
         2 => member().prop_map(Fault::Restart),
-        1 => (member(), member()).prop_map(|(from, to)| Fault::CutLink(from, to)),
+        1 => (member(), member()).prop_map(|(from, to)| Fault::BlockLink(from, to)),
         1 => (1..MEMBERS).prop_map(Fault::Partition),
         1 => (0u32..50).prop_map(Fault::LossPercent),
         1 => any::<bool>().prop_map(Fault::LongDelays),
         2 => member().prop_map(Fault::Prefer),
         2 => member().prop_map(Fault::AlsoPrefer),
-        1 => Just(Fault::HealLinks),
+        1 => Just(Fault::UnblockLinks),
     ]
 }
 
@@ -66,12 +66,12 @@
         cases: 96, failure_persistence: None, rng_seed: RngSeed::Fixed(20_261_203), ..ProptestConfig::default()
     })]
 
-    /// Under random faults there are never two holders at once, whoever takes itself for the
-    /// preferred owner; tokens only increase; and no result is accepted under a lower token than
-    /// one before it (all three are checked after every step). Once the faults are over the
-    /// preferred owner holds the lease within a few lease durations.
+    /// Under random faults there are never two holders at the same time, even if several members
+    /// consider themselves the preferred owner; tokens only increase; and no result is accepted
+    /// under a lower token than an earlier one (all three are checked after every step). After the
+    /// end of the faults the preferred owner holds the lease within a few lease durations.
     #[test]
-    fn there_is_never_more_than_one_lease_holder_and_one_again_after_faults(
+    fn there_is_at_most_one_lease_holder_and_exactly_one_after_the_faults(
         seed in any::<u64>(), faults in proptest::collection::vec(any_fault(), 1..40),
     ) {
         let mut fleet = SimulatedFleet::new(seed);
@@ -80,7 +80,7 @@
             fault.apply(&mut fleet).map_err(TestCaseError::fail)?;
         }
 
-        fleet.heal_everything();
+        fleet.end_all_faults();
         fleet.prefer(3);
         fleet.run(6_000).map_err(TestCaseError::fail)?;
 
@@ -88,11 +88,11 @@
     }
 }
 
-/// The lease holder is paused past the end of its lease, and another member acquires the lease
-/// meanwhile. When the first one resumes it holds nothing, and the result that it had ready is
-/// rejected by every member that has seen the higher token.
+/// The lease holder is paused past the end of its lease, and another member acquires the lease in
+/// the meantime. When the first one resumes it does not hold the lease, and the result that it had
+/// prepared is rejected by every member that has observed the higher token.
 #[test]
-fn a_deposed_lease_holder_is_fenced_off() {
+fn results_of_a_deposed_lease_holder_are_rejected() {
     let mut fleet = SimulatedFleet::new(3);
     fleet.run(3_000).expect("no two holders");
     assert_eq!(fleet.holder(), Some(0));
@@ -123,9 +123,9 @@
     assert_eq!(fleet.holder(), Some(1));
 }
 
-/// A planned handover takes moments, not the rest of the lease.
+/// After a release, the next holder does not have to wait for the end of the lease.
 #[test]
-fn a_released_lease_is_acquired_by_the_next_holder_at_once() {
+fn a_released_lease_is_acquired_before_it_would_have_expired() {
     let mut fleet = SimulatedFleet::new(4);
     fleet.run(3_000).expect("no two holders");
     fleet.prefer(2);
--- a/tests/unit/lease/shared_probe.rs
+++ b/tests/unit/lease/shared_probe.rs
@@ -1,4 +1,4 @@
-//! Peers that wait for a lease holder's probe always get an answer.
+//! Peers that wait for a lease holder's probe always receive a report or a rejection.
 use super::shared_probe::{
     PendingActions, ProbeAction, ProbeContext, ProbeReport, ProbeRequestId, ProbeResult,
     ProbeStatus, SharedProber,
@@ -19,7 +19,7 @@
 }
 
 impl LeaseHolder {
-    /// It requests the lease at time zero, and the only voter grants it.
+    /// Requests the lease at time zero, which the only voter grants.
     fn new() -> LeaseHolder {
         let mut candidate = Candidate::new(holder("a"), vec!["v".into()], timing(), 1);
         let mut fence = FencingGuard::default();
@@ -67,21 +67,21 @@
         actions.probe
     }
 
-    /// The peer asks for the load.
+    /// The peer requests the load.
     fn on_request(&mut self, now: Micros, number: u32) -> Vec<ProbeAction> {
         self.handle(now, |prober, context| {
             prober.on_request(peer(), request_id(number), true, context);
         })
     }
 
-    /// The engine has answered, or could not be probed.
+    /// The engine has responded, or could not be probed.
     fn on_probe_finished(&mut self, now: Micros, result: Option<ProbeResult>) -> Vec<ProbeAction> {
         self.handle(now, |prober, context| {
             prober.on_probe_finished(ENGINE, result, context);
         })
     }
 
-    /// The engine is to be probed before the lease ends.
+    /// The action that probes the engine before the lease ends.
     fn probe_for_peers(&self) -> ProbeAction {
         ProbeAction::ProbeForPeers {
             engine: ENGINE,
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn one_probe_answers_all_waiting_peers_and_those_that_ask_soon_after() {
+fn one_probe_result_is_reported_to_all_waiting_peers_and_to_requests_soon_after() {
     let mut owner = LeaseHolder::new();
 
     let first_request = owner.on_request(2 * MS, 1);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_result_that_comes_after_the_lease_has_ended_is_not_reported() {
+fn a_result_received_after_the_end_of_the_lease_is_not_reported() {
     let mut owner = LeaseHolder::new();
     let lease_end = owner.lease_end;
 
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_waiting_peer_is_rejected_if_the_engine_never_answers() {
+fn a_waiting_peer_is_rejected_if_the_probe_never_ends() {
     let mut owner = LeaseHolder::new();
 
     let request = owner.on_request(400 * MS, 7);
--- a/tests/unit/lease/simulation.rs
+++ b/tests/unit/lease/simulation.rs
@@ -1,6 +1,6 @@
 //! A simulated fleet in which every member is a voter and a candidate for one resource: clocks
 //! drift, datagrams are lost, delayed, duplicated and reordered, processes are paused, killed and
-//! restarted, and the network is partitioned. All from a fixed seed.
+//! restarted, and the network is partitioned. Every run is reproducible from its seed.
 use super::*;
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 const LONG_DELAY_MS: u32 = 2_500;
 /// One datagram in this many is duplicated.
 const DUPLICATE_ONE_IN: u32 = 20;
-/// One datagram in this many is long delayed, while such delays are on.
+/// One datagram in this many has a long delay while `has_long_delays` is set.
 const LONG_DELAY_ONE_IN: u32 = 4;
 
 #[derive(Clone, Debug)]
@@ -18,7 +18,7 @@
     Request(LeaseRequest),
     Vote(VoteReply),
     Release(Holder, FencingToken),
-    /// Something that a lease holder sends under its token.
+    /// A result that a lease holder sends under its token.
     Result(FencingToken),
 }
 
@@ -29,9 +29,9 @@
     message: Message,
 }
 
-/// A member that came to hold the lease, or a result of a member, under a token.
+/// An acquisition of the lease by a member, or a result of a member, with its token.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Tokened {
+pub(super) struct TokenUse {
     pub(super) member: usize,
     pub(super) token: FencingToken,
 }
@@ -40,13 +40,13 @@
     voter: Voter,
     pub(super) candidate: Candidate,
     pub(super) fence: FencingGuard,
-    /// Its clock's rate in thousandths of the real one.
+    /// The rate of its clock in thousandths of real time.
     clock_rate_per_mille: u64,
     is_paused: bool,
     pub(super) is_dead: bool,
     incarnation: u64,
-    /// Whether it takes itself for the preferred owner and needs the lease.
-    pub(super) wants_lease: bool,
+    /// Whether it considers itself the preferred owner and requests the lease.
+    pub(super) requests_lease: bool,
     /// The tokens of the results that it accepted.
     accepted: Vec<FencingToken>,
 }
@@ -55,15 +55,15 @@
     pub(super) members: Vec<SimulatedMember>,
     pub(super) now: Micros,
     packets: Vec<Packet>,
-    /// The links that lose everything, as sender and receiver.
-    pub(super) cut_links: BTreeSet<(usize, usize)>,
+    /// The links that lose all datagrams, as sender and receiver.
+    pub(super) blocked_links: BTreeSet<(usize, usize)>,
     pub(super) loss_percent: u32,
     pub(super) has_long_delays: bool,
     random: Pcg32,
     /// The leases that were acquired, in order.
-    pub(super) acquired: Vec<Tokened>,
-    /// Results that lease holders had ready when they were paused, and send when they resume.
-    pub(super) unsent_results: Vec<Tokened>,
+    pub(super) acquired: Vec<TokenUse>,
+    /// Results that lease holders had prepared when they were paused, and send when they resume.
+    pub(super) unsent_results: Vec<TokenUse>,
 }
 
 pub(super) fn member_name(index: usize) -> String {
@@ -95,14 +95,14 @@
             is_paused: false,
             is_dead: false,
             incarnation: 1,
-            wants_lease: index == 0,
+            requests_lease: index == 0,
             accepted: Vec::new(),
         });
         SimulatedFleet {
             members: members.collect(),
             now: 0,
             packets: Vec::new(),
-            cut_links: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             loss_percent: 0,
             has_long_delays: false,
             random,
@@ -132,8 +132,8 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        let is_cut = self.cut_links.contains(&(from, to));
-        if is_cut || self.random.next_u32() % 100 < self.loss_percent {
+        let is_blocked = self.blocked_links.contains(&(from, to));
+        if is_blocked || self.random.next_u32() % 100 < self.loss_percent {
             return;
         }
         let is_duplicated = self.random.next_u32().is_multiple_of(DUPLICATE_ONE_IN);
@@ -174,7 +174,7 @@
                     self.send(member, member_index(&voter), message);
                 }
                 LeaseAction::Acquired { token, .. } => {
-                    self.acquired.push(Tokened { member, token });
+                    self.acquired.push(TokenUse { member, token });
                 }
                 LeaseAction::Lost { .. } => {}
             }
@@ -211,7 +211,7 @@
         self.carry_out(to, actions);
     }
 
-    /// One step of time; an error if a safety rule is broken.
+    /// Advances the time by one step. Returns an error if a safety property is violated.
     pub(super) fn step(&mut self) -> Result<(), String> {
         self.now += STEP_MICROS;
         self.deliver_packets();
@@ -250,26 +250,26 @@
         let SimulatedMember {
             candidate,
             fence,
-            wants_lease,
+            requests_lease,
             ..
         } = &mut self.members[index];
-        if *wants_lease {
+        if *requests_lease {
             candidate.request_lease(RESOURCE, fence, now, &mut actions);
         }
-        candidate.tick(|_| *wants_lease, now, &mut actions);
+        candidate.tick(|_| *requests_lease, now, &mut actions);
         if let Some(wakeup) = candidate.next_wakeup().filter(|at| *at <= now) {
             return Err(format!("{index} would wake up at once: {wakeup} at {now}"));
         }
         self.carry_out(index, actions);
-        // The lease holder sends a result under its token, which it looks up just before.
+        // The lease holder sends a result under its token, which it looks up immediately before.
         if let Some(token) = self.token_if_held(index) {
             self.broadcast_result(index, token);
         }
         Ok(())
     }
 
-    /// At most one holder at a time, tokens that increase with each acquired lease, and no accepted
-    /// result under a lower token than one before it.
+    /// Checks that there is at most one holder, that tokens increase with each acquired lease, and
+    /// that no result was accepted under a lower token than an earlier one.
     fn check_safety(&self) -> Result<(), String> {
         let holders: Vec<usize> = self.live_holders().collect();
         if holders.len() > 1 {
@@ -297,22 +297,22 @@
     pub(super) fn pause(&mut self, member: usize) {
         let token = self.token_if_held(member);
         self.unsent_results
-            .extend(token.map(|token| Tokened { member, token }));
+            .extend(token.map(|token| TokenUse { member, token }));
         self.members[member].is_paused = true;
     }
 
-    /// The member runs again. What it had ready when it was paused is sent now, whatever has become
-    /// of its lease.
+    /// Resumes the member. The result that it had prepared when it was paused is sent now, whether
+    /// or not it still holds the lease.
     pub(super) fn resume(&mut self, member: usize) {
         self.members[member].is_paused = false;
-        let is_own = |result: &mut Tokened| result.member == member;
-        let results: Vec<Tokened> = self.unsent_results.extract_if(.., is_own).collect();
+        let is_own = |result: &mut TokenUse| result.member == member;
+        let results: Vec<TokenUse> = self.unsent_results.extract_if(.., is_own).collect();
         for result in results {
             self.broadcast_result(member, result.token);
         }
     }
 
-    /// The member starts as a new process that finds the stored high-water marks of its voter.
+    /// Restarts the member as a new process, which loads the stored high-water marks of its voter.
     pub(super) fn restart(&mut self, index: usize) {
         self.unsent_results.retain(|result| result.member != index);
         let now = self.local_time(index);
@@ -327,30 +327,30 @@
             is_paused: false,
             is_dead: false,
             incarnation,
-            wants_lease: member.wants_lease,
+            requests_lease: member.requests_lease,
             accepted: Vec::new(),
         };
     }
 
-    /// All members agree that this one is the preferred owner.
+    /// Makes `preferred` the preferred owner from the view of all members.
     pub(super) fn prefer(&mut self, preferred: usize) {
         for (index, member) in self.members.iter_mut().enumerate() {
-            member.wants_lease = index == preferred;
+            member.requests_lease = index == preferred;
         }
     }
 
-    /// Cuts all links between the members below `boundary` and the others.
+    /// Blocks all links between the members below `boundary` and the others.
     pub(super) fn partition(&mut self, boundary: usize) {
         for low in 0..boundary {
             for high in boundary..MEMBERS {
-                self.cut_links.extend([(low, high), (high, low)]);
+                self.blocked_links.extend([(low, high), (high, low)]);
             }
         }
     }
 
-    /// Ends all faults: the network is whole, and every member runs.
-    pub(super) fn heal_everything(&mut self) {
-        self.cut_links.clear();
+    /// Ends all faults: no link is blocked, and every member runs.
+    pub(super) fn end_all_faults(&mut self) {
+        self.blocked_links.clear();
         self.loss_percent = 0;
         self.has_long_delays = false;
         for member in 0..MEMBERS {
@@ -361,7 +361,7 @@
         }
     }
 
-    /// How many messages all members have rejected for their tokens.
+    /// The number of messages that all members have rejected because of their tokens.
     pub(super) fn rejected(&self) -> u64 {
         self.members
             .iter()
--- a/tests/unit/lease/voter.rs
+++ b/tests/unit/lease/voter.rs
@@ -1,4 +1,4 @@
-//! The voter's rules, one by one.
+//! The rules by which a voter grants and refuses requests.
 use super::*;
 
 #[test]
@@ -25,12 +25,16 @@
     let after_expiry = voter.request(&request(&first, 1), 2_500 * MS);
 
     assert_eq!(renewal, renewed());
-    assert_eq!(other_holder, refused(1), "another holds it");
-    assert_eq!(after_expiry, refused(1), "expired: not under the old token");
+    assert_eq!(other_holder, refused(1), "another holder has the lease");
+    assert_eq!(
+        after_expiry,
+        refused(1),
+        "an expired lease is not renewed under its old token"
+    );
 }
 
-/// A voter may have granted a lease just before it was restarted: it grants nothing for one lease
-/// duration, and never a token that an earlier incarnation granted.
+/// A voter may have granted a lease just before it was restarted, so it grants nothing for one
+/// lease duration, and never grants a token that an earlier incarnation granted.
 #[test]
 fn a_restarted_voter_waits_and_never_grants_a_stored_token_again() {
     let first = holder("a");
@@ -44,7 +48,11 @@
     let granted_token = voter.request(&request(&second, 1), 3_600 * MS);
     let new_token = voter.request(&request(&second, 2), 3_600 * MS);
 
-    assert_eq!(too_early, refused(1), "within one lease duration");
+    assert_eq!(
+        too_early,
+        refused(1),
+        "within one lease duration of the restart"
+    );
     assert_eq!(granted_token, refused(1), "granted before the restart");
     assert_eq!(new_token, granted());
 }
@@ -64,15 +72,16 @@
     assert_eq!(
         after_foreign_release,
         refused(2),
-        "not another's to release"
+        "the release by another holder has no effect"
     );
     assert_eq!(after_release, granted());
 }
 
-/// Memory is bounded against resources without end, as of engines that come and go.
+/// The limit bounds the voter's memory when resources are added without end, for example as engines
+/// are replaced.
 #[test]
 fn a_voter_grants_at_most_the_tracked_number_of_resources_at_once() {
-    let high_water_marks = fencing_tests::observed_in_a_random_walk().high_water_marks;
+    let high_water_marks = fencing_tests::observe_random_tokens().high_water_marks;
     let mut voter = Voter::new(timing(), high_water_marks.clone(), 0);
     let candidate = holder("a");
     let mut is_granted = |number: u64| {
--- a/tests/unit/membership.rs
+++ b/tests/unit/membership.rs
@@ -1,6 +1,6 @@
-//! The membership protocol among simulated managers on a simulated network: loss, blocked links,
-//! partitions, pauses, restarts, late and duplicated datagrams, all from fixed seeds. Every datagram
-//! passes through the codec.
+//! The membership protocol among simulated managers on a simulated network with loss, blocked
+//! links, partitions, pauses, restarts, late and duplicated datagrams, all from fixed seeds. Every
+//! datagram is encoded and decoded.
 use super::codec::{self, DecodeError};
 use super::{
     ActiveGatewayCount, MemberState, MemberUpdate, Message, MessageBody, RunningVersions, SHUT_OUT,
@@ -22,13 +22,13 @@
     SimulatedFleet::new(members, &Timing::default(), seed)
 }
 
-/// A fleet whose members know each other after five seconds.
+/// A fleet that has converged after five seconds.
 fn converged_fleet(members: usize, seed: u64) -> SimulatedFleet {
     let mut fleet = new_fleet(members, seed);
     fleet.run(5 * SEC);
     assert!(
         fleet.has_converged(),
-        "seed {seed}: not all know all after 5 s"
+        "seed {seed}: the fleet did not converge within 5 s"
     );
     fleet
 }
@@ -47,11 +47,14 @@
 
     fleet.run(6 * SEC);
 
-    assert!(fleet.has_converged(), "not all know all after 6 s");
+    assert!(
+        fleet.has_converged(),
+        "the fleet did not converge within 6 s"
+    );
 }
 
-/// No false positives: with a fifth of all datagrams lost, and some duplicated and late, no member
-/// is declared dead, and the traffic stays within its budget.
+/// No false positives: with a fifth of all datagrams lost and some duplicated, no member is
+/// declared dead, and the traffic remains within its budget.
 #[test]
 fn loss_of_a_fifth_of_all_datagrams_causes_no_false_death() {
     for seed in [1, 2, 3] {
@@ -71,13 +74,14 @@
         let bytes_per_second = total_bytes / seconds / fleet.nodes.len() as u64;
         assert!(
             bytes_per_second <= bandwidth_budget(&Timing::default()),
-            "seed {seed}: {bytes_per_second} bytes a second a member, over the budget"
+            "seed {seed}: {bytes_per_second} bytes per second per member, over the budget"
         );
     }
 }
 
-/// A large fleet starts quickly, because a joining member reads the others page by page; and one
-/// failed round of probes causes no suspicion, or gossip could not carry all refutations.
+/// A large fleet converges quickly, because a joining member reads the member lists of others page
+/// by page. One failed round of probes causes no suspicion, because gossip could not disseminate
+/// all refutations.
 #[test]
 fn a_large_fleet_joins_quickly_and_bounds_suspicions_under_loss() {
     let mut fleet = converged_fleet(60, 21);
@@ -88,7 +92,7 @@
     let dead = changes_to(&fleet, MemberState::Dead);
     assert!(dead.is_empty(), "declared dead under loss: {dead:?}");
     let suspicions = changes_to(&fleet, MemberState::Suspect).len();
-    assert!(suspicions < 60 * 40, "{suspicions} suspicions heard");
+    assert!(suspicions < 60 * 40, "{suspicions} suspicions reported");
 }
 
 /// Two members without a direct link reach each other through the indirect probes of others.
@@ -126,8 +130,14 @@
         fleet.resume(2);
         fleet.run(10 * SEC);
 
-        assert!(fleet.has_converged(), "seed {seed}: did not come back");
-        assert!(fleet.nodes[2].me().incarnation > 1, "it refuted");
+        assert!(
+            fleet.has_converged(),
+            "seed {seed}: the stopped member did not rejoin"
+        );
+        assert!(
+            fleet.nodes[2].me().incarnation > 1,
+            "the stopped member did not refute its death"
+        );
     }
 }
 
@@ -144,11 +154,14 @@
     fleet.blocked_links.clear();
     fleet.run(15 * SEC);
 
-    assert!(fleet.has_converged(), "no agreement after the heal");
+    assert!(
+        fleet.has_converged(),
+        "the fleet did not converge after the partition"
+    );
 }
 
 /// A restarted member is accepted under its higher incarnation, and a late datagram of the earlier
-/// one changes nothing.
+/// incarnation is dropped.
 #[test]
 fn a_restarted_member_outranks_its_earlier_incarnation() {
     let mut fleet = converged_fleet(5, 9);
@@ -168,7 +181,10 @@
     fleet.nodes[1].receive(member_addr(3), message, now, &mut actions);
 
     assert_eq!(fleet.nodes[1].dropped_datagrams, dropped_before + 1);
-    assert!(actions.is_empty(), "a stale incarnation is answered");
+    assert!(
+        actions.is_empty(),
+        "a datagram of a stale incarnation was answered"
+    );
     let known = &fleet.nodes[1].members()[&member_name(3)].update;
     assert_eq!(known.incarnation, 1_000);
 }
@@ -204,7 +220,7 @@
 }
 
 #[test]
-fn a_straggler_behind_a_majority_is_brought_up_and_then_shut_out() {
+fn a_straggler_behind_a_majority_reloads_and_is_then_shut_out() {
     let (me, new) = (versions(1, 3), versions(2, 3));
     let majority_ahead = [&new, &new, &new, &me];
 
@@ -235,9 +251,10 @@
     );
 }
 
-/// The manager reaches the majority's list version, and then the next one as the majority moves on.
+/// The manager reaches the majority's list version, and then the next one that the majority
+/// reaches.
 #[test]
-fn a_list_that_keeps_changing_is_no_lag_while_the_member_keeps_up() {
+fn a_member_that_reaches_each_version_of_a_changing_list_is_not_shut_out() {
     let mut straggler = Straggler::default();
     let (me, ahead) = (versions(1, 3), versions(1, 9));
     let others = [&ahead, &ahead, &ahead, &me];
@@ -263,7 +280,7 @@
     );
 }
 
-/// Updates of the members from 1 on, in these states.
+/// Updates of members with these states, numbered from 1.
 fn members_in(states: &[MemberState]) -> Vec<MemberUpdate> {
     states
         .iter()
@@ -281,7 +298,7 @@
 }
 
 #[test]
-fn a_dead_members_share_is_taken_over_after_the_grace_and_returned_at_once() {
+fn a_dead_members_share_is_taken_over_after_the_grace_and_returned_immediately() {
     use MemberState::{Alive, Dead};
     let all_alive = members_in(&[Alive; 4]);
     let one_dead = members_in(&[Alive, Alive, Alive, Dead]);
@@ -291,7 +308,7 @@
     assert_eq!(count_active(&mut gateways, &one_dead, GRACE - 1), 5);
     assert_eq!(count_active(&mut gateways, &one_dead, GRACE), 4);
     assert_eq!(count_active(&mut gateways, &all_alive, GRACE + 1), 5);
-    // A member that flaps within the grace is never counted out.
+    // A member that flaps within the grace period is never excluded from the count.
     for round in 2..9 {
         let start = round * 2 * GRACE;
         assert_eq!(count_active(&mut gateways, &one_dead, start), 5);
@@ -302,7 +319,7 @@
     }
 }
 
-/// The smaller side of a partition discovers its losses one by one and takes nothing over.
+/// The smaller side of a partition detects its lost members one by one and takes over no share.
 #[test]
 fn the_minority_side_of_a_partition_takes_over_no_share() {
     use MemberState::{Alive, Dead, Suspect};
@@ -322,7 +339,7 @@
     }
 }
 
-/// The settings may name more managers than are known.
+/// The number of managers in the settings may exceed the number of known members.
 #[test]
 fn departed_and_shut_out_members_take_no_share() {
     use MemberState::{Alive, Left};
@@ -339,11 +356,11 @@
         cases: 24, failure_persistence: None, rng_seed: RngSeed::Fixed(20_261_201), ..ProptestConfig::default()
     })]
 
-    /// The two properties of the protocol under random faults: a member that never stops, and that
-    /// others reach at least through one helper, is never declared dead; and once the faults end,
-    /// all members converge within a bound.
+    /// The two properties of the protocol under random faults: a member that is never paused, and
+    /// that others reach at least through one helper, is never declared dead; and after the end of
+    /// the faults, all members converge within 15 s.
     #[test]
-    fn random_faults_kill_no_reachable_member_and_end_in_convergence(
+    fn random_faults_cause_no_false_death_and_the_fleet_converges_afterwards(
         seed in any::<u64>(),
         steps in proptest::collection::vec((0usize..6, 0usize..6, 0u8..4, 1u64..8), 1..10),
     ) {
@@ -356,11 +373,12 @@
             fleet.blocked_links.clear();
             fleet.loss = 0.0;
             match fault {
-                // Both members are still reached through the other four.
+                // Both members can still be reached through the other four.
                 0 if one != other => fleet.blocked_links.block_both_ways(one, other),
                 1 if one != other => fleet.blocked_links.block(one, other),
                 2 => fleet.loss = 0.05 * (1 + other % 4) as f64,
-                // A pause shorter than the suspicion: the member may be suspected, and must refute.
+                // The pause is shorter than the suspicion timeout: the member may be suspected, and
+                // must refute that.
                 3 => {
                     fleet.pause(one);
                     fleet.run(seconds.min(2) * SEC);
@@ -380,7 +398,7 @@
             prop_assert!(stopped.contains(&member) || dead.is_empty(), "{member} declared dead: {dead:?}");
         }
         fleet.run(15 * SEC);
-        prop_assert!(fleet.has_converged(), "no agreement 15 s after the faults");
+        prop_assert!(fleet.has_converged(), "the fleet did not converge within 15 s after the faults");
     }
 
     /// Arbitrary bytes, truncated datagrams and corrupted ones are dropped without a panic.
@@ -405,7 +423,7 @@
 }
 
 #[test]
-fn foreign_oversized_and_malformed_datagrams_are_told_apart() {
+fn foreign_oversized_and_malformed_datagrams_are_distinguished() {
     assert_eq!(
         codec::decode(b"YLM0anything", MAX_DATAGRAM_BYTES),
         Err(DecodeError::Foreign)
--- a/tests/unit/net_lease.rs
+++ b/tests/unit/net_lease.rs
@@ -1,4 +1,4 @@
-//! The file of a voter's high-water marks and the rows of `GET /duties`.
+//! The file with a voter's high-water marks, and the rows of `GET /duties`.
 use super::super::lease_view::LeaseRow;
 use super::super::vote_store::{load_votes, store_votes};
 use super::*;
@@ -9,7 +9,7 @@
 const VOTES_FILE: &[u8] = include_bytes!("../fixtures/votes.bin");
 const FILE_NAME: &str = "yokelift-duties-n0";
 
-/// High-water marks of that many resources.
+/// High-water marks of the given number of resources.
 fn high_water_marks(resources: u64) -> TokenHighWaterMarks {
     let mut high_water_marks = TokenHighWaterMarks::default();
     for engine in 0..resources {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_votes_file_is_read_and_written_as_before() {
+fn the_format_of_the_votes_file_is_unchanged() {
     let folder = Folder::new().expect("a folder");
     let path = folder.path(FILE_NAME);
 
@@ -79,8 +79,8 @@
     }
 }
 
-/// Without its tokens a voter could grant one a second time, so a damaged file is an error and not
-/// an empty one.
+/// Without its stored tokens a voter could grant one a second time, so loading a damaged file is an
+/// error and does not return empty high-water marks.
 #[test]
 fn a_damaged_or_truncated_votes_file_is_an_error() {
     let folder = Folder::new().expect("a folder");
