--- a/src/net/fleet/lease.rs
+++ b/src/net/fleet/lease.rs
@@ -197,7 +197,7 @@
         };
         match message {
             LeaseMessage::RequestLease(request) => {
-                self.answer_lease_request(from, &request, now, datagrams);
+                self.handle_lease_request(from, &request, now, datagrams);
             }
             LeaseMessage::Vote(reply) => {
                 self.candidate
@@ -226,7 +226,7 @@
         self.carry_out(actions, fleet, datagrams);
     }
 
-    fn answer_lease_request(
+    fn handle_lease_request(
         &mut self,
         from: SocketAddr,
         request: &LeaseRequest,
--- a/src/net/fleet/lease_members.rs
+++ b/src/net/fleet/lease_members.rs
@@ -6,12 +6,13 @@
 /// The member that should hold the lease on a resource, among all members that are alive or
 /// suspected and whose stage is `ready`, including this manager; `None` if there is none.
 pub(super) fn preferred_member(fleet: &Membership, resource: Resource) -> Option<&str> {
-    let is_alive = |state: MemberState| matches!(state, MemberState::Alive | MemberState::Suspect);
+    let may_be_alive =
+        |state: MemberState| matches!(state, MemberState::Alive | MemberState::Suspect);
     let live_peers = fleet
         .members()
         .values()
         .map(|member| &member.update)
-        .filter(|update| is_alive(update.state));
+        .filter(|update| may_be_alive(update.state));
     let ready = live_peers
         .chain([fleet.me()])
         .filter(|update| update.versions.stage == "ready");
--- a/src/net/fleet/membership/mod.rs
+++ b/src/net/fleet/membership/mod.rs
@@ -50,8 +50,8 @@
 pub struct Hollow {
     /// The directory for the files that the manager reads after a restart.
     pub folder: PathBuf,
-    /// The number of requested reloads, which are counted here instead of sending SIGHUP to the
-    /// process.
+    /// The number of requested reloads. A hollow node counts them here, where other managers send
+    /// SIGHUP to their own process.
     pub reloads: Cell<u64>,
 }
 
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -253,7 +253,7 @@
 }
 
 /// After SIGTERM and after SIGKILL of the holder, another manager acquires the lease under a higher
-/// token, also when a voter has been restarted.
+/// token, and a restarted voter has kept the tokens that it granted.
 #[test]
 fn another_member_acquires_the_lease_when_its_holder_is_shut_down_or_killed() {
     let mut fleet = start("ends", 24);
--- a/tests/unit/lease/safety.rs
+++ b/tests/unit/lease/safety.rs
@@ -94,18 +94,18 @@
 #[test]
 fn results_of_a_deposed_lease_holder_are_rejected() {
     let mut fleet = SimulatedFleet::new(3);
-    fleet.run(3_000).expect("no two holders");
+    fleet.run(3_000).expect("no safety violation");
     assert_eq!(fleet.holder(), Some(0));
 
     fleet.pause(0);
     fleet.prefer(1);
-    fleet.run(500).expect("no two holders");
+    fleet.run(500).expect("no safety violation");
     assert_eq!(
         fleet.holder(),
         Some(0),
         "its lease is still valid, by its own clock"
     );
-    fleet.run(2_000).expect("no two holders");
+    fleet.run(2_000).expect("no safety violation");
     assert_eq!(fleet.holder(), Some(1));
     let late_result = fleet.unsent_results[0];
     let last_lease = fleet.acquired.last().expect("an acquired lease");
@@ -113,7 +113,7 @@
 
     let rejected_before = fleet.rejected();
     fleet.resume(0);
-    fleet.run(300).expect("no two holders");
+    fleet.run(300).expect("no safety violation");
     let rejected = fleet.rejected() - rejected_before;
 
     assert!(
@@ -127,13 +127,13 @@
 #[test]
 fn a_released_lease_is_acquired_before_it_would_have_expired() {
     let mut fleet = SimulatedFleet::new(4);
-    fleet.run(3_000).expect("no two holders");
+    fleet.run(3_000).expect("no safety violation");
     fleet.prefer(2);
 
     fleet.release_all(0);
     let released_at = fleet.now;
     while fleet.holder() != Some(2) && fleet.now < released_at + 900 * MS {
-        fleet.step().expect("no two holders");
+        fleet.step().expect("no safety violation");
     }
 
     assert_eq!(fleet.holder(), Some(2));
--- a/tests/unit/lease/simulation.rs
+++ b/tests/unit/lease/simulation.rs
@@ -258,7 +258,9 @@
         }
         candidate.tick(|_| *requests_lease, now, &mut actions);
         if let Some(wakeup) = candidate.next_wakeup().filter(|at| *at <= now) {
-            return Err(format!("{index} would wake up at once: {wakeup} at {now}"));
+            return Err(format!(
+                "member {index} returns a wakeup that is already due: {wakeup} at {now}"
+            ));
         }
         self.carry_out(index, actions);
         // The lease holder sends a result under its token, which it looks up immediately before.
