--- a/src/policy/api/event.rs
+++ b/src/policy/api/event.rs
@@ -90,7 +90,7 @@
     ConnectFailed,
     /// The connection was reset; the attempt may still run.
     Reset,
-    /// It was cancelled; it may have run, and may still run.
+    /// It was canceled; it may have run, and may still run.
     Cancelled,
     /// The host did not send it; it never ran and counts against no budget.
     NeverSent,
--- a/src/policy/state/request.rs
+++ b/src/policy/state/request.rs
@@ -55,7 +55,7 @@
     pub(crate) tried_engines: BTreeSet<EngineId>,
     /// Until when it waits for load probes.
     pub(crate) awaiting_probes_until: Nanos,
-    /// Number of its attempts that were cancelled.
+    /// Number of its attempts that were canceled.
     pub(crate) cancellations: u32,
 }
 
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn an_instance_orders_the_same_actions_beside_others_as_alone() {
+fn instances_in_one_batch_act_independently() {
     let both = Frame::new()
         .start_instance(1, SETTINGS)
         .cached_engine(1)
--- a/tests/fleet/tenants.rs
+++ b/tests/fleet/tenants.rs
@@ -39,12 +39,12 @@
         quota_per_s: 2.0,
         share: 1.0,
     }];
-    let low_priority_count = |is_retry: bool| {
+    let low_priority_count = |marked_as_retry: bool| {
         let mut gateway = GatewayHarness::new(settings.clone(), warm_endpoints(1..=6));
         gateway.advance(3 * SECOND);
         for id in 0..12 {
             let retry = Request {
-                is_retry,
+                is_retry: marked_as_retry,
                 ..request(id, SHORT, gateway.now, 6 * SECOND, 200 * MILLISECOND)
             };
             gateway.receive(retry);
--- a/tests/unit/turns.rs
+++ b/tests/unit/turns.rs
@@ -43,13 +43,13 @@
 
 #[test]
 fn every_gateway_gets_turns() {
-    let mut seen = vec![false; GATEWAYS as usize];
+    let mut had_turn = vec![false; GATEWAYS as usize];
     for index in 0..1_000 {
         for gateway in holders(&turn(4.0, 0.0), index * DURATION) {
-            seen[gateway as usize] = true;
+            had_turn[gateway as usize] = true;
         }
     }
-    assert!(seen.iter().all(|seen| *seen));
+    assert!(had_turn.iter().all(|had_turn| *had_turn));
 }
 
 #[test]
