--- a/src/class_registry/mod.rs
+++ b/src/class_registry/mod.rs
@@ -1,9 +1,9 @@
 //! The registry of request classes across configuration reloads. Pure.
 //!
-//! Every class has a slot, whose number is its [`ClassId`]: the id by which the decision module, its
-//! queues and the connections to engines refer to the class. Each reload is a new generation of the
-//! registry. A slot keeps its class for as long as a request refers to it, also when a later
-//! generation no longer contains the class; only then is the slot reused.
+//! Every class has a slot, whose index is its [`ClassId`]: the id by which the decision module, its
+//! queues and the connections to engines refer to the class. Each reload starts a new generation of
+//! the registry. A slot keeps its class while any request refers to it, even if a later generation
+//! no longer contains the class. The slot is reused only after that.
 use crate::policy::api::{ClassId, ClassSpec};
 use std::rc::Rc;
 
@@ -16,12 +16,12 @@
     pub spec: ClassSpec,
 }
 
-/// The place of a class in the registry.
+/// One entry of the registry.
 struct Slot {
     class: Class,
-    /// The generation that retired the class; `None` while the class is in force.
+    /// The generation that retired the class, or `None` while the class is in force.
     retired_in: Option<u64>,
-    /// Requests of the class that have attempts in flight or no final response.
+    /// Number of requests of the class that have no final response or have attempts in flight.
     open_requests: usize,
 }
 
@@ -39,35 +39,35 @@
     }
 
     /// Whether this class is in force, with the same name and the same settings.
-    fn has_in_force(&self, class: &Class) -> bool {
+    fn has_class_in_force(&self, class: &Class) -> bool {
         self.is_in_force() && self.class == *class
     }
 
-    /// Whether the slot may get another class. A class that the current generation retired keeps
-    /// its slot, as a request that was already read may still refer to it.
+    /// Whether the slot may be reused for another class. A class that was retired by the current
+    /// generation keeps its slot, since a request that was already read may still refer to it.
     fn is_free(&self, generation: u64) -> bool {
         self.open_requests == 0 && self.retired_in.is_some_and(|retired| retired < generation)
     }
 }
 
-/// The classes in force, and the retired ones that are still referred to.
+/// The classes in force, and the retired classes to which requests still refer.
 #[derive(Default)]
 pub struct ClassRegistry {
     generation: u64,
     slots: Vec<Slot>,
 }
 
-/// A slot that a new generation gave to a new or changed class.
+/// A slot that a new generation assigned to a new or changed class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NewSlot {
     /// The slot.
     pub slot: ClassId,
-    /// The slot of the class whose learned estimates the new class starts with, if there is one.
+    /// The slot of the class whose learned estimates the new class starts with, if any.
     pub predecessor: Option<ClassId>,
 }
 
 impl ClassRegistry {
-    /// The first generation: the id of each class is its position.
+    /// Creates the first generation, in which the id of each class is its index in `classes`.
     pub fn new(classes: Vec<Class>) -> ClassRegistry {
         ClassRegistry {
             generation: 1,
@@ -75,19 +75,19 @@
         }
     }
 
-    /// The class of this id, whether it is in force or retired.
+    /// The class with this id, whether it is in force or retired.
     pub fn class(&self, id: ClassId) -> Option<&Class> {
         self.slots.get(usize::from(id.0)).map(|slot| &slot.class)
     }
 
-    /// The classes of all slots by their ids, each with whether it is in force.
+    /// The classes of all slots in the order of their ids, each with whether it is in force.
     pub fn slots(&self) -> impl Iterator<Item = (&Class, bool)> {
         self.slots
             .iter()
             .map(|slot| (&slot.class, slot.is_in_force()))
     }
 
-    /// The id of the class in force that has this name.
+    /// The id of the class in force with this name.
     pub fn find(&self, name: &str) -> Option<ClassId> {
         self.slots
             .iter()
@@ -95,29 +95,33 @@
             .map(class_id)
     }
 
-    /// A request refers to this class from now on.
+    /// Records that one more request refers to this class.
     pub fn request_opened(&mut self, id: ClassId) {
         if let Some(slot) = self.slots.get_mut(usize::from(id.0)) {
             slot.open_requests += 1;
         }
     }
 
-    /// A request that referred to this class is finished, with all its attempts.
+    /// Records that a request of this class has finished, with all its attempts.
     pub fn request_closed(&mut self, id: ClassId) {
         if let Some(slot) = self.slots.get_mut(usize::from(id.0)) {
             slot.open_requests = slot.open_requests.saturating_sub(1);
         }
     }
 
-    /// Begins a new generation with these classes, whose names must differ from one another.
-    /// Returns the slots of the classes that are new or changed; an unchanged class keeps its slot.
+    /// Starts a new generation with these classes, whose names must be unique. Returns the slots of
+    /// the classes that are new or changed; an unchanged class keeps its slot.
     pub fn replace_classes(&mut self, classes: Vec<Class>) -> Vec<NewSlot> {
         self.generation += 1;
         let previous = self.slots_in_force();
-        self.retire_missing(&previous, &classes);
+        self.retire_missing_or_changed(&previous, &classes);
         let mut new_slots = Vec::new();
         for class in classes {
-            if self.slots.iter().any(|slot| slot.has_in_force(&class)) {
+            if self
+                .slots
+                .iter()
+                .any(|slot| slot.has_class_in_force(&class))
+            {
                 continue;
             }
             let predecessor = self.predecessor(&previous, &class).map(class_id);
@@ -133,17 +137,19 @@
             .collect()
     }
 
-    /// Retires the classes of the previous generation that the new one lacks or changes.
-    fn retire_missing(&mut self, previous: &[usize], classes: &[Class]) {
+    /// Retires the classes of the previous generation that are missing from or changed in the new
+    /// one.
+    fn retire_missing_or_changed(&mut self, previous: &[usize], classes: &[Class]) {
         for &index in previous {
             let slot = &mut self.slots[index];
-            if !classes.iter().any(|class| slot.has_in_force(class)) {
+            if !classes.iter().any(|class| slot.has_class_in_force(class)) {
                 slot.retired_in = Some(self.generation);
             }
         }
     }
 
-    /// Puts a class into the first free slot, or else into one more; returns the slot's index.
+    /// Inserts a class into the first free slot, or into an additional slot if none is free.
+    /// Returns the index of the slot.
     fn insert(&mut self, class: Class) -> usize {
         let slot = Slot::new(class);
         let free = self
@@ -162,8 +168,8 @@
         }
     }
 
-    /// The class of the previous generation that a new class resembles most: the one of the same
-    /// name, or else the first with the same kind of work.
+    /// The index of the previous generation's class that is most similar to a new class: the class
+    /// of the same name, or else the first class with the same kind of work.
     fn predecessor(&self, previous: &[usize], class: &Class) -> Option<usize> {
         let has_same_name = |index: &&usize| self.slots[**index].class.name == class.name;
         let has_same_work =
@@ -176,8 +182,8 @@
     }
 }
 
-/// Whether the queries of two classes are alike in their work, so that what was learned of one
-/// class is a good first estimate for the other.
+/// Whether the queries of two classes have the same kind of work, so that the estimates learned for
+/// one class are good initial estimates for the other.
 fn same_work(one: &ClassSpec, other: &ClassSpec) -> bool {
     one.base_latency_objective == other.base_latency_objective
         && one.threads == other.threads
@@ -185,7 +191,7 @@
         && one.blocked_by_loads == other.blocked_by_loads
 }
 
-/// The id of the class in the slot of this index.
+/// The id of the class in the slot with this index.
 fn class_id(index: usize) -> ClassId {
     ClassId(index as u16)
 }
--- a/tests/unit/class_registry.rs
+++ b/tests/unit/class_registry.rs
@@ -1,10 +1,10 @@
-//! The class registry, against a model under random steps, and the choice of predecessors.
+//! The class registry against a model under random steps, and how it chooses predecessors.
 use super::*;
 use crate::policy::api::Idempotency;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeMap;
 
-/// The class of this name; classes of different variants differ in their settings.
+/// A class with this name. Classes of different variants have different settings.
 fn class(name: u8, variant: u8) -> Class {
     let idempotency = if variant.is_multiple_of(2) {
         Idempotency::Idempotent
@@ -36,7 +36,7 @@
     format!("class-{name}").into()
 }
 
-/// The variants of the classes in force, by their names.
+/// The variants of the classes in force, by name.
 type Variants = BTreeMap<u8, u8>;
 
 fn classes(variants: &Variants) -> Vec<Class> {
@@ -48,9 +48,9 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// The classes are replaced.
+    /// A new generation replaces the classes.
     Replace(Variants),
-    /// A request of the class of this name begins.
+    /// A request of the class with this name starts.
     OpenRequest(u8),
     /// One of the open requests ends.
     CloseRequest(u8),
@@ -70,7 +70,7 @@
     }
 }
 
-/// An open request, with its class as of the request's begin.
+/// An open request, with its class at the time when the request started.
 struct OpenRequest {
     id: ClassId,
     class: Class,
@@ -80,7 +80,7 @@
     registry: ClassRegistry,
     in_force: Variants,
     open_requests: Vec<OpenRequest>,
-    /// The greatest sum so far of classes in force and open requests.
+    /// The maximum so far of the number of classes in force plus open requests.
     max_references: usize,
 }
 
@@ -95,9 +95,9 @@
         }
     }
 
-    /// Whether the registry behaves as it should.
+    /// Applies a step. Returns whether the registry behaves as the model expects.
     fn step(&mut self, step: Step) -> bool {
-        let is_right = match step {
+        let is_correct = match step {
             Step::Replace(next) => self.replace(next),
             Step::OpenRequest(name) => self.open_request(name),
             Step::CloseRequest(index) => {
@@ -107,8 +107,8 @@
         };
         let references = self.in_force.len() + self.open_requests.len();
         self.max_references = self.max_references.max(references);
-        is_right && self.open_requests_keep_their_class() && self.in_force_is_the_last_generation()
-            // Beside the references: the classes that the latest two generations retired.
+        is_correct && self.open_requests_keep_their_class() && self.in_force_is_the_last_generation()
+            // The last two generations may each have retired up to 6 classes.
             && self.registry.slots().count() <= self.max_references + 2 * 6
     }
 
@@ -123,16 +123,16 @@
             .iter()
             .filter(|(name, variant)| self.in_force.get(name) == Some(variant))
             .count();
-        let is_right = new_slots.len() == next.len() - unchanged
+        let is_correct = new_slots.len() == next.len() - unchanged
             && new_slots
                 .iter()
-                .all(|new| self.has_right_predecessor(new, &before));
+                .all(|new| self.has_correct_predecessor(new, &before));
         self.in_force = next;
-        is_right
+        is_correct
     }
 
-    /// Whether a class whose name was in force follows the class of that name.
-    fn has_right_predecessor(&self, new: &NewSlot, before: &[Class]) -> bool {
+    /// Whether a class whose name was already in force has the class of that name as predecessor.
+    fn has_correct_predecessor(&self, new: &NewSlot, before: &[Class]) -> bool {
         let Some(class) = self.registry.class(new.slot) else {
             return false;
         };
@@ -183,8 +183,9 @@
     }
 }
 
-/// Whatever is configured meanwhile, the slot of an open request keeps its class, exactly the
-/// classes of the last generation are in force, and slots are reused.
+/// Guards requests across reloads: the slot of an open request keeps its class whatever is
+/// configured meanwhile. Exactly the classes of the last generation are in force, and slots are
+/// reused.
 #[test]
 fn a_slot_keeps_its_class_while_a_request_refers_to_it() {
     fn run(steps: Vec<Step>) -> bool {
@@ -197,9 +198,10 @@
     check.quickcheck(run as fn(Vec<Step>) -> bool);
 }
 
-/// A class that only gets another name or another idempotency does not lose what was learned of it.
+/// Guards the learned estimates of a class across a reload that changes only its name or only its
+/// idempotency.
 #[test]
-fn a_new_class_follows_the_one_of_its_name_or_else_of_its_work() {
+fn the_predecessor_of_a_new_class_has_the_same_name_or_else_the_same_work() {
     let mut registry = ClassRegistry::new(vec![class(0, 0), class(1, 0)]);
 
     let new_slots = registry.replace_classes(vec![class(0, 1), class(4, 0)]);
