--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -1,66 +1,69 @@
 //! The state machine of the process: starting, ready, draining, hot restart, stopping.
 //!
-//! It performs no I/O. The actors report events to it with the time at which they happened, and ask
-//! it what to do. It is the only source of the stage that `status` and `GET /ready` report, of
-//! whether the listeners accept connections, and of when an idle client connection is closed.
+//! It performs no I/O. The actors report events to it with the time at which they happened, and
+//! query the resulting state. It is the only source of the stage that `status` and `GET /ready`
+//! report, of whether the listeners accept connections, and of when an idle client connection is
+//! closed.
 
 use crate::clock::{MS, Micros};
 use std::fmt;
 
 /// Time from the start of a drain until clients stop connecting: the platform's front polls
-/// readiness ten times a second and then takes about 0.2 s to act on it. No idle connection is
-/// closed earlier, because its client would reconnect here.
+/// readiness ten times a second and takes about 0.2 s to act on the result. Idle connections are
+/// not closed earlier, because their clients would reconnect to this process.
 const CLIENT_DISCOVERY_DELAY: Micros = 500 * MS;
-/// Period over which a drain closes idle connections, so that their clients do not all reconnect
-/// elsewhere at the same moment.
+/// Period over which a drain closes idle connections, so that their clients do not all reconnect to
+/// other managers at the same time.
 const DRAIN_CLOSE_SPREAD: Micros = 1_200 * MS;
-/// Period over which idle connections are closed once a successor serves. It starts with the request
-/// to stop: the successor accepts new connections at the same address, so there is nothing for the
-/// front to discover.
+/// Period over which idle connections are closed if a successor serves. It starts with the request
+/// to stop: the successor accepts new connections at the same address, so the front does not have
+/// to detect a change first.
 const HOT_RESTART_CLOSE_SPREAD: Micros = 600 * MS;
-/// Time from the start of a drain after which requests on the remaining connections are rejected. A
-/// connection that is never idle could not be closed otherwise.
+/// Time from the start of a drain after which requests on the remaining connections are rejected.
+/// Otherwise a connection that is never idle could not be closed.
 const DRAIN_REJECT_DELAY: Micros = 2_200 * MS;
-/// Time from the request to stop after which requests are rejected, where a successor serves.
+/// Time from the request to stop after which requests are rejected if a successor serves.
 const HOT_RESTART_REJECT_DELAY: Micros = 800 * MS;
-/// Time for which the listeners still accept connections after the request to stop: connections that
-/// clients are just opening may still carry requests.
+/// Time for which the listeners continue to accept connections after the request to stop, since
+/// connections that clients are opening at that time may still carry requests.
 const ACCEPT_LINGER: Micros = 900 * MS;
-/// Time for which a connection has to be idle after its last response before it is closed. A client
-/// that just received a response is likely to send its next request.
-const QUIET_AFTER_RESPONSE: Micros = 40 * MS;
-/// Time for which a connection has to be idle before it is closed if it never carried a request.
-const QUIET_BEFORE_FIRST_REQUEST: Micros = 300 * MS;
-/// Time after its close is due for which a connection may wait to become idle for long enough; after
-/// that it is closed at its first idle moment.
-const MAX_QUIET_WAIT: Micros = 800 * MS;
-/// Time between the longest request deadline and the forced end. The platform kills the process 0.7 s
-/// after that deadline at the earliest, and the connections get 0.15 s to close: 0.3 s are left for a
-/// machine on which this process has to wait for a processor. Requests arrive up to 0.6 s after the
-/// request to stop; only those of the last 0.35 s that need their whole deadline end early by this.
+/// Minimum idle time of a connection after its last response before it is closed. A client that
+/// just received a response is likely to send its next request.
+const MIN_IDLE_AFTER_RESPONSE: Micros = 40 * MS;
+/// Minimum idle time of a connection before it is closed if it never carried a request.
+const MIN_IDLE_BEFORE_FIRST_REQUEST: Micros = 300 * MS;
+/// Time after a connection is due to be closed for which the minimum idle time applies. After that,
+/// the connection is closed as soon as it is idle.
+const MAX_IDLE_WAIT: Micros = 800 * MS;
+/// Time between the longest request deadline and the forced end. The platform kills the process no
+/// earlier than 0.7 s after that deadline, and the connections get 0.15 s to close. The remaining
+/// 0.3 s are for a machine on which this process has to wait for a processor. Requests arrive up to
+/// 0.6 s after the request to stop. Of these, only requests that arrive in the last 0.35 s and need
+/// their whole deadline end early.
 const FORCED_END_SLACK: Micros = 250 * MS;
-/// Upper bound on the request deadline that a stop waits for.
+/// Upper limit of the request deadline for which a shutdown waits.
 const MAX_DEADLINE_WAIT: Micros = 3_000 * MS;
-/// Upper bound on the request deadline that a stop waits for where a successor serves new requests
-/// meanwhile.
+/// Upper limit of the request deadline for which a shutdown waits if a successor serves new
+/// requests in the meantime.
 const HOT_RESTART_MAX_DEADLINE_WAIT: Micros = 5_000 * MS;
-/// Least fraction of its remaining work that counts towards the capacity share of a stopping process.
-/// With next to no capacity the requests that it still queues would wait until the forced end.
+/// Minimum of the remaining fraction of work that determines the capacity share of a stopping
+/// process. With almost no capacity, the requests that it still queues would wait until the forced
+/// end.
 const MIN_REMAINING_WORK: f64 = 0.4;
-/// Multiplier of Fibonacci hashing (2^64 divided by the golden ratio): maps consecutive connection
-/// numbers to evenly spread values.
+/// Multiplier of Fibonacci hashing (2^64 divided by the golden ratio), which maps consecutive
+/// connection numbers to evenly distributed values.
 const FIBONACCI_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// The stage of the process, as operators see it.
+/// The stage of the process, as reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// No endpoint list has been received yet.
     Starting,
     /// Serving.
     Ready,
-    /// Operators asked the process to send its clients away.
+    /// Operators requested a drain: clients have to move to other managers.
     Draining,
-    /// A successor serves beside this process: two processes act as one manager.
+    /// A successor serves in parallel with this process: both processes act as one manager.
     HotRestart,
     /// The process was asked to stop.
     Stopping,
@@ -96,35 +99,37 @@
     }
 }
 
-/// The state of the process that succeeds this one in a hot restart.
+/// The state of the successor of this process in a hot restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SuccessorState {
     /// There is no successor.
     #[default]
     None,
-    /// It holds the listeners and prepares to serve.
+    /// It has received the listeners and prepares to serve.
     Starting,
-    /// It serves.
+    /// It serves requests.
     Ready,
 }
 
 /// The state machine of the process. See the [module](self).
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
-    /// An endpoint list was received, or the process serves with the list of its configuration.
+    /// Whether an endpoint list was received, or the process serves with the list of its
+    /// configuration.
     endpoint_list_known: bool,
-    /// When the drain in force began.
+    /// When the current drain started.
     drained_at: Option<Micros>,
     /// When the process was asked to stop.
     stopping_at: Option<Micros>,
-    /// The remaining connections are closed.
+    /// Whether the remaining connections are closed.
     closing: bool,
-    /// The fraction of the manager's capacity that its older processes hold.
+    /// The fraction of the manager's capacity that its predecessors hold.
     predecessor_share: f64,
     successor: SuccessorState,
-    /// The fraction that remains of the work that was open when the process was asked to stop.
+    /// The remaining fraction of the work that was open when the process was asked to stop.
     remaining_work: f64,
-    /// This member is behind the fleet's majority for too long and reports that it is not ready.
+    /// Whether this manager has been a straggler for too long and therefore reports that it is not
+    /// ready.
     excluded: bool,
 }
 
@@ -144,17 +149,17 @@
 }
 
 impl Lifecycle {
-    /// The endpoint list is known, or the time to wait for it is over.
+    /// Records that the endpoint list is known, or that the timeout for it has passed.
     pub fn endpoint_list_received(&mut self) {
         self.endpoint_list_known = true;
     }
 
-    /// Starts to send clients away. A drain that is in force keeps its start.
+    /// Starts a drain. A drain that is already active keeps its start time.
     pub fn drain(&mut self, now: Micros) {
         self.drained_at = self.drained_at.or(Some(now));
     }
 
-    /// Ends the drain; `false` if the process is stopping, where nothing changes.
+    /// Ends the drain. Returns `false` without a change if the process is stopping.
     pub fn undrain(&mut self) -> bool {
         if self.is_stopping() {
             return false;
@@ -163,13 +168,13 @@
         true
     }
 
-    /// The process was asked to stop. Only the first request counts.
+    /// Records a request to stop the process. Only the first one has an effect.
     pub fn begin_shutdown(&mut self, now: Micros) {
         self.stopping_at = self.stopping_at.or(Some(now));
     }
 
-    /// All requests are answered after the request to stop, or its forced end is due: from now on no
-    /// connection is kept open and no request is accepted.
+    /// Starts to close all connections and to reject all requests. Called after the request to
+    /// stop, when all requests have their response or the forced end is due.
     pub fn begin_closing(&mut self) {
         self.closing = true;
     }
@@ -179,8 +184,8 @@
         self.closing
     }
 
-    /// Sets the fraction of the manager's capacity that older processes hold: 0 once they have
-    /// ended, and for a value that is not finite.
+    /// Sets the fraction of the manager's capacity that predecessors hold: 0 once they have exited.
+    /// A value that is not finite counts as 0.
     pub fn set_predecessor_share(&mut self, share: f64) {
         self.predecessor_share = if share.is_finite() {
             share.clamp(0.0, 1.0)
@@ -189,21 +194,21 @@
         };
     }
 
-    /// A successor connected, became ready, or ended.
+    /// Sets the state of the successor when it connects, becomes ready, or exits.
     pub fn set_successor(&mut self, successor: SuccessorState) {
         self.successor = successor;
     }
 
-    /// Sets the fraction of its work that a stopping process still has to finish. It never
-    /// increases, and counts as at least 0.4; a value that is not finite is ignored.
+    /// Sets the fraction of its work that a stopping process still has to finish. The fraction
+    /// never increases, and is at least 0.4. A value that is not finite is ignored.
     pub fn set_remaining_work(&mut self, fraction: f64) {
         if fraction.is_finite() {
-            let least = MIN_REMAINING_WORK.min(self.remaining_work);
-            self.remaining_work = fraction.clamp(least, self.remaining_work);
+            let minimum = MIN_REMAINING_WORK.min(self.remaining_work);
+            self.remaining_work = fraction.clamp(minimum, self.remaining_work);
         }
     }
 
-    /// The stage that operators see.
+    /// The stage that is reported to operators.
     pub fn stage(&self) -> Stage {
         if self.is_stopping() {
             Stage::Stopping
@@ -223,23 +228,23 @@
         matches!(self.stage(), Stage::Ready | Stage::HotRestart) && !self.excluded
     }
 
-    /// Excludes this manager while the fleet's majority acts on newer settings or a newer endpoint
+    /// Excludes this manager while the fleet's majority uses newer settings or a newer endpoint
     /// list, or includes it again.
     pub fn set_excluded(&mut self, excluded: bool) {
         self.excluded = excluded;
     }
 
-    /// Whether this manager is excluded because it is behind the fleet's majority.
+    /// Whether this manager is excluded as a straggler.
     pub fn is_excluded(&self) -> bool {
         self.excluded
     }
 
-    /// Whether the process is able to serve requests, which it does also while it drains.
+    /// Whether the process can serve requests. It also does so while it is draining.
     pub fn can_serve(&self) -> bool {
         self.endpoint_list_known && !self.is_stopping()
     }
 
-    /// Whether a drain is in force.
+    /// Whether a drain is active.
     pub fn is_draining(&self) -> bool {
         self.drained_at.is_some()
     }
@@ -249,15 +254,15 @@
         self.stopping_at.is_some()
     }
 
-    /// Whether responses should announce that the connection will be closed, where the protocol can
-    /// express that.
+    /// Whether responses should announce that the connection will be closed, if the protocol
+    /// supports that.
     pub fn announces_close(&self) -> bool {
         self.is_stopping() || self.is_draining()
     }
 
-    /// Until when the listeners accept connections: without end unless the process was asked to
-    /// stop. A successor accepts from the same listen queue, so that none of its connections is
-    /// lost if this process stops accepting at once.
+    /// When the listeners stop accepting connections; `None` unless the process was asked to stop.
+    /// A successor that serves accepts from the same listen queue, so no connection is lost if this
+    /// process stops accepting at once.
     pub fn accepts_until(&self) -> Option<Micros> {
         let linger = match self.successor {
             SuccessorState::Ready => 0,
@@ -266,13 +271,13 @@
         self.stopping_at.map(|stopping_at| stopping_at + linger)
     }
 
-    /// Whether idle client connections are to be closed, now or soon.
+    /// Whether idle client connections are closed, now or at a later time.
     pub fn closes_idle_connections(&self) -> bool {
         self.is_draining() || self.is_stopping()
     }
 
-    /// When connection number `conn` is to be closed, at its next idle moment; `None` if it is kept
-    /// open.
+    /// The time from which connection number `conn` is closed as soon as it is idle; `None` if it
+    /// is kept open.
     pub fn idle_close_at(&self, conn: u64) -> Option<Micros> {
         let offset_within = |spread: Micros| conn.wrapping_mul(FIBONACCI_MULTIPLIER) % spread;
         let by_drain = self
@@ -288,8 +293,8 @@
             .min()
     }
 
-    /// From when on new requests on open connections are rejected at once. Without that time clients
-    /// that go on sending could keep their connections, and a process that stops, open without end.
+    /// The time from which new requests on open connections are rejected. Otherwise clients that
+    /// continue to send could keep their connections open, and delay a shutdown, without limit.
     pub fn rejects_from(&self) -> Option<Micros> {
         let by_closing = self.closing.then_some(0);
         let by_drain = self.drained_at.map(|at| at + DRAIN_REJECT_DELAY);
@@ -306,27 +311,30 @@
         self.rejects_from().is_some_and(|at| at <= now)
     }
 
-    /// How long connection number `conn` has to be idle before it is closed. A client that just
-    /// connected, or just received a response, is likely to send a request. `answered` is whether
-    /// the connection ever carried one. 0 once the connection has waited long enough.
-    pub fn required_quiet_time(&self, conn: u64, now: Micros, answered: bool) -> Micros {
+    /// Minimum idle time of connection number `conn` before it is closed. A client that just
+    /// connected, or just received a response, is likely to send a request. `had_response` is
+    /// whether the connection ever carried a response. The result is 0 once the connection has
+    /// waited long enough.
+    pub fn min_idle_time(&self, conn: u64, now: Micros, had_response: bool) -> Micros {
         if self.closing {
             return 0;
         }
         match self.idle_close_at(conn) {
-            Some(close_at) if now < close_at + MAX_QUIET_WAIT && answered => QUIET_AFTER_RESPONSE,
-            Some(close_at) if now < close_at + MAX_QUIET_WAIT => QUIET_BEFORE_FIRST_REQUEST,
+            Some(close_at) if now < close_at + MAX_IDLE_WAIT && had_response => {
+                MIN_IDLE_AFTER_RESPONSE
+            }
+            Some(close_at) if now < close_at + MAX_IDLE_WAIT => MIN_IDLE_BEFORE_FIRST_REQUEST,
             _ => 0,
         }
     }
 
-    /// Whether this process is stopping and its successor serves: then the successor takes the
-    /// clients over, and this process ends once it has none left.
+    /// Whether this process is stopping and its successor serves. The successor then takes over the
+    /// clients, and this process exits once it has none left.
     pub fn successor_took_over(&self) -> bool {
         self.took_over_at().is_some()
     }
 
-    /// Whether a successor has this process's listeners too, serving or not.
+    /// Whether a successor shares this process's listeners, whether it serves or not.
     pub fn has_successor(&self) -> bool {
         self.successor != SuccessorState::None
     }
@@ -337,17 +345,17 @@
             .filter(|_| self.successor == SuccessorState::Ready)
     }
 
-    /// When clients send no more by the platform's rules, if the process was asked to stop and no
-    /// successor serves. Idle connections are closed from then on.
+    /// When clients stop sending according to the platform's rules, if the process was asked to
+    /// stop and no successor serves. Idle connections are closed from then on.
     fn accept_linger_ends_at(&self) -> Option<Micros> {
         self.stopping_at
             .filter(|_| self.successor != SuccessorState::Ready)
             .map(|at| at + ACCEPT_LINGER)
     }
 
-    /// When the requests that are still open fail, so that their clients receive an error before the
-    /// process is killed. The platform kills a process no earlier than the longest deadline, within
-    /// the platform's bounds, and 0.7 s after the request to stop.
+    /// When the remaining open requests are ended, so that their clients receive a response before
+    /// the process is killed. The platform kills a process no earlier than the longest deadline,
+    /// within the platform's limits, plus 0.7 s after the request to stop.
     pub fn forced_end_at(&self, longest_deadline: Micros) -> Option<Micros> {
         let max_wait = match self.successor {
             SuccessorState::Ready => HOT_RESTART_MAX_DEADLINE_WAIT,
@@ -357,7 +365,7 @@
             .map(|stopping_at| stopping_at + longest_deadline.min(max_wait) + FORCED_END_SLACK)
     }
 
-    /// The fraction of the manager's limits and quotas that belongs to this process.
+    /// The fraction of the manager's limits and quotas that this process may use.
     pub fn capacity_share(&self) -> f64 {
         let own_fraction = match self.successor {
             SuccessorState::Ready => 0.5 * self.remaining_work,
@@ -367,7 +375,7 @@
     }
 
     /// The fraction of the manager's limits and quotas that a successor has to leave to this process
-    /// and those before it.
+    /// and its predecessors.
     pub fn share_reserved_for_predecessors(&self) -> f64 {
         let own_share = match self.successor {
             SuccessorState::Ready => self.capacity_share(),
--- a/src/net/client/wait.rs
+++ b/src/net/client/wait.rs
@@ -171,7 +171,7 @@
         let leaves = quiet && (closing || self.status.draining.get());
         leaves.then(|| {
             let is_active_client = self.frontend.has_valid_message();
-            self.active_at + lifecycle.required_quiet_time(self.id, now, is_active_client)
+            self.active_at + lifecycle.min_idle_time(self.id, now, is_active_client)
         })
     }
 
--- a/tests/unit/lifecycle.rs
+++ b/tests/unit/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle against a model under random steps, and the guarantees that the sockets rest on.
+//! The lifecycle against a model under random steps, and the guarantees that the actors depend on.
 use super::{
     ACCEPT_LINGER, CLIENT_DISCOVERY_DELAY, DRAIN_CLOSE_SPREAD, DRAIN_REJECT_DELAY,
     HOT_RESTART_REJECT_DELAY, Lifecycle, MIN_REMAINING_WORK, Stage, SuccessorState,
@@ -6,7 +6,7 @@
 use crate::clock::{MS, Micros, SEC};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-/// An event of the process, or a period without any.
+/// An event of the process, or a period without events.
 #[derive(Clone, Debug)]
 enum Step {
     EndpointListReceived,
@@ -51,14 +51,14 @@
     f64::from(count) / 4.0
 }
 
-/// Every step so far with its time; what the lifecycle should report is derived from the whole list.
+/// All steps so far with their times. The expected state is derived from the whole list.
 #[derive(Default)]
 struct History {
     steps: Vec<(Micros, Step)>,
 }
 
 impl History {
-    /// The argument of the last step that `pick` selects.
+    /// The value that `pick` returns for the last step that it selects.
     fn last<T>(&self, pick: impl Fn(&Step) -> Option<T>) -> Option<T> {
         self.steps.iter().rev().find_map(|(_, step)| pick(step))
     }
@@ -79,7 +79,8 @@
             .any(|(_, step)| matches!(step, Step::EndpointListReceived))
     }
 
-    /// The first drain since the last undrain that counted: one after the stop does not.
+    /// The time of the first drain since the last undrain that had an effect. An undrain after the
+    /// request to stop has none.
     fn drained_at(&self) -> Option<Micros> {
         let until_stop = &self.steps[..self.stop_index().unwrap_or(self.steps.len())];
         let since_undrain = until_stop
@@ -139,8 +140,9 @@
     }
 }
 
-/// A connection is closed only by a drain, behind a successor, or once clients send no more after
-/// the request to stop; never before the front can know, and in time.
+/// Whether a connection is closed only by a drain, because a successor took over, or once clients
+/// stop sending after the request to stop; and whether that is neither before the front can detect
+/// the drain nor too late.
 fn closes_idle_connection_in_time(lifecycle: &Lifecycle, history: &History, conn: u64) -> bool {
     let drained_at = history.drained_at();
     let took_over_at = history
@@ -179,7 +181,7 @@
             at + delay <= now
         });
     let reserved = lifecycle.share_reserved_for_predecessors();
-    // A successor holds no more than what this process and those before it leave.
+    // A successor may use only what this process and its predecessors leave.
     let reserves_enough = reserved + 1e-9 >= history.predecessor_share() + capacity_share;
     let checks = [
         lifecycle.is_ready() == should_be_ready,
@@ -197,8 +199,8 @@
     !checks.contains(&false)
 }
 
-/// Guards every pair of events that may overlap, such as a drain within a hot restart: the state
-/// machine reports what follows from the list of all events so far.
+/// Guards against wrong states after overlapping events, such as a drain during a hot restart: the
+/// state machine reports what follows from the list of all events so far.
 #[test]
 fn the_lifecycle_reports_what_follows_from_its_whole_history() {
     fn agrees_after_each_step(steps: Vec<Step>) -> bool {
@@ -223,8 +225,8 @@
     check.quickcheck(agrees_after_each_step as fn(Vec<Step>) -> bool);
 }
 
-/// Guards the front's clients: only few reconnect elsewhere at the same moment, and none is kept
-/// past the time by which all have to be gone.
+/// Guards the front's clients during a drain: only few of them reconnect to other managers at the
+/// same time, and no connection stays open after the time by which all have to be closed.
 #[test]
 fn a_drain_closes_idle_connections_evenly() {
     let mut lifecycle = Lifecycle::default();
@@ -245,7 +247,7 @@
     assert_eq!(lifecycle.idle_close_at(1), None);
 }
 
-/// Guards the names that operators and the fleet's other members read.
+/// Guards the stage names that are part of the interface to operators.
 #[test]
 fn each_stage_has_a_fixed_name() {
     let names = [
@@ -261,19 +263,20 @@
     }
 }
 
-/// Guards the requests of a process that is told to end: the platform kills it 0.7 s after the longest
-/// deadline at the earliest, and by then it has to be gone also where it waits for a processor.
+/// Guards the requests of a process that was asked to stop: the platform kills it no earlier than
+/// 0.7 s after the longest deadline, and it has to exit before that even if it waits for a
+/// processor.
 #[test]
-fn the_forced_end_leaves_room_before_the_kill() {
+fn the_forced_end_precedes_the_kill_by_a_margin() {
     const KILL_SLACK: Micros = 700 * MS;
-    const CLOSE: Micros = 150 * MS;
-    const ROOM: Micros = 300 * MS;
+    const CLOSE_TIME: Micros = 150 * MS;
+    const MARGIN: Micros = 300 * MS;
     for deadline in [SEC, 2 * SEC, 3 * SEC, 60 * SEC] {
         let mut lifecycle = Lifecycle::default();
         lifecycle.begin_shutdown(SEC);
         let kill_at = SEC + deadline.min(3 * SEC) + KILL_SLACK;
         let forced_end_at = lifecycle.forced_end_at(deadline).expect("it stops");
-        assert!(forced_end_at + CLOSE + ROOM <= kill_at, "{deadline}");
+        assert!(forced_end_at + CLOSE_TIME + MARGIN <= kill_at, "{deadline}");
         assert!(forced_end_at >= SEC + deadline.min(3 * SEC), "{deadline}");
     }
 }
