--- a/tests/rules/checker.rs
+++ b/tests/rules/checker.rs
@@ -1,4 +1,4 @@
-//! Checks each action against the seven invariants, from events and actions alone.
+//! Checks each action against the seven invariants, using only events and actions.
 use crate::common::*;
 use crate::observed::*;
 use crate::player::{alternating_endpoint, random_settings};
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use yokelift::policy::api::*;
 
-/// The module with the world around it, and what was observed of it.
+/// The decision module with its simulated environment, and what was observed of it.
 pub(crate) struct InvariantChecker {
     pub(crate) settings: Settings,
     pub(crate) harness: GatewayHarness,
@@ -99,7 +99,7 @@
             }
             Action::Probe { .. } => {
                 let may_probe = self.settings.limits.may_probe;
-                assert!(may_probe, "probed where that is not allowed");
+                assert!(may_probe, "probed although the settings do not allow it");
             }
             Action::Cancel { id, attempt } => self.check_cancellation(*id, *attempt),
             Action::Send { id, engine, .. } => self.check_attempt(*id, *engine),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Invariant 1: one final response, in time.
+    /// Invariant 1: exactly one final response, in time.
     fn check_final_response(&mut self, id: RequestId) {
         let now = self.now();
         let observed = self
@@ -128,7 +128,7 @@
         observed.finished_at.get_or_insert(now);
     }
 
-    /// Invariant 2: a rejection promises that a retry is harmless.
+    /// Invariant 2: a rejection guarantees that a retry is harmless.
     fn check_rejection(&self, id: RequestId) {
         let observed = self
             .requests
@@ -142,7 +142,10 @@
 
     fn check_cancellation(&mut self, id: RequestId, attempt: AttemptNo) {
         let may_cancel = self.settings.limits.may_cancel;
-        assert!(may_cancel, "cancelled where that is not allowed");
+        assert!(
+            may_cancel,
+            "cancelled although the settings do not allow it"
+        );
         let observed = self.requests.get_mut(&id).expect("unknown request");
         observed.attempts[usize::from(attempt.0)].cancelled = true;
     }
@@ -152,7 +155,7 @@
         assert_eq!(
             endpoint.readiness,
             Readiness::Ready,
-            "invariant 3: sent to an engine that drains or is removed"
+            "invariant 3: sent to an engine that is draining or was removed"
         );
         self.check_attempt_limits(id, engine);
         self.check_placement(id, &endpoint);
@@ -170,12 +173,12 @@
         observed.attempts.push(attempt);
     }
 
-    /// Invariant 1, and the limits on attempts.
+    /// Invariant 1, and the limits on the number of attempts.
     fn check_attempt_limits(&self, id: RequestId, engine: EngineId) {
         let observed = &self.requests[&id];
         assert!(
             observed.finished_at.is_none() && self.now() < observed.request.deadline,
-            "sent after the end"
+            "sent after the final response or the deadline"
         );
         let running = || observed.attempts.iter().filter(|one| one.is_running());
         assert!(
@@ -185,7 +188,7 @@
         let running_count = running().count();
         assert!(
             running_count <= usize::from(self.settings.limits.hedging),
-            "{} attempts in flight at once",
+            "{} attempts in flight at the same time",
             running_count + 1
         );
         assert!(
@@ -194,7 +197,7 @@
         );
     }
 
-    /// Invariant 6.
+    /// Invariant 6: only machine types that the class allows.
     fn check_placement(&self, id: RequestId, endpoint: &Endpoint) {
         let class = self.class(&self.requests[&id].request);
         assert!(
@@ -202,11 +205,11 @@
                 .allowed_machine_types
                 .as_ref()
                 .is_none_or(|allowed| allowed.contains(&endpoint.machine_type)),
-            "placement"
+            "sent to a machine type that the class does not allow"
         );
     }
 
-    /// Invariant 2.
+    /// Invariant 2: no repetition that could cause a second effect.
     fn check_idempotency(&self, id: RequestId, endpoint: &Endpoint) {
         let observed = &self.requests[&id];
         let first_run = observed.attempts.iter().find(|one| one.may_have_run());
@@ -216,7 +219,7 @@
             }
             (Idempotency::WithKey { window, .. }, Some(first)) => {
                 let cell = self.endpoints[&first.engine].cell;
-                assert_eq!(cell, endpoint.cell, "left its cell");
+                assert_eq!(cell, endpoint.cell, "repeated in another cell");
                 assert!(
                     self.now() < first.started_at + window,
                     "repeated after the window"
@@ -226,7 +229,8 @@
         }
     }
 
-    /// Invariant 5.
+    /// Invariant 5: requests of a serial class with the same key run one after another, in the
+    /// order of their arrival.
     fn check_order(&self, id: RequestId) {
         let request = &self.requests[&id].request;
         let (true, Some(key)) = (self.class(request).serial_per_key, request.key) else {
@@ -258,7 +262,7 @@
         }
     }
 
-    /// Invariant 7.
+    /// Invariant 7: retries stay within the retry budget.
     fn check_retry_budget(&mut self, id: RequestId) {
         let Some(budget) = self.settings.invariants.retry_budget else {
             return;
@@ -280,8 +284,8 @@
         );
     }
 
-    /// Invariant 4, for this gateway's part; `tests/fleet` and `tests/slow_start.rs` add up all
-    /// gateways.
+    /// Invariant 4: work sent to an engine in slow start stays within the limit of this gateway.
+    /// `tests/fleet` and `tests/slow_start.rs` check the sum over all gateways.
     fn check_slow_start(&mut self, id: RequestId, endpoint: &Endpoint) {
         let now = self.now();
         let invariants = self.settings.invariants;
@@ -304,8 +308,8 @@
         let age = (now - started_at) as f64 / invariants.slow_start_duration as f64;
         let window = invariants.overload_window as f64;
         let budget = 2.0 * cores * 0.85 * (0.3 + 0.7 * age) * window;
-        // A gateway keeps to its part. Where that is less than one request it sends a whole one in
-        // its time slot, and never more than the engine could take.
+        // A gateway stays within its part of the budget. If the part is less than one request, the
+        // gateway sends a whole request in its turn, but never exceeds the budget of the engine.
         let part = budget / f64::from(self.settings.gateways);
         assert!(
             sent <= part || (sent <= budget && (count == 1 || self.settings.gateways > 3)),
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,5 +1,5 @@
-//! Seeded property test of the seven invariants: random legal events in unusual orders, and a
-//! checker that shares no code with the module and knows events and actions alone.
+//! Seeded property test of the seven invariants. The decision module receives random legal events
+//! in unusual orders. The checker shares no code with the module and uses only events and actions.
 mod checker;
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/rules/observed.rs
+++ b/tests/rules/observed.rs
@@ -1,10 +1,10 @@
-//! What the checker remembers of events and actions.
+//! What the checker records of events and actions.
 use crate::common::*;
 use yokelift::policy::api::*;
 
 /// Work of a request, by class.
 pub(crate) const WORK: [Nanos; 4] = [200 * MILLISECOND, SECOND, 2 * SECOND, 100 * MILLISECOND];
-/// An attempt, as the checker saw it.
+/// An attempt, as observed by the checker.
 #[derive(Clone)]
 pub(crate) struct ObservedAttempt {
     pub(crate) engine: EngineId,
@@ -34,7 +34,7 @@
     }
 }
 
-/// A request, as the checker saw it.
+/// A request, as observed by the checker.
 pub(crate) struct ObservedRequest {
     pub(crate) request: Request,
     pub(crate) attempts: Vec<ObservedAttempt>,
@@ -42,7 +42,7 @@
     pub(crate) responses: u32,
 }
 
-/// An attempt of a request.
+/// Identifies an attempt of a request by its index.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptRef {
     pub(crate) request: RequestId,
@@ -63,7 +63,7 @@
     pub(crate) work: f64,
 }
 
-/// A span in which the gateway was stalled; what fell due in it is due at its end.
+/// A period in which the gateway was stalled. Whatever became due in it is due at its end.
 pub(crate) struct Stall {
     pub(crate) from: Nanos,
     pub(crate) until: Nanos,
--- a/tests/rules/player.rs
+++ b/tests/rules/player.rs
@@ -1,4 +1,4 @@
-//! Plays clients, engines, the endpoint list and the clock with random legal events.
+//! Simulates clients, engines, the endpoint list and the clock with random legal events.
 use crate::checker::InvariantChecker;
 use crate::common::*;
 use crate::observed::*;
@@ -6,12 +6,12 @@
 use rand_pcg::Pcg32;
 use yokelift::policy::api::*;
 
-/// Time that a client waits, by class.
+/// Time for which a client waits, by class.
 const DEADLINE: [Nanos; 4] = [6 * SECOND, 15 * SECOND, 20 * SECOND, 6 * SECOND];
-/// Time between two readings of the clock.
+/// Step by which the simulated clock advances.
 const CLOCK_STEP: Nanos = 5 * MILLISECOND;
 
-/// Settings with some of what an operator may forbid or leave out.
+/// Settings in which random options that an operator may disable or omit are disabled or omitted.
 pub(crate) fn random_settings(rng: &mut Pcg32) -> Settings {
     let mut settings = test_settings();
     settings.limits.may_message_peers = rng.next_u32().is_multiple_of(2);
@@ -48,7 +48,7 @@
     settings
 }
 
-/// An endpoint whose machine type alternates by id.
+/// An endpoint whose machine type alternates with its id.
 pub(crate) fn alternating_endpoint(id: u64, started_at: Nanos) -> Endpoint {
     endpoint(id, (id % 2) as u16, started_at)
 }
@@ -121,9 +121,10 @@
         self.now() >= self.requests[&attempt.request].request.deadline
     }
 
-    /// Advances the clock, with the timers and the timeouts at deadlines on the way.
-    pub(crate) fn advance(&mut self, span: Nanos) {
-        let end = self.now() + span;
+    /// Advances the clock, fires the timers that become due, confirms cancellations, and ends
+    /// attempts at their deadline.
+    pub(crate) fn advance(&mut self, duration: Nanos) {
+        let end = self.now() + duration;
         while self.now() < end {
             self.harness.now += CLOCK_STEP;
             for attempt in self.running_attempts() {
@@ -141,8 +142,8 @@
         }
     }
 
-    /// The gateway is stalled for up to two seconds. Then it receives everything at once: first the
-    /// timer, then the outcomes of the meantime.
+    /// Stalls the gateway for up to two seconds. After that it receives all events at once: first
+    /// the timer, then the outcomes of the attempts that ended during the stall.
     fn stall(&mut self) {
         let from = self.now();
         self.harness.now += (300 + self.below(1700)) * MILLISECOND;
@@ -163,10 +164,10 @@
         }
     }
 
-    /// One random event after a random time.
+    /// Advances the clock by a random time, and passes one random event to the gateway.
     pub(crate) fn step(&mut self) {
-        let span = [0, 5, 20, 60, 200][self.below(5) as usize] * MILLISECOND;
-        self.advance(span);
+        let duration = [0, 5, 20, 60, 200][self.below(5) as usize] * MILLISECOND;
+        self.advance(duration);
         let running = self.running_attempts();
         match self.below(20) {
             0..=8 => self.receive_request(),
@@ -196,7 +197,7 @@
         self.next_request += 1;
         let class = self.below(4) as u16;
         let (work, deadline) = (WORK[usize::from(class)], DEADLINE[usize::from(class)]);
-        // A sixth of the clients come with little time left.
+        // One in six clients sends its request with little time left.
         let percent_left = [80, 90, 100, 90, 100, 15][self.below(6) as usize];
         let deadline = deadline * percent_left / 100;
         let mut request = request(self.next_request, class, now, deadline, work);
@@ -248,7 +249,7 @@
         });
     }
 
-    /// The client of the oldest unfinished request disconnects.
+    /// Disconnects the client of the oldest unfinished request.
     fn disconnect_client(&mut self) {
         let now = self.now();
         let unfinished =
@@ -267,7 +268,7 @@
         known.map_or(0, |endpoint| endpoint.started_at)
     }
 
-    /// One engine changes its state, and may have restarted.
+    /// Changes the readiness of one engine, which may also have restarted.
     fn change_endpoint(&mut self) {
         let id = 1 + self.below(6);
         let states = [Readiness::Ready, Readiness::Draining, Readiness::Removed];
@@ -285,7 +286,7 @@
         self.update_endpoints(EndpointListKind::Changes, vec![entry]);
     }
 
-    /// Half the engines drain at once, and are replaced by new ones in slow start.
+    /// Drains half of the engines at the same time, and replaces them by new ones in slow start.
     fn replace_half_the_engines(&mut self) {
         let now = self.now();
         let draining = |id: u64| Endpoint {
@@ -297,7 +298,7 @@
         self.update_endpoints(EndpointListKind::Changes, entries.collect());
     }
 
-    /// A complete list of the first few engines.
+    /// Sends a complete endpoint list that contains the first few engines.
     fn replace_endpoint_list(&mut self) {
         let count = self.below(6);
         let entries = (1..=count)
