--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -1,38 +1,40 @@
-//! Exponential backoff with jitter for redialling a peer, and the time after which a silent
-//! connection is given up.
+//! Exponential backoff with jitter for reconnecting to a peer, and the receive timeout of each
+//! connection to it.
 //!
-//! Pure: all randomness comes from the seed, so gateways with different seeds don't redial at the
-//! same time.
+//! Pure: all randomness comes from the seed, so gateways with different seeds don't reconnect at
+//! the same time.
 use crate::clock::{MS, Micros};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::ops::RangeInclusive;
 
-/// Upper limit of the pause after a connection that worked. It doubles with each failure.
-const INITIAL_PAUSE: Micros = 100 * MS;
+/// Upper limit of the delay after a connection over which data was received. It doubles with each
+/// further connection without data.
+const INITIAL_DELAY: Micros = 100 * MS;
 
-/// Greatest upper limit of a pause. Each pause is drawn from the upper half of what its limit
-/// allows.
-const MAX_PAUSE: Micros = 800 * MS;
+/// Maximum of the doubled upper limit. Each delay is drawn at random between half of its upper
+/// limit and the limit.
+const MAX_DELAY: Micros = 800 * MS;
 
-/// A peer that owes a frame each second is considered dead after this time without one, drawn for
-/// each connection. Short, so that what the peer has to announce is learned in time even after
-/// several connections in a row fell silent.
-const SILENCE_TIMEOUT: RangeInclusive<Micros> = 1_500 * MS..=2_100 * MS;
+/// Time without received data after which a connection counts as unresponsive, drawn at random for
+/// each connection. The peer should send a frame each second. The timeout is short, so that the
+/// peer's announcements are received in time even after several unresponsive connections in a row.
+const RECEIVE_TIMEOUT: RangeInclusive<Micros> = 1_500 * MS..=2_100 * MS;
 
-/// Doublings after which a limit no longer grows in any case; keeps the shift in range.
+/// Upper limit of the number of doublings, which keeps the shift in range. The delay reaches its
+/// maximum before.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// When to redial one peer.
+/// The state of the backoff for one peer.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     rng: Pcg32,
-    /// Connections in a row over which nothing was received.
+    /// Consecutive connections over which nothing was received.
     failures: u32,
 }
 
 impl Backoff {
-    /// A backoff without failures.
+    /// Creates a backoff without failures.
     pub fn new(seed: u64) -> Backoff {
         Backoff {
             rng: Pcg32::seed_from_u64(seed),
@@ -45,18 +47,18 @@
         from + u64::from(self.rng.next_u32()) % (to - from + 1)
     }
 
-    /// A connection ended: how long to wait before the next dial. `received_data` says whether
-    /// anything was received over it; if so the doubling starts over, as a peer that disconnects
-    /// now and then is not worth a long pause.
-    pub fn pause(&mut self, received_data: bool) -> Micros {
+    /// Records the end of a connection and returns the delay before the next attempt to connect.
+    /// `received_data` is whether anything was received over the connection; if so, the doubling
+    /// starts over, since an occasional disconnect does not justify a long delay.
+    pub fn next_delay(&mut self, received_data: bool) -> Micros {
         self.failures = if received_data { 0 } else { self.failures + 1 };
-        let limit = (INITIAL_PAUSE << self.failures.min(MAX_DOUBLINGS)).min(MAX_PAUSE);
+        let limit = (INITIAL_DELAY << self.failures.min(MAX_DOUBLINGS)).min(MAX_DELAY);
         self.draw(limit / 2..=limit)
     }
 
-    /// How long the next connection may be silent before it is considered dead.
-    pub fn silence_timeout(&mut self) -> Micros {
-        self.draw(SILENCE_TIMEOUT)
+    /// Draws the receive timeout of the next connection.
+    pub fn receive_timeout(&mut self) -> Micros {
+        self.draw(RECEIVE_TIMEOUT)
     }
 }
 
--- a/src/dispatcher/actions.rs
+++ b/src/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! Calls of the decision module, and the actions that it returns.
+//! Passes events to the decision module and applies the actions that it returns.
 use super::rejection::RejectionCause;
 use super::termination::Termination;
 use super::{Command, Dispatcher, Failure};
@@ -46,8 +46,8 @@
             }
             Action::CloseIdleConnections { engine } => commands.push(Command::CloseIdle(engine)),
             Action::Log(line) => commands.push(Command::Log(line)),
-            // The endpoint list is pushed to this process, and gateways exchange nothing through
-            // the decision module: there is nobody to send these to.
+            // The endpoint list is pushed to this process, and the decision modules of different
+            // gateways exchange no messages, so these actions have no effect.
             Action::SendToPeer { .. }
             | Action::FetchEndpointList
             | Action::WatchEndpointList(_) => {}
@@ -70,7 +70,8 @@
         self.timers.push(Reverse((at, token)));
     }
 
-    /// Why a request fails that the decision module gave up: the end of its last attempt.
+    /// The reason for the failure of a request that the decision module gives up: how the attempt
+    /// that ended last did so.
     fn failure_reason(&self, id: RequestId) -> Failure {
         let last_termination = self
             .in_flight
--- a/src/dispatcher/attempts.rs
+++ b/src/dispatcher/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts: started within the invariants, given new options, cancelled, and finished.
+//! Attempts: starting them within the invariants, changing their options, cancelling them, and
+//! handling their results.
 use super::in_flight::{InFlightAttempt, InFlightRequest, PossibleExecution};
 use super::termination::{Termination, never_ran, outcome};
 use super::{AttemptId, AttemptReply, AttemptResult, Command, Cost, Dispatcher, Response};
@@ -9,12 +10,12 @@
     RequestId,
 };
 
-/// The highest priority that engines know.
+/// The highest priority that engines support.
 const MAX_PRIORITY: u8 = 3;
 
 impl Dispatcher {
-    /// Starts an attempt if the invariants permit it. One that they do not permit is reported to
-    /// the decision module as never sent. `timeout` is that of the attempt, 0 for none.
+    /// Starts an attempt if the invariants permit it. Otherwise the attempt is reported to the
+    /// decision module as never sent. `timeout` is the timeout of the attempt, or 0 for none.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -43,7 +44,7 @@
         };
         self.counters.attempts_started += 1;
         self.counters.hedged_attempts += u64::from(!request.attempts.is_empty());
-        commands.extend(slow_attempts(id, request));
+        commands.extend(mark_slow_commands(id, request));
         request.attempts.push(InFlightAttempt {
             endpoint,
             attempt: attempt.attempt,
@@ -99,7 +100,7 @@
     }
 
     /// Sets the memory and the priority of the request's next attempts, and changes the priority of
-    /// its active ones. Options that engines do not support are not sent.
+    /// its active attempts. Options that engines do not support are not sent.
     pub(super) fn set_attempt_options(
         &mut self,
         id: RequestId,
@@ -135,8 +136,8 @@
         }));
     }
 
-    /// Cancels an attempt. It counts as in flight until the engine's side reports its end, since
-    /// until then it may still be executed.
+    /// Cancels an attempt. It counts as in flight until its result arrives, since it may still be
+    /// executed until then.
     pub(super) fn cancel_attempt(
         &mut self,
         id: RequestId,
@@ -189,8 +190,8 @@
         }
     }
 
-    /// An attempt finished. Only the first result of an attempt counts: a second one arrives if, for
-    /// instance, a timeout and the engine's reply cross.
+    /// Handles the result of an attempt. Only the first result of an attempt counts. A second one
+    /// arrives if, for instance, an attempt times out while the engine's reply is on its way.
     pub fn attempt_finished(
         &mut self,
         now: Micros,
@@ -212,7 +213,7 @@
         if !request.has_attempt_deadline(finished.deadline) {
             self.deadlines.remove(&(finished.deadline, id));
         }
-        // An attempt that this side cancelled ended for the reason of the cancellation.
+        // An attempt that the dispatcher cancelled ended for the reason of the cancellation.
         let termination = match (result.termination, finished.cancel_reason) {
             (Termination::Cancelled, Some(reason)) => reason,
             (termination, _) => termination,
@@ -233,7 +234,8 @@
         self.report_outcome(now, id, &finished, kind, result.reply, commands);
     }
 
-    /// Completes the request if the attempt succeeded, and informs the decision module.
+    /// Completes the request if the attempt succeeded, and reports the outcome to the decision
+    /// module.
     fn report_outcome(
         &mut self,
         now: Micros,
@@ -269,8 +271,9 @@
     }
 }
 
-/// The messages to engines about active attempts beside which a hedged attempt is started.
-fn slow_attempts(id: RequestId, request: &InFlightRequest) -> impl Iterator<Item = Command> {
+/// The commands that mark the request's active attempts as slow when a hedged attempt is started
+/// beside them.
+fn mark_slow_commands(id: RequestId, request: &InFlightRequest) -> impl Iterator<Item = Command> {
     let active = request
         .attempts
         .iter()
--- a/src/dispatcher/capabilities.rs
+++ b/src/dispatcher/capabilities.rs
@@ -1,22 +1,22 @@
-//! Which optional features of engines the settings allow the dispatcher to use.
+//! The optional features of engines that the settings enable.
 use crate::policy::api::Settings;
 
-/// Optional features of the engines. What the settings do not list is neither sent to an engine nor
-/// believed in its replies.
+/// Optional features of the engines. A feature that the settings do not enable is neither sent to
+/// an engine nor used from its replies.
 #[derive(Clone, Copy)]
 pub(super) struct EngineCapabilities {
-    /// Engines take a priority with an attempt and while it runs.
+    /// Engines accept a priority when an attempt starts and while it runs.
     pub(super) priorities: bool,
-    /// Engines take the memory that an attempt may use.
+    /// Engines accept a limit on the memory of an attempt.
     pub(super) memory_grants: bool,
-    /// Engines report the cost of a query, and the report is reliable.
+    /// Engines report the cost of each query reliably.
     pub(super) cost_reports: bool,
-    /// Idempotent requests may have a hedged attempt beside the first one.
+    /// Idempotent requests may have a hedged attempt beside their first one.
     pub(super) hedging: bool,
 }
 
 impl EngineCapabilities {
-    /// The features that these settings enable.
+    /// Returns the features that the settings enable.
     pub(super) fn from_settings(settings: &Settings) -> EngineCapabilities {
         EngineCapabilities {
             priorities: settings.priorities_supported,
--- a/src/dispatcher/client_requests.rs
+++ b/src/dispatcher/client_requests.rs
@@ -9,20 +9,19 @@
 use crate::policy::api::{Event, Idempotency, Request, RequestId};
 use crate::statement;
 
-/// The `Retry-After` of a request that is rejected since the statements in flight have reached
-/// their limit.
+/// The `Retry-After` of a request that is rejected because the statements in flight have reached
+/// their limit, in microseconds.
 const RETRY_AFTER_STATEMENT_LIMIT: Micros = 500_000;
 
-/// How many attempts of an idempotent request may be in flight at the same time if hedging is
-/// enabled.
+/// Maximum number of attempts in flight for one idempotent request if hedging is enabled.
 const MAX_CONCURRENT_ATTEMPTS: usize = 2;
 
-/// Why a request is not admitted.
+/// The reason why a request is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AdmissionError {
-    /// The process admits no more requests.
+    /// The process no longer admits requests.
     ShutDown,
-    /// Its class is not known, or its origin still waits for another response.
+    /// Its class is unknown, or its origin still waits for another response.
     NotAcceptable,
     /// Its client request id is in use.
     IdInUse,
@@ -31,7 +30,7 @@
 }
 
 impl AdmissionError {
-    /// The final response.
+    /// The final response to the request.
     fn response(self) -> Response {
         match self {
             AdmissionError::ShutDown => Response::Rejected(Some(RETRY_AFTER_SHUTDOWN)),
@@ -43,7 +42,7 @@
         }
     }
 
-    /// Why it counts as rejected; `None` if it failed.
+    /// The cause under which a rejection is counted; `None` if the request fails instead.
     fn rejection_cause(self) -> Option<RejectionCause> {
         match self {
             AdmissionError::ShutDown => Some(RejectionCause::ShutDown),
@@ -54,7 +53,7 @@
 }
 
 impl Dispatcher {
-    /// A client sent a request. It is either admitted to the in-flight table or gets its final
+    /// Handles a request from a client: admits it to the in-flight table or sends its final
     /// response at once.
     pub fn handle_request(
         &mut self,
@@ -74,27 +73,28 @@
         }
     }
 
-    /// Whether the request may be admitted, and how it may be repeated then.
+    /// Checks whether the request may be admitted. If so, returns how it may be repeated.
     fn check_admission(&self, request: &ClientRequest) -> Result<Idempotency, AdmissionError> {
-        // It waited in the mailbox while the others were ended. Nobody would end it.
+        // The request was still in the mailbox when `fail_all` ended the others, and nothing would
+        // end it later.
         if !self.admits_requests {
             return Err(AdmissionError::ShutDown);
         }
-        // A second request from an origin that still waits would receive the first one's response.
-        let is_waiting = self.requests_by_origin.contains_key(&request.origin);
+        // A second request from an origin that still waits would receive the response to the first.
+        let origin_is_waiting = self.requests_by_origin.contains_key(&request.origin);
         let Some(class) = self
             .class_registry
             .class(request.class)
-            .filter(|_| !is_waiting)
+            .filter(|_| !origin_is_waiting)
         else {
             return Err(AdmissionError::NotAcceptable);
         };
-        // Engines and clients tell requests apart by the client request id: a second request with
-        // the id of the first would pass for its next attempt, or take its response.
+        // Engines and clients identify requests by the client request id: a second request with the
+        // same id would be taken for the next attempt of the first, or would receive its response.
         if self.known_request_ids.contains(&request.client_request_id) {
             return Err(AdmissionError::IdInUse);
         }
-        // The decision module does not know the length of statements, so this limit is applied
+        // The decision module does not receive the length of statements, so this limit is applied
         // here.
         if self.statement_bytes + request.statement.len() > self.max_statement_bytes {
             return Err(AdmissionError::StatementMemory);
@@ -149,7 +149,7 @@
         });
     }
 
-    /// The client stopped waiting for one request.
+    /// Abandons the request of this origin, if any: its client stopped waiting for it.
     pub fn cancel_request(&mut self, now: Micros, origin: Origin, commands: &mut Vec<Command>) {
         if let Some(id) = self.requests_by_origin.remove(&origin) {
             self.counters.abandoned += 1;
@@ -157,7 +157,7 @@
         }
     }
 
-    /// A client connection closed, so that nobody waits for its requests any more.
+    /// Abandons all requests of a client connection, which is closed.
     pub fn client_disconnected(&mut self, now: Micros, conn: u64, commands: &mut Vec<Command>) {
         let first = Origin { conn, tag: 0 };
         let last = Origin {
@@ -187,8 +187,8 @@
     }
 }
 
-/// How a request may be repeated. Engines detect a duplicate by its idempotency key alone, so a
-/// request without a key must not be repeated where its class relies on one.
+/// How a request may be repeated. Engines detect duplicates only by the idempotency key, so a
+/// request without a key must not be repeated if its class is idempotent by key.
 fn effective_idempotency(of_class: Idempotency, request: &ClientRequest) -> Idempotency {
     let needs_key = matches!(of_class, Idempotency::WithKey { .. });
     if needs_key && request.idempotency_key.is_none() {
@@ -198,11 +198,11 @@
     }
 }
 
-/// What the decision module learns of a request.
+/// The request as it is passed to the decision module.
 fn policy_request(id: RequestId, request: &ClientRequest, idempotency: Idempotency) -> Request {
     let session = request.session.as_ref();
     let database = session.and_then(|session| session.database.as_deref());
-    // 0 stands for an unknown data set.
+    // 0 means that the data set is unknown.
     let data_set =
         statement::group(&request.statement, database).map_or(0, |group| group.wrapping_add(1));
     Request {
--- a/src/dispatcher/in_flight.rs
+++ b/src/dispatcher/in_flight.rs
@@ -1,5 +1,5 @@
 //! The in-flight table's entry for one request: its attempts, which of them may have been executed,
-//! and which further attempts are therefore permitted. Pure: no input or output, no clock.
+//! and which further attempts are permitted as a result. Pure: no I/O and no clock.
 use super::message::{AttemptId, AttemptRequest, ClientRequest};
 use super::termination::Termination;
 use crate::clock::{MS, Micros, micros, nanos};
@@ -7,27 +7,27 @@
 use crate::policy::state::{RepeatTargets, may_reject, may_repeat};
 use std::rc::Rc;
 
-/// Attempts under an idempotency key have to end this long before the key's window does, since an
-/// engine's clock may be ahead of ours and the engine then discards the key earlier.
+/// Attempts with an idempotency key have to end this long before the window of the key: an engine
+/// whose clock is ahead of this process's clock discards the key earlier.
 const IDEMPOTENCY_WINDOW_MARGIN: Micros = 100 * MS;
 
-/// An attempt that was started and whose result has not arrived.
+/// A started attempt whose result has not arrived.
 pub(super) struct InFlightAttempt {
-    /// The engine, as the endpoint list described it at the start.
+    /// The engine, as the endpoint list described it when the attempt was started.
     pub(super) endpoint: Endpoint,
-    /// Its number within the request.
+    /// The number of the attempt within the request.
     pub(super) attempt: AttemptNo,
-    /// When it was started.
+    /// When the attempt was started.
     pub(super) sent_at: Micros,
-    /// When it is cancelled if its result has not arrived.
+    /// When the attempt is cancelled if its result has not arrived.
     pub(super) deadline: Micros,
-    /// Why it was cancelled, if it was. It still counts as in flight until the engine's side
-    /// confirms the cancellation with a result.
+    /// Why the attempt was cancelled, if it was. It still counts as in flight until its result
+    /// confirms the cancellation.
     pub(super) cancel_reason: Option<Termination>,
 }
 
 impl InFlightAttempt {
-    /// Whether its result is still wanted.
+    /// Whether the attempt was not cancelled.
     pub(super) fn is_active(&self) -> bool {
         self.cancel_reason.is_none()
     }
@@ -36,41 +36,41 @@
 /// An attempt that an engine may have executed.
 #[derive(Clone, Copy)]
 pub(super) struct PossibleExecution {
-    /// The engine, as the endpoint list described it at the start.
+    /// The engine, as the endpoint list described it when the attempt was started.
     pub(super) endpoint: Endpoint,
     /// When the attempt was started.
     pub(super) sent_at: Micros,
 }
 
-/// A request without its final response, or with a final response and attempts that have not ended.
+/// A request that has no final response yet, or has attempts that have not ended.
 pub(super) struct InFlightRequest {
-    /// The request, as its frontend passed it on.
+    /// The request, as received from its frontend.
     pub(super) request: ClientRequest,
     /// Whether it may be executed more than once. A request without an idempotency key is
     /// non-idempotent even if its class is idempotent by key.
     pub(super) idempotency: Idempotency,
-    /// The number of attempts so far, those that were blocked included.
+    /// The number of attempts so far, including those that the invariants did not permit.
     pub(super) attempts_started: u16,
-    /// The greatest permitted value of `attempts_started`.
+    /// Upper limit of `attempts_started`.
     pub(super) max_attempts: u16,
     /// How many attempts may be in flight at the same time.
     pub(super) max_concurrent_attempts: usize,
     /// The attempts that have not ended.
     pub(super) attempts: Vec<InFlightAttempt>,
-    /// Of the attempts that have ended and may have been executed, the one that was started first.
+    /// The earliest started of the attempts that have ended and may have been executed.
     pub(super) first_execution: Option<PossibleExecution>,
-    /// Memory in MB to grant to the next attempt; 0 leaves it to the engine.
+    /// Memory in MB to grant to the next attempt; 0 leaves the amount to the engine.
     pub(super) memory_mb: f64,
     /// The priority of its attempts, if the decision module set one.
     pub(super) priority: Option<u8>,
-    /// How the attempt that ended last did so.
+    /// How the last attempt to end did so.
     pub(super) last_termination: Option<Termination>,
-    /// The final response was given, or the client stopped waiting.
+    /// The final response was sent, or the client stopped waiting.
     pub(super) closed: bool,
 }
 
 impl InFlightRequest {
-    /// A request that has just been admitted.
+    /// Creates the entry of a request that has just been admitted.
     pub(super) fn new(
         request: ClientRequest,
         idempotency: Idempotency,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The earliest attempt that may have been executed; an attempt in flight may have been.
+    /// The earliest attempt that may have been executed. Attempts in flight may have been executed.
     fn earliest_possible_execution(&self) -> Option<PossibleExecution> {
         let in_flight = self.attempts.iter().map(|attempt| PossibleExecution {
             endpoint: attempt.endpoint,
@@ -103,7 +103,7 @@
             .min_by_key(|execution| execution.sent_at)
     }
 
-    /// Records that an attempt which has ended may have been executed.
+    /// Records that an attempt that has ended may have been executed.
     pub(super) fn record_possible_execution(&mut self, execution: PossibleExecution) {
         let is_first = self
             .first_execution
@@ -113,19 +113,19 @@
         }
     }
 
-    /// Whether an attempt may be started at this engine now. Two attempts of a request are never
-    /// at the same engine: the protocols tell queries apart by the request's id, so a message about
-    /// one attempt would be taken for a message about the other.
+    /// Whether an attempt may be started at this engine now. Two attempts of a request must not be
+    /// in flight at the same engine: the protocols identify queries by the request's id, so a
+    /// message about one attempt would be taken for a message about the other.
     pub(super) fn may_start_attempt(&self, now: Micros, endpoint: &Endpoint) -> bool {
-        let is_elsewhere = |attempt: &InFlightAttempt| attempt.endpoint.id != endpoint.id;
+        let is_at_other_engine = |attempt: &InFlightAttempt| attempt.endpoint.id != endpoint.id;
         !self.closed
             && self.attempts.len() < self.max_concurrent_attempts
-            && self.attempts.iter().all(is_elsewhere)
+            && self.attempts.iter().all(is_at_other_engine)
             && self.attempts_started < self.max_attempts
             && self.may_repeat_at(now, endpoint)
     }
 
-    /// Whether executing the request at this engine cannot cause a second effect.
+    /// Whether the request can be executed at this engine without causing a second effect.
     fn may_repeat_at(&self, now: Micros, endpoint: &Endpoint) -> bool {
         self.earliest_possible_execution().is_none_or(|execution| {
             may_repeat(
@@ -140,8 +140,9 @@
         })
     }
 
-    /// When engines may discard the idempotency key of the earliest possible execution, and with it
-    /// the ability to detect a duplicate. `None` if the request has no key or nothing was executed.
+    /// When engines may discard the idempotency key of the earliest possible execution, after which
+    /// they no longer detect a duplicate. `None` if the request has no key or cannot have been
+    /// executed.
     pub(super) fn idempotency_window_end(&self) -> Option<Micros> {
         let Idempotency::WithKey { window, .. } = self.idempotency else {
             return None;
@@ -150,8 +151,8 @@
             .map(|execution| execution.sent_at.saturating_add(micros(window)))
     }
 
-    /// The deadline of an attempt that starts now: that of the client, shortened by the timeout of
-    /// the attempt (0 for none) and by the window of the idempotency key. A repeat that were still
+    /// The deadline of an attempt that starts now: the client's deadline, shortened by the timeout
+    /// of the attempt (0 for none) and by the window of the idempotency key. A retry that is still
     /// running when the window ends could cause a second effect.
     pub(super) fn attempt_deadline(&self, now: Micros, timeout: Nanos) -> Micros {
         let deadline = match timeout {
@@ -163,7 +164,8 @@
         })
     }
 
-    /// The message that starts an attempt. Only classes that are idempotent by key pass a key on.
+    /// The message that starts an attempt. It contains an idempotency key only if the class is
+    /// idempotent by key.
     pub(super) fn attempt_request(
         &self,
         attempt: AttemptId,
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Whether a rejection is permitted, which promises the client that a retry is harmless.
+    /// Whether the request may be rejected. A rejection guarantees that a retry is harmless.
     pub(super) fn may_reject(&self) -> bool {
         may_reject(
             self.idempotency,
@@ -196,14 +198,14 @@
         )
     }
 
-    /// The attempt of this number, if it is in flight.
+    /// Returns the attempt with this number, if it is in flight.
     pub(super) fn find_attempt(&self, attempt: AttemptNo) -> Option<&InFlightAttempt> {
         self.attempts
             .iter()
             .find(|in_flight| in_flight.attempt == attempt)
     }
 
-    /// Removes the attempt of this number, if it is in flight.
+    /// Removes the attempt with this number, if it is in flight.
     pub(super) fn remove_attempt(&mut self, attempt: AttemptNo) -> Option<InFlightAttempt> {
         let position = self
             .attempts
--- a/src/dispatcher/message.rs
+++ b/src/dispatcher/message.rs
@@ -1,5 +1,5 @@
-//! The messages between frontends, the dispatcher and engine connections, independent of any wire
-//! protocol.
+//! The messages between frontends, the dispatcher and engine connections. They are independent of
+//! the wire protocols.
 use super::termination::{Termination, TransmitProgress};
 use crate::clock::{MS, Micros};
 use crate::policy::api::{
@@ -7,7 +7,7 @@
 };
 use std::rc::Rc;
 
-/// Which client connection a request came from, and the frontend's tag for the request there.
+/// The client connection that sent a request, and the frontend's tag for the request on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Origin {
     /// The number of the client connection.
@@ -25,7 +25,7 @@
     pub attempt: AttemptNo,
 }
 
-/// The client's session settings for a statement. Not every engine protocol can express them.
+/// The client's session settings for a statement. Some engine protocols cannot express them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Session {
     /// The database in which unqualified table names are resolved.
@@ -34,44 +34,43 @@
     pub query_id: Option<Rc<str>>,
 }
 
-/// A request, as a frontend passes it on.
+/// A request, as a frontend passes it to the dispatcher.
 #[derive(Clone, Debug, Default)]
 pub struct ClientRequest {
     /// Where the response is sent.
     pub origin: Origin,
-    /// The client's identifier of the request, passed to engines unchanged.
+    /// The client's identifier of the request, which is passed to engines unchanged.
     pub client_request_id: Rc<str>,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant of the request.
     pub tenant: TenantId,
     /// When the client stops waiting.
     pub deadline: Micros,
-    /// The client's estimate of its work: the time on one thread.
+    /// The client's estimate of the work, as time on one thread.
     pub work_estimate: Option<Micros>,
-    /// The client's estimate of its memory, in MB.
+    /// The client's estimate of the memory, in MB.
     pub memory_mb: Option<f64>,
-    /// The client declares this to be a retry of an earlier request.
+    /// The client declared this request a retry of an earlier one.
     pub is_retry: bool,
     /// The statement to execute.
     pub statement: Rc<[u8]>,
     /// The session settings.
     pub session: Option<Rc<Session>>,
-    /// The idempotency key that all attempts and retries of the request carry, if the client sent
-    /// one.
+    /// The idempotency key of all attempts and retries of the request, if the client sent one.
     pub idempotency_key: Option<Rc<str>>,
 }
 
-/// Why a request failed.
+/// The reason why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Its deadline passed.
+    /// The deadline of the request passed.
     Deadline,
-    /// Its last attempt ended like this.
+    /// The last attempt ended in this way.
     Attempt(Termination),
     /// No attempt was started.
     NotSent,
-    /// Another request with the same client request id is in flight, or ended a short while ago.
+    /// Another request with the same client request id is in flight, or ended recently.
     InUse,
 }
 
@@ -80,24 +79,25 @@
 pub enum Response {
     /// All rows, as text with tabs and line feeds.
     Completed(Vec<u8>),
-    /// The request was not executed, so that it can safely be retried; after this time, if given.
+    /// A retry of the request is harmless. The client should wait for this time before it, if
+    /// given.
     Rejected(Option<Micros>),
     /// The request may or may not have been executed.
     Failed(Failure),
     /// The bytes of a response that another process of this gateway formatted, for a connection
-    /// that was transferred to this one in a hot restart.
+    /// that was transferred to this process in a hot restart.
     Preformatted(Vec<u8>),
 }
 
-/// An attempt to start at an engine.
+/// The message that starts an attempt at an engine.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptRequest {
     /// The request.
     pub id: RequestId,
     /// The number of the attempt within the request.
     pub attempt: AttemptNo,
-    /// The client's connection: if it closed before the first byte is written, the attempt is
-    /// cancelled instead.
+    /// The client's connection. If it is closed before the first byte of the attempt is written,
+    /// the attempt is cancelled instead.
     pub client_connection: u64,
     /// The client's identifier of the request.
     pub client_request_id: Rc<str>,
@@ -113,34 +113,34 @@
     pub idempotency_key: Option<Rc<str>>,
     /// The priority, 0 to 3, if one was set and engines support priorities.
     pub priority: Option<u8>,
-    /// When the attempt is cancelled if it has not ended.
+    /// When the attempt is cancelled if it has not ended by then.
     pub deadline: Micros,
-    /// Memory to grant in MB; 0 leaves it to the engine.
+    /// Memory to grant in MB; 0 leaves the amount to the engine.
     pub memory_mb: f64,
 }
 
-/// What the dispatcher wants its caller to do, in this order.
+/// A command that the dispatcher returns. Its caller executes the commands in order.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Start an attempt. Its end is reported by an [`AttemptResult`].
+    /// Start an attempt. An [`AttemptResult`] reports its end.
     StartAttempt {
         /// The engine.
         engine: EngineId,
         /// The attempt.
         request: AttemptRequest,
     },
-    /// Cancel an attempt. Its end is still reported by an [`AttemptResult`].
+    /// Cancel an attempt. An [`AttemptResult`] still reports its end.
     CancelAttempt {
         /// The engine.
         engine: EngineId,
         /// The attempt.
         attempt: AttemptId,
     },
-    /// An attempt takes longer than expected, and a hedged attempt is about to be started.
+    /// Mark an attempt as slow: a hedged attempt is about to be started beside it.
     MarkSlow {
         /// The engine.
         engine: EngineId,
-        /// The attempt that is slow.
+        /// The slow attempt.
         attempt: AttemptId,
     },
     /// Change the priority of an attempt in flight.
@@ -186,14 +186,14 @@
     pub attempt: AttemptNo,
     /// How it ended.
     pub termination: Termination,
-    /// How much of it had been written to the engine.
+    /// How much of the attempt had been written to the engine.
     pub progress: TransmitProgress,
-    /// What the engine replied; the default if it did not.
+    /// The engine's reply; the default if it sent none.
     pub reply: AttemptReply,
 }
 
 impl AttemptResult {
-    /// The end of an attempt of which no byte was sent.
+    /// The result of an attempt of which no byte was sent.
     pub fn unsent(attempt: AttemptId, termination: Termination) -> AttemptResult {
         AttemptResult {
             id: attempt.request,
@@ -218,7 +218,7 @@
 pub struct AttemptReply {
     /// With [`Termination::Done`], the rows as text with tabs and line feeds.
     pub rows: Vec<u8>,
-    /// The engine's load, if it reported it.
+    /// The engine's load, as far as it reported it.
     pub load: LoadReport,
     /// The cost of the query, if the engine reported it.
     pub cost: Cost,
@@ -229,9 +229,9 @@
 pub struct ProbeOutcome {
     /// The engine.
     pub engine: EngineId,
-    /// Whether and how it failed.
+    /// Whether and how the probe failed.
     pub kind: OutcomeKind,
-    /// From the request to the reply.
+    /// Time from the request to the reply.
     pub latency: Micros,
     /// The load that the engine reported.
     pub load: LoadReport,
@@ -246,20 +246,21 @@
     pub memory_mb: Option<f64>,
 }
 
-/// The greatest credible figure of one query, whether milliseconds or MB: a day, or 86 TB. Greater
-/// figures are taken for errors of whoever reported them.
-pub const MAX_REPORTED_FIGURE: f64 = 86_400_000.0;
+/// Upper limit of a plausible value for one query, in milliseconds of work (one day) or MB of
+/// memory (86 TB). Greater values are treated as errors of the client or the engine that reported
+/// them.
+pub const MAX_REPORTED_VALUE: f64 = 86_400_000.0;
 
 impl Cost {
-    /// The cost from an engine's report in milliseconds of work and MB of memory. A figure that is
-    /// not finite, not positive or above [`MAX_REPORTED_FIGURE`] is ignored.
+    /// The cost from an engine's report, in milliseconds of work and MB of memory. A value that is
+    /// not finite, not positive or greater than [`MAX_REPORTED_VALUE`] is ignored.
     pub fn from_report(work_ms: Option<f64>, memory_mb: Option<f64>) -> Cost {
-        let is_credible =
-            |figure: &f64| figure.is_finite() && *figure > 0.0 && *figure <= MAX_REPORTED_FIGURE;
+        let is_plausible =
+            |value: &f64| value.is_finite() && *value > 0.0 && *value <= MAX_REPORTED_VALUE;
         let to_micros = |work_ms: f64| (work_ms * MS as f64) as Micros;
         Cost {
-            work: work_ms.filter(is_credible).map(to_micros),
-            memory_mb: memory_mb.filter(is_credible),
+            work: work_ms.filter(is_plausible).map(to_micros),
+            memory_mb: memory_mb.filter(is_plausible),
         }
     }
 }
--- a/src/dispatcher/metrics.rs
+++ b/src/dispatcher/metrics.rs
@@ -1,5 +1,5 @@
-//! Counters of requests, responses and attempts. Printed on SIGUSR1 and at exit, and published by
-//! the admin endpoint.
+//! Counters of requests, responses and attempts. They are printed on SIGUSR1 and at exit, and
+//! published by the admin endpoint.
 use super::message::Response;
 use super::rejection::RejectionKey;
 use super::termination::Termination;
@@ -7,46 +7,46 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// Final responses to requests of one class. The names are those of the admin endpoint.
+/// Counts of final responses to requests of one class. The names are those of the admin endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassMetrics {
-    /// Completed.
+    /// Completed requests.
     pub success: u64,
-    /// Rejected.
+    /// Rejected requests.
     pub overload: u64,
-    /// Failed.
+    /// Failed requests.
     pub error: u64,
 }
 
-/// What the admin endpoint publishes, as of one moment.
+/// The metrics that the admin endpoint publishes, at one point in time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MetricsSnapshot {
-    /// Responses by the name of the class, including classes that are no longer configured.
+    /// Responses by class name, including classes that are no longer configured.
     pub classes: BTreeMap<Rc<str>, ClassMetrics>,
     /// Rejections by class, tenant and cause.
     pub rejections: BTreeMap<RejectionKey, u64>,
     /// Attempts completely written to engines.
     pub dispatches: u64,
-    /// Requests received that have neither a response nor been abandoned.
+    /// Requests that were received, have no response, and were not abandoned.
     pub concurrent: u64,
     /// Engines in the endpoint list.
     pub targets: u64,
-    /// Those of them that are ejected or otherwise avoided.
+    /// Engines in the endpoint list that are ejected or otherwise avoided.
     pub targets_disabled: u64,
-    /// Configurations that were reloaded.
+    /// Successful configuration reloads.
     pub reload_success: u64,
-    /// Configurations that were not valid.
+    /// Reloads that failed because the configuration was not valid.
     pub reload_failure: u64,
-    /// Actors that ended by a panic.
+    /// Actors that ended with a panic.
     pub actor_panics: u64,
     /// Client connections in the registry.
     pub client_connections: u64,
 }
 
-/// Counters of the dispatcher, the same for every frontend and every kind of engine.
+/// Counters of the dispatcher, which are the same for every frontend and every kind of engine.
 ///
-/// [`fmt::Display`] prints the counters line, whose labels are part of the operators' interface and
-/// differ from the names here.
+/// [`fmt::Display`] prints the counters line. Its labels are part of the interface to operators and
+/// differ from the field names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests received.
@@ -61,16 +61,16 @@
     pub abandoned: u64,
     /// Attempts started.
     pub attempts_started: u64,
-    /// Those of them that were started while another attempt of the request was in flight.
+    /// Attempts started while another attempt of the request was in flight.
     pub hedged_attempts: u64,
     /// Attempts that the decision module cancelled.
     pub attempts_cancelled: u64,
-    /// Load probes that the decision module asked for.
+    /// Load probes that the decision module requested.
     pub probes: u64,
-    /// Actions of the decision module that the invariants did not permit, and deadlines that it
-    /// missed.
+    /// Actions of the decision module that the invariants did not permit, and requests that the
+    /// decision module did not end at their deadline.
     pub blocked_actions: u64,
-    /// Results of attempts that are not in flight, which are dropped.
+    /// Results of attempts that are not in flight. They are ignored.
     pub stray_results: u64,
     /// Updates of the endpoint list.
     pub endpoint_list_updates: u64,
@@ -78,27 +78,28 @@
     pub directory_reads: u64,
     /// Failed reads of the tenant directory.
     pub directory_read_failures: u64,
-    /// Configurations that were reloaded.
+    /// Successful configuration reloads.
     pub reloads: u64,
-    /// Configurations that were not valid and left the previous one in force.
+    /// Reloads that failed because the configuration was not valid; the previous one stays in
+    /// force.
     pub reload_failures: u64,
-    /// Final responses by the name of the class, including those that a frontend sent by itself.
+    /// Final responses by class name, including those that a frontend sent without the dispatcher.
     pub responses_by_class: BTreeMap<Rc<str>, ClassMetrics>,
-    /// Rejections by class, tenant and cause, including those by a frontend.
+    /// Rejections by class, tenant and cause, including those by frontends.
     pub rejections: BTreeMap<RejectionKey, u64>,
     /// The sum of `rejections`.
     pub total_rejections: u64,
-    /// Attempts by how they ended.
+    /// Ended attempts by their termination.
     pub attempts_by_termination: BTreeMap<Termination, u64>,
 }
 
 impl Counters {
-    /// Requests that wait for their response.
+    /// The number of requests that wait for their response.
     pub fn open(&self) -> u64 {
         self.received - self.completed - self.rejected - self.failed - self.abandoned
     }
 
-    /// Lists classes with zero responses, so that their metrics exist before the first request.
+    /// Adds classes with zero responses, so that their metrics exist before the first request.
     pub(super) fn add_classes(&mut self, names: &[String]) {
         for name in names {
             let name = Rc::from(name.as_str());
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Counts a rejection.
+    /// Counts a rejection by its key and in total.
     pub(super) fn count_rejection(&mut self, key: RejectionKey) {
         *self.rejections.entry(key).or_default() += 1;
         self.total_rejections += 1;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// The labels of the counters line with their values, in order.
+    /// The labels and values of the counters line, in order.
     fn line(&self) -> [(&'static str, u64); 17] {
         [
             ("taken", self.received),
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -1,19 +1,20 @@
-//! The dispatcher: executes the decision module's actions, independent of any wire protocol and of
-//! any socket.
+//! The dispatcher executes the actions of the decision module. It is independent of wire protocols
+//! and sockets.
 //!
 //! It owns the table of requests in flight with their attempts, deadlines and timers, and enforces
-//! these invariants whatever the decision module asks for:
+//! these invariants whatever actions the decision module returns:
 //!
 //! - each request gets exactly one final response, unless its client stopped waiting;
 //! - a request has at most the configured number of attempts, and at most the permitted number of
 //!   them at the same time;
 //! - an attempt that may cause a second effect is not started;
 //! - no attempt is started at an engine that is not ready;
-//! - the decision module is informed of exactly what is known about each attempt's end.
+//! - the decision module receives exactly what is known about the end of each attempt.
 //!
-//! Frontends pass in a [`ClientRequest`], engine connections an [`AttemptResult`]; every call appends
-//! the resulting [`Command`]s, which the caller executes in their order. The layers around it are
-//! the decision module ([`crate::policy`]) below and the actor ([`crate::net::dispatcher`]) above.
+//! Frontends pass in a [`ClientRequest`], and engine connections an [`AttemptResult`]. Every call
+//! appends the resulting [`Command`]s, which the caller executes in order. The layer below is the
+//! decision module ([`crate::policy`]), and the layer above is the actor
+//! ([`crate::net::dispatcher`]).
 mod actions;
 mod attempts;
 mod capabilities;
@@ -50,45 +51,46 @@
 pub struct Dispatcher {
     /// The decision module.
     module: Gateway,
-    /// The request classes of the current settings and of requests in flight.
+    /// The request classes of the current settings and of the requests in flight.
     class_registry: ClassRegistry,
-    /// How many attempts a new request may have.
+    /// Maximum number of attempts of a new request.
     max_attempts: u16,
-    /// The endpoint list, without endpoints that are gone.
+    /// The endpoint list, without removed endpoints.
     endpoints: BTreeMap<EngineId, Endpoint>,
     /// The features of engines that the settings enable.
     capabilities: EngineCapabilities,
     /// The in-flight table.
     in_flight: BTreeMap<RequestId, InFlightRequest>,
-    /// The requests that wait for their response, by where the response is sent.
+    /// The requests that wait for their response, by origin.
     requests_by_origin: BTreeMap<Origin, RequestId>,
-    /// Deadlines of attempts, and those of requests plus [`timers::DEADLINE_GRACE`].
+    /// Deadlines of attempts, and deadlines of requests plus [`timers::DEADLINE_GRACE`].
     deadlines: BTreeSet<(Micros, RequestId)>,
-    /// The decision module's timers, each with its token, the earliest first.
+    /// The decision module's timers with their tokens, the earliest first.
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
-    /// Client request ids that are in flight or in `finished_request_ids`.
+    /// Client request ids of requests in flight, and those in `finished_request_ids`.
     known_request_ids: BTreeSet<Rc<str>>,
-    /// Client request ids of the requests that ended last, the oldest first.
+    /// Client request ids of the requests that finished last, the oldest first.
     finished_request_ids: VecDeque<Rc<str>>,
     /// The total length of the statements in flight, in bytes.
     statement_bytes: usize,
-    /// The greatest permitted value of `statement_bytes`.
+    /// Upper limit of `statement_bytes`.
     max_statement_bytes: usize,
     /// The id of the request that was admitted last.
     last_request_id: u32,
-    /// Requests are admitted: until [`Dispatcher::fail_all`].
+    /// Whether requests are admitted; `false` after [`Dispatcher::fail_all`].
     admits_requests: bool,
-    /// An empty buffer for the decision module's actions, kept for its allocation.
+    /// An empty buffer for the decision module's actions, kept to reuse its allocation.
     actions: Vec<Action>,
-    /// The decisions since they were last taken, if the audit is enabled.
+    /// The decisions since the last [`Dispatcher::take_decisions`]; `None` if the audit is
+    /// disabled.
     decisions: Option<Vec<Decision>>,
-    /// What has happened since the start.
+    /// Counters of requests, attempts and reloads since the start.
     pub counters: Counters,
 }
 
 impl Dispatcher {
-    /// A dispatcher without endpoints. `class_names` are the names of `settings.classes`, in the
-    /// same order; `seed` is that of the decision module's random choices.
+    /// Creates a dispatcher without endpoints. `class_names` are the names of `settings.classes`,
+    /// in the same order. `seed` is the seed of the decision module's random choices.
     pub fn new(now: Micros, settings: Settings, class_names: &[String], seed: u64) -> Dispatcher {
         let mut dispatcher = Dispatcher {
             class_registry: ClassRegistry::new(named_classes(&settings, class_names)),
@@ -114,9 +116,9 @@
         dispatcher
     }
 
-    /// Applies new settings to requests that arrive from now on; `class_names` are the names of
-    /// `settings.classes`, in the same order. Requests in flight keep their class and their number
-    /// of attempts.
+    /// Applies new settings to all later requests. `class_names` are the names of
+    /// `settings.classes`, in the same order. Requests in flight keep their class and their maximum
+    /// number of attempts.
     pub fn reconfigure(&mut self, settings: Settings, class_names: &[String]) {
         let new_slots: Vec<_> = self
             .class_registry
@@ -139,7 +141,7 @@
         self.counters.add_classes(class_names);
     }
 
-    /// All classes by their ids, each with whether it is in force.
+    /// All classes in the order of their ids, each with whether it is in force.
     pub fn classes(&self) -> Vec<(Class, bool)> {
         self.class_registry
             .slots()
@@ -147,7 +149,8 @@
             .collect()
     }
 
-    /// Limits the total length of the statements in flight. A request beyond it is rejected.
+    /// Limits the total length of the statements in flight, in bytes. A request that would exceed
+    /// it is rejected.
     pub fn set_statement_limit(&mut self, bytes: usize) {
         self.max_statement_bytes = bytes;
     }
@@ -177,23 +180,24 @@
     }
 
     /// Sets this process's share of the capacity that is available to the gateway: 1.0 unless
-    /// another process of it runs during a hot restart.
+    /// another process of the gateway runs during a hot restart.
     pub fn set_capacity_share(&mut self, share: f64) {
         self.module.set_capacity_share(share);
     }
 
-    /// The process stops: what is open at that time will be ended by [`Dispatcher::fail_all`].
+    /// Announces the shutdown of the process: requests that are open at `end` will be ended by
+    /// [`Dispatcher::fail_all`].
     pub fn set_serving_until(&mut self, end: Micros) {
         self.module.set_serving_until(nanos(end));
     }
 
-    /// Sets the number of gateways that share the warm engines, as the fleet's membership counts
-    /// them.
+    /// Sets the number of gateways that share the warm engines, as counted by the fleet's
+    /// membership protocol.
     pub fn set_active_gateways(&mut self, gateways: u32) {
         self.module.set_active_gateways(gateways);
     }
 
-    /// A load probe ended.
+    /// Handles the end of a load probe.
     pub fn probe_completed(
         &mut self,
         now: Micros,
@@ -209,7 +213,7 @@
         self.handle_event(now, event, commands);
     }
 
-    /// The longest time that a client of any class waits for its response.
+    /// The longest deadline of any class, as a duration; 0 without classes.
     pub fn longest_deadline(&self) -> Micros {
         self.class_registry
             .slots()
@@ -219,7 +223,7 @@
     }
 }
 
-/// The classes of the settings with their names.
+/// Combines the classes of the settings with their names.
 fn named_classes(settings: &Settings, names: &[String]) -> Vec<Class> {
     let with_name = |(spec, name): (&ClassSpec, &String)| Class {
         name: name.as_str().into(),
@@ -228,7 +232,7 @@
     settings.classes.iter().zip(names).map(with_name).collect()
 }
 
-/// How many attempts a request may have: at least one.
+/// The maximum number of attempts of a request, at least one.
 fn max_attempts(settings: &Settings) -> u16 {
     settings.limits.max_attempts.clamp(1, u32::from(u16::MAX)) as u16
 }
--- a/src/dispatcher/recording.rs
+++ b/src/dispatcher/recording.rs
@@ -1,4 +1,4 @@
-//! What is recorded of requests: counters of responses, and decisions for the audit.
+//! Records responses in the counters, and decisions for the audit.
 use super::metrics::MetricsSnapshot;
 use super::rejection::{RejectionCause, RejectionKey};
 use super::{Dispatcher, Response};
@@ -13,7 +13,7 @@
         self.decisions = enabled.then(Vec::new);
     }
 
-    /// The decisions since the last call, in order.
+    /// Takes the decisions since the last call, in order.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         self.decisions
             .as_mut()
@@ -41,8 +41,8 @@
         });
     }
 
-    /// Records a rejection or a failure if the audit is enabled. A completed request is documented
-    /// by its attempt, and a preformatted response by the process that formatted it.
+    /// Records a rejection or a failure if the audit is enabled. A completed request is recorded by
+    /// its attempt, and a preformatted response by the process that formatted it.
     pub(super) fn record_response(
         &mut self,
         class: ClassId,
@@ -99,8 +99,8 @@
         }
     }
 
-    /// A frontend rejected a request of this class by itself.
-    pub fn record_frontend_rejection(&mut self, class: ClassId, response: &Response) {
+    /// Records the response to a request of this class that a frontend sent without the dispatcher.
+    pub fn record_frontend_response(&mut self, class: ClassId, response: &Response) {
         if self.decisions.is_some() {
             self.record_response(class, &Rc::from(""), response);
         }
@@ -110,8 +110,8 @@
         self.count_class_response(class, response);
     }
 
-    /// The metrics for the admin endpoint, without the number of attempts written, which the
-    /// connections to engines count.
+    /// The metrics for the admin endpoint, without the number of attempts written to engines, which
+    /// the connections to engines count.
     pub fn metrics(&self) -> MetricsSnapshot {
         MetricsSnapshot {
             classes: self.counters.responses_by_class.clone(),
@@ -122,7 +122,7 @@
             targets_disabled: self.module.unavailable_engines() as u64,
             reload_success: self.counters.reloads,
             reload_failure: self.counters.reload_failures,
-            // Counted outside of the dispatcher.
+            // These two are counted outside of the dispatcher.
             actor_panics: 0,
             client_connections: 0,
         }
--- a/src/dispatcher/rejection.rs
+++ b/src/dispatcher/rejection.rs
@@ -1,22 +1,22 @@
-//! Why requests are rejected, and the counts of that.
+//! The causes of rejections, and the keys by which rejections are counted.
 use crate::policy::api::{RejectionReason, TenantId};
 use std::rc::Rc;
 
-/// Who rejected a request, and why.
+/// The component that rejected a request, and its reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionCause {
-    /// The decision module.
+    /// The decision module, for this reason.
     Decided(RejectionReason),
-    /// The process has ended its requests and admits no others.
+    /// The process has ended its requests for shutdown and no longer admits requests.
     ShutDown,
-    /// The statements in flight have reached their limit.
+    /// The statements in flight have reached the limit on their total length.
     StatementMemory,
-    /// The frontend, without the dispatcher.
+    /// The frontend, without passing the request to the dispatcher.
     Frontend,
 }
 
 impl RejectionCause {
-    /// Its name among the metrics and in the log.
+    /// The cause's name in the metrics and in the log.
     pub fn as_str(self) -> &'static str {
         match self {
             RejectionCause::Decided(reason) => reason.as_str(),
@@ -27,19 +27,19 @@
     }
 }
 
-/// What rejections are counted by.
+/// The key by which rejections are counted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RejectionKey {
     /// The name of the class.
     pub class: Rc<str>,
-    /// The tenant; `None` where the frontend rejected the request before it knew.
+    /// The tenant; `None` if the frontend rejected the request before the tenant was known.
     pub tenant: Option<TenantId>,
-    /// Why.
+    /// The cause of the rejection.
     pub cause: RejectionCause,
 }
 
 impl RejectionKey {
-    /// The tenant's place in the list of the settings, or `-`.
+    /// The tenant's index in the settings' list of tenants, or `-` without a tenant.
     pub fn tenant_text(&self) -> String {
         self.tenant
             .map_or_else(|| "-".to_owned(), |tenant| tenant.0.to_string())
--- a/src/dispatcher/responses.rs
+++ b/src/dispatcher/responses.rs
@@ -1,4 +1,4 @@
-//! Final responses: exactly one a request, and the removal of requests that are finished.
+//! Sends exactly one final response per request, and removes finished requests.
 use super::rejection::RejectionCause;
 use super::termination::Termination;
 use super::timers::DEADLINE_GRACE;
@@ -7,16 +7,18 @@
 use crate::policy::api::{Event, RequestId};
 use std::rc::Rc;
 
-/// How many client request ids of finished requests are remembered, so that a new request cannot
-/// take the id of one about which engines may still send messages.
+/// Maximum number of client request ids of finished requests that are kept. A new request must not
+/// use the id of a finished request about which engines may still send messages.
 const MAX_FINISHED_REQUEST_IDS: usize = 4_096;
 
-/// The `Retry-After` of requests that are rejected at shutdown: another gateway can serve them.
+/// The `Retry-After` of requests that are rejected at shutdown, in microseconds. Another gateway
+/// can serve them.
 pub(super) const RETRY_AFTER_SHUTDOWN: Micros = 50_000;
 
 impl Dispatcher {
     /// Rejects a request, with a `Retry-After` unless `retry_after` is 0. A rejection guarantees
-    /// that a retry is harmless, so a request that may have been executed fails instead.
+    /// that a retry is harmless. A request for which this does not hold, since it may have been
+    /// executed, fails instead.
     pub(super) fn reject_request(
         &mut self,
         id: RequestId,
@@ -37,7 +39,7 @@
         self.close_request(id, Response::Rejected(retry_after), commands);
     }
 
-    /// Fails a request unless it has its final response.
+    /// Fails a request unless it already has its final response.
     pub(super) fn fail_request(
         &mut self,
         id: RequestId,
@@ -53,8 +55,8 @@
         }
     }
 
-    /// Ends all requests, since the process is about to be killed: rejects those that another
-    /// gateway can serve, and fails the others. Those that arrive from now on are rejected.
+    /// Ends all requests because the process is about to be killed: rejects those that can safely
+    /// be retried at another gateway, and fails the others. All later requests are rejected.
     pub fn fail_all(&mut self, now: Micros, commands: &mut Vec<Command>) {
         self.admits_requests = false;
         let open: Vec<RequestId> = self
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Sends the final response and cancels the attempts that are left.
+    /// Sends the final response and cancels the remaining attempts.
     pub(super) fn close_request(
         &mut self,
         id: RequestId,
@@ -107,10 +109,10 @@
         };
         self.class_registry.request_closed(finished.request.class);
         self.statement_bytes -= finished.request.statement.len();
-        self.remember_finished(finished.request.client_request_id);
+        self.keep_finished_request_id(finished.request.client_request_id);
     }
 
-    fn remember_finished(&mut self, client_request_id: Rc<str>) {
+    fn keep_finished_request_id(&mut self, client_request_id: Rc<str>) {
         self.finished_request_ids.push_back(client_request_id);
         if self.finished_request_ids.len() > MAX_FINISHED_REQUEST_IDS
             && let Some(oldest) = self.finished_request_ids.pop_front()
--- a/src/dispatcher/termination.rs
+++ b/src/dispatcher/termination.rs
@@ -1,10 +1,10 @@
 //! How an attempt or a connection to an engine can end, and what each end proves about the execution
 //! of the attempt.
 //!
-//! Whether an attempt may have been executed decides whether the request may be repeated, so it must
-//! be known exactly. Two facts determine it: the [`Termination`], and the [`TransmitProgress`], how
-//! much of the attempt had been written by then. [`outcome`] is the only function that combines
-//! them.
+//! A request may be repeated or not depending on whether an attempt may have been executed, so this
+//! must be determined exactly. It follows from the [`Termination`] and from the
+//! [`TransmitProgress`], which is how much of the attempt had been written by then. [`outcome`] is
+//! the only function that combines the two.
 use crate::policy::api::OutcomeKind;
 use rustix::io::Errno;
 use std::fmt;
@@ -15,35 +15,35 @@
 pub enum Termination {
     /// The engine sent its complete reply. Proves that the attempt was executed.
     Done,
-    /// The engine rejected the attempt, since it has too many sessions or is draining. Proves that
+    /// The engine rejected the attempt because it has too many sessions or is draining. Proves that
     /// the attempt was not executed.
     Rejected,
-    /// The engine replied that the request had already finished: it detected a duplicate. Proves
-    /// that this attempt was not executed; an earlier one was.
+    /// The engine detected a duplicate and replied that the request had already finished. Proves
+    /// that this attempt was not executed and that an earlier one was.
     AlreadyFinished,
     /// The engine replied with an error. The attempt may have been executed in part.
     EngineError,
-    /// The engine's host refused the connection. Proves that nothing was written, thus that the
-    /// attempt was not executed.
+    /// The engine's host refused the connection. Proves that nothing was written and therefore that
+    /// the attempt was not executed.
     Refused,
     /// The connection was not established in time. Proves that nothing was written.
     ConnectTimeout,
     /// The connection could not be established for another reason. Proves that nothing was written.
     Unreachable,
-    /// A limit of this process: its sockets for engines are in use, the system has no descriptor or
-    /// memory left, or a mailbox is full. Proves nothing about the engine.
+    /// A local limit was reached: all sockets for engines are in use, the system has no descriptor
+    /// or memory left, or a mailbox is full. Proves nothing about the engine.
     LocalLimit,
     /// The engine closed the connection.
     Closed,
     /// The connection was reset or failed.
     Reset,
-    /// The peer violated the protocol, so that nothing it sends can be relied on.
+    /// The peer violated the protocol, so none of its messages are reliable.
     ProtocolViolation,
-    /// The peer sent nothing although a message was due.
+    /// The peer did not send a message that was due.
     Unresponsive,
-    /// This process closed the connection, on which nothing was in flight.
+    /// This process closed the connection while nothing was in flight on it.
     Idle,
-    /// The engine is draining or gone, so no new attempt is sent to it.
+    /// The engine is draining or was removed, so no new attempt is sent to it.
     Drained,
     /// This process cancelled the attempt.
     Cancelled,
@@ -54,8 +54,8 @@
 }
 
 impl fmt::Display for Termination {
-    /// The name in failure responses and in the counters line. It is part of the interface to clients
-    /// and operators, and differs from that of the variant for some.
+    /// Writes the name that failure responses and the counters line contain. It is part of the
+    /// interface to clients and operators, and differs from the name of some variants.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             Termination::Done => "Done",
@@ -82,7 +82,7 @@
 impl Termination {
     /// The termination that corresponds to an error of `connect`. Errors that are caused by a lack
     /// of local resources prove nothing about the peer.
-    pub fn of_connect(error: &io::Error) -> Termination {
+    pub fn from_connect_error(error: &io::Error) -> Termination {
         if error.kind() == io::ErrorKind::ConnectionRefused {
             return Termination::Refused;
         }
@@ -100,30 +100,30 @@
 pub enum TransmitProgress {
     /// Nothing. Proves that the attempt was not executed.
     Unsent,
-    /// A part without the end of the message, which this process withheld. The engine cannot have
-    /// executed it, unless the end is written after all: a cancelled attempt is completed first and
-    /// its cancellation sent behind it.
+    /// The message without its end, which this process withheld. The engine cannot have executed
+    /// the attempt unless the end is written later: if the attempt is cancelled, the rest of the
+    /// message is written before the cancellation.
     Partial,
-    /// All of it, or an unknown part. The attempt may have been executed, whatever happened to the
-    /// connection afterwards.
+    /// The whole message or an unknown part of it. The attempt may have been executed, whatever
+    /// happened to the connection afterwards.
     Complete,
 }
 
-/// The outcome of an attempt that is reported to the decision module. This is the only mapping from
+/// Returns the outcome of an attempt for the decision module. This is the only mapping from
 /// [`Termination`] and [`TransmitProgress`] to [`OutcomeKind`].
 ///
-/// After the first byte was written, only the engine's own statement, or a withheld end of the
-/// message, may lead to an outcome that counts as [`never_ran`]: otherwise a non-idempotent request
-/// could be executed twice. Before the first byte, every outcome without a reply has to count as
-/// `never_ran`: otherwise a load that could safely be repeated would fail.
+/// Once the first byte is written, only a reply of the engine or a withheld end of the message may
+/// lead to an outcome that counts as [`never_ran`]. Otherwise a non-idempotent request could be
+/// executed twice. Before the first byte, every outcome without a reply has to count as
+/// `never_ran`. Otherwise a load that could safely be repeated would fail.
 pub fn outcome(termination: Termination, progress: TransmitProgress) -> OutcomeKind {
     match termination {
         Termination::Done => OutcomeKind::Ok,
         Termination::Rejected => OutcomeKind::Rejected,
-        // The earlier attempt that was executed has an outcome of its own.
+        // The earlier attempt, which was executed, has its own outcome.
         Termination::AlreadyFinished => OutcomeKind::NeverSent,
         Termination::EngineError => OutcomeKind::Error,
-        // The operating system reports these before anything can be written.
+        // The operating system reports these errors before anything can be written.
         Termination::Refused | Termination::ConnectTimeout | Termination::Unreachable => {
             OutcomeKind::ConnectFailed
         }
--- a/src/frontend/jsonrpc/request.rs
+++ b/src/frontend/jsonrpc/request.rs
@@ -2,7 +2,7 @@
 use super::error::MessageError;
 use crate::clock::{MS, Micros};
 use crate::config::process::Names;
-use crate::dispatcher::message::MAX_REPORTED_FIGURE;
+use crate::dispatcher::message::MAX_REPORTED_VALUE;
 use crate::dispatcher::{ClientRequest, Origin};
 use crate::policy::api::{ClassId, TenantId};
 use base64::prelude::{BASE64_STANDARD, Engine as _};
@@ -113,7 +113,7 @@
             params.work_estimate_ms,
             params.memory_mb,
         ];
-        let in_range = |figure: f64| (0.0..=MAX_REPORTED_FIGURE).contains(&figure);
+        let in_range = |figure: f64| (0.0..=MAX_REPORTED_VALUE).contains(&figure);
         if params.wait_ms <= 0.0 || !figures.into_iter().flatten().all(in_range) {
             return Err(MessageError::FigureOutOfRange);
         }
--- a/src/net/discovery/coordinator.rs
+++ b/src/net/discovery/coordinator.rs
@@ -229,10 +229,10 @@
     async fn follow(&self, addr: SocketAddr, generation: u64, mut backoff: Backoff) {
         while self.position.generation.get() == generation {
             let contacted = Cell::new(false);
-            let silence_timeout = backoff.silence_timeout();
+            let silence_timeout = backoff.receive_timeout();
             let reason = self.watch_once(addr, silence_timeout, &contacted).await;
             log!("the coordinator's connection ended: {reason}");
-            let pause = backoff.pause(contacted.get());
+            let pause = backoff.next_delay(contacted.get());
             Timer::after(Duration::from_micros(pause)).await;
         }
     }
@@ -279,7 +279,7 @@
 async fn connect(addr: SocketAddr) -> Result<Async<TcpStream>, Termination> {
     let connected = async {
         let stream = Async::<TcpStream>::connect(addr).await;
-        stream.map_err(|error| Termination::of_connect(&error))
+        stream.map_err(|error| Termination::from_connect_error(&error))
     };
     let timeout = async {
         sleep_until(Some(clock::turn() + CONNECT_TIMEOUT_MICROS)).await;
--- a/src/net/dispatcher/event_handling.rs
+++ b/src/net/dispatcher/event_handling.rs
@@ -27,7 +27,7 @@
                 dispatcher.cancel_request(now, origin, commands);
             }
             DispatcherEvent::RejectedByFrontend { class, response } => {
-                dispatcher.record_frontend_rejection(class, &response);
+                dispatcher.record_frontend_response(class, &response);
             }
             DispatcherEvent::ClientDisconnected(conn) => {
                 self.clients.remove(&conn);
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -125,7 +125,7 @@
                 ConnectWakeReason::Command(None) => return Err(Termination::Dropped),
                 ConnectWakeReason::Connected(Ok(stream)) => return Ok(stream),
                 ConnectWakeReason::Connected(Err(error)) => {
-                    return Err(Termination::of_connect(&error));
+                    return Err(Termination::from_connect_error(&error));
                 }
                 ConnectWakeReason::Timeout => return Err(Termination::ConnectTimeout),
             }
--- a/tests/unit/dispatcher.rs
+++ b/tests/unit/dispatcher.rs
@@ -1,5 +1,5 @@
-//! Retries within idempotency windows, and attempt options, one scenario a test. The invariants under
-//! random steps are in `dispatcher_model.rs`.
+//! Retries within idempotency windows, attempt options and the forced end, with one scenario per
+//! test. `dispatcher_model.rs` tests the invariants under random steps.
 use super::rejection::{RejectionCause, RejectionKey};
 use super::termination::{Termination, TransmitProgress};
 use super::test_builders::{
@@ -13,13 +13,13 @@
 use crate::policy::api::{ClassId, EngineId, TenantId};
 use std::rc::Rc;
 
-/// The class whose semantics [`dispatcher_with_keyed_loads`] sets.
+/// The class that [`dispatcher_with_keyed_loads`] makes idempotent by key.
 const LOAD: ClassId = ClassId(2);
 
 /// The deadline of the loads.
 const LOAD_DEADLINE: Micros = 16 * SEC;
 
-/// What was sent for a request, and its response.
+/// The attempts that were sent for a request, and its response.
 #[derive(Debug, PartialEq)]
 struct Exchange {
     attempts: Vec<SentAttempt>,
@@ -32,8 +32,8 @@
     deadline: Micros,
 }
 
-/// Sends a load to a dispatcher with this idempotency window, and resets the connection of each of
-/// its attempts after the attempt was written.
+/// Sends a load to a dispatcher with this idempotency window. Each of its attempts ends with a
+/// connection reset after it was written.
 fn load_with_resets(key: Option<&str>, window: Micros, work: Micros) -> Exchange {
     let mut dispatcher = dispatcher_with_keyed_loads(window);
     let mut now = SEC;
@@ -79,7 +79,7 @@
     exchange
 }
 
-/// A request that may have been executed is repeated only under the key by which engines detect the
+/// Guards against a second execution: a retry carries the key by which engines detect the
 /// duplicate.
 #[test]
 fn all_attempts_of_a_request_carry_its_idempotency_key() {
@@ -113,8 +113,8 @@
     assert_eq!(exchange, expected);
 }
 
-/// The window is shorter than the client's deadline here: a repeat must end before engines discard
-/// the key.
+/// Guards against a second execution where the window is shorter than the client's deadline: a
+/// retry has to end before engines discard the key.
 #[test]
 fn retries_end_within_the_idempotency_window() {
     let Exchange { attempts, response } = load_with_resets(Some("key"), SEC, 50 * MS);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_retry_that_would_outlast_the_idempotency_window_is_not_made() {
+fn a_retry_that_would_outlast_the_idempotency_window_is_not_started() {
     let Exchange { attempts, response } = load_with_resets(Some("key"), SEC, 5 * SEC);
 
     assert_eq!(attempts.len(), 1, "{attempts:?}");
@@ -166,7 +166,7 @@
     started.expect("an attempt")
 }
 
-/// The cost that the engines of these tests report.
+/// The cost that engines report in these tests.
 const COST: Cost = Cost {
     work: Some(80 * MS),
     memory_mb: Some(9.0),
@@ -189,8 +189,9 @@
     dispatcher.attempt_finished(SEC + 50 * MS, result, &mut Vec::new());
 }
 
-/// How far the decision module's estimate of a lookup's work is from the reported cost, in seconds.
-fn distance_from_reported_work(dispatcher: &Dispatcher) -> f64 {
+/// The absolute error of the decision module's estimate of a lookup's work against the reported
+/// cost, in seconds.
+fn work_estimate_error(dispatcher: &Dispatcher) -> f64 {
     (dispatcher.module.class_estimates[0].work - 0.08).abs()
 }
 
@@ -198,13 +199,17 @@
 fn a_new_priority_is_sent_for_attempts_in_flight() {
     let mut dispatcher = dispatcher_with_keyed_loads(20 * SEC);
     let (started_at, attempt) = start_lookup(&mut dispatcher);
-    assert_eq!(attempt.priority, Some(3), "a short query has precedence");
+    assert_eq!(
+        attempt.priority,
+        Some(3),
+        "a short query has the highest priority"
+    );
 
     let mut commands = Vec::new();
     dispatcher.set_attempt_options(attempt.id, 9, 0.0, &mut commands);
     assert!(
         commands.is_empty(),
-        "capped at the highest priority, which it has: {commands:?}"
+        "the priority is limited to the highest one, which the attempt already has: {commands:?}"
     );
 
     dispatcher.set_attempt_options(attempt.id, 0, 0.0, &mut commands);
@@ -229,8 +234,8 @@
 
     finish_with_cost(&mut dispatcher, &attempt);
 
-    let distance = distance_from_reported_work(&dispatcher);
-    assert!(distance < 1e-9, "{distance}");
+    let error = work_estimate_error(&dispatcher);
+    assert!(error < 1e-9, "{error}");
 }
 
 #[test]
@@ -245,12 +250,12 @@
     assert!(commands.is_empty() && attempt.priority.is_none());
 
     finish_with_cost(&mut dispatcher, &attempt);
-    let distance = distance_from_reported_work(&dispatcher);
-    assert!(distance > 1e-3, "{distance}");
+    let error = work_estimate_error(&dispatcher);
+    assert!(error > 1e-3, "{error}");
 }
 
-/// Another gateway may serve what was not executed; a rejection of what may have been executed would
-/// invite a second execution.
+/// Guards against a second execution: the client may retry a rejected request at another gateway,
+/// so a request that may have been executed and must not be repeated fails instead.
 #[test]
 fn at_a_forced_end_only_requests_that_can_be_repeated_are_rejected() {
     let mut dispatcher = dispatcher_with_keyed_loads(20 * SEC);
@@ -290,8 +295,8 @@
     );
 }
 
-/// Guards a client whose request was on its way to the dispatcher at the forced end: nobody would end
-/// it any more.
+/// Guards the client of a request that reaches the dispatcher after the forced end: without the
+/// rejection, nothing would end the request.
 #[test]
 fn a_request_that_arrives_after_the_forced_end_is_rejected_at_once() {
     let mut dispatcher = dispatcher_with_keyed_loads(20 * SEC);
@@ -313,7 +318,7 @@
             [Command::Respond { origin: Origin { tag: 9, .. }, response: Response::Rejected(Some(after)) }]
                 if *after == 50 * MS
         ),
-        "only the rejection"
+        "the rejection is the only command"
     );
     assert_eq!(dispatcher.counters.open(), 0);
     let counted: Vec<_> = dispatcher.counters.rejections.into_iter().collect();
--- a/tests/unit/dispatcher_builders.rs
+++ b/tests/unit/dispatcher_builders.rs
@@ -1,4 +1,4 @@
-//! Builders that the tests of the dispatcher share.
+//! Builders shared by the tests of the dispatcher.
 use super::in_flight::InFlightRequest;
 use super::termination::{Termination, TransmitProgress};
 use super::{AttemptReply, AttemptResult, ClientRequest, Dispatcher};
@@ -14,27 +14,27 @@
 /// The names of the classes of the testkit's settings.
 pub(super) const CLASS_NAMES: [&str; 3] = ["lookup", "report", "load"];
 
-/// How often a request may be executed, in the tests' own terms.
+/// How often a request may be executed, independent of the code under test.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) enum Repetition {
     /// Any number of times.
     #[default]
     Unlimited,
-    /// Any number of times within this time of the first attempt, with the idempotency key, at
-    /// every engine.
+    /// Any number of times at any engine, with the idempotency key, within this time after the
+    /// first attempt.
     WithKey(Micros),
     /// Once.
     Never,
 }
 
-/// A class in force, as the tests know it.
+/// A class in force, with what the tests expect of it.
 #[derive(Clone)]
 pub(super) struct ConfiguredClass {
     pub(super) name: String,
     pub(super) repetition: Repetition,
 }
 
-/// Settings, and what the tests expect of them.
+/// Settings, and the behavior that the tests expect with them.
 pub(super) struct Configuration {
     pub(super) settings: Settings,
     pub(super) classes: Vec<ConfiguredClass>,
@@ -43,9 +43,9 @@
 }
 
 impl Configuration {
-    /// One of several configurations that differ in the number of attempts (the remainder by 3) and,
-    /// by the bits of `variant`, in hedging, and in classes that are removed, added, or may be
-    /// repeated differently.
+    /// One of several configurations. They differ in the maximum number of attempts (by the
+    /// remainder of `variant` divided by 3), and by the bits of `variant` in hedging, in removed
+    /// and added classes, and in how the requests of a class may be repeated.
     pub(super) fn variant(variant: u8) -> Configuration {
         let has_bit = |bit: u8| variant & bit > 0;
         let mut json = crate::testkit::daemon::settings();
@@ -98,12 +98,12 @@
     }
 }
 
-/// Settings from their JSON text.
+/// Parses settings from JSON.
 pub(super) fn parse(json: &serde_json::Value) -> Settings {
     settings::parse(json.to_string().as_bytes()).expect("valid settings")
 }
 
-/// An endpoint of this id.
+/// An endpoint with this id.
 pub(super) fn endpoint(id: u64, readiness: Readiness) -> Endpoint {
     Endpoint {
         id: EngineId(id),
@@ -121,7 +121,7 @@
     dispatcher
 }
 
-/// A dispatcher whose third class is idempotent by a key within this window, with engines that
+/// A dispatcher whose third class is idempotent by key within this window, and whose engines
 /// support priorities and report costs.
 pub(super) fn dispatcher_with_keyed_loads(window: Micros) -> Dispatcher {
     let mut json = crate::testkit::daemon::settings();
@@ -148,7 +148,7 @@
     }
 }
 
-/// A request without attempts that may have 5 of them.
+/// A request without attempts, with a limit of 5 attempts.
 pub(super) fn in_flight_request(
     idempotency: Idempotency,
     max_concurrent_attempts: usize,
--- a/tests/unit/dispatcher_model.rs
+++ b/tests/unit/dispatcher_model.rs
@@ -1,7 +1,7 @@
-//! The dispatcher under random steps, against a model: exactly one response for each request, never
-//! more attempts than the settings allow, what may have been executed repeated only as its class
-//! and its key permit, and counters that add up, whatever is configured meanwhile and whatever the
-//! decision module asks for.
+//! The dispatcher against a model under random steps: each request gets exactly one response and no
+//! more attempts than the settings allow, a request that may have been executed is repeated only as
+//! its class and its key permit, and the counters add up. This holds whatever is configured
+//! meanwhile and whatever actions the decision module returns.
 #[path = "dispatcher_observed_request.rs"]
 mod observed_request;
 #[path = "dispatcher_step.rs"]
@@ -27,18 +27,18 @@
 struct Model {
     dispatcher: Dispatcher,
     now: Micros,
-    /// By the tags of their origins.
+    /// All requests so far, by the tags of their origins.
     requests: BTreeMap<u64, ObservedRequest>,
     ready_engines: BTreeSet<EngineId>,
     /// The classes in force.
     classes: Vec<ConfiguredClass>,
-    /// How many attempts a new request may have.
+    /// Maximum number of attempts of a new request.
     max_attempts: u32,
-    /// How many of them may be in flight at the same time.
+    /// Maximum number of attempts of a new request that are in flight at the same time.
     max_concurrent_attempts: usize,
     /// The tags of the requests for which an attempt was started.
     tags: BTreeMap<RequestId, u64>,
-    /// What the audit received.
+    /// The decisions that were recorded for the audit.
     decisions: Vec<Decision>,
 }
 
@@ -71,7 +71,7 @@
             Step::Disconnect(n) => self.disconnect(*n, &mut commands),
             Step::ChangeEndpoint(n) => self.change_endpoint(*n, &mut commands),
             Step::Reconfigure(n) => self.reconfigure(*n),
-            Step::UnexpectedAttempt(n) => self.start_unexpected_attempt(*n, &mut commands),
+            Step::UnrequestedAttempt(n) => self.start_unrequested_attempt(*n, &mut commands),
             Step::Wait(millis) => self.wait(self.now + u64::from(*millis) * MS)?,
         }
         self.decisions.extend(self.dispatcher.take_decisions());
@@ -154,7 +154,7 @@
             },
             ..result_without_reply(id, attempt, termination, progress)
         };
-        // The second result of an attempt must have no effect.
+        // The dispatcher has to ignore the second result of an attempt.
         self.end_attempt(result.clone())?;
         self.end_attempt(result)
     }
@@ -213,7 +213,7 @@
         self.max_concurrent_attempts = configuration.max_concurrent_attempts;
     }
 
-    fn start_unexpected_attempt(&mut self, n: u8, commands: &mut Vec<Command>) {
+    fn start_unrequested_attempt(&mut self, n: u8, commands: &mut Vec<Command>) {
         let ids: Vec<RequestId> = self.tags.keys().copied().collect();
         if let Some(id) = ids.get(usize::from(n / 3) % ids.len().max(1)) {
             let engine = EngineId(u64::from(n % 3) + 1);
@@ -233,7 +233,7 @@
         Ok(())
     }
 
-    /// Checks the commands against what the model permits, and confirms cancellations.
+    /// Checks the commands against the model, and confirms cancellations.
     fn execute(&mut self, commands: Vec<Command>) -> Result<(), String> {
         let mut cancelled = Vec::new();
         for command in commands {
@@ -290,7 +290,7 @@
             .map_err(|e| format!("request {}: {e}", origin.tag))
     }
 
-    /// Checks that all requests have ended, once the last deadline has passed.
+    /// Checks that all requests have ended. Called after the last deadline.
     fn check_all_ended(&self) -> Result<(), String> {
         let waiting = self
             .requests
@@ -301,7 +301,7 @@
         if waiting > 0 || counters.open() > 0 || !self.dispatcher.in_flight.is_empty() {
             return Err(format!("{waiting} without a response; {counters}"));
         }
-        // Each rejection has its cause, no more and no fewer.
+        // Each rejection is counted under exactly one cause.
         let caused: u64 = counters.rejections.values().sum();
         if [caused, counters.total_rejections] != [counters.rejected; 2] {
             return Err(format!("{caused} rejections with a cause; {counters}"));
@@ -309,8 +309,8 @@
         Ok(())
     }
 
-    /// Checks that the audit received each attempt, rejection and failure once, with the id of its
-    /// request.
+    /// Checks that each attempt, rejection and failure was recorded for the audit once, with the id
+    /// of its request.
     fn check_audit(&mut self) -> Result<(), String> {
         self.decisions.extend(self.dispatcher.take_decisions());
         for (tag, request) in &self.requests {
@@ -342,7 +342,7 @@
         Ok(())
     }
 
-    /// Checks that the metrics of each class are the responses given.
+    /// Checks that the metrics of each class equal the number of its responses.
     fn check_class_metrics(&self) -> Result<(), String> {
         for (class, metrics) in &self.dispatcher.counters.responses_by_class {
             let count = |is_kind: fn(&Response) -> bool| {
@@ -385,8 +385,9 @@
     check.quickcheck(run as fn(Vec<Step>) -> Result<bool, String>);
 }
 
-/// The settings may let gateways exchange messages, but nothing carries them between decision
-/// modules. One that waited for them would take all others for dead and use their capacity.
+/// Guards the engines against a gateway that uses the capacity of others. The settings may allow
+/// gateways to exchange messages, but nothing transmits them between decision modules. A decision
+/// module that relied on them would regard all other gateways as dead and use their capacity.
 #[test]
 fn a_gateway_without_messages_from_its_peers_keeps_to_its_capacity_share() {
     let requests_sent = |has_peers: bool| {
--- a/tests/unit/dispatcher_observed_request.rs
+++ b/tests/unit/dispatcher_observed_request.rs
@@ -1,4 +1,5 @@
-//! A request as the model of the dispatcher observed it, and what the dispatcher may do with it.
+//! A request as observed by the model of the dispatcher, with checks of the attempts and responses
+//! that the dispatcher produces for it.
 use super::super::termination::{never_ran, outcome};
 use super::super::test_builders::Repetition;
 use super::super::{AttemptRequest, AttemptResult, Response};
@@ -19,7 +20,7 @@
     pub(super) max_attempts: u32,
     pub(super) max_concurrent_attempts: usize,
     pub(super) in_flight: BTreeMap<AttemptNo, ObservedAttempt>,
-    /// When the first attempt was sent that has ended and may have been executed.
+    /// When the earliest of the attempts was sent that have ended and may have been executed.
     pub(super) first_execution: Option<Micros>,
     pub(super) attempts_started: u32,
     pub(super) responses: u32,
@@ -59,7 +60,7 @@
             && self.attempts_started < self.max_attempts
     }
 
-    /// Checks and records that an attempt was started.
+    /// Checks and records the start of an attempt.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -88,7 +89,7 @@
         Ok(())
     }
 
-    /// Records that an attempt ended; only the first result of an attempt counts.
+    /// Records the end of an attempt. Only the first result of an attempt counts.
     pub(super) fn end_attempt(&mut self, result: &AttemptResult) {
         if let Some(attempt) = self.in_flight.remove(&result.attempt)
             && !never_ran(outcome(result.termination, result.progress))
@@ -103,12 +104,12 @@
         self.responses += 1;
         self.response = Some(response.clone());
         if self.responses > 1 || self.abandoned {
-            return Err("got one response too many".into());
+            return Err("got more than one response, or one after it was abandoned".into());
         }
         let may_have_run = self.earliest_possible_execution().is_some();
         let is_unsafe = self.repetition == Repetition::Never && may_have_run;
         if is_unsafe && matches!(response, Response::Rejected(_)) {
-            return Err("must not run twice, may have run, and was rejected".into());
+            return Err("was rejected although it may have run and must not be repeated".into());
         }
         Ok(())
     }
--- a/tests/unit/dispatcher_step.rs
+++ b/tests/unit/dispatcher_step.rs
@@ -1,4 +1,5 @@
-//! The random steps of the dispatcher's model. The numbers choose among what exists at that time.
+//! The random steps of the dispatcher's model. The numbers select among the classes, attempts,
+//! connections and endpoints that exist at the time of the step.
 use super::super::termination::Termination;
 use quickcheck::{Arbitrary, Gen};
 
@@ -6,16 +7,16 @@
 pub(super) enum Step {
     /// A client sends a request.
     Request(u8),
-    /// An attempt ends like this, written to its engine or not.
+    /// An attempt ends with this termination, and was written to its engine or not.
     EndAttempt(u8, Termination, bool),
     /// A client disconnects.
     Disconnect(u8),
-    /// An endpoint becomes ready or draining.
+    /// An endpoint becomes ready or starts to drain.
     ChangeEndpoint(u8),
     /// The configuration is replaced.
     Reconfigure(u8),
-    /// An attempt is started that the decision module did not ask for.
-    UnexpectedAttempt(u8),
+    /// An attempt is started that the decision module did not request.
+    UnrequestedAttempt(u8),
     /// Time passes, in milliseconds.
     Wait(u16),
 }
@@ -41,7 +42,7 @@
             7 => Step::Disconnect(n),
             8 => Step::ChangeEndpoint(n),
             9 => Step::Reconfigure(n),
-            10 => Step::UnexpectedAttempt(n),
+            10 => Step::UnrequestedAttempt(n),
             _ => Step::Wait(u16::arbitrary(g) % 4_000),
         }
     }
--- a/tests/unit/in_flight.rs
+++ b/tests/unit/in_flight.rs
@@ -1,4 +1,5 @@
-//! Which attempts of a request are permitted, by what its earlier ones may have caused.
+//! Which further attempts of a request are permitted, depending on whether earlier ones may have
+//! been executed.
 use super::super::test_builders::in_flight_request;
 use super::*;
 use crate::clock::SEC;
@@ -32,7 +33,7 @@
     }
 }
 
-/// A request with an attempt in flight at this endpoint.
+/// A request with one attempt in flight at this endpoint.
 fn in_flight_at(
     endpoint: Endpoint,
     idempotency: Idempotency,
@@ -57,8 +58,8 @@
     }
 }
 
-/// What may have been executed is repeated only where engines detect the duplicate, and while they
-/// remember its key.
+/// Guards against a second execution: a request that may have been executed is repeated only where
+/// engines detect the duplicate, and only while they keep its key.
 #[test]
 fn a_repeat_is_permitted_only_within_the_scope_and_window_of_its_key() {
     let same = endpoint(1, 0, 0);
@@ -135,7 +136,7 @@
 }
 
 #[test]
-fn no_attempt_follows_the_last_one_or_the_final_response() {
+fn no_attempt_is_started_after_the_last_permitted_one_or_the_final_response() {
     let to = endpoint(1, 0, 0);
     let exhausted = InFlightRequest {
         attempts_started: 5,
@@ -150,7 +151,7 @@
     assert!(!closed.may_start_attempt(SEC, &to));
 }
 
-/// A rejection guarantees that a retry by the client does no harm.
+/// Guards the guarantee that the client may safely retry a rejected request.
 #[test]
 fn a_request_that_may_have_been_executed_is_rejected_only_if_a_retry_is_harmless() {
     let at = endpoint(1, 0, 0);
@@ -175,9 +176,9 @@
     }
 }
 
-/// A repeat has to end while engines still remember its key.
+/// Guards against a second execution by a retry that ends after engines discard its key.
 #[test]
-fn the_idempotency_window_begins_with_the_first_possible_execution() {
+fn the_idempotency_window_starts_with_the_first_possible_execution() {
     let at = endpoint(1, 0, 0);
     let window_end = |idempotency| possibly_executed_at(at, idempotency).idempotency_window_end();
 
--- a/tests/unit/termination.rs
+++ b/tests/unit/termination.rs
@@ -26,17 +26,17 @@
     never_ran(outcome(termination, progress))
 }
 
-/// After the whole attempt was written, only the engine's own statement, or a connection that never
-/// existed, proves that it was not executed.
+/// Guards against a second execution: after the whole attempt was written, only the engine's reply
+/// or a connection that was never established proves that it was not executed.
 #[test]
-fn a_complete_attempt_is_cleared_only_by_the_engine_or_a_failed_connect() {
-    let cleared: Vec<Termination> = ALL
+fn only_the_engine_or_a_failed_connect_proves_that_a_complete_attempt_never_ran() {
+    let proven_never_run: Vec<Termination> = ALL
         .into_iter()
         .filter(|termination| proves_never_ran(*termination, TransmitProgress::Complete))
         .collect();
 
     assert_eq!(
-        cleared,
+        proven_never_run,
         [
             Termination::Rejected,
             Termination::AlreadyFinished,
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_failed_connection_clears_an_attempt_whose_end_was_withheld() {
+fn a_failed_connection_proves_that_an_attempt_with_a_withheld_end_never_ran() {
     let failures = [
         Termination::Closed,
         Termination::Reset,
@@ -64,9 +64,10 @@
     );
 }
 
-/// The withheld end of a cancelled attempt is written before its cancellation.
+/// Guards against a second execution: the withheld end of a cancelled attempt is written before its
+/// cancellation, so the engine may execute the attempt.
 #[test]
-fn a_cancellation_does_not_clear_an_attempt_whose_end_was_withheld() {
+fn a_cancellation_does_not_prove_that_an_attempt_with_a_withheld_end_never_ran() {
     let cancellations = [Termination::Cancelled, Termination::Deadline];
 
     assert!(
@@ -86,17 +87,21 @@
     assert_eq!(may_have_run, [Termination::Done, Termination::EngineError]);
 }
 
-/// A lack of local descriptors must not count as a fault of the engine.
+/// Guards against counting a lack of local descriptors as a failure of the engine.
 #[test]
 fn a_lack_of_descriptors_is_a_local_limit() {
-    let of_connect = |errno: Errno| Termination::of_connect(&io::Error::from(errno));
+    let from_connect_error =
+        |errno: Errno| Termination::from_connect_error(&io::Error::from(errno));
 
-    assert_eq!(of_connect(Errno::MFILE), Termination::LocalLimit);
-    assert_eq!(of_connect(Errno::NFILE), Termination::LocalLimit);
+    assert_eq!(from_connect_error(Errno::MFILE), Termination::LocalLimit);
+    assert_eq!(from_connect_error(Errno::NFILE), Termination::LocalLimit);
     assert_eq!(
-        outcome(of_connect(Errno::MFILE), TransmitProgress::Unsent),
+        outcome(from_connect_error(Errno::MFILE), TransmitProgress::Unsent),
         OutcomeKind::NeverSent
     );
-    assert_eq!(of_connect(Errno::CONNREFUSED), Termination::Refused);
-    assert_eq!(of_connect(Errno::HOSTUNREACH), Termination::Unreachable);
+    assert_eq!(from_connect_error(Errno::CONNREFUSED), Termination::Refused);
+    assert_eq!(
+        from_connect_error(Errno::HOSTUNREACH),
+        Termination::Unreachable
+    );
 }
