--- a/src/dispatcher/client_requests.rs
+++ b/src/dispatcher/client_requests.rs
@@ -75,8 +75,8 @@
 
     /// Checks whether the request may be admitted. If so, returns how it may be repeated.
     fn check_admission(&self, request: &ClientRequest) -> Result<Idempotency, AdmissionError> {
-        // The request was still in the mailbox when `fail_all` ended the others, and nothing would
-        // end it later.
+        // The request was still in the mailbox when `end_all_requests` ended the others, and
+        // nothing would end it later.
         if !self.admits_requests {
             return Err(AdmissionError::ShutDown);
         }
--- a/src/dispatcher/in_flight.rs
+++ b/src/dispatcher/in_flight.rs
@@ -7,8 +7,8 @@
 use crate::policy::state::{RepeatTargets, may_reject, may_repeat};
 use std::rc::Rc;
 
-/// Attempts with an idempotency key have to end this long before the window of the key: an engine
-/// whose clock is ahead of this process's clock discards the key earlier.
+/// Attempts with an idempotency key have to end this long before the key's window ends, since an
+/// engine whose clock is ahead of this process's clock discards the key earlier.
 const IDEMPOTENCY_WINDOW_MARGIN: Micros = 100 * MS;
 
 /// A started attempt whose result has not arrived.
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -77,7 +77,7 @@
     max_statement_bytes: usize,
     /// The id of the request that was admitted last.
     last_request_id: u32,
-    /// Whether requests are admitted; `false` after [`Dispatcher::fail_all`].
+    /// Whether requests are admitted; `false` after [`Dispatcher::end_all_requests`].
     admits_requests: bool,
     /// An empty buffer for the decision module's actions, kept to reuse its allocation.
     actions: Vec<Action>,
@@ -186,7 +186,7 @@
     }
 
     /// Announces the shutdown of the process: requests that are open at `end` will be ended by
-    /// [`Dispatcher::fail_all`].
+    /// [`Dispatcher::end_all_requests`].
     pub fn set_serving_until(&mut self, end: Micros) {
         self.module.set_serving_until(nanos(end));
     }
--- a/src/dispatcher/responses.rs
+++ b/src/dispatcher/responses.rs
@@ -57,7 +57,7 @@
 
     /// Ends all requests because the process is about to be killed: rejects those that can safely
     /// be retried at another gateway, and fails the others. All later requests are rejected.
-    pub fn fail_all(&mut self, now: Micros, commands: &mut Vec<Command>) {
+    pub fn end_all_requests(&mut self, now: Micros, commands: &mut Vec<Command>) {
         self.admits_requests = false;
         let open: Vec<RequestId> = self
             .in_flight
--- a/src/net/dispatcher/mod.rs
+++ b/src/net/dispatcher/mod.rs
@@ -166,7 +166,7 @@
             self.dispatcher.set_serving_until(forced_end_at);
             if forced_end_at <= now {
                 self.requests_ended = true;
-                self.dispatcher.fail_all(now, &mut self.commands);
+                self.dispatcher.end_all_requests(now, &mut self.commands);
             }
         }
         self.publish_metrics(now);
--- a/tests/unit/dispatcher.rs
+++ b/tests/unit/dispatcher.rs
@@ -277,7 +277,7 @@
         .filter(|command| matches!(command, Command::StartAttempt { .. }));
     assert_eq!(started.count(), 2);
 
-    dispatcher.fail_all(SEC, &mut commands);
+    dispatcher.end_all_requests(SEC, &mut commands);
 
     let responses: Vec<(u64, Response)> = commands
         .into_iter()
@@ -301,7 +301,7 @@
 fn a_request_that_arrives_after_the_forced_end_is_rejected_at_once() {
     let mut dispatcher = dispatcher_with_keyed_loads(20 * SEC);
     let mut commands = Vec::new();
-    dispatcher.fail_all(SEC, &mut commands);
+    dispatcher.end_all_requests(SEC, &mut commands);
 
     let late = ClientRequest {
         origin: Origin { conn: 1, tag: 9 },
--- a/tests/unit/termination.rs
+++ b/tests/unit/termination.rs
@@ -30,13 +30,13 @@
 /// or a connection that was never established proves that it was not executed.
 #[test]
 fn only_the_engine_or_a_failed_connect_proves_that_a_complete_attempt_never_ran() {
-    let proven_never_run: Vec<Termination> = ALL
+    let proven_never_ran: Vec<Termination> = ALL
         .into_iter()
         .filter(|termination| proves_never_ran(*termination, TransmitProgress::Complete))
         .collect();
 
     assert_eq!(
-        proven_never_run,
+        proven_never_ran,
         [
             Termination::Rejected,
             Termination::AlreadyFinished,
