--- a/src/net/address_claim.rs
+++ b/src/net/address_claim.rs
@@ -1,10 +1,11 @@
-//! Claims: which manager listens at a client address, for other processes on this machine.
+//! Address claims: publish to other processes on this machine which manager listens at a client
+//! address.
 //!
-//! SO_REUSEPORT lets the next version of a manager listen beside the present one; it lets in any other
-//! process of the same user too. So each process publishes a claim before it binds: an abstract Unix
-//! socket whose name holds the address, the process and the manager. The system removes the name with
-//! the process, however that ends, and lists all names in `/proc/net/unix`: a claim can be read while its
-//! holder is stopped. Nobody connects to the socket.
+//! SO_REUSEPORT lets the successor of a manager listen beside its predecessor, but it also admits any
+//! other process of the same user. Each process therefore publishes a claim before it binds: an
+//! abstract Unix socket whose name contains the address, the process id and the manager. The system
+//! removes the name when the process ends, in whichever way, and lists all names in `/proc/net/unix`,
+//! so a claim can be read even while its holder is stopped. Nothing connects to the socket.
 use super::hot_restart::file_name_component;
 use rustix::net::{AddressFamily, SocketAddrUnix, SocketFlags, SocketType};
 use std::net::SocketAddr;
@@ -14,22 +15,23 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Lists the names of all Unix sockets of this network namespace; abstract ones begin with `@`.
-const NAMES_FILE: &str = "/proc/net/unix";
+const UNIX_SOCKETS_FILE: &str = "/proc/net/unix";
 /// The first part of the name of each claim.
 const PREFIX: &str = "yokelift-claim";
 /// Separates the parts of a name; occurs in none of them.
 const SEPARATOR: char = '/';
-/// Stands for a manager without a state folder.
+/// Placeholder in the name of a claim for the state folder of a manager without one.
 const NO_FOLDER: &str = "-";
-/// Bytes of the manager's name that are shown; the whole name is compared by its hash.
+/// Length, in bytes, to which a claim shortens the manager's name. Names are compared by the hash of the
+/// whole name.
 const MAX_SHOWN_NAME_BYTES: usize = 24;
 
-/// What tells managers apart: processes of one manager have the same name and state folder.
+/// Identifies a manager: all its processes have the same name and state folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ManagerIdentity {
     name: String,
     name_hash: u64,
-    /// A hash that identifies the state folder; `None` without a usable one.
+    /// Hash of the state folder's device and inode; `None` if there is no such folder.
     folder: Option<u64>,
 }
 
@@ -38,18 +40,18 @@
     pub fn new(name: &str, state_folder: Option<&Path>) -> ManagerIdentity {
         let folder = state_folder.and_then(|folder| std::fs::metadata(folder).ok());
         let folder = folder.filter(std::fs::Metadata::is_dir);
-        let mut shown = file_name_component(name);
-        shown.truncate(MAX_SHOWN_NAME_BYTES);
+        let mut short_name = file_name_component(name);
+        short_name.truncate(MAX_SHOWN_NAME_BYTES);
         ManagerIdentity {
-            name: shown,
+            name: short_name,
             name_hash: xxh3_64(name.as_bytes()),
             folder: folder
                 .map(|folder| xxh3_64(format!("{}:{}", folder.dev(), folder.ino()).as_bytes())),
         }
     }
 
-    /// Whether both may be processes of one manager: by their names, and by their state folders where
-    /// both have one.
+    /// Whether both may identify the same manager: their names are equal, and so are their state folders
+    /// if both have one.
     fn may_be_same(&self, other: &ManagerIdentity) -> bool {
         let same_folder = match (self.folder, other.folder) {
             (Some(one), Some(other)) => one == other,
@@ -82,7 +84,7 @@
         .join(&SEPARATOR.to_string())
     }
 
-    /// The claimant of this address, if this is the name of such a socket.
+    /// Parses the name of a socket; `None` if it is not a claim of this address.
     fn parse(socket_name: &str, address: SocketAddr) -> Option<Claimant> {
         let mut parts = socket_name.split(SEPARATOR);
         let is_claim = parts.next()? == PREFIX && parts.next()? == address.to_string();
@@ -104,17 +106,17 @@
     }
 }
 
-/// A published claim. It ends when this is dropped.
+/// A published claim, which is withdrawn on drop.
 #[derive(Debug)]
 pub struct AddressClaim {
     _socket: OwnedFd,
 }
 
 impl AddressClaim {
-    /// Publishes that this process of that manager listens at the address, or is about to.
+    /// Publishes that this process, which belongs to `manager`, listens at the address or is about to.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Errors of the system calls.
     pub fn publish(
         address: SocketAddr,
         manager: &ManagerIdentity,
@@ -135,17 +137,17 @@
     }
 }
 
-/// Who holds an address that is in use.
+/// The process that holds an address that is in use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AddressHolder {
-    /// A process of the same manager, as far as can be told.
+    /// A process of the same manager, judged by name and state folder.
     SameManager {
-        /// The process.
+        /// The process id.
         process: u32,
     },
     /// A process of another manager.
     OtherManager {
-        /// The process.
+        /// The process id.
         process: u32,
         /// The manager's name, shortened.
         name: String,
@@ -154,20 +156,21 @@
     Unknown,
 }
 
-/// Who holds this address besides this process; another manager comes first.
+/// Returns which other process holds this address. A process of another manager takes precedence over
+/// one of the same manager.
 pub fn address_holder(address: SocketAddr, manager: &ManagerIdentity) -> AddressHolder {
-    let names = std::fs::read_to_string(NAMES_FILE).unwrap_or_default();
-    holder_among(&names, address, manager, std::process::id())
+    let unix_sockets = std::fs::read_to_string(UNIX_SOCKETS_FILE).unwrap_or_default();
+    holder_among(&unix_sockets, address, manager, std::process::id())
 }
 
-/// The holder by the lines of [`NAMES_FILE`].
+/// Finds the holder in the lines of [`UNIX_SOCKETS_FILE`].
 fn holder_among(
-    names: &str,
+    unix_sockets: &str,
     address: SocketAddr,
     manager: &ManagerIdentity,
     own_process: u32,
 ) -> AddressHolder {
-    let claimants = names
+    let claimants = unix_sockets
         .lines()
         .filter_map(|line| line.split_ascii_whitespace().last()?.strip_prefix('@'))
         .filter_map(|name| Claimant::parse(name, address))
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,6 +1,6 @@
-//! The admin endpoint: its listener, and the actor of each operator's connection. Responses come
-//! from the lifecycle and from what the dispatcher published last; a request never waits for the
-//! dispatcher.
+//! The admin endpoint: its listener, and the actor of each operator's connection. Responses are built
+//! from the lifecycle and from what the dispatcher and other actors published last; a request never
+//! waits for the dispatcher.
 use super::{CountGuard, Shared, sleep_until};
 use crate::audit::RecordPosition;
 use crate::clock::{self, MS, Micros, SEC};
@@ -16,30 +16,31 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Operators' connections at a time, at most.
+/// Upper bound on the limit of concurrent operators' connections.
 const MAX_CONNECTIONS: usize = 16;
-/// Operators' connections at a time, at least.
+/// Lower bound on the limit of concurrent operators' connections.
 const MIN_CONNECTIONS: usize = 2;
-/// One in this many of the process's descriptors may be an operator's connection. They belong to the
-/// quarter that neither clients nor engines use.
+/// The limit of operators' connections is the process's limit of descriptors divided by this. Their
+/// descriptors belong to the quarter that neither clients nor engines use.
 const DESCRIPTORS_PER_CONNECTION: usize = 16;
 /// An operator has to send a complete request within this time.
 const REQUEST_TIMEOUT: Micros = 2 * SEC;
-/// Time for writing the response and closing the connection.
+/// Time limit for writing the response and closing the connection.
 const RESPONSE_TIMEOUT: Micros = SEC;
-/// After the response, input is read and discarded for this time: a close with unread input would
-/// reset the connection, and the response would be lost.
+/// Time for which input is read and discarded after the response: closing a connection with unread
+/// input would reset it, and the response would be lost.
 const LINGER_TIMEOUT: Micros = 200 * MS;
-/// How long the listener waits after an error.
+/// Pause of the listener after a failed `accept`.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(10);
 /// The size of a read, in bytes.
 const READ_BYTES: usize = 1024;
 
-/// The open connections by their numbers, oldest first. Closing the channel of one sheds it.
+/// The open connections by their numbers, oldest first. Closing the channel of one closes the
+/// connection.
 type Connections = Rc<RefCell<BTreeMap<u64, Sender<()>>>>;
 
-/// Accepts operators' connections. At the limit the oldest one is shed: its request is not complete,
-/// or its response is not read.
+/// Accepts operators' connections. At the limit the oldest one is closed to admit the new one: its
+/// request is incomplete, or its response has not been read.
 pub async fn listen(shared: Rc<Shared>, listener: Async<TcpListener>) {
     let connections = Connections::default();
     let open_count = Rc::default();
@@ -49,27 +50,27 @@
         let stream = match accepted {
             Ok(stream) => stream,
             Err(error) => {
-                log!("accepting an operator: {error}");
+                log!("admin endpoint: accepting a connection failed, retrying: {error}");
                 Timer::after(ACCEPT_ERROR_PAUSE).await;
                 continue;
             }
         };
         if connections.borrow().len() >= max_connections(&shared) {
-            shed_oldest(&connections);
+            close_oldest(&connections);
         }
-        let (shed, is_shed) = bounded(1);
-        connections.borrow_mut().insert(next_id, shed);
+        let (close_sender, close_signal) = bounded(1);
+        connections.borrow_mut().insert(next_id, close_sender);
         let actor_shared = Rc::clone(&shared);
         let actor_connections = Rc::clone(&connections);
         let open_guard = CountGuard::new(&open_count);
         let id = next_id;
         shared.spawn(async move {
-            serve(&actor_shared, stream, is_shed).await;
+            serve(&actor_shared, stream, close_signal).await;
             actor_connections.borrow_mut().remove(&id);
             drop(open_guard);
         });
         next_id += 1;
-        // A connection that was shed ends at its next turn, before the next one is accepted.
+        // Lets a connection that was closed above end before the next one is accepted.
         yield_now().await;
     }
 }
@@ -79,27 +80,27 @@
     (descriptors / DESCRIPTORS_PER_CONNECTION).clamp(MIN_CONNECTIONS, MAX_CONNECTIONS)
 }
 
-fn shed_oldest(connections: &Connections) {
-    if let Some((_, shed)) = connections.borrow_mut().pop_first() {
-        shed.close();
+fn close_oldest(connections: &Connections) {
+    if let Some((_, close_sender)) = connections.borrow_mut().pop_first() {
+        close_sender.close();
     }
 }
 
-/// Reads one request and responds to it.
-async fn serve(shared: &Shared, mut stream: Async<TcpStream>, is_shed: Receiver<()>) {
-    // Without this option the response is only slower.
+/// Reads one request and responds to it, unless the connection is closed to admit another.
+async fn serve(shared: &Shared, mut stream: Async<TcpStream>, close_signal: Receiver<()>) {
+    // Without TCP_NODELAY the response is only delayed.
     let _ = stream.get_ref().set_nodelay(true);
     let request_due_at = clock::turn() + REQUEST_TIMEOUT;
-    let shed = async {
-        // An error says that the channel is closed, which is the signal.
-        let _ = is_shed.recv().await;
+    let close_requested = async {
+        // `recv` fails once the channel is closed, which is the signal.
+        let _ = close_signal.recv().await;
         None
     };
     let timeout = async {
         sleep_until(Some(request_due_at)).await;
         Some(Err(RequestError::Incomplete))
     };
-    let Some(request) = or(shed, or(read_request(&mut stream), timeout)).await else {
+    let Some(request) = or(close_requested, or(read_request(&mut stream), timeout)).await else {
         return;
     };
     let response = match request {
@@ -114,7 +115,7 @@
     .await;
 }
 
-/// Reads a request; `None` if the operator closed the connection before it was complete.
+/// Reads a request; `None` if the connection ended before it was complete.
 async fn read_request(stream: &mut Async<TcpStream>) -> Option<Result<AdminRequest, RequestError>> {
     let mut input = Vec::new();
     let mut chunk = [0; READ_BYTES];
@@ -149,7 +150,7 @@
     or(discard, sleep_until(Some(linger_ends_at))).await;
 }
 
-/// Serves a request, and returns the response.
+/// Handles a request and returns the response.
 async fn handle(shared: &Shared, request: AdminRequest) -> Vec<u8> {
     let now = clock::turn();
     match request {
@@ -183,7 +184,7 @@
         log!("drain: ended by an operator");
         admin::response(200, "serving\n")
     } else {
-        log!("drain: not ended, the process is shutting down");
+        log!("drain: an operator could not end it, the process is shutting down");
         admin::response(409, "the program is about to end\n")
     }
 }
--- a/src/net/audit.rs
+++ b/src/net/audit.rs
@@ -1,5 +1,5 @@
-//! The actors of the audit: the dispatcher's side, which never blocks, and the thread that owns the
-//! files.
+//! The two sides of the audit: the dispatcher's writer, which never blocks, and the audit thread, which
+//! owns the files.
 use super::Shared;
 use crate::audit::store::Store;
 use crate::audit::{
@@ -18,14 +18,14 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The most batches and reads that wait for the files' thread.
+/// Capacity of the audit thread's queue, in jobs.
 const MAX_PENDING_JOBS: usize = 64;
-/// How long the program waits at its end for the last batch to be written.
+/// How long the process waits at its exit for the last batch to be written.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an operator's read waits for the files' thread.
+/// How long an operator's read waits for the audit thread.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A job for the thread that owns the files.
+/// A job of the audit thread.
 pub enum AuditJob {
     /// Write a batch.
     Write(Batch),
@@ -33,9 +33,9 @@
     Read {
         /// The position after which the page begins.
         after: RecordPosition,
-        /// The most records of the page.
+        /// The limit of records in the page.
         max_records: usize,
-        /// Where the page is to be sent.
+        /// Where the page is sent.
         reply: Sender<Result<Page, AuditReadError>>,
     },
 }
@@ -43,13 +43,13 @@
 /// Why a page of the audit could not be read.
 #[derive(Debug, Error)]
 pub enum AuditReadError {
-    /// The files' thread has no room for another job.
+    /// The audit thread's queue is full.
     #[error("the files are behind")]
     Busy,
-    /// The files' thread did not answer in time.
+    /// The audit thread did not send the page in time.
     #[error("the files take too long")]
     Timeout,
-    /// The files' thread has ended.
+    /// The audit thread has ended.
     #[error("the program ends")]
     Stopping,
     /// The folder can't be read.
@@ -64,15 +64,15 @@
     #[error(transparent)]
     StateFolder(#[from] StateFolderUnset),
     /// The folder can't be read.
-    #[error("fleet: the audit's files in {}: {source}", folder.display())]
+    #[error("fleet: the audit files in {} can't be read: {source}", folder.display())]
     Storage {
         /// The folder.
         folder: PathBuf,
         /// The cause.
         source: io::Error,
     },
-    /// The thread that owns the files could not be started.
-    #[error("fleet: the audit's thread: {0}")]
+    /// The audit thread could not be started.
+    #[error("fleet: the audit thread can't be started: {0}")]
     Thread(#[source] io::Error),
 }
 
@@ -80,13 +80,13 @@
 pub struct AuditWriter {
     buffer: AuditBuffer,
     jobs: Sender<AuditJob>,
-    /// Closed once the files' thread has ended.
+    /// Closed once the audit thread has ended.
     ended: Receiver<()>,
 }
 
 /// The environment names no folder for files that have to survive a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("fleet: the audit and the votes are kept in TMPDIR, which is not set")]
+#[error("fleet: TMPDIR, the folder of the audit files and the votes, is empty or not set")]
 pub struct StateFolderUnset;
 
 /// The folder of the audit's and the voter's files: `$TMPDIR`, which the operator has to set.
@@ -108,7 +108,7 @@
     folder().map(|folder| folder.join(name))
 }
 
-/// Starts the thread that owns the files.
+/// Starts the audit thread.
 ///
 /// # Errors
 /// If there is no folder for the files, it can't be read, or the thread can't be started.
@@ -123,10 +123,10 @@
         Err(source) => return Err(AuditStartError::Storage { folder, source }),
     };
     let (jobs, pending_jobs) = bounded(MAX_PENDING_JOBS);
-    let (has_ended, ended) = bounded(1);
+    let (end_signal, ended) = bounded(1);
     let run = move || {
         run_jobs(store, &pending_jobs);
-        drop(has_ended);
+        drop(end_signal);
     };
     std::thread::Builder::new()
         .name("audit".into())
@@ -140,14 +140,14 @@
     })
 }
 
-/// The files' thread: runs until all senders of jobs are gone.
+/// The loop of the audit thread: runs until the queue of jobs is closed and empty.
 fn run_jobs(mut store: Store, jobs: &Receiver<AuditJob>) {
     while let Ok(job) = jobs.recv_blocking() {
         clock::turn();
         match job {
             AuditJob::Write(batch) => {
                 if let Err(error) = store.append(batch) {
-                    log!("audit: a batch could not be written: {error}");
+                    log!("audit: writing a batch failed, its records are lost: {error}");
                 }
             }
             AuditJob::Read {
@@ -161,17 +161,17 @@
         }
     }
     if let Err(error) = store.settle() {
-        log!("audit: the lost records could not be reported: {error}");
+        log!("audit: writing the count of lost records failed: {error}");
     }
 }
 
 impl AuditWriter {
-    /// When [`record_all`](Self::record_all) is to be called again, if anything waits.
+    /// When [`record_all`](Self::record_all) has to be called again, if records are buffered.
     pub fn flush_due_at(&self) -> Option<Micros> {
         self.buffer.flush_due_at()
     }
 
-    /// Records decisions, and sends the batch to the files if it is due.
+    /// Records decisions, and sends the batch to the audit thread if it is due.
     pub fn record_all(&mut self, now: Micros, decisions: &[Decision]) {
         for decision in decisions {
             self.buffer.record(now, decision);
@@ -181,7 +181,7 @@
         }
     }
 
-    /// The decision module acts on this configuration from now on.
+    /// Sets the configuration that the decision module acts on from now on.
     pub fn set_configuration(&mut self, now: Micros, configuration: ActiveConfiguration) {
         self.buffer.set_configuration(now, configuration);
     }
@@ -215,13 +215,14 @@
         if let AuditJob::Write(batch) = rejected {
             self.buffer.mark_lost(clock::now(), &batch);
             log!(
-                "audit: the files are behind, {} records are lost",
+                "audit: the queue of the audit thread is full or closed, {} records are lost",
                 batch.record_count()
             );
         }
     }
 
-    /// Sends the last batch and waits a moment for the files: the program ends.
+    /// Sends the last batch, and waits a limited time until the audit thread has written it: the process
+    /// is about to exit.
     pub async fn finish(mut self) {
         if let Some(batch) = self.buffer.finish() {
             self.send(batch);
@@ -237,8 +238,8 @@
     }
 }
 
-/// Reads a page for an operator; `None` if no audit is kept. Waits for the files' thread, never for
-/// the dispatcher.
+/// Reads a page for an operator; `None` if no audit is kept. Waits for the audit thread, never for the
+/// dispatcher.
 pub async fn read(
     shared: &Shared,
     after: RecordPosition,
@@ -259,8 +260,8 @@
         Err(AuditReadError::Timeout)
     };
     let page = async {
-        let answer = page.recv().await;
-        answer.unwrap_or(Err(AuditReadError::Stopping))
+        let received = page.recv().await;
+        received.unwrap_or(Err(AuditReadError::Stopping))
     };
     Some(or(page, timeout).await)
 }
--- a/src/net/contain_panic.rs
+++ b/src/net/contain_panic.rs
@@ -1,4 +1,4 @@
-//! Containment of panics: the panic of a part of an actor ends that part alone.
+//! Containment of panics: a panic in one part of an actor ends only that part.
 use crate::log;
 use std::cell::Cell;
 use std::future::Future;
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// Runs a part of an actor; gives `None` if it panicked, which is counted and logged. The part is boxed:
-/// an `async` block around it would hold it twice, which counts for each client connection.
+/// Runs a part of an actor; resolves to `None` if it panicked, which is counted and logged. The part is
+/// boxed: an `async` block around it would store it twice, which costs memory for each client connection.
 pub struct ContainPanic<F> {
     part: Pin<Box<F>>,
     name: &'static str,
@@ -16,7 +16,7 @@
 }
 
 impl<F> ContainPanic<F> {
-    /// Runs `part`, which the log calls `name`. A panic adds one to `panics`.
+    /// Wraps `part`, which the log line calls `name`. A panic increments `panics`.
     pub(super) fn new(part: F, name: &'static str, panics: &Rc<Cell<u64>>) -> ContainPanic<F> {
         ContainPanic {
             part: Box::pin(part),
@@ -36,7 +36,7 @@
         }
         self.panics.set(self.panics.get() + 1);
         log!(
-            "{} has panicked: its clients and requests are let go",
+            "{} panicked and has ended, with its connections, requests and attempts",
             self.name
         );
         Poll::Ready(None)
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -1,5 +1,5 @@
 //! The actor of the endpoint list: applies the events of the coordinator, keeps a handle for each
-//! engine, and passes the changes on to the dispatcher.
+//! engine, and sends the changes to the dispatcher.
 use super::endpoint_factory::{ClickHouseEngines, EndpointFactory};
 use super::{ListedEndpoint, WatchEvent};
 use crate::net::Shared;
@@ -14,7 +14,7 @@
 /// Capacity of the actor's mailbox in events.
 pub const MAILBOX_CAPACITY: usize = 64;
 
-/// The handle of an endpoint that did not have one.
+/// An endpoint that had no handle, with its new one.
 type NewHandle = (EngineId, Rc<EndpointHandle>);
 
 /// An endpoint in the list, with its handle.
@@ -24,8 +24,8 @@
 }
 
 impl KnownEndpoint {
-    /// Updates the handle at once, before the dispatcher learns of the change: nothing that waits
-    /// to be sent outlives it.
+    /// Updates the handle at once, before the dispatcher receives the change, so that nothing that is
+    /// queued to be sent outlives it.
     fn set_readiness(&mut self, readiness: Readiness) {
         self.listed.endpoint.readiness = readiness;
         self.handle.set_readiness(readiness);
@@ -40,7 +40,7 @@
     known: BTreeMap<EngineId, KnownEndpoint>,
 }
 
-/// Runs the actor of the endpoint list. The first event is what was known before the start.
+/// Runs the actor of the endpoint list. The first event holds the endpoints known before the start.
 pub async fn run(
     shared: Rc<Shared>,
     dispatcher: Sender<DispatcherEvent>,
@@ -79,12 +79,13 @@
 }
 
 impl EndpointList {
-    /// Applies an event and completes it with what it implies; gives the handles of new endpoints.
+    /// Applies an event, after adding the endpoints whose change it implies; returns the handles of new
+    /// endpoints.
     fn apply(&mut self, event: &mut WatchEvent) -> Vec<NewHandle> {
         let superseded = self.superseded_by(event);
         event.endpoints.extend(superseded);
         if event.full {
-            // The coordinator does not list the endpoints of the file.
+            // The coordinator does not list the static endpoints.
             event.endpoints.extend(&self.clickhouse.static_endpoints);
             self.remove_unlisted(&event.endpoints);
         }
@@ -98,11 +99,11 @@
         new_handles
     }
 
-    /// Known endpoints at whose address the event lists a new engine: they are gone, even if the
-    /// event does not say so. Otherwise work for the old process would go to the new one.
+    /// Returns the known endpoints at whose address the event lists a new engine, as removed: they are, even
+    /// if the event does not list them. Otherwise commands for the old process would go to the new one.
     fn superseded_by(&self, event: &WatchEvent) -> Vec<ListedEndpoint> {
         let listed_ids = ids(&event.endpoints);
-        let taken_addrs: BTreeSet<SocketAddr> = event
+        let reused_addrs: BTreeSet<SocketAddr> = event
             .endpoints
             .iter()
             .filter(|listed| self.is_new_and_ready(listed))
@@ -111,9 +112,9 @@
         self.known
             .values()
             .map(|known| known.listed)
-            .filter(|listed| taken_addrs.contains(&listed.addr))
+            .filter(|listed| reused_addrs.contains(&listed.addr))
             .filter(|listed| !listed_ids.contains(&listed.endpoint.id))
-            .map(gone)
+            .map(as_removed)
             .collect()
     }
 
@@ -122,7 +123,7 @@
         is_ready && !self.known.contains_key(&listed.endpoint.id)
     }
 
-    /// Marks the endpoints that a complete list does not name as gone.
+    /// Marks the endpoints that a complete list does not contain as removed.
     fn remove_unlisted(&mut self, listed: &[ListedEndpoint]) {
         let listed_ids = ids(listed);
         for (id, known) in &mut self.known {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Applies the state of one endpoint; gives its handle if it is new.
+    /// Applies the state of one endpoint; returns its handle if that is new.
     fn apply_endpoint(&mut self, listed: &ListedEndpoint) -> Option<NewHandle> {
         let id = listed.endpoint.id;
         let new_handle = self.replace_handle(listed);
@@ -143,9 +144,9 @@
         new_handle.map(|handle| (id, handle))
     }
 
-    /// Makes the handle of an endpoint that is new or has moved. Under another address an id is
-    /// another process: the old handle is closed with its actor and connections, as nobody could
-    /// cancel the attempts on them any more.
+    /// Creates the handle of an endpoint that is new or whose address has changed. An id at another address
+    /// is another process: the old handle is closed with its actor and connections, as the attempts on
+    /// them could no longer be cancelled.
     fn replace_handle(&mut self, listed: &ListedEndpoint) -> Option<Rc<EndpointHandle>> {
         let id = listed.endpoint.id;
         let known = self.known.get(&id);
@@ -165,7 +166,7 @@
         Some(handle)
     }
 
-    /// Sessions may name a database only while every engine in service resolves it.
+    /// Sessions may name a database only while every engine in service supports databases.
     fn update_database_support(&self) {
         let mut has_ready = false;
         let mut all_support = true;
@@ -176,7 +177,7 @@
             }
         }
         self.shared
-            .engines_know_databases
+            .engines_support_databases
             .set(has_ready && all_support);
     }
 }
@@ -185,7 +186,7 @@
     listed.iter().map(|listed| listed.endpoint.id).collect()
 }
 
-fn gone(mut listed: ListedEndpoint) -> ListedEndpoint {
+fn as_removed(mut listed: ListedEndpoint) -> ListedEndpoint {
     listed.endpoint.readiness = Readiness::Removed;
     listed
 }
--- a/src/net/mailbox.rs
+++ b/src/net/mailbox.rs
@@ -1,8 +1,9 @@
-//! Bounded mailboxes whose memory grows with the messages in them, not with their capacity: an idle
-//! peer costs next to nothing. (The channels of `async_channel::bounded` allocate their capacity.)
+//! Bounded mailboxes whose memory grows with the messages in them, not with their capacity, so that the
+//! mailbox of an idle peer takes hardly any. (The channels of `async_channel::bounded` allocate their
+//! capacity.)
 //!
-//! All actors run on one thread, so that the length cannot change between a check of it and the
-//! next `await`.
+//! All actors run on one thread, so the length cannot change between a check of it and the next
+//! `await`.
 use async_channel::{Receiver, TrySendError};
 
 /// The sending half of a mailbox.
@@ -50,8 +51,8 @@
         self.channel.is_empty()
     }
 
-    /// Closes the mailbox: nothing can be sent any more, but the messages in it can still be
-    /// received. Returns whether it was open.
+    /// Closes the mailbox: nothing more can be sent, but the messages in it can still be received.
+    /// Returns whether it was open.
     pub fn close(&self) -> bool {
         self.channel.close()
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The actors around the dispatcher: they own the sockets, the timers and the threads.
+//! The actors around the dispatcher, which own the sockets, the timers and the threads.
 //!
 //! Each peer (a client connection, an engine, the coordinator) has an actor with a bounded mailbox,
 //! and so have the endpoint list, the fleet's membership and the dispatcher. All actors run on one
@@ -29,9 +29,9 @@
 use std::os::unix::net::UnixStream;
 
 /// The size of the buffers for reads from sockets, in bytes.
-const BUFFER: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Waits until this time, or forever if there is none.
+/// Waits until this time, or forever if it is `None`.
 pub async fn sleep_until(at: Option<Micros>) {
     match at {
         Some(at) => {
--- a/src/net/quota.rs
+++ b/src/net/quota.rs
@@ -1,8 +1,8 @@
-//! Guards that keep counts of resources right, whichever way the holder of a resource ends.
+//! Guards that count resources in use, and release them on drop, in whichever way their holder ends.
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Holds one unit of a count, and returns it on drop.
+/// Holds one unit of a count, and subtracts it on drop.
 pub struct CountGuard {
     count: Rc<Cell<usize>>,
 }
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -1,6 +1,6 @@
 //! Reload of the configuration while the process runs, on SIGHUP: all files are read and validated
 //! first, then applied as one new generation. Open requests and engines are not affected. If a file
-//! cannot be used, or the process ends meanwhile, nothing changes.
+//! cannot be used, or the process shuts down meanwhile, nothing changes.
 use super::Shared;
 use super::discovery::WatchEvent;
 use super::discovery::coordinator::CoordinatorMigration;
@@ -31,7 +31,7 @@
     #[error("{0}")]
     Config(#[from] FileError<ProcessConfigError>),
     /// The configuration file lacks a key that the configuration in force has.
-    #[error("{}: not whole: there is no {key}", path.display())]
+    #[error("{}: incomplete: the key {key} is missing", path.display())]
     Incomplete {
         /// The file.
         path: PathBuf,
@@ -44,11 +44,11 @@
     /// The file of the ClickHouse frontend can't be read or is invalid.
     #[error("{0}")]
     ClickHouseFile(#[from] FileError<ClickHouseConfigError>),
-    /// The file of the ClickHouse frontend has names that the settings lack.
+    /// The file of the ClickHouse frontend uses names that the settings do not define.
     #[error("{0}")]
     ClickHouseNames(#[from] ClickHouseConfigError),
-    /// The dispatcher has ended before it had the new settings.
-    #[error("the process ends")]
+    /// The dispatcher ended before it applied the new settings.
+    #[error("the dispatcher has ended, as the process is shutting down")]
     DispatcherEnded,
 }
 
@@ -56,49 +56,49 @@
 pub struct ClickHouseFrontend {
     /// The file.
     pub path: PathBuf,
-    /// What its connections share: rules, users, deadlines.
+    /// The state that its connections share: rules, users, deadlines.
     pub service: Rc<ClickHouseShared>,
     /// The file's users, without those of the directory.
     pub file_users: Rc<RefCell<Users>>,
-    /// Whether a directory provides the tenants' shares and further users. They are merged with the
-    /// file's at its next read.
+    /// Whether a directory provides the tenants' shares and further users. The file's users are merged
+    /// with them when the directory is read the next time.
     pub has_directory: bool,
 }
 
-/// Reloads the configuration and distributes what is new.
+/// Reloads the configuration and applies it to the other actors.
 pub struct Reload {
     /// The configuration file.
     pub config_path: PathBuf,
-    /// The names in force. Only the classes' can change without a restart.
+    /// The names in force. Only the names of classes can change without a restart.
     pub names: LiveNames,
     /// The settings in force.
     pub settings: RefCell<Settings>,
     /// The configuration in force, as JSON.
     pub json: RefCell<serde_json::Value>,
-    /// Where clients connect, which only a restart changes.
+    /// The address where clients connect, which only a restart changes.
     pub listen: SocketAddr,
     /// The ClickHouse frontend, if there is one.
     pub clickhouse: Option<ClickHouseFrontend>,
-    /// What all actors share.
+    /// The state that all actors share.
     pub shared: Rc<Shared>,
-    /// The actor of the coordinator's connection.
+    /// The mailbox of the coordinator's watch.
     pub coordinator: Sender<CoordinatorMigration>,
-    /// The dispatcher's actor.
+    /// The mailbox of the dispatcher's actor.
     pub dispatcher: Sender<DispatcherEvent>,
 }
 
-/// A configuration that was read and validated, and is not applied yet.
+/// A configuration that has been read and validated, but not applied.
 struct NewConfiguration<'a> {
     config: Config,
     known_events: Vec<WatchEvent>,
-    /// The names in force with the new classes.
+    /// The names in force, but for the classes, which are the new ones.
     names: Names,
     clickhouse: Option<NewClickHouse<'a>>,
 }
 
 struct NewClickHouse<'a> {
     frontend: &'a ClickHouseFrontend,
-    /// The rules, with each class's place in the new settings for its id.
+    /// The rules, in which the index of a class in the new settings stands for its id.
     rules: ClassRules,
     users: Users,
 }
@@ -111,18 +111,18 @@
     ///
     /// # Errors
     ///
-    /// Fails, and changes nothing, if a file can't be used.
+    /// Fails, and changes nothing, if a file can't be used or the dispatcher has ended.
     pub async fn reload(&self) -> Result<(), ReloadError> {
         let new = self.read()?;
         if new.config.listen != self.listen || new.config.names != new.names {
             log!(
-                "another address, or other names than those of classes, need a restart: the old ones stand"
+                "reload: a changed listen address or changed names other than class names need a restart, the old ones stay in force"
             );
         }
         let settings = self.merged_settings(&new.config);
         let classes = self.reconfigure_dispatcher(&settings, &new.config).await?;
         let migration = self.apply(new, settings, &classes);
-        // Without the coordinator's actor the process ends.
+        // The coordinator's watch ends only when the process exits.
         let _ = self.coordinator.send(migration).await;
         Ok(())
     }
@@ -164,8 +164,8 @@
         }))
     }
 
-    /// The new settings, but for the manager's identity and the lists that other settings index: they
-    /// stay until a restart.
+    /// The new settings, except for the manager's identity and the lists that other settings index, which
+    /// stay the same until a restart.
     fn merged_settings(&self, config: &Config) -> Settings {
         let in_force = self.settings.borrow().clone();
         Settings {
@@ -181,8 +181,9 @@
         }
     }
 
-    /// Gives the dispatcher all that is new for it, and returns all classes by their ids. Nothing else
-    /// is applied before: if the dispatcher has ended, all of the old configuration stands.
+    /// Sends the dispatcher its part of the new configuration, and returns all classes by their ids.
+    /// Nothing else is applied before: if the dispatcher has ended, the whole old configuration stays in
+    /// force.
     async fn reconfigure_dispatcher(
         &self,
         settings: &Settings,
@@ -202,7 +203,7 @@
         applied.map_err(|_| ReloadError::DispatcherEnded)
     }
 
-    /// The tenants' new shares, unless a directory provides them or the tenants are others.
+    /// The tenants' new shares; `None` if a directory provides them or the list of tenants has changed.
     fn new_tenants(&self, config: &Config) -> Option<Vec<TenantSpec>> {
         let has_directory = self
             .clickhouse
@@ -212,7 +213,8 @@
         (!has_directory && same_tenants).then(|| config.settings.tenants.clone())
     }
 
-    /// Applies what the dispatcher has already; returns what the coordinator's actor is to have.
+    /// Applies the configuration that the dispatcher has already applied; returns the message for the
+    /// coordinator's watch.
     fn apply(
         &self,
         new: NewConfiguration<'_>,
@@ -248,10 +250,10 @@
             .iter()
             .map(|(class, _)| class.spec.loads_data_set)
             .collect();
-        // Each of the new settings' classes is in force, so that its name has an id.
-        let id_in_force = |place: ClassId| {
-            let name = new_classes.get(usize::from(place.0));
-            name.and_then(|name| names.class(name)).unwrap_or(place)
+        // Each of the new settings' classes is in force, so its name has an id.
+        let id_in_force = |index: ClassId| {
+            let name = new_classes.get(usize::from(index.0));
+            name.and_then(|name| names.class(name)).unwrap_or(index)
         };
         *service.class_rules.borrow_mut() = self.rules.renumbered(id_in_force);
         *self.frontend.file_users.borrow_mut() = self.users.clone();
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -1,6 +1,6 @@
 //! The state that all actors of one process share.
 use super::contain_panic::ContainPanic;
-use super::{BUFFER, audit, client, fleet, hot_restart};
+use super::{READ_BUFFER_BYTES, audit, client, fleet, hot_restart};
 use crate::audit::ActiveConfiguration;
 use crate::dispatcher::metrics::MetricsSnapshot;
 use crate::lifecycle::Lifecycle;
@@ -17,10 +17,10 @@
 /// end of a hot restart, but the connections that are left still need descriptors and memory.
 const MIN_CAPACITY_SHARE: f64 = 0.1;
 
-/// The bounds of the memory limit, in MB, within which the byte limits are computed.
+/// The range, in MB, to which the memory limit is clamped before the byte limits are computed.
 const MEMORY_MB_RANGE: (u64, u64) = (8, 1 << 20);
 
-/// What all processes of this gateway may use together; during a hot restart there are several.
+/// Limits that all processes of this gateway share; during a hot restart there are several.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessLimits {
     /// File descriptors for sockets.
@@ -41,8 +41,8 @@
     /// Where connections are transferred to in a hot restart, once the successor is ready.
     pub successor: RefCell<Option<Sender<hot_restart::TransferredItem>>>,
     /// Whether all engines in service support databases, as those with the ClickHouse interface do.
-    pub engines_know_databases: Cell<bool>,
-    /// Set if this is one of many hollow nodes in one process of the testkit.
+    pub engines_support_databases: Cell<bool>,
+    /// Set if this is one of many hollow nodes in one process of the test kit.
     pub hollow: OnceCell<fleet::membership::Hollow>,
 
     /// The configured limits.
@@ -57,7 +57,7 @@
     pub client_sockets: Rc<Cell<usize>>,
     /// The limit of `client_sockets`.
     pub max_client_sockets: Cell<usize>,
-    /// Connections that this process has closed and that wait for the client's end of the stream.
+    /// Connections whose sending side this process has closed and whose client has not closed its own.
     pub closing_sockets: Rc<Cell<usize>>,
     /// The limit of `closing_sockets`.
     pub max_closing_sockets: Cell<usize>,
@@ -67,7 +67,8 @@
     pub open_listeners: Rc<Cell<usize>>,
     /// The listeners of clients.
     pub listeners: RefCell<Vec<Weak<Async<TcpListener>>>>,
-    /// The listeners are closed, or about to be: no successor can have them any more.
+    /// Whether the listeners are closed or about to be, so that they can no longer be passed to a
+    /// successor.
     pub listeners_closing: Cell<bool>,
     /// Client connections with responses that are not completely written.
     pub connections_with_unwritten_output: Rc<Cell<usize>>,
@@ -87,11 +88,11 @@
     /// A buffer for reads from sockets. Its contents are valid only until the next `await`.
     pub buffer: RefCell<Vec<u8>>,
 
-    /// The admin endpoint is enabled, for which metrics are published.
+    /// Whether the admin endpoint is enabled, for which metrics are published.
     pub admin_enabled: Cell<bool>,
     /// The metrics that the dispatcher published last.
     pub metrics: RefCell<MetricsSnapshot>,
-    /// Actors that ended by a panic: faults of this program.
+    /// Panics of actors or of their parts: faults of this program.
     pub actor_panics: Rc<Cell<u64>>,
     /// Attempts completely written to engines.
     pub dispatches: Cell<u64>,
@@ -123,7 +124,7 @@
             lifecycle: RefCell::default(),
             accepting: async_channel::bounded(1),
             successor: RefCell::default(),
-            engines_know_databases: Cell::new(false),
+            engines_support_databases: Cell::new(false),
             hollow: OnceCell::new(),
             limits: Cell::new(limits),
             engine_sockets: Rc::default(),
@@ -144,7 +145,7 @@
             max_unread_bytes: Cell::new(0),
             clients: RefCell::default(),
             next_conn: Cell::new(1),
-            buffer: RefCell::new(vec![0; BUFFER]),
+            buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
             admin_enabled: Cell::new(false),
             metrics: RefCell::default(),
             actor_panics: Rc::default(),
@@ -176,7 +177,7 @@
     /// the gateway runs during a hot restart.
     ///
     /// Half of the descriptors are for clients, a quarter for engines and an eighth for connections
-    /// that are being closed; the rest is left for the admin endpoint, the coordinator and the
+    /// that are being closed; the rest remains for the admin endpoint, the coordinator and the
     /// other process. An eighth of the memory is for responses that clients have not read, and an
     /// eighth for incomplete messages.
     pub fn apply_capacity_share(&self) {
@@ -219,14 +220,14 @@
         }
     }
 
-    /// Starts an actor, which runs until it ends by itself. A panic ends this actor alone.
+    /// Starts an actor, which runs until it returns. A panic ends only this actor.
     pub fn spawn(&self, actor: impl Future<Output = ()> + 'static) {
         let contained = self.contain_panic("an actor", actor);
         self.executor.spawn(contained).detach();
     }
 
-    /// Runs a part of an actor; `None` if it panicked. What the actor owes to others is then for its
-    /// caller to settle.
+    /// Runs a part of an actor; `None` if it panicked. The caller then has to complete what the part owed
+    /// to other actors.
     pub fn contain_panic<F: Future>(&self, name: &'static str, part: F) -> ContainPanic<F> {
         ContainPanic::new(part, name, &self.actor_panics)
     }
--- a/src/net/tenant_directory.rs
+++ b/src/net/tenant_directory.rs
@@ -16,9 +16,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The time limit of one read, in seconds.
+/// The time limit for reading the whole directory once, in seconds.
 const READ_TIMEOUT_S: u64 = 10;
-/// After a failed read the next one comes after this many seconds at most.
+/// Upper limit of the delay between a failed read and the next one, in seconds.
 const MAX_RETRY_DELAY_S: u64 = 5;
 /// The size of a read from the socket, in bytes.
 const READ_BYTES: usize = 16 * 1024;
@@ -37,7 +37,7 @@
 
 async fn read_snapshot(config: &DirectoryConfig) -> Result<DirectorySnapshot, ReadError> {
     let mut stream = Async::<TcpStream>::connect(config.addr).await?;
-    // Without this option the read is only slower.
+    // Without TCP_NODELAY the read is only slower.
     let _ = stream.get_ref().set_nodelay(true);
     let (mut read, bind) = DirectoryRead::new(config.clone());
     stream.write_all(&bind).await?;
@@ -63,11 +63,11 @@
     pub config: DirectoryConfig,
     /// The users of the deploy file, which take precedence over those of the directory.
     pub file_users: Rc<RefCell<Users>>,
-    /// The tenants as the decision module knows them.
+    /// The tenants, as they are passed to the decision module.
     pub tenants: Tenants,
     /// The frontend whose users these are.
     pub frontend: Rc<ClickHouseShared>,
-    /// The dispatcher, which gets the tenants' shares.
+    /// The dispatcher, which receives the tenants' shares.
     pub dispatcher: Sender<DispatcherEvent>,
 }
 
@@ -80,7 +80,10 @@
                 self.config.refresh_s
             }
             Err(error) => {
-                log!("tenant directory: not read, the last snapshot stays in use: {error}");
+                log!(
+                    "tenant directory {}: read failed, the last snapshot stays in use: {error}",
+                    self.config.addr
+                );
                 self.send(DispatcherEvent::DirectoryFailed).await;
                 self.config.refresh_s.min(MAX_RETRY_DELAY_S)
             }
@@ -102,7 +105,7 @@
         let _ = self.dispatcher.send(event).await;
     }
 
-    /// Reads again and again while the process runs, first after `delay_s` seconds.
+    /// Refreshes the directory periodically while the process runs, first after `delay_s` seconds.
     pub async fn run(mut self, mut delay_s: u64) {
         loop {
             Timer::after(Duration::from_secs(delay_s)).await;
--- a/src/startup/clickhouse.rs
+++ b/src/startup/clickhouse.rs
@@ -144,7 +144,7 @@
         users: RefCell::new(Users::new(file, &config.names)?),
         class_deadlines: RefCell::new(deadlines),
         load_classes: RefCell::new(loads),
-        supports_databases: Box::new(move || for_databases.engines_know_databases.get()),
+        supports_databases: Box::new(move || for_databases.engines_support_databases.get()),
         is_draining: Box::new(move || for_stopping.lifecycle.borrow().announces_close()),
         new_request_id: Box::new(request_names(config.seed)),
     })
