--- a/src/net/discovery/coordinator.rs
+++ b/src/net/discovery/coordinator.rs
@@ -1,5 +1,5 @@
-//! The watch of the coordinator: receives its numbered events, reconnects after every break, and
-//! follows the coordinator to another address.
+//! The watch of the coordinator: receives its numbered events, reconnects whenever its connection ends,
+//! and connects to another address when the coordinator migrates.
 use super::WatchEvent;
 use super::frame::{self, Frame, FrameError, Record};
 use crate::backoff::Backoff;
@@ -19,17 +19,19 @@
 
 /// Time allowed for establishing a connection.
 const CONNECT_TIMEOUT_MICROS: Micros = SEC;
-/// Bytes read from the socket at a time.
+/// Size of a read from the socket.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// How far the events have come, over all connections: their numbers continue when the coordinator
-/// moves to another address.
+/// The position in the sequence of events, over all connections: numbering continues when the
+/// coordinator migrates to another address.
 #[derive(Default)]
 pub struct WatchPosition {
     last_index: Cell<u64>,
-    /// A connection skipped events after `last_index` before: they are not available.
+    /// Events after `last_index` were missing on a connection. If they are missing again, they are not
+    /// available any more.
     gap_seen: Cell<bool>,
-    /// Counts the addresses followed; only the newest is connected to again.
+    /// Counts the migrations that opened a connection; only the address of the newest one is reconnected
+    /// to.
     generation: Cell<u64>,
 }
 
@@ -43,18 +45,18 @@
     }
 }
 
-/// Why the input of a watch can't be used.
+/// Why the input of a watch is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WatchError {
-    /// The input is no frame.
+    /// The input is not a valid frame.
     #[error("the coordinator violated its protocol")]
     Frame(#[from] FrameError),
-    /// Events are missing; a new connection asks for them again.
+    /// Events are missing; the next connection requests them again.
     #[error("the coordinator sent event {found} after event {last}")]
     MissingEvents {
         /// The last event that was received.
         last: u64,
-        /// The event that came instead of the next one.
+        /// The event that was received instead of the next one.
         found: u64,
     },
 }
@@ -68,7 +70,7 @@
     }
 }
 
-/// Decodes what is received on one connection of the watch, or on several, one after the other.
+/// Decodes the input of one connection of the watch, or of several consecutive ones.
 pub struct WatchReader {
     position: Rc<WatchPosition>,
     input: Vec<u8>,
@@ -83,7 +85,7 @@
         }
     }
 
-    /// The request to write on a new connection: the number of the last event received.
+    /// Starts a new connection; returns the request to write on it, the number of the last event received.
     pub fn begin_connection(&mut self) -> [u8; 8] {
         self.input.clear();
         self.position.last_index.get().to_be_bytes()
@@ -118,9 +120,9 @@
         }
     }
 
-    /// The event of a frame, unless it was received before. After missing events the coordinator is
-    /// asked again once; if they are missing again they are skipped, as they may not be available
-    /// any more.
+    /// Returns the event of a frame; `None` for a heartbeat or an event that was received before. Missing
+    /// events are requested again once, over a new connection; if they are still missing, they are
+    /// skipped, as they may not be available any more.
     fn next_event(&self, frame: &Frame) -> Result<Option<WatchEvent>, WatchError> {
         let Frame::Event {
             index,
@@ -145,7 +147,7 @@
     }
 }
 
-/// Records with an unknown state are skipped.
+/// Decodes the records of an event; those with an unknown state are skipped.
 fn decode_event(index: u64, full: bool, records: &[Record]) -> WatchEvent {
     WatchEvent {
         index,
@@ -154,10 +156,10 @@
     }
 }
 
-/// Tells the watch where the coordinator is from now on.
+/// Tells the watch the current address of the coordinator.
 pub struct CoordinatorMigration {
-    /// Its address. `None` keeps the address and connects again, where the present connection seems
-    /// to be stuck.
+    /// The address. `None` opens another connection to the present address, for when the present
+    /// connection seems stuck.
     pub addr: Option<SocketAddr>,
     /// Events that came with the migration; those received before are skipped.
     pub known: Vec<WatchEvent>,
@@ -168,20 +170,21 @@
 pub struct WatchStart {
     /// The number of the last event that is known.
     pub last_index: u64,
-    /// Seeds the backoff. Each gateway has its own, so that a fleet does not reconnect in step.
+    /// Seed of the backoff. It differs between gateways, so that those of a fleet do not reconnect at the
+    /// same times.
     pub backoff_seed: u64,
 }
 
-/// What all connections of the watch share.
+/// State that all connections of the watch share.
 struct Watch<F> {
     position: Rc<WatchPosition>,
     events: Sender<WatchEvent>,
     on_contact: F,
 }
 
-/// Runs the watch: events go to `events`, and `on_contact` is called whenever the coordinator has
-/// sent something. After a migration the new address is connected to at once, and the connection to
-/// the old one is read until it ends.
+/// Runs the watch: sends events to `events`, and calls `on_contact` whenever the coordinator has sent
+/// something. After a migration it connects to the new address at once, and reads the connection to the
+/// old one until it ends.
 pub async fn run<F>(
     shared: Rc<Shared>,
     start: WatchStart,
@@ -210,7 +213,7 @@
         position.generation.set(generation);
         let backoff = Backoff::new(start.backoff_seed.wrapping_add(generation));
         let watch = watch.clone();
-        shared.spawn(async move { watch.follow(addr, generation, backoff).await });
+        shared.spawn(async move { watch.keep_connected(addr, generation, backoff).await });
     }
 }
 
@@ -224,20 +227,22 @@
         }
     }
 
-    /// Connects to the address of that generation again and again for as long as it is the newest, and
-    /// reads the last connection until it ends.
-    async fn follow(&self, addr: SocketAddr, generation: u64, mut backoff: Backoff) {
+    /// Connects and reconnects to the address of that generation for as long as it is the newest. A
+    /// connection that is open when a newer one begins is read until it ends.
+    async fn keep_connected(&self, addr: SocketAddr, generation: u64, mut backoff: Backoff) {
         while self.position.generation.get() == generation {
             let contacted = Cell::new(false);
             let silence_timeout = backoff.silence_timeout();
             let reason = self.watch_once(addr, silence_timeout, &contacted).await;
-            log!("the coordinator's connection ended: {reason}");
+            log!(
+                "coordinator {addr}: watch connection ended: {reason}; its endpoint list updates stop until a reconnect"
+            );
             let pause = backoff.pause(contacted.get());
             Timer::after(Duration::from_micros(pause)).await;
         }
     }
 
-    /// Watches on one connection, and gives the reason for its end.
+    /// Opens a connection and forwards its events; returns why it ended.
     async fn watch_once(
         &self,
         addr: SocketAddr,
@@ -248,7 +253,7 @@
             Ok(stream) => stream,
             Err(reason) => return reason,
         };
-        // Without it the request is delayed, but not lost.
+        // Without TCP_NODELAY the request is delayed, but not lost.
         let _ = stream.get_ref().set_nodelay(true);
         let mut reader = WatchReader::new(self.position.clone());
         if stream.write_all(&reader.begin_connection()).await.is_err() {
@@ -256,8 +261,8 @@
         }
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         loop {
-            let silent_at = clock::turn() + silence_timeout;
-            let count = match read_before(&mut stream, &mut buffer, silent_at).await {
+            let timeout_at = clock::turn() + silence_timeout;
+            let count = match read_before(&mut stream, &mut buffer, timeout_at).await {
                 None => return Termination::Unresponsive,
                 Some(Ok(0)) => return Termination::Closed,
                 Some(Ok(count)) => count,
@@ -288,7 +293,7 @@
     or(connected, timeout).await
 }
 
-/// Reads what comes before a point in time; `None` if nothing does.
+/// Reads once; `None` if nothing arrives before `until`.
 async fn read_before(
     stream: &mut Async<TcpStream>,
     buffer: &mut [u8],
--- a/src/net/discovery/endpoint_factory.rs
+++ b/src/net/discovery/endpoint_factory.rs
@@ -1,5 +1,5 @@
-//! Makes the handles of endpoints: which protocol an engine speaks, and how its connections are
-//! used.
+//! Creates the handles of endpoints: selects the protocol of an engine and the options of its
+//! connections.
 use super::ListedEndpoint;
 use crate::backend::clickhouse::{ClickHouse, Credentials};
 use crate::backend::platform::Platform;
@@ -13,10 +13,10 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// ClickHouse servers of some versions close connections that are idle for this long.
+/// Some versions of ClickHouse servers close connections that have been idle for this long.
 const CLICKHOUSE_KEEPALIVE_MICROS: Micros = 3 * SEC;
 
-/// Makes the handle of a listed endpoint.
+/// Creates the handle of a listed endpoint.
 pub type EndpointFactory = Box<dyn Fn(&ListedEndpoint) -> Rc<EndpointHandle>>;
 
 /// The engines that speak the ClickHouse interface.
@@ -24,13 +24,13 @@
 pub struct ClickHouseEngines {
     /// Their ids.
     pub ids: Rc<BTreeSet<EngineId>>,
-    /// The credentials of the proxy on them.
+    /// The credentials with which the gateway logs in to them.
     pub credentials: Rc<Credentials>,
-    /// Those that the coordinator does not list: always in service.
+    /// Those that the coordinator does not list; they are always in service.
     pub static_endpoints: Vec<ListedEndpoint>,
 }
 
-/// A factory whose endpoints report to `dispatcher`.
+/// Returns a factory whose endpoints send their events to `dispatcher`.
 pub fn endpoint_factory(
     shared: Rc<Shared>,
     dispatcher: Sender<DispatcherEvent>,
--- a/src/net/discovery/frame.rs
+++ b/src/net/discovery/frame.rs
@@ -1,17 +1,17 @@
-//! The frames of the coordinator's watch. A frame is a length of 4 bytes and as many bytes: the
-//! event's number (8), its kind (1), and records of [`RECORD_BYTES`] each. All integers are
+//! The frames of the coordinator's watch. A frame is a length of 4 bytes, followed by as many bytes: the
+//! event's number (8 bytes), its kind (1 byte), and records of [`RECORD_BYTES`] each. All integers are
 //! big-endian.
 use super::ListedEndpoint;
 use crate::dispatcher::termination::Termination;
 use crate::policy::api::{CellId, Endpoint, EngineId, MachineTypeId, Readiness, ZoneId};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// The length of the record of one endpoint.
+/// The length of the record of one endpoint, in bytes.
 pub const RECORD_BYTES: usize = 27;
 const LENGTH_BYTES: usize = 4;
-/// The number and the kind of an event.
+/// The length of the number and the kind of an event, in bytes.
 const HEADER_BYTES: usize = 9;
-/// Longest frame that is accepted: it would hold tens of thousands of endpoints.
+/// Limit of the length of a frame, in bytes: enough for tens of thousands of endpoints.
 const MAX_FRAME_BYTES: usize = 2 * 1024 * 1024;
 const KIND_HEARTBEAT: u8 = 0;
 const KIND_FULL: u8 = 1;
@@ -26,7 +26,7 @@
 /// A decoded frame.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Frame<'a> {
-    /// Nothing new; it shows that the coordinator is alive.
+    /// No event; shows that the coordinator is alive.
     Heartbeat,
     /// An event.
     Event {
@@ -44,21 +44,21 @@
 pub struct DecodedFrame<'a> {
     /// The frame.
     pub frame: Frame<'a>,
-    /// The bytes that it takes.
+    /// The length in bytes.
     pub length: usize,
 }
 
-/// Bytes that are no frame of the watch.
+/// Why input is not a frame of the watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The length is too small for the header, or beyond the limit.
-    #[error("a frame of {0} bytes")]
+    #[error("invalid frame length of {0} bytes")]
     InvalidLength(usize),
     /// The kind is unknown.
-    #[error("unknown kind of event {0}")]
+    #[error("unknown event kind {0}")]
     UnknownKind(u8),
     /// The records do not fill the frame.
-    #[error("{0} bytes behind the last record of a frame")]
+    #[error("{0} trailing bytes after the last record of a frame")]
     TrailingBytes(usize),
 }
 
@@ -68,11 +68,11 @@
     }
 }
 
-/// Decodes the frame at the start of `input`, or gives `None` until all of it has come.
+/// Decodes the frame at the start of `input`; `None` if it is incomplete.
 ///
 /// # Errors
 ///
-/// The input is no frame; nothing after it can be decoded.
+/// The input is not a valid frame; nothing after it can be decoded.
 pub fn decode(input: &[u8]) -> Result<Option<DecodedFrame<'_>>, FrameError> {
     let Some((length, rest)) = input.split_first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
--- a/src/net/discovery/known_events.rs
+++ b/src/net/discovery/known_events.rs
@@ -1,4 +1,4 @@
-//! The events of the coordinator that a configuration brings along, so that a start needs no
+//! The events of the coordinator that a configuration contains, so that a process can start without the
 //! coordinator.
 use super::{ListedEndpoint, WatchEvent};
 use crate::config::process::Names;
@@ -19,17 +19,17 @@
     pub events: Vec<WatchEvent>,
 }
 
-/// Why the events of a configuration can't be used.
+/// Why the events of a configuration are invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum KnownEventsError {
     /// The section does not have the expected structure.
     #[error("known: {0}")]
     Malformed(#[from] serde_json::Error),
     /// The id of a server is not `s-` with a hexadecimal number of 32 bits.
-    #[error("known: {0:?} is no id")]
+    #[error("known: invalid server id {0:?}")]
     InvalidId(String),
     /// The state of a server is unknown.
-    #[error("known: unknown state {0:?}")]
+    #[error("known: unknown server state {0:?}")]
     UnknownState(String),
 }
 
@@ -104,7 +104,7 @@
     }
 }
 
-/// The index of a name; an unknown name counts as the first.
+/// The index of a name; 0 for an unknown name.
 pub fn index_of(names: &[String], name: &str) -> u16 {
     names.iter().position(|known| known == name).unwrap_or(0) as u16
 }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,5 +1,5 @@
 //! Service discovery: the watch of the coordinator, the events that it sends or that a
-//! configuration brings along, and the endpoint list that they are applied to.
+//! configuration contains, and the endpoint list to which they are applied.
 pub mod coordinator;
 pub mod endpoint_factory;
 pub mod endpoint_list;
@@ -12,7 +12,7 @@
 /// An engine in the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedEndpoint {
-    /// What the policy knows of it.
+    /// Its description for the decision module.
     pub endpoint: Endpoint,
     /// The address where it listens.
     pub addr: SocketAddr,
