--- a/src/net/dispatcher/commands.rs
+++ b/src/net/dispatcher/commands.rs
@@ -52,11 +52,11 @@
                 let _ = self.send_to_engine(engine, EngineCommand::CloseIdle);
             }
             Command::Respond { origin, response } => self.respond(origin, response),
-            Command::Log(line) => log!("module: {line}"),
+            Command::Log(line) => log!("decision module: {line}"),
         }
     }
 
-    /// Starts an attempt; one that the engine's actor cannot take ends at once.
+    /// Starts an attempt; one that the engine's actor does not accept ends at once.
     fn start_attempt(&mut self, now: Micros, engine: EngineId, request: AttemptRequest) {
         let attempt = request.attempt_id();
         if let Err(termination) = self.send_to_engine(engine, EngineCommand::Start(request)) {
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Cancels an attempt. A cancellation must not be lost, so an engine whose mailbox is full loses
-    /// its connections instead, and with them all its attempts.
+    /// Cancels an attempt. A cancellation must not be lost: if the engine's mailbox is full, all
+    /// connections to the engine are closed instead, which ends all its attempts.
     fn cancel_attempt(&self, engine: EngineId, attempt: AttemptId) {
         let AttemptId { request, attempt } = attempt;
         let sent = self.send_to_engine(
@@ -82,14 +82,14 @@
                 endpoint.abort();
             }
             log!(
-                "engine {}: the mailbox is full, closing all connections",
+                "engine {}: a cancellation could not be sent (mailbox full or engine removed), closing all its connections",
                 engine.0
             );
         }
     }
 
-    /// Sends a final response to its client's actor. If the actor has ended or does not take its
-    /// responses, its mailbox is closed, which ends the connection.
+    /// Sends a final response to its client's actor. If the actor has ended or its mailbox is full, the
+    /// mailbox is closed, which ends the connection.
     fn respond(&mut self, origin: Origin, response: Response) {
         let sent = self
             .clients
@@ -100,8 +100,9 @@
         }
     }
 
-    /// Has an engine probed: by the gateway that holds the lease, if probes are shared. If the
-    /// lease service is not enabled or does not take the request, this process probes by itself.
+    /// Requests a load probe of an engine, which the gateway that holds the lease sends if probes are
+    /// shared. If the lease service is not enabled or does not accept the request, this process sends
+    /// the probe itself.
     fn request_probe(&mut self, now: Micros, engine: EngineId) {
         let is_delegated = self.lease_requests.as_ref().is_some_and(|lease_requests| {
             lease_requests
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Probes an engine: for the decision module, or, with a deadline, for other gateways, to whom
-    /// the result is of no use after it.
+    /// Probes an engine: for the decision module, or, with a deadline, for other gateways, which cannot
+    /// use the result after it.
     pub(super) fn probe(&mut self, now: Micros, engine: EngineId, deadline: Option<Micros>) {
         let is_late = deadline.is_some_and(|deadline| now >= deadline);
         let command = EngineCommand::Probe {
@@ -142,8 +143,8 @@
         }
     }
 
-    /// Sends a command to an engine's actor. The error is how an attempt ends that could not be
-    /// started because of it.
+    /// Sends a command to an engine's actor. The error is the termination of an attempt that could not
+    /// be started because of it.
     fn send_to_engine(&self, engine: EngineId, command: EngineCommand) -> Result<(), Termination> {
         self.engines
             .get(&engine)
--- a/src/net/dispatcher/event.rs
+++ b/src/net/dispatcher/event.rs
@@ -11,7 +11,7 @@
 
 /// A change of the endpoint list.
 pub struct EndpointListUpdate {
-    /// Whether `entries` is the full list, a cached one, or only the changes.
+    /// Whether `entries` is the full list, a cached list, or only the changes.
     pub kind: EndpointListKind,
     /// The endpoints.
     pub entries: Vec<Endpoint>,
@@ -31,11 +31,11 @@
     pub settings_hash: u64,
     /// The tenants' new shares, unless they stay as they are.
     pub tenants: Option<Vec<TenantSpec>>,
-    /// Receives all classes by their ids, each with whether it is in force.
+    /// Receives all classes in the order of their ids, each with whether it is in force.
     pub applied: Sender<Vec<(Class, bool)>>,
 }
 
-/// An event that the dispatcher's actor handles, from whichever actor observed it.
+/// An event that another actor sends to the dispatcher's actor.
 pub enum DispatcherEvent {
     /// A client connected.
     ClientConnected {
@@ -48,7 +48,7 @@
     Request(ClientRequest),
     /// A client cancelled one of its requests.
     CancelRequest(Origin),
-    /// A frontend rejected a request by itself; it only has to be counted and audited.
+    /// A frontend rejected a request itself; the rejection only has to be counted and audited.
     RejectedByFrontend {
         /// The class of the request.
         class: ClassId,
@@ -83,11 +83,11 @@
     Probe {
         /// The engine.
         engine: u64,
-        /// When a probe on behalf of other gateways is of no use any more; `None` for a probe
-        /// that the decision module asked for.
+        /// The time after which other gateways, on whose behalf the probe is sent, cannot use its
+        /// result; `None` for a probe that the decision module requested.
         deadline: Option<Micros>,
     },
-    /// The lease holder of a probe published a result that the decision module had asked for.
+    /// The lease holder of a probe published a result that the decision module had requested.
     SharedProbeResult {
         /// The engine that was probed.
         engine: u64,
@@ -103,6 +103,6 @@
         /// Whether it is held now.
         held: bool,
     },
-    /// A shutdown began: exit once every request has its response.
+    /// A shutdown began: the process exits once every request has its response.
     Shutdown,
 }
--- a/src/net/dispatcher/event_handling.rs
+++ b/src/net/dispatcher/event_handling.rs
@@ -1,4 +1,4 @@
-//! What the actor does with each event.
+//! The handling of events by the dispatcher's actor.
 use super::{DispatcherActor, DispatcherEvent, EndpointListUpdate, Reconfiguration};
 use crate::audit::ActiveConfiguration;
 use crate::clock::Micros;
@@ -61,9 +61,8 @@
         }
     }
 
-    /// A probe that this process sent ended. The result is published to the lease service, as other
-    /// gateways may wait for it, and passed to the decision module in any case: a probe on behalf of
-    /// others is news to it as well.
+    /// A probe by this process ended. The result is passed to the lease service, as other gateways may
+    /// wait for it, and always to the decision module, as it can also use a result that others requested.
     fn probe_completed(&mut self, now: Micros, probe: ProbeOutcome) {
         if let Some(lease_requests) = &self.lease_requests {
             let result = ProbeResult::new(probe.kind, probe.latency, &probe.load);
@@ -120,8 +119,8 @@
         let _ = new.applied.try_send(self.dispatcher.classes());
     }
 
-    /// Decisions from now on are based on this configuration. Those made before are written to the
-    /// audit first, with the configuration that they were based on.
+    /// Makes this the configuration that decisions from now on are based on. Earlier decisions are written
+    /// to the audit first, with the configuration that they were based on.
     fn activate_configuration(&mut self, now: Micros, configuration: ActiveConfiguration) {
         self.active_configuration = configuration;
         if let Some(audit) = &mut self.audit {
--- a/src/net/dispatcher/lifecycle_watch.rs
+++ b/src/net/dispatcher/lifecycle_watch.rs
@@ -1,24 +1,24 @@
-//! Periodic reaction to the process's lifecycle, which other actors change.
+//! Periodic check of the process's lifecycle, which other actors change.
 use crate::clock::{MS, Micros};
 use crate::net::{Shared, client};
 
-/// The time between two checks: that between two turns that the decision module takes by itself.
+/// Time between two checks; the same as the interval of the decision module's tick.
 const CHECK_INTERVAL: Micros = 20 * MS;
 
-/// Smaller changes of the capacity share are not applied, except those to exactly 0 or 1.
+/// Changes of the capacity share up to this size are not applied, except those to exactly 0 or 1.
 const MIN_SHARE_CHANGE: f64 = 0.01;
 
-/// What the lifecycle demanded at the last check.
+/// What the lifecycle required at the last check.
 pub(super) struct LifecycleWatch {
     checked_at: Micros,
-    /// Idle client connections were being closed.
+    /// Whether idle client connections were being closed.
     closes_idle_connections: bool,
     /// The share of the gateway's capacity that was applied last.
     capacity_share: f64,
 }
 
 impl LifecycleWatch {
-    /// A watch that is due at once.
+    /// A watch whose first check is due at once.
     pub(super) fn new() -> LifecycleWatch {
         LifecycleWatch {
             checked_at: 0,
@@ -28,14 +28,14 @@
     }
 
     /// When [`LifecycleWatch::check`] is due. Only a process with an admin endpoint can be drained or
-    /// have a successor, so others are not woken up until they stop.
+    /// have a successor, so others are not woken up before they stop.
     pub(super) fn next_check(&self, shared: &Shared) -> Option<Micros> {
         let is_enabled = shared.admin_enabled.get() || shared.lifecycle.borrow().is_stopping();
         is_enabled.then_some(self.checked_at + CHECK_INTERVAL)
     }
 
-    /// If a check is due, closes idle client connections as the lifecycle demands, and applies a
-    /// new capacity share to the limits. Returns the share if it is a new one.
+    /// If a check is due, closes idle client connections as the lifecycle requires, and applies a new
+    /// capacity share to the limits. Returns the share if it is new.
     pub(super) fn check(&mut self, shared: &Shared, now: Micros) -> Option<f64> {
         if self.next_check(shared).is_none_or(|due| due > now) {
             return None;
--- a/src/net/dispatcher/mod.rs
+++ b/src/net/dispatcher/mod.rs
@@ -27,12 +27,12 @@
 use std::rc::Rc;
 
 /// The capacity of the mailbox, in events.
-pub const MAILBOX: usize = 4_096;
+pub const MAILBOX_CAPACITY: usize = 4_096;
 
-/// How many more events are handled in the turn of the first one, before timers have their turn.
-const MAX_EVENTS_PER_TURN: usize = 256;
+/// Limit of events that are handled after the first one of a batch, before due timers run.
+const MAX_FURTHER_EVENTS_PER_BATCH: usize = 256;
 
-/// The shortest time between two updates of the metrics for the admin endpoint.
+/// Least time between two updates of the metrics for the admin endpoint.
 const METRICS_INTERVAL: Micros = 100 * MS;
 
 /// The state of the actor.
@@ -43,7 +43,7 @@
     /// Where the responses of each client connection are sent, with the tags of their requests.
     clients: HashMap<u64, Sender<(u64, Response)>>,
     engines: HashMap<EngineId, Rc<EndpointHandle>>,
-    /// Commands of the dispatcher that have not been executed.
+    /// Commands of the dispatcher that have not been executed yet.
     commands: Vec<Command>,
     /// The configuration that the decision module acts on.
     active_configuration: ActiveConfiguration,
@@ -56,17 +56,17 @@
     metrics_updated_at: Micros,
     rejection_log: RejectionLog,
     shutdown_phase: ShutdownPhase,
-    /// The requests in flight were ended, since the process is about to be killed.
+    /// Whether the requests in flight were ended because the process is about to be killed.
     requests_ended: bool,
 }
 
-/// The times that the lifecycle set before a turn, and when the turn begins without an event.
+/// The due times that the lifecycle sets for one iteration of the actor's loop, and its wakeup.
 struct Schedule {
     /// When the listeners stop accepting connections, once a shutdown began.
     accepts_until: Option<Micros>,
     /// When the requests in flight are ended.
     forced_end_at: Option<Micros>,
-    /// When the turn begins at the latest.
+    /// When the iteration begins if no event arrives earlier.
     wakeup: Option<Micros>,
 }
 
@@ -82,7 +82,7 @@
         let schedule = actor.schedule();
         let event = actor.receive_until(schedule.wakeup).await;
         let now = clock::turn();
-        actor.run_turn(now, event, &schedule);
+        actor.run_iteration(now, event, &schedule);
         actor.advance_shutdown(now, &schedule);
     }
     if let Some(audit) = actor.audit {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The next event, or `None` at this time.
+    /// Waits for the next event; `None` if none arrives before `wakeup`.
     async fn receive_until(&self, wakeup: Option<Micros>) -> Option<DispatcherEvent> {
         let event = async { self.mailbox.recv().await.ok() };
         let timeout = async {
@@ -147,15 +147,15 @@
         or(event, timeout).await
     }
 
-    /// Handles a batch of events, and whatever is due.
-    fn run_turn(&mut self, now: Micros, first: Option<DispatcherEvent>, schedule: &Schedule) {
+    /// Handles a batch of events and everything that is due.
+    fn run_iteration(&mut self, now: Micros, first: Option<DispatcherEvent>, schedule: &Schedule) {
         if self.lease_requests.is_none() {
             self.lease_requests = self.shared.lease_requests.borrow().clone();
         }
         if let Some(event) = first {
             self.handle_event(now, event);
         }
-        for _ in 0..MAX_EVENTS_PER_TURN {
+        for _ in 0..MAX_FURTHER_EVENTS_PER_BATCH {
             let Ok(event) = self.mailbox.try_recv() else {
                 break;
             };
--- a/src/net/dispatcher/rejection_log.rs
+++ b/src/net/dispatcher/rejection_log.rs
@@ -1,14 +1,14 @@
-//! The log line about rejections: at most one a second, with the causes that came most often.
+//! The log line about rejections: at most one per second, with the most frequent causes.
 use crate::clock::{Micros, SEC};
 use crate::dispatcher::rejection::RejectionKey;
 use std::collections::BTreeMap;
 
-/// The least time between two lines.
+/// Least time between two lines.
 const LOG_INTERVAL: Micros = SEC;
-/// The causes that a line names.
+/// Limit of the causes that a line names.
 const MAX_NAMED_CAUSES: usize = 3;
 
-/// What was logged last.
+/// The counts at the time of the last line.
 #[derive(Default)]
 pub(super) struct RejectionLog {
     logged_at: Micros,
@@ -17,7 +17,7 @@
 }
 
 impl RejectionLog {
-    /// The line that is due at `now` for what was counted since the last one, if there is one.
+    /// Returns the line about the rejections since the last one, if one is due at `now`.
     pub(super) fn line(
         &mut self,
         now: Micros,
@@ -39,13 +39,19 @@
             .take(MAX_NAMED_CAUSES)
             .map(|(count, key)| {
                 let (class, tenant) = (&key.class, key.tenant_text());
-                format!("{count} {class} of tenant {tenant}: {}", key.cause.as_str())
+                format!(
+                    "{count} (class {class}, tenant {tenant}, reason {})",
+                    key.cause.as_str()
+                )
             })
             .collect();
         self.logged_at = now;
         self.total = total;
         self.counts.clone_from(counts);
-        Some(format!("rejected {count} requests: {}", named.join(", ")))
+        Some(format!(
+            "rejected {count} requests, most frequent causes: {}",
+            named.join(", ")
+        ))
     }
 }
 
--- a/src/net/dispatcher/shutdown.rs
+++ b/src/net/dispatcher/shutdown.rs
@@ -8,13 +8,14 @@
 /// How long connections have for a graceful close once every request has its response.
 const GRACEFUL_CLOSE_TIMEOUT: Micros = 300 * MS;
 
-/// How long they have after the forced end at most, as then the process is about to be killed.
+/// How long connections have to close at most after the forced end, since the process is about to be
+/// killed then.
 const FORCED_CLOSE_TIMEOUT: Micros = 150 * MS;
 
-/// The time between two checks whether a shutdown can proceed.
+/// Time between two checks whether a shutdown can proceed.
 const CHECK_INTERVAL: Micros = 5 * MS;
 
-/// How far a shutdown has come.
+/// The progress of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ShutdownPhase {
     /// No shutdown, or one that waits for the responses to the requests in flight.
@@ -30,12 +31,12 @@
 }
 
 impl DispatcherActor {
-    /// When the shutdown may proceed, if there is one.
+    /// When to check again whether the shutdown can proceed; `None` if there is none.
     pub(super) fn next_shutdown_check(&self, accepts_until: Option<Micros>) -> Option<Micros> {
-        let soon = clock::now() + CHECK_INTERVAL;
+        let next_check = clock::now() + CHECK_INTERVAL;
         match self.shutdown_phase {
-            ShutdownPhase::Serving => accepts_until.map(|at| at.max(soon)),
-            ShutdownPhase::ClosingConnections { .. } | ShutdownPhase::Finished => Some(soon),
+            ShutdownPhase::Serving => accepts_until.map(|at| at.max(next_check)),
+            ShutdownPhase::ClosingConnections { .. } | ShutdownPhase::Finished => Some(next_check),
         }
     }
 
@@ -47,9 +48,9 @@
             return;
         }
         let responses_delivered = self.all_responses_delivered();
-        let accepts_no_more = schedule.accepts_until.is_some_and(|at| at <= now);
+        let accepting_ended = schedule.accepts_until.is_some_and(|at| at <= now);
         let is_complete =
-            accepts_no_more && responses_delivered && !self.keeps_client_connections();
+            accepting_ended && responses_delivered && !self.keeps_client_connections();
         // The forced end does not wait for a moment without open requests: there may never be one.
         if is_serving && (is_complete || self.requests_ended) {
             self.begin_closing(now, schedule.forced_end_at);
@@ -66,27 +67,28 @@
         }
     }
 
-    /// Says what is left once the time to close the connections is over.
+    /// Logs what remains once the time to close the connections is over.
     fn log_unfinished_close(&self) {
         log!(
-            "ending with {} client connections open, {} bytes of their input unread, {} with unwritten responses",
+            "shutdown: closing the connections timed out, exiting with {} client connections open, {} bytes of their input unread, {} with unwritten responses",
             self.shared.client_sockets.get(),
             self.shared.unread_bytes.get(),
             self.shared.connections_with_unwritten_output.get()
         );
     }
 
-    /// Says how many connections nobody has accepted: their clients take themselves for connected,
-    /// and the exit resets them.
+    /// Logs how many connections are established but were never accepted: the exit resets them.
     fn log_unaccepted(&self) {
         let unaccepted = client::count_unaccepted(&self.shared);
         if unaccepted > 0 {
-            log!("ending with {unaccepted} client connections in the backlog, which are reset");
+            log!(
+                "shutdown: exiting with {unaccepted} client connections in the backlog, which are reset"
+            );
         }
     }
 
     /// Whether no request waits for its response, and no response waits in a client's mailbox or
-    /// output buffer: the process must not exit with a response that was given but not written.
+    /// output buffer: the process must not exit before a response that was decided has been written.
     fn all_responses_delivered(&self) -> bool {
         self.dispatcher.counters.open() == 0
             && self.mailbox.is_empty()
@@ -94,8 +96,8 @@
             && self.clients.values().all(Sender::is_empty)
     }
 
-    /// Whether clients may go on to use their connections to this process, although a successor
-    /// accepts the new ones.
+    /// Whether clients may continue to use their connections to this process while a successor accepts
+    /// the new ones.
     fn keeps_client_connections(&self) -> bool {
         self.shared.lifecycle.borrow().successor_took_over()
             && self.shared.client_sockets.get() > 0
@@ -121,11 +123,12 @@
             &self.shared.client_sockets,
             &self.shared.closing_sockets,
         ];
-        counts.iter().all(|count| count.get() == 0) && self.backlogs_are_attended()
+        counts.iter().all(|count| count.get() == 0) && self.backlogs_are_handled()
     }
 
-    /// Whether no connection can be left in a backlog: the listeners are closed, or a successor accepts.
-    fn backlogs_are_attended(&self) -> bool {
+    /// Whether no connection can remain unaccepted in a backlog: the listeners are closed, or a successor
+    /// accepts.
+    fn backlogs_are_handled(&self) -> bool {
         self.shared.open_listeners.get() == 0 || self.shared.lifecycle.borrow().has_successor()
     }
 }
--- a/src/startup/mod.rs
+++ b/src/startup/mod.rs
@@ -91,7 +91,7 @@
     let known_events = parse_known(&config.known_events, &config.names)?;
 
     let dispatcher = new_dispatcher(&shared, config);
-    let (events, mailbox) = bounded(dispatcher::MAILBOX);
+    let (events, mailbox) = bounded(dispatcher::MAILBOX_CAPACITY);
     let (migrations, migration_mailbox) = bounded(1);
     let context = StartContext {
         shared: shared.clone(),
--- a/tests/unit/net_dispatcher_rejection_log.rs
+++ b/tests/unit/net_dispatcher_rejection_log.rs
@@ -11,9 +11,9 @@
     }
 }
 
-/// Guards the log against a line a request, and against rejections that no line tells.
+/// Guards against a log line for each request, and against rejections that no line counts.
 #[test]
-fn each_second_has_one_line_with_what_was_counted_since_the_last_one() {
+fn at_most_one_line_per_second_reports_all_rejections_since_the_last_one() {
     let near = key(
         Some(1),
         RejectionCause::Decided(RejectionReason::DeadlineNear),
@@ -25,7 +25,9 @@
     let first = log.line(10 * SEC, 2, &counts);
     assert_eq!(
         first.as_deref(),
-        Some("rejected 2 requests: 2 lookup of tenant 1: deadline_near")
+        Some(
+            "rejected 2 requests, most frequent causes: 2 (class lookup, tenant 1, reason deadline_near)"
+        )
     );
 
     counts.insert(near, 5);
@@ -35,7 +37,7 @@
     assert_eq!(
         second.as_deref(),
         Some(
-            "rejected 4 requests: 3 lookup of tenant 1: deadline_near, 1 lookup of tenant -: frontend"
+            "rejected 4 requests, most frequent causes: 3 (class lookup, tenant 1, reason deadline_near), 1 (class lookup, tenant -, reason frontend)"
         )
     );
     assert_eq!(log.line(12 * SEC, 6, &counts), None);
