--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! The system has no file descriptor left when an engine is first used. The limit is that of the
-//! process, so this test is alone in its file.
+//! Guards against an engine that is blamed, or stays unusable, when the process has no file descriptor left
+//! for its first connection. The limit applies to the whole process, so this test has a file of its own.
 use async_channel::{Receiver, bounded};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::fs::File;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Runs the actors until the condition holds; whether it did in time.
+    /// Runs the actors until the condition holds; returns whether it did in time.
     fn run_until(&mut self, condition: &mut dyn FnMut(&mut Testbed) -> bool) -> bool {
         let executor = self.shared.executor.clone();
         async_io::block_on(executor.run(eventually(&mut || {
@@ -86,7 +86,7 @@
     }
 }
 
-/// All descriptors that a process may have, until drop.
+/// Holds all descriptors that the process may have, until drop.
 struct ExhaustedDescriptors {
     files: Vec<File>,
     previous: Rlimit,
@@ -114,8 +114,8 @@
     }
 }
 
-/// The attempt ends as never sent because of a local limit, which does not count against the engine;
-/// its actor ends, and the next attempt finds a descriptor again.
+/// Without a free descriptor the attempt ends unsent because of a local limit, which does not count against
+/// the engine. The engine's actor ends, and the next attempt gets a descriptor again.
 #[test]
 fn an_attempt_without_a_free_descriptor_ends_unsent_by_a_local_limit() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -127,7 +127,7 @@
         polls += 1;
         polls > 1
     });
-    assert!(is_running, "the reactor opens its own descriptors before");
+    assert!(is_running, "the reactor opens its own descriptors first");
 
     let exhausted = ExhaustedDescriptors::new();
     testbed.start_attempt(1);
@@ -145,7 +145,7 @@
     assert_eq!(testbed.ends, [first_end]);
     drop(exhausted);
 
-    // The attempt has no client connection, so it is cancelled once there is a connection.
+    // The attempt has no client connection, so it is cancelled once the engine is connected.
     testbed.start_attempt(2);
     let mut accepted = Vec::new();
     let has_ended = testbed.run_until(&mut |testbed| {
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! Guards against a process that does not end, or loses requests, while its clients go on after SIGTERM. See
-//! docs/incidents/shutdown-under-load.md.
+//! Guards against a process that does not exit, or loses requests, while its clients keep sending after
+//! SIGTERM. See docs/incidents/shutdown-under-load.md.
 use rustix::process::{Pid, Signal, kill_process};
 use std::net::TcpListener;
 use std::path::Path;
@@ -13,10 +13,10 @@
 use yokelift::testkit::daemon::{Daemon, DaemonOptions, KINDS, ZONES, settings};
 use yokelift::testkit::planned_restart::{KILL_SLACK, MAX_DEADLINE_WAIT};
 
-/// How long the clients send before the process is told to end.
+/// How long the clients send before the first signal.
 const LOAD_BEFORE_SHUTDOWN: Duration = Duration::from_millis(800);
 
-const ONE_TERM: [(Signal, Duration); 1] = [(Signal::TERM, Duration::ZERO)];
+const ONE_SIGTERM: [(Signal, Duration); 1] = [(Signal::TERM, Duration::ZERO)];
 
 const fn class(name: &'static str, statement: &'static str) -> SustainedClass {
     SustainedClass {
@@ -32,30 +32,30 @@
     class("load", "INSERT INTO sales_17.orders SELECT 1"),
 ];
 
-/// What became of the requests, and of the process by the time of the kill.
-struct Shutdown {
+/// The outcomes of the requests, and the exit status of the process, `None` if it had to be killed.
+struct ShutdownOutcome {
     report: SustainedLoadReport,
     status: Option<ExitStatus>,
     log: String,
 }
 
-/// The engines in the daemon's list.
+/// The engines in the daemon's endpoint list.
 #[derive(Clone, Copy, PartialEq)]
 enum Engines {
     /// There is none.
     None,
-    /// One whose connections are made, and which says nothing on them.
+    /// One whose connections are established, but which sends nothing on them.
     Hanging,
 }
 
-/// Starts a daemon, has the clients send, signals it, and kills it at the earliest moment that the
-/// platform does.
+/// Starts a daemon and its clients, sends it the signals, each followed by its pause, and kills it at the
+/// earliest time at which the platform would.
 fn shut_down_under_load(
     plan: &SustainedLoadPlan,
     engines: Engines,
     signals: &[(Signal, Duration)],
-) -> Shutdown {
-    // Nobody accepts what is in its backlog.
+) -> ShutdownOutcome {
+    // Its connections are established in the backlog and never accepted.
     let hanging = TcpListener::bind("127.0.0.1:0").expect("a port");
     let hanging_addr = hanging.local_addr().expect("an address");
     let listed = match engines {
@@ -80,34 +80,35 @@
     std::thread::sleep(LOAD_BEFORE_SHUTDOWN);
     load.set_front_open(false);
     let pid = Pid::from_raw(daemon.pid() as i32).expect("a process id is above 0");
-    let mut told_at = None;
+    let mut sigterm_at = None;
     for (signal, pause) in signals {
         kill_process(pid, *signal).expect("it runs");
         if *signal == Signal::TERM {
-            told_at.get_or_insert_with(Instant::now);
+            sigterm_at.get_or_insert_with(Instant::now);
         }
         std::thread::sleep(*pause);
     }
-    let killed_at = told_at.expect("it is told to end") + MAX_DEADLINE_WAIT + KILL_SLACK;
-    std::thread::sleep(killed_at.saturating_duration_since(Instant::now()));
+    let kill_at =
+        sigterm_at.expect("one of the signals is SIGTERM") + MAX_DEADLINE_WAIT + KILL_SLACK;
+    std::thread::sleep(kill_at.saturating_duration_since(Instant::now()));
     let status = daemon.poll_exit();
     if status.is_none() {
         kill_process(pid, Signal::KILL).expect("it runs");
     }
-    Shutdown {
+    ShutdownOutcome {
         report: load.finish(),
         status,
         log: daemon.log(),
     }
 }
 
-/// Each request has one final response, and the process has ended by itself before the kill.
+/// Asserts that each request has one final response, and that the process exits by itself before the kill.
 fn assert_nothing_is_lost(
     plan: &SustainedLoadPlan,
     engines: Engines,
     signals: &[(Signal, Duration)],
 ) {
-    let Shutdown {
+    let ShutdownOutcome {
         report,
         status,
         log,
@@ -115,11 +116,11 @@
     let lost = report.lost();
     assert!(
         report.requests.len() > plan.connections,
-        "the load has run: {log}"
+        "the clients have sent requests: {log}"
     );
     assert!(
         lost.is_empty(),
-        "{} of {} requests are lost, the process ended by the kill: {}, the first lost one: {:?}\n{log}",
+        "{} of {} requests are lost, the process had to be killed: {}, the first lost request: {:?}\n{log}",
         lost.len(),
         report.requests.len(),
         status.is_none(),
@@ -127,12 +128,12 @@
     );
     assert!(
         status.is_some_and(|status| status.success()),
-        "it ended with {status:?}: {log}"
+        "exit status {status:?}: {log}"
     );
     assert!(report.answered_twice().is_empty() && report.unexpected_responses == 0);
 }
 
-/// Twelve clients that use every connection that stays open.
+/// Twelve clients that continue on every connection that stays open.
 fn steady_clients(seed: u64) -> SustainedLoadPlan {
     SustainedLoadPlan {
         connections: 12,
@@ -147,8 +148,8 @@
     }
 }
 
-/// Clients that are rejected all the time.
-fn hasty_clients(seed: u64) -> SustainedLoadPlan {
+/// Clients that send more often and wait less, and are rejected all the time.
+fn throttled_clients(seed: u64) -> SustainedLoadPlan {
     SustainedLoadPlan {
         interval: Duration::from_millis(8),
         wait_ms: 40..=90,
@@ -157,17 +158,17 @@
 }
 
 #[test]
-fn a_shutdown_ends_while_clients_go_on_sending() {
-    assert_nothing_is_lost(&steady_clients(1), Engines::None, &ONE_TERM);
+fn the_process_exits_while_clients_keep_sending() {
+    assert_nothing_is_lost(&steady_clients(1), Engines::None, &ONE_SIGTERM);
 }
 
 #[test]
-fn a_shutdown_ends_while_clients_go_on_and_engines_hang() {
-    assert_nothing_is_lost(&steady_clients(4), Engines::Hanging, &ONE_TERM);
+fn the_process_exits_while_clients_keep_sending_and_engines_hang() {
+    assert_nothing_is_lost(&steady_clients(4), Engines::Hanging, &ONE_SIGTERM);
 }
 
 #[test]
-fn a_shutdown_told_twice_between_reloads_loses_nothing() {
+fn repeated_sigterm_between_reloads_loses_no_request() {
     let series = [
         (Signal::HUP, Duration::from_millis(2)),
         (Signal::TERM, Duration::from_millis(3)),
@@ -178,8 +179,8 @@
     assert_nothing_is_lost(&steady_clients(2), Engines::None, &series);
 }
 
-/// Guards requests that wait to be parsed when the process ends.
+/// Guards against losing requests that wait to be parsed when the process shuts down.
 #[test]
-fn a_shutdown_answers_what_throttled_clients_have_sent() {
-    assert_nothing_is_lost(&hasty_clients(3), Engines::None, &ONE_TERM);
+fn requests_of_throttled_clients_get_responses_during_shutdown() {
+    assert_nothing_is_lost(&throttled_clients(3), Engines::None, &ONE_SIGTERM);
 }
--- a/tests/unit/coordinator.rs
+++ b/tests/unit/coordinator.rs
@@ -1,4 +1,4 @@
-//! The watch of the coordinator: which events it reports, once and in order.
+//! The watch of the coordinator reports each event once and in order, and reconnects when it has to.
 use super::{CoordinatorMigration, WatchError, WatchPosition, WatchReader, WatchStart, run};
 use crate::dispatcher::termination::Termination;
 use crate::net::Shared;
@@ -24,8 +24,8 @@
     Rc::new(WatchPosition::after(last_index))
 }
 
-/// During a migration two connections are read: each event is reported once, and the second
-/// connection continues after the last event of both.
+/// During a migration two connections are read: each event is reported once, and the second connection
+/// continues after the last event received on either.
 #[test]
 fn two_connections_report_each_event_once() {
     let position = position_after(3);
@@ -61,7 +61,7 @@
     }
 }
 
-/// Missing events are asked for again, but not forever: they may not be available any more.
+/// Missing events are requested again, but only once: they may not be available any more.
 #[test]
 fn missing_events_are_requested_again_once() {
     let mut reader = WatchReader::new(position_after(3));
@@ -93,8 +93,8 @@
     assert_eq!(decode(&event(1, CHANGES, 1)[..20]), Ok(None));
 }
 
-/// Draining engines are missed while a watch is silent without being closed. Several of them in a
-/// row are connected again from the last event, and the events that they hid are reported.
+/// Guards against missing draining engines while a watch connection stays open but receives nothing. Several
+/// such connections in a row are replaced, each from the last event on, and the missed events are reported.
 #[test]
 fn silent_watches_are_reconnected_from_the_last_event() {
     let shared = Shared::new(64, 64);
@@ -113,8 +113,8 @@
         };
         let _ = migrations.send(migration).await;
         let (mut requests, mut open) = (Vec::new(), Vec::new());
-        // The first connection sends an event and falls silent, the second never sends anything;
-        // both stay open.
+        // The first connection carries one event and then nothing, the second nothing at all; both
+        // stay open.
         for sent in [event(4, CHANGES, 1), Vec::new(), event(5, CHANGES, 1)] {
             let (mut stream, _) = listener.accept().await.expect("a watch");
             let mut request = [0; 8];
@@ -132,8 +132,8 @@
     assert_eq!((requests, indexes), (vec![3, 4, 4], [4, 5]));
 }
 
-/// Guards discovery after two migrations in quick succession: each address took itself for the newest
-/// one, as it looked when its task first ran, and the older one was followed for ever beside it.
+/// Guards against a fault after two migrations in quick succession: each task read the newest generation when
+/// it first ran instead of when it was spawned, so that the older address was also reconnected to for ever.
 #[test]
 fn of_two_migrations_at_once_only_the_last_address_is_followed() {
     let shared = Shared::new(64, 64);
@@ -150,12 +150,12 @@
             addr: Some(addr),
             known: Vec::new(),
         };
-        migrations.try_send(migration).expect("room");
+        migrations.try_send(migration).expect("capacity");
     }
     shared.spawn(run(shared.clone(), start, mailbox, events, || {}));
 
-    // Every watch of the new address is closed at once. The old address may be asked meanwhile, but
-    // not again and again.
+    // Every connection to the new address is closed at once. The old address may be connected to
+    // meanwhile, but not repeatedly.
     let watches_of_new = async {
         for _ in 0..4 {
             new_listener.accept().await.expect("a watch");
--- a/tests/unit/endpoint_list.rs
+++ b/tests/unit/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: an engine that is replaced leaves nothing behind.
+//! The endpoint list: a replaced engine is reported as removed, and its actor ends.
 use super::{ClickHouseEngines, EndpointFactory, MAILBOX_CAPACITY, WatchEvent, run};
 use crate::net::Shared;
 use crate::net::discovery::ListedEndpoint;
@@ -17,8 +17,8 @@
 /// The actors that were started: the engine's id and the receiving end of the mailbox.
 type StartedActors = Rc<RefCell<Vec<(u64, Receiver<EngineCommand>)>>>;
 
-/// Makes endpoints whose actors only record their commands. Each is in use at once, which is the
-/// harder case: without an actor an endpoint is nothing but memory.
+/// Creates endpoints whose actors only record their commands. Each has an actor from the beginning, which
+/// is the harder case: an endpoint without an actor takes only memory.
 fn recording_factory(actors: &StartedActors) -> EndpointFactory {
     let actors = actors.clone();
     let start: StartActor = Rc::new(move |endpoint| {
@@ -45,8 +45,8 @@
     listed
 }
 
-/// The event that replaces engine `id - 1` by engine `id`. Engines with an odd id come to the
-/// address of the one before, which is not said to be gone.
+/// The event that replaces engine `id - 1` by engine `id`. An engine with an odd id has the address of the
+/// previous one, which the event does not list as removed.
 fn replacement(id: u32) -> WatchEvent {
     let port = 1_000 + (id / 2) as u16;
     let mut endpoints = vec![listed(id, port, Readiness::Ready)];
@@ -60,9 +60,9 @@
     }
 }
 
-/// Bounds memory and descriptors, and keeps the drain rule, where engines are replaced all the time.
+/// Guards the limits on memory and descriptors, and the drain rule, where engines are replaced all the time.
 #[test]
-fn a_replaced_engine_leaves_nothing_behind() {
+fn a_replaced_engine_is_reported_removed_and_its_actor_ends() {
     let shared = Shared::new(64, 32);
     let (dispatcher, updates) = async_channel::unbounded();
     let (events, mailbox) = async_channel::bounded(MAILBOX_CAPACITY);
@@ -77,22 +77,22 @@
         clickhouse,
     ));
     let replace_all = async {
-        let mut reported_gone = Vec::new();
+        let mut reported_removed = Vec::new();
         for id in 1..=ENGINES {
             let _ = events.send(replacement(id)).await;
             let Ok(DispatcherEvent::EndpointList(update)) = updates.recv().await else {
                 panic!("no update")
             };
-            let gone = update
+            let removed = update
                 .entries
                 .iter()
                 .filter(|endpoint| endpoint.readiness == Readiness::Removed);
-            reported_gone.extend(gone.map(|endpoint| endpoint.id.0));
+            reported_removed.extend(removed.map(|endpoint| endpoint.id.0));
         }
-        reported_gone
+        reported_removed
     };
 
-    let reported_gone = async_io::block_on(shared.executor.run(replace_all));
+    let reported_removed = async_io::block_on(shared.executor.run(replace_all));
 
     let actors = actors.borrow();
     let open: Vec<u64> = actors
@@ -115,7 +115,7 @@
         })
         .count();
     assert_eq!(
-        (removed, reported_gone),
+        (removed, reported_removed),
         (39, (1..=39).collect::<Vec<u64>>())
     );
 }
--- a/tests/unit/mailbox.rs
+++ b/tests/unit/mailbox.rs
@@ -1,4 +1,4 @@
-//! The bounds of mailboxes, and what closing one does.
+//! The capacity of mailboxes, and the effects of closing one.
 use super::bounded;
 use async_channel::TrySendError;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_closed_mailbox_takes_no_message_but_delivers_those_in_it() {
+fn a_closed_mailbox_rejects_messages_but_delivers_those_in_it() {
     let (sender, receiver) = bounded(3);
     [1, 2, 4]
         .into_iter()
--- a/tests/unit/net_address_claim.rs
+++ b/tests/unit/net_address_claim.rs
@@ -1,4 +1,4 @@
-//! The names of claims, and who holds an address by them.
+//! The names of claims, and which process holds an address according to them.
 use super::*;
 
 const ADDRESS: &str = "127.8.0.1:4010";
@@ -14,7 +14,7 @@
     }
 }
 
-/// A line of the system's list for a claim.
+/// The line of a claim in the system's list of Unix sockets.
 fn line(process: u32, manager: &ManagerIdentity, address: SocketAddr) -> String {
     let claimant = Claimant {
         process,
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_holder_is_told_by_name_and_state_folder() {
+fn the_holder_is_identified_by_name_and_state_folder() {
     let own = manager("east", Some(1));
     let cases = [
         (manager("east", Some(1)), true),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn own_claims_and_those_of_other_addresses_do_not_count() {
+fn own_claims_and_claims_of_other_addresses_are_ignored() {
     let own = manager("east", Some(1));
     let other = manager("west", Some(1));
     let names = line(9, &other, address())
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn another_manager_comes_before_the_own_one() {
+fn another_manager_takes_precedence_over_the_same_manager() {
     let own = manager("east", Some(1));
     let names = line(7, &own, address()) + &line(8, &manager("west", Some(1)), address());
     assert!(matches!(
@@ -73,10 +73,10 @@
     ));
 }
 
-/// Guards long names: a claim fits into the name of a socket, and the end of a name tells managers
-/// apart as well.
+/// Guards against long names: the claim must fit into the name of a socket, and managers whose names differ
+/// only at the end must be distinguished.
 #[test]
-fn a_claim_of_a_long_name_is_published_and_told_apart() {
+fn claims_of_long_names_are_published_and_distinguished() {
     let long = "n".repeat(300);
     let one = ManagerIdentity::new(&long, None);
     let other = ManagerIdentity::new(&format!("{long}2"), None);
--- a/tests/unit/net_reload.rs
+++ b/tests/unit/net_reload.rs
@@ -1,4 +1,4 @@
-//! A reload that breaks at each of its steps: all of the old configuration stands then.
+//! A reload that fails at any of its steps leaves the whole old configuration in force.
 use super::*;
 use crate::config::clickhouse::ClassRules;
 use crate::testkit::daemon::{Folder, KINDS, ZONES, config};
@@ -7,7 +7,7 @@
 use async_io::block_on;
 use futures_lite::future::zip;
 
-/// What the new configuration sets the descriptors to.
+/// The limit of descriptors in the new configuration.
 const NEW_DESCRIPTORS: usize = 48;
 const OLD_DESCRIPTORS: usize = 32;
 
@@ -22,7 +22,7 @@
     )
 }
 
-/// A reload, with the mailboxes of the actors that it tells.
+/// A reload, with the mailboxes of the actors that it sends messages to.
 struct Fixture {
     folder: Folder,
     reload: Reload,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Reloads, while the dispatcher does this with its settings.
+    /// Reloads, while `dispatcher` handles the new settings in place of the dispatcher.
     fn reload(&self, dispatcher: impl Fn(Reconfiguration)) -> Result<(), ReloadError> {
         let serve = async {
             if let Ok(DispatcherEvent::Reconfigure(new)) = self.dispatcher.recv().await {
@@ -91,8 +91,8 @@
             self.dispatcher.close();
             result
         };
-        let played = block_on(in_time(zip(reload, serve)));
-        played.expect("no step waits for ever").0
+        let results = block_on(in_time(zip(reload, serve)));
+        results.expect("no step waits for ever").0
     }
 
     fn default_class(&self) -> ClassId {
@@ -104,7 +104,7 @@
             .class("anna", b"SELECT 1")
     }
 
-    /// Whether the whole configuration is the new one, or the whole of it the old one.
+    /// Whether the new configuration is in force. Asserts that none is applied in part.
     fn is_new(&self) -> bool {
         let names = self.reload.names.borrow().clone();
         let report = names.class("report").expect("a class");
@@ -115,13 +115,13 @@
         ];
         assert!(
             parts.iter().all(|part| *part == parts[0]),
-            "applied by half: {parts:?}"
+            "applied in part: {parts:?}"
         );
         parts[0]
     }
 }
 
-/// The dispatcher's answer where each class keeps its place.
+/// The dispatcher's reply if the id of each class is its index in the settings.
 fn classes_of(new: &Reconfiguration) -> Vec<ReloadedClass> {
     let classes = new.class_names.iter().zip(&new.settings.classes);
     classes
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_reload_applies_each_part() {
+fn a_reload_applies_the_whole_configuration() {
     let fixture = Fixture::new();
     assert!(!fixture.is_new());
 
@@ -150,9 +150,9 @@
     assert!(fixture.is_new());
 }
 
-/// The rules hold the ids that the dispatcher gives, not the places in the file.
+/// The rules contain the ids that the dispatcher assigns, not the indexes in the file.
 #[test]
-fn the_rules_follow_the_ids_of_the_dispatcher() {
+fn class_rules_use_the_ids_that_the_dispatcher_assigns() {
     let fixture = Fixture::new();
 
     let result = fixture.reload(|new| {
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_configuration_that_is_invalid_changes_nothing() {
+fn an_invalid_configuration_changes_nothing() {
     let fixture = Fixture::new();
     fixture.folder.put("config.json", "{").expect("a file");
 
@@ -223,9 +223,9 @@
     assert!(!fixture.is_new());
 }
 
-/// The process ends then; what was applied is whole.
+/// The process is exiting then, and the configuration is applied as a whole.
 #[test]
-fn a_coordinator_that_has_ended_holds_nothing_up() {
+fn a_reload_completes_although_the_coordinators_watch_has_ended() {
     let fixture = Fixture::new();
     fixture.coordinator.close();
 
