--- a/src/hot_restart/message.rs
+++ b/src/hot_restart/message.rs
@@ -3,59 +3,61 @@
 //! The successor begins with `yokelift-handover 1 NAME`. The predecessor responds with
 //! `take ADDRESS ...`, with the descriptors of the listeners in that order as ancillary data of the
 //! line's first byte, with `drained` if operators are draining it, and with the first `leave SHARE`.
-//! The successor sends `ready` once it serves. The predecessor sends `leave SHARE` whenever the
-//! fraction of the capacity changes that the successor has to leave to its predecessors. The end of
-//! the connection means that the other process has ended.
+//! The successor sends `ready` once it serves. `leave SHARE` gives the fraction of the manager's
+//! capacity that the successor has to reserve for its predecessors; the predecessor sends it again
+//! whenever the fraction changes. Each process takes the end of the connection as the end of the other
+//! process.
 //!
-//! Once asked to stop, the predecessor transfers its client connections. Each is sent as
+//! During its shutdown the predecessor transfers its client connections. Each is sent as
 //! `client CONN TAGS INPUT UNWRITTEN` with its descriptor: the tags of the requests that are open at
 //! the predecessor, the number of bytes that were read of an incomplete message, and the number of
-//! response bytes still to be written; the bytes follow the line. Responses of the predecessor follow
-//! as `answer CONN TAG LENGTH` and the bytes. The successor reports a cancelled request as
-//! `withdraw CONN TAG` and a client that disconnected as `gone CONN`.
+//! response bytes still to be written; the bytes follow the line. Responses to requests that were open
+//! are sent later as `answer CONN TAG LENGTH` and the bytes. The successor reports a cancelled request
+//! as `withdraw CONN TAG` and a client that disconnected as `gone CONN`.
 use std::net::SocketAddr;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Bytes that may arrive without a line break before the reader fails.
+/// The maximum number of buffered bytes without a line break; the reader fails if there are more.
 pub const MAX_LINE_BYTES: usize = 2_048;
-/// Upper bound on each length that a line announces for the bytes behind it.
+/// The maximum of each length in a line, in bytes (4 MiB). The lengths are those of the data that
+/// follows the line.
 const MAX_BODY_BYTES: u64 = 4 << 20;
-/// The first line without the name: the protocol and its version.
+/// The first line up to the name: the protocol and its version.
 const HELLO: &str = "yokelift-handover 1";
-/// Stands for an empty list of tags.
+/// Represents an empty list of tags.
 const NO_TAGS: &str = "-";
 
 /// A message of either process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HotRestartMessage {
-    /// The successor introduces itself.
+    /// The successor's first message.
     Hello {
-        /// The manager's name, which has to be the predecessor's.
+        /// The manager's name, which has to equal the predecessor's.
         name: String,
     },
-    /// The predecessor passes its listeners; their descriptors come as ancillary data.
+    /// The predecessor transfers its listeners, with their descriptors as ancillary data.
     Listeners {
-        /// Where they listen, in the order of the descriptors.
+        /// The listeners' addresses, in the order of the descriptors.
         addresses: Vec<SocketAddr>,
     },
     /// Operators are draining the predecessor.
     Draining,
-    /// The successor serves.
+    /// The successor has started to serve.
     Ready,
-    /// What the successor has to leave to its predecessors.
+    /// The share that the successor has to reserve for its predecessors.
     ReservedShare {
         /// The fraction of the manager's limits and quotas, from 0 to 1.
         share: f64,
     },
-    /// The predecessor passes a client connection; its descriptor comes as ancillary data.
+    /// The predecessor transfers a client connection, with its descriptor as ancillary data.
     Connection {
         /// The connection's number at the predecessor.
         conn: u64,
-        /// What the successor needs to continue it.
+        /// The state with which the successor continues it.
         state: TransferredConnection,
     },
-    /// The predecessor answers a request that was open when its connection was passed.
+    /// The predecessor's response to a request that was open when its connection was transferred.
     Response {
         /// The connection's number at the predecessor.
         conn: u64,
@@ -72,25 +74,25 @@
         tag: u64,
     },
     /// The client disconnected.
-    ClientGone {
+    ClientDisconnected {
         /// The connection's number at the predecessor.
         conn: u64,
     },
 }
 
-/// The state of a client connection that is passed with its descriptor.
+/// The state of a client connection that is transferred with its descriptor.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TransferredConnection {
     /// The tags of requests that are still open at the predecessor.
     pub open_requests: Vec<u64>,
-    /// What was read of an incomplete message.
+    /// The bytes that were read of an incomplete message.
     pub input: Vec<u8>,
-    /// Response bytes still to be written, before anything else.
+    /// Response bytes still to be written, before those of any other response.
     pub unwritten: Vec<u8>,
 }
 
 impl HotRestartMessage {
-    /// The message as it is sent: its line and the bytes behind it.
+    /// The bytes that are sent: the message's line and the data that follows it.
     pub fn encode(&self) -> Vec<u8> {
         let mut encoded = self.header_line().into_bytes();
         match self {
@@ -104,7 +106,7 @@
         encoded
     }
 
-    /// The line with its line break.
+    /// The message's line, with its line break.
     fn header_line(&self) -> String {
         match self {
             HotRestartMessage::Hello { name } => format!("{HELLO} {name}\n"),
@@ -128,7 +130,7 @@
                 format!("answer {conn} {tag} {}\n", bytes.len())
             }
             HotRestartMessage::Cancel { conn, tag } => format!("withdraw {conn} {tag}\n"),
-            HotRestartMessage::ClientGone { conn } => format!("gone {conn}\n"),
+            HotRestartMessage::ClientDisconnected { conn } => format!("gone {conn}\n"),
         }
     }
 }
@@ -138,17 +140,17 @@
     texts.join(separator)
 }
 
-/// Why received bytes are no message of this protocol version. The connection can't be used any
-/// further, because the start of the next message is unknown.
+/// Why received bytes are not a message of this protocol version. The connection can't be used after
+/// that, because the start of the next message is unknown.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum MessageError {
-    /// There is no line break within the bound.
-    #[error("a line of more than {MAX_LINE_BYTES} bytes")]
+    /// There is no line break within [`MAX_LINE_BYTES`].
+    #[error("line longer than {MAX_LINE_BYTES} bytes")]
     LineTooLong,
-    /// The line is no text.
-    #[error("a line that is not UTF-8")]
+    /// The line is not UTF-8.
+    #[error("line is not valid UTF-8")]
     NotUtf8,
-    /// No message of this version has this line.
+    /// The line is not that of a message of this version.
     #[error("unknown message {line:?}")]
     UnknownMessage {
         /// The line without its line break.
@@ -156,10 +158,10 @@
     },
 }
 
-/// A message's line, parsed; the bytes behind it are still to come.
+/// The parsed line of a message. Its data has not been read yet.
 #[derive(Clone, Debug, PartialEq)]
 enum Header {
-    /// No bytes follow.
+    /// A message without data after its line.
     Complete(HotRestartMessage),
     /// A [`HotRestartMessage::Connection`].
     Connection {
@@ -173,7 +175,7 @@
 }
 
 impl Header {
-    /// How many bytes follow the line.
+    /// The number of bytes that follow the line.
     fn body_length(&self) -> usize {
         match self {
             Header::Complete(_) => 0,
@@ -186,7 +188,7 @@
         }
     }
 
-    /// The whole message; `body` has exactly [`Header::body_length`] bytes.
+    /// The complete message; `body` has exactly [`Header::body_length`] bytes.
     fn with_body(self, body: &[u8]) -> HotRestartMessage {
         match self {
             Header::Complete(message) => message,
@@ -214,7 +216,7 @@
         }
     }
 
-    /// Parses a line without its line break; `None` if it is not of this version.
+    /// Parses a line without its line break; `None` if it is not a message of this version.
     fn parse(line: &str) -> Option<Header> {
         if let Some(hello) = line.strip_prefix(HELLO) {
             return parse_hello(hello);
@@ -241,7 +243,7 @@
                 conn: conn.parse().ok()?,
                 tag: tag.parse().ok()?,
             })),
-            ("gone", [conn]) => Some(Header::Complete(HotRestartMessage::ClientGone {
+            ("gone", [conn]) => Some(Header::Complete(HotRestartMessage::ClientDisconnected {
                 conn: conn.parse().ok()?,
             })),
             _ => None,
@@ -259,7 +261,7 @@
     }
 }
 
-/// Parses what follows the version in the first line.
+/// Parses the part of the first line after the version.
 fn parse_hello(rest: &str) -> Option<Header> {
     let name = rest.strip_prefix(' ').filter(|name| !name.is_empty())?;
     Some(Header::Complete(HotRestartMessage::Hello {
@@ -294,21 +296,21 @@
     (length <= MAX_BODY_BYTES).then_some(length as usize)
 }
 
-/// Assembles messages from bytes as they arrive.
+/// Assembles messages from received bytes, however these are split.
 #[derive(Default)]
 pub struct MessageReader {
-    /// Received and not yet part of a message.
+    /// Received bytes that are not yet part of a message.
     unparsed: Vec<u8>,
-    /// The message whose line was read and whose bytes are still to come.
+    /// The line of the message whose data is still incomplete.
     header: Option<Header>,
 }
 
 impl MessageReader {
-    /// Adds received bytes, and returns the messages that are complete by now.
+    /// Adds received bytes, and returns the messages that they complete.
     ///
     /// # Errors
     ///
-    /// Fails on bytes that are no message of this protocol version. The reader must not be used
+    /// Fails on bytes that are not a message of this protocol version. The reader must not be used
     /// after that.
     pub fn feed(&mut self, received: &[u8]) -> Result<Vec<HotRestartMessage>, MessageError> {
         self.unparsed.extend_from_slice(received);
@@ -330,7 +332,7 @@
         }
     }
 
-    /// Removes the next line, without its line break; `None` if it is still incomplete.
+    /// Removes the next line and returns it without its line break; `None` if it is incomplete.
     fn take_line(&mut self) -> Result<Option<String>, MessageError> {
         let Some(end) = self.unparsed.iter().position(|byte| *byte == b'\n') else {
             return if self.unparsed.len() > MAX_LINE_BYTES {
--- a/src/hot_restart/mod.rs
+++ b/src/hot_restart/mod.rs
@@ -1,3 +1,3 @@
-//! What two processes of one manager exchange while the newer one takes over. No I/O: the actors are
-//! in [`crate::net::hot_restart`].
+//! The messages that two processes of one manager exchange during a hot restart. No I/O: the actors
+//! are in [`crate::net::hot_restart`].
 pub mod message;
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -154,7 +154,7 @@
 
 /// Tells the process that passed the connection on that its client has disconnected.
 fn notify_predecessor(predecessor: &PredecessorLink) {
-    let gone = HotRestartMessage::ClientGone {
+    let gone = HotRestartMessage::ClientDisconnected {
         conn: predecessor.connection_number,
     };
     // A predecessor that has exited does not need to know.
--- a/src/net/hot_restart/descriptors.rs
+++ b/src/net/hot_restart/descriptors.rs
@@ -1,4 +1,4 @@
-//! Descriptors as ancillary data (`SCM_RIGHTS`) of the bytes on a Unix socket.
+//! File descriptors as ancillary data (`SCM_RIGHTS`) on a Unix socket.
 use async_io::Async;
 use futures_lite::AsyncWriteExt;
 use rustix::net::{
@@ -11,10 +11,10 @@
 use std::os::fd::{BorrowedFd, OwnedFd};
 use std::os::unix::net::UnixStream;
 
-/// Upper bound on the descriptors of one message: one listener of each frontend.
+/// The maximum number of descriptors with one message, which fits one listener of each frontend.
 const MAX_DESCRIPTORS: usize = 4;
 
-/// Reads available bytes into `buffer`, and appends the descriptors that came with them.
+/// Reads available bytes into `buffer`, and appends the descriptors received with them.
 pub(super) async fn receive(
     peer: &Async<UnixStream>,
     buffer: &mut [u8],
--- a/src/net/hot_restart/predecessor.rs
+++ b/src/net/hot_restart/predecessor.rs
@@ -1,4 +1,4 @@
-//! The running process: accepts successors on the manager's Unix socket.
+//! The predecessor's side: accepts successors on the manager's Unix socket.
 use super::POLL_INTERVAL;
 use super::predecessor_session::{self, TransferredItem};
 use crate::lifecycle::SuccessorState;
@@ -16,27 +16,28 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Upper bound on the successors that are connected at once.
+/// The maximum number of successors that are connected at the same time.
 const MAX_SUCCESSORS: usize = 4;
 
-/// What this process offers to its successors.
+/// The listeners that this process transfers to its successors, and where these connect.
 pub struct Predecessor {
     /// The Unix socket at which they connect.
     pub socket_path: PathBuf,
     /// The manager's name.
     pub name: String,
-    /// The listeners that are passed, in this order.
+    /// The listeners to transfer, in this order.
     pub listeners: Vec<(SocketAddr, OwnedFd)>,
 }
 
 /// A connected successor.
 struct Successor {
     state: SuccessorState,
-    /// What is passed to it.
+    /// The channel of the items that its session transfers to it.
     items: Sender<TransferredItem>,
 }
 
-/// The connected successors, and what follows from all of them for this process.
+/// The connected successors. Their states determine the lifecycle's and the successor that receives
+/// this process's client connections.
 #[derive(Default)]
 pub(super) struct SuccessorTable {
     successors: RefCell<BTreeMap<u64, Successor>>,
@@ -47,7 +48,7 @@
         self.successors.borrow().len()
     }
 
-    /// Records the state of a successor, and where what is passed to it is sent.
+    /// Records the state of a successor, and the channel of the items for it.
     pub(super) fn set(
         &self,
         shared: &Shared,
@@ -61,15 +62,15 @@
         self.update_lifecycle(shared);
     }
 
-    /// Removes a successor that has ended, and returns its last state.
+    /// Removes a successor whose session has ended, and returns its last state.
     fn remove(&self, shared: &Shared, id: u64) -> Option<SuccessorState> {
         let successor = self.successors.borrow_mut().remove(&id);
         self.update_lifecycle(shared);
         successor.map(|successor| successor.state)
     }
 
-    /// The lifecycle sees one successor: the newest ready one if there is any, otherwise the oldest.
-    /// Connections pass to the ready one.
+    /// Sets the lifecycle's one successor: the newest ready one if there is any, otherwise the oldest.
+    /// Client connections are transferred to that ready one only.
     fn update_lifecycle(&self, shared: &Shared) {
         let successors = self.successors.borrow();
         let is_ready = |successor: &&Successor| successor.state == SuccessorState::Ready;
@@ -82,8 +83,9 @@
     }
 }
 
-/// Accepts successors for as long as the process runs. Whenever one that served ends while this
-/// process goes on, the socket is bound again: the path was the successor's by then.
+/// Accepts successors for as long as the process runs. A successor that serves binds its own socket at
+/// the same path, so this process binds the path again if such a successor ends and this process is
+/// not shutting down.
 pub async fn accept_successors(shared: Rc<Shared>, predecessor: Predecessor) {
     let predecessor = Rc::new(predecessor);
     let successors = Rc::new(SuccessorTable::default());
@@ -94,7 +96,7 @@
             Ok(listener) => listener,
             Err(error) => {
                 let path = predecessor.socket_path.display();
-                log!("no process can follow this one, {path}: {error}");
+                log!("hot restart: can't bind {path}, no successor can take over: {error}");
                 return;
             }
         };
@@ -129,7 +131,7 @@
     pub(super) peer: Async<UnixStream>,
 }
 
-/// Runs the session with one successor, and cleans up after it.
+/// Runs the session with one successor, then removes it, and has the socket bound again if needed.
 async fn serve_successor(
     shared: Rc<Shared>,
     predecessor: Rc<Predecessor>,
@@ -146,15 +148,15 @@
     }
 }
 
-/// Binds the socket under a name of its own and renames it to `path`, which atomically replaces the
-/// socket of an older process or one that a dead process left behind.
+/// Binds the socket at a path with this process's id and renames it to `path`. This atomically replaces
+/// the socket of an older process, or the stale one of a process that has exited.
 fn bind(path: &Path) -> io::Result<Async<UnixListener>> {
-    let mut own_path = path.as_os_str().to_owned();
-    own_path.push(format!(".{}", std::process::id()));
-    let own_path = PathBuf::from(own_path);
-    let _ = std::fs::remove_file(&own_path);
-    let listener = Async::<UnixListener>::bind(&own_path)?;
-    std::fs::rename(&own_path, path)?;
+    let mut process_path = path.as_os_str().to_owned();
+    process_path.push(format!(".{}", std::process::id()));
+    let process_path = PathBuf::from(process_path);
+    let _ = std::fs::remove_file(&process_path);
+    let listener = Async::<UnixListener>::bind(&process_path)?;
+    std::fs::rename(&process_path, path)?;
     Ok(listener)
 }
 
--- a/src/net/hot_restart/predecessor_session.rs
+++ b/src/net/hot_restart/predecessor_session.rs
@@ -1,5 +1,5 @@
-//! The predecessor's connection to one successor: passes the listeners, then client connections and
-//! the responses that this process still owes them.
+//! The predecessor's connection to one successor: transfers the listeners, then client connections and
+//! the responses to the requests that were open on them.
 use super::descriptors::send;
 use super::predecessor::{Predecessor, SuccessorConnection, SuccessorTable};
 use super::{POLL_INTERVAL, RESPONSE_TIMEOUT};
@@ -20,30 +20,31 @@
 use std::os::unix::net::UnixStream;
 use thiserror::Error;
 
-/// Items that wait to be sent to the successor.
-const MAILBOX: usize = 256;
-/// Bytes read from the successor at a time.
+/// The maximum number of queued items for the successor.
+const MAX_QUEUED_ITEMS: usize = 256;
+/// The size of the buffer for reads from the successor, in bytes.
 const BUFFER_BYTES: usize = 256;
-/// Change of the reserved share that is reported to the successor.
+/// The change of the reserved share, as a fraction of the manager's capacity, above which it is
+/// reported to the successor.
 const MIN_REPORTED_SHARE_CHANGE: f64 = 0.01;
 
-/// What is passed to the successor. The guard counts it as unwritten output until it is sent, so
-/// that the process does not end earlier.
+/// An item to transfer to the successor. The guard counts it as unwritten output until it is sent, so
+/// that the process does not exit before that.
 pub enum TransferredItem {
     /// A client connection.
     Connection {
-        /// Its number in this process.
+        /// The connection's number in this process.
         conn: u64,
         /// Its descriptor.
         socket: OwnedFd,
-        /// What the successor needs to continue it.
+        /// The state with which the successor continues it.
         state: TransferredConnection,
-        /// Where the successor's messages about it are sent.
+        /// Receives the successor's messages about it.
         messages: Sender<HotRestartMessage>,
-        /// Counts it as unwritten output.
+        /// Counts the item as unwritten output.
         guard: CountGuard,
     },
-    /// The response to a request that was open when its connection was passed.
+    /// The response to a request that was open when its connection was transferred.
     Response {
         /// The connection's number in this process.
         conn: u64,
@@ -51,7 +52,7 @@
         tag: u64,
         /// The encoded response.
         bytes: Vec<u8>,
-        /// Counts it as unwritten output.
+        /// Counts the item as unwritten output.
         guard: CountGuard,
     },
 }
@@ -59,15 +60,16 @@
 /// Why a session ended.
 #[derive(Debug, Error)]
 enum SessionError {
-    #[error("the successor ended")]
+    #[error("the successor closed the connection")]
     Disconnected,
-    #[error("can't send: {0}")]
+    #[error("can't send to the successor: {0}")]
     Send(#[from] io::Error),
-    #[error("the successor sent {0}")]
+    #[error("invalid message from the successor: {0}")]
     Message(#[from] MessageError),
 }
 
-/// Runs until the successor has ended.
+/// Runs until the session ends: the successor is rejected, its connection is closed, or an exchange
+/// with it fails.
 pub(super) async fn run(
     shared: &Shared,
     predecessor: &Predecessor,
@@ -80,20 +82,21 @@
     };
     if read_first_message(&peer, &mut reader).await != Some(expected) {
         return log!(
-            "a process that wants to follow is left aside: it is of another version or name"
+            "hot restart: rejected a connection without a valid first message: another manager name or \
+             protocol version, or the message was late"
         );
     }
     if shared.listeners_closing.get() {
-        return log!("a process that wants to follow is left aside: the listeners are closed");
+        return log!("hot restart: rejected a successor, as this process is closing its listeners");
     }
-    let (to_successor, outgoing) = bounded(MAILBOX);
+    let (to_successor, outgoing) = bounded(MAX_QUEUED_ITEMS);
     successors.set(shared, id, SuccessorState::Starting, &to_successor);
     let reserved_share = shared.lifecycle.borrow().share_reserved_for_predecessors();
-    let passed = pass_listeners(shared, predecessor, &peer, reserved_share).await;
-    if passed.is_err() {
+    let transferred = transfer_listeners(shared, predecessor, &peer, reserved_share).await;
+    if transferred.is_err() {
         return;
     }
-    log!("a process follows: the listeners are passed to it");
+    log!("hot restart: transferred the listeners to a successor");
     let session = PredecessorSession {
         shared,
         successors,
@@ -107,11 +110,11 @@
         reported_share: reserved_share,
     };
     if let Err(SessionError::Disconnected) = session.run().await {
-        log!("the process that followed has gone");
+        log!("hot restart: the connection to the successor is closed");
     }
 }
 
-/// The first message, or `None` if it is invalid or late.
+/// The first message; `None` if it is invalid, or not received within [`RESPONSE_TIMEOUT`].
 async fn read_first_message(
     peer: &Async<UnixStream>,
     reader: &mut MessageReader,
@@ -136,9 +139,9 @@
     or(message, timeout).await
 }
 
-/// Sends the listeners with their descriptors, whether operators drain this process, and the first
-/// reserved share.
-async fn pass_listeners(
+/// Sends the listeners with their descriptors, [`HotRestartMessage::Draining`] if operators are
+/// draining this process, and the first reserved share.
+async fn transfer_listeners(
     shared: &Shared,
     predecessor: &Predecessor,
     peer: &Async<UnixStream>,
@@ -165,7 +168,7 @@
     send(peer, &bytes, &descriptors).await
 }
 
-/// The work that was open when the successor took over.
+/// The open client connections and requests of this process at one time.
 #[derive(Clone, Copy)]
 struct OpenWork {
     client_connections: f64,
@@ -180,7 +183,8 @@
         }
     }
 
-    /// The larger of the fractions of connections and of requests that remain of `start`.
+    /// The fraction of the connections at `start`, or of the requests at `start`, that remains: the
+    /// larger of the two.
     fn fraction_of(self, start: OpenWork) -> f64 {
         let fraction = |now: f64, start: f64| if start > 0.0 { now / start } else { 0.0 };
         let client_connections = fraction(self.client_connections, start.client_connections);
@@ -188,7 +192,7 @@
     }
 }
 
-/// What the session reacts to.
+/// An event of the session.
 enum Wakeup {
     Received(io::Result<usize>),
     Outgoing(TransferredItem),
@@ -201,15 +205,16 @@
     id: u64,
     peer: Async<UnixStream>,
     reader: MessageReader,
-    /// Made known to the client connections once the successor serves.
+    /// The sender of `outgoing`, which client connections use once the successor serves.
     to_successor: Sender<TransferredItem>,
     outgoing: Receiver<TransferredItem>,
-    /// Where the successor's messages about passed connections are sent, by their numbers here. A
-    /// closed mailbox makes the connection's actor abandon its open requests.
+    /// The receivers of the successor's messages about transferred connections, by the connections'
+    /// numbers in this process. If a sender is dropped, the connection's actor abandons its open
+    /// requests.
     clients: BTreeMap<u64, Sender<HotRestartMessage>>,
-    /// Set once the successor took over.
+    /// Set once the successor has taken over.
     work_at_takeover: Option<OpenWork>,
-    /// The reserved share that the successor knows.
+    /// The reserved share that was last sent to the successor.
     reported_share: f64,
 }
 
@@ -237,7 +242,7 @@
         let outgoing = async {
             match self.outgoing.recv().await {
                 Ok(item) => Wakeup::Outgoing(item),
-                // The session holds a sender itself, so that the channel stays open.
+                // Not reached: the session has a sender itself, so the channel stays open.
                 Err(_) => std::future::pending().await,
             }
         };
@@ -251,7 +256,7 @@
     fn handle(&mut self, message: HotRestartMessage) {
         match message {
             HotRestartMessage::Ready => {
-                log!("the process that follows serves");
+                log!("hot restart: the successor serves");
                 let ready = SuccessorState::Ready;
                 self.successors
                     .set(self.shared, self.id, ready, &self.to_successor);
@@ -261,7 +266,7 @@
                     let _ = client.try_send(message);
                 }
             }
-            HotRestartMessage::ClientGone { conn } => drop(self.clients.remove(&conn)),
+            HotRestartMessage::ClientDisconnected { conn } => drop(self.clients.remove(&conn)),
             _ => {}
         }
     }
@@ -294,8 +299,8 @@
         Ok(())
     }
 
-    /// Once the successor took over, this process's capacity share decreases with its clients and
-    /// their requests.
+    /// Once the successor has taken over, this process's share of the capacity decreases with its
+    /// remaining client connections and requests.
     fn update_remaining_work(&mut self) {
         if !self.shared.lifecycle.borrow().successor_took_over() {
             return;
--- a/src/net/hot_restart/successor.rs
+++ b/src/net/hot_restart/successor.rs
@@ -1,4 +1,4 @@
-//! The start of a new process: asks the running one, if there is any, for its listeners.
+//! The start of a new process: requests the listeners of the running one, if there is any.
 use super::RESPONSE_TIMEOUT;
 use super::descriptors::receive;
 use crate::clock;
@@ -16,37 +16,38 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// What the predecessor transferred, and the connection to it.
+/// The listeners and state that the predecessor transferred, and the connection to it.
 pub struct TransferredState {
-    /// The predecessor's listeners, by the addresses at which they listen.
+    /// The predecessor's listeners, by their addresses.
     pub listeners: BTreeMap<SocketAddr, TcpListener>,
     /// Whether operators are draining the predecessor.
     pub draining: bool,
-    /// The fraction of the capacity that is reserved for the predecessor and those before it.
+    /// The fraction of the manager's capacity that is reserved for the predecessor and for that one's
+    /// own predecessors.
     pub reserved_share: f64,
     pub(super) peer: Async<UnixStream>,
     pub(super) reader: MessageReader,
 }
 
-/// Why the running process transferred nothing.
+/// Why the predecessor's listeners could not be received.
 #[derive(Debug, Error)]
 enum TransferError {
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error("it does not answer")]
+    #[error("timed out")]
     Timeout,
-    #[error("it closed the connection")]
+    #[error("the predecessor closed the connection")]
     Closed,
-    #[error("it speaks another protocol")]
+    #[error("invalid message, perhaps of another protocol version: {0}")]
     UnknownProtocol(#[from] MessageError),
-    #[error("it passed no descriptors")]
-    NoDescriptors,
-    #[error("it speaks out of turn")]
+    #[error("the numbers of addresses and descriptors differ, or are 0")]
+    DescriptorCount,
+    #[error("unexpected message during the transfer")]
     UnexpectedMessage,
 }
 
-/// Asks the process that listens at `socket_path` for its listeners. `None` if there is none, or if
-/// it fails to transfer them: the start continues without them in any case.
+/// Requests the listeners of the process at `socket_path`. `None` if there is none, or if the transfer
+/// fails: the start then continues without them, at the latest after 400 ms.
 pub async fn request_transfer(socket_path: &Path, name: &str) -> Option<TransferredState> {
     let deadline = clock::turn() + RESPONSE_TIMEOUT;
     let timeout = async {
@@ -56,13 +57,16 @@
     match or(try_transfer(socket_path, name), timeout).await {
         Ok(transferred) => transferred,
         Err(error) => {
-            log!("the process before this one is left aside: {error}");
+            let path = socket_path.display();
+            log!(
+                "hot restart: no listeners from the predecessor at {path}, binding new ones: {error}"
+            );
             None
         }
     }
 }
 
-/// Connects, introduces this process, and reads the transfer; `None` if no process listens there.
+/// Connects, sends this manager's name, and reads the transfer; `None` if no process listens there.
 async fn try_transfer(
     socket_path: &Path,
     name: &str,
@@ -79,7 +83,7 @@
     Ok(Some(read_transfer(peer).await?))
 }
 
-/// Whether there is no socket, or one that a dead process left behind.
+/// Whether there is no socket, or a stale one of a process that has exited.
 fn is_absent(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -105,7 +109,7 @@
                 HotRestartMessage::Draining => draining = true,
                 HotRestartMessage::ReservedShare { share } => {
                     if addresses.is_empty() || addresses.len() != descriptors.len() {
-                        return Err(TransferError::NoDescriptors);
+                        return Err(TransferError::DescriptorCount);
                     }
                     return Ok(TransferredState {
                         listeners: listeners_by_address(descriptors),
@@ -121,7 +125,8 @@
     }
 }
 
-/// The address of each listener is read from its descriptor: the message's may be wrong.
+/// Reads the address of each listener from its descriptor, as the one in the message may be wrong. A
+/// descriptor without a socket address is ignored.
 fn listeners_by_address(descriptors: VecDeque<OwnedFd>) -> BTreeMap<SocketAddr, TcpListener> {
     descriptors
         .into_iter()
--- a/src/net/hot_restart/successor_session.rs
+++ b/src/net/hot_restart/successor_session.rs
@@ -1,5 +1,6 @@
 //! The successor's connection to its predecessor: reports that this process serves, adopts the
-//! predecessor's client connections, and hands over its late responses.
+//! predecessor's client connections, and forwards the responses to requests that are still open at the
+//! predecessor.
 use super::POLL_INTERVAL;
 use super::descriptors::receive;
 use super::successor::TransferredState;
@@ -19,22 +20,23 @@
 use std::os::unix::net::UnixStream;
 use std::rc::Rc;
 
-/// Bytes read from the predecessor at a time.
+/// The size of the buffer for reads from the predecessor, in bytes.
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Starts the actor of an adopted client connection, and returns where responses for it are sent,
-/// each with its request's tag.
+/// Starts the actor of an adopted client connection, and returns the sender of the predecessor's
+/// responses for it, each with its request's tag.
 pub type AdoptConnection = Box<dyn Fn(TcpStream, AdoptedConnection) -> Sender<(u64, Response)>>;
 
 /// An adopted connection that may have requests open at the predecessor.
 struct AdoptedClient {
     responses: Sender<(u64, Response)>,
-    /// The tags of the requests that the predecessor has still to answer.
+    /// The tags of the requests without a response from the predecessor.
     open_requests: BTreeSet<u64>,
 }
 
-/// Runs until the predecessor has ended. `start_serving` is called once the lifecycle reports that this
-/// process can serve, also if that is after the predecessor's end.
+/// Runs until the connection to the predecessor is closed. Calls `start_serving` once the lifecycle
+/// reports that this process can serve; if that is later than the end of the connection, it runs until
+/// then.
 pub async fn follow_predecessor(
     shared: Rc<Shared>,
     transferred: TransferredState,
@@ -62,7 +64,7 @@
     }
 }
 
-/// What the session reacts to.
+/// An event of the session.
 enum Wakeup {
     Received(io::Result<usize>),
     Outgoing(HotRestartMessage),
@@ -75,18 +77,19 @@
     reader: MessageReader,
     /// Received descriptors whose messages are still incomplete.
     descriptors: VecDeque<OwnedFd>,
-    /// By their numbers at the predecessor.
+    /// The adopted clients, by their connections' numbers at the predecessor.
     clients: BTreeMap<u64, AdoptedClient>,
     adopt: AdoptConnection,
-    /// Given to each adopted connection, to report what its client does.
+    /// The sender of `outgoing`. Each adopted connection gets a copy, to report that its client
+    /// disconnected or cancelled a request.
     to_predecessor: Sender<HotRestartMessage>,
     outgoing: Receiver<HotRestartMessage>,
-    /// Taken once this process serves.
+    /// `None` once this process serves.
     start_serving: Option<F>,
 }
 
 impl<F: FnOnce()> SuccessorSession<'_, F> {
-    /// Runs until the predecessor has ended; returns `start_serving` if it was not called yet.
+    /// Runs until the connection is closed; returns `start_serving` if it was not called yet.
     async fn run(mut self) -> Option<F> {
         let mut buffer = vec![0; BUFFER_BYTES];
         loop {
@@ -104,7 +107,9 @@
                 Wakeup::Received(_) => break,
             }
         }
-        log!("the process before this one has gone");
+        log!(
+            "hot restart: the connection to the predecessor is closed, this process may use all capacity"
+        );
         self.shared
             .lifecycle
             .borrow_mut()
@@ -117,17 +122,17 @@
         let peer = &self.peer;
         let descriptors = &mut self.descriptors;
         let outgoing = &self.outgoing;
-        let waits_to_serve = self.start_serving.is_some();
+        let serving_is_pending = self.start_serving.is_some();
         let received = async { Wakeup::Received(receive(peer, buffer, descriptors).await) };
         let outgoing = async {
             match outgoing.recv().await {
                 Ok(message) => Wakeup::Outgoing(message),
-                // The session holds a sender itself, so that the channel stays open.
+                // Not reached: the session has a sender itself, so the channel stays open.
                 Err(_) => std::future::pending().await,
             }
         };
         let poll = async {
-            if !waits_to_serve {
+            if !serving_is_pending {
                 std::future::pending::<()>().await;
             }
             Timer::after(POLL_INTERVAL).await;
@@ -146,9 +151,9 @@
         }
     }
 
-    /// A failure to send is ignored: the predecessor has ended then, and the next read reports that.
+    /// Ignores a failure to send: the connection is closed then, and the next read reports that.
     async fn send(&mut self, message: HotRestartMessage) {
-        if let HotRestartMessage::ClientGone { conn } = message {
+        if let HotRestartMessage::ClientDisconnected { conn } = message {
             self.clients.remove(&conn);
         }
         let _ = self.peer.write_all(&message.encode()).await;
@@ -172,7 +177,7 @@
         }
     }
 
-    /// Starts the actor of a client connection; ignored if its descriptor was not passed.
+    /// Starts the actor of a client connection. A message without a descriptor is ignored.
     fn adopt_connection(&mut self, conn: u64, state: TransferredConnection) {
         let Some(socket) = self.descriptors.pop_front() else {
             return;
@@ -190,8 +195,8 @@
         self.clients.insert(conn, client);
     }
 
-    /// Requests that the predecessor had open and did not answer are lost with it: their clients
-    /// receive the failure at once.
+    /// Fails the requests that are still open at the predecessor, as no response to them can be
+    /// received after its end. Their clients receive the failure at once.
     fn fail_open_requests(&mut self) {
         for client in std::mem::take(&mut self.clients).into_values() {
             for tag in client.open_requests {
--- a/tests/unit/hot_restart_message.rs
+++ b/tests/unit/hot_restart_message.rs
@@ -1,4 +1,4 @@
-//! The hot restart's messages, however their bytes are cut, and what is none of them.
+//! The messages of the hot restart: encoded, read in chunks of any length, and rejected if invalid.
 use super::{Header, HotRestartMessage, MAX_LINE_BYTES, MessageReader, TransferredConnection};
 use std::net::SocketAddr;
 
@@ -33,28 +33,29 @@
             bytes: b"leave 1\n".to_vec(),
         },
         HotRestartMessage::Cancel { conn: 7, tag: 3 },
-        HotRestartMessage::ClientGone { conn: 8 },
+        HotRestartMessage::ClientDisconnected { conn: 8 },
     ]
 }
 
-/// Guards two versions against each other: each message is read as it was sent.
+/// Guards the exchange between two processes: each message is read as it was sent, in chunks of any
+/// length.
 #[test]
-fn messages_are_read_as_sent_however_the_bytes_are_cut() {
+fn messages_are_read_as_sent_in_chunks_of_any_length() {
     let sent = one_message_of_each_kind();
     let bytes: Vec<u8> = sent.iter().flat_map(HotRestartMessage::encode).collect();
     for length in 1..bytes.len() {
         let mut reader = MessageReader::default();
         let received: Vec<HotRestartMessage> = bytes
             .chunks(length)
-            .flat_map(|chunk| reader.feed(chunk).expect("messages"))
+            .flat_map(|chunk| reader.feed(chunk).expect("valid messages"))
             .collect();
         assert_eq!(received, sent);
     }
 }
 
-/// Guards against processes of another version, and against noise.
+/// Guards against processes of another version, and against malformed input.
 #[test]
-fn lines_of_another_version_and_noise_are_rejected() {
+fn lines_of_another_version_and_malformed_lines_are_rejected() {
     let lines = [
         "yokelift-handover 2 n0",
         "yokelift-handover 1",
--- a/tests/unit/net_hot_restart_predecessor.rs
+++ b/tests/unit/net_hot_restart_predecessor.rs
@@ -1,11 +1,12 @@
-//! The successors of a process, and where its connections pass.
+//! The successors of a process: which one receives its client connections.
 use super::*;
 use async_channel::bounded;
 
-/// Guards the connections of a process with two ready successors, one of which ends: they pass to the
-/// other one. The sender of the one that had ended stayed, and what was sent to it was lost.
+/// Guards the client connections of a process with two ready successors, one of which exits: they have
+/// to be transferred to the other one. In a past fault the sender of the exited one was kept, and what was
+/// sent to it was lost.
 #[test]
-fn connections_pass_to_the_ready_successor_that_is_left() {
+fn connections_are_transferred_to_the_remaining_ready_successor() {
     let shared = Shared::new(64, 64);
     let table = SuccessorTable::default();
     let (first, _first_items) = bounded(1);
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -274,7 +274,7 @@
             bytes: b"leave 1\n".to_vec(),
         },
         HotRestartMessage::Cancel { conn: 7, tag: 3 },
-        HotRestartMessage::ClientGone { conn: 8 },
+        HotRestartMessage::ClientDisconnected { conn: 8 },
     ]
 }
 
