--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! A workload manager in front of shared query engines, and the decisions it goes by.
+//! A workload manager in front of shared query engines, and the policy module that makes its decisions.
 //!
-//! [`policy::Gateway`] is a state machine without I/O: feed it [`policy::api::Event`]s with the time
-//! they came in and carry out the [`policy::api::Action`]s it appends. Everything it knows comes from
+//! [`policy::Gateway`] is a state machine without I/O: it takes [`policy::api::Event`]s with the times of
+//! their arrival, and appends [`policy::api::Action`]s for the caller to carry out. Its only inputs are
 //! [`policy::api::Settings`] and those events.
 #![forbid(unsafe_code)]
 
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,15 +1,15 @@
-//! Logging to standard error, behind the one macro [`log!`](crate::log), which limits the rate of
-//! each call site.
+//! Logging to standard error by the macro [`log!`](crate::log), which limits the rate of each call
+//! site.
 use crate::clock::{self, Micros, SEC};
 use std::cell::Cell;
 
-/// Lines that one call site may write per second.
+/// The maximum number of lines that one call site writes per second.
 const MAX_LINES_PER_SECOND: u32 = 5;
 
 thread_local! { static MUTED: Cell<bool> = const { Cell::new(false) }; }
 
-/// Turns logging off on this thread, for good. For threads that run many gateways at once and count
-/// events instead.
+/// Disables logging on this thread permanently, for threads that run many gateways and count events
+/// instead.
 pub fn mute() {
     MUTED.set(true);
 }
@@ -17,10 +17,10 @@
 /// The rate limit of one call site of [`log!`](crate::log) on one thread.
 #[derive(Default)]
 pub struct CallSite {
-    /// Start of the second that `lines` counts in.
+    /// Start of the window of one second in which `lines` are counted.
     window_start: Cell<Micros>,
     lines: Cell<u32>,
-    /// Lines suppressed since the last one that was written.
+    /// Lines suppressed since the last written one.
     suppressed: Cell<u64>,
 }
 
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Counts a line. Returns `None` if it has to be suppressed, else the number of lines suppressed
-    /// before it.
+    /// Counts a line. Returns `None` if the line has to be suppressed, otherwise the number of lines
+    /// suppressed since the last written one.
     pub fn admit(&self) -> Option<u64> {
         if MUTED.get() {
             return None;
@@ -54,8 +54,8 @@
     }
 }
 
-/// Writes a line to standard error; takes the arguments of [`format!`]. Each call site writes a few
-/// lines per second and says how many it left out.
+/// Writes a line to standard error; takes the arguments of [`format!`]. The rate of each call site is
+/// limited per thread; the next written line gives the number of suppressed ones.
 #[macro_export]
 macro_rules! log {
     ($($arg:tt)*) => {{
@@ -66,7 +66,7 @@
             let line = format!($($arg)*);
             match suppressed {
                 0 => eprintln!("yokelift: {line}"),
-                count => eprintln!("yokelift: {line} ({count} lines like it left out)"),
+                count => eprintln!("yokelift: {line} ({count} earlier lines of this kind suppressed)"),
             }
         }
     }};
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
-//! The daemon: one workload manager on real sockets. It stops on SIGTERM once every request is
-//! answered.
+//! The daemon: one workload manager on real sockets. On SIGTERM it completes the open requests and
+//! exits.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/src/startup/clickhouse.rs
+++ b/src/startup/clickhouse.rs
@@ -1,4 +1,4 @@
-//! Start of the ClickHouse frontend: its engines, what its connections share, and its listener.
+//! Start of the ClickHouse frontend: its engines, the state shared by its connections, and its listener.
 use super::files::ClickHouseFile;
 use super::{StartContext, StartError};
 use crate::backend::clickhouse::Credentials;
@@ -20,11 +20,11 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Step of the sequence of request names, coprime with 2^64: every number occurs once before any
-/// occurs again.
-const REQUEST_NAME_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
+/// Step of the sequence of request ids. It is coprime with 2^64, so each number occurs once before any
+/// is repeated.
+const REQUEST_ID_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// What is derived from the frontend's file before any actor starts.
+/// The state that is derived from the frontend's file before any actor starts.
 pub(super) struct ClickHouseStart {
     path: PathBuf,
     engines: ClickHouseEngines,
@@ -34,7 +34,7 @@
 }
 
 impl ClickHouseStart {
-    /// Resolves the file's names with those of the settings.
+    /// Resolves the names in the file by those of the settings.
     pub(super) fn prepare(
         file: &ClickHouseFile,
         config: &Config,
@@ -49,12 +49,12 @@
         })
     }
 
-    /// The engines that speak the ClickHouse interface.
+    /// The engines with the ClickHouse interface.
     pub(super) fn engines(&self) -> ClickHouseEngines {
         self.engines.clone()
     }
 
-    /// Starts the listener, and the directory's reader before it if there is a directory.
+    /// Starts the listener. If there is a directory, its reader is started before that.
     pub(super) fn start(
         self,
         context: &StartContext,
@@ -82,8 +82,8 @@
         let dispatcher = context.dispatcher.clone();
         let serving = context.serving.clone();
         context.shared.spawn(async move {
-            // Clients that connect before the first read wait in the listen queue. Their users would
-            // be unknown otherwise.
+            // Clients that connect before the first read wait in the listen queue, as the users of the
+            // directory are unknown until then.
             if let Some(mut reader) = reader {
                 let pause_s = reader.refresh().await;
                 shared.spawn(reader.run(pause_s));
@@ -95,8 +95,8 @@
     }
 }
 
-/// The engines of the file. Those with an address are not in the coordinator's list, and always in
-/// service.
+/// The engines of the file. Those with an address are not in the coordinator's list and are always
+/// ready.
 fn engines(file: &ClickHouseConfig, names: &Names) -> Result<ClickHouseEngines, StartError> {
     let mut ids = BTreeSet::new();
     let mut static_endpoints = Vec::new();
@@ -125,7 +125,7 @@
     })
 }
 
-/// What all connections of the frontend share.
+/// The state that all connections of the frontend share.
 fn shared_state(
     file: &ClickHouseConfig,
     config: &Config,
@@ -137,24 +137,25 @@
         .map(|class| clock::micros(class.deadline))
         .collect();
     let loads = classes.iter().map(|class| class.loads_data_set).collect();
-    let for_databases = shared.clone();
-    let for_stopping = shared.clone();
+    let database_support = shared.clone();
+    let drain_state = shared.clone();
     Ok(ClickHouseShared {
         class_rules: RefCell::new(ClassRules::new(file, &config.names)?),
         users: RefCell::new(Users::new(file, &config.names)?),
         class_deadlines: RefCell::new(deadlines),
         load_classes: RefCell::new(loads),
-        supports_databases: Box::new(move || for_databases.engines_know_databases.get()),
-        is_draining: Box::new(move || for_stopping.lifecycle.borrow().announces_close()),
-        new_request_id: Box::new(request_names(config.seed)),
+        supports_databases: Box::new(move || database_support.engines_know_databases.get()),
+        is_draining: Box::new(move || drain_state.lifecycle.borrow().announces_close()),
+        new_request_id: Box::new(request_ids(config.seed)),
     })
 }
 
-/// Generates names that do not repeat, from a start that differs with each process.
-fn request_names(seed: u64) -> impl Fn() -> String {
+/// Generates request ids that do not repeat, beginning after `seed`, which differs with
+/// each process.
+fn request_ids(seed: u64) -> impl Fn() -> String {
     let last = Cell::new(seed);
     move || {
-        last.set(last.get().wrapping_add(REQUEST_NAME_STEP));
+        last.set(last.get().wrapping_add(REQUEST_ID_STEP));
         format!("{:016x}", last.get())
     }
 }
--- a/src/startup/discovery.rs
+++ b/src/startup/discovery.rs
@@ -1,4 +1,4 @@
-//! Start of discovery: the endpoint list's actor and that of the coordinator's connection.
+//! Start of discovery: the actors of the endpoint list and of the coordinator's connection.
 use super::StartContext;
 use crate::config::process::Config;
 use crate::net::discovery::coordinator::{self, CoordinatorMigration, WatchStart};
@@ -9,11 +9,11 @@
 use async_io::Timer;
 use std::time::Duration;
 
-/// Time to wait for the coordinator's first message. After that the process serves with the endpoint
-/// list of its configuration.
+/// The timeout of the coordinator's first message. After it the process serves with the endpoint list
+/// of its configuration.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Starts both actors. The endpoint list receives the known events first.
+/// Starts both actors. The endpoint list receives the known events before any of the coordinator's.
 pub(super) fn start(
     context: &StartContext,
     config: &Config,
@@ -49,8 +49,8 @@
         for event in known_events.events {
             let _ = events.send(event).await;
         }
-        let for_list = shared.clone();
-        let list_received = move || for_list.lifecycle.borrow_mut().endpoint_list_received();
+        let list_shared = shared.clone();
+        let list_received = move || list_shared.lifecycle.borrow_mut().endpoint_list_received();
         shared.spawn(coordinator::run(
             shared.clone(),
             watch_start,
--- a/src/startup/error.rs
+++ b/src/startup/error.rs
@@ -1,4 +1,4 @@
-//! Why the daemon does not start.
+//! The errors that prevent the daemon's start.
 use crate::config::FileError;
 use crate::config::clickhouse::ClickHouseConfigError;
 use crate::config::fleet::FleetConfigError;
@@ -11,17 +11,17 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why the daemon does not start. The text is the operator's line.
+/// Why the daemon does not start. `Display` gives the line for the operator.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// `PROXY_CONFIG` is not set.
-    #[error("PROXY_CONFIG names no configuration file")]
-    ConfigNotNamed,
+    #[error("PROXY_CONFIG is not set; it has to be the path of the configuration file")]
+    ConfigNotSet,
     /// There is more than one argument.
-    #[error("use: yokelift [DEPLOY-FILE]")]
+    #[error("too many arguments; usage: yokelift [CLICKHOUSE-FILE]")]
     Usage,
-    /// `PROXY_CONSOLE` is not an address with a port.
-    #[error("PROXY_CONSOLE is no address")]
+    /// `PROXY_CONSOLE` is not an IP address with a port.
+    #[error("PROXY_CONSOLE: not an IP address with a port")]
     InvalidAdminAddress,
     /// The configuration file can't be read or is invalid.
     #[error("{0}")]
@@ -29,7 +29,7 @@
     /// The file of the ClickHouse frontend can't be read or is invalid.
     #[error("{0}")]
     ClickHouseFile(#[from] FileError<ClickHouseConfigError>),
-    /// The file of the ClickHouse frontend does not fit the settings.
+    /// The file of the ClickHouse frontend has names that the settings lack, or an invalid engine id.
     #[error("{0}")]
     ClickHouseNames(#[from] ClickHouseConfigError),
     /// The fleet file can't be read.
@@ -37,13 +37,13 @@
     ReadFleetFile {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
     /// The fleet file is invalid.
     #[error("{0}")]
     FleetFile(#[from] FleetConfigError),
-    /// The audit's files can't be opened.
+    /// The audit can't be started.
     #[error("{0}")]
     Audit(#[from] AuditStartError),
     /// The fleet's datagram socket can't be bound.
@@ -59,37 +59,38 @@
         name: String,
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// Another manager listens at a frontend's address.
+    /// Another manager has claimed a frontend's address, which is in use.
     #[error(
-        "{name}: {address} is the address of another manager, {holder} (process {process}): a copied configuration?"
+        "{name}: can't listen on {address}: it is claimed by another manager, {holder} (process \
+         {process}); check for a copied configuration"
     )]
     AddressHeld {
         /// The manager's name.
         name: String,
         /// The address.
         address: SocketAddr,
-        /// The other manager's name, shortened.
+        /// The other manager's name, as shortened in its claim.
         holder: String,
-        /// Its process.
+        /// The id of its process.
         process: u32,
     },
     /// The admin endpoint's address can't be bound.
-    #[error("{name}: can't listen on the console {address}: {source}")]
+    #[error("{name}: can't listen on the admin address (console) {address}: {source}")]
     ListenAdmin {
         /// The manager's name.
         name: String,
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
     /// The listeners can't be duplicated for a successor.
-    #[error("the listeners: {0}")]
+    #[error("can't duplicate the listeners for a hot restart: {0}")]
     DuplicateListener(#[source] io::Error),
-    /// The handlers of signals can't be installed.
-    #[error("can't wait for signals: {0}")]
+    /// The signal handlers can't be installed.
+    #[error("can't install the signal handlers: {0}")]
     Signals(#[source] io::Error),
 }
--- a/src/startup/files.rs
+++ b/src/startup/files.rs
@@ -1,4 +1,4 @@
-//! The command line, the environment, and the files that they name.
+//! The command line, the environment, and the files whose paths they give.
 use super::StartError;
 use crate::config::clickhouse::{self, ClickHouseConfig};
 use crate::config::fleet::FleetConfig;
@@ -13,14 +13,14 @@
     config: Option<OsString>,
     /// `PROXY_FLEET`: the fleet file.
     fleet: Option<OsString>,
-    /// `PROXY_CONSOLE`: the admin endpoint's address. It overrides the configuration's.
+    /// `PROXY_CONSOLE`: the admin endpoint's address. It overrides the one in the configuration file.
     admin_address: Option<OsString>,
-    /// The arguments: the ClickHouse frontend's file, if there is one.
+    /// The arguments: the path of the ClickHouse frontend's file, if there is one.
     arguments: Vec<OsString>,
 }
 
 impl Options {
-    /// Those of this process.
+    /// The options of this process.
     pub fn from_environment() -> Options {
         let non_empty = |name: &str| std::env::var_os(name).filter(|value| !value.is_empty());
         Options {
@@ -32,9 +32,9 @@
     }
 }
 
-/// The files' content.
+/// The content of all files.
 pub(super) struct ConfigurationFiles {
-    /// The configuration file, which a reload reads again.
+    /// The path of the configuration file, for reloads.
     pub(super) config_path: PathBuf,
     pub(super) config: Config,
     pub(super) clickhouse: Option<ClickHouseFile>,
@@ -43,7 +43,7 @@
 
 /// The ClickHouse frontend's file.
 pub(super) struct ClickHouseFile {
-    /// A reload reads it again.
+    /// The path, for reloads.
     pub(super) path: PathBuf,
     pub(super) config: ClickHouseConfig,
 }
@@ -51,7 +51,7 @@
 impl ConfigurationFiles {
     /// Reads, parses and validates all files.
     pub(super) fn read(options: &Options) -> Result<ConfigurationFiles, StartError> {
-        let config_path = options.config.as_ref().ok_or(StartError::ConfigNotNamed)?;
+        let config_path = options.config.as_ref().ok_or(StartError::ConfigNotSet)?;
         let clickhouse = options
             .arguments
             .first()
--- a/src/startup/hot_restart.rs
+++ b/src/startup/hot_restart.rs
@@ -1,4 +1,5 @@
-//! Start of the hot restart: follows the predecessor if there is one, then accepts successors.
+//! Start of the hot restart: the session with the predecessor if there is one, then the acceptance of
+//! successors.
 use super::sockets::HotRestartSockets;
 use super::{StartContext, readiness};
 use crate::clock;
@@ -12,8 +13,8 @@
 use async_io::Async;
 use std::rc::Rc;
 
-/// With a predecessor this process serves, and accepts successors, once it can serve; until then the
-/// predecessor accepts all clients. Without one it does so at once.
+/// Opens the frontends' listeners and accepts successors: at once without a predecessor, otherwise once
+/// this process can serve. Until then only the predecessor accepts clients.
 pub(super) fn start(context: &StartContext, config: &Config, sockets: HotRestartSockets) {
     let listeners = sockets.listeners;
     let predecessor = sockets.socket_path.map(|socket_path| Predecessor {
@@ -42,7 +43,7 @@
     ));
 }
 
-/// Takes over the predecessor's drain, and leaves it its share.
+/// Takes over a drain of the predecessor, and reserves the predecessor's share of the capacity.
 fn adopt_lifecycle(context: &StartContext, transferred: &TransferredState) {
     let mut lifecycle = context.shared.lifecycle.borrow_mut();
     lifecycle.set_predecessor_share(transferred.reserved_share);
@@ -70,7 +71,7 @@
                 frontend,
                 Some(adopted),
             ),
-            // Responses are sent to a channel without a receiver, as if the client had disconnected.
+            // The channel has no receiver: responses are dropped as if the client had disconnected.
             Err(_) => bounded(1).0,
         }
     })
--- a/src/startup/listen_address.rs
+++ b/src/startup/listen_address.rs
@@ -1,4 +1,5 @@
-//! Opens the listener of a client address: alone, or beside an older process of the same manager.
+//! Opens the listener of a client address: exclusively, or shared with an older process of the same
+//! manager.
 use super::StartError;
 use crate::log;
 use crate::net::address_claim::{AddressHolder, ManagerIdentity, address_holder};
@@ -8,24 +9,27 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
 
-/// How often an address in use is tried: its holder may just be dying, or starting.
+/// The maximum number of attempts to bind an address in use: its holder may be about to exit, or may
+/// still be starting.
 const MAX_ATTEMPTS: u32 = 10;
-/// The time between two tries.
+/// The time between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// After this many tries a holder without a claim counts as one that has none.
-const ATTEMPTS_WITHOUT_CLAIM: u32 = 3;
+/// In this attempt and later ones, a holder without a claim is taken for a process that publishes none,
+/// and the address may be shared with it.
+const ATTEMPTS_FOR_CLAIM: u32 = 3;
 
-/// Whether an older process of the manager may have the address too.
+/// Whether an older process of the same manager may listen at the address too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Sharing {
-    /// A manager with an admin endpoint can be replaced while it serves.
+    /// It may: a manager with an admin endpoint supports hot restart.
     WithSameManager,
-    /// Without one it can't.
+    /// It may not: without an admin endpoint there is no hot restart.
     Never,
 }
 
-/// Binds the address. Where it is in use, it is shared with an older process of the same manager, and
-/// with one of which nothing can be told, where the system permits that; never with another manager.
+/// Binds the address. If it is in use, it is shared with an older process of the same manager, or with a
+/// process without a claim, if `sharing` and the system permit that. It is never shared with a process
+/// that claims it for another manager.
 pub(super) fn bind(
     address: SocketAddr,
     manager: &ManagerIdentity,
@@ -39,7 +43,7 @@
     };
     let mut attempt = 1;
     loop {
-        let error = match bind_alone(address, sharing) {
+        let error = match bind_exclusively(address, sharing) {
             Err(error) if error.kind() == io::ErrorKind::AddrInUse => error,
             bound => return bound.map_err(failed),
         };
@@ -59,7 +63,7 @@
         if sharing == Sharing::Never {
             return Err(failed(error));
         }
-        let waits_for_claim = holder == AddressHolder::Unknown && attempt < ATTEMPTS_WITHOUT_CLAIM;
+        let waits_for_claim = holder == AddressHolder::Unknown && attempt < ATTEMPTS_FOR_CLAIM;
         if !waits_for_claim {
             match client::bind_shared(address) {
                 Ok(listener) => {
@@ -75,12 +79,14 @@
     }
 }
 
-/// Binds the address if nobody listens there. With [`Sharing::WithSameManager`] others may join later.
-fn bind_alone(address: SocketAddr, sharing: Sharing) -> io::Result<Async<TcpListener>> {
+/// Binds the address if no other process listens there. With [`Sharing::WithSameManager`] other processes
+/// may bind it later.
+fn bind_exclusively(address: SocketAddr, sharing: Sharing) -> io::Result<Async<TcpListener>> {
     let listener = client::bind(address)?;
     if sharing == Sharing::WithSameManager {
-        // Not before the listener has the address: two that start at once would both have it. Without
-        // the option only a successor without a state folder is kept out.
+        // Set only after the bind: otherwise two managers that start at once could both bind the
+        // address. A failure is ignored: without the option only a successor without a state folder
+        // can't bind the address.
         let _ = client::permit_sharing(&listener);
     }
     Ok(listener)
@@ -89,10 +95,14 @@
 fn log_sharing(address: SocketAddr, holder: &AddressHolder) {
     match holder {
         AddressHolder::SameManager { process } => {
-            log!("{address} is shared with process {process} of this manager");
+            log!(
+                "client address {address} is shared with process {process} of this manager: each \
+                 process receives some of the clients"
+            );
         }
         _ => log!(
-            "{address} is shared with a process that can't be told: an older build, or another program"
+            "client address {address} is shared with an unidentified process (an older build or another \
+             program): each process receives some of the clients"
         ),
     }
 }
--- a/src/startup/mod.rs
+++ b/src/startup/mod.rs
@@ -1,5 +1,5 @@
-//! Start of the daemon: reads its files, opens its sockets, and starts the actors. [`run`] returns
-//! once the process was asked to stop and every request is answered.
+//! Start of the daemon: reads its files, opens its sockets, and starts the actors. [`run`] returns at the
+//! end of the shutdown, after the open requests have ended.
 mod clickhouse;
 mod discovery;
 mod error;
@@ -35,10 +35,10 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// What the start passes to each of its steps.
+/// The state that the steps of the start share.
 struct StartContext {
     shared: Rc<Shared>,
-    /// Unix time of the process's start, which identifies it among those of the same name.
+    /// Unix time of the process's start, which identifies the process among those with the same name.
     incarnation: Micros,
     names: LiveNames,
     dispatcher: Sender<DispatcherEvent>,
@@ -46,7 +46,7 @@
     serving: ServingGate,
 }
 
-/// Holds the frontends' listeners back until this process serves.
+/// Delays the start of the frontends' listeners until this process serves.
 #[derive(Clone)]
 struct ServingGate {
     open: Sender<()>,
@@ -68,11 +68,12 @@
     }
 }
 
-/// Runs the daemon until it has stopped, and returns what it counted.
+/// Runs the daemon until the end of its shutdown, and returns its counters.
 ///
 /// # Errors
 ///
-/// Fails if a file can't be used or a socket can't be opened. Nothing was served then.
+/// Fails if the start fails, for example because a file is invalid or a socket can't be opened. No
+/// request was served then.
 pub fn run(options: &Options) -> Result<Counters, StartError> {
     let files = ConfigurationFiles::read(options)?;
     let config = &files.config;
@@ -141,7 +142,7 @@
     });
 }
 
-/// Starts the audit if the fleet file asks for it.
+/// Starts the audit if it is configured in the fleet file.
 fn start_audit(
     shared: &Rc<Shared>,
     files: &ConfigurationFiles,
@@ -190,7 +191,7 @@
     shared.spawn(net::admin::listen(shared.clone(), listener));
 }
 
-/// Whether the process is ready, for the frontends of its connections.
+/// A function for the frontends that returns whether the process is ready.
 fn readiness(shared: &Rc<Shared>) -> Rc<dyn Fn() -> bool> {
     let shared = shared.clone();
     Rc::new(move || shared.lifecycle.borrow().is_ready())
--- a/src/startup/signals.rs
+++ b/src/startup/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGTERM and SIGINT stop the process, SIGHUP reloads its configuration, SIGUSR1 prints its
+//! Signals: SIGTERM and SIGINT begin the shutdown, SIGHUP reloads the configuration, SIGUSR1 prints the
 //! counters.
 use super::{StartContext, StartError};
 use crate::clock;
@@ -9,13 +9,13 @@
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 
-/// Installs the handlers.
+/// Installs the signal handlers.
 pub(super) fn subscribe() -> Result<Signals, StartError> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup, Signal::Usr1])
         .map_err(StartError::Signals)
 }
 
-/// Starts the actor that reacts to signals.
+/// Starts the actor that handles signals.
 pub(super) fn start(context: &StartContext, mut signals: Signals, reload: Reload) {
     let shared = context.shared.clone();
     let dispatcher = context.dispatcher.clone();
@@ -34,18 +34,18 @@
 async fn reload_configuration(reload: &Reload) -> DispatcherEvent {
     match reload.reload().await {
         Ok(()) => {
-            log!("read the configuration again");
+            log!("reloaded the configuration");
             DispatcherEvent::ReloadSucceeded
         }
         Err(error) => {
-            log!("the configuration can't be used, the old one stands: {error}");
+            log!("configuration reload failed, the previous configuration stays in force: {error}");
             DispatcherEvent::ReloadFailed
         }
     }
 }
 
 fn begin_shutdown(shared: &Shared) -> DispatcherEvent {
-    log!("asked to end: answering what is open");
+    log!("shutdown requested by a signal: completing the open requests");
     shared.lifecycle.borrow_mut().begin_shutdown(clock::turn());
     DispatcherEvent::Shutdown
 }
--- a/src/startup/sockets.rs
+++ b/src/startup/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets that the daemon opens at its start. Those that a predecessor transfers are adopted.
+//! The sockets that the daemon opens at its start, or adopts from its predecessor.
 use super::StartError;
 use super::files::ConfigurationFiles;
 use super::listen_address::{self, Sharing};
@@ -16,9 +16,9 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::path::PathBuf;
 
-/// All of them.
+/// All sockets.
 pub(super) struct Sockets {
-    /// The fleet's, if there is a fleet file.
+    /// The fleet's datagram socket, if there is a fleet file.
     pub(super) fleet: Option<FleetSocket>,
     /// The listener of the platform's clients.
     pub(super) clients: Async<TcpListener>,
@@ -27,7 +27,7 @@
     /// The admin endpoint's listener, if there is one.
     pub(super) admin: Option<Async<TcpListener>>,
     pub(super) hot_restart: HotRestartSockets,
-    /// Tell other managers that the clients' addresses are this one's, for as long as they are kept.
+    /// The claims on the client addresses. Other managers find them until they are dropped.
     pub(super) claims: Vec<AddressClaim>,
 }
 
@@ -35,22 +35,23 @@
 pub(super) struct FleetSocket {
     pub(super) config: FleetConfig,
     pub(super) address: SocketAddr,
-    /// `None` while the predecessor holds the address: it is the fleet's member until it ends.
+    /// `None` if the predecessor has the address bound: it is the fleet's member until it exits.
     pub(super) socket: Option<Async<UdpSocket>>,
 }
 
-/// What the hot restart needs, from the predecessor and for a successor.
+/// The sockets and the state for the sessions with the predecessor and with successors.
 pub(super) struct HotRestartSockets {
-    /// Where a successor connects. `None` without an admin endpoint, which a hot restart requires.
+    /// The socket at which successors connect. `None` without an admin endpoint, which a hot restart
+    /// requires, or without `$TMPDIR`.
     pub(super) socket_path: Option<PathBuf>,
-    /// What the predecessor transferred.
+    /// The listeners and state that the predecessor transferred.
     pub(super) transferred: Option<TransferredState>,
-    /// Duplicates of the frontends' listeners, to pass to a successor.
+    /// Duplicates of the frontends' listeners, to transfer to successors.
     pub(super) listeners: Vec<(SocketAddr, OwnedFd)>,
 }
 
 impl Sockets {
-    /// Asks a predecessor for its listeners, and opens all sockets that it did not transfer.
+    /// Requests the predecessor's listeners, and opens all sockets that were not transferred.
     pub(super) fn open(files: &ConfigurationFiles) -> Result<Sockets, StartError> {
         let config = &files.config;
         let socket_path = config
@@ -115,8 +116,8 @@
     }
 }
 
-/// Publishes the claims before anything is bound: of two managers that start at once, the one that
-/// finds the address in use sees the other one's.
+/// Publishes the claims before the addresses are bound: of two managers that start at once, the one that
+/// finds the address in use then also finds the claim of the other.
 fn claim_addresses(
     identity: &ManagerIdentity,
     clients: SocketAddr,
@@ -126,14 +127,16 @@
     for address in std::iter::once(clients).chain(clickhouse) {
         match AddressClaim::publish(address, identity) {
             Ok(claim) => claims.push(claim),
-            Err(error) => log!("{address} can't be claimed, other managers may share it: {error}"),
+            Err(error) => log!(
+                "can't publish the claim on {address}, so other managers may share it: {error}"
+            ),
         }
     }
     claims
 }
 
 /// The predecessor's listener at this address, or a new one. With an admin endpoint another process of
-/// the manager may bind the address too.
+/// the same manager may listen at the address too.
 fn listen(
     config: &Config,
     address: SocketAddr,
--- a/tests/listen_address.rs
+++ b/tests/listen_address.rs
@@ -1,5 +1,5 @@
-//! Guards against two managers at one client address, which share its clients. See
-//! docs/incidents/shared-client-address.md.
+//! Two managers with the same client address must not both listen there: the system would distribute
+//! the clients over both. See docs/incidents/shared-client-address.md.
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::File;
 use std::net::SocketAddr;
@@ -11,18 +11,18 @@
 use yokelift::testkit::daemon::{self, Folder, KINDS, ZONES};
 use yokelift::testkit::ports::reserve_addr;
 
-/// How long a process may take to start, or to end its start, on any machine.
+/// The timeout of a process's start, until it is ready or has exited.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Where a process keeps its state.
+/// The state folder of a process (TMPDIR).
 #[derive(Clone, Copy)]
 enum StateFolder<'a> {
     At(&'a Folder),
     Unset,
 }
 
-/// A process, killed when it is dropped.
+/// A daemon process, killed on drop.
 struct RunningDaemon {
     child: Child,
     admin_addr: SocketAddr,
@@ -30,7 +30,7 @@
 }
 
 impl RunningDaemon {
-    /// Starts a manager of that name at that client address.
+    /// Starts a manager with this name and client address.
     fn start(name: &str, listen: SocketAddr, files: &Folder, state: StateFolder) -> RunningDaemon {
         let known_events = known(&[], &ZONES, &KINDS);
         let mut config = daemon::config(listen, reserve_addr(), &known_events, 64);
@@ -39,7 +39,7 @@
         let file = |extension: &str| format!("{name}-{}.{extension}", admin_addr.port());
         let config_path = files
             .put(&file("json"), &config.to_string())
-            .expect("a file");
+            .expect("writes to the folder");
         let log_path = files.path(&file("log"));
         let mut command = Command::new(env!("CARGO_BIN_EXE_yokelift"));
         command
@@ -49,12 +49,12 @@
             .env_remove("TMPDIR")
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(File::create(&log_path).expect("a file"));
+            .stderr(File::create(&log_path).expect("writes to the folder"));
         if let StateFolder::At(folder) = state {
             command.env("TMPDIR", folder.path(""));
         }
         RunningDaemon {
-            child: command.spawn().expect("the program starts"),
+            child: command.spawn().expect("the daemon can be started"),
             admin_addr,
             log_path,
         }
@@ -70,11 +70,13 @@
     }
 
     fn poll_exit(&mut self) -> Option<ExitStatus> {
-        self.child.try_wait().expect("a child")
+        self.child
+            .try_wait()
+            .expect("the child's status can be read")
     }
 
-    /// Waits until it is ready; `false` if its start ended instead.
-    fn becomes_ready(&mut self) -> bool {
+    /// Waits until the process is ready; `false` if it exits or the timeout passes.
+    fn wait_until_ready(&mut self) -> bool {
         let deadline = Instant::now() + START_TIMEOUT;
         while Instant::now() < deadline && self.poll_exit().is_none() {
             if self.is_ready() {
@@ -87,13 +89,13 @@
 
     fn signal(&self, signal: Signal) {
         let pid = Pid::from_raw(self.child.id() as i32).expect("a process id is above 0");
-        kill_process(pid, signal).expect("it runs");
+        kill_process(pid, signal).expect("the process is running");
     }
 
-    /// Its start ends with one line that names the address and this other manager.
-    fn assert_kept_out_by(&mut self, listen: SocketAddr, other: &str) {
+    /// Checks that the start fails, with one line that names the address and the other manager.
+    fn assert_start_rejected(&mut self, listen: SocketAddr, other: &str) {
         assert!(
-            !self.becomes_ready(),
+            !self.wait_until_ready(),
             "it shares the address: {}",
             self.log()
         );
@@ -121,7 +123,7 @@
 
 impl Folders {
     fn new() -> Folders {
-        let new = || Folder::new().expect("a folder");
+        let new = || Folder::new().expect("creates a folder");
         Folders {
             files: new(),
             one: new(),
@@ -131,110 +133,112 @@
 }
 
 #[test]
-fn another_manager_is_kept_out_of_a_client_address() {
+fn another_manager_cannot_bind_a_claimed_client_address() {
     let folders = Folders::new();
     let listen = reserve_addr();
     let state = StateFolder::At(&folders.one);
     let mut first = RunningDaemon::start("first", listen, &folders.files, state);
-    assert!(first.becomes_ready(), "{}", first.log());
+    assert!(first.wait_until_ready(), "{}", first.log());
 
     let cases = [
         ("second", StateFolder::At(&folders.other)),
         ("second", StateFolder::At(&folders.one)),
         ("second", StateFolder::Unset),
-        // A copied file: the next version of a manager has its TMPDIR.
+        // A copied configuration: the TMPDIR differs, so it is not a successor of the same manager.
         ("first", StateFolder::At(&folders.other)),
     ];
     for (name, state) in cases {
         let mut second = RunningDaemon::start(name, listen, &folders.files, state);
-        second.assert_kept_out_by(listen, "first");
+        second.assert_start_rejected(listen, "first");
     }
     assert!(first.is_ready() && first.poll_exit().is_none());
 }
 
-/// Guards the holder that can't say anything: it is told apart all the same.
+/// Guards the address of a process that is suspended by SIGSTOP: its claim must be readable all the same.
 #[test]
-fn a_stopped_process_keeps_other_managers_out_and_lets_its_next_version_in() {
+fn the_address_of_a_suspended_process_is_shared_with_its_successor_only() {
     let folders = Folders::new();
     let listen = reserve_addr();
     let state = StateFolder::At(&folders.one);
     let mut first = RunningDaemon::start("first", listen, &folders.files, state);
-    assert!(first.becomes_ready(), "{}", first.log());
+    assert!(first.wait_until_ready(), "{}", first.log());
     first.signal(Signal::STOP);
 
     let mut second = RunningDaemon::start("second", listen, &folders.files, state);
-    second.assert_kept_out_by(listen, "first");
-    let mut next = RunningDaemon::start("first", listen, &folders.files, state);
-    assert!(next.becomes_ready(), "{}", next.log());
+    second.assert_start_rejected(listen, "first");
+    let mut successor = RunningDaemon::start("first", listen, &folders.files, state);
+    assert!(successor.wait_until_ready(), "{}", successor.log());
     first.signal(Signal::CONT);
 }
 
-/// Guards the platform's next version where it can't take the listeners over: without a usable TMPDIR
-/// it shares the address, and says so.
+/// Guards a successor to which the listeners can't be transferred: without a usable TMPDIR it shares the
+/// address, and logs that.
 #[test]
-fn the_next_version_of_a_manager_shares_its_address_without_a_state_folder() {
+fn a_successor_without_a_state_folder_shares_the_address() {
     let folders = Folders::new();
     let listen = reserve_addr();
     let unset = StateFolder::Unset;
     let mut first = RunningDaemon::start("first", listen, &folders.files, unset);
-    assert!(first.becomes_ready(), "{}", first.log());
+    assert!(first.wait_until_ready(), "{}", first.log());
 
-    let mut next = RunningDaemon::start("first", listen, &folders.files, unset);
-    assert!(next.becomes_ready(), "{}", next.log());
+    let mut successor = RunningDaemon::start("first", listen, &folders.files, unset);
+    assert!(successor.wait_until_ready(), "{}", successor.log());
     let shared = format!("{listen} is shared with");
-    assert!(next.log().contains(&shared), "{}", next.log());
+    assert!(successor.log().contains(&shared), "{}", successor.log());
 }
 
-/// Guards the race of two starts: one has the address, the other one ends.
+/// Guards against a race of two starts: one process binds the address, the other one exits.
 #[test]
-fn of_two_managers_that_start_at_once_one_has_the_address() {
+fn only_one_of_two_managers_that_start_at_once_binds_the_address() {
     let folders = Folders::new();
     for _ in 0..10 {
         let listen = reserve_addr();
         let state = StateFolder::At(&folders.one);
         let mut managers = ["first", "second"]
             .map(|name| RunningDaemon::start(name, listen, &folders.files, state));
-        let ready = managers.each_mut().map(RunningDaemon::becomes_ready);
+        let ready = managers.each_mut().map(RunningDaemon::wait_until_ready);
         let logs = managers.each_ref().map(RunningDaemon::log);
         assert_eq!(ready.iter().filter(|ready| **ready).count(), 1, "{logs:?}");
     }
 }
 
-/// Guards the restart at an address whose holder has just died: nothing of it keeps the next one out,
-/// whichever its name.
+/// Guards a start at an address whose last holder was killed: no claim or socket of that process may
+/// reject the new one, whichever its name.
 #[test]
-fn a_dead_holder_keeps_nobody_out() {
+fn a_killed_holder_does_not_block_its_address() {
     let folders = Folders::new();
     let listen = reserve_addr();
     let state = StateFolder::At(&folders.one);
     for name in ["first", "second", "first"] {
         let mut manager = RunningDaemon::start(name, listen, &folders.files, state);
-        assert!(manager.becomes_ready(), "{}", manager.log());
+        assert!(manager.wait_until_ready(), "{}", manager.log());
         manager.signal(Signal::KILL);
-        manager.child.wait().expect("its end");
+        manager.child.wait().expect("the process exits");
     }
 }
 
-/// A process that this program does not know, such as an older build: the address is shared where the
-/// system permits it, and the log says with whom it can't tell.
+/// Guards the start beside a process without a claim, such as an older build: the address is shared if
+/// the system permits it, and the log tells that the process is unidentified.
 #[test]
-fn a_holder_that_cannot_be_told_is_logged() {
+fn sharing_with_an_unidentified_process_is_logged() {
     let folders = Folders::new();
-    let stranger = shared_listener();
-    let listen = stranger.local_addr().expect("an address");
+    let unidentified = shared_listener();
+    let listen = unidentified
+        .local_addr()
+        .expect("the listener has an address");
     let state = StateFolder::At(&folders.one);
     let mut manager = RunningDaemon::start("first", listen, &folders.files, state);
-    assert!(manager.becomes_ready(), "{}", manager.log());
-    let shared = format!("{listen} is shared with a process that can't be told");
+    assert!(manager.wait_until_ready(), "{}", manager.log());
+    let shared = format!("{listen} is shared with an unidentified process");
     assert!(manager.log().contains(&shared), "{}", manager.log());
 }
 
-/// A listener that lets others in, as builds before this test had.
+/// A listener whose address other processes may bind, without a claim, as in builds before this test.
 fn shared_listener() -> std::net::TcpListener {
     use rustix::net::{AddressFamily, SocketType, bind, listen, socket, sockopt};
-    let socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
-    sockopt::set_socket_reuseport(&socket, true).expect("an option");
-    bind(&socket, &reserve_addr()).expect("its address");
-    listen(&socket, 1).expect("a listener");
+    let socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("creates a socket");
+    sockopt::set_socket_reuseport(&socket, true).expect("sets SO_REUSEPORT");
+    bind(&socket, &reserve_addr()).expect("binds the address");
+    listen(&socket, 1).expect("listens");
     socket.into()
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,5 +1,4 @@
-//! Operation of the daemon as it is shipped, between stand-ins on loopback: drain, reload, hot
-//! restart, admin endpoint.
+//! Drain, reload, hot restart and admin endpoint of the shipped daemon, between stand-ins on loopback.
 use serde_json::json;
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -8,40 +7,40 @@
 use yokelift::testkit::ports;
 use yokelift::testkit::scenario;
 
-/// Plays a scenario, and fails with each of its steps that did not turn out as written.
-fn play(text: &str) {
+/// Runs a scenario, and panics with the failed steps if there are any.
+fn run_scenario(text: &str) {
     let daemon = Path::new(env!("CARGO_BIN_EXE_yokelift"));
     if let Err(failures) = scenario::play(daemon, text, &mut |_| {}) {
         panic!("{}", failures.join("\n"));
     }
 }
 
-/// Guards readiness, the metrics, and the clients of a draining process: none is kept, none loses a
-/// request.
+/// Guards readiness, the metrics, and the clients of a draining process: idle connections are closed, and
+/// no request is lost.
 #[test]
 fn a_drain_closes_idle_connections_and_loses_no_request() {
-    play(include_str!("../scenarios/drain.txt"));
+    run_scenario(include_str!("../scenarios/drain.txt"));
 }
 
-/// Guards open requests against new settings and new requests against old ones, and that an invalid
-/// file changes nothing.
+/// Guards open requests against new settings, and new requests against old ones. An invalid file must
+/// change nothing.
 #[test]
 fn a_reload_applies_all_of_a_configuration_or_none_of_it() {
-    play(include_str!("../scenarios/retune.txt"));
+    run_scenario(include_str!("../scenarios/retune.txt"));
 }
 
-/// Guards each request through a change of versions: one response, a load executed once, no
-/// connection lost.
+/// Guards requests and connections during a hot restart: one response to each request, each load executed
+/// once, no connection lost.
 #[test]
 fn a_hot_restart_keeps_every_connection_and_request() {
-    play(include_str!("../scenarios/upgrade.txt"));
+    run_scenario(include_str!("../scenarios/upgrade.txt"));
 }
 
-/// Guards the running process against a successor that dies before or after it serves: the
-/// predecessor serves on, and another successor can follow.
+/// Guards the predecessor against a successor that is killed: the predecessor still serves, and a
+/// further successor can take over.
 #[test]
-fn a_predecessor_serves_on_when_its_successor_dies() {
-    play(
+fn a_predecessor_still_serves_after_its_successor_is_killed() {
+    run_scenario(
         "engine one platform\nconsole\nstart\nkeep client\nfollow\nkill newer\n\
         ask a on client lookup billing-desk 9000 SELECT 1\nexpect a served\n\
         ask b rpc lookup billing-desk 9000 SELECT 1\nexpect b served\n\
@@ -54,7 +53,7 @@
 /// requests fail at once, the load is not executed again, and the connections stay open.
 #[test]
 fn a_killed_predecessor_fails_only_its_open_requests() {
-    play(
+    run_scenario(
         "engine one platform\nconsole\nstart\nkeep client\n\
         ask hello on client lookup billing-desk 9000 SELECT 1\nexpect hello served\non one hang\n\
         ask load on client load billing-desk 9000 INSERT INTO ops_1.calls SELECT 1\nseen load\n\
@@ -64,28 +63,29 @@
     );
 }
 
-/// Guards a drain that operators began: it outlives the process that received the command.
+/// Guards a drain begun by operators: it has to stay in force in the successor of the process that
+/// received the command.
 #[test]
 fn a_successor_inherits_the_drain() {
-    play(
+    run_scenario(
         "engine one platform\nconsole\nstart\ncall POST /drain 200\nlaunch\ncall GET /ready 503\n\
         call POST /undrain 200\ncall GET /ready 200\nretire\nretired\n\
         ask a rpc lookup billing-desk 9000 SELECT 1\nexpect a served\nterm\nended",
     );
 }
 
-/// Guards operators against many callers that never complete a request.
+/// Guards the admin endpoint against many connections whose requests are never completed.
 #[test]
 fn incomplete_admin_calls_do_not_block_others() {
-    play(
+    run_scenario(
         "engine one platform\nconsole\nstart\nmute crowd console 60\ncall GET /ready 200\n\
         call GET /metrics 200\nshut crowd\nterm\nended",
     );
 }
 
-/// Starts the daemon with a valid configuration and this admin address, and waits for its end.
+/// Starts the daemon with a valid configuration and this admin address, and waits until it exits.
 fn run_with_admin_address(admin_address: &str) -> Output {
-    let folder = Folder::new().expect("a folder");
+    let folder = Folder::new().expect("creates a folder");
     let known_events = json!({"index": 0, "updates": []});
     let config = daemon::config(
         ports::reserve_addr(),
@@ -95,21 +95,21 @@
     );
     let config_path = folder
         .put("config.json", &config.to_string())
-        .expect("a file");
+        .expect("writes to the folder");
     Command::new(env!("CARGO_BIN_EXE_yokelift"))
         .env("PROXY_CONFIG", &config_path)
         .env("PROXY_CONSOLE", admin_address)
         .env("TMPDIR", folder.path(""))
         .output()
-        .expect("the daemon's end")
+        .expect("the daemon can be started")
 }
 
-/// Guards operators against a daemon without the admin endpoint that they configured: it does not
-/// start, and names the cause in one line.
+/// Guards against a daemon that runs without the configured admin endpoint: the start has to fail with
+/// one line that names the cause.
 #[test]
 fn an_unusable_admin_address_fails_the_start() {
-    let occupying = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let occupied: SocketAddr = occupying.local_addr().expect("an address");
+    let occupying = TcpListener::bind("127.0.0.1:0").expect("binds a port");
+    let occupied: SocketAddr = occupying.local_addr().expect("the listener has an address");
     for admin_address in [occupied.to_string(), "nowhere".to_owned()] {
         let output = run_with_admin_address(&admin_address);
         let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -122,11 +122,11 @@
     }
 }
 
-/// Guards reloads at any time: twice in quick succession, during a drain, and between two processes.
-/// The last file is in force, and nothing else is disturbed.
+/// Guards reloads twice in quick succession, during a drain, and during a hot restart: the last file is in
+/// force, and the drain and the requests are not affected.
 #[test]
 fn a_reload_is_applied_during_a_drain_and_a_hot_restart() {
-    play(
+    run_scenario(
         "engine one platform\nconsole\nstart\ncall POST /drain 200\n\
         retune lookup:pure extra:pure attempts:2\nfigure reload_success 1\ncall GET /ready 503\n\
         call POST /undrain 200\nask a rpc extra billing-desk 9000 SELECT 1\nexpect a served\n\
--- a/tests/ports.rs
+++ b/tests/ports.rs
@@ -1,49 +1,53 @@
-//! The addresses that the test kit gives out: no other process of a test run gets the same one.
+//! The addresses that the test kit reserves: no two reservations may return the same one, in one
+//! process or in several.
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 use std::process::Command;
 use yokelift::testkit::ports::{ReservedHost, reserve_addr};
 
-/// The variable that makes a process of this program print an address instead of testing.
+/// The environment variable with which this test program prints its host address instead of testing.
 const PRINT_ADDRESS: &str = "YOKELIFT_TEST_PRINT_ADDRESS";
 
 #[test]
-fn no_address_is_given_out_twice() {
+fn no_address_is_reserved_twice() {
     let threads: Vec<_> = (0..8)
         .map(|_| std::thread::spawn(|| (0..500).map(|_| reserve_addr()).collect::<Vec<_>>()))
         .collect();
     let addrs = threads
         .into_iter()
-        .flat_map(|thread| thread.join().expect("no panic"));
+        .flat_map(|thread| thread.join().expect("the thread does not panic"));
     assert_eq!(addrs.collect::<BTreeSet<SocketAddr>>().len(), 8 * 500);
 }
 
-/// Two that look for the same host at the same time have different ones, and a host that was let go
-/// can be had again.
+/// Two reservations with the same number get different hosts, and a released host can be reserved again.
 #[test]
-fn a_host_is_held_once() {
+fn a_host_is_reserved_once_until_it_is_released() {
     let number = 0x00ff_fe01;
     let first = ReservedHost::reserve(number);
     let second = ReservedHost::reserve(number);
     assert_ne!(first.ip(), second.ip());
-    let freed = first.ip();
+    let released = first.ip();
     drop(first);
-    assert_eq!(ReservedHost::reserve(number).ip(), freed);
+    assert_eq!(ReservedHost::reserve(number).ip(), released);
 }
 
 #[test]
-fn another_process_has_another_host() {
+fn another_process_reserves_another_host() {
     if std::env::var_os(PRINT_ADDRESS).is_some() {
         println!("host={}", reserve_addr().ip());
         return;
     }
     let own_host = reserve_addr().ip();
     let other_host = || {
-        let output = Command::new(std::env::current_exe().expect("this program"))
-            .args(["--exact", "another_process_has_another_host", "--nocapture"])
+        let output = Command::new(std::env::current_exe().expect("the path of this program"))
+            .args([
+                "--exact",
+                "another_process_reserves_another_host",
+                "--nocapture",
+            ])
             .env(PRINT_ADDRESS, "1")
             .output()
-            .expect("its end");
+            .expect("this program can be started");
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         let mut words = text.split(|letter: char| letter.is_whitespace());
         let host = words.find_map(|word| word.strip_prefix("host="));
--- a/tests/unit/logging.rs
+++ b/tests/unit/logging.rs
@@ -1,9 +1,9 @@
-//! The rate limit of a call site.
+//! The rate limit of a call site of `log!`.
 use super::*;
 
-/// A fault that comes with every request must not fill the log.
+/// Guards the log against an error that is repeated with every request.
 #[test]
-fn a_call_site_logs_a_few_lines_per_second_and_counts_those_it_left_out() {
+fn a_call_site_limits_its_lines_per_second_and_counts_the_suppressed_ones() {
     let call_site = CallSite::new();
 
     let admitted = (0..50).filter(|_| call_site.admit().is_some()).count();
