--- a/src/config/clickhouse/class_rules.rs
+++ b/src/config/clickhouse/class_rules.rs
@@ -4,7 +4,7 @@
 use crate::policy::api::ClassId;
 use crate::statement;
 
-/// A rule whose class was found in the settings.
+/// A rule with the id of its class in the settings.
 struct ClassRule {
     conditions: ClassRuleConfig,
     class: ClassId,
@@ -29,14 +29,14 @@
     }
 }
 
-/// Assigns statements to classes.
+/// The rules that assign statements to classes, and the default class.
 pub struct ClassRules {
     rules: Vec<ClassRule>,
     default_class: ClassId,
 }
 
 impl ClassRules {
-    /// The rules of a file.
+    /// Creates the rules of a file.
     ///
     /// # Errors
     ///
@@ -68,7 +68,7 @@
         })
     }
 
-    /// The same rules with other ids for their classes.
+    /// Replaces the ids of the rules' classes, after a reload has assigned new ones.
     pub fn renumbered(mut self, new_id: impl Fn(ClassId) -> ClassId) -> ClassRules {
         for rule in &mut self.rules {
             rule.class = new_id(rule.class);
@@ -77,7 +77,7 @@
         self
     }
 
-    /// The class of a user's statement.
+    /// The class of a user's statement: that of the first rule that matches, otherwise the default.
     pub fn class(&self, user: &str, statement: &[u8]) -> ClassId {
         let words = statement::words(statement);
         self.rules
--- a/src/config/clickhouse/mod.rs
+++ b/src/config/clickhouse/mod.rs
@@ -1,5 +1,5 @@
-//! The operator's file of the ClickHouse frontend, such as `deploy/clickhouse.toml`: its address, its
-//! engines, its users, and the rules that assign statements to classes.
+//! The operator's file of the ClickHouse frontend, such as `deploy/clickhouse.toml`: the listen address,
+//! the engines, the users, and the rules that assign statements to classes.
 mod class_rules;
 mod users;
 
@@ -18,44 +18,44 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClickHouseConfig {
-    /// Where clients of the ClickHouse HTTP interface connect.
+    /// The listen address for clients of the ClickHouse HTTP interface.
     pub listen: SocketAddr,
-    /// Engines that speak it.
+    /// The engines with this interface.
     #[serde(default, rename = "engine")]
     pub engines: Vec<EngineConfig>,
-    /// With which this manager authenticates at these engines.
+    /// The credentials of this manager at these engines.
     #[serde(default, rename = "login")]
     pub credentials: CredentialsConfig,
-    /// Users and their tenants.
+    /// The users and their tenants.
     #[serde(default, rename = "user")]
     pub users: Vec<UserConfig>,
-    /// Which statements belong to which class; the first rule that matches decides.
+    /// The rules that assign statements to classes; the first one that matches applies.
     #[serde(default, rename = "class")]
     pub class_rules: Vec<ClassRuleConfig>,
-    /// The class of all other statements.
+    /// The class of statements that no rule matches.
     #[serde(rename = "usual_class")]
     pub default_class: String,
-    /// A directory with the tenants and further users.
+    /// The directory with the tenants and further users, if there is one.
     pub directory: Option<DirectoryConfig>,
 }
 
-/// An engine: one in the coordinator's list, or with an address one that is always in service.
+/// An engine. With an address it is always ready; without one it is taken from the coordinator's list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineConfig {
-    /// Its id, such as `s-00c41f7a`.
+    /// The id, such as `s-00c41f7a`.
     pub id: String,
-    /// Where it listens, if it is not in the coordinator's list.
+    /// The address, if it is not in the coordinator's list.
     pub addr: Option<SocketAddr>,
-    /// Its zone, as named in the settings.
+    /// The name of its zone in the settings.
     #[serde(default)]
     pub zone: String,
-    /// Its kind, as named in the settings.
+    /// The name of its machine type in the settings.
     #[serde(default)]
     pub kind: String,
 }
 
-/// User and key at the engines.
+/// The user and key with which the manager authenticates at the engines.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CredentialsConfig {
@@ -66,24 +66,24 @@
     pub key: String,
 }
 
-/// A user.
+/// A user of the frontend.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UserConfig {
-    /// The name.
+    /// The user's name.
     pub name: String,
-    /// The key; empty if there is none.
+    /// The user's key; empty if there is none.
     #[serde(default)]
     pub key: String,
-    /// The tenant, as named in the settings; without one the user is known, but not authorized.
+    /// The name of the tenant in the settings; without one the user is known, but not authorized.
     pub tenant: Option<String>,
 }
 
-/// A rule for a class. A statement has to match each condition that is not empty.
+/// A rule that assigns statements to a class. A statement has to match each condition that is not empty.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassRuleConfig {
-    /// The class, as named in the settings.
+    /// The name of the class in the settings.
     pub name: String,
     /// The statement begins with one of these words.
     #[serde(default, rename = "begins")]
@@ -96,21 +96,21 @@
     pub users: Vec<String>,
 }
 
-/// A directory of tenants, read over LDAPv3.
+/// The directory of tenants and users, read over LDAPv3.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DirectoryConfig {
-    /// Where it listens.
+    /// The directory's address.
     pub addr: SocketAddr,
-    /// Who to bind as; empty for an anonymous bind.
+    /// The DN for the LDAP bind; empty for an anonymous bind.
     #[serde(default)]
     pub bind_dn: String,
-    /// The password for that.
+    /// The password for the LDAP bind.
     #[serde(default)]
     pub bind_password: String,
-    /// Where the users are.
+    /// The base DN of the users.
     pub users_base: String,
-    /// Their object class.
+    /// The object class of the users.
     #[serde(default = "DirectoryConfig::users_class")]
     pub users_class: String,
     /// The attribute with the user's name.
@@ -122,9 +122,9 @@
     /// The attribute with the user's key for this interface, if the directory holds one.
     #[serde(default)]
     pub key_attribute: String,
-    /// Where the tenants are.
+    /// The base DN of the tenants.
     pub tenants_base: String,
-    /// Their object class.
+    /// The object class of the tenants.
     #[serde(default = "DirectoryConfig::tenants_class")]
     pub tenants_class: String,
     /// The attribute with the tenant's name.
@@ -133,10 +133,10 @@
     /// The attribute with the tenant's share, as a number of any scale.
     #[serde(default = "DirectoryConfig::share_attribute")]
     pub share_attribute: String,
-    /// Entries of one page of a search result.
+    /// The number of entries in one page of a search result.
     #[serde(default = "DirectoryConfig::page")]
     pub page: u32,
-    /// Seconds between two reads.
+    /// The time between two reads of the directory, in seconds.
     #[serde(default = "DirectoryConfig::refresh_s")]
     pub refresh_s: u64,
 }
@@ -171,52 +171,52 @@
 /// Why a file of the ClickHouse frontend can't be used.
 #[derive(Debug, Error)]
 pub enum ClickHouseConfigError {
-    /// The text is no TOML, a key is unknown or missing, or a value has another type.
+    /// The text is not TOML, a key is unknown or missing, or a value has the wrong type.
     #[error("line {line}: {}", source.message().replace('\n', " "))]
     Toml {
-        /// The line, counted from 1; 0 where the parser names none.
+        /// The number of the line, from 1; 0 if the parser gives none.
         line: usize,
-        /// What is wrong there.
+        /// The parser's error.
         source: toml::de::Error,
     },
-    /// An engine's id has another form.
-    #[error("engine {id:?}: an id is s- and 8 hex digits")]
+    /// An engine's id is malformed.
+    #[error("engine {id:?}: the id has to be s- and 8 hex digits")]
     InvalidEngineId {
         /// The id.
         id: String,
     },
     /// Two engines have the same id.
-    #[error("engine {id} is there twice")]
+    #[error("engine {id}: the id is used twice")]
     DuplicateEngine {
         /// The id.
         id: String,
     },
     /// Two users have the same name.
-    #[error("user {name} is there twice")]
+    #[error("user {name}: the name is used twice")]
     DuplicateUser {
         /// The name.
         name: String,
     },
     /// There are neither users nor a directory.
-    #[error("neither users nor a directory: nobody could connect")]
+    #[error("user, directory: both are missing, so nobody could connect")]
     NoUsers,
-    /// The credentials would break the headers of a request.
-    #[error("login: control characters are not allowed")]
+    /// The credentials have control characters, which are invalid in the headers of a request.
+    #[error("login: user and key must not have control characters")]
     ControlCharacterInCredentials,
     /// The directory's page size is 0.
-    #[error("directory: page must be above 0")]
+    #[error("directory: page has to be above 0")]
     DirectoryPageZero,
     /// The interval between reads of the directory is 0.
-    #[error("directory: refresh_s must be above 0")]
+    #[error("directory: refresh_s has to be above 0")]
     DirectoryRefreshZero,
     /// The settings have no class of this name.
-    #[error("the settings name no class {name:?}")]
+    #[error("class {name:?}: not among settings.classes of the configuration")]
     UnknownClass {
         /// The name.
         name: String,
     },
     /// The settings have no tenant of this name.
-    #[error("the settings name no tenant {name:?}")]
+    #[error("tenant {name:?}: not among settings.orgs of the configuration")]
     UnknownTenant {
         /// The name.
         name: String,
@@ -234,7 +234,7 @@
     Ok(config)
 }
 
-/// The line of an error, counted from 1; 0 where the parser names none.
+/// The number of the line of an error, from 1; 0 if the parser gives none.
 fn line_of(error: &toml::de::Error, text: &str) -> usize {
     error
         .span()
@@ -287,7 +287,7 @@
     )
 }
 
-/// The number of an engine's id, such as `s-00c41f7a`.
+/// Parses an engine's id, such as `s-00c41f7a`.
 pub fn engine_id(id: &str) -> Result<EngineId, ClickHouseConfigError> {
     id.strip_prefix("s-")
         .filter(|digits| digits.len() == 8)
--- a/src/config/clickhouse/users.rs
+++ b/src/config/clickhouse/users.rs
@@ -1,4 +1,4 @@
-//! The users of the ClickHouse frontend.
+//! The users of the ClickHouse frontend, from its file and from the directory.
 use super::{ClickHouseConfig, ClickHouseConfigError};
 use crate::config::process::Names;
 use crate::policy::api::TenantId;
@@ -17,7 +17,7 @@
 }
 
 impl Users {
-    /// The users of a file.
+    /// Creates the users of a file.
     ///
     /// # Errors
     ///
@@ -35,7 +35,7 @@
         Ok(users)
     }
 
-    /// Adds a user; one of the same name is replaced.
+    /// Adds a user, or replaces the one with the same name.
     pub fn add(&mut self, name: &str, key: &str, tenant: Option<TenantId>) {
         let user = User {
             key: key.to_owned(),
@@ -44,7 +44,7 @@
         self.by_name.insert(name.to_owned(), user);
     }
 
-    /// Adds all of `others`; users of the same name are replaced.
+    /// Adds the users in `others`, and replaces those with the same names.
     pub fn extend(&mut self, others: &Users) {
         self.by_name.extend(others.by_name.clone());
     }
@@ -57,8 +57,8 @@
     }
 }
 
-/// Compares all bytes of the shorter key in any case, so that the time taken does not reveal how many
-/// leading bytes of a guess are right.
+/// Compares keys. It always compares all bytes of the shorter one, so that the time does not reveal how
+/// many leading bytes of a guess are right.
 fn keys_equal(expected: &str, given: &str) -> bool {
     let difference = expected
         .bytes()
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -8,13 +8,14 @@
 use std::error::Error;
 use std::net::SocketAddr;
 
-/// The UDP port of the fleet's datagrams unless the file names another one.
+/// The default UDP port of the fleet's datagrams.
 const DEFAULT_PORT: u16 = 7946;
 
 /// The largest number of voters.
 const MAX_VOTERS: usize = 15;
 
-/// The `[duties]` table: who grants the leases on work that one manager does for the fleet.
+/// The `[duties]` table: the voters and the timing of the leases on work that one manager does for the
+/// fleet.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeaseConfig {
@@ -90,8 +91,8 @@
     /// The `[duties.terms]` table is out of range.
     #[error(transparent)]
     LeaseTiming(Box<dyn Error + Send + Sync>),
-    /// An address is of another family than IPv4.
-    #[error("fleet: addresses have to be IPv4")]
+    /// An address is not an IPv4 address.
+    #[error("fleet: bind, advertise and seeds have to be IPv4 addresses, not {address}")]
     NotIpv4 {
         /// The first such address.
         address: SocketAddr,
@@ -102,7 +103,7 @@
     /// Parses and validates the text of the file.
     ///
     /// # Errors
-    /// The first reason to reject the file.
+    /// Fails with the first reason to reject the file.
     pub fn parse(text: &str) -> Result<FleetConfig, FleetConfigError> {
         let config: FleetConfig = toml::from_str(text)?;
         config.validate()?;
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -19,7 +19,7 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
     /// The file was read, but its content is invalid.
@@ -27,12 +27,12 @@
     Content {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         source: E,
     },
 }
 
-/// Reads a file with `read` and its content with `parse`.
+/// Reads a file with `read`, and parses its content with `parse`.
 fn load<B, T, E: Error>(
     path: &Path,
     read: impl FnOnce(&Path) -> io::Result<B>,
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -1,4 +1,4 @@
-//! The configuration of one process: the JSON file that `PROXY_CONFIG` names.
+//! The configuration of one process: the JSON file whose path is in `PROXY_CONFIG`.
 use crate::config::settings::{self, SettingsError};
 use crate::config::{FileError, first_duplicate, load};
 use crate::policy::api::{ClassId, ClassSpec, Idempotency, Nanos, Settings, TenantId};
@@ -12,14 +12,14 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Used where `limits.connect_timeout_ns` is missing.
+/// The default of `limits.connect_timeout_ns`.
 const DEFAULT_CONNECT_TIMEOUT: Nanos = 250_000_000;
-/// Used where `limits.keepalive_ns` is missing.
+/// The default of `limits.keepalive_ns`.
 const DEFAULT_KEEPALIVE: Nanos = 15_000_000_000;
-/// Used where `limits.max_streams` is missing.
+/// The default of `limits.max_streams`.
 const DEFAULT_MAX_STREAMS: u64 = 32;
 
-/// The file, with the platform's keys.
+/// The content of the file, with the platform's keys.
 #[derive(Deserialize)]
 struct ConfigJson {
     name: String,
@@ -33,13 +33,13 @@
     settings: Value,
 }
 
-/// The limits on this process.
+/// The resource limits of this process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default)]
 pub struct ProcessLimits {
-    /// Memory in MB.
+    /// The memory in MB.
     pub memory_mb: u64,
-    /// File descriptors.
+    /// The number of file descriptors.
     pub sockets: usize,
 }
 
@@ -52,34 +52,34 @@
     }
 }
 
-/// What the dispatcher and the frontends need of the settings beside the policy module's part:
-/// above all the names behind its numbers.
+/// The settings that the dispatcher and the frontends use beside those of the policy module: mostly the
+/// names for its numeric ids.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
-    /// Classes, by their ids: at first in the order of the settings.
+    /// The classes' names, indexed by their ids. At the start the order is that of the settings.
     pub classes: Vec<String>,
     /// The ids of classes that a reload removed.
     pub removed_classes: BTreeSet<u16>,
     /// The ids of classes whose requests carry idempotency keys.
     pub keyed_classes: BTreeSet<u16>,
-    /// Tenants, in the order of the settings.
+    /// The tenants' names, in the order of the settings.
     pub tenants: Vec<String>,
-    /// Zones, in the order of the settings.
+    /// The zones' names, in the order of the settings.
     pub zones: Vec<String>,
-    /// Kinds of machine, in the order of the settings.
+    /// The names of machine types, in the order of the settings.
     pub kinds: Vec<String>,
-    /// Fields of load reports, in the order of the settings.
+    /// The names of the load reports' fields, in the order of the settings.
     pub load_fields: Vec<String>,
-    /// Time to establish a connection to an engine.
+    /// The timeout of the connect to an engine.
     pub connect_timeout: Nanos,
-    /// Time after which an idle connection to an engine is closed.
+    /// The time after which an idle connection to an engine is closed.
     pub keepalive: Nanos,
-    /// Attempts that one connection to an engine carries at the same time.
+    /// The maximum number of concurrent attempts on one connection to an engine.
     pub streams: usize,
 }
 
 impl Names {
-    /// The id of the class with this name, if it is in force.
+    /// The id of the class with this name, unless a reload removed the class.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         (0u16..)
             .zip(&self.classes)
@@ -94,71 +94,73 @@
     }
 }
 
-/// The names in force, which a reload replaces.
+/// The active names, which a reload replaces.
 pub type LiveNames = Rc<RefCell<Rc<Names>>>;
 
 /// The whole configuration.
 pub struct Config {
     /// The name of this workload manager.
     pub name: String,
-    /// Where clients connect.
+    /// The listen address for clients.
     pub listen: SocketAddr,
-    /// Seeds the random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// Limits on this process.
+    /// The resource limits of this process.
     pub limits: ProcessLimits,
-    /// Where the coordinator listens.
+    /// The coordinator's address.
     pub coordinator: SocketAddr,
-    /// The admin endpoint, where operators connect; `None` without one.
+    /// The address of the admin endpoint for operators; `None` without one.
     pub admin_address: Option<SocketAddr>,
     /// The coordinator's events up to the start, as JSON.
     pub known_events: Value,
     /// The policy module's settings.
     pub settings: Settings,
-    /// The names behind the numbers of the settings.
+    /// The names for the numeric ids in the settings.
     pub names: Names,
-    /// The file's JSON, to compare with on a reload.
+    /// The file's JSON, with which a reload compares the new file's.
     pub json: Value,
 }
 
 /// Why a configuration is invalid.
 #[derive(Debug, Error)]
 pub enum ProcessConfigError {
-    /// The file is no JSON, or a key is missing or has a value of another type.
+    /// The file is not JSON, a key is missing, or a value has the wrong type.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// The seed is no hexadecimal number of 64 bits.
+    /// The seed is not a hexadecimal number of at most 64 bits.
     #[error("seed: {0}")]
     Seed(#[source] ParseIntError),
     /// The settings can't be parsed.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     /// The settings have no classes.
-    #[error("settings: no classes")]
+    #[error("settings: classes: no class is defined")]
     NoClasses,
     /// A class has an empty name.
-    #[error("settings: a class has no name")]
+    #[error("settings: classes[].name: a class has no name")]
     UnnamedClass,
     /// Two classes have the same name.
-    #[error("settings: two classes have one name: {name}")]
+    #[error("settings: classes[].name: two classes have the name {name}")]
     DuplicateClass {
         /// The name.
         name: String,
     },
-    /// A class's deadline is not positive.
-    #[error("settings: the deadline of {class} is not a positive number")]
+    /// A class's deadline is 0 or missing.
+    #[error("settings: classes[].deadline_ns: the deadline of {class} is not a positive number")]
     DeadlineNotPositive {
         /// The class.
         class: String,
     },
-    /// A class with idempotency keys has no time for which engines remember them.
-    #[error("settings: the window in which repeats of {class} are known is not a positive number")]
+    /// The time for which engines remember the idempotency keys of a class is 0 or missing.
+    #[error(
+        "settings: classes[].window_ns: the deduplication window of {class} is not a positive number"
+    )]
     WindowNotPositive {
         /// The class.
         class: String,
     },
-    /// The maximum of attempts is not positive.
-    #[error("settings: the attempts (send_cap) are not a positive number")]
+    /// The maximum number of attempts is 0 or missing.
+    #[error("settings: limits.send_cap: the maximum number of attempts is not a positive number")]
     MaxAttemptsNotPositive,
 }
 
@@ -171,7 +173,8 @@
         .collect()
 }
 
-/// The names of a list whose items are strings or objects with a `name`; empty where there is none.
+/// The names in a list whose items are strings or objects with a `name`. An item without a name gives an
+/// empty one; a missing list gives an empty list.
 fn names_of(list: &Value) -> Vec<String> {
     let name_of = |item: &Value| {
         item.as_str()
@@ -184,7 +187,7 @@
         .unwrap_or_default()
 }
 
-/// Checks what has no usable default.
+/// Checks the settings for which there is no usable default.
 fn validate(class_names: &[String], settings: &Settings) -> Result<(), ProcessConfigError> {
     if settings.classes.is_empty() {
         return Err(ProcessConfigError::NoClasses);
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -8,21 +8,21 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Why settings are invalid.
+/// Why the settings are invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The text is no JSON object, or a key has a value of another type.
+    /// The text is not a JSON object, or a value has the wrong type.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A class has unknown semantics.
-    #[error("classes[].semantics: unknown word {semantics:?}")]
+    /// The semantics of a class are unknown.
+    #[error("classes[].semantics: unknown value {semantics:?}")]
     UnknownSemantics {
         /// The value.
         semantics: String,
     },
 }
 
-/// Parses the settings of a start event or a configuration.
+/// Parses the settings of a start event or of a configuration.
 pub fn parse(text: &[u8]) -> Result<Settings, SettingsError> {
     let settings: SettingsJson = serde_json::from_slice(text)?;
     settings.try_into()
@@ -168,7 +168,7 @@
     }
 }
 
-/// Joins a class with its items in the lists of `extra`.
+/// Converts a class and its items in the lists of `extra`.
 fn class_spec(
     class: &ClassJson,
     extra: &ExtraJson,
@@ -219,7 +219,7 @@
     }
 }
 
-/// The kinds of machine: as many as are listed, or as many as `extra` has cores for.
+/// The machine types: `listed` ones, or as many as `cores_by_kind` of `extra` has if that is more.
 fn machine_type_specs(listed: usize, extra: &ExtraJson) -> Vec<MachineTypeSpec> {
     let count = listed.max(extra.cores_by_kind.len());
     (0..count)
--- a/tests/unit/config_completeness.rs
+++ b/tests/unit/config_completeness.rs
@@ -1,4 +1,4 @@
-//! Whether a new configuration file is complete.
+//! The check that a new configuration file is complete.
 use super::missing_key;
 use crate::testkit::daemon;
 use serde_json::{Value, json};
@@ -19,55 +19,58 @@
 fn without(path: &str, key: &str) -> Value {
     let mut config = complete();
     let object = config.pointer_mut(path).and_then(Value::as_object_mut);
-    object.expect("an object").remove(key).expect("the key");
+    object
+        .expect("the value is an object")
+        .remove(key)
+        .expect("the key is present");
     config
 }
 
 fn keys(object: &Value) -> Vec<String> {
-    let object = object.as_object().expect("an object");
+    let object = object.as_object().expect("the value is an object");
     object.keys().cloned().collect()
 }
 
-/// Guards a manager in service: the coordinator's events are another matter, and the admin address
-/// does not change anyway.
+/// Guards reloads against a rejected complete file. A missing admin address is not an error, as a reload
+/// does not change it.
 #[test]
-fn a_complete_file_lacks_no_key() {
-    let in_force = with_admin_address();
-    assert_eq!(missing_key(&in_force, &in_force), None);
-    assert_eq!(missing_key(&complete(), &in_force), None);
+fn a_complete_file_has_no_missing_key() {
+    let active = with_admin_address();
+    assert_eq!(missing_key(&active, &active), None);
+    assert_eq!(missing_key(&complete(), &active), None);
 }
 
-/// Guards a manager in service against a file that was written only in part.
+/// Guards a running manager against a file that was written only in part.
 #[test]
 fn any_missing_key_is_found() {
-    let in_force = with_admin_address();
+    let active = with_admin_address();
     for key in keys(&complete()) {
-        let cut = without("", &key);
-        assert_eq!(missing_key(&cut, &in_force), Some(key));
+        let incomplete = without("", &key);
+        assert_eq!(missing_key(&incomplete, &active), Some(key));
     }
     for section in ["extra", "invariants", "limits", "load_info"] {
         for key in keys(&complete()["settings"][section]) {
-            let cut = without(&format!("/settings/{section}"), &key);
+            let incomplete = without(&format!("/settings/{section}"), &key);
             let missing = format!("settings.{section}.{key}");
-            assert_eq!(missing_key(&cut, &in_force), Some(missing));
+            assert_eq!(missing_key(&incomplete, &active), Some(missing));
         }
     }
     for key in keys(&complete()["settings"]["classes"][1]) {
-        let cut = without("/settings/classes/1", &key);
+        let incomplete = without("/settings/classes/1", &key);
         let missing = format!("classes[].{key}");
-        assert_eq!(missing_key(&cut, &in_force), Some(missing));
+        assert_eq!(missing_key(&incomplete, &active), Some(missing));
     }
 }
 
-/// Guards a new class: the lists of `extra` have to have an item for it.
+/// Guards a new class against defaults: the lists in `extra` have to have an item for it.
 #[test]
-fn a_list_without_an_item_for_each_class_is_found() {
+fn a_list_with_fewer_items_than_classes_is_found() {
     let mut further_class = complete()["settings"]["classes"][0].clone();
     further_class["name"] = json!("further");
     let mut config = complete();
     config["settings"]["classes"]
         .as_array_mut()
-        .expect("a list")
+        .expect("the classes are a list")
         .push(further_class);
     assert_eq!(
         missing_key(&config, &with_admin_address()),
--- a/tests/unit/config_fleet.rs
+++ b/tests/unit/config_fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet file: its defaults, and the operator's line for each reason to reject it.
+//! The fleet file: defaults, parsed keys, and the error line for each reason to reject the file.
 use super::{FleetConfig, FleetConfigError};
 use crate::membership::{Timing, TimingError};
 use std::error::Error;
@@ -11,7 +11,7 @@
 
 #[test]
 fn an_empty_file_gives_the_defaults() {
-    let config = FleetConfig::parse("").expect("an empty file");
+    let config = FleetConfig::parse("").expect("the empty file is valid");
     let listen = SocketAddr::from(([127, 0, 0, 1], 8080));
 
     assert_eq!(
@@ -32,7 +32,7 @@
          retransmit = 8\ndatagram = 900\ngrace_ms = 10\n\
          [duties]\nvoters = [\"m0\"]\n[duties.terms]\nterm_ms = 1000\n[audit]\nsegments = 12\n",
     )
-    .expect("a valid file");
+    .expect("the file is valid");
 
     let addr = |port| SocketAddr::from(([127, 0, 0, 1], port));
     assert_eq!(config.bind, Some(addr(1)));
@@ -48,7 +48,7 @@
         grace_ms: 10,
     };
     assert_eq!(config.timing, timing);
-    assert_eq!(config.leases.expect("leases").voters, ["m0"]);
+    assert_eq!(config.leases.expect("the file has leases").voters, ["m0"]);
     assert!(config.audit.is_some());
 }
 
@@ -85,7 +85,7 @@
         ),
         (
             "seeds = [\"[::1]:7946\"]\n",
-            "fleet: addresses have to be IPv4",
+            "fleet: bind, advertise and seeds have to be IPv4 addresses, not [::1]:7946",
         ),
     ];
     for (text, line) in cases {
--- a/tests/unit/config_process.rs
+++ b/tests/unit/config_process.rs
@@ -1,4 +1,4 @@
-//! The configuration of a process: what it accepts and rejects.
+//! The configuration of a process: accepted and rejected files, and the error lines.
 use super::parse;
 use crate::testkit::daemon;
 use serde_json::{Value, json};
@@ -12,7 +12,7 @@
 /// A valid configuration with the value at `path` replaced.
 fn with(path: &str, value: Value) -> Value {
     let mut config = valid();
-    *config.pointer_mut(path).expect("the key") = value;
+    *config.pointer_mut(path).expect("the path exists") = value;
     config
 }
 
@@ -41,13 +41,13 @@
 }
 
 #[test]
-fn classes_with_idempotency_keys_are_known() {
+fn classes_with_idempotency_keys_are_listed() {
     let config = with_key_window(json!(20_000_000_000u64));
-    let config = parse(config.to_string().as_bytes()).expect("a valid file");
+    let config = parse(config.to_string().as_bytes()).expect("the file is valid");
     assert_eq!(config.names.keyed_classes, [2].into());
 }
 
-/// Guards against defaults in place of invalid values.
+/// Guards against defaults that are silently used in place of invalid values.
 #[test]
 fn invalid_values_are_rejected() {
     for invalid in [
@@ -72,29 +72,29 @@
 }
 
 #[test]
-fn text_that_is_no_json_object_is_rejected() {
+fn text_that_is_not_a_json_object_is_rejected() {
     for text in ["", "{", "[]", "null"] {
         assert!(parse(text.as_bytes()).is_err(), "{text}");
     }
 }
 
-/// Guards the lines that operators read when a file is rejected.
+/// Guards the error lines for operators: each gives the key, and the class if there is one.
 #[test]
 fn an_error_names_the_key_and_the_class() {
     let error_of = |config: &Value| {
         let error = parse(config.to_string().as_bytes()).err();
-        error.expect("an error").to_string()
+        error.expect("the file is rejected").to_string()
     };
     assert_eq!(
         error_of(&with("/settings/classes/0/deadline_ns", json!(0))),
-        "settings: the deadline of lookup is not a positive number"
+        "settings: classes[].deadline_ns: the deadline of lookup is not a positive number"
     );
     assert_eq!(
         error_of(&with("/settings/classes/0/semantics", json!("perhaps"))),
-        "settings: classes[].semantics: unknown word \"perhaps\""
+        "settings: classes[].semantics: unknown value \"perhaps\""
     );
     assert_eq!(
         error_of(&with("/settings/classes/0/name", json!("report"))),
-        "settings: two classes have one name: report"
+        "settings: classes[].name: two classes have the name report"
     );
 }
