--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -154,7 +154,7 @@
 
 /// Notifies the process that transferred the connection that its client has disconnected.
 fn notify_predecessor(predecessor: &PredecessorLink) {
-    let message = HotRestartMessage::ClientGone {
+    let message = HotRestartMessage::ClientDisconnected {
         conn: predecessor.connection_number,
     };
     // A predecessor that has exited needs no notification.
