--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -243,7 +243,7 @@
     assert!(
         fleet
             .log(3)
-            .contains("reading the configuration and the list again"),
+            .contains("reloading the settings and the endpoint list"),
         "{}",
         fleet.log(3)
     );
