--- a/src/frontend/clickhouse/error.rs
+++ b/src/frontend/clickhouse/error.rs
@@ -1,10 +1,11 @@
-//! The errors of the ClickHouse interface: the HTTP status, and ClickHouse's code and name of each.
+//! The errors of the ClickHouse interface, each with its HTTP status and ClickHouse's error code and
+//! name.
 use crate::dispatcher::Failure;
 use crate::dispatcher::termination::Termination;
 use crate::http::ParseError;
 use thiserror::Error;
 
-/// An error that a client receives. Its `Display` is the text of the exception.
+/// An error that is sent to the client. `Display` writes the text of the exception.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum QueryError {
     #[error("the request is not HTTP/1.1")]
@@ -58,7 +59,7 @@
     pub(super) status: u16,
     /// ClickHouse's error code.
     pub(super) code: u32,
-    /// ClickHouse's name of that code.
+    /// ClickHouse's name of the error code.
     pub(super) name: &'static str,
 }
 
@@ -69,8 +70,8 @@
 }
 
 impl QueryError {
-    /// The status and ClickHouse's code. A query that failed may have run, so none of its statuses
-    /// is one at which client libraries retry by themselves.
+    /// The HTTP status and ClickHouse's error code. A query that failed may have run, so its status is
+    /// never one on which client libraries retry automatically.
     pub(super) fn report(self) -> ErrorReport {
         match self {
             QueryError::Malformed | QueryError::InvalidNumber | QueryError::InvalidUrl => {
--- a/src/frontend/clickhouse/format.rs
+++ b/src/frontend/clickhouse/format.rs
@@ -1,6 +1,6 @@
 //! The output formats of the ClickHouse interface.
 
-/// A format in which a client may request its rows.
+/// An output format that a client can request for its rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Format {
     TabSeparated,
@@ -9,7 +9,7 @@
 }
 
 impl Format {
-    /// The format with that name; the empty name stands for the default.
+    /// The format with this name; the empty name selects the default, `TabSeparated`.
     pub(super) fn from_name(name: &str) -> Option<Format> {
         match name {
             "" | "TabSeparated" | "TSV" => Some(Format::TabSeparated),
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Converts rows from the format in which engines deliver them: tabs between the columns, and
-    /// ClickHouse's escapes within them.
+    /// Converts rows from the format that engines deliver, `TabSeparated`: columns are separated by tabs,
+    /// and values contain ClickHouse's backslash escapes.
     pub(super) fn encode(self, rows: Vec<u8>) -> Vec<u8> {
         match self {
             Format::TabSeparated => rows,
@@ -49,7 +49,7 @@
 }
 
 fn encode_rows(rows: &[u8], write_row: fn(&mut Vec<u8>, &[u8])) -> Vec<u8> {
-    // Quotes and brackets add about a quarter to usual rows.
+    // Quotes and brackets make typical rows about a quarter longer.
     let mut encoded = Vec::with_capacity(rows.len() * 5 / 4);
     for row in rows.split_inclusive(|byte| *byte == b'\n') {
         write_row(&mut encoded, row.strip_suffix(b"\n").unwrap_or(row));
@@ -70,7 +70,7 @@
     }
 }
 
-/// Writes a CSV value in quotes, with the quotes in it doubled.
+/// Writes a CSV value in quotes, and doubles the quotes in it.
 fn write_quoted(encoded: &mut Vec<u8>, value: &[u8]) {
     encoded.push(b'"');
     for byte in value {
@@ -100,7 +100,7 @@
     row.split(|byte| *byte == b'\t')
 }
 
-/// A column's value without its escapes; `None` for NULL.
+/// The value of a column with its escapes decoded; `None` for NULL.
 fn unescape_column(column: &[u8]) -> Option<Vec<u8>> {
     if column == b"\\N" {
         return None;
@@ -116,7 +116,7 @@
     Some(value)
 }
 
-/// The byte that a backslash and this byte stand for.
+/// The byte that a backslash followed by this byte encodes.
 fn unescape_byte(escaped: u8) -> u8 {
     match escaped {
         b't' => b'\t',
--- a/src/frontend/clickhouse/mod.rs
+++ b/src/frontend/clickhouse/mod.rs
@@ -1,4 +1,5 @@
-//! The ClickHouse HTTP interface for clients: one query at a time on a persistent connection.
+//! The ClickHouse HTTP interface for clients. Connections are persistent, and each runs one query at a
+//! time.
 mod error;
 mod format;
 mod request;
@@ -19,13 +20,13 @@
 use response::Framing;
 use std::rc::Rc;
 
-/// A longer statement is rejected; in bytes.
+/// The maximum length of a statement, in bytes.
 const MAX_STATEMENT_BYTES: usize = 256 * 1024;
-/// Input that a client may send behind a query that is still open, in bytes.
+/// The maximum length of the input that a client may send behind an open query, in bytes.
 const MAX_PIPELINED_BYTES: usize = 64 * 1024;
-/// The Retry-After of a rejection without a better estimate.
+/// The Retry-After of a rejection for which no estimate exists.
 const DEFAULT_RETRY_AFTER: Micros = SEC;
-/// The page at `/` and `/ping`.
+/// The body of the responses at `/` and `/ping`.
 const PING_TEXT: &str = "Ok.\n";
 
 /// A request whose body is being read.
@@ -35,7 +36,7 @@
     body: Vec<u8>,
 }
 
-/// The query in flight on a connection: what its response depends on.
+/// The query in flight on a connection, with the data that its response needs.
 struct OpenQuery {
     tag: u64,
     query_id: String,
@@ -44,17 +45,17 @@
 }
 
 enum State {
-    /// Before a request's head, or within it.
+    /// Reading the head of a request, or waiting for one.
     Head,
-    /// Within a request's body.
+    /// Reading the body of a request.
     Body(PartialRequest),
     /// A query is in flight.
     Open(OpenQuery),
-    /// Nothing more is parsed: the connection is to be closed.
+    /// Nothing more is parsed, and the connection has to be closed.
     Closing,
 }
 
-/// A request that is rejected, and the query id that the response returns.
+/// Why a request is rejected, and the query id for the response.
 struct Rejection {
     error: QueryError,
     query_id: String,
@@ -76,13 +77,13 @@
     input: InputBuffer,
     state: State,
     last_tag: u64,
-    /// Requests that were read to their end, valid or not.
+    /// The number of requests that were read completely, valid or not.
     complete_requests: u64,
     has_valid_message: bool,
 }
 
 impl ClickHouse {
-    /// A new connection with that number.
+    /// The state of a new connection with this number.
     pub fn new(connection: u64, shared: Rc<ClickHouseShared>) -> ClickHouse {
         ClickHouse {
             connection,
@@ -95,8 +96,8 @@
         }
     }
 
-    /// Parses the buffered input until a query is in flight or more input is needed, and updates
-    /// the start of the incomplete request.
+    /// Parses the buffered input until a query is in flight or more input is needed, and updates the
+    /// start time of the incomplete request.
     fn parse(&mut self, now: Micros, events: &mut Vec<FrontendEvent>, output: &mut Vec<u8>) {
         let complete_before = self.complete_requests;
         while self.parse_part(now, events, output) {}
@@ -109,7 +110,7 @@
         self.input.update_message_start(now, completed, incomplete);
     }
 
-    /// Parses a head or a body; returns whether there may be more to parse.
+    /// Parses a head or a body. Returns whether there may be more to parse.
     fn parse_part(
         &mut self,
         now: Micros,
@@ -146,8 +147,8 @@
             return Err(QueryError::Malformed);
         }
         let framing = head.body_framing(Body::Length(0))?;
-        // A long body is rejected before its bytes are read, and before the client is invited to
-        // send them.
+        // A body that is too long is rejected before it is read, and before `100 Continue` would make the
+        // client send it.
         if matches!(framing, Body::Length(length) if length > MAX_STATEMENT_BYTES as u64) {
             return Err(QueryError::StatementTooLong);
         }
@@ -161,7 +162,8 @@
         }))
     }
 
-    /// Reads on in a body, and handles its request once it is complete; returns whether it is.
+    /// Reads the next part of a body, and handles the request once the body is complete. Returns whether
+    /// it is complete.
     fn parse_body(
         &mut self,
         now: Micros,
@@ -190,8 +192,7 @@
         }
     }
 
-    /// Rejects what cannot be parsed, and parses nothing more: the start of the next request is not
-    /// known.
+    /// Writes an error response and stops parsing, because the start of the next request is unknown.
     fn reject_and_close(&mut self, error: QueryError, output: &mut Vec<u8>) {
         let retry_after = (error == QueryError::OutOfMemory).then_some(DEFAULT_RETRY_AFTER);
         response::write_error(output, error, "", false, retry_after);
@@ -354,7 +355,8 @@
             Response::Failed(failure) => {
                 response::write_error(output, failure.into(), query_id, keep_alive, None);
             }
-            // Only a transferred connection gets one, and this frontend transfers none.
+            // Only transferred connections get preformatted responses, and connections of this frontend are
+            // not transferred.
             Response::Preformatted(_) => {}
         }
         self.state = state_after_response(keep_alive);
@@ -379,13 +381,14 @@
 
     fn stop_reading(&mut self, reason: DisconnectReason, output: &mut Vec<u8>) {
         match &mut self.state {
-            // Requests behind an open query are dropped; the connection ends after its response.
+            // Requests behind an open query are discarded; the connection closes after the query's
+            // response.
             State::Open(query) => {
                 query.framing.keep_alive = false;
                 self.input.discard_message();
                 return;
             }
-            // The client has its error already.
+            // The client has already received an error, or its last response.
             State::Closing => return self.input.discard_message(),
             State::Head | State::Body(_) => {}
         }
--- a/src/frontend/clickhouse/request.rs
+++ b/src/frontend/clickhouse/request.rs
@@ -1,22 +1,22 @@
-//! The head of an HTTP request: the parameters, the user's credentials, and the settings in it.
+//! Extracts the parameters, credentials and settings from the head of an HTTP request.
 use super::error::QueryError;
 use super::format::Format;
 use crate::http::Head;
 use base64::prelude::{BASE64_STANDARD, Engine as _};
 
-/// The user of a request that names none.
+/// The user of a request that does not name one.
 const DEFAULT_USER: &str = "default";
-/// The database that counts as none.
+/// The database name that is treated like no database.
 const DEFAULT_DATABASE: &str = "default";
 /// The head of an HTTP request, and the parameters of its URL.
 pub(super) struct RequestHead<'a> {
     pub(super) head: &'a Head,
-    /// Names and values, decoded.
+    /// Names and values of the URL's parameters, decoded.
     pub(super) parameters: &'a [(String, String)],
 }
 
 impl<'a> RequestHead<'a> {
-    /// The first URL parameter with that name.
+    /// The first URL parameter with this name.
     pub(super) fn parameter(&self, name: &str) -> Option<&'a str> {
         self.parameters
             .iter()
@@ -24,7 +24,7 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// The URL parameter as a number; zero counts as not set, as in ClickHouse.
+    /// The URL parameter as a number. Zero is treated as not set, as in ClickHouse.
     pub(super) fn numeric_parameter(&self, name: &str) -> Result<Option<f64>, QueryError> {
         let Some(text) = self.parameter(name) else {
             return Ok(None);
@@ -66,7 +66,7 @@
     }
 }
 
-/// How a user authenticates.
+/// The credentials of a request.
 pub(super) struct Credentials {
     pub(super) user: String,
     pub(super) key: String,
--- a/src/frontend/clickhouse/response.rs
+++ b/src/frontend/clickhouse/response.rs
@@ -1,22 +1,22 @@
-//! The formatting of HTTP responses.
+//! Formatting of HTTP responses.
 use super::error::QueryError;
 use super::format::Format;
 use crate::clock::{Micros, SEC};
 
-/// Headers of every response except the one to HEAD.
+/// Headers of every response except those to HEAD requests.
 const SERVER_HEADERS: &str =
     "X-ClickHouse-Server-Display-Name: yokelift\r\nX-ClickHouse-Timezone: UTC\r\n";
-/// The size of one chunk of a response, in bytes.
+/// The maximum size of a chunk of a response, in bytes.
 const CHUNK_BYTES: usize = 32 * 1024;
-/// A query id is returned up to this length, in characters.
+/// The length to which a returned query id is truncated, in characters.
 const MAX_QUERY_ID_CHARS: usize = 256;
 
-/// How a response ends on the connection.
+/// How a response is framed, and whether the connection is kept open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Framing {
     /// The connection stays open after the response.
     pub(super) keep_alive: bool,
-    /// The client understands chunked transfer coding (HTTP/1.1).
+    /// The client supports the chunked transfer coding (HTTP/1.1).
     pub(super) chunked: bool,
 }
 
@@ -24,7 +24,7 @@
     if keep_alive { "keep-alive" } else { "close" }
 }
 
-/// Formats a response with a short text.
+/// Formats a successful response with a text body.
 pub(super) fn write_text(output: &mut Vec<u8>, keep_alive: bool, text: &str) {
     write_head(output, 200, keep_alive, "");
     let length = text.len();
@@ -33,7 +33,7 @@
     output.extend_from_slice(rest.as_bytes());
 }
 
-/// Formats the response to a HEAD request for a page whose text has `length` bytes.
+/// Formats the response to a HEAD request for a resource whose body has `length` bytes.
 pub(super) fn write_head_only(output: &mut Vec<u8>, keep_alive: bool, length: usize) {
     let connection = connection_token(keep_alive);
     let text =
@@ -41,7 +41,7 @@
     output.extend_from_slice(text.as_bytes());
 }
 
-/// Formats the response to a query that completed, from rows as engines deliver them.
+/// Formats the response to a completed query from rows in the format that engines deliver.
 pub(super) fn write_rows(
     output: &mut Vec<u8>,
     framing: Framing,
@@ -68,8 +68,8 @@
     }
 }
 
-/// Writes a body in chunks: a client can tell from the missing last chunk that a connection ended
-/// within the response.
+/// Writes a body in chunks. If the connection ends within the response, the client detects it by the
+/// missing last chunk.
 fn write_chunked(output: &mut Vec<u8>, body: &[u8]) {
     output.extend_from_slice(b"Transfer-Encoding: chunked\r\n\r\n");
     for chunk in body.chunks(CHUNK_BYTES) {
@@ -80,7 +80,7 @@
     output.extend_from_slice(b"0\r\n\r\n");
 }
 
-/// Formats an error response; with `retry_after` it says when to retry, in whole seconds.
+/// Formats an error response. `retry_after` is rounded up to whole seconds, and at least one.
 pub(super) fn write_error(
     output: &mut Vec<u8>,
     error: QueryError,
@@ -107,7 +107,7 @@
     output.extend_from_slice(rest.as_bytes());
 }
 
-/// Writes the status line and the headers that responses have in common.
+/// Writes the status line and the headers that all responses share.
 fn write_head(output: &mut Vec<u8>, status: u16, keep_alive: bool, query_id: &str) {
     let reason = reason_phrase(status);
     let connection = connection_token(keep_alive);
@@ -120,8 +120,8 @@
     }
 }
 
-/// A client's text as the value of a header: without control characters, which could end the
-/// header.
+/// Makes a text from the client safe as a header value: removes control characters, which could end the
+/// header, and truncates the text to [`MAX_QUERY_ID_CHARS`].
 fn header_value(text: &str) -> String {
     text.chars()
         .filter(|character| !character.is_control())
--- a/src/frontend/clickhouse/service.rs
+++ b/src/frontend/clickhouse/service.rs
@@ -1,5 +1,5 @@
-//! What all connections of the ClickHouse interface share, and how it turns an HTTP request into a
-//! query: authentication, the class, and the limits.
+//! The state that all connections of the ClickHouse interface share, and the conversion of an HTTP
+//! request to a query: authentication, class and limits.
 use super::MAX_STATEMENT_BYTES;
 use super::error::QueryError;
 use super::format::Format;
@@ -11,32 +11,32 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The deadline of a class that has none configured.
+/// The deadline of a class without a configured one.
 const FALLBACK_DEADLINE: Micros = SEC;
-/// The limit on `max_execution_time`, in seconds; it keeps the conversion within range.
+/// The limit on `max_execution_time`, in seconds. It keeps the conversion to microseconds in range.
 const MAX_EXECUTION_SECONDS: f64 = 1e6;
 const BYTES_PER_MB: u32 = 1 << 20;
 
-/// What all connections of this frontend share.
+/// The state that all connections of this frontend share.
 pub struct ClickHouseShared {
     /// Which statements belong to which class.
     pub class_rules: RefCell<ClassRules>,
     /// Which users belong to which tenant.
     pub users: RefCell<Users>,
-    /// By class: how long its clients wait at most, over all attempts.
+    /// By class: the maximum time of a request over all attempts.
     pub class_deadlines: RefCell<Vec<Micros>>,
     /// By class: whether it is a load class, whose statements write.
     pub load_classes: RefCell<Vec<bool>>,
-    /// Whether all engines of the pool know databases, and not qualified names only.
+    /// Whether all engines of the pool support a default database, and not only qualified names.
     pub supports_databases: Box<dyn Fn() -> bool>,
-    /// Whether connections are being closed, so that each response announces the end of its
+    /// Whether client connections are being closed, so that each response announces the end of its
     /// connection.
     pub is_draining: Box<dyn Fn() -> bool>,
-    /// Makes an identifier for a request: 16 hex digits, unique.
+    /// Generates a unique identifier for a request: 16 hex digits.
     pub new_request_id: Box<dyn Fn() -> String>,
 }
 
-/// A query, as the request for the dispatcher, and what its response depends on.
+/// A query as a request for the dispatcher, with the data that its response needs.
 pub(super) struct ParsedQuery {
     pub(super) request: ClientRequest,
     pub(super) query_id: String,
@@ -64,8 +64,8 @@
             .class_rules
             .borrow()
             .class(&credentials.user, &statement);
-        // Any statement may come by POST. GET is for statements that only read, since caches and
-        // proxies treat it so.
+        // POST is allowed for all statements. GET is allowed only for statements that read, because
+        // caches and proxies treat it as a read.
         if request_head.head.start_line[0] == "GET" && self.is_load_class(class) {
             return Err(QueryError::WriteNeedsPost);
         }
@@ -119,7 +119,7 @@
             .unwrap_or(false)
     }
 
-    /// How long the client waits: the class's deadline, or less if the request says so.
+    /// The time limit of a request: the class's deadline, or `max_execution_time` if that is shorter.
     fn time_limit(
         &self,
         class: ClassId,
@@ -141,7 +141,7 @@
     }
 }
 
-/// The statement: it begins in the URL and continues in the body.
+/// The statement: the URL's `query` parameter followed by the body.
 fn statement(request_head: &RequestHead<'_>, body: Vec<u8>) -> Result<Vec<u8>, QueryError> {
     let in_url = request_head.parameter("query").unwrap_or_default();
     let mut statement = in_url.as_bytes().to_vec();
--- a/src/frontend/jsonrpc/error.rs
+++ b/src/frontend/jsonrpc/error.rs
@@ -1,33 +1,33 @@
-//! The errors of the platform's protocol: their codes and texts.
+//! The errors of the platform's client protocol: their codes and texts.
 use crate::clock::{MS, Micros};
 use thiserror::Error;
 
-/// The client's request was rejected before it ran: a retry is harmless.
+/// The request was rejected before it ran, so a retry cannot run it twice.
 pub(super) const REJECTED: i64 = -32050;
 /// The request failed, possibly after it ran.
 pub(super) const FAILED: i64 = -32051;
 /// The request's deadline passed.
 pub(super) const DEADLINE_EXCEEDED: i64 = -32052;
-/// JSON-RPC 2.0: the text is not JSON.
+/// JSON-RPC 2.0: the message is not valid JSON.
 pub(super) const PARSE_ERROR: i64 = -32700;
-/// JSON-RPC 2.0: the JSON is not a request.
+/// JSON-RPC 2.0: the JSON is not a valid request.
 pub(super) const INVALID_REQUEST: i64 = -32600;
-/// JSON-RPC 2.0: there is no such method, which is the name of a class here.
+/// JSON-RPC 2.0: the method is unknown. In this protocol the method names a class.
 pub(super) const METHOD_NOT_FOUND: i64 = -32601;
-/// JSON-RPC 2.0: the parameters cannot be used.
+/// JSON-RPC 2.0: the parameters are invalid.
 pub(super) const INVALID_PARAMS: i64 = -32602;
 
-/// The Retry-After of a message that this frontend rejects for lack of capacity.
+/// The Retry-After of a message that this frontend rejects because a limit is reached.
 const CAPACITY_RETRY_AFTER: Micros = 100 * MS;
 
-/// Why this frontend rejects a message itself. The texts go to the client.
+/// Why this frontend itself rejects a message. The texts are sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum MessageError {
     #[error("no batches")]
     Batch,
     #[error("not a message")]
     NotJson,
-    /// It is JSON, but has not the form of a request.
+    /// The message is JSON, but does not have the structure of a request.
     #[error("not a message")]
     NotARequest,
     #[error("not JSON-RPC 2.0")]
@@ -82,7 +82,8 @@
         }
     }
 
-    /// When a retry makes sense; every rejection for lack of capacity says so.
+    /// After which time the client should retry. Every rejection because of a limit has one; other errors
+    /// have none.
     pub(super) fn retry_after(self) -> Option<Micros> {
         (self.code() == REJECTED).then_some(CAPACITY_RETRY_AFTER)
     }
--- a/src/frontend/jsonrpc/mod.rs
+++ b/src/frontend/jsonrpc/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's protocol for clients: JSON-RPC 2.0 over TCP, one message per line, with several
-//! requests open on a connection.
+//! The platform's client protocol: JSON-RPC 2.0 over TCP with one message per line. A connection can
+//! have several open requests.
 mod error;
 mod request;
 mod response;
@@ -18,38 +18,39 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// A longer line ends the connection; in bytes.
+/// The maximum length of a line, in bytes. A longer line closes the connection.
 const MAX_LINE_BYTES: usize = 256 * 1024;
-/// Requests that may be open on a connection.
+/// The maximum number of open requests per connection.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// The method that asks whether the gateway is ready.
+/// The method that queries whether the gateway is ready.
 const STATUS_METHOD: &str = "status";
 /// The method that cancels a request.
 const CANCEL_METHOD: &str = "withdraw";
-/// Every line that holds a cancellation contains these bytes.
+/// Every line with a cancellation contains these bytes.
 const CANCEL_MARKER: &[u8] = b"\"withdraw\"";
 
 /// One client connection.
 pub struct JsonRpc {
     connection: u64,
     names: LiveNames,
-    /// Whether this process is ready to serve.
+    /// Returns whether this process is ready for requests.
     is_ready: Rc<dyn Fn() -> bool>,
     input: InputBuffer,
-    /// The offset in `input` up to which there is no end of a line.
+    /// The number of bytes at the start of `input` that are known to contain no line feed.
     scanned_bytes: usize,
-    /// Tags of the requests in flight here.
+    /// Tags of the requests in flight in this process.
     open_tags: BTreeSet<u64>,
-    /// Tags of the requests in flight at the process that transferred this connection.
+    /// Tags of the requests in flight in the predecessor, which transferred this connection.
     open_at_predecessor: BTreeSet<u64>,
     has_valid_message: bool,
     parsed_messages: u64,
-    /// Nothing more is parsed: the connection ends once the open requests have their responses.
+    /// Nothing more is parsed, and the connection is closed once the open requests have their responses.
     closing: bool,
 }
 
 impl JsonRpc {
-    /// A new connection with that number; `is_ready` answers its readiness queries.
+    /// The state of a new connection with this number. `is_ready` returns whether this process is ready,
+    /// for the connection's readiness queries.
     pub fn new(connection: u64, names: LiveNames, is_ready: Rc<dyn Fn() -> bool>) -> JsonRpc {
         JsonRpc {
             connection,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Continues, on a new connection, one that another process transferred at `now`.
+    /// Resumes a connection that the predecessor transferred at `now`, from the initial state `new`.
     pub fn resume(now: Micros, state: &TransferredConnection, new: JsonRpc) -> JsonRpc {
         JsonRpc {
             open_at_predecessor: state.open_requests.iter().copied().collect(),
@@ -75,20 +76,20 @@
         }
     }
 
-    /// Rejects a message.
+    /// Writes the error response to a message.
     fn reject(&mut self, output: &mut Vec<u8>, id: &Value, cause: MessageError) {
         response::write_message_error(output, id, cause);
     }
 
-    /// Rejects what is not a message, and parses nothing more: input of another protocol has no
-    /// boundaries to resume at.
+    /// Rejects input that is not a message, and stops parsing: input of another protocol has no message
+    /// boundary at which parsing could resume.
     fn reject_and_close(&mut self, output: &mut Vec<u8>, cause: MessageError) {
         self.reject(output, &Value::Null, cause);
         self.input.discard_message();
         self.closing = true;
     }
 
-    /// Handles each complete line of the input, and returns whether there was any.
+    /// Handles each complete line of the input. Returns whether there was at least one.
     fn handle_lines(
         &mut self,
         now: Micros,
@@ -161,8 +162,7 @@
                     let response = response_for_metrics(cause);
                     events.push(FrontendEvent::RequestRejected { class, response });
                 }
-                // The error of a second request under an open id must not be taken for the response
-                // to the first one.
+                // An error with the id of an open request would be taken for that request's response.
                 let id_in_use = id.as_u64().is_some_and(|tag| self.is_open(tag));
                 let error_id = if id_in_use { &Value::Null } else { &id };
                 self.reject(output, error_id, cause);
@@ -195,8 +195,8 @@
         Params::parse(params)?.into_request(now, origin, class, &self.names.borrow())
     }
 
-    /// Cancels an open request. A request that is not open is no error: its response may have
-    /// crossed the cancellation. No response follows.
+    /// Cancels an open request, to which no response follows. It is not an error if the request is not
+    /// open: its response may have been sent before the cancellation arrived.
     fn cancel(&mut self, message: &Message, events: &mut Vec<FrontendEvent>) {
         let Some(tag) = message.cancelled_tag() else {
             return;
@@ -213,7 +213,7 @@
     }
 }
 
-/// How the class's metrics classify a request that this frontend rejected.
+/// The response as which the class's metrics count a request that this frontend rejected.
 fn response_for_metrics(cause: MessageError) -> Response {
     if cause.code() == error::REJECTED {
         Response::Rejected(None)
@@ -266,7 +266,7 @@
         {
             let line_end = line_start + length;
             let line = &deferred[line_start..line_end];
-            // The first line may have begun in the input that is not deferred.
+            // The first line may have started in the input that is not deferred.
             let joined_line;
             let line = if line_start == 0 {
                 joined_line = [self.input.bytes(), line].concat();
@@ -292,7 +292,7 @@
         _events: &mut Vec<FrontendEvent>,
         output: &mut Vec<u8>,
     ) {
-        // No response is due to a request that was cancelled meanwhile.
+        // A request that has been cancelled gets no response.
         if self.open_tags.remove(&tag) || self.open_at_predecessor.remove(&tag) {
             response::write_response(output, &Value::from(tag), response);
         }
@@ -303,8 +303,8 @@
     }
 
     fn transfer_state(&self) -> Option<TransferredConnection> {
-        // A second transfer waits for the requests of the first: their predecessor would be out of
-        // reach for the new process.
+        // A second transfer has to wait until the requests of the first one have their responses: the new
+        // process would have no connection to the predecessor that runs them.
         let can_transfer = !self.closing && self.open_at_predecessor.is_empty();
         can_transfer.then(|| TransferredConnection {
             open_requests: self.open_tags.iter().copied().collect(),
@@ -327,7 +327,7 @@
 
     fn stop_reading(&mut self, reason: DisconnectReason, output: &mut Vec<u8>) {
         self.input.discard_message();
-        // The client has its error already.
+        // The client has already received an error.
         if self.closing {
             return;
         }
--- a/src/frontend/jsonrpc/request.rs
+++ b/src/frontend/jsonrpc/request.rs
@@ -1,4 +1,4 @@
-//! The parsing and validation of messages: from JSON to a request for the dispatcher.
+//! Parsing and validation of messages: from JSON to a request for the dispatcher.
 use super::error::MessageError;
 use crate::clock::{MS, Micros};
 use crate::config::process::Names;
@@ -10,11 +10,11 @@
 use serde_json::Value;
 use std::rc::Rc;
 
-/// The JSON-RPC version that messages have to name.
+/// The JSON-RPC version that each message has to state.
 const PROTOCOL_VERSION: &str = "2.0";
-/// A longer id is not returned to the client, and a longer idempotency key is invalid; in bytes.
+/// The maximum length of an id that is returned to the client, and of an idempotency key; in bytes.
 const MAX_ID_BYTES: usize = 64;
-/// The length of the client's name for a request, in hex digits.
+/// The length of the client's identifier for a request, in hex digits.
 const CLIENT_REQUEST_ID_DIGITS: usize = 16;
 
 /// A JSON-RPC message from a client.
@@ -32,8 +32,7 @@
 impl Message {
     /// Parses a line that is not blank.
     pub(super) fn parse(line: &[u8]) -> Result<Message, MessageError> {
-        // Batches are not supported, and an array must not pass for a message that lists its fields
-        // in order.
+        // Batches are not supported. serde would accept an array as a message with its fields in order.
         if line.trim_ascii_start().starts_with(b"[") {
             return Err(MessageError::Batch);
         }
@@ -50,7 +49,7 @@
         Ok(message)
     }
 
-    /// Parses a line as a cancellation; `None` if it is something else.
+    /// Parses a line as a cancellation; `None` if it is another message or invalid.
     pub(super) fn parse_cancellation(line: &[u8]) -> Option<Message> {
         let message: Message = serde_json::from_slice(line).ok()?;
         let is_cancellation =
@@ -58,7 +57,8 @@
         is_cancellation.then_some(message)
     }
 
-    /// The id as it may be returned to the client: null in place of one that is long or structured.
+    /// The id for the response: the id of the message if it is a number or a string of at most
+    /// [`MAX_ID_BYTES`], else null.
     pub(super) fn response_id(&self) -> Value {
         match &self.id {
             Some(id @ Value::Number(_)) => id.clone(),
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The tag of the request that a cancellation names.
+    /// The tag of the request that this message cancels.
     pub(super) fn cancelled_tag(&self) -> Option<u64> {
         let id = match &self.params {
             Value::Object(params) => params.get("id").or_else(|| params.get("rpc")),
@@ -78,7 +78,7 @@
     }
 }
 
-/// The parameters of a request, with the protocol's names for them.
+/// The parameters of a request. Renamed fields have other names in the protocol.
 #[derive(Deserialize)]
 pub(super) struct Params {
     #[serde(rename = "id")]
@@ -91,7 +91,7 @@
     work_estimate_ms: Option<f64>,
     #[serde(rename = "kb")]
     memory_mb: Option<f64>,
-    /// True or a positive count if the client repeats an earlier request.
+    /// True or a positive number if the request is a retry of an earlier one.
     #[serde(default)]
     retry: Value,
     #[serde(default, rename = "once")]
@@ -101,7 +101,7 @@
 }
 
 impl Params {
-    /// Parses and validates what does not depend on the configuration.
+    /// Parses the parameters, and validates those whose validity does not depend on the configuration.
     pub(super) fn parse(params: Value) -> Result<Params, MessageError> {
         let params: Params =
             serde_json::from_value(params).map_err(|_| MessageError::InvalidParams)?;
@@ -120,7 +120,7 @@
         Ok(params)
     }
 
-    /// The request for the dispatcher.
+    /// Converts the parameters to a request for the dispatcher, and validates the others.
     pub(super) fn into_request(
         self,
         now: Micros,
@@ -152,8 +152,8 @@
         })
     }
 
-    /// The idempotency key. Where a class has no keys the field is ignored, whatever it holds; for a
-    /// class with keys, one that cannot be forwarded to an engine unchanged is an error.
+    /// The idempotency key. A value that cannot be forwarded to an engine unchanged is an error for a
+    /// class with idempotency keys, and is ignored for other classes.
     fn idempotency_key(
         &self,
         class: ClassId,
@@ -167,7 +167,7 @@
         }
     }
 
-    /// The tenant; without configured tenants every request belongs to the first.
+    /// The tenant. If no tenants are configured, every request belongs to tenant 0.
     fn tenant_id(&self, names: &Names) -> Result<TenantId, MessageError> {
         if names.tenants.is_empty() {
             return Ok(TenantId(0));
@@ -194,8 +194,8 @@
     text.len() == CLIENT_REQUEST_ID_DIGITS && text.bytes().all(is_lower_hex)
 }
 
-/// Whether an idempotency key can be forwarded unchanged: the protocol of engines carries it as one
-/// token of a line.
+/// Whether an idempotency key can be forwarded unchanged: the engines' protocol transmits it as one token
+/// of a line.
 fn is_idempotency_key(key: &str) -> bool {
     let is_token =
         |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b':');
--- a/src/frontend/jsonrpc/response.rs
+++ b/src/frontend/jsonrpc/response.rs
@@ -1,4 +1,4 @@
-//! The formatting of responses: one JSON-RPC message per line.
+//! Formatting of responses: one JSON-RPC message per line.
 use super::error::{self, MessageError};
 use crate::clock::{MS, Micros};
 use crate::dispatcher::{Failure, Response};
@@ -10,7 +10,7 @@
     write_result(output, id, &json!({"green": ready}));
 }
 
-/// Formats the rejection of a message by the frontend itself.
+/// Formats the error response to a message that the frontend itself rejects.
 pub(super) fn write_message_error(output: &mut Vec<u8>, id: &Value, cause: MessageError) {
     write_error(
         output,
