--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -1,6 +1,6 @@
-//! The memory that an endpoint in the list costs, measured by a counting allocator at several sizes of
-//! the fleet: a handle, and what the decision module stores about it. Fails if an engine that nothing
-//! is sent to has a mailbox or a task of its own.
+//! The memory that a listed endpoint costs, measured by a counting allocator at several sizes of the
+//! fleet: its handle, and the state that the decision module stores about it. Fails if an engine without
+//! traffic has a mailbox or a task of its own.
 mod common;
 use async_channel::{bounded, unbounded};
 use common::test_settings;
@@ -16,13 +16,13 @@
 use yokelift::net::{Shared, sleep_until};
 use yokelift::testkit::coordinator::ready_endpoint;
 
-/// Bytes that are allocated now.
+/// The number of bytes currently allocated.
 static ALLOCATED: AtomicIsize = AtomicIsize::new(0);
 
-/// The system's allocator, with a count of the bytes.
+/// The system allocator, with a count of the allocated bytes.
 struct CountingAllocator;
 
-// SAFETY: every call is passed on to the system's allocator unchanged.
+// SAFETY: every call is forwarded to the system allocator unchanged.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATED.fetch_add(layout.size() as isize, Ordering::Relaxed);
@@ -47,7 +47,7 @@
     ready_endpoint(id, address)
 }
 
-/// The bytes that a gateway allocates for a full endpoint list of this many engines.
+/// The number of bytes that a gateway allocates for a full endpoint list with this many engines.
 fn allocated_for(engines: u32) -> isize {
     let shared = Shared::new(4_096, 1_024);
     let (dispatcher_events, received_events) = unbounded();
@@ -80,24 +80,31 @@
     };
     let executor = shared.executor.clone();
     let handles = async_io::block_on(executor.run(async {
-        updates.send(update).await.expect("the list's actor");
+        updates
+            .send(update)
+            .await
+            .expect("the endpoint list's actor runs");
         let Ok(DispatcherEvent::EndpointList(update)) = received_events.recv().await else {
             panic!("no endpoint list")
         };
         dispatcher.update_endpoints(1, update.kind, update.entries, &mut commands);
         commands.clear();
-        // A turn for actors that were started with the handles, if there are any.
+        // Lets actors run that were started with the handles, if there are any.
         sleep_until(Some(yokelift::clock::now() + 1)).await;
         update.new_endpoints
     }));
     assert_eq!(handles.len(), engines as usize);
-    assert_eq!(shared.engine_actors.get(), 0, "no engine has an actor");
+    assert_eq!(
+        shared.engine_actors.get(),
+        0,
+        "an engine without traffic has an actor"
+    );
     let allocated = allocated() - before;
     drop(handles);
     allocated
 }
 
-/// 64 MB have to suffice for 910 engines: less than 8 KB an engine, whatever the size of the list.
+/// 64 MB have to suffice for 910 engines: each costs less than 8 KB, regardless of the list's length.
 #[test]
 fn an_endpoint_without_traffic_costs_less_than_8_kb() {
     let at_100 = allocated_for(100);
@@ -109,10 +116,10 @@
         bytes_per_engine
             .iter()
             .all(|bytes| (1..8 * 1024).contains(bytes)),
-        "{at_100} {at_500} {at_900}: {bytes_per_engine:?} bytes an engine"
+        "{at_100} {at_500} {at_900}: {bytes_per_engine:?} bytes per engine"
     );
     assert!(
         bytes_per_engine[1] <= bytes_per_engine[0] * 5 / 4,
-        "grows with the fleet: {bytes_per_engine:?} bytes an engine"
+        "the cost per engine grows with the fleet: {bytes_per_engine:?} bytes"
     );
 }
--- a/tests/unit/admin.rs
+++ b/tests/unit/admin.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint's protocol: parsing of requests, error responses, and the metrics text.
+//! The admin endpoint's protocol: parsing of requests, error responses, and the text of the metrics.
 use super::*;
 use crate::dispatcher::metrics::{ClassMetrics, MetricsSnapshot};
 use crate::dispatcher::rejection::{RejectionCause, RejectionKey};
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_request_that_cannot_be_served_names_its_cause() {
+fn an_invalid_request_is_rejected_with_its_cause() {
     let too_long = [
         b"GET /ready HTTP/1.1\r\nX: ".as_slice(),
         &[b'a'; MAX_HEAD_BYTES],
@@ -64,7 +64,7 @@
     );
 }
 
-/// Operators' scrapers depend on these names.
+/// Guards the names on which operators' scrapers depend.
 #[test]
 fn each_metric_has_its_documented_name_and_kind() {
     let lookup = ClassMetrics {
@@ -100,7 +100,7 @@
     }
 }
 
-/// Guards operators against rejections without a reason.
+/// Guards against rejections that operators cannot attribute to a class, tenant and cause.
 #[test]
 fn rejections_are_published_by_class_tenant_and_cause() {
     let key = |tenant: Option<u16>, cause| RejectionKey {
@@ -125,6 +125,6 @@
         "app.rejections.lookup.-.frontend:2|c",
         "app.rejections.lookup.4.backlog_too_long:7|c",
     ] {
-        assert!(text.lines().any(|it| it == line), "{line}: {text}");
+        assert!(text.lines().any(|found| found == line), "{line}: {text}");
     }
 }
--- a/tests/unit/clickhouse.rs
+++ b/tests/unit/clickhouse.rs
@@ -1,5 +1,5 @@
-//! The ClickHouse interface without sockets: what a client receives, and how an engine's responses
-//! are classified, however the bytes are divided.
+//! The ClickHouse protocol of clients and of engines, without sockets: what a client receives, and how an
+//! engine's responses are classified, however their bytes are divided.
 use super::{ClickHouse, ClickHouseShared};
 use crate::backend::clickhouse::ClickHouse as EngineProtocol;
 use crate::backend::{BackendEvent, Protocol, ProtocolOutput};
@@ -13,23 +13,23 @@
 use quickcheck::{Gen, QuickCheck};
 use std::rc::Rc;
 
-/// The headers that authenticate a user of the deploy file.
+/// The headers that authenticate a user from the deploy file.
 const LOGIN: &str = "X-ClickHouse-User: area-cable\r\nX-ClickHouse-Key: change-me\r\n";
 
 fn owned(names: &[&str]) -> Vec<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// A connection with the users and class rules of the deploy file that is shipped.
+/// A connection with the users and class rules of the shipped deploy file.
 fn connection() -> ClickHouse {
     let deploy_file = include_str!("../../deploy/clickhouse.toml");
-    let deploy = clickhouse::parse(deploy_file).expect("the file that is shipped");
+    let deploy = clickhouse::parse(deploy_file).expect("the shipped deploy file");
     let names = Names {
         classes: owned(&["lookup", "report", "load"]),
         tenants: owned(&["billing-desk", "channel-desk"]),
         ..Names::default()
     };
-    let service = ClickHouseShared {
+    let shared = ClickHouseShared {
         class_rules: ClassRules::new(&deploy, &names).expect("classes").into(),
         users: Users::new(&deploy, &names).expect("users").into(),
         class_deadlines: vec![6 * SEC, 15 * SEC, 25 * SEC].into(),
@@ -38,10 +38,10 @@
         is_draining: Box::new(|| false),
         new_request_id: Box::new(|| "00ff".to_owned()),
     };
-    ClickHouse::new(9, Rc::new(service))
+    ClickHouse::new(9, Rc::new(shared))
 }
 
-/// What came of one step: the requests for the dispatcher, and the text for the client.
+/// The result of one step: the requests for the dispatcher, and the text for the client.
 struct Outcome {
     requests: Vec<ClientRequest>,
     text: String,
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_request_carries_the_statement_the_settings_and_the_session() {
+fn a_request_contains_the_statement_the_settings_and_the_session() {
     let mut frontend = connection();
 
     let outcome = feed(&mut frontend, &post_with_settings());
@@ -123,10 +123,10 @@
     assert!(text.contains("Query-Id: mine\r\n"), "{text}");
 }
 
-/// The class follows from the words outside comments and strings, and the client waits no longer
-/// than the class's own deadline.
+/// The class depends only on words outside comments and strings, and the class's deadline limits the
+/// client's `max_execution_time`.
 #[test]
-fn a_query_waits_no_longer_than_the_deadline_of_its_class() {
+fn the_deadline_of_its_class_limits_a_query() {
     let mut frontend = connection();
     let first = feed(&mut frontend, &post_with_settings());
     respond(
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn pipelined_requests_are_answered_in_order_each_once_however_they_are_divided() {
+fn pipelined_requests_get_one_response_each_in_order_however_they_are_divided() {
     fn divided_into_pieces(step: u8) -> bool {
         let input = [
             post("query_id=one", "SELECT 1"),
@@ -196,16 +196,17 @@
             requests.extend(outcome.requests);
             text += &outcome.text;
         }
-        let mut answered = 0;
-        while answered < requests.len() && frontend.open_requests() == 1 {
-            let tag = requests[answered].origin.tag;
+        let mut responded = 0;
+        while responded < requests.len() && frontend.open_requests() == 1 {
+            let tag = requests[responded].origin.tag;
             let outcome = respond(&mut frontend, tag, Response::Completed(Vec::new()));
             requests.extend(outcome.requests);
             text += &outcome.text;
-            answered += 1;
+            responded += 1;
         }
 
-        let positions = ["Query-Id: one", "Query-Id: two", "Ok.\n"].map(|answer| text.find(answer));
+        let positions =
+            ["Query-Id: one", "Query-Id: two", "Ok.\n"].map(|response| text.find(response));
         requests.len() == 2 && positions.iter().all(Option::is_some) && positions.is_sorted()
     }
     let mut check = QuickCheck::new()
@@ -217,8 +218,9 @@
 const CHUNKED_ROW: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\na\n\r\n";
 const LATE_EXCEPTION: &str = "Code: 241. DB::Exception: Memory limit exceeded\n";
 
-/// Responses of an engine, up to the end of its connection, and how each ends the attempt; `None`
-/// leaves that to the end of the connection.
+/// Responses of an engine, each followed by the end of its connection, with the termination of the
+/// attempt that each causes. `None` if the response ends no attempt, and only the close of the connection
+/// does.
 fn engine_responses() -> Vec<(String, Option<Termination>)> {
     let late_exception_chunk = format!("{:x}\r\n{LATE_EXCEPTION}\r\n", LATE_EXCEPTION.len());
     let complete = [
@@ -243,12 +245,12 @@
         "HTTP/1.1 503 X\r\nContent-Length: 18\r\n\r\nCode: 202. too man".to_owned(),
     ];
     let closed_before_a_response = String::new();
-    let ending = |termination| move |text| (text, Some(termination));
+    let with_termination = |termination| move |text| (text, Some(termination));
     complete
-        .map(ending(Termination::Done))
+        .map(with_termination(Termination::Done))
         .into_iter()
-        .chain(failed.map(ending(Termination::EngineError)))
-        .chain(rejected.map(ending(Termination::Rejected)))
+        .chain(failed.map(with_termination(Termination::EngineError)))
+        .chain(rejected.map(with_termination(Termination::Rejected)))
         .chain([(closed_before_a_response, None)])
         .collect()
 }
@@ -267,7 +269,8 @@
     }
 }
 
-/// Runs one attempt against an engine that sends `response` in pieces of `step` bytes and closes.
+/// Runs one attempt against an engine that sends `response` in pieces of `step` bytes and then closes the
+/// connection.
 fn run_attempt(response: &str, step: usize) -> Vec<BackendEvent> {
     let mut engine = EngineProtocol::new(Rc::default());
     let sent = String::from_utf8(engine.start_attempt(SEC, &attempt())).expect("text");
@@ -285,15 +288,15 @@
     output.events
 }
 
-/// Guards the rule against double execution on this protocol: only a 503 with code 202 says that
-/// the query did not run, and a partial response is no response.
+/// Guards the rule against double execution for this protocol: only a 503 with code 202 means that the
+/// query did not run, and a partial response does not count as a response.
 #[test]
 fn an_engines_response_ends_the_attempt_the_same_way_however_it_is_divided() {
     for (response, expected) in engine_responses() {
         for step in 1..=response.len().max(1) {
             let events = run_attempt(&response, step);
 
-            let endings: Vec<(Termination, &[u8])> = events
+            let attempt_ends: Vec<(Termination, &[u8])> = events
                 .iter()
                 .filter_map(|event| match event {
                     BackendEvent::AttemptEnded(end) => Some((end.termination, &end.rows[..])),
@@ -304,11 +307,11 @@
                 Some(Termination::Done) => b"a\n",
                 _ => b"",
             };
-            let expected_endings: Vec<(Termination, &[u8])> = expected
+            let expected_ends: Vec<(Termination, &[u8])> = expected
                 .map(|termination| (termination, expected_rows))
                 .into_iter()
                 .collect();
-            assert_eq!(endings, expected_endings, "{response}");
+            assert_eq!(attempt_ends, expected_ends, "{response}");
         }
     }
 }
--- a/tests/unit/http.rs
+++ b/tests/unit/http.rs
@@ -1,13 +1,14 @@
-//! Heads, bodies and URLs of HTTP/1.1 messages.
+//! Parsing of the heads, bodies and URLs of HTTP/1.1 messages.
 use super::*;
 use quickcheck::{Gen, QuickCheck};
 
-/// A body is read the same however its bytes are split, and is complete only with its last byte.
+/// Guards against a body whose content depends on how the network splits its bytes, or that is reported
+/// as complete before its last byte.
 #[test]
-fn chunked_bodies_are_read_the_same_however_they_are_split() {
+fn chunked_bodies_parse_identically_however_they_are_split() {
     fn split_anywhere(parts: Vec<Vec<u8>>, step: u8) -> bool {
         let mut wire = Vec::new();
-        for part in parts.iter().filter(|p| !p.is_empty()) {
+        for part in parts.iter().filter(|part| !part.is_empty()) {
             wire.extend_from_slice(format!("{:x};x=y\r\n", part.len()).as_bytes());
             wire.extend_from_slice(part);
             wire.extend_from_slice(b"\r\n");
@@ -44,8 +45,8 @@
     let (parsed, length) = parse_head(text).unwrap().unwrap();
     assert_eq!(&text[length..], b"rest");
     assert_eq!(parsed.field("x-clickhouse-user"), Some("u"));
-    let (path, pairs) = parse_target(&parsed.start_line[1]).unwrap();
-    assert_eq!((path, pairs[0].1.as_str()), ("/", "SELECT 1 x"));
+    let (path, parameters) = parse_target(&parsed.start_line[1]).unwrap();
+    assert_eq!((path, parameters[0].1.as_str()), ("/", "SELECT 1 x"));
     assert_eq!(parse_head(&text[..20]), Ok(None));
     assert_eq!(
         parse_head(b"GET / HTTP/1.1\r\nno colon\r\n\r\n"),
--- a/tests/unit/jsonrpc.rs
+++ b/tests/unit/jsonrpc.rs
@@ -1,5 +1,5 @@
-//! The platform's protocol for clients, without sockets: the parser behaves the same however its
-//! input is divided.
+//! The platform's client protocol, without sockets: parsing however the input is divided, the limits of
+//! a connection, idempotency keys, and error responses.
 use super::*;
 use crate::clock::MS;
 use crate::config::process::Names;
@@ -9,7 +9,7 @@
 use quickcheck::{Gen, QuickCheck};
 use serde_json::json;
 
-const STATEMENT_CLIENT_ID: &str = "9b1f03aa5c7e2d41";
+const CLIENT_REQUEST_ID: &str = "9b1f03aa5c7e2d41";
 const IDEMPOTENCY_KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
 fn owned(names: &[&str]) -> Vec<String> {
@@ -30,7 +30,7 @@
     )
 }
 
-/// The same where requests of the class `load` have idempotency keys.
+/// The same connection, with idempotency keys for requests of the class `load`.
 fn connection_with_keyed_load() -> JsonRpc {
     let frontend = connection();
     let names = Names {
@@ -59,14 +59,14 @@
     }
 }
 
-/// What came of one input.
+/// The events and the output that parsing produced so far.
 #[derive(Default)]
-struct Fed {
+struct FeedOutcome {
     events: Vec<FrontendEvent>,
     output: Vec<u8>,
 }
 
-impl Fed {
+impl FeedOutcome {
     fn feed(&mut self, frontend: &mut JsonRpc, input: &[u8]) {
         frontend
             .feed(MS, input, &mut self.events, &mut self.output)
@@ -97,7 +97,7 @@
 
 fn two_requests_a_cancellation_and_a_status_query() -> Vec<u8> {
     [
-        rpc_line(1, "lookup", STATEMENT_CLIENT_ID, "other", 1_500, "select 1"),
+        rpc_line(1, "lookup", CLIENT_REQUEST_ID, "other", 1_500, "select 1"),
         rpc_line(2, "load", "9b1f03aa5c7e2d42", "acme", 2_500, "insert 1"),
         b"{\"jsonrpc\":\"2.0\",\"method\":\"withdraw\",\"params\":{\"id\":1}}\n".to_vec(),
         b"{\"jsonrpc\":\"2.0\",\"id\":3,\"method\":\"status\"}\n".to_vec(),
@@ -106,20 +106,20 @@
 }
 
 #[test]
-fn messages_mean_the_same_however_they_are_divided_and_a_cancelled_request_gets_no_response() {
+fn messages_parse_identically_however_they_are_divided_and_a_cancelled_request_gets_no_response() {
     fn divided_into_pieces(step: u8) -> bool {
-        let (mut frontend, mut fed) = (connection(), Fed::default());
+        let (mut frontend, mut outcome) = (connection(), FeedOutcome::default());
 
         for piece in two_requests_a_cancellation_and_a_status_query().chunks(usize::from(step) + 1)
         {
-            fed.feed(&mut frontend, piece);
+            outcome.feed(&mut frontend, piece);
         }
 
         let [
             FrontendEvent::Request(first),
             FrontendEvent::Request(second),
             FrontendEvent::RequestCancelled { tag: 1 },
-        ] = &fed.events[..]
+        ] = &outcome.events[..]
         else {
             return false;
         };
@@ -130,7 +130,7 @@
             (second.tenant.0, &second.statement[..]),
             (0, &b"insert 1"[..])
         );
-        assert!(String::from_utf8_lossy(&fed.output).contains("\"green\":true"));
+        assert!(String::from_utf8_lossy(&outcome.output).contains("\"green\":true"));
 
         let to_cancelled = respond(&mut frontend, 1, Response::Completed(b"a\n".to_vec()));
         assert!(to_cancelled.is_empty() && frontend.open_requests() == 1);
@@ -150,22 +150,22 @@
 
 #[test]
 fn a_second_request_under_an_open_id_and_requests_beyond_the_limit_are_rejected() {
-    let (mut frontend, mut fed) = (connection(), Fed::default());
+    let (mut frontend, mut outcome) = (connection(), FeedOutcome::default());
 
     for id in (1..=33).chain([5]) {
-        fed.feed(&mut frontend, &lookup_line(id));
+        outcome.feed(&mut frontend, &lookup_line(id));
     }
 
-    assert_eq!(fed.requests().len(), 32);
-    assert_eq!(fed.error_codes(), vec![REJECTED, INVALID_REQUEST]);
+    assert_eq!(outcome.requests().len(), 32);
+    assert_eq!(outcome.error_codes(), vec![REJECTED, INVALID_REQUEST]);
 }
 
 #[test]
 fn requests_that_the_frontend_rejects_are_reported_under_their_class() {
-    let (mut frontend, mut fed) = (connection(), Fed::default());
+    let (mut frontend, mut outcome) = (connection(), FeedOutcome::default());
 
     for id in (1..=33).chain([5]) {
-        fed.feed(&mut frontend, &lookup_line(id));
+        outcome.feed(&mut frontend, &lookup_line(id));
     }
 
     let is_reported = |event: &&FrontendEvent| {
@@ -186,14 +186,18 @@
             }
         )
     };
-    assert_eq!(fed.events.iter().filter(is_reported).count(), 2);
+    assert_eq!(outcome.events.iter().filter(is_reported).count(), 2);
     assert_eq!(
-        fed.events.iter().filter(is_rejected_for_capacity).count(),
+        outcome
+            .events
+            .iter()
+            .filter(is_rejected_for_capacity)
+            .count(),
         1
     );
 }
 
-/// What the frontend makes of the idempotency key of one request.
+/// How the frontend handled the idempotency key of one request.
 #[derive(Debug, PartialEq)]
 struct KeyOutcome {
     /// The key of the forwarded request, if it was forwarded.
@@ -210,19 +214,19 @@
     }
 }
 
-/// Sends one request with that idempotency key, and a field that is not known.
+/// Sends one request with this idempotency key and an unknown field.
 fn request_with_key(class: &str, key: Value) -> KeyOutcome {
-    let line = rpc_line(1, class, STATEMENT_CLIENT_ID, "acme", 1_500, "insert 1");
+    let line = rpc_line(1, class, CLIENT_REQUEST_ID, "acme", 1_500, "insert 1");
     let mut message: Value = serde_json::from_slice(&line).expect("a message");
     message["params"]["once"] = key;
     message["params"]["what"] = json!("an unknown field");
-    let (mut frontend, mut fed) = (connection_with_keyed_load(), Fed::default());
+    let (mut frontend, mut outcome) = (connection_with_keyed_load(), FeedOutcome::default());
 
-    fed.feed(&mut frontend, format!("{message}\n").as_bytes());
+    outcome.feed(&mut frontend, format!("{message}\n").as_bytes());
 
-    let error: Option<Value> = serde_json::from_slice(&fed.output).ok();
+    let error: Option<Value> = serde_json::from_slice(&outcome.output).ok();
     KeyOutcome {
-        forwarded: fed
+        forwarded: outcome
             .requests()
             .first()
             .map(|request| request.idempotency_key.clone()),
@@ -266,7 +270,8 @@
     );
 }
 
-/// Clients and operators know the ends of attempts by these texts, whatever the code calls them.
+/// Clients and operators identify the ends of attempts by these texts, which must not change with the
+/// names in the code.
 #[test]
 fn failed_requests_have_the_documented_error_texts() {
     let texts = [
@@ -289,8 +294,8 @@
         (Termination::Dropped, "Dropped"),
     ];
     for (termination, text) in texts {
-        let (mut frontend, mut fed) = (connection(), Fed::default());
-        fed.feed(&mut frontend, &lookup_line(1));
+        let (mut frontend, mut outcome) = (connection(), FeedOutcome::default());
+        outcome.feed(&mut frontend, &lookup_line(1));
 
         let output = respond(
             &mut frontend,
@@ -305,8 +310,8 @@
     }
 }
 
-/// Guards a connection that a hot restart transferred: what its client was promised by the predecessor
-/// comes before the connection closes.
+/// Guards a connection that a hot restart transferred: invalid input must not close it before the
+/// responses to the predecessor's requests are written.
 #[test]
 fn a_connection_closes_after_the_responses_of_the_predecessor() {
     let state = TransferredConnection {
@@ -315,8 +320,8 @@
     };
     let mut frontend = JsonRpc::resume(MS, &state, connection());
     let (mut events, mut output) = (Vec::new(), Vec::new());
-    let fed = frontend.feed(MS, b"no message\n", &mut events, &mut output);
-    assert!(fed.is_ok() && !frontend.closes_after_output());
+    let result = frontend.feed(MS, b"no message\n", &mut events, &mut output);
+    assert!(result.is_ok() && !frontend.closes_after_output());
 
     let response = Response::Preformatted(b"{}\n".to_vec());
     frontend.write_response(MS, 5, response, &mut events, &mut output);
@@ -324,14 +329,15 @@
     assert!(frontend.closes_after_output());
 }
 
-/// Guards a client whose broken line came in two pieces: it gets one error line for it.
+/// Guards against a second error line when an invalid line arrives in two pieces and the message timeout
+/// follows.
 #[test]
-fn a_line_that_is_no_message_gets_one_error_however_late_its_end() {
+fn an_invalid_line_gets_one_error_however_late_its_end_arrives() {
     let mut frontend = connection();
     let (mut events, mut output) = (Vec::new(), Vec::new());
     for piece in [&b"no mess"[..], b"age\n"] {
-        let fed = frontend.feed(MS, piece, &mut events, &mut output);
-        assert!(fed.is_ok());
+        let result = frontend.feed(MS, piece, &mut events, &mut output);
+        assert!(result.is_ok());
     }
     assert_eq!(frontend.message_started_at(), None);
 
--- a/tests/unit/mutation.rs
+++ b/tests/unit/mutation.rs
@@ -1,7 +1,8 @@
-//! Recorded exchanges with one message mutated at a time, on the protocols of clients, engines and
-//! the coordinator: a message is dropped, duplicated, truncated, delayed beyond its deadline, has a
-//! bit flipped, or a number replaced by an extreme one. After each mutation, every attempt and every
-//! request ends at most once, and what else is open suffers at most the end of the connection.
+//! Recorded exchanges in which one message at a time is mutated, for the protocols of clients, engines and the
+//! coordinator: the message is dropped, duplicated, truncated, delayed beyond its deadline, has a bit
+//! flipped, or has a number replaced by an extreme one. After each mutation, every attempt and every
+//! request ends at most once, and others that are open are affected at most by the end of their
+//! connection.
 use crate::backend::connection_state::{ConnectionEvent, ConnectionState};
 use crate::backend::platform::Platform;
 use crate::clock::{MS, Micros, SEC};
@@ -51,11 +52,11 @@
     exchanges
 }
 
-/// What may arrive in place of a message.
+/// The deliveries that replace a message, one list for each mutation.
 fn mutations(message: &[u8]) -> Vec<Vec<Delivery>> {
-    let whole = Delivery::prompt(message.to_vec());
+    let unchanged = Delivery::prompt(message.to_vec());
     let dropped = vec![];
-    let duplicated = vec![whole.clone(), whole];
+    let duplicated = vec![unchanged.clone(), unchanged];
     let delayed = vec![Delivery::late(message.to_vec())];
     let mut mutations = vec![dropped, duplicated, delayed];
     let changed = truncations(message)
@@ -83,7 +84,7 @@
         .collect()
 }
 
-/// The message with each of its runs of digits replaced by each of the extremes.
+/// The message with each run of digits replaced by each extreme value.
 fn extreme_numbers(message: &[u8]) -> Vec<Vec<u8>> {
     let is_digit = |index: usize| message[index].is_ascii_digit();
     let starts =
@@ -100,7 +101,7 @@
     changed
 }
 
-/// An engine connection that has sent the attempts 0 to 3 and a probe.
+/// An engine connection that has sent attempts 0 to 3 and a probe.
 fn connection_with_attempts(now: Micros) -> ConnectionState<Platform> {
     let names = Names {
         streams: 8,
@@ -130,7 +131,8 @@
     }
 }
 
-/// Delivers an exchange to the connection, lets deadlines pass, and closes it.
+/// Delivers an exchange to the connection, advances the time past the deadlines, and closes the
+/// connection.
 fn engine_events(exchange: &[Delivery]) -> Vec<ConnectionEvent> {
     let mut now = SEC;
     let mut connection = connection_with_attempts(now);
@@ -150,7 +152,8 @@
     events
 }
 
-/// Only the engine's own statement clears an attempt that was written.
+/// Guards against double execution: an attempt that was written counts as not run only if the engine
+/// reports so.
 #[test]
 fn a_mutated_engine_message_ends_each_attempt_once() {
     let messages = [
@@ -162,40 +165,40 @@
     ]
     .map(|message| message.as_bytes().to_vec());
     for (number, exchange) in mutated_exchanges(&messages).iter().enumerate() {
-        let may_clear = exchange.iter().any(|delivery| {
+        let may_report_not_run = exchange.iter().any(|delivery| {
             let text = String::from_utf8_lossy(&delivery.message);
             text.contains("WAIT") || text.contains("PAST")
         });
 
         let events = engine_events(exchange);
 
-        let mut ends: BTreeMap<RequestId, usize> = BTreeMap::new();
+        let mut end_counts: BTreeMap<RequestId, usize> = BTreeMap::new();
         let mut probes = 0;
         for event in events {
             match event {
                 ConnectionEvent::AttemptEnded(result) => {
-                    check_end(number, &result, may_clear);
-                    *ends.entry(result.id).or_default() += 1;
+                    check_attempt_end(number, &result, may_report_not_run);
+                    *end_counts.entry(result.id).or_default() += 1;
                 }
                 ConnectionEvent::ProbeCompleted { .. } => probes += 1,
             }
         }
         let once_each = (0..4).map(|id| (RequestId(id), 1)).collect();
-        assert_eq!(ends, once_each, "{number}");
+        assert_eq!(end_counts, once_each, "{number}");
         assert_eq!(probes, 1, "{number}");
     }
 }
 
-/// Checks an attempt's end; attempt 3 is in none of the messages, so nothing clears it.
-fn check_end(number: usize, result: &AttemptResult, may_clear: bool) {
+/// Checks the end of an attempt. Attempt 3 is in none of the messages, so it never counts as not run.
+fn check_attempt_end(number: usize, result: &AttemptResult, may_report_not_run: bool) {
     assert_eq!(
         (result.attempt, result.progress),
         (AttemptNo(0), TransmitProgress::Complete),
         "{number}"
     );
-    let is_cleared = never_ran(outcome(result.termination, result.progress));
+    let counts_as_not_run = never_ran(outcome(result.termination, result.progress));
     assert!(
-        !is_cleared || (may_clear && result.id != RequestId(3)),
+        !counts_as_not_run || (may_report_not_run && result.id != RequestId(3)),
         "{number}: {result:?}"
     );
 }
@@ -210,25 +213,25 @@
     JsonRpc::new(1, names, Rc::new(|| true))
 }
 
-/// How often each id was answered in these lines, without the answers to readiness queries, which
-/// may come under any id.
-fn answers_by_id(lines: &str) -> BTreeMap<u64, usize> {
-    let mut answers = BTreeMap::new();
+/// The number of responses to each id in these lines. Responses to readiness queries are left out,
+/// because they may have any id.
+fn response_counts_by_id(lines: &str) -> BTreeMap<u64, usize> {
+    let mut response_counts = BTreeMap::new();
     for line in lines.lines() {
-        let answer: serde_json::Value = serde_json::from_str(line).expect("a JSON message");
-        let is_readiness = !answer["result"]["green"].is_null();
-        if let Some(id) = answer["id"].as_u64()
+        let response: serde_json::Value = serde_json::from_str(line).expect("a JSON message");
+        let is_readiness = !response["result"]["green"].is_null();
+        if let Some(id) = response["id"].as_u64()
             && !is_readiness
         {
-            *answers.entry(id).or_default() += 1;
+            *response_counts.entry(id).or_default() += 1;
         }
     }
-    answers
+    response_counts
 }
 
-/// The lines to the client are valid JSON, and no request stays open.
+/// The lines to the client are also valid JSON, and no request stays open.
 #[test]
-fn a_mutated_client_message_is_answered_at_most_once() {
+fn a_mutated_client_message_gets_at_most_one_response() {
     let messages = [
         rpc_line(1, "lookup", "9b1f03aa5c7e2d41", "acme", 1_500, "SELECT 1"),
         b"{\"jsonrpc\":\"2.0\",\"id\":2,\"method\":\"status\"}\n".to_vec(),
@@ -237,15 +240,15 @@
         rpc_line(4, "lookup", "9b1f03aa5c7e2d43", "acme", 1_500, "SELECT 3"),
     ];
     for (number, exchange) in mutated_exchanges(&messages).into_iter().enumerate() {
-        let mut front = json_rpc_frontend();
+        let mut frontend = json_rpc_frontend();
         let mut now = SEC;
         let mut events = Vec::new();
         let mut output = Vec::new();
         for Delivery { delay, message } in exchange {
             now += delay;
-            // Input that is deferred is scanned first; what the scan finds must not count twice.
-            front.scan_deferred_input(&message, 0, &mut events);
-            let _ = front.feed(now, &message, &mut events, &mut output);
+            // Deferred input is scanned first; a cancellation that the scan finds must not count twice.
+            frontend.scan_deferred_input(&message, 0, &mut events);
+            let _ = frontend.feed(now, &message, &mut events, &mut output);
         }
         let tags: Vec<u64> = events
             .iter()
@@ -255,28 +258,31 @@
             })
             .collect();
 
-        // Each request is answered twice, and the second answer must not be written.
+        // Each request gets two responses, and the second one must not be written.
         for tag in tags.iter().chain(&tags) {
             let response = Response::Rejected(Some(MS));
-            front.write_response(now, *tag, response, &mut Vec::new(), &mut output);
+            frontend.write_response(now, *tag, response, &mut Vec::new(), &mut output);
         }
 
         let text = String::from_utf8(output).expect("text");
-        let answers = answers_by_id(&text);
+        let response_counts = response_counts_by_id(&text);
         assert!(
             tags.iter()
-                .all(|tag| answers.get(tag).is_none_or(|count| *count == 1)),
+                .all(|tag| response_counts.get(tag).is_none_or(|count| *count == 1)),
             "{number}: {text}"
         );
         let cancellations = events
             .iter()
             .filter(|event| matches!(event, FrontendEvent::RequestCancelled { .. }))
             .count();
-        assert!(cancellations <= 1 && front.open_requests() == 0, "{number}");
+        assert!(
+            cancellations <= 1 && frontend.open_requests() == 0,
+            "{number}"
+        );
     }
 }
 
-/// A frame of the coordinator: its length, the index of the event, the kind, and records.
+/// A frame of the coordinator: its length, the event's index, its kind, and its records.
 fn coordinator_frame(index: u64, kind: u8, records: usize) -> Vec<u8> {
     const RECORD_BYTES: usize = 27;
     let length = 9 + (RECORD_BYTES * records) as u32;
@@ -287,7 +293,7 @@
     frame
 }
 
-/// After an error the watch resumes from the last event received.
+/// Guards against a watch that does not resume from the last event received after an error.
 #[test]
 fn a_mutated_coordinator_frame_never_decreases_the_watch_position() {
     let messages = [
@@ -298,13 +304,13 @@
         coordinator_frame(7, 2, 1),
     ];
     for (number, exchange) in mutated_exchanges(&messages).into_iter().enumerate() {
-        let mut follower = WatchReader::new(Rc::new(WatchPosition::after(3)));
-        let mut positions = vec![u64::from_be_bytes(follower.begin_connection())];
+        let mut watch_reader = WatchReader::new(Rc::new(WatchPosition::after(3)));
+        let mut positions = vec![u64::from_be_bytes(watch_reader.begin_connection())];
         for delivery in exchange {
-            match follower.receive(&delivery.message) {
+            match watch_reader.receive(&delivery.message) {
                 Ok(updates) => positions.extend(updates.into_iter().map(|update| update.index)),
                 Err(_) => {
-                    let resumed_from = u64::from_be_bytes(follower.begin_connection());
+                    let resumed_from = u64::from_be_bytes(watch_reader.begin_connection());
                     assert_eq!(Some(&resumed_from), positions.last(), "{number}");
                 }
             }
--- a/tests/unit/statement.rs
+++ b/tests/unit/statement.rs
@@ -1,4 +1,4 @@
-//! The group of tables of a statement.
+//! The table group of a statement, with strings, comments, quoted names and aliases in the statement.
 use super::table_group;
 
 #[test]
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -1,7 +1,7 @@
-//! Everything that leaves the process, byte for byte: datagrams between managers, votes, audit
-//! segments, the lines of a hot restart, handles, and the texts of the second address. The fixtures
-//! were written by the program as it was before the names in its code changed; old and new
-//! processes meet in one fleet and in one hot restart.
+//! Formats that leave the process, compared byte for byte with fixtures: datagrams between managers,
+//! lease messages, audit segments, the messages of a hot restart, handles, and the texts of the admin
+//! endpoint. The fixtures were written before identifiers in the code were renamed; processes from before
+//! and after that change run in one fleet and take part in one hot restart.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -28,8 +28,8 @@
 use yokelift::spool::{Owner, ResultId};
 use yokelift::testkit::daemon::Folder;
 
-/// No datagram of the fixtures is longer.
-const LONGEST_DATAGRAM: usize = 1_200;
+/// A limit that no datagram of the fixtures exceeds, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 fn fixture_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -42,10 +42,12 @@
     std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// The bytes of a fixture file with one `name hex` pair a line.
+/// Reads a fixture file with one `name hex` pair per line.
 fn fixture_bytes(name: &str) -> BTreeMap<String, Vec<u8>> {
     let parse = |line: &str| {
-        let (name, hex) = line.split_once(' ').expect("a name and its bytes");
+        let (name, hex) = line
+            .split_once(' ')
+            .expect("a name and a value in hex digits");
         let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
         (
             name.to_owned(),
@@ -59,7 +61,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Compares what is written today with a fixture file of `name hex` lines.
+/// Compares encoded messages with a fixture file of `name hex` lines.
 fn assert_writes(file: &str, written: &[(&str, Vec<u8>)]) {
     let text: String = written
         .iter()
@@ -86,12 +88,12 @@
     }
 }
 
-fn member(name: &str, port: u16, health: MemberState) -> MemberUpdate {
+fn member(name: &str, port: u16, state: MemberState) -> MemberUpdate {
     MemberUpdate {
         name: name.into(),
         addr: addr(port),
         incarnation: 1_700_000_000_000_001,
-        state: health,
+        state,
         versions: versions(),
     }
 }
@@ -103,7 +105,7 @@
         member("n3", 7003, MemberState::Dead),
         member("n4", 7004, MemberState::Left),
     ];
-    let kinds = [
+    let bodies = [
         ("ping", MessageBody::Ping(7)),
         ("ack", MessageBody::Ack(300)),
         (
@@ -123,30 +125,30 @@
             },
         ),
     ];
-    let message = |kind| Message {
+    let message = |body| Message {
         from: member("n0", 7000, MemberState::Alive),
-        body: kind,
+        body,
         gossip: gossip.clone(),
     };
-    kinds
+    bodies
         .into_iter()
-        .map(|(name, kind)| (name, message(kind)))
+        .map(|(name, body)| (name, message(body)))
         .collect()
 }
 
 #[test]
-fn membership_datagrams_are_read_and_written_as_before() {
+fn membership_datagrams_match_the_fixtures() {
     let messages = membership_messages();
     let written: Vec<_> = messages
         .iter()
-        .map(|(name, m)| (*name, member_wire::encode(m)))
+        .map(|(name, message)| (*name, member_wire::encode(message)))
         .collect();
     assert_writes("membership.hex", &written);
     let fixtures = fixture_bytes("membership.hex");
     assert_eq!(fixtures.len(), messages.len());
     for (name, message) in messages {
         assert_eq!(
-            member_wire::decode(&fixtures[name], LONGEST_DATAGRAM),
+            member_wire::decode(&fixtures[name], MAX_DATAGRAM_BYTES),
             Ok(message),
             "{name}"
         );
@@ -226,19 +228,19 @@
 }
 
 #[test]
-fn lease_datagrams_are_read_and_written_as_before() {
-    let letters = lease_messages();
-    let written: Vec<_> = letters
+fn lease_datagrams_match_the_fixtures() {
+    let messages = lease_messages();
+    let written: Vec<_> = messages
         .iter()
-        .map(|(name, l)| (*name, lease_wire::encode(l)))
+        .map(|(name, message)| (*name, lease_wire::encode(message)))
         .collect();
     assert_writes("lease.hex", &written);
     let fixtures = fixture_bytes("lease.hex");
-    assert_eq!(fixtures.len(), letters.len());
-    for (name, letter) in letters {
+    assert_eq!(fixtures.len(), messages.len());
+    for (name, message) in messages {
         assert_eq!(
-            lease_wire::decode(&fixtures[name], LONGEST_DATAGRAM),
-            Ok(letter),
+            lease_wire::decode(&fixtures[name], MAX_DATAGRAM_BYTES),
+            Ok(message),
             "{name}"
         );
     }
@@ -279,7 +281,7 @@
 }
 
 #[test]
-fn hot_restart_lines_are_read_and_written_as_before() {
+fn hot_restart_messages_match_the_fixture() {
     let messages = hot_restart_messages();
     let written: Vec<u8> = messages
         .iter()
@@ -293,7 +295,7 @@
     assert_eq!(read.expect("lines of this version"), messages);
 }
 
-fn under() -> DecisionContext {
+fn decision_context() -> DecisionContext {
     let configuration = ActiveConfiguration {
         generation: 3,
         settings: 0x0123_4567_89ab_cdef,
@@ -332,11 +334,11 @@
         },
     ];
     let record = |(at, kind): (usize, DecisionKind)| {
-        let of_request = matches!(
+        let belongs_to_request = matches!(
             kind,
             DecisionKind::Dispatch { .. } | DecisionKind::Reject { .. } | DecisionKind::Fail
         );
-        let (class, request) = if of_request {
+        let (class, request) = if belongs_to_request {
             ("lookup", "c-7")
         } else {
             ("", "")
@@ -351,37 +353,40 @@
         }
     };
     let records = kinds.into_iter().enumerate().map(record);
-    [Entry::from(&under())].into_iter().chain(records).collect()
+    [Entry::from(&decision_context())]
+        .into_iter()
+        .chain(records)
+        .collect()
 }
 
 #[test]
-fn audit_segments_are_read_and_written_as_before() {
-    let all = audit_entries();
-    let written: Vec<u8> = all.iter().flat_map(encode_frame).collect();
+fn audit_segments_match_the_fixture() {
+    let entries = audit_entries();
+    let written: Vec<u8> = entries.iter().flat_map(encode_frame).collect();
     assert_writes("audit_segment.hex", &[("segment", written)]);
     assert_eq!(
         decode_segment(&fixture_bytes("audit_segment.hex")["segment"]),
         SegmentContent {
-            entries: all,
+            entries,
             damaged_frames: 0,
         }
     );
 }
 
-/// The names of the files and the lines of `GET /audit`.
+/// Covers the names of the segment files and the lines of `GET /audit`.
 #[test]
-fn an_audit_page_has_the_same_lines_as_before() {
+fn an_audit_page_matches_the_fixture() {
     let folder = Folder::new().expect("a folder");
     let bounds = Bounds::default();
     let mut store = Store::open(&folder.path(""), "n0", bounds).expect("a store");
     let records = audit_entries().split_off(1);
     store
         .append(Batch {
-            context: under(),
+            context: decision_context(),
             first_number: 1,
             entries: records,
         })
-        .expect("kept");
+        .expect("the records are stored");
     let page = store
         .read(RecordPosition::default(), 1_000)
         .expect("a page");
@@ -399,7 +404,7 @@
 }
 
 #[test]
-fn handles_are_made_and_opened_as_before() {
+fn handles_match_the_fixture() {
     let owner = Owner {
         tenant: TenantId(3),
         user: "anna".into(),
@@ -413,7 +418,7 @@
     );
 }
 
-const ALL_ENDS: [Termination; 17] = [
+const ALL_TERMINATIONS: [Termination; 17] = [
     Termination::Done,
     Termination::Rejected,
     Termination::AlreadyFinished,
@@ -434,8 +439,8 @@
 ];
 
 #[test]
-fn the_counters_line_is_as_before() {
-    let ends = ALL_ENDS.into_iter().zip(1..).collect();
+fn the_counters_line_matches_the_fixture() {
+    let attempts_by_termination = ALL_TERMINATIONS.into_iter().zip(1..).collect();
     let counters = Counters {
         received: 100,
         completed: 90,
@@ -456,23 +461,23 @@
         responses_by_class: BTreeMap::new(),
         rejections: BTreeMap::new(),
         total_rejections: 0,
-        attempts_by_termination: ends,
+        attempts_by_termination,
     };
     assert_text("counters.txt", &format!("{counters}\n"));
 }
 
 #[test]
-fn metrics_are_as_before() {
-    let tally = |success| ClassMetrics {
+fn metrics_match_the_fixture() {
+    let class_metrics = |success| ClassMetrics {
         success,
         overload: 2,
         error: 1,
     };
-    let classes = [("load", tally(30)), ("lookup", tally(60))];
-    let figures = MetricsSnapshot {
+    let classes = [("load", class_metrics(30)), ("lookup", class_metrics(60))];
+    let snapshot = MetricsSnapshot {
         classes: classes
             .into_iter()
-            .map(|(name, tally)| (Rc::from(name), tally))
+            .map(|(name, class_metrics)| (Rc::from(name), class_metrics))
             .collect(),
         dispatches: 110,
         concurrent: 4,
@@ -484,7 +489,7 @@
         client_connections: 5,
         rejections: BTreeMap::new(),
     };
-    assert_text("metrics.txt", &admin::metrics_text(&figures));
+    assert_text("metrics.txt", &admin::metrics_text(&snapshot));
 }
 
 #[test]
