--- a/src/frontend/admin/mod.rs
+++ b/src/frontend/admin/mod.rs
@@ -26,11 +26,11 @@
     Undrain,
     /// `GET /fleet`: the members of the fleet in this gateway's view, one JSON object per line.
     Fleet,
-    /// `GET /duties`: the leases on the fleet's resources in this gateway's view, one JSON object per
-    /// line.
+    /// `GET /duties`: the leases on the fleet's resources in this gateway's view, one JSON object
+    /// per line.
     Leases,
-    /// `GET /audit?since=LIFE.NUMBER&most=N`: this gateway's decisions, and the context in which each
-    /// was made.
+    /// `GET /audit?since=LIFE.NUMBER&most=N`: this gateway's decisions, and the context in which
+    /// each was made.
     Audit {
         /// Only records after this position.
         since: RecordPosition,
@@ -45,7 +45,7 @@
     /// The input is not an HTTP/1.x request.
     #[error("this is no HTTP/1.1 request")]
     Malformed,
-    /// The head exceeds [`MAX_HEAD_BYTES`].
+    /// The head exceeds `MAX_HEAD_BYTES`.
     #[error("the head of the request is too long")]
     HeadTooLong,
     /// The request was not complete within its time limit.
@@ -124,7 +124,8 @@
     let head = match http::parse_head(&input[..input.len().min(MAX_HEAD_BYTES)]) {
         Ok(Some((head, _length))) => head,
         Ok(None) if input.len() >= MAX_HEAD_BYTES => return Err(RequestError::HeadTooLong),
-        // Input that cannot be the start of a request is rejected at once, not only at the time limit.
+        // Input that cannot be the start of a request is rejected at once, not only at the time
+        // limit.
         Ok(None) if input.first().is_some_and(|byte| !byte.is_ascii_uppercase()) => {
             return Err(RequestError::Malformed);
         }
--- a/src/frontend/clickhouse/error.rs
+++ b/src/frontend/clickhouse/error.rs
@@ -1,5 +1,5 @@
-//! The errors of the ClickHouse interface, each with its HTTP status and ClickHouse's error code and
-//! name.
+//! The errors of the ClickHouse interface, each with its HTTP status and ClickHouse's error code
+//! and name.
 use crate::dispatcher::Failure;
 use crate::dispatcher::termination::Termination;
 use crate::http::ParseError;
@@ -70,8 +70,8 @@
 }
 
 impl QueryError {
-    /// The HTTP status and ClickHouse's error code. A query that failed may have run, so its status is
-    /// never one on which client libraries retry automatically.
+    /// The HTTP status and ClickHouse's error code. A query that failed may have run, so its status
+    /// is never one on which client libraries retry automatically.
     pub(super) fn report(self) -> ErrorReport {
         match self {
             QueryError::Malformed | QueryError::InvalidNumber | QueryError::InvalidUrl => {
--- a/src/frontend/clickhouse/format.rs
+++ b/src/frontend/clickhouse/format.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Converts rows from the format that engines deliver, `TabSeparated`: columns are separated by tabs,
-    /// and values contain ClickHouse's backslash escapes.
+    /// Converts rows from the format that engines deliver, `TabSeparated`: columns are separated by
+    /// tabs, and values contain ClickHouse's backslash escapes.
     pub(super) fn encode(self, rows: Vec<u8>) -> Vec<u8> {
         match self {
             Format::TabSeparated => rows,
--- a/src/frontend/clickhouse/mod.rs
+++ b/src/frontend/clickhouse/mod.rs
@@ -1,5 +1,5 @@
-//! The ClickHouse HTTP interface for clients. Connections are persistent, and each runs one query at a
-//! time.
+//! The ClickHouse HTTP interface for clients. Connections are persistent, and each runs one query
+//! at a time.
 mod error;
 mod format;
 mod request;
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Parses the buffered input until a query is in flight or more input is needed, and updates the
-    /// start time of the incomplete request.
+    /// Parses the buffered input until a query is in flight or more input is needed, and updates
+    /// the start time of the incomplete request.
     fn parse(&mut self, now: Micros, events: &mut Vec<FrontendEvent>, output: &mut Vec<u8>) {
         let complete_before = self.complete_requests;
         while self.parse_part(now, events, output) {}
@@ -147,8 +147,8 @@
             return Err(QueryError::Malformed);
         }
         let framing = head.body_framing(Body::Length(0))?;
-        // A body that is too long is rejected before it is read, and before `100 Continue` would make the
-        // client send it.
+        // A body that is too long is rejected before it is read, and before `100 Continue` would
+        // make the client send it.
         if matches!(framing, Body::Length(length) if length > MAX_STATEMENT_BYTES as u64) {
             return Err(QueryError::StatementTooLong);
         }
@@ -162,8 +162,8 @@
         }))
     }
 
-    /// Reads the next part of a body, and handles the request once the body is complete. Returns whether
-    /// it is complete.
+    /// Reads the next part of a body, and handles the request once the body is complete. Returns
+    /// whether it is complete.
     fn parse_body(
         &mut self,
         now: Micros,
@@ -192,7 +192,8 @@
         }
     }
 
-    /// Writes an error response and stops parsing, because the start of the next request is unknown.
+    /// Writes an error response and stops parsing, because the start of the next request is
+    /// unknown.
     fn reject_and_close(&mut self, error: QueryError, output: &mut Vec<u8>) {
         let retry_after = (error == QueryError::OutOfMemory).then_some(DEFAULT_RETRY_AFTER);
         response::write_error(output, error, "", false, retry_after);
@@ -355,8 +356,8 @@
             Response::Failed(failure) => {
                 response::write_error(output, failure.into(), query_id, keep_alive, None);
             }
-            // Only transferred connections get preformatted responses, and connections of this frontend are
-            // not transferred.
+            // Only transferred connections get preformatted responses, and connections of this
+            // frontend are not transferred.
             Response::Preformatted(_) => {}
         }
         self.state = state_after_response(keep_alive);
--- a/src/frontend/clickhouse/response.rs
+++ b/src/frontend/clickhouse/response.rs
@@ -68,8 +68,8 @@
     }
 }
 
-/// Writes a body in chunks. If the connection ends within the response, the client detects it by the
-/// missing last chunk.
+/// Writes a body in chunks. If the connection ends within the response, the client detects it by
+/// the missing last chunk.
 fn write_chunked(output: &mut Vec<u8>, body: &[u8]) {
     output.extend_from_slice(b"Transfer-Encoding: chunked\r\n\r\n");
     for chunk in body.chunks(CHUNK_BYTES) {
@@ -120,8 +120,8 @@
     }
 }
 
-/// Makes a text from the client safe as a header value: removes control characters, which could end the
-/// header, and truncates the text to [`MAX_QUERY_ID_CHARS`].
+/// Makes a text from the client safe as a header value: removes control characters, which could end
+/// the header, and truncates the text to [`MAX_QUERY_ID_CHARS`].
 fn header_value(text: &str) -> String {
     text.chars()
         .filter(|character| !character.is_control())
--- a/src/frontend/clickhouse/service.rs
+++ b/src/frontend/clickhouse/service.rs
@@ -119,7 +119,8 @@
             .unwrap_or(false)
     }
 
-    /// The time limit of a request: the class's deadline, or `max_execution_time` if that is shorter.
+    /// The time limit of a request: the class's deadline, or `max_execution_time` if that is
+    /// shorter.
     fn time_limit(
         &self,
         class: ClassId,
--- a/src/frontend/input_buffer.rs
+++ b/src/frontend/input_buffer.rs
@@ -13,8 +13,8 @@
 }
 
 impl InputBuffer {
-    /// A buffer with the bytes of an incomplete message, whose start is set to `now`. `bytes` may be
-    /// empty.
+    /// A buffer with the bytes of an incomplete message, whose start is set to `now`. `bytes` may
+    /// be empty.
     pub(super) fn resume(bytes: Vec<u8>, now: Micros) -> InputBuffer {
         InputBuffer {
             message_started_at: (!bytes.is_empty()).then_some(now),
@@ -46,7 +46,8 @@
         self.bytes.drain(..count);
     }
 
-    /// Takes all bytes out of the buffer, so that they can be parsed while the protocol's state changes.
+    /// Takes all bytes out of the buffer, so that they can be parsed while the protocol's state
+    /// changes.
     pub(super) fn take_bytes(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.bytes)
     }
@@ -68,8 +69,8 @@
 
     /// Updates the start time of the incomplete message after the parser has consumed what it can.
     ///
-    /// `completed` states whether the last input completed a message, `incomplete` whether a message is
-    /// left incomplete. The bytes after a completed message arrived with it, at `now`.
+    /// `completed` states whether the last input completed a message, `incomplete` whether a
+    /// message is left incomplete. The bytes after a completed message arrived with it, at `now`.
     pub(super) fn update_message_start(&mut self, now: Micros, completed: bool, incomplete: bool) {
         let started_before = self.message_started_at.filter(|_| !completed);
         self.message_started_at = incomplete.then(|| started_before.unwrap_or(now));
--- a/src/frontend/jsonrpc/error.rs
+++ b/src/frontend/jsonrpc/error.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// After which time the client should retry. Every rejection because of a limit has one; other errors
-    /// have none.
+    /// After which time the client should retry. Every rejection because of a limit has one; other
+    /// errors have none.
     pub(super) fn retry_after(self) -> Option<Micros> {
         (self.code() == REJECTED).then_some(CAPACITY_RETRY_AFTER)
     }
--- a/src/frontend/jsonrpc/mod.rs
+++ b/src/frontend/jsonrpc/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's client protocol: JSON-RPC 2.0 over TCP with one message per line. A connection can
-//! have several open requests.
+//! The platform's client protocol: JSON-RPC 2.0 over TCP with one message per line. A connection
+//! can have several open requests.
 mod error;
 mod request;
 mod response;
@@ -44,13 +44,14 @@
     open_at_predecessor: BTreeSet<u64>,
     has_valid_message: bool,
     parsed_messages: u64,
-    /// Nothing more is parsed, and the connection is closed once the open requests have their responses.
+    /// Nothing more is parsed, and the connection is closed once the open requests have their
+    /// responses.
     closing: bool,
 }
 
 impl JsonRpc {
-    /// The state of a new connection with this number. `is_ready` returns whether this process is ready,
-    /// for the connection's readiness queries.
+    /// The state of a new connection with this number. `is_ready` returns whether this process is
+    /// ready, for the connection's readiness queries.
     pub fn new(connection: u64, names: LiveNames, is_ready: Rc<dyn Fn() -> bool>) -> JsonRpc {
         JsonRpc {
             connection,
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Resumes a connection that the predecessor transferred at `now`, from the initial state `new`.
+    /// Resumes a connection that the predecessor transferred at `now`, from the initial state
+    /// `new`.
     pub fn resume(now: Micros, state: &TransferredConnection, new: JsonRpc) -> JsonRpc {
         JsonRpc {
             open_at_predecessor: state.open_requests.iter().copied().collect(),
@@ -81,8 +83,8 @@
         response::write_message_error(output, id, cause);
     }
 
-    /// Rejects input that is not a message, and stops parsing: input of another protocol has no message
-    /// boundary at which parsing could resume.
+    /// Rejects input that is not a message, and stops parsing: input of another protocol has no
+    /// message boundary at which parsing could resume.
     fn reject_and_close(&mut self, output: &mut Vec<u8>, cause: MessageError) {
         self.reject(output, &Value::Null, cause);
         self.input.discard_message();
@@ -162,7 +164,8 @@
                     let response = response_for_metrics(cause);
                     events.push(FrontendEvent::RequestRejected { class, response });
                 }
-                // An error with the id of an open request would be taken for that request's response.
+                // An error with the id of an open request would be taken for that request's
+                // response.
                 let id_in_use = id.as_u64().is_some_and(|tag| self.is_open(tag));
                 let error_id = if id_in_use { &Value::Null } else { &id };
                 self.reject(output, error_id, cause);
@@ -195,8 +198,8 @@
         Params::parse(params)?.into_request(now, origin, class, &self.names.borrow())
     }
 
-    /// Cancels an open request, to which no response follows. It is not an error if the request is not
-    /// open: its response may have been sent before the cancellation arrived.
+    /// Cancels an open request, to which no response follows. It is not an error if the request is
+    /// not open: its response may have been sent before the cancellation arrived.
     fn cancel(&mut self, message: &Message, events: &mut Vec<FrontendEvent>) {
         let Some(tag) = message.cancelled_tag() else {
             return;
@@ -303,8 +306,8 @@
     }
 
     fn transfer_state(&self) -> Option<TransferredConnection> {
-        // A second transfer has to wait until the requests of the first one have their responses: the new
-        // process would have no connection to the predecessor that runs them.
+        // A second transfer has to wait until the requests of the first one have their responses:
+        // the new process would have no connection to the predecessor that runs them.
         let can_transfer = !self.closing && self.open_at_predecessor.is_empty();
         can_transfer.then(|| TransferredConnection {
             open_requests: self.open_tags.iter().copied().collect(),
--- a/src/frontend/jsonrpc/request.rs
+++ b/src/frontend/jsonrpc/request.rs
@@ -32,7 +32,8 @@
 impl Message {
     /// Parses a line that is not blank.
     pub(super) fn parse(line: &[u8]) -> Result<Message, MessageError> {
-        // Batches are not supported. serde would accept an array as a message with its fields in order.
+        // Batches are not supported. serde would accept an array as a message with its fields in
+        // order.
         if line.trim_ascii_start().starts_with(b"[") {
             return Err(MessageError::Batch);
         }
@@ -101,7 +102,8 @@
 }
 
 impl Params {
-    /// Parses the parameters, and validates those whose validity does not depend on the configuration.
+    /// Parses the parameters, and validates those whose validity does not depend on the
+    /// configuration.
     pub(super) fn parse(params: Value) -> Result<Params, MessageError> {
         let params: Params =
             serde_json::from_value(params).map_err(|_| MessageError::InvalidParams)?;
@@ -152,8 +154,8 @@
         })
     }
 
-    /// The idempotency key. A value that cannot be forwarded to an engine unchanged is an error for a
-    /// class with idempotency keys, and is ignored for other classes.
+    /// The idempotency key. A value that cannot be forwarded to an engine unchanged is an error for
+    /// a class with idempotency keys, and is ignored for other classes.
     fn idempotency_key(
         &self,
         class: ClassId,
@@ -194,8 +196,8 @@
     text.len() == CLIENT_REQUEST_ID_DIGITS && text.bytes().all(is_lower_hex)
 }
 
-/// Whether an idempotency key can be forwarded unchanged: the engines' protocol transmits it as one token
-/// of a line.
+/// Whether an idempotency key can be forwarded unchanged: the engines' protocol transmits it as one
+/// token of a line.
 fn is_idempotency_key(key: &str) -> bool {
     let is_token =
         |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b':');
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -20,14 +20,14 @@
         /// The identifier of the request on this connection.
         tag: u64,
     },
-    /// The client cancelled a request that is still in flight in the predecessor process. The client
-    /// sent the request before a hot restart transferred the connection.
+    /// The client cancelled a request that is still in flight in the predecessor process. The
+    /// client sent the request before a hot restart transferred the connection.
     TransferredRequestCancelled {
         /// The identifier of the request on this connection.
         tag: u64,
     },
-    /// The frontend itself rejected a request, and the dispatcher did not receive it. The event lets the
-    /// class's metrics include the request.
+    /// The frontend itself rejected a request, and the dispatcher did not receive it. The event
+    /// lets the class's metrics include the request.
     RequestRejected {
         /// The class of the request.
         class: ClassId,
@@ -60,7 +60,7 @@
     /// Parses bytes that the client sent.
     ///
     /// # Errors
-    /// The client exceeded a limit, and the connection has to be closed with the returned termination.
+    /// The client exceeded a limit. The connection has to be closed with the returned termination.
     fn feed(
         &mut self,
         now: Micros,
@@ -69,9 +69,9 @@
         output: &mut Vec<u8>,
     ) -> Result<(), Termination>;
 
-    /// Scans received bytes whose parsing is deferred, starting at offset `_from`, for cancellations of
-    /// open requests, so that a cancellation takes effect at once even when the client's requests are
-    /// parsed at a reduced rate. Returns the offset up to which it scanned.
+    /// Scans received bytes whose parsing is deferred, starting at offset `_from`, for
+    /// cancellations of open requests, so that a cancellation takes effect at once even when the
+    /// client's requests are parsed at a reduced rate. Returns the offset up to which it scanned.
     fn scan_deferred_input(
         &mut self,
         deferred: &[u8],
@@ -98,12 +98,12 @@
     /// When the first byte of the incomplete message arrived; `None` if no message is incomplete.
     fn message_started_at(&self) -> Option<Micros>;
 
-    /// The number of bytes buffered in the frontend: those of an incomplete message, and those queued
-    /// behind an open request.
+    /// The number of bytes buffered in the frontend: those of an incomplete message, and those
+    /// queued behind an open request.
     fn buffered_bytes(&self) -> usize;
 
-    /// Discards the incomplete message, reports an error to the client, and stops parsing. Open requests
-    /// still get their responses; the connection has to be closed after the last one.
+    /// Discards the incomplete message, reports an error to the client, and stops parsing. Open
+    /// requests still get their responses; the connection has to be closed after the last one.
     fn stop_reading(&mut self, reason: DisconnectReason, output: &mut Vec<u8>);
 
     /// Whether the client has sent at least one valid message.
@@ -117,14 +117,14 @@
         false
     }
 
-    /// The protocol state from which the successor process can resume this connection; `None` if the
-    /// connection cannot be transferred at present.
+    /// The protocol state from which the successor process can resume this connection; `None` if
+    /// the connection cannot be transferred at present.
     fn transfer_state(&self) -> Option<TransferredConnection> {
         None
     }
 
-    /// Removes a request of a transferred connection that the client cancelled through the successor
-    /// process, which now reads from the client.
+    /// Removes a request of a transferred connection that the client cancelled through the
+    /// successor process, which now reads from the client.
     fn remove_cancelled(&mut self, _tag: u64) {}
 
     /// Whether the connection has to be closed once all output is written.
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,6 +1,6 @@
 //! The part of HTTP/1.1 (RFC 9112) that the frontends, the ClickHouse backend and the test kit use:
-//! parsing of heads, framing of bodies, and percent-encoding of URLs. Works on bytes in memory, without
-//! I/O.
+//! parsing of heads, framing of bodies, and percent-encoding of URLs. Works on bytes in memory,
+//! without I/O.
 
 /// Maximum length of a head, in bytes.
 pub const MAX_HEAD_BYTES: usize = 32 * 1024;
@@ -8,8 +8,8 @@
 /// Maximum number of fields in a head.
 const MAX_FIELDS: usize = 100;
 
-/// Maximum length of a line of chunked framing, in bytes. The line before a chunk holds the chunk's size
-/// and optional extensions.
+/// Maximum length of a line of chunked framing, in bytes. The line before a chunk holds the chunk's
+/// size and optional extensions.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 
 /// The bytes that end a head.
@@ -55,8 +55,8 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Whether the comma-separated list in the fields with this name contains an element. The case of
-    /// the element is ignored.
+    /// Whether the comma-separated list in the fields with this name contains an element. The case
+    /// of the element is ignored.
     pub fn list_contains(&self, name: &str, expected: &str) -> bool {
         self.values_of(name)
             .flat_map(|value| value.split(','))
@@ -75,10 +75,10 @@
     ///
     /// # Errors
     ///
-    /// [`ParseError::Malformed`] if the length is not a number, or if the framing is ambiguous: another
-    /// recipient could frame a message with both a length and a transfer coding, or with two lengths,
-    /// differently (request smuggling). [`ParseError::UnsupportedTransferCoding`] for any transfer coding
-    /// but `chunked`.
+    /// [`ParseError::Malformed`] if the length is not a number, or if the framing is ambiguous:
+    /// another recipient could frame a message with both a length and a transfer coding, or with
+    /// two lengths, differently (request smuggling). [`ParseError::UnsupportedTransferCoding`] for
+    /// any transfer coding but `chunked`.
     pub fn body_framing(&self, default: Body) -> Result<Body, ParseError> {
         let lengths: Vec<&str> = self.values_of("content-length").collect();
         match (self.field("transfer-encoding"), &lengths[..]) {
@@ -106,8 +106,8 @@
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
 
-/// Parses the head at the start of the input. Returns the head with its length in bytes, or `None` if
-/// the input holds only a part of it.
+/// Parses the head at the start of the input. Returns the head with its length in bytes, or `None`
+/// if the input holds only a part of it.
 ///
 /// # Errors
 ///
@@ -191,13 +191,13 @@
 }
 
 impl Body {
-    /// Reads the next part of the body from `input`, and appends its data to `body`. Returns the number
-    /// of bytes consumed from the input, and whether the body is complete.
+    /// Reads the next part of the body from `input`, and appends its data to `body`. Returns the
+    /// number of bytes consumed from the input, and whether the body is complete.
     ///
     /// # Errors
     ///
-    /// [`ParseError::BodyTooLong`] if `body` would exceed `max_bytes`; [`ParseError::Malformed`] if the
-    /// chunked framing is invalid.
+    /// [`ParseError::BodyTooLong`] if `body` would exceed `max_bytes`; [`ParseError::Malformed`] if
+    /// the chunked framing is invalid.
     pub fn read(
         &mut self,
         input: &[u8],
@@ -294,8 +294,8 @@
     u64::from_str_radix(hex, 16).ok()
 }
 
-/// Decodes a percent-encoded name or value from the query of a URL, in which a plus sign stands for a
-/// space. `None` if the text is malformed or the result is not UTF-8.
+/// Decodes a percent-encoded name or value from the query of a URL, in which a plus sign stands for
+/// a space. `None` if the text is malformed or the result is not UTF-8.
 pub fn percent_decode(text: &str) -> Option<String> {
     let mut decoded = Vec::with_capacity(text.len());
     let mut bytes = text.bytes();
--- a/src/statement.rs
+++ b/src/statement.rs
@@ -1,9 +1,9 @@
-//! Extracts from a SQL statement what decisions depend on: its words, and the group of the tables that
-//! it reads or writes.
+//! Extracts from a SQL statement what decisions depend on: its words, and the group of the tables
+//! that it reads or writes.
 //!
 //! The group is the number after the underscore in the name of the schema, 17 in `sales_17.orders`.
-//! Strings, comments and the schema `staging` are ignored. This is a lexer, not a parser: it finds tables
-//! by the keywords that precede their names.
+//! Strings, comments and the schema `staging` are ignored. This is a lexer, not a parser: it finds
+//! tables by the keywords that precede their names.
 
 #[derive(Clone, Debug, PartialEq)]
 enum Token<'a> {
@@ -34,8 +34,8 @@
         taken
     }
 
-    /// Consumes quoted text and returns it without its quotes. A doubled quote does not end the text, nor
-    /// does a quote after a backslash in a string.
+    /// Consumes quoted text and returns it without its quotes. A doubled quote does not end the
+    /// text, nor does a quote after a backslash in a string.
     fn take_quoted(&mut self, quote: u8) -> &'a [u8] {
         let text = self.rest;
         let mut end = 1;
@@ -139,8 +139,8 @@
         .any(|keyword| word.eq_ignore_ascii_case(keyword))
 }
 
-/// The keywords and identifiers of a statement, in order. Identifiers come without their quotes; strings
-/// and comments are left out.
+/// The keywords and identifiers of a statement, in order. Identifiers come without their quotes;
+/// strings and comments are left out.
 pub fn words(statement: &[u8]) -> Vec<&[u8]> {
     let mut words = Vec::new();
     for token in (Tokens { rest: statement }) {
@@ -154,9 +154,9 @@
 /// The group of the tables that a statement reads or writes. `default_schema` is the schema of
 /// unqualified names.
 ///
-/// The first table whose schema has a group determines the result. A qualified name elsewhere in the
-/// statement may consist of an alias and a column, so its group is used only if no table's schema has
-/// one. The group of the default schema is used last.
+/// The first table whose schema has a group determines the result. A qualified name elsewhere in
+/// the statement may consist of an alias and a column, so its group is used only if no table's
+/// schema has one. The group of the default schema is used last.
 pub fn table_group(statement: &[u8], default_schema: Option<&str>) -> Option<u64> {
     let mut tokens = Tokens { rest: statement }.peekable();
     let mut expects_table = false;
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -1,6 +1,6 @@
-//! The memory that a listed endpoint costs, measured by a counting allocator at several sizes of the
-//! fleet: its handle, and the state that the decision module stores about it. Fails if an engine without
-//! traffic has a mailbox or a task of its own.
+//! The memory that a listed endpoint costs, measured by a counting allocator at several sizes of
+//! the fleet: its handle, and the state that the decision module stores about it. Fails if an
+//! engine without traffic has a mailbox or a task of its own.
 mod common;
 use async_channel::{bounded, unbounded};
 use common::test_settings;
@@ -104,7 +104,8 @@
     allocated
 }
 
-/// 64 MB have to suffice for 910 engines: each costs less than 8 KB, regardless of the list's length.
+/// 64 MB have to suffice for 910 engines: each costs less than 8 KB, regardless of the list's
+/// length.
 #[test]
 fn an_endpoint_without_traffic_costs_less_than_8_kb() {
     let at_100 = allocated_for(100);
--- a/tests/unit/admin.rs
+++ b/tests/unit/admin.rs
@@ -1,4 +1,5 @@
-//! The admin endpoint's protocol: parsing of requests, error responses, and the text of the metrics.
+//! The admin endpoint's protocol: parsing of requests, error responses, and the text of the
+//! metrics.
 use super::*;
 use crate::dispatcher::metrics::{ClassMetrics, MetricsSnapshot};
 use crate::dispatcher::rejection::{RejectionCause, RejectionKey};
--- a/tests/unit/clickhouse.rs
+++ b/tests/unit/clickhouse.rs
@@ -1,5 +1,5 @@
-//! The ClickHouse protocol of clients and of engines, without sockets: what a client receives, and how an
-//! engine's responses are classified, however their bytes are divided.
+//! The ClickHouse protocol of clients and of engines, without sockets: what a client receives, and
+//! how an engine's responses are classified, however their bytes are divided.
 use super::{ClickHouse, ClickHouseShared};
 use crate::backend::clickhouse::ClickHouse as EngineProtocol;
 use crate::backend::{BackendEvent, Protocol, ProtocolOutput};
@@ -123,8 +123,8 @@
     assert!(text.contains("Query-Id: mine\r\n"), "{text}");
 }
 
-/// The class depends only on words outside comments and strings, and the class's deadline limits the
-/// client's `max_execution_time`.
+/// The class depends only on words outside comments and strings, and the class's deadline limits
+/// the client's `max_execution_time`.
 #[test]
 fn the_deadline_of_its_class_limits_a_query() {
     let mut frontend = connection();
@@ -219,8 +219,8 @@
 const LATE_EXCEPTION: &str = "Code: 241. DB::Exception: Memory limit exceeded\n";
 
 /// Responses of an engine, each followed by the end of its connection, with the termination of the
-/// attempt that each causes. `None` if the response ends no attempt, and only the close of the connection
-/// does.
+/// attempt that each causes. `None` if the response ends no attempt, and only the close of the
+/// connection does.
 fn engine_responses() -> Vec<(String, Option<Termination>)> {
     let late_exception_chunk = format!("{:x}\r\n{LATE_EXCEPTION}\r\n", LATE_EXCEPTION.len());
     let complete = [
@@ -269,8 +269,8 @@
     }
 }
 
-/// Runs one attempt against an engine that sends `response` in pieces of `step` bytes and then closes the
-/// connection.
+/// Runs one attempt against an engine that sends `response` in pieces of `step` bytes and then
+/// closes the connection.
 fn run_attempt(response: &str, step: usize) -> Vec<BackendEvent> {
     let mut engine = EngineProtocol::new(Rc::default());
     let sent = String::from_utf8(engine.start_attempt(SEC, &attempt())).expect("text");
@@ -288,8 +288,8 @@
     output.events
 }
 
-/// Guards the rule against double execution for this protocol: only a 503 with code 202 means that the
-/// query did not run, and a partial response does not count as a response.
+/// Guards the rule against double execution for this protocol: only a 503 with code 202 means that
+/// the query did not run, and a partial response does not count as a response.
 #[test]
 fn an_engines_response_ends_the_attempt_the_same_way_however_it_is_divided() {
     for (response, expected) in engine_responses() {
--- a/tests/unit/http.rs
+++ b/tests/unit/http.rs
@@ -2,8 +2,8 @@
 use super::*;
 use quickcheck::{Gen, QuickCheck};
 
-/// Guards against a body whose content depends on how the network splits its bytes, or that is reported
-/// as complete before its last byte.
+/// Guards against a body whose content depends on how the network splits its bytes, or that is
+/// reported as complete before its last byte.
 #[test]
 fn chunked_bodies_parse_identically_however_they_are_split() {
     fn split_anywhere(parts: Vec<Vec<u8>>, step: u8) -> bool {
--- a/tests/unit/jsonrpc.rs
+++ b/tests/unit/jsonrpc.rs
@@ -1,5 +1,5 @@
-//! The platform's client protocol, without sockets: parsing however the input is divided, the limits of
-//! a connection, idempotency keys, and error responses.
+//! The platform's client protocol, without sockets: parsing however the input is divided, the
+//! limits of a connection, idempotency keys, and error responses.
 use super::*;
 use crate::clock::MS;
 use crate::config::process::Names;
@@ -270,8 +270,8 @@
     );
 }
 
-/// Clients and operators identify the ends of attempts by these texts, which must not change with the
-/// names in the code.
+/// Clients and operators identify the ends of attempts by these texts, which must not change with
+/// the names in the code.
 #[test]
 fn failed_requests_have_the_documented_error_texts() {
     let texts = [
@@ -329,8 +329,8 @@
     assert!(frontend.closes_after_output());
 }
 
-/// Guards against a second error line when an invalid line arrives in two pieces and the message timeout
-/// follows.
+/// Guards against a second error line when an invalid line arrives in two pieces and the message
+/// timeout follows.
 #[test]
 fn an_invalid_line_gets_one_error_however_late_its_end_arrives() {
     let mut frontend = connection();
--- a/tests/unit/mutation.rs
+++ b/tests/unit/mutation.rs
@@ -1,8 +1,8 @@
-//! Recorded exchanges in which one message at a time is mutated, for the protocols of clients, engines and the
-//! coordinator: the message is dropped, duplicated, truncated, delayed beyond its deadline, has a bit
-//! flipped, or has a number replaced by an extreme one. After each mutation, every attempt and every
-//! request ends at most once, and others that are open are affected at most by the end of their
-//! connection.
+//! Recorded exchanges in which one message at a time is mutated, for the protocols of clients,
+//! engines and the coordinator: the message is dropped, duplicated, truncated, delayed beyond its
+//! deadline, has a bit flipped, or has a number replaced by an extreme one. After each mutation,
+//! every attempt and every request ends at most once, and others that are open are affected at most
+//! by the end of their connection.
 use crate::backend::connection_state::{ConnectionEvent, ConnectionState};
 use crate::backend::platform::Platform;
 use crate::clock::{MS, Micros, SEC};
@@ -152,8 +152,8 @@
     events
 }
 
-/// Guards against double execution: an attempt that was written counts as not run only if the engine
-/// reports so.
+/// Guards against double execution: an attempt that was written counts as not run only if the
+/// engine reports so.
 #[test]
 fn a_mutated_engine_message_ends_each_attempt_once() {
     let messages = [
@@ -189,7 +189,8 @@
     }
 }
 
-/// Checks the end of an attempt. Attempt 3 is in none of the messages, so it never counts as not run.
+/// Checks the end of an attempt. Attempt 3 is in none of the messages, so it never counts as not
+/// run.
 fn check_attempt_end(number: usize, result: &AttemptResult, may_report_not_run: bool) {
     assert_eq!(
         (result.attempt, result.progress),
@@ -246,7 +247,8 @@
         let mut output = Vec::new();
         for Delivery { delay, message } in exchange {
             now += delay;
-            // Deferred input is scanned first; a cancellation that the scan finds must not count twice.
+            // Deferred input is scanned first; a cancellation that the scan finds must not count
+            // twice.
             frontend.scan_deferred_input(&message, 0, &mut events);
             let _ = frontend.feed(now, &message, &mut events, &mut output);
         }
--- a/tests/unit/statement.rs
+++ b/tests/unit/statement.rs
@@ -1,4 +1,5 @@
-//! The table group of a statement, with strings, comments, quoted names and aliases in the statement.
+//! The table group of a statement, with strings, comments, quoted names and aliases in the
+//! statement.
 use super::table_group;
 
 #[test]
--- a/tests/wire_formats.rs
+++ b/tests/wire_formats.rs
@@ -1,7 +1,7 @@
-//! Formats that leave the process, compared byte for byte with fixtures: datagrams between managers,
-//! lease messages, audit segments, the messages of a hot restart, handles, and the texts of the admin
-//! endpoint. The fixtures were written before identifiers in the code were renamed; processes from before
-//! and after that change run in one fleet and take part in one hot restart.
+//! Formats that leave the process, compared byte for byte with fixtures: datagrams between
+//! managers, lease messages, audit segments, the messages of a hot restart, handles, and the texts
+//! of the admin endpoint. The fixtures were written before identifiers in the code were renamed;
+//! processes from before and after that change run in one fleet and take part in one hot restart.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
