--- a/src/frontend/clickhouse/service.rs
+++ b/src/frontend/clickhouse/service.rs
@@ -1,5 +1,5 @@
-//! What all connections of the ClickHouse interface share, and how it turns an HTTP request into a
-//! query: authentication, the class, and the limits.
+//! The state that all connections of the ClickHouse interface share, and the conversion of an HTTP
+//! request to a query: authentication, class and limits.
 use super::MAX_STATEMENT_BYTES;
 use super::error::QueryError;
 use super::format::Format;
@@ -11,32 +11,32 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The deadline of a class that has none configured.
+/// The deadline of a class without a configured one.
 const FALLBACK_DEADLINE: Micros = SEC;
-/// The limit on `max_execution_time`, in seconds; it keeps the conversion within range.
+/// The limit on `max_execution_time`, in seconds. It keeps the conversion to microseconds in range.
 const MAX_EXECUTION_SECONDS: f64 = 1e6;
 const BYTES_PER_MB: u32 = 1 << 20;
 
-/// What all connections of this frontend share.
+/// The state that all connections of this frontend share.
 pub struct ClickHouseShared {
     /// Which statements belong to which class.
     pub class_rules: RefCell<ClassRules>,
     /// Which users belong to which tenant.
     pub users: RefCell<Users>,
-    /// By class: how long its clients wait at most, over all attempts.
+    /// By class: the maximum time of a request over all attempts.
     pub class_deadlines: RefCell<Vec<Micros>>,
     /// By class: whether it is a load class, whose statements write.
     pub load_classes: RefCell<Vec<bool>>,
-    /// Whether all engines of the pool know databases, and not qualified names only.
+    /// Whether all engines of the pool support a default database, and not only qualified names.
     pub supports_databases: Box<dyn Fn() -> bool>,
-    /// Whether connections are being closed, so that each response announces the end of its
+    /// Whether client connections are being closed, so that each response announces the end of its
     /// connection.
     pub is_draining: Box<dyn Fn() -> bool>,
-    /// Makes an identifier for a request: 16 hex digits, unique.
+    /// Generates a unique identifier for a request: 16 hex digits.
     pub new_request_id: Box<dyn Fn() -> String>,
 }
 
-/// A query, as the request for the dispatcher, and what its response depends on.
+/// A query as a request for the dispatcher, with the data that its response needs.
 pub(super) struct ParsedQuery {
     pub(super) request: ClientRequest,
     pub(super) query_id: String,
@@ -49,14 +49,14 @@
         &self,
         now: Micros,
         origin: Origin,
-        head: &RequestHead<'_>,
+        request_head: &RequestHead<'_>,
         body: Vec<u8>,
     ) -> Result<ParsedQuery, QueryError> {
-        let credentials = head.credentials()?;
+        let credentials = request_head.credentials()?;
         let tenant = self.authenticate(&credentials)?;
-        let statement = statement(head, body)?;
-        let format = head.format()?;
-        let database = head.database();
+        let statement = statement(request_head, body)?;
+        let format = request_head.format()?;
+        let database = request_head.database();
         if database.is_some() && !(self.supports_databases)() {
             return Err(QueryError::DatabaseUnsupported);
         }
@@ -64,17 +64,17 @@
             .class_rules
             .borrow()
             .class(&credentials.user, &statement);
-        // Any statement may come by POST. GET is for statements that only read, since caches and
-        // proxies treat it so.
-        if head.head.first[0] == "GET" && self.is_load_class(class) {
+        // POST is allowed for all statements. GET is allowed only for statements that read, because
+        // caches and proxies treat it as a read.
+        if request_head.head.start_line[0] == "GET" && self.is_load_class(class) {
             return Err(QueryError::WriteNeedsPost);
         }
-        let give_up_at = now + self.time_limit(class, head)?;
-        let memory_mb = head
-            .number("max_memory_usage")?
+        let deadline = now + self.time_limit(class, request_head)?;
+        let memory_mb = request_head
+            .numeric_parameter("max_memory_usage")?
             .map(|bytes| bytes / f64::from(BYTES_PER_MB));
         let client_request_id = (self.new_request_id)();
-        let query_id = head
+        let query_id = request_head
             .parameter("query_id")
             .filter(|id| !id.is_empty())
             .unwrap_or(&client_request_id)
@@ -88,7 +88,7 @@
             client_request_id: client_request_id.into(),
             class,
             tenant,
-            deadline: give_up_at,
+            deadline,
             work_estimate: None,
             memory_mb,
             is_retry: false,
@@ -119,16 +119,21 @@
             .unwrap_or(false)
     }
 
-    /// How long the client waits: the class's deadline, or less if the request says so.
-    fn time_limit(&self, class: ClassId, head: &RequestHead<'_>) -> Result<Micros, QueryError> {
+    /// The time limit of a request: the class's deadline, or `max_execution_time` if that is
+    /// shorter.
+    fn time_limit(
+        &self,
+        class: ClassId,
+        request_head: &RequestHead<'_>,
+    ) -> Result<Micros, QueryError> {
         let class_deadline = self
             .class_deadlines
             .borrow()
             .get(usize::from(class.0))
             .copied()
             .unwrap_or(FALLBACK_DEADLINE);
-        let requested = head
-            .number("max_execution_time")?
+        let requested = request_head
+            .numeric_parameter("max_execution_time")?
             .map(|seconds| (seconds.min(MAX_EXECUTION_SECONDS) * SEC as f64) as Micros);
         Ok(requested
             .unwrap_or(class_deadline)
@@ -137,9 +142,9 @@
     }
 }
 
-/// The statement: it begins in the URL and continues in the body.
-fn statement(head: &RequestHead<'_>, body: Vec<u8>) -> Result<Vec<u8>, QueryError> {
-    let in_url = head.parameter("query").unwrap_or_default();
+/// The statement: the URL's `query` parameter followed by the body.
+fn statement(request_head: &RequestHead<'_>, body: Vec<u8>) -> Result<Vec<u8>, QueryError> {
+    let in_url = request_head.parameter("query").unwrap_or_default();
     let mut statement = in_url.as_bytes().to_vec();
     if !statement.is_empty() && !body.is_empty() {
         statement.push(b'\n');
