--- a/src/backend/clickhouse.rs
+++ b/src/backend/clickhouse.rs
@@ -8,19 +8,20 @@
 use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
 use std::rc::Rc;
 
-/// Longest response body that is accepted, in bytes.
+/// Limit on the size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 256 * 1024;
-/// Longest pause within a response, which the engine writes only once the query has ended.
+/// Longest time without further bytes of an incomplete response. The engine writes a response only
+/// once the query has ended, so long pauses within one are not expected.
 const RESPONSE_GAP_TIMEOUT_MICROS: Micros = 2 * SEC;
-/// The header that names the query that a response belongs to.
+/// The header with the identifier of the query that a response belongs to.
 const QUERY_ID_HEADER: &str = "x-clickhouse-query-id";
 /// The header that holds the code of an exception.
 const EXCEPTION_CODE_HEADER: &str = "x-clickhouse-exception-code";
 /// The exception `TOO_MANY_SIMULTANEOUS_QUERIES`: the engine did not start the query.
 const TOO_MANY_SIMULTANEOUS_QUERIES: u32 = 202;
-/// The start of the text of an exception in a response body.
+/// The start of an exception's text in a response body.
 const EXCEPTION_PREFIX: &[u8] = b"Code: ";
-/// Part of the text of an exception that does not occur in rows by chance.
+/// Part of an exception's text that is unlikely to occur in rows.
 const EXCEPTION_MARKER: &[u8] = b". DB::Exception: ";
 const MEGABYTE_BYTES: u64 = 1 << 20;
 
@@ -33,23 +34,23 @@
     pub key: String,
 }
 
-/// The request that the connection carries.
+/// The request in progress on the connection.
 enum Exchange {
-    /// A query, with the identifier that the engine knows it by.
+    /// A query, with the identifier that was sent to the engine.
     Query { id: RequestId, query_id: Rc<str> },
-    /// A health check.
+    /// A probe.
     Ping(ProbeId),
     /// A cancelled query: its response is discarded.
     Cancelled,
 }
 
-/// A response whose head has been read.
+/// A response whose head was read and whose body is incomplete.
 struct PendingResponse {
     head: Head,
     body: Body,
 }
 
-/// What reading the head of a response led to.
+/// Result of reading the head of a response.
 enum HeadStatus {
     /// More bytes are needed.
     Incomplete,
@@ -67,12 +68,12 @@
     response: Option<PendingResponse>,
     rows: Vec<u8>,
     reusable: bool,
-    /// When the last bytes of an incomplete response came.
+    /// When the latest bytes of an incomplete response were received.
     partial_response_at: Option<Micros>,
 }
 
 impl ClickHouse {
-    /// The protocol of a new connection.
+    /// Creates the protocol state of a new connection.
     pub fn new(credentials: Rc<Credentials>) -> ClickHouse {
         ClickHouse {
             credentials,
@@ -95,7 +96,7 @@
         headers
     }
 
-    /// The path and parameters of the request that runs a query.
+    /// The path and the parameters of the request that runs a query.
     fn query_path(now: Micros, request: &AttemptRequest, query_id: &str) -> String {
         let remaining_micros = request.deadline.saturating_sub(now).max(MS);
         let remaining_seconds = remaining_micros as f64 / SEC as f64;
@@ -103,8 +104,8 @@
             "/?query_id={}&max_execution_time={remaining_seconds:.3}&default_format=TabSeparated",
             http::escape(query_id)
         );
-        // With the first an error shows in the status where possible; with the second closing the
-        // connection cancels a query that only reads.
+        // The first parameter makes the engine report an error in the status where possible. The
+        // second one makes it cancel a read-only query when the connection is closed.
         path += "&wait_end_of_query=1&cancel_http_readonly_queries_on_client_close=1";
         let session = request.session.as_deref();
         if let Some(database) = session.and_then(|session| session.database.as_deref()) {
@@ -125,8 +126,7 @@
             return Ok(HeadStatus::Incomplete);
         };
         let [version, status, _] = &head.first;
-        // A response without a request: the two sides do not agree any more on which response
-        // belongs to which request.
+        // After a response without a request, responses can no longer be matched with requests.
         let supported = matches!(version.as_str(), "HTTP/1.1" | "HTTP/1.0");
         if self.exchange.is_none() || !supported {
             return Err(ProtocolError::Violation);
@@ -150,7 +150,8 @@
         Ok(HeadStatus::Final)
     }
 
-    /// Detects a duplicate response, or one to an earlier query, where the engine names the query.
+    /// Detects a duplicate response, or one to an earlier query. Only possible if the response has
+    /// the header [`QUERY_ID_HEADER`].
     fn check_query_id(&self, head: &Head) -> Result<(), ProtocolError> {
         let Some(Exchange::Query { query_id, .. }) = &self.exchange else {
             return Ok(());
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Reads the body of a response from the input; gives whether it is complete.
+    /// Reads the body of a response from the input. Returns whether the body is complete.
     fn receive_body(&mut self, output: &mut ProtocolOutput) -> Result<bool, ProtocolError> {
         let Some(response) = &mut self.response else {
             return Ok(false);
@@ -182,12 +183,13 @@
         }
     }
 
+    /// Ends the exchange as failed and returns the error with which the connection is closed.
     fn reject_large_response(&mut self, output: &mut ProtocolOutput) -> ProtocolError {
         self.fail_exchange(output);
         ProtocolError::ResponseTooLarge
     }
 
-    /// Ends the request with the response that is complete.
+    /// Ends the exchange with its complete response.
     fn complete_response(&mut self, output: &mut ProtocolOutput) {
         let Some(PendingResponse { head, .. }) = self.response.take() else {
             return;
@@ -233,17 +235,18 @@
     }
 }
 
-/// How a query with a complete response ended.
+/// The termination of a query with a complete response.
 fn query_termination(status: &str, exception: Option<u32>, rows: &[u8]) -> Termination {
     match (status, exception) {
         ("200", None) if has_uniform_columns(rows) => Termination::Done,
-        // The engine states that it did not start the query. Any other error may come after that.
+        // This exception means that the engine did not start the query. After any other error the
+        // query may have been started.
         ("503", Some(TOO_MANY_SIMULTANEOUS_QUERIES)) => Termination::Rejected,
         _ => Termination::EngineError,
     }
 }
 
-/// The code of the exception that a response reports in its head or in its body.
+/// The code of the exception that a response reports, in its head or in its body.
 fn exception_code(head: &Head, success: bool, body: &[u8]) -> Option<u32> {
     let in_head = head
         .field(EXCEPTION_CODE_HEADER)
@@ -257,8 +260,8 @@
     })
 }
 
-/// Some versions write a late exception as the last line behind the rows, and end the body as after
-/// a success.
+/// The code of an exception that occurred after the first rows were sent. Some versions of the
+/// engine write it as the last line after the rows, and end the body as they do after a success.
 fn late_exception_code(body: &[u8]) -> Option<u32> {
     let lines = body.strip_suffix(b"\n").unwrap_or(body);
     let last_line = lines.rsplit(|byte| *byte == b'\n').next()?;
@@ -276,8 +279,8 @@
     std::str::from_utf8(&digits[..end]).ok()?.parse().ok()
 }
 
-/// Whether the rows are complete and all have the same number of columns, so that corrupted bytes
-/// are not passed on as a result.
+/// Whether all rows are complete and have the same number of columns. Keeps corrupted bytes from
+/// being passed on as a result.
 fn has_uniform_columns(rows: &[u8]) -> bool {
     if rows.is_empty() {
         return true;
@@ -318,7 +321,7 @@
         command
     }
 
-    /// Only closing the connection cancels a query.
+    /// The protocol has no cancel command: closing the connection cancels a query.
     fn cancel_attempt(&mut self, _: RequestId) -> Option<Vec<u8>> {
         self.exchange = Some(Exchange::Cancelled);
         self.reusable = false;
@@ -350,7 +353,7 @@
                 break;
             }
         }
-        // An empty body is complete with its head.
+        // A response with an empty body is complete with its head.
         if self
             .response
             .as_ref()
@@ -376,8 +379,8 @@
         Ok(())
     }
 
-    /// Only a body without a length of its own may end with the connection; one that announced more
-    /// was cut off and has failed.
+    /// The end of the stream completes a body that has no length of its own. A body that announced
+    /// its length or chunks was truncated, so its query has failed.
     fn on_end_of_input(&mut self, output: &mut ProtocolOutput) {
         match &self.response {
             Some(response) if response.body == Body::UntilClose => self.complete_response(output),
--- a/src/backend/connection_state/attempt.rs
+++ b/src/backend/connection_state/attempt.rs
@@ -10,7 +10,7 @@
     pub(super) client_connection: u64,
     pub(super) progress: TransmitProgress,
     pub(super) sent_at: Micros,
-    /// Set once the attempt is cancelled: when its end is reported.
+    /// When the end of the attempt is reported; set once the attempt is cancelled.
     pub(super) cancel_settles_at: Option<Micros>,
 }
 
@@ -41,7 +41,7 @@
     pub id: RequestId,
     /// The attempt.
     pub attempt: AttemptNo,
-    /// The connection of the client that waits for it.
+    /// The connection of the client that sent the request.
     pub client_connection: u64,
 }
 
@@ -50,13 +50,13 @@
 pub enum ConnectionEvent {
     /// An attempt ended.
     AttemptEnded(AttemptResult),
-    /// A health check ended.
+    /// A probe ended.
     ProbeCompleted {
         /// Its outcome.
         kind: OutcomeKind,
-        /// The time between sending it and this end.
+        /// The time from sending the probe to its end.
         latency: Micros,
-        /// The load that the engine reported; empty without an answer.
+        /// The load that the engine reported; empty if the probe got no response.
         load: LoadReport,
     },
 }
--- a/src/backend/connection_state/mod.rs
+++ b/src/backend/connection_state/mod.rs
@@ -1,6 +1,6 @@
-//! The state machine of one connection to an engine, without its socket: output that waits to be
-//! written, attempts in flight, health checks without an answer, and how each of them ends. The
-//! caller moves bytes between it and a socket; the engine's [`Protocol`] is its parameter.
+//! The state machine of one connection to an engine, without its socket: output that is queued to
+//! be written, attempts in flight, pending probes, and how each of them ends. The caller moves
+//! bytes between the state machine and a socket. The type parameter is the engine's [`Protocol`].
 mod attempt;
 mod output_queue;
 mod probes;
@@ -17,29 +17,29 @@
 use probes::PendingProbes;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Delay between the cancellation of an attempt and its end. The cancel command has to reach the
-/// engine before a retry does, which may travel on another connection.
+/// Delay between the cancellation of an attempt and its reported end. A retry may be sent on
+/// another connection, and the cancel command has to reach the engine before it.
 const CANCEL_SETTLE_MICROS: Micros = 5 * MS;
 /// Delay before the last bytes of an attempt that must never run twice are written; longer than a
-/// round trip. If the connection is reset meanwhile, the engine never had the whole command, so the
-/// attempt provably did not run.
+/// round trip. If the connection is reset during the delay, the engine has not received the whole
+/// command, which proves that the attempt did not run.
 const TAIL_HOLD_MICROS: Micros = 5 * MS;
-/// Upper bound of the requests remembered in [`ConnectionState::abandoned_requests`]; the oldest
-/// are forgotten first.
+/// Limit on the requests kept in [`ConnectionState::abandoned_requests`]; the oldest are removed
+/// first.
 const MAX_ABANDONED_REQUESTS: usize = 256;
 
-/// One connection with the protocol `P`.
+/// The state of one connection with the protocol `P`.
 pub struct ConnectionState<P> {
     protocol: P,
     pending: BTreeMap<RequestId, PendingAttempt>,
     probes: PendingProbes,
     output: OutputQueue,
-    /// Until when an [`SegmentKind::AttemptTail`] at the front of the output is held back.
+    /// Until when a [`SegmentKind::AttemptTail`] at the front of the output is held back.
     tail_held_until: Option<Micros>,
     last_received_at: Micros,
     idle_since: Micros,
-    /// Nothing was received since an attempt that took too long was sent: the connection may be
-    /// dead, so it carries nothing new.
+    /// Nothing was received since an attempt was sent that is slow or was cancelled. The connection
+    /// may be dead, so it carries no new attempts.
     suspect: bool,
     abandoned_requests: VecDeque<RequestId>,
     commands_written: u64,
@@ -47,7 +47,7 @@
 }
 
 impl<P: Protocol> ConnectionState<P> {
-    /// The state of a connection that is about to be established.
+    /// Creates the state of a connection that is about to be established.
     pub fn new(now: Micros, protocol: P) -> ConnectionState<P> {
         ConnectionState {
             protocol,
@@ -64,17 +64,17 @@
         }
     }
 
-    /// The number of attempts that it can carry in addition to those in flight.
+    /// The number of attempts that can be started in addition to those in flight.
     pub fn free_streams(&self) -> usize {
-        if self.close_reason.is_some() || self.is_worn_out() {
+        if self.close_reason.is_some() || self.closes_after_attempts() {
             return 0;
         }
         let max_streams = self.protocol.max_streams();
         max_streams.saturating_sub(self.pending.len())
     }
 
-    /// Whether it carries nothing new, and closes after the attempts in flight.
-    fn is_worn_out(&self) -> bool {
+    /// Whether the connection takes no new attempts, and is closed after those in flight.
+    fn closes_after_attempts(&self) -> bool {
         self.suspect || !self.protocol.is_reusable()
     }
 
@@ -83,14 +83,14 @@
         self.pending.keys().copied()
     }
 
-    /// Requests whose attempt ended here without a complete response. A retry needs another
-    /// connection: a late message about the earlier attempt, such as an error for each requested
-    /// page, would be taken for the end of the retry.
+    /// Requests with an attempt on this connection that was sent and then failed or was cancelled.
+    /// A retry needs another connection: a late message about the earlier attempt, such as an error
+    /// for each requested page, would be taken for the end of the retry.
     pub fn abandoned_requests(&self) -> impl Iterator<Item = RequestId> {
         self.abandoned_requests.iter().copied()
     }
 
-    /// Since when the connection has been idle: no attempt, no health check, no output. `None` if
+    /// Since when the connection has been idle, with no attempt, no probe and no output. `None` if
     /// it is in use.
     pub fn idle_since(&self) -> Option<Micros> {
         let idle = self.pending.is_empty() && self.probes.is_empty() && self.output.is_empty();
@@ -99,7 +99,8 @@
 
     /// Why the connection has to be closed, or `None` if it may stay open.
     pub fn close_reason(&self) -> Option<Termination> {
-        let drained = self.is_worn_out() && self.pending.is_empty() && self.output.is_empty();
+        let drained =
+            self.closes_after_attempts() && self.pending.is_empty() && self.output.is_empty();
         self.close_reason
             .or(drained.then_some(Termination::Dropped))
     }
@@ -114,7 +115,7 @@
             .min()
     }
 
-    /// Starts an attempt.
+    /// Queues the command that starts an attempt.
     pub fn start_attempt(&mut self, now: Micros, request: &AttemptRequest) {
         let command = self.protocol.start_attempt(now, request);
         self.output
@@ -123,7 +124,7 @@
         self.pending.insert(request.id, pending);
     }
 
-    /// Sends a health check.
+    /// Queues a probe.
     pub fn send_probe(&mut self, now: Micros) {
         let id = self.probes.register(now);
         let command = self.protocol.send_probe(id);
@@ -133,11 +134,11 @@
     fn end_attempt(&mut self, now: Micros, end: AttemptEnd) -> Option<ConnectionEvent> {
         let pending = self.pending.remove(&end.id)?;
         self.idle_since = now;
-        let answered = matches!(
+        let ended_cleanly = matches!(
             end.termination,
             Termination::Done | Termination::Rejected | Termination::AlreadyFinished
         );
-        if !answered && !pending.is_unsent() {
+        if !ended_cleanly && !pending.is_unsent() {
             self.remember_abandoned(end.id);
         }
         Some(ConnectionEvent::AttemptEnded(AttemptResult {
@@ -160,21 +161,22 @@
         }
     }
 
-    /// Withdraws an attempt before its first byte is written.
-    fn withdraw_unsent(
+    /// Removes an attempt before its first byte is written, and ends it.
+    fn end_unsent_attempt(
         &mut self,
         now: Micros,
         id: RequestId,
         termination: Termination,
     ) -> Option<ConnectionEvent> {
         self.output.remove_attempt(id);
-        // The engine never heard of the attempt: only the protocol has to forget it.
+        // The engine has received nothing of the attempt, so the cancel command is not sent. The
+        // call only removes the attempt from the state of the protocol.
         let _ = self.protocol.cancel_attempt(id);
         self.end_attempt(now, AttemptEnd::without_result(id, termination))
     }
 
-    /// Cancels an attempt. Its end follows after a short delay, unless it was not sent yet or only
-    /// closing the connection cancels it. Ignored for an attempt that is not in flight.
+    /// Cancels an attempt. It ends after [`CANCEL_SETTLE_MICROS`], or at once if it was not sent
+    /// yet or only closing the connection cancels it. Ignored for an attempt that is not in flight.
     pub fn cancel_attempt(
         &mut self,
         now: Micros,
@@ -185,7 +187,7 @@
         let in_flight = self.pending.get_mut(&id).filter(|a| a.attempt == attempt);
         let Some(pending) = in_flight else { return };
         if pending.is_unsent() {
-            events.extend(self.withdraw_unsent(now, id, Termination::Cancelled));
+            events.extend(self.end_unsent_attempt(now, id, Termination::Cancelled));
             return;
         }
         if pending.is_cancelled() {
@@ -203,8 +205,9 @@
         }
     }
 
-    /// Records that an attempt takes longer than expected and is being hedged elsewhere. If nothing
-    /// was received since it was sent, the connection may be dead and carries nothing new.
+    /// Records that an attempt takes longer than expected and is hedged at another engine. If
+    /// nothing was received since it was sent, the connection may be dead and carries no new
+    /// attempts.
     pub fn mark_slow(&mut self, id: RequestId, attempt: AttemptNo) {
         let sent = self
             .pending
@@ -213,8 +216,8 @@
         self.suspect |= sent.is_some_and(|pending| self.last_received_at <= pending.sent_at);
     }
 
-    /// Changes the priority of an attempt. The command is queued behind the one that starts the
-    /// attempt, so it never arrives first.
+    /// Changes the priority of an attempt. The command is queued after the one that starts the
+    /// attempt, so the engine receives them in this order.
     pub fn set_priority(&mut self, id: RequestId, attempt: AttemptNo, priority: u8) {
         let in_flight = self
             .pending
@@ -229,8 +232,9 @@
         }
     }
 
-    /// The engine is draining or gone: withdraws every attempt that was not sent yet, for instance
-    /// while the connection is being established or the engine does not read.
+    /// Ends every attempt that was not sent yet, as the engine is draining or was removed from the
+    /// endpoint list. Attempts are unsent for instance while the connection is being established or
+    /// the engine does not read.
     pub fn drain(&mut self, now: Micros, events: &mut Vec<ConnectionEvent>) {
         let unsent = self
             .pending
@@ -238,7 +242,7 @@
             .filter(|(_, pending)| pending.is_unsent());
         let unsent: Vec<RequestId> = unsent.map(|(id, _)| *id).collect();
         for id in unsent {
-            events.extend(self.withdraw_unsent(now, id, Termination::Drained));
+            events.extend(self.end_unsent_attempt(now, id, Termination::Drained));
         }
     }
 
@@ -253,7 +257,7 @@
         })
     }
 
-    /// The bytes to write next, if there are any that are not held back.
+    /// The bytes to write next; `None` if there are none or they are held back.
     pub fn pending_output(&self) -> Option<&[u8]> {
         let (kind, bytes) = self.output.front()?;
         let is_tail = matches!(kind, SegmentKind::AttemptTail(_));
@@ -282,7 +286,8 @@
         }
     }
 
-    /// As soon as one byte is written the engine may have the whole command.
+    /// Records the first write of a command. The progress is `Complete` from the first byte on, as
+    /// the engine may have received the whole command by then.
     fn record_first_write(&mut self, now: Micros, id: RequestId) {
         let unsent = self.pending.get_mut(&id).filter(|a| a.is_unsent());
         if let Some(pending) = unsent {
@@ -304,7 +309,7 @@
         }
     }
 
-    /// The number of attempts written to their last byte since the previous call.
+    /// The number of attempts whose last byte was written since the previous call.
     pub fn take_commands_written(&mut self) -> u64 {
         std::mem::take(&mut self.commands_written)
     }
@@ -322,7 +327,7 @@
         self.apply(now, output, events);
     }
 
-    /// The first reason to close counts.
+    /// Sets the reason to close the connection, unless there already is one.
     fn close_unless_closing(&mut self, reason: Termination) {
         self.close_reason.get_or_insert(reason);
     }
@@ -370,7 +375,7 @@
         }
     }
 
-    /// The connection ended, or could not be established: ends all attempts and health checks.
+    /// Ends all attempts and probes, as the connection is closed or could not be established.
     pub fn close(&mut self, now: Micros, reason: Termination, events: &mut Vec<ConnectionEvent>) {
         self.close_unless_closing(reason);
         let in_flight: Vec<RequestId> = self.attempts().collect();
--- a/src/backend/connection_state/output_queue.rs
+++ b/src/backend/connection_state/output_queue.rs
@@ -1,5 +1,5 @@
-//! The bytes that wait to be written to a connection, in segments that know which attempt they
-//! belong to.
+//! The bytes queued to be written to a connection, in segments that are marked with the attempt
+//! they belong to.
 use crate::policy::api::RequestId;
 use std::collections::VecDeque;
 
@@ -7,12 +7,12 @@
 /// [`SegmentKind::AttemptTail`].
 const TAIL_BYTES: usize = 3;
 
-/// What the bytes of a segment are.
+/// The content of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SegmentKind {
     /// The whole command that starts an attempt.
     Attempt(RequestId),
-    /// That command without its last bytes, which follow in an [`SegmentKind::AttemptTail`].
+    /// That command without its last bytes, which follow in a [`SegmentKind::AttemptTail`].
     AttemptHead(RequestId),
     /// The last bytes of a command, written only after a delay.
     AttemptTail(RequestId),
@@ -37,23 +37,23 @@
     written: usize,
 }
 
-/// The segment that a write advanced.
+/// Result of a write to the front segment.
 pub(super) struct WriteProgress {
-    /// What the segment is.
+    /// The kind of the segment.
     pub(super) kind: SegmentKind,
-    /// Whether its last byte was written.
+    /// Whether the last byte of the segment was written.
     pub(super) complete: bool,
 }
 
-/// The output of one connection, in order.
+/// The output of one connection, in the order in which it is written.
 #[derive(Default)]
 pub(super) struct OutputQueue {
     segments: VecDeque<Segment>,
 }
 
 impl OutputQueue {
-    /// Queues the command that starts an attempt; with `hold_tail` its last bytes form a segment of
-    /// their own.
+    /// Queues the command that starts an attempt. With `hold_tail` its last bytes form a separate
+    /// segment, [`SegmentKind::AttemptTail`].
     pub(super) fn push_attempt(&mut self, id: RequestId, mut command: Vec<u8>, hold_tail: bool) {
         let tail_length = if hold_tail {
             TAIL_BYTES.min(command.len().saturating_sub(1))
--- a/src/backend/connection_state/probes.rs
+++ b/src/backend/connection_state/probes.rs
@@ -1,11 +1,11 @@
-//! The health checks that were sent on a connection and have no answer.
+//! The probes that were sent on a connection and have no response yet.
 use super::ConnectionEvent;
 use crate::backend::ProbeId;
 use crate::clock::{MS, Micros};
 use crate::policy::api::{LoadReport, OutcomeKind};
 use std::collections::VecDeque;
 
-/// A health check without an answer for this long has failed.
+/// A probe without a response for this long has failed.
 const PROBE_TIMEOUT_MICROS: Micros = 250 * MS;
 
 #[derive(Clone, Copy)]
@@ -28,7 +28,7 @@
     }
 }
 
-/// The health checks without an answer, in the order in which they were sent.
+/// The probes without a response, in the order in which they were sent.
 pub(super) struct PendingProbes {
     probes: VecDeque<PendingProbe>,
     next_id: ProbeId,
@@ -46,7 +46,7 @@
         self.probes.is_empty()
     }
 
-    /// Registers a health check that is sent now.
+    /// Registers a probe that is sent now, and returns its identifier.
     pub(super) fn register(&mut self, now: Micros) -> ProbeId {
         let id = self.next_id;
         self.probes.push_back(PendingProbe { id, sent_at: now });
@@ -54,13 +54,13 @@
         id
     }
 
-    /// When the oldest one expires.
+    /// When the oldest probe expires.
     pub(super) fn next_timeout(&self) -> Option<Micros> {
         self.probes.front().map(PendingProbe::expires_at)
     }
 
-    /// Completes one with its answer. A duplicate or late answer is ignored: it says nothing about a
-    /// later health check.
+    /// Completes a probe with its response. A duplicate or late response is ignored, as it must not
+    /// complete a later probe.
     pub(super) fn complete(
         &mut self,
         now: Micros,
@@ -73,7 +73,7 @@
         Some(probe.complete(now, kind, load))
     }
 
-    /// Ends the oldest one if it has expired.
+    /// Ends the oldest probe if it has expired.
     pub(super) fn expire_next(&mut self, now: Micros) -> Option<ConnectionEvent> {
         let probe = self
             .probes
@@ -81,7 +81,7 @@
         Some(probe.complete(now, OutcomeKind::Timeout, LoadReport::default()))
     }
 
-    /// Ends all of them, as the connection ends.
+    /// Ends all probes, as the connection is closed.
     pub(super) fn end_all(&mut self, now: Micros, kind: OutcomeKind) -> Vec<ConnectionEvent> {
         self.probes
             .drain(..)
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -1,5 +1,5 @@
-//! The engine side of the proxy without its sockets: one [`Protocol`] per kind of engine, and the
-//! state machine of a connection that is driven by it. The sockets are in [`crate::net::engine`].
+//! The engine side of the proxy, without its sockets: one [`Protocol`] per kind of engine, and the
+//! state machine of a connection, which uses it. The sockets are in [`crate::net::engine`].
 pub mod clickhouse;
 pub mod connection_state;
 pub mod platform;
@@ -10,7 +10,7 @@
 use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
 use std::fmt;
 
-/// Identifies a health check among those sent on one connection.
+/// Identifies a probe among those sent on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProbeId(pub u64);
 
@@ -18,7 +18,7 @@
     /// The first identifier on a connection.
     pub const FIRST: ProbeId = ProbeId(1);
 
-    /// The identifier after this one.
+    /// The identifier of the next probe.
     #[must_use]
     pub fn next(self) -> ProbeId {
         ProbeId(self.0 + 1)
@@ -31,14 +31,14 @@
     }
 }
 
-/// The end of an attempt, as far as the engine's response tells it.
+/// The end of an attempt, with what the engine's response holds.
 #[derive(Debug)]
 pub struct AttemptEnd {
     /// The request whose attempt ended.
     pub id: RequestId,
-    /// The reason.
+    /// How it ended.
     pub termination: Termination,
-    /// All rows of the result, with [`Termination::Done`]; empty otherwise.
+    /// All rows of the result if it ended with [`Termination::Done`]; empty otherwise.
     pub rows: Vec<u8>,
     /// The load that the engine reported with its response.
     pub load: LoadReport,
@@ -47,7 +47,7 @@
 }
 
 impl AttemptEnd {
-    /// The end of an attempt without a result, a load report or a cost.
+    /// Creates the end of an attempt without rows, load report and cost.
     pub fn without_result(id: RequestId, termination: Termination) -> AttemptEnd {
         AttemptEnd {
             id,
@@ -59,18 +59,18 @@
     }
 }
 
-/// An event that a protocol decoded from the bytes of an engine.
+/// An event that a protocol decoded from the bytes that an engine sent.
 #[derive(Debug)]
 pub enum BackendEvent {
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// A health check was answered.
+    /// The response to a probe arrived.
     ProbeCompleted {
-        /// The health check.
+        /// The probe.
         probe: ProbeId,
         /// Its outcome.
         kind: OutcomeKind,
-        /// The load that the engine reported with its answer.
+        /// The load that the engine reported in its response.
         load: LoadReport,
     },
 }
@@ -80,20 +80,20 @@
 pub struct ProtocolOutput {
     /// Events in the order in which they were decoded.
     pub events: Vec<BackendEvent>,
-    /// Bytes to send to the engine in return.
+    /// Bytes to send to the engine in reply.
     pub replies: Vec<u8>,
 }
 
-/// Why a protocol can't go on with a connection.
+/// Why a connection can't be used any longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
     /// The engine sent bytes that its protocol does not allow.
     #[error("the engine violated its protocol")]
     Violation,
-    /// A message or response that had begun was not completed in time.
+    /// A message or response was received in part and not completed in time.
     #[error("the engine did not complete a message in time")]
     Timeout,
-    /// A response exceeds the size that is accepted, and only closing the connection stops it.
+    /// A response exceeds the size limit, and only closing the connection stops it.
     #[error("the engine's response is too large")]
     ResponseTooLarge,
 }
@@ -110,7 +110,7 @@
 
 /// Encodes and decodes the protocol of one connection to an engine.
 pub trait Protocol {
-    /// The number of attempts that the connection carries at the same time.
+    /// The number of attempts that the connection can carry at the same time.
     fn max_streams(&self) -> usize;
 
     /// Encodes the command that starts an attempt. Never empty.
@@ -121,19 +121,19 @@
     fn cancel_attempt(&mut self, id: RequestId) -> Option<Vec<u8>>;
 
     /// Encodes the command that changes the priority of a running attempt. Empty if the protocol
-    /// has no such command, or the attempt does not run any more.
+    /// has no such command, or the attempt is no longer running.
     fn set_priority(&mut self, _id: RequestId, _priority: u8) -> Vec<u8> {
         Vec::new()
     }
 
-    /// Encodes a health check.
+    /// Encodes a probe.
     fn send_probe(&mut self, probe: ProbeId) -> Vec<u8>;
 
     /// Decodes bytes that were received.
     ///
     /// # Errors
     ///
-    /// The connection must be closed. Events decoded before the fault are in `output` and count.
+    /// The connection must be closed. Events decoded before the error are in `output` and valid.
     fn receive(
         &mut self,
         now: Micros,
@@ -141,20 +141,21 @@
         output: &mut ProtocolOutput,
     ) -> Result<(), ProtocolError>;
 
-    /// When [`Protocol::on_timeout`] has to be called, if anything is expected from the engine.
+    /// When [`Protocol::on_timeout`] has to be called; `None` if nothing can time out.
     fn next_timeout(&self) -> Option<Micros>;
 
-    /// Ends the responses that are overdue at `now`.
+    /// Ends the responses that have timed out at `now`.
     ///
     /// # Errors
     ///
-    /// The whole connection is overdue and must be closed.
+    /// The connection as a whole has timed out and must be closed.
     fn on_timeout(&mut self, now: Micros, output: &mut ProtocolOutput)
     -> Result<(), ProtocolError>;
 
-    /// The engine closed its side of the connection, which may complete a response.
+    /// Processes the end of the stream: the engine closed its side of the connection, which may
+    /// complete a response.
     fn on_end_of_input(&mut self, output: &mut ProtocolOutput);
 
-    /// Whether the connection may carry further attempts after those in flight.
+    /// Whether the connection may carry more attempts after those in flight.
     fn is_reusable(&self) -> bool;
 }
--- a/src/backend/platform/message.rs
+++ b/src/backend/platform/message.rs
@@ -2,15 +2,15 @@
 //! LENGTH`, and a body of that length, each followed by CR LF.
 use crate::backend::ProtocolError;
 
-/// Longest line that is accepted, in bytes.
+/// Limit on the length of a line, in bytes.
 pub(super) const MAX_LINE_BYTES: usize = 4_096;
-/// Longest body that is accepted, in bytes: the largest page is smaller.
+/// Limit on the length of a body, in bytes; the largest page is smaller.
 const MAX_BODY_BYTES: usize = 6_000;
 /// The number of columns of every result.
 const RESULT_COLUMNS: usize = 3;
 const LINE_END: &[u8] = b"\r\n";
 
-/// What a message of the engine says.
+/// The second word of a message from the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Verb {
     /// `DONE`: the query succeeded; the body is the first page of its result.
@@ -23,11 +23,11 @@
     AlreadyFinished,
     /// `BROKE`: the query failed.
     Failed,
-    /// `KEEP`, `LACK`, `TELL`: acknowledgements without a meaning for the proxy.
+    /// `KEEP`, `LACK`, `TELL`: acknowledgements, which the proxy ignores.
     Acknowledgement,
-    /// `FIT`: the answer to a health check, the engine accepts work.
+    /// `FIT`: response to a probe; the engine accepts work.
     ProbeAccepted,
-    /// `UNFIT`: the answer to a health check, the engine rejects work.
+    /// `UNFIT`: response to a probe; the engine rejects work.
     ProbeRejected,
 }
 
@@ -61,22 +61,22 @@
         pairs.map(Fields).ok_or(ProtocolError::Violation)
     }
 
-    /// The first value of that name.
+    /// The first value with that name.
     pub(super) fn get(&self, name: &str) -> Option<&'a str> {
         let pair = self.0.iter().find(|(found, _)| *found == name);
         pair.map(|(_, value)| *value)
     }
 
-    /// The first value of that name as a number; `None` also if it is no number.
+    /// The first value with that name as a number; `None` also if it is not a number.
     pub(super) fn number<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
         self.get(name)?.parse().ok()
     }
 }
 
-/// One message of the engine.
+/// One message from the engine.
 #[derive(Debug)]
 pub(super) struct Message<'a> {
-    /// The request, by the client's identifier, or the health check.
+    /// Identifies the request, by the client's identifier, or the probe.
     pub(super) key: &'a str,
     pub(super) verb: Verb,
     pub(super) fields: Fields<'a>,
@@ -85,12 +85,12 @@
     pub(super) length: usize,
 }
 
-/// Decodes the message at the start of `input`, or gives `None` until all of it has come.
+/// Decodes the message at the start of `input`. Returns `None` if it is incomplete.
 ///
 /// # Errors
 ///
-/// The input is no message: the line has not four words, the verb is unknown, or the body does not
-/// end where the line says.
+/// The input is not a valid message: the line exceeds [`MAX_LINE_BYTES`] or does not have four
+/// valid words, or the body exceeds [`MAX_BODY_BYTES`] or does not have the stated length.
 pub(super) fn decode(input: &[u8]) -> Result<Option<Message<'_>>, ProtocolError> {
     let Some(line_length) = find_line_end(input)? else {
         return Ok(None);
@@ -129,7 +129,7 @@
     Ok(end)
 }
 
-/// The last word of a line: digits only, without a sign.
+/// Parses the last word of a line: digits only, without a sign.
 fn body_length(line: &[u8]) -> Result<usize, ProtocolError> {
     let word = line.rsplit(|byte| *byte == b' ').next().unwrap_or_default();
     if !word.iter().all(u8::is_ascii_digit) {
@@ -143,8 +143,8 @@
         .ok_or(ProtocolError::Violation)
 }
 
-/// Whether a page consists of complete rows of text with the expected number of columns, so that
-/// corrupted bytes are not passed on as a result.
+/// Whether a page consists of complete rows of text with the expected number of columns. Keeps
+/// corrupted bytes from being passed on as a result.
 pub(super) fn is_valid_page(page: &[u8]) -> bool {
     if page.is_empty() {
         return true;
--- a/src/backend/platform/mod.rs
+++ b/src/backend/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's engine protocol: lines of words with a body, and pages for long results.
+//! The platform's engine protocol: messages of a line and a body, and results in pages.
 mod message;
 mod response;
 
@@ -14,32 +14,32 @@
 use std::fmt::Write as _;
 use std::rc::Rc;
 
-/// A message must be complete this long after its first byte, so that one that never ends does not
-/// block the others on its connection.
+/// Time limit from the first byte of a message to its last, so that an incomplete message does not
+/// block the other attempts on its connection.
 const MESSAGE_TIMEOUT_MICROS: Micros = 500 * MS;
 
 /// The protocol of one connection to an engine of the platform.
 pub struct Platform {
     names: Rc<Names>,
-    /// By the client's identifier of the request.
+    /// Pending responses, by the client's identifier of the request.
     responses: BTreeMap<Rc<str>, PendingResponse>,
     input: Vec<u8>,
-    /// When the first byte of the incomplete message in `input` came.
-    message_began_at: Option<Micros>,
+    /// When the first byte of the incomplete message in `input` was received.
+    message_started_at: Option<Micros>,
 }
 
 impl Platform {
-    /// The protocol of a new connection.
+    /// Creates the protocol state of a new connection.
     pub fn new(names: Rc<Names>) -> Platform {
         Platform {
             names,
             responses: BTreeMap::new(),
             input: Vec::new(),
-            message_began_at: None,
+            message_started_at: None,
         }
     }
 
-    /// Processes the complete messages in `input` and gives the number of bytes that they take.
+    /// Processes the complete messages in `input` and returns their total length in bytes.
     fn receive_messages(
         &mut self,
         now: Micros,
@@ -94,15 +94,15 @@
         output: &mut ProtocolOutput,
     ) -> Result<(), ProtocolError> {
         let key = message.key;
-        // The response to an attempt that was cancelled a moment ago is no violation.
+        // The response to an attempt that was just cancelled is not a protocol violation.
         let Some(response) = self.responses.get_mut(key) else {
             return Ok(());
         };
         if !message::is_valid_page(message.body) {
             return Err(ProtocolError::Violation);
         }
-        if response.has_begun() {
-            // A duplicate.
+        if response.has_first_page() {
+            // A duplicate of the first page.
             return Ok(());
         }
         let page_count = message.fields.number("sheets").filter(|count| *count > 0);
@@ -116,7 +116,7 @@
             self.end_response(key, Termination::EngineError, output);
             return Ok(());
         }
-        response.begin(now, page_count, message.body);
+        response.store_first_page(now, page_count, message.body);
         for number in 1..page_count {
             let request = format!("page {key} {number}\r\n");
             output.replies.extend_from_slice(request.as_bytes());
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Ends a response, unless its attempt was cancelled before.
+    /// Ends a response. Does nothing if its attempt was cancelled.
     fn end_response(&mut self, key: &str, termination: Termination, output: &mut ProtocolOutput) {
         let Some(response) = self.responses.remove(key) else {
             return;
@@ -163,26 +163,26 @@
         let mut end = AttemptEnd::without_result(response.id, termination);
         end.load = response.load;
         end.cost = response.cost;
-        // Either all rows in order, or none.
+        // The result has either all rows, in order, or none.
         if termination == Termination::Done {
             end.rows = response.into_rows();
         }
         output.events.push(BackendEvent::AttemptEnded(end));
     }
 
-    fn key_of(&self, id: RequestId) -> Option<Rc<str>> {
+    fn find_key(&self, id: RequestId) -> Option<Rc<str>> {
         let entry = self.responses.iter().find(|(_, found)| found.id == id);
         entry.map(|(key, _)| key.clone())
     }
 }
 
-/// Tells the engine that the pages of a response are not needed any more.
+/// Queues the command by which the engine discards the pages of a response.
 fn push_forget(key: &str, output: &mut ProtocolOutput) {
     let command = format!("forget {key}\r\n");
     output.replies.extend_from_slice(command.as_bytes());
 }
 
-/// Reads the load figures that `names` lists, in that order, from the field `meter` of a message.
+/// Reads the load values listed in `names`, in that order, from the field `meter` of a message.
 fn load_report(names: &[String], fields: &Fields) -> LoadReport {
     let meter = fields.get("meter").unwrap_or_default();
     let reported: Vec<(&str, f32)> = meter
@@ -205,7 +205,7 @@
     LoadReport::from_values(&values[..reported_len])
 }
 
-/// The name under which engines may report a load figure of the settings.
+/// The other name under which engines may report a load value of the settings.
 fn reported_name(settings_name: &str) -> &str {
     match settings_name {
         "outstanding" => "inflight",
@@ -253,12 +253,12 @@
     }
 
     fn cancel_attempt(&mut self, id: RequestId) -> Option<Vec<u8>> {
-        let Some(key) = self.key_of(id) else {
+        let Some(key) = self.find_key(id) else {
             return Some(Vec::new());
         };
         let response = self.responses.remove(&key);
-        let has_begun = response.is_some_and(|response| response.has_begun());
-        let verb = if has_begun { "forget" } else { "undo" };
+        let has_first_page = response.is_some_and(|response| response.has_first_page());
+        let verb = if has_first_page { "forget" } else { "undo" };
         Some(format!("{verb} {key}\r\n").into_bytes())
     }
 
@@ -266,7 +266,7 @@
         let running = self
             .responses
             .iter()
-            .find(|(_, response)| response.id == id && !response.has_begun());
+            .find(|(_, response)| response.id == id && !response.has_first_page());
         let Some((key, _)) = running else {
             return Vec::new();
         };
@@ -295,10 +295,10 @@
         let used = received?;
         self.input.drain(..used);
         if self.input.is_empty() {
-            self.message_began_at = None;
+            self.message_started_at = None;
             self.input.shrink_to(message::MAX_LINE_BYTES);
-        } else if used > 0 || self.message_began_at.is_none() {
-            self.message_began_at = Some(now);
+        } else if used > 0 || self.message_started_at.is_none() {
+            self.message_started_at = Some(now);
         }
         Ok(())
     }
@@ -308,7 +308,9 @@
             .responses
             .values()
             .filter_map(PendingResponse::pages_due_at);
-        let message = self.message_began_at.map(|at| at + MESSAGE_TIMEOUT_MICROS);
+        let message = self
+            .message_started_at
+            .map(|at| at + MESSAGE_TIMEOUT_MICROS);
         pages.chain(message).min()
     }
 
@@ -317,7 +319,7 @@
         now: Micros,
         output: &mut ProtocolOutput,
     ) -> Result<(), ProtocolError> {
-        let message = self.message_began_at;
+        let message = self.message_started_at;
         if message.is_some_and(|at| at + MESSAGE_TIMEOUT_MICROS <= now) {
             return Err(ProtocolError::Timeout);
         }
