--- a/src/audit/buffer.rs
+++ b/src/audit/buffer.rs
@@ -1,13 +1,13 @@
-//! Collects the records of one process in batches for the files.
+//! Collects the audit records of one process in batches, which are written to files.
 use super::{ActiveConfiguration, Decision, DecisionContext, DecisionKind, Entry};
 use crate::clock::{MS, Micros};
 
-/// A batch is flushed this long after its first entry at the latest.
+/// Longest time from the first entry of a batch to its flush.
 pub const FLUSH_INTERVAL_MICROS: Micros = 50 * MS;
-/// A batch with this many entries is flushed at once.
+/// Number of entries at which a batch is flushed at once.
 const MAX_BATCH_ENTRIES: usize = 512;
 
-/// A batch of entries for the files.
+/// A batch of entries that is written to a file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
     /// The context of its first record.
@@ -19,7 +19,8 @@
 }
 
 impl Batch {
-    /// Puts a record first that says how many records just before this batch are lost.
+    /// Inserts a record at the start, which states how many records directly before this batch are
+    /// lost.
     pub fn prepend_loss(&mut self, lost_records: u64, at: Micros) {
         if lost_records == 0 {
             return;
@@ -32,10 +33,11 @@
         self.first_number -= lost_records;
     }
 
-    /// How many records are lost if this batch is, with those that it reports as lost itself.
+    /// The number of records that are lost if this batch is dropped, including those that the batch
+    /// itself reports as lost.
     pub fn record_count(&self) -> u64 {
         let count = |entry: &Entry| match entry {
-            // It stands at the position of the last lost record.
+            // This record takes the position of the last lost record.
             Entry::Record {
                 kind: DecisionKind::Lost { count },
                 ..
@@ -47,22 +49,22 @@
     }
 }
 
-/// The records of one process on their way to the files.
+/// The records of one process that are not yet passed on to be written.
 pub struct AuditBuffer {
     context: DecisionContext,
-    /// The context of the first record of the batch.
+    /// The context at the start of the batch.
     batch_context: DecisionContext,
     batch: Vec<Entry>,
     /// When the first entry of the batch was added.
     batch_started_at: Option<Micros>,
     last_number: u64,
-    /// Records that were dropped and not yet reported as lost.
+    /// Number of records that were dropped and are not yet reported as lost.
     lost_records: u64,
 }
 
 impl AuditBuffer {
-    /// The buffer of a process that starts now. Its first record says which configuration it acts
-    /// on.
+    /// Creates the buffer of a process that starts now. The first record is the activation of the
+    /// configuration in `context`.
     pub fn new(context: DecisionContext) -> AuditBuffer {
         let now = context.active_since;
         let mut buffer = AuditBuffer {
@@ -77,7 +79,8 @@
         buffer
     }
 
-    /// The decision module acts on this configuration from now on.
+    /// Sets the configuration that the decision module acts on from now on, and records its
+    /// activation if it differs from the previous one.
     pub fn set_configuration(&mut self, now: Micros, configuration: ActiveConfiguration) {
         if configuration != self.context.configuration {
             self.context.configuration = configuration;
@@ -114,7 +117,7 @@
         self.batch.push(entry);
     }
 
-    /// When the batch is to be flushed, if anything waits.
+    /// When the batch has to be flushed; `None` if there is nothing to write.
     pub fn flush_due_at(&self) -> Option<Micros> {
         let started_at = self.batch_started_at?;
         if self.batch.len() >= MAX_BATCH_ENTRIES {
@@ -124,13 +127,13 @@
         }
     }
 
-    /// The batch, if it is due.
+    /// Takes the batch if its flush is due at `now`.
     pub fn flush(&mut self, now: Micros) -> Option<Batch> {
         self.flush_due_at().filter(|due_at| *due_at <= now)?;
         self.finish()
     }
 
-    /// The batch, due or not: the process ends.
+    /// Takes the batch, whether it is due or not, as when the process exits.
     pub fn finish(&mut self) -> Option<Batch> {
         let started_at = self.batch_started_at.take()?;
         if self.batch.is_empty() {
@@ -146,8 +149,8 @@
         Some(batch)
     }
 
-    /// A batch found no room and was dropped. The next batch reports its records as lost; one is
-    /// made for that if nothing else waits.
+    /// Records that a batch was dropped because the queue to the files was full. The next batch
+    /// reports its records as lost; if there are no new entries, a batch is made for that alone.
     pub fn mark_lost(&mut self, now: Micros, batch: &Batch) {
         self.lost_records += batch.record_count();
         self.batch_started_at.get_or_insert(now);
--- a/src/audit/decision.rs
+++ b/src/audit/decision.rs
@@ -1,4 +1,4 @@
-//! Decisions, and the configuration that they were made under.
+//! Decisions, and the configuration under which they were made.
 use crate::clock::Micros;
 use crate::lease::FencingToken;
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,7 @@
     pub list: u64,
 }
 
-/// What was decided. The files number the variants and their fields by their order.
+/// What was decided. The files identify variants and fields by their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DecisionKind {
     /// An attempt of a request was dispatched.
@@ -27,43 +27,43 @@
     },
     /// The request was rejected for good.
     Reject {
-        /// When the client may come back, in milliseconds.
+        /// The time after which the client may retry, in milliseconds.
         retry_after_ms: u32,
     },
     /// The request failed for good.
     Fail,
-    /// The decision module acts on another configuration from now on, or on its first one.
+    /// The decision module acts on a new configuration, or on its first one, from now on.
     ActivateConfiguration,
-    /// Records are lost: this one stands for them, at the position of the last one.
+    /// Replaces records that are lost, at the position of the last of them.
     Lost {
-        /// How many.
+        /// The number of lost records.
         count: u64,
     },
-    /// The manager holds a lease from now on. The resource stands in place of the request.
+    /// The manager acquired a lease. The record has the resource in place of the request.
     AcquireLease {
         /// The fencing token of the lease.
         token: FencingToken,
     },
-    /// The manager holds the lease no longer.
+    /// The manager no longer holds the lease.
     EndLease {
         /// The fencing token of the lease.
         token: FencingToken,
     },
 }
 
-/// A decision as the dispatcher made it.
+/// A decision of the dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decision {
     /// What was decided.
     pub kind: DecisionKind,
     /// The name of the request's class.
     pub class: Rc<str>,
-    /// The client's id of the request; empty where a frontend rejected it unread.
+    /// The client's id of the request; empty if a frontend rejected the request without reading it.
     pub request: Rc<str>,
 }
 
-/// Who made decisions, and under which configuration. Written at the start of each file, and
-/// before the first record after each change.
+/// The manager that made decisions, and the configuration under which it made them. Written at the
+/// start of each file, and before the first record after each change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecisionContext {
     /// The manager's name.
--- a/src/audit/entry.rs
+++ b/src/audit/entry.rs
@@ -1,4 +1,4 @@
-//! The entries of the audit's files.
+//! The entries of audit files.
 use super::{ActiveConfiguration, DecisionContext, DecisionKind};
 use crate::clock::Micros;
 use serde::{Deserialize, Serialize};
@@ -6,28 +6,28 @@
 use std::num::ParseIntError;
 use std::str::FromStr;
 
-/// One entry of a file. The files number the variants and their fields by their order.
+/// One entry of a file. The files identify variants and fields by their order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// The context of the records after it.
+    /// The context of the records that follow.
     Context(Box<ContextEntry>),
     /// A decision.
     Record {
-        /// The number of the record in this incarnation, from 1.
+        /// The number of the record in this incarnation, counted from 1.
         number: u64,
         /// When the decision was made, in microseconds of Unix time.
         at: Micros,
         /// What was decided.
         kind: DecisionKind,
-        /// The name of the class; empty without one.
+        /// The name of the class; empty if there is none.
         class: Box<str>,
-        /// The request or resource; empty without one.
+        /// The request or the resource; empty if there is neither.
         request: Box<str>,
     },
 }
 
 impl Entry {
-    /// A record without class and request.
+    /// Creates a record without a class and a request.
     pub(super) fn plain_record(number: u64, at: Micros, kind: DecisionKind) -> Entry {
         Entry::Record {
             number,
@@ -39,7 +39,8 @@
     }
 }
 
-/// [`DecisionContext`] as the files have it: postcard can't read flattened fields.
+/// [`DecisionContext`] in the format of the files. Postcard can't read flattened fields, so this
+/// type has none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContextEntry {
     member: String,
@@ -73,13 +74,13 @@
     }
 }
 
-/// The position of a record among all of a manager, as text `INCARNATION.NUMBER`. The default is
-/// before all records.
+/// The position of a record among all records of a manager; as text `INCARNATION.NUMBER`. The
+/// default is the position before all records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RecordPosition {
     /// The incarnation of the process.
     pub incarnation: u64,
-    /// The number of the record in it.
+    /// The number of the record in this incarnation.
     pub number: u64,
 }
 
--- a/src/audit/mod.rs
+++ b/src/audit/mod.rs
@@ -1,8 +1,9 @@
-//! The audit: what this manager decided, and under which build, settings and endpoint list.
+//! The audit: the decisions of this manager, with the build, settings and endpoint list under which
+//! they were made.
 //!
-//! [`AuditBuffer`] is pure: decisions and their times go in, batches of entries come out.
-//! [`store`] keeps the batches in files, [`crate::net::audit`] carries them to the thread that owns
-//! the files, and [`report`] compares the audits of several managers.
+//! [`AuditBuffer`] collects decisions in batches of entries, without I/O or a clock of its own.
+//! [`crate::net::audit`] sends the batches to the thread that owns the files, [`store`] writes and
+//! reads the files, and [`report`] compares the audits of several managers.
 mod buffer;
 mod decision;
 mod entry;
--- a/src/audit/report/mod.rs
+++ b/src/audit/report/mod.rs
@@ -1,6 +1,6 @@
-//! Compares the audits of several managers: which configuration each acted on, who held which
-//! lease, where the managers disagree, and how long each change took to reach them. Pure: records
-//! and views go in, figures and text come out.
+//! Compares the audits of several managers: which configuration each acted on, which leases each
+//! held, where the managers disagree, and how long each change took to reach them. Does no I/O: the
+//! input is the records and the views of the fleet, the output is a [`Report`].
 mod activity;
 mod disagreement;
 mod propagation;
@@ -14,34 +14,34 @@
 use crate::membership::{MemberState, RunningVersions};
 use serde::{Deserialize, Serialize};
 
-/// A member as one manager sees it: a line of `GET /fleet`.
+/// A member as one manager reports it: a line of `GET /fleet`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObservedMember {
-    /// Whether it is the manager that answered.
+    /// Whether it is the reporting manager itself.
     #[serde(rename = "self")]
     pub is_self: bool,
     /// Its name.
     pub name: String,
-    /// The state that the manager takes it to be in.
+    /// Its state in the reporting manager's view.
     #[serde(rename = "health")]
     pub state: MemberState,
-    /// The versions that it says it runs.
+    /// The versions that it announces.
     pub versions: RunningVersions,
 }
 
-/// What one manager answered.
+/// The data received from one manager.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct NodeReport {
-    /// The address that was asked.
+    /// The manager's address, as it was queried.
     pub addr: String,
     /// Its view of the fleet, itself first.
     pub fleet: Vec<ObservedMember>,
     /// Its records.
     pub records: Vec<AuditLine>,
-    /// How many frames of its files were damaged.
+    /// The number of damaged frames in its files.
     #[serde(rename = "spoilt")]
     pub damaged_frames: u64,
-    /// What could not be had of it.
+    /// The data that could not be received from it.
     pub missing: Vec<String>,
 }
 
@@ -51,7 +51,8 @@
         self.fleet.iter().find(|member| member.is_self)
     }
 
-    /// The manager's name: from its view of the fleet, else from its records, else its address.
+    /// The manager's name from its view of the fleet, or else from its records, or else its
+    /// address.
     pub fn name(&self) -> &str {
         if let Some(member) = self.own_entry() {
             return &member.name;
@@ -62,7 +63,7 @@
         }
     }
 
-    /// What could not be had of it, a line each.
+    /// The data that is missing from this manager, one line each.
     fn missing_lines(&self) -> impl Iterator<Item = String> {
         let name = self.name();
         let missing = self
@@ -78,22 +79,23 @@
 /// The report on several managers.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// Who held which lease, by resource and token.
+    /// The leases, by resource and token.
     #[serde(rename = "owned")]
     pub leases: Vec<LeaseInterval>,
-    /// A row for each configuration that a process acted on, the latest last.
+    /// An interval for each configuration that a process acted on; those of a manager in the order
+    /// of its records.
     #[serde(rename = "acted")]
     pub activity: Vec<ActivityInterval>,
     /// Where the managers disagree.
     pub disagreements: Vec<Disagreement>,
-    /// How long changes took to reach the managers.
+    /// How long each change took to reach the managers.
     #[serde(rename = "spreads")]
     pub propagation: Vec<PropagationDelay>,
-    /// What could not be had, a line each.
+    /// The data that is missing, one line each.
     pub missing: Vec<String>,
 }
 
-/// The report on what several managers answered.
+/// Creates the report on several managers.
 pub fn report(nodes: &[NodeReport]) -> Report {
     let activity: Vec<ActivityInterval> = nodes
         .iter()
--- a/src/audit/report/text.rs
+++ b/src/audit/report/text.rs
@@ -1,11 +1,11 @@
-//! The report as operators read it.
+//! The report as text for operators.
 use super::{ActivityInterval, Disagreement, LeaseInterval, PropagationDelay, Report};
 use crate::clock::{Micros, SEC};
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
 
 impl Report {
-    /// The report as text: tables, disagreements and histograms.
+    /// Formats the report as tables, lists of disagreements and histograms.
     pub fn text(&self) -> String {
         let since = self.activity.iter().map(|interval| interval.since);
         let start = since.min().unwrap_or(0);
@@ -30,7 +30,7 @@
     duration as f64 / SEC as f64
 }
 
-/// A point in time, as seconds after the start of the report.
+/// Formats a point in time as seconds after `start`.
 fn offset_text(at: Micros, start: Micros) -> String {
     format!("+{:.3} s", seconds(at.saturating_sub(start)))
 }
--- a/src/audit/rotation.rs
+++ b/src/audit/rotation.rs
@@ -1,4 +1,4 @@
-//! Which files of the audit there are, and which are to be deleted.
+//! Rotation of the audit files: when a new file is opened, and which files are deleted.
 use super::RecordPosition;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -7,14 +7,14 @@
 const MIN_SEGMENTS: usize = 2;
 const MAX_SEGMENTS: usize = 10_000;
 
-/// `[audit]` of the operator's fleet file: the bounds on the files of one manager, over all its
+/// `[audit]` of the operator's fleet file: limits on the files of one manager, over all its
 /// incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// The size at which a file is closed, in KiB.
+    /// The size limit of a file, in KiB. A batch that would exceed it is written to a new file.
     pub segment_kb: u64,
-    /// How many files are kept, with the one that is being written.
+    /// The number of files that are kept, including the one that is being written.
     pub segments: usize,
 }
 
@@ -27,17 +27,19 @@
     }
 }
 
-/// Why [`Bounds`] are rejected.
+/// Why [`Bounds`] are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BoundsError {
     /// The size of a file is out of range.
-    #[error("fleet: audit: segment_kb from 1 to {MAX_SEGMENT_KB}, not {segment_kb}")]
+    #[error("fleet: audit: segment_kb has to be from 1 to {MAX_SEGMENT_KB}, not {segment_kb}")]
     SegmentSize {
         /// The configured size in KiB.
         segment_kb: u64,
     },
     /// The number of files is out of range.
-    #[error("fleet: audit: segments from {MIN_SEGMENTS} to {MAX_SEGMENTS}, not {segments}")]
+    #[error(
+        "fleet: audit: segments has to be from {MIN_SEGMENTS} to {MAX_SEGMENTS}, not {segments}"
+    )]
     SegmentCount {
         /// The configured number of files.
         segments: usize,
@@ -45,7 +47,7 @@
 }
 
 impl Bounds {
-    /// Checks that the bounds are in range.
+    /// Checks that both values are in range.
     ///
     /// # Errors
     /// A [`BoundsError`] with the value that is out of range.
@@ -66,10 +68,10 @@
     }
 }
 
-/// What has to be done before a batch is written.
+/// Steps that are necessary before a batch is written.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RotationPlan {
-    /// The file to open, named by its first record; `None` to go on with the open one.
+    /// The file to open, named by its first record; `None` if the batch fits into the open file.
     pub open: Option<RecordPosition>,
     /// The files to delete.
     pub delete: Vec<RecordPosition>,
@@ -86,12 +88,12 @@
     bounds: Bounds,
     /// All files, the oldest first.
     segments: Vec<RecordPosition>,
-    /// The last file, if this process is writing it.
+    /// The state of the last file, if this process has it open.
     open: Option<OpenSegment>,
 }
 
 impl Rotation {
-    /// With the files of earlier incarnations.
+    /// Creates the rotation with the existing files, which are those of earlier incarnations.
     pub fn new(bounds: Bounds, mut existing: Vec<RecordPosition>) -> Rotation {
         existing.sort_unstable();
         Rotation {
@@ -101,16 +103,16 @@
         }
     }
 
-    /// Plans the write of a batch of that size that begins with the record at `first`.
+    /// Plans the write of a batch of `bytes` bytes that begins with the record at `first`.
     pub fn plan_write(&mut self, first: RecordPosition, bytes: u64) -> RotationPlan {
         let mut plan = RotationPlan::default();
         let max_bytes = self.bounds.segment_bytes();
-        let has_room =
+        let fits =
             |open: &OpenSegment| open.written_bytes == 0 || open.written_bytes + bytes <= max_bytes;
-        let mut open = match self.open.filter(has_room) {
+        let mut open = match self.open.filter(fits) {
             Some(open) => open,
             None => {
-                // A file of that name may be there already: one without any record.
+                // A file with this name may already exist; it then has no record.
                 if self.segments.last() != Some(&first) {
                     self.segments.push(first);
                 }
@@ -125,7 +127,7 @@
         plan
     }
 
-    /// The open file can't be written any more: the next batch begins another one.
+    /// Abandons the open file after a failed write: the next batch is written to a new one.
     pub fn abandon_open_segment(&mut self) {
         self.open = None;
     }
