--- a/src/backend/connection_state/mod.rs
+++ b/src/backend/connection_state/mod.rs
@@ -175,8 +175,8 @@
         self.end_attempt(now, AttemptEnd::without_result(id, termination))
     }
 
-    /// Cancels an attempt. It ends after [`CANCEL_SETTLE_MICROS`], or at once if it was not sent
-    /// yet or only closing the connection cancels it. Ignored for an attempt that is not in flight.
+    /// Cancels an attempt. It ends after a short delay, or at once if it was not sent yet or only
+    /// closing the connection cancels it. Ignored for an attempt that is not in flight.
     pub fn cancel_attempt(
         &mut self,
         now: Micros,
--- a/src/spool/access.rs
+++ b/src/spool/access.rs
@@ -1,10 +1,10 @@
-//! Access of an owner to a result: reading, acknowledging and deleting it.
+//! Access of an owner to its results: reading, acknowledging and deleting.
 
 use super::{AccessError, Owner, ResultId, ResultStage, Spool, SpoolCommand, SpooledResult};
 use crate::clock::Micros;
 
 impl Spool {
-    /// The sealed result of this owner.
+    /// Returns a sealed or consumed result of this owner.
     fn readable(&mut self, id: ResultId, owner: &Owner) -> Result<&mut SpooledResult, AccessError> {
         let result = self
             .results
@@ -21,7 +21,7 @@
         }
     }
 
-    /// A client begins to read a page, counted from 0. The result is stored at least until the
+    /// Begins a client's read of a page, counted from 0. The result is stored at least until the
     /// matching [`end_read`](Spool::end_read).
     ///
     /// # Errors
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// A read has ended, whether the client has the page or not.
+    /// Ends a read, whether or not the client received the page.
     pub fn end_read(&mut self, now: Micros, id: ResultId, commands: &mut Vec<SpoolCommand>) {
         if let Some(result) = self.results.get_mut(&id) {
             result.readers = result.readers.saturating_sub(1);
@@ -52,8 +52,8 @@
         self.expire(now, commands);
     }
 
-    /// The client acknowledges a page, counted from 0: it has stored it. Returns whether it has
-    /// acknowledged all pages.
+    /// Records that the client has stored a page, counted from 0. Returns whether all pages are
+    /// acknowledged.
     ///
     /// # Errors
     ///
@@ -82,9 +82,9 @@
         Ok(result.stage == ResultStage::Consumed)
     }
 
-    /// The owner deletes a result. While it is being read it is stored until that ends. Of a query
-    /// that must not run twice only the pages are removed, as a retry that crosses the deletion
-    /// would run it again.
+    /// Deletes a result for its owner. If it is being read, it is stored until the read ends. If
+    /// its query must not run twice, only the pages are removed: without the entry, a retry that is
+    /// sent before the deletion and arrives after it would run the query again.
     ///
     /// # Errors
     ///
--- a/src/spool/admission.rs
+++ b/src/spool/admission.rs
@@ -7,7 +7,7 @@
 use crate::clock::Micros;
 use std::collections::BTreeSet;
 
-/// The stage in which a stored result is recovered; `None` if it is not worth storing.
+/// The stage in which a stored result is recovered; `None` if it is removed.
 fn recovered_stage(stored: &StoredResult) -> Option<ResultStage> {
     match &stored.sealed_page_sizes {
         Some(sizes) if !sizes.is_empty() && stored.acknowledged_pages.len() == sizes.len() => {
@@ -20,9 +20,9 @@
 }
 
 impl Spool {
-    /// A spool with what a store held. `latest` is the latest time that the store noted: time is
-    /// counted from there if the clock was set back. Results that were not sealed are removed, but
-    /// a query that must not run twice is lost.
+    /// Creates a spool from the content of a store. `latest` is the latest time in the store, which
+    /// is used in place of `now` if the clock was set back. Results that were not sealed are
+    /// removed, except that those of queries that must not run twice become [`ResultStage::Lost`].
     pub fn recover(
         limits: SpoolLimits,
         now: Micros,
@@ -69,7 +69,7 @@
         self.results.insert(id, result);
     }
 
-    /// A client submits a query, for the first time or as a retry.
+    /// Processes a client's submission of a query, for the first time or as a retry.
     pub fn submit(
         &mut self,
         now: Micros,
@@ -102,7 +102,7 @@
         SubmitOutcome::Admitted(id)
     }
 
-    /// The outcome for a query id that is known.
+    /// The outcome of a submission whose query id is known; `None` if it is not.
     fn find_existing(&self, submission: &Submission) -> Option<SubmitOutcome> {
         let key = (submission.owner.clone(), submission.query_id.clone());
         let id = *self.ids_by_query.get(&key)?;
--- a/src/spool/execution.rs
+++ b/src/spool/execution.rs
@@ -1,23 +1,23 @@
-//! The run of a query, from the durable intent to the durable seal of its result.
+//! Execution of a query, from the durable intent to the durable seal of its result.
 
 use super::{ResultId, ResultStage, Spool, SpoolCommand};
 use crate::clock::Micros;
 
 impl Spool {
-    /// The intent is durable.
+    /// Records that the intent is durable, and orders the run of the query.
     pub fn intent_stored(&mut self, id: ResultId, commands: &mut Vec<SpoolCommand>) {
         if self.transition(id, ResultStage::Admitted, ResultStage::Intended) {
             commands.push(SpoolCommand::Run(id));
         }
     }
 
-    /// An attempt was sent; an engine may run the query from here on.
+    /// Records that an attempt was sent. From then on an engine may run the query.
     pub fn attempt_started(&mut self, id: ResultId) {
         self.transition(id, ResultStage::Intended, ResultStage::Running);
     }
 
-    /// A page of this size arrived. Returns `false` if it exceeds a quota, in which case the
-    /// attempt is cancelled.
+    /// Records that a page of this size arrived. Returns `false` if the query is not running, or if
+    /// the page exceeds a quota, in which case the attempt is cancelled.
     pub fn add_page(
         &mut self,
         now: Micros,
@@ -43,14 +43,15 @@
         true
     }
 
-    /// The engine completed the query, and all of its pages have arrived.
+    /// Records that the engine completed the query and all of its pages have arrived, and orders
+    /// the seal.
     pub fn attempt_completed(&mut self, id: ResultId, commands: &mut Vec<SpoolCommand>) {
         if self.transition(id, ResultStage::Running, ResultStage::Sealing) {
             commands.push(SpoolCommand::WriteSeal(id));
         }
     }
 
-    /// The seal is durable.
+    /// Records that the seal is durable. The result can be read from then on.
     pub fn seal_stored(&mut self, now: Micros, id: ResultId) {
         self.observe_time(now);
         if !self.transition(id, ResultStage::Sealing, ResultStage::Sealed) {
@@ -62,8 +63,9 @@
         }
     }
 
-    /// The attempt or the store failed before the seal was durable. A query that must not run twice
-    /// and may have run is lost from here on; any other is forgotten, and may be submitted again.
+    /// Records that the attempt or the store failed before the seal was durable. If the query must
+    /// not run twice and may have run, its result becomes [`ResultStage::Lost`]. Any other query is
+    /// removed and may be submitted again.
     pub fn attempt_failed(
         &mut self,
         now: Micros,
--- a/src/spool/handle.rs
+++ b/src/spool/handle.rs
@@ -1,8 +1,9 @@
-//! Handles: opaque tokens by which clients name their results.
+//! Handles: opaque tokens by which clients refer to their results.
 //!
-//! A handle is the number of its key and of its result with a code over these, the tenant and the
-//! user: HMAC-SHA-256, truncated to 128 bits. It is bound to its owner and valid after a restart.
-//! A forged one is recognised with the key alone, without a look-up.
+//! A handle consists of the number of its key, the number of its result, and an authentication code
+//! over these, the tenant and the user: HMAC-SHA-256, truncated to 128 bits. A handle is bound to
+//! its owner and stays valid after a restart. A forged handle is detected with the key alone,
+//! without a lookup.
 
 use super::{Owner, ResultId};
 use base64::Engine as _;
@@ -11,16 +12,16 @@
 use sha2::Sha256;
 use std::collections::BTreeMap;
 
-/// Bytes of the code; 128 bits can't be guessed.
+/// Size of the authentication code in bytes; 128 bits can't be guessed.
 const CODE_BYTES: usize = 16;
 
-/// Bytes before the code: the number of the key and that of the result.
+/// Size of the head in bytes: the number of the key and the number of the result.
 const HEAD_BYTES: usize = 9;
 
 /// A secret key.
 pub type Key = [u8; 32];
 
-/// The keys of an installation: the newest issues handles, all of them verify handles.
+/// The keys of an installation: handles are issued with the newest key and verified with all keys.
 #[derive(Clone)]
 pub struct HandleKeys {
     newest: u8,
@@ -28,7 +29,7 @@
 }
 
 impl HandleKeys {
-    /// A single key, with its number.
+    /// Creates the keys of an installation with a single key and its number.
     pub fn new(number: u8, key: Key) -> HandleKeys {
         HandleKeys {
             newest: number,
@@ -36,34 +37,35 @@
         }
     }
 
-    /// Adds a key that issues handles from now on. Handles of the other keys are valid until those
-    /// are retired.
+    /// Adds a key, with which handles are issued from now on. Handles of the other keys are valid
+    /// until those keys are retired.
     pub fn rotate(&mut self, number: u8, key: Key) {
         self.newest = number;
         self.keys.insert(number, key);
     }
 
-    /// Removes a key, which makes its handles invalid. The newest key stays.
+    /// Removes a key, which makes its handles invalid. The newest key is never removed.
     pub fn retire(&mut self, number: u8) {
         if number != self.newest {
             self.keys.remove(&number);
         }
     }
 
-    /// The code over the head of a handle and its owner. The key is named by the first byte of the
-    /// head; `None` if there is no such key.
+    /// Computes the authentication code over the head of a handle and its owner. The first byte of
+    /// the head is the number of the key; `None` if there is no such key.
     fn code(&self, head: &[u8], owner: &Owner) -> Option<Hmac<Sha256>> {
         let key = self.keys.get(head.first()?)?;
         let mut mac = Hmac::<Sha256>::new_from_slice(key).ok()?;
         mac.update(head);
-        // The tenant has a fixed length and the user comes last, so no two owners give the same
+        // The tenant has a fixed length and the user comes last, so different owners have different
         // bytes.
         mac.update(&owner.tenant.0.to_be_bytes());
         mac.update(owner.user.as_bytes());
         Some(mac)
     }
 
-    /// The handle of a result for its owner. `None` can't occur as long as the newest key is known.
+    /// Issues the handle of a result for its owner. Never `None`, as the newest key is always
+    /// known.
     pub fn issue(&self, id: ResultId, owner: &Owner) -> Option<String> {
         let mut bytes = vec![self.newest];
         bytes.extend(id.0.to_be_bytes());
@@ -72,8 +74,8 @@
         Some(URL_SAFE_NO_PAD.encode(bytes))
     }
 
-    /// The result of a handle that was issued for this owner; `None` for any other handle. The code
-    /// is compared in constant time.
+    /// Returns the result of a handle that was issued for this owner; `None` for any other handle.
+    /// The code is compared in constant time.
     pub fn verify(&self, handle: &str, owner: &Owner) -> Option<ResultId> {
         let bytes = URL_SAFE_NO_PAD.decode(handle).ok()?;
         if bytes.len() != HEAD_BYTES + CODE_BYTES {
--- a/src/spool/mod.rs
+++ b/src/spool/mod.rs
@@ -1,19 +1,19 @@
-//! Spooled results: results that are stored beyond their query and read page by page.
+//! Spooled results: results that are stored after their query has ended and are read page by page.
 //!
-//! Not used by the program yet: the store, the streams from engines and the client's interface are
-//! still to come. `docs/SPOOL.md` has the states and the reasons for them.
+//! Not used by the program yet: the store, the streams from engines and the interface for clients
+//! are not implemented. `docs/SPOOL.md` describes the states and the reasons for them.
 //!
-//! [`Spool`] is a pure state machine, as the decision module is: it takes events and appends
-//! [`SpoolCommand`]s, without I/O or a clock of its own. A store carries the commands out and
-//! reports when something is durable; only then does the next command follow. So a client gets one
-//! run per query id, a load is never run twice, and what was promised outlives a crash.
+//! Like the decision module, [`Spool`] is a pure state machine: it takes events and appends
+//! [`SpoolCommand`]s, without I/O or a clock of its own. A store executes the commands and reports
+//! when something is durable; only then does the next command follow. This ensures that a query id
+//! gets one run, that a load is never run twice, and that sealed results survive a crash.
 //!
-//! - `model`: the data that crosses the edge of the machine;
+//! - `model`: the types of the interface of the state machine;
 //! - `admission`: submission and recovery;
-//! - `execution`: the run of a query, up to the durable seal of its result;
+//! - `execution`: execution of a query, up to the durable seal of its result;
 //! - `access`: reading, acknowledging and deleting a result;
 //! - `retention`: expiry, eviction and quotas;
-//! - [`handle`]: the tokens by which clients name their results.
+//! - [`handle`]: the tokens by which clients refer to their results.
 
 mod access;
 mod admission;
@@ -31,7 +31,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A query of an owner. A retry has the same key.
+/// Identifies a query of an owner; the same for a retry.
 type QueryKey = (Owner, Rc<str>);
 
 /// A result, durable or not.
@@ -41,7 +41,7 @@
     /// Sizes of its pages, in bytes.
     page_sizes: Vec<u64>,
     acknowledged_pages: BTreeSet<usize>,
-    /// Number of reads in progress; a result is neither removed nor evicted meanwhile.
+    /// Number of reads in progress. The result is neither removed nor evicted during a read.
     readers: u32,
     /// When it expires; `Micros::MAX` until it is sealed or lost.
     expires_at: Micros,
@@ -52,7 +52,7 @@
         self.page_sizes.iter().sum()
     }
 
-    /// Whether it expires, which it does only in its final stages.
+    /// Whether the result is in one of its final stages, in which it expires.
     fn can_expire(&self) -> bool {
         matches!(
             self.stage,
@@ -60,8 +60,8 @@
         )
     }
 
-    /// Whether it may be removed before it expires: its client has all of it, and a retry of its
-    /// query would do no harm.
+    /// Whether the result may be removed before it expires: its client has received all pages, and
+    /// a retry may run its query again.
     fn is_evictable(&self) -> bool {
         self.stage == ResultStage::Consumed && self.readers == 0 && !self.submission.must_not_repeat
     }
@@ -70,7 +70,7 @@
 /// The states of all results of a store.
 pub struct Spool {
     limits: SpoolLimits,
-    /// The latest time seen; it never goes back.
+    /// The latest time observed; never decreases.
     now: Micros,
     next_id: u64,
     results: BTreeMap<ResultId, SpooledResult>,
@@ -78,7 +78,7 @@
 }
 
 impl Spool {
-    /// A spool without results.
+    /// Creates a spool without results.
     pub fn new(limits: SpoolLimits) -> Spool {
         Spool {
             limits,
@@ -94,13 +94,13 @@
         self.results.get(&id).map(|result| result.stage)
     }
 
-    /// Advances the latest time seen. A clock that was set back has no effect until it catches up,
-    /// so nothing is stored for less time than promised.
+    /// Advances the latest time observed. If the clock was set back, this time does not change
+    /// until the clock has caught up, so that no result is stored for less time than promised.
     fn observe_time(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
 
-    /// Moves a result from one stage to the next. Returns whether it was in the first.
+    /// Moves a result from one stage to another. Returns whether it was in stage `from`.
     fn transition(&mut self, id: ResultId, from: ResultStage, to: ResultStage) -> bool {
         let Some(result) = self.results.get_mut(&id) else {
             return false;
@@ -112,7 +112,7 @@
         true
     }
 
-    /// Removes a result and forgets its query.
+    /// Removes a result and its query id.
     fn remove(&mut self, id: ResultId, commands: &mut Vec<SpoolCommand>) {
         let Some(result) = self.results.remove(&id) else {
             return;
--- a/src/spool/model.rs
+++ b/src/spool/model.rs
@@ -1,77 +1,78 @@
-//! The data that crosses the edge of the spool's state machine.
+//! The types of the interface of the spool's state machine.
 
 use crate::clock::Micros;
 use crate::policy::api::TenantId;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// A result. Never reused by one store.
+/// Identifies a result. A store never reuses an id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ResultId(pub u64);
 
-/// The owner of a result, who alone may read it.
+/// The owner of a result. Only the owner may read it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Owner {
-    /// The tenant, whose quota the result counts against.
+    /// The tenant; the result counts against the tenant's quota.
     pub tenant: TenantId,
     /// The user.
     pub user: Rc<str>,
 }
 
-/// A query whose result a client wants to have spooled.
+/// A query that a client submits to have its result spooled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Submission {
     /// The owner of the result.
     pub owner: Owner,
-    /// The client's name for the query, by which a retry is recognised.
+    /// The client's id for the query, by which a retry is recognized.
     pub query_id: Rc<str>,
     /// A digest of the statement and of all settings that change its meaning.
     pub statement_digest: [u8; 32],
-    /// The query is not idempotent: it must not run twice.
+    /// Whether the query is not idempotent, so that it must not run twice.
     pub must_not_repeat: bool,
 }
 
 /// Quotas and retention times of a spool.
 #[derive(Clone, Debug)]
 pub struct SpoolLimits {
-    /// Greatest size of all results together, in bytes.
+    /// Limit on the size of all results, in bytes.
     pub total_bytes: u64,
-    /// Greatest size of one tenant's results, in bytes.
+    /// Limit on the size of the results of one tenant, in bytes.
     pub tenant_bytes: u64,
-    /// Bytes that have to be free, in total and for the tenant, before a query is admitted.
+    /// Bytes that have to be free, in total and for the tenant, for a query to be admitted.
     pub admission_reserve_bytes: u64,
-    /// Greatest number of results, whatever their size.
+    /// Limit on the number of results, whatever their size.
     pub max_results: usize,
-    /// How long a sealed result is stored, and a lost one remembered.
+    /// How long sealed and lost results are stored.
     pub retention: Micros,
-    /// How long pages are stored once all were acknowledged, in case the client did not get the
-    /// reply to its acknowledgement.
+    /// How long pages are stored once all are acknowledged, in case the client did not receive the
+    /// response to its acknowledgment.
     pub consumed_retention: Micros,
 }
 
 /// The stage of a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResultStage {
-    /// Admitted; the intent to run the query is being made durable.
+    /// The query is admitted; the intent to run it is being made durable.
     Admitted,
-    /// The intent is durable: from here on the query may run.
+    /// The intent is durable: from now on the query may run.
     Intended,
     /// An engine runs the query, and pages arrive.
     Running,
     /// The query has completed; the seal is being made durable.
     Sealing,
-    /// Complete, durable, and readable until it expires.
+    /// The result is complete and durable, and readable until it expires.
     Sealed,
-    /// All pages were acknowledged.
+    /// All pages were acknowledged, or the pages were deleted.
     Consumed,
-    /// It is unknown whether the query ran: it is neither run again nor rejected as harmless.
+    /// It is unknown whether the query ran. It is not run again, and the client is not told that it
+    /// did not run.
     Lost,
 }
 
-/// What is durable of a result when a store is opened.
+/// A result as it is read from a store.
 #[derive(Clone, Debug)]
 pub struct StoredResult {
-    /// The result.
+    /// The id of the result.
     pub id: ResultId,
     /// Its query.
     pub submission: Submission,
@@ -83,14 +84,14 @@
     pub expires_at: Micros,
 }
 
-/// What a submission leads to.
+/// The outcome of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// A new query; [`SpoolCommand::WriteIntent`] was ordered for it.
+    /// A new query, for which [`SpoolCommand::WriteIntent`] was appended.
     Admitted(ResultId),
     /// A retry of a known query, whose result is in this stage.
     Existing(ResultId, ResultStage),
-    /// Another statement under the query id of a known one.
+    /// The query id is already in use for a different query.
     Conflict,
     /// The quota is exhausted.
     NoCapacity {
@@ -99,13 +100,13 @@
     },
 }
 
-/// What the store, or the side of the engines, has to do.
+/// A command to the store or to the backend.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpoolCommand {
     /// Make the intent durable; then call
     /// [`Spool::intent_stored`](super::Spool::intent_stored).
     WriteIntent(ResultId),
-    /// Run the query, as its intent is durable.
+    /// Run the query, whose intent is durable.
     Run(ResultId),
     /// Cancel the attempt that is in flight.
     CancelAttempt(ResultId),
@@ -120,8 +121,8 @@
 /// Why a result can't be read, acknowledged or deleted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AccessError {
-    /// There is no such result, it has expired, or it has another owner: callers can't tell these
-    /// apart.
+    /// There is no such result, it has expired, or it has another owner. Callers can't distinguish
+    /// these cases.
     #[error("no such result")]
     Unknown,
     /// It is not sealed yet.
--- a/src/spool/retention.rs
+++ b/src/spool/retention.rs
@@ -5,7 +5,7 @@
 use crate::policy::api::TenantId;
 
 impl Spool {
-    /// Size of all stored results in bytes, or of those of one tenant.
+    /// Size of all stored results, or of those of one tenant, in bytes.
     pub fn stored_bytes(&self, tenant: Option<TenantId>) -> u64 {
         self.results
             .values()
@@ -14,7 +14,7 @@
             .sum()
     }
 
-    /// Time passes: removes the results that have expired and are not being read.
+    /// Advances the time, and removes the results that have expired and are not being read.
     pub fn expire(&mut self, now: Micros, commands: &mut Vec<SpoolCommand>) {
         self.observe_time(now);
         let mut expired = Vec::new();
@@ -31,8 +31,9 @@
     /// Evicts consumed results, the oldest first, until this number of bytes fits into the quotas
     /// of the tenant and of the whole spool. Returns whether it fits.
     ///
-    /// A result that its client has not read is never evicted, as it was promised; nor is that of a
-    /// query that must not run twice, whose id has to be known.
+    /// A result with a page that its client has not acknowledged is never evicted, as it is
+    /// promised until it expires. Neither is the result of a query that must not run twice, as its
+    /// query id has to stay known.
     pub(super) fn free_bytes(
         &mut self,
         tenant: TenantId,
@@ -46,15 +47,15 @@
             if !tenant_exceeded && !total_exceeded {
                 return true;
             }
-            let required_tenant = tenant_exceeded.then_some(tenant);
-            let Some(id) = self.find_evictable(required_tenant) else {
+            let tenant_to_evict = tenant_exceeded.then_some(tenant);
+            let Some(id) = self.find_evictable(tenant_to_evict) else {
                 return false;
             };
             self.remove(id, commands);
         }
     }
 
-    /// The oldest result with pages that may be evicted, of one tenant if given.
+    /// The oldest result that has pages and may be evicted, of the given tenant if there is one.
     fn find_evictable(&self, tenant: Option<TenantId>) -> Option<ResultId> {
         let frees_bytes = |result: &SpooledResult| {
             !result.page_sizes.is_empty()
@@ -66,7 +67,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Evicts a result if there are too many. Returns whether another one may be added.
+    /// Evicts a result if their number is at its limit. Returns whether another one may be added.
     pub(super) fn free_result_slot(&mut self, commands: &mut Vec<SpoolCommand>) -> bool {
         if self.results.len() < self.limits.max_results {
             return true;
--- a/src/tenant_directory/codec.rs
+++ b/src/tenant_directory/codec.rs
@@ -3,39 +3,42 @@
 use rasn::prelude::*;
 use rasn_ldap::{Control, LdapMessage};
 
-/// A longer message is rejected; in bytes.
+/// Limit on the length of a message, in bytes; a longer message is rejected.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
-/// The BER tag of a sequence, with which each message begins.
+/// The BER tag of a sequence; the first octet of each message.
 const SEQUENCE_TAG: u8 = 0x30;
-/// A length up to this value is encoded in one octet (X.690, 8.1.3.4).
+/// The largest length that is encoded in one octet, the short form (X.690, 8.1.3.4).
 const MAX_SHORT_LENGTH: u8 = 0x7f;
-/// An octet above the short form: its low bits count the octets of the length that follow.
+/// Set in the first octet of the long form, whose low bits are the number of length octets that
+/// follow.
 const LONG_LENGTH_FLAG: u8 = 0x80;
-/// Octets that the long form of a length may have here.
+/// Limit on the number of length octets in the long form.
 const MAX_LENGTH_OCTETS: u8 = 4;
-/// The octets of a tag and of a short length.
+/// The size of a tag and the first octet of a length.
 const SHORT_HEADER_BYTES: usize = 2;
 
 /// The object identifier of the control for simple paged results (RFC 2696).
 pub const PAGED_RESULTS_CONTROL: &[u8] = b"1.2.840.113556.1.4.319";
 
-/// The value of that control.
+/// The value of the control for simple paged results.
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq, Eq)]
 pub struct PagedResultsValue {
     /// In a request the page size, in a response an estimate of the number of entries.
     pub size: u32,
-    /// Where the next page continues; empty for the first page, and after the last one.
+    /// The directory's reference to the next page; empty for the first page, and after the last
+    /// one.
     pub cookie: OctetString,
 }
 
-/// The control that requests a page.
+/// Creates the control that requests a page.
 pub(super) fn page_request(size: u32, cookie: OctetString) -> Control {
     let value = rasn::ber::encode(&PagedResultsValue { size, cookie })
         .expect("a number and an octet string have a BER encoding");
     Control::new(PAGED_RESULTS_CONTROL.into(), true, Some(value.into()))
 }
 
-/// The cookie for the next page; empty after the last one, and from a directory without pages.
+/// Returns the cookie for the next page; empty after the last page, and if the directory does not
+/// support paged results.
 pub(super) fn next_page_cookie(controls: Option<&[Control]>) -> Result<OctetString, ReadError> {
     let paged_results = controls
         .unwrap_or_default()
@@ -55,7 +58,7 @@
 /// incomplete.
 ///
 /// # Errors
-/// The input does not begin with an LDAP message, or that is too long.
+/// The input does not begin with an LDAP message, or the message is too long.
 pub fn message_length(input: &[u8]) -> Result<Option<usize>, ReadError> {
     let (Some(tag), Some(octet)) = (input.first().copied(), input.get(1).copied()) else {
         return Ok(None);
@@ -94,7 +97,7 @@
 /// Removes the first message from the input and decodes it; `None` if it is incomplete.
 ///
 /// # Errors
-/// The input does not begin with an LDAP message, or that cannot be decoded.
+/// The input does not begin with an LDAP message, or the message is too long or cannot be decoded.
 pub fn take_message(input: &mut Vec<u8>) -> Result<Option<LdapMessage>, ReadError> {
     let Some(length) = message_length(input)?.filter(|length| *length <= input.len()) else {
         return Ok(None);
--- a/src/tenant_directory/error.rs
+++ b/src/tenant_directory/error.rs
@@ -1,24 +1,24 @@
-//! Why a read of the directory fails.
+//! Errors of a read of the directory.
 use rasn_ldap::ResultCode;
 use std::io;
 use thiserror::Error;
 
-/// Why a read failed. The caller keeps its last good snapshot.
+/// Why a read failed. The caller keeps the last good snapshot.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The connection could not be made, or broke.
+    /// The connection could not be established, or failed.
     #[error("the connection failed: {0}")]
     Connection(#[from] io::Error),
     /// The directory closed the connection before the read was complete.
     #[error("the directory closed the connection")]
     Closed,
-    /// The read took too long.
+    /// The read exceeded its time limit.
     #[error("the directory did not answer within {seconds} s")]
     Timeout {
-        /// The time limit.
+        /// The time limit, in seconds.
         seconds: u64,
     },
-    /// A message does not begin as LDAP messages do.
+    /// A message does not begin with the tag of a sequence, as LDAP messages do.
     #[error("not an LDAP message: tag {tag:#04x}")]
     InvalidTag {
         /// The first byte.
@@ -30,7 +30,7 @@
         /// The first byte of the length.
         octet: u8,
     },
-    /// A message is longer than a directory's entries can be.
+    /// A message exceeds the size limit, which is above the size of a directory's entries.
     #[error("a message of {length} bytes, at most {limit} are read")]
     MessageTooLong {
         /// The length, in bytes.
@@ -49,18 +49,18 @@
         /// The id in the message.
         found: u32,
     },
-    /// A message does not answer the open request.
+    /// A message is not a response to the open request.
     #[error("a message that does not answer the open request")]
     UnexpectedMessage,
-    /// The directory refused a request.
+    /// The directory rejected a request.
     #[error("the directory refused: {code:?} {diagnostic}")]
     Denied {
-        /// LDAP's result code.
+        /// The result code of LDAP.
         code: ResultCode,
-        /// The directory's own text.
+        /// The diagnostic message of the directory.
         diagnostic: String,
     },
-    /// The directory lists too many entries.
+    /// The directory returned too many entries.
     #[error("more than {limit} entries")]
     TooManyEntries {
         /// The limit.
--- a/src/tenant_directory/mod.rs
+++ b/src/tenant_directory/mod.rs
@@ -1,8 +1,8 @@
-//! Tenants and users from a directory service over LDAPv3 (RFC 4511): what is searched, and what the
-//! entries mean. The socket is in `src/net/tenant_directory.rs`.
+//! Tenants and users from a directory service over LDAPv3 (RFC 4511): the searches, and the
+//! interpretation of the entries. The socket is in `src/net/tenant_directory.rs`.
 //!
-//! One read binds, searches the tenants and then the users page by page, and unbinds. It yields a
-//! complete snapshot or an error; the caller keeps its last good snapshot.
+//! A read binds, searches the tenants and then the users page by page, and unbinds. The result is a
+//! complete snapshot or an error. After an error the caller keeps the last good snapshot.
 mod codec;
 mod error;
 mod read;
@@ -20,7 +20,7 @@
 pub struct DirectoryTenant {
     /// The tenant's name.
     pub name: String,
-    /// The tenant's share, on a scale that all tenants have in common.
+    /// The tenant's share, relative to those of the other tenants.
     pub share: f64,
 }
 
@@ -45,8 +45,9 @@
 }
 
 impl DirectorySnapshot {
-    /// Applies the snapshot: the tenants divide the total rate of the settings by their shares, and
-    /// the users are added. Tenants that the settings do not name are appended.
+    /// Applies the snapshot: divides the total quota of the tenants in proportion to the shares of
+    /// the tenants in the directory, and adds the users. Tenants that are not known yet are
+    /// appended.
     pub fn apply(&self, tenants: &mut Tenants, users: &mut Users) {
         let total_quota_per_s: f64 = tenants.specs.iter().map(|spec| spec.quota_per_s).sum();
         let total_share: f64 = self.tenants.iter().map(|tenant| tenant.share).sum();
@@ -67,23 +68,23 @@
         }
     }
 
-    /// The number of entries.
+    /// The number of entries: tenants and users.
     fn len(&self) -> usize {
         self.tenants.len() + self.users.len()
     }
 }
 
-/// The tenants as the decision module knows them: from the settings, and as the directory was last
-/// read.
+/// The tenants as the decision module uses them: those of the settings, updated by the last
+/// snapshot of the directory.
 pub struct Tenants {
-    /// Names, in the order of their ids.
+    /// Names, indexed by tenant id.
     pub names: Vec<String>,
     /// Quotas and shares, in the same order.
     pub specs: Vec<TenantSpec>,
 }
 
 impl Tenants {
-    /// The tenants of the settings.
+    /// Creates the tenants of the settings.
     pub fn new(names: &Names, specs: Vec<TenantSpec>) -> Tenants {
         Tenants {
             names: names.tenants.clone(),
@@ -97,7 +98,7 @@
         Some(TenantId(index as u16))
     }
 
-    /// The quota and share of the tenant with that name, which is appended if it is not known.
+    /// The quota and share of the tenant with that name. An unknown tenant is appended.
     fn spec_mut(&mut self, name: &str) -> &mut TenantSpec {
         let known = self.names.iter().position(|known| known == name);
         let index = known.unwrap_or_else(|| {
--- a/src/tenant_directory/read.rs
+++ b/src/tenant_directory/read.rs
@@ -9,16 +9,16 @@
     SearchRequestScope, UnbindRequest,
 };
 
-/// More entries than this are not read.
+/// Limit on the number of entries; a read with more fails.
 const MAX_ENTRIES: usize = 100_000;
 /// The version of LDAP.
 const LDAP_VERSION: u8 = 3;
 /// The id of the first message.
 const BIND_MESSAGE_ID: u32 = 1;
-/// In a search: the directory's own limit applies.
+/// Value of the size and time limits of a search: only the limits of the directory apply.
 const NO_LIMIT: u32 = 0;
 
-/// What is searched.
+/// The entries that a search requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SearchStep {
     Tenants,
@@ -27,16 +27,16 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadStep {
-    /// The bind has no response yet.
+    /// Waiting for the response to the bind.
     Bind,
-    /// A search has no final response yet.
+    /// Waiting for the final response of a search.
     Search(SearchStep),
 }
 
-/// What came of one input.
+/// Result of processing one input.
 #[derive(Default)]
 pub struct ReadProgress {
-    /// Bytes for the directory.
+    /// Bytes to send to the directory.
     pub output: Vec<u8>,
     /// The snapshot, once the read is complete.
     pub snapshot: Option<DirectorySnapshot>,
@@ -52,7 +52,7 @@
 }
 
 impl DirectoryRead {
-    /// A new read, and the first bytes for the directory.
+    /// Creates a read. Returns it with the first bytes to send to the directory.
     pub fn new(config: DirectoryConfig) -> (DirectoryRead, Vec<u8>) {
         let password = OctetString::from(config.bind_password.clone().into_bytes());
         let bind = BindRequest::new(
@@ -71,11 +71,11 @@
         (read, encode(&message))
     }
 
-    /// Processes what the directory sent.
+    /// Processes bytes received from the directory.
     ///
     /// # Errors
-    /// The directory refused a request, or what it sent does not answer the open one. The read
-    /// cannot continue.
+    /// The directory rejected a request, or the input is invalid, is not a response to the open
+    /// request, or exceeds the limit on entries. The read cannot continue.
     pub fn feed(&mut self, input: &[u8]) -> Result<ReadProgress, ReadError> {
         self.input.extend_from_slice(input);
         let mut progress = ReadProgress::default();
@@ -110,7 +110,7 @@
             (ProtocolOp::SearchResEntry(entry), ReadStep::Search(step)) => {
                 self.add_entry(step, &entry.attributes)
             }
-            // A reference to another directory, which is not followed.
+            // References to other directories are not followed.
             (ProtocolOp::SearchResRef(_), ReadStep::Search(_)) => Ok(()),
             (ProtocolOp::SearchResDone(done), ReadStep::Search(step)) => {
                 check_result(done.0.result_code, &done.0.diagnostic_message.0)?;
@@ -122,7 +122,8 @@
         }
     }
 
-    /// Requests the next page or the next search; after the last one completes the read.
+    /// Requests the next page, or else starts the next search. After the last page of the last
+    /// search completes the read.
     fn finish_page(&mut self, step: SearchStep, cookie: OctetString, progress: &mut ReadProgress) {
         let output = if !cookie.is_empty() {
             self.search_page(step, cookie)
@@ -141,7 +142,7 @@
         self.search_page(step, OctetString::from(Vec::new()))
     }
 
-    /// The request for the page of a search at which `cookie` continues.
+    /// Encodes the request for the page of a search that `cookie` refers to.
     fn search_page(&mut self, step: SearchStep, cookie: OctetString) -> Vec<u8> {
         let request = self.search_request(step);
         self.message_id += 1;
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Adds an entry of a search; an entry without the attributes that are needed is skipped.
+    /// Adds an entry of a search. An entry without its required attributes is skipped.
     fn add_entry(
         &mut self,
         step: SearchStep,
@@ -222,7 +223,7 @@
     }
 }
 
-/// The first value of an attribute, if it is text.
+/// The first value of an attribute, if it is UTF-8 text.
 fn value(attributes: &[PartialAttribute], name: &str) -> Option<String> {
     let attribute = attributes
         .iter()
