--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -1,6 +1,7 @@
-//! The fleet's audit between real daemons on loopback: what each decided, and under which
-//! configuration, as `yokelift-testkit audit` gathers it, through new settings, an endpoint list that
-//! one manager misses, a partition, SIGKILL and SIGSTOP.
+//! The audit of a fleet of real daemons on loopback, as `yokelift-testkit audit` and `GET /audit`
+//! report it. Guards against decisions that are lost or reported under a wrong configuration, and
+//! against missing or disagreeing managers that go unreported: through new settings, an endpoint
+//! list that one manager does not receive, a partition, SIGKILL and SIGSTOP.
 use rustix::process::Signal;
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -19,7 +20,7 @@
     fleet
 }
 
-/// What `yokelift-testkit audit` printed, and whether it exited with 0.
+/// The output of `yokelift-testkit audit`, and whether it exited with 0.
 struct AuditRun {
     output: String,
     is_success: bool,
@@ -50,7 +51,7 @@
     serde_json::from_str(&run_audit(fleet, Format::Json).output).expect("a report")
 }
 
-/// The activity of the member of that name, the latest interval last.
+/// The activity intervals of the member with that name, the latest last.
 fn activity(report: &Value, name: &str) -> Vec<Value> {
     let rows = report["acted"].as_array().expect("rows").iter();
     rows.filter(|row| row["member"] == json!(name))
@@ -58,14 +59,14 @@
         .collect()
 }
 
-/// The attempts dispatched in those intervals.
+/// The number of attempts dispatched in those intervals.
 fn dispatched<'a>(rows: impl IntoIterator<Item = &'a Value>) -> u64 {
     rows.into_iter()
         .map(|row| row["dispatched"].as_u64().expect("a count"))
         .sum()
 }
 
-/// The versions that a member says it runs.
+/// The versions that a member reports for itself.
 fn versions(fleet: &Fleet, member: usize) -> Value {
     let view = fleet.view(member).unwrap_or_default();
     view.into_iter()
@@ -74,12 +75,12 @@
         .unwrap_or_default()
 }
 
-/// Whether all these members say that they run that version of the endpoint list.
+/// Whether all these members report that version of the endpoint list for themselves.
 fn run_list(fleet: &Fleet, mut members: impl Iterator<Item = usize>, list: u64) -> bool {
     members.all(|member| versions(fleet, member)["list"] == json!(list))
 }
 
-/// The members by the value that they hold, where the report says that they disagree on it.
+/// The members by the value that they reported, if the report has a disagreement on it.
 fn disagreement(report: &Value, about: &str) -> Option<Value> {
     report["disagreements"]
         .as_array()?
@@ -88,7 +89,7 @@
         .map(|row| row["held"].clone())
 }
 
-/// How a change reached the managers, by the beginning of its name.
+/// The row on the propagation of the change whose name begins with `change`.
 fn propagation(report: &Value, change: &str) -> Value {
     let is_change = |row: &&Value| {
         let name = row["change"].as_str();
@@ -98,7 +99,7 @@
     rows.find(is_change).expect("a change").clone()
 }
 
-/// The lines of a member's `GET /audit`, its end last.
+/// The lines of a member's `GET /audit`, the end of the page last.
 fn audit_lines(fleet: &Fleet, member: usize) -> Vec<Value> {
     let (_, body) = fleet
         .admin_get(member, "/audit?since=0")
@@ -108,14 +109,14 @@
         .collect()
 }
 
-/// How many incarnations of a member the lines are of.
+/// The number of incarnations in the lines.
 fn incarnations(lines: &[Value]) -> usize {
-    let lives = lines.iter().filter_map(|line| line["life"].as_u64());
-    lives.collect::<BTreeSet<u64>>().len()
+    let incarnations = lines.iter().filter_map(|line| line["life"].as_u64());
+    incarnations.collect::<BTreeSet<u64>>().len()
 }
 
-/// Sends a query to a member, which has to serve it.
-fn serve_query(fleet: &Fleet, member: usize, round: u64) {
+/// Sends a query to a member and checks that it completes.
+fn complete_query(fleet: &Fleet, member: usize, round: u64) {
     let number = 16 * round + member as u64;
     let outcome = fleet.query(member, "lookup", number, 9_000);
     assert!(
@@ -125,30 +126,30 @@
     );
 }
 
-/// Each manager's dispatches stand under the build, settings and list that its decision module
-/// acted on at the time, before and after new settings and a new list; and a manager that missed
-/// the list shows.
+/// Dispatches must be reported under the build, settings and list that the manager's decision
+/// module acted on at the time, before and after new settings and a new list. A manager that did
+/// not receive the list must be reported.
 #[test]
-fn the_report_shows_each_dispatch_under_the_configuration_of_its_time() {
+fn the_report_counts_dispatches_by_the_configuration_that_was_active() {
     let fleet = start("table", 11);
     ALL.iter()
-        .for_each(|member| serve_query(&fleet, *member, 1));
+        .for_each(|member| complete_query(&fleet, *member, 1));
     let before = versions(&fleet, 0);
-    // New settings for all; then a new list, which the last manager does not receive.
+    // All managers get new settings; then all but the last one get a new list.
     ALL.iter()
         .for_each(|i| fleet.reconfigure(*i, TenantShares::new(0.5, 0.5), Reload::Signal));
     assert!(eventually(|| ALL
         .iter()
         .all(|i| versions(&fleet, *i)["generation"] == json!(2))));
     ALL.iter()
-        .for_each(|member| serve_query(&fleet, *member, 2));
-    fleet.with_stand_ins(|world| {
-        world.announce(0..4, 1, Readiness::Draining);
+        .for_each(|member| complete_query(&fleet, *member, 2));
+    fleet.with_stand_ins(|stand_ins| {
+        stand_ins.announce(0..4, 1, Readiness::Draining);
     });
     assert!(eventually(|| run_list(&fleet, 0..4, 2)));
     ALL.iter()
-        .for_each(|member| serve_query(&fleet, *member, 3));
-    // The last records may still wait for their batch.
+        .for_each(|member| complete_query(&fleet, *member, 3));
+    // The last records may not have been flushed yet.
     let has_all_dispatches = |report: &Value| {
         let has_all = |member: &usize| dispatched(&activity(report, &fleet.name(*member))) >= 3;
         ALL.iter().all(has_all)
@@ -179,8 +180,9 @@
     );
 }
 
-/// Checks a member's dispatches in the first round under `before`, in the second one under new
-/// settings, and in the third one under the new list, unless it is the last member.
+/// Checks that a member's dispatches of the first round are under `before`, those of the second one
+/// under the new settings, and those of the third one under the new list, except on the last
+/// member.
 fn assert_dispatches_by_configuration(
     report: &Value,
     fleet: &Fleet,
@@ -229,15 +231,16 @@
     );
 }
 
-/// A manager whose connection to the coordinator is stuck reconnects by itself; one whose
-/// coordinator is behind is excluded, and serves again once the coordinator has caught up.
+/// A manager whose connection to the coordinator is stalled must reconnect by itself. A manager
+/// whose coordinator has an outdated list must be excluded, and become ready again once the
+/// coordinator has the current list.
 #[test]
-fn a_manager_behind_on_the_list_reconnects_or_is_excluded() {
+fn a_manager_with_an_outdated_list_reconnects_or_is_excluded() {
     let fleet = start("behind", 15);
     assert!(eventually(|| run_list(&fleet, ALL.into_iter(), 1)));
-    fleet.with_stand_ins(|world| {
-        world.coordinators[3].stall_connections();
-        world.announce(0..4, 1, Readiness::Draining);
+    fleet.with_stand_ins(|stand_ins| {
+        stand_ins.coordinators[3].stall_connections();
+        stand_ins.announce(0..4, 1, Readiness::Draining);
     });
     assert!(eventually(|| run_list(&fleet, 0..4, 2)), "{}", fleet.log(3));
     assert!(
@@ -253,15 +256,15 @@
         fleet.log(4)
     );
     assert!((0..4).all(|i| fleet.readiness_status(i) == Some(200)));
-    fleet.with_stand_ins(|world| {
-        world.announce(4..5, 1, Readiness::Draining);
+    fleet.with_stand_ins(|stand_ins| {
+        stand_ins.announce(4..5, 1, Readiness::Draining);
     });
     assert!(
         eventually(|| fleet.readiness_status(4) == Some(200)),
         "{}",
         fleet.log(4)
     );
-    // Readiness is current; the view of the versions is up to 0.1 s old.
+    // The readiness is current, but the view of the versions is up to 0.1 s old.
     assert!(
         eventually(|| versions(&fleet, 4)["list"] == json!(2)),
         "{}",
@@ -269,14 +272,15 @@
     );
 }
 
-/// A rejection or failure is recorded under the request's own id; the records of a manager that was
-/// killed are there after its restart, under their incarnation, but for those of the last moment.
+/// A rejection or failure must be recorded under the request's id. The records of a manager that
+/// was killed must be available after its restart, under the incarnation that made them, except for
+/// those that were not flushed.
 #[test]
 fn records_survive_a_kill_under_the_incarnation_that_made_them() {
     let mut fleet = start("lives", 12);
     // No engine is in service, so the request fails or is rejected.
-    fleet.with_stand_ins(|world| {
-        (0..2).for_each(|engine| world.announce(0..MEMBERS, engine, Readiness::Removed));
+    fleet.with_stand_ins(|stand_ins| {
+        (0..2).for_each(|engine| stand_ins.announce(0..MEMBERS, engine, Readiness::Removed));
     });
     assert!(eventually(|| run_list(&fleet, ALL.into_iter(), 3)));
     let outcome = fleet.query(2, "lookup", 0xabc, 700);
@@ -312,7 +316,7 @@
         "{:?}",
         audit_lines(&fleet, 2)
     );
-    // The activation of its list is the last record that waits for a batch.
+    // The activation of the list is the last record to be flushed.
     assert!(eventually(|| audit_lines(&fleet, 2)
         .iter()
         .rev()
@@ -324,20 +328,21 @@
     assert_pages_end_after_the_last_record(&fleet, 2, &lines);
 }
 
-/// A page after the last record holds nothing but its end; a position that is none is rejected.
+/// A page after the last record consists of its end only. An invalid position is rejected.
 fn assert_pages_end_after_the_last_record(fleet: &Fleet, member: usize, lines: &[Value]) {
     let end = lines.last().expect("the page's end");
     let next = end["next"].as_str().expect("a position");
     let (status, body) = fleet
         .admin_get(member, &format!("/audit?since={next}"))
-        .expect("an answer");
+        .expect("a response");
     assert_eq!((status, body.lines().count()), (200, 1), "{body}");
     let malformed = fleet.admin_get(member, "/audit?since=never");
     assert_eq!(malformed.map(|(status, _)| status), Some(400));
 }
 
-/// With one manager suspended and two cut off the test kit says who is missing, exits with 1, and
-/// names where the others see each other in different states; once all is well it says so.
+/// While one manager is suspended and two are partitioned, the test kit must report the missing
+/// managers and the members whose states the others report differently, and exit with 1. Once the
+/// fleet has converged, it must report agreement.
 #[test]
 fn the_report_names_missing_managers_and_partitions() {
     let fleet = start("pieces", 13);
@@ -345,9 +350,11 @@
     let mut faults = Faults::default();
     faults.partition(&[0, 1], &[2, 3, 4]);
     fleet.fault_proxy.set_faults(faults);
-    let dead = |a: usize, b: usize| fleet.state_of(a, b).as_deref() == Some("Dead");
+    let reports_dead = |observer: usize, member: usize| {
+        fleet.state_of(observer, member).as_deref() == Some("Dead")
+    };
     assert!(
-        eventually(|| dead(0, 3) && dead(3, 0) && dead(2, 0)),
+        eventually(|| reports_dead(0, 3) && reports_dead(3, 0) && reports_dead(2, 0)),
         "{}",
         fleet.log(3)
     );
@@ -370,10 +377,10 @@
     );
 }
 
-/// While a manager is dead or excluded the others divide the engines' capacity among those that
-/// serve; the minority side of a partition takes nobody's share.
+/// While a manager is dead or excluded, the others must divide the engines' capacity among those
+/// that are active. The minority side of a partition must not take over any share.
 #[test]
-fn only_a_majority_takes_over_the_capacity_shares_of_managers_that_do_not_serve() {
+fn only_a_majority_takes_over_the_capacity_shares_of_inactive_managers() {
     let fleet = start("shares", 14);
     let shares = |member: usize, gateways: usize| {
         let line = format!("fleet: {gateways} of {MEMBERS} managers share");
@@ -411,7 +418,7 @@
     );
     fleet.fault_proxy.set_faults(Faults::default());
     assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
-    // The last manager keeps its old settings: it is excluded and takes no share.
+    // The last manager keeps the old settings, so it is excluded and has no share.
     (0..4).for_each(|i| fleet.reconfigure(i, TenantShares::new(0.4, 0.6), Reload::Signal));
     assert!(
         eventually(|| fleet.readiness_status(4) == Some(503)),
--- a/tests/unit/audit.rs
+++ b/tests/unit/audit.rs
@@ -1,4 +1,6 @@
-//! Tests of the audit's buffer and files, and the builders they share.
+//! Tests of the audit's buffer and files, with builders shared by the tests. They guard against
+//! records that are lost without a report, files that outgrow their limits, and damage that spreads
+//! from one frame to others.
 use super::segment::{decode_segment, encode_frame};
 use super::store::Store;
 use super::*;
@@ -40,14 +42,14 @@
     }
 }
 
-/// What all pages of a store hold.
+/// The content of all pages of a store.
 struct StoredRecords {
     lines: Vec<AuditLine>,
-    /// The count of the last page.
+    /// The number that the last page reports.
     damaged_frames: u64,
 }
 
-/// Reads a store from the start on, in pages of that size.
+/// Reads a store from the start, in pages of `page_records` records.
 fn read_all(store: &Store, page_records: usize) -> StoredRecords {
     let mut lines = Vec::new();
     let mut after = RecordPosition::default();
@@ -72,7 +74,7 @@
     }
 }
 
-/// The audit's files in a folder, by name.
+/// The audit files in a folder, sorted by name.
 fn segment_files(folder: &Path) -> Vec<PathBuf> {
     let mut files: Vec<PathBuf> = std::fs::read_dir(folder)
         .expect("the folder")
@@ -88,8 +90,9 @@
         cases: 64, failure_persistence: None, rng_seed: RngSeed::Fixed(20_261_202), ..ProptestConfig::default()
     })]
 
-    /// What a crash or a bad disk leaves can be read: a file cut anywhere gives the records before
-    /// the cut, and a damaged byte costs its own frame, counted as damaged, and no other.
+    /// Files must stay readable after a crash or a disk error. A file truncated anywhere must yield
+    /// the records before the cut. A damaged byte must cost only the frames that it belongs to,
+    /// which are counted as damaged.
     #[test]
     fn a_truncated_or_damaged_file_loses_only_the_damaged_frames(
         cut in 0usize..4_000, at in 0usize..4_000, bit in 0u8..8,
@@ -117,17 +120,17 @@
         let mut damaged = whole.clone();
         damaged[at % whole.len()] ^= 1 << bit;
         let content = decode_segment(&damaged);
-        // A damaged delimiter joins two frames; a byte that becomes one splits a frame.
+        // A damaged delimiter joins two frames; a byte that becomes a delimiter splits a frame.
         let entries = content.entries.len();
         prop_assert!(entries >= frames.len() - 2 && entries < frames.len());
         prop_assert!((1..=2).contains(&content.damaged_frames));
     }
 }
 
-/// However much is recorded, over however many incarnations, the files stay within their bounds,
-/// the oldest records are deleted first, and files of others stay.
+/// The files must stay within their limits over any number of records and incarnations. The oldest
+/// records are deleted first, and files of other managers are kept.
 #[test]
-fn files_are_rotated_within_their_bounds() {
+fn files_are_rotated_within_their_limits() {
     let folder = Folder::new().expect("a folder");
     let foreign = folder
         .put(
@@ -171,7 +174,7 @@
     assert!(foreign.exists());
 }
 
-/// A caller that polls from the last position on gets the new records only, or none.
+/// A caller that polls from the last position must get only the new records, or none.
 #[test]
 fn a_poll_returns_only_records_after_the_position() {
     let folder = Folder::new().expect("a folder");
--- a/tests/unit/audit/model.rs
+++ b/tests/unit/audit/model.rs
@@ -1,5 +1,7 @@
-//! The buffer and the files against a model: random decisions, changes of the configuration,
-//! batches that find no room, a disk that fails, and restarts; read back in pages of any size.
+//! Checks the buffer and the files against a model, with random decisions, configuration changes,
+//! batches dropped because the queue is full, disk failures and restarts. Guards against records
+//! that are lost, duplicated or stored with a wrong context when they are read back in pages of any
+//! size.
 use super::*;
 use std::collections::BTreeMap;
 
@@ -10,9 +12,9 @@
     Decide(u8),
     ActivateList(u64),
     Flush,
-    /// The files' thread has no room for the next batch.
+    /// The queue to the thread of the files is full for the next batch.
     DropBatch,
-    /// The folder is gone for the next batch, and back after it.
+    /// The folder is moved away during the write of the next batch.
     FailDisk,
     Restart,
 }
@@ -28,16 +30,16 @@
     ]
 }
 
-/// What a record has to say.
+/// The expected content of a record.
 #[derive(Debug)]
 struct Expected {
     kind: DecisionKind,
     configuration: ActiveConfiguration,
 }
 
-/// The audit of a manager, and the records that are expected of it.
+/// The audit of a manager, with the records that it is expected to have.
 struct AuditedManager {
-    outer: Folder,
+    parent_folder: Folder,
     folder: PathBuf,
     bounds: Bounds,
     store: Store,
@@ -50,8 +52,8 @@
 
 impl AuditedManager {
     fn new() -> AuditedManager {
-        let outer = Folder::new().expect("a folder");
-        let folder = outer.path("files");
+        let parent_folder = Folder::new().expect("a folder");
+        let folder = parent_folder.path("files");
         std::fs::create_dir(&folder).expect("created");
         let bounds = Bounds {
             segment_kb: 1,
@@ -60,7 +62,7 @@
         let incarnation = 1_000;
         let mut manager = AuditedManager {
             store: Store::open(&folder, "n0", bounds).expect("opened"),
-            outer,
+            parent_folder,
             folder,
             bounds,
             buffer: AuditBuffer::new(context(incarnation)),
@@ -126,9 +128,9 @@
     }
 
     fn append_without_folder(&mut self, batch: Batch) {
-        let away = self.outer.path("away");
+        let away = self.parent_folder.path("away");
         std::fs::rename(&self.folder, &away).expect("moved away");
-        // A file that is open takes the batch all the same; a new one can't be opened.
+        // The batch can still be written to a file that is open, but a new file can't be opened.
         let _ = self.store.append(batch);
         std::fs::rename(&away, &self.folder).expect("moved back");
     }
@@ -151,7 +153,7 @@
         Ok(())
     }
 
-    /// Compares what is stored with what is expected.
+    /// Compares the stored records with the expected ones.
     fn check(mut self, page_records: usize) -> Result<(), TestCaseError> {
         let stored = read_all(&self.store, page_records);
         prop_assert_eq!(stored.damaged_frames, 0);
@@ -199,9 +201,9 @@
         cases: 64, failure_persistence: None, rng_seed: RngSeed::Fixed(20_261_202), ..ProptestConfig::default()
     })]
 
-    /// Whatever happens to batches, files and processes, each number of each incarnation is there
-    /// once, with its decision and its context, or is reported as lost; nothing is there twice or
-    /// out of order.
+    /// Each record number of each incarnation must be stored once, with its decision and its
+    /// context, or be reported as lost, whatever happens to batches, files and processes. No record
+    /// may be duplicated or out of order.
     #[test]
     fn every_decision_is_stored_with_its_context_or_reported_as_lost(
         steps in proptest::collection::vec(any_step(), 1..60), page_records in 1usize..50,
--- a/tests/unit/connection_state.rs
+++ b/tests/unit/connection_state.rs
@@ -1,5 +1,6 @@
-//! The state machine of a connection to an engine. A model is checked against random steps: every
-//! attempt ends once, and its end says of the transmitted bytes what the socket saw.
+//! The state machine of a connection to an engine, with single cases and with a model under random
+//! steps. Guards against attempts that never end or end twice, and against a reported progress that
+//! differs from the bytes that were written: the progress decides whether a request may be retried.
 use super::{
     CANCEL_SETTLE_MICROS, ConnectionEvent, ConnectionState, TAIL_HOLD_MICROS, Termination,
     TransmitProgress,
@@ -13,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The first attempt of a request, the only one in these tests.
+/// The first attempt of a request; these tests use no other.
 const FIRST_ATTEMPT: AttemptNo = AttemptNo(0);
 
 /// A new connection of four streams to an engine of the platform.
@@ -38,7 +39,7 @@
     }
 }
 
-/// Writes everything that is not held back, and gives it.
+/// Writes all output that is not held back, and returns it.
 fn write_all(connection: &mut ConnectionState<Platform>, now: Micros) -> Vec<u8> {
     let mut written = Vec::new();
     while let Some(bytes) = connection.pending_output().map(<[u8]>::to_vec) {
@@ -81,12 +82,12 @@
     Start,
     Cancel(u8),
     Write(u8),
-    Answer(u8, &'static str),
+    Respond(u8, &'static str),
     Drain,
     Wait(u8),
 }
 
-const ANSWERS: [&str; 4] = ["DONE sheets=1 6", "WAIT - 6", "BROKE - 6", "PAST - 6"];
+const RESPONSES: [&str; 4] = ["DONE sheets=1 6", "WAIT - 6", "BROKE - 6", "PAST - 6"];
 
 impl Arbitrary for Step {
     fn arbitrary(generator: &mut Gen) -> Step {
@@ -95,14 +96,14 @@
             0..=2 => Step::Start,
             3 => Step::Cancel(argument),
             4..=6 => Step::Write(argument),
-            7 => Step::Answer(argument, generator.choose(&ANSWERS).expect("answers")),
+            7 => Step::Respond(argument, generator.choose(&RESPONSES).expect("a response")),
             8 => Step::Wait(argument),
             _ => Step::Drain,
         }
     }
 }
 
-/// What the model knows of an attempt in flight.
+/// The expected state of an attempt in flight.
 #[derive(Clone, Debug, Default)]
 struct ModelAttempt {
     first_byte_written: bool,
@@ -119,9 +120,10 @@
         }
     }
 
-    /// Whether the attempt may end so, after that answer or while the connection is closed.
-    fn may_end(&self, termination: Termination, answer: Option<&str>, closing: bool) -> bool {
-        match (termination, answer) {
+    /// Whether the attempt may end with `termination`, after that response or while the connection
+    /// is being closed.
+    fn may_end(&self, termination: Termination, response: Option<&str>, closing: bool) -> bool {
+        match (termination, response) {
             (Termination::Done, Some("DONE"))
             | (Termination::Rejected, Some("WAIT"))
             | (Termination::EngineError, Some("BROK"))
@@ -133,16 +135,16 @@
         }
     }
 
-    /// Cancelled for longer than it takes to settle, although the engine may have it.
+    /// Whether the attempt was written and cancelled, and should have ended by now.
     fn is_overdue(&self, now: Micros) -> bool {
         let settled = |at| at + CANCEL_SETTLE_MICROS <= now;
         self.first_byte_written && self.cancelled_at.is_some_and(settled)
     }
 }
 
-/// An answer of the engine to an attempt in flight.
+/// A response of the engine to an attempt in flight.
 #[derive(Clone, Copy)]
-struct Answer {
+struct Response {
     id: u32,
     text: &'static str,
 }
@@ -153,8 +155,8 @@
     in_flight: BTreeMap<u32, ModelAttempt>,
     started: u32,
     written: Vec<u8>,
-    /// Commands that start an attempt and have begun to be written.
-    commands_begun: usize,
+    /// Number of commands starting an attempt of which at least one byte was written.
+    commands_started: usize,
 }
 
 impl Model {
@@ -166,15 +168,15 @@
             in_flight: BTreeMap::new(),
             started: 0,
             written: Vec::new(),
-            commands_begun: 0,
+            commands_started: 0,
         }
     }
 
-    /// Checks the attempts that ended against what the model knows of them.
+    /// Checks the attempts that ended against their expected state.
     fn check(
         &mut self,
         events: &[ConnectionEvent],
-        answer: Option<Answer>,
+        response: Option<Response>,
         closing: bool,
     ) -> Result<(), String> {
         for result in ended_attempts(events) {
@@ -183,9 +185,9 @@
                 .in_flight
                 .remove(&id)
                 .ok_or(format!("{id} ended twice"))?;
-            let verb = answer
-                .filter(|answer| answer.id == id)
-                .map(|answer| &answer.text[..4]);
+            let verb = response
+                .filter(|response| response.id == id)
+                .map(|response| &response.text[..4]);
             let allowed = known.may_end(result.termination, verb, closing);
             if !allowed || result.progress != known.progress() {
                 return Err(format!("{result:?} of {known:?}"));
@@ -200,20 +202,20 @@
 
     fn step(&mut self, step: &Step) -> Result<(), String> {
         let mut events = Vec::new();
-        let mut answer = None;
+        let mut response = None;
         match step {
             Step::Start => self.start(),
             Step::Cancel(index) => self.cancel(*index, &mut events),
             Step::Write(count) => self.write(*count)?,
-            Step::Answer(index, text) => answer = self.answer(*index, text, &mut events),
+            Step::Respond(index, text) => response = self.respond(*index, text, &mut events),
             Step::Drain => self.drain(&mut events),
             Step::Wait(eighths) => self.wait(*eighths, &mut events),
         }
         let close_reason = self.connection.close_reason();
-        self.check(&events, answer, false)?;
+        self.check(&events, response, false)?;
         let unsent = |known: &ModelAttempt| !known.first_byte_written;
         if matches!(step, Step::Drain) && self.in_flight.values().any(unsent) {
-            return Err("a drain left something that waits to be sent".into());
+            return Err("an unsent attempt remains after a drain".into());
         }
         match close_reason {
             None | Some(Termination::Dropped) => Ok(()),
@@ -253,30 +255,30 @@
         let count = (usize::from(count) % 90 + 1).min(bytes.len());
         self.written.extend_from_slice(&bytes[..count]);
         self.connection.advance_output(self.now, count);
-        // The first byte of a command shows that it is out, however little of its line is.
+        // A command counts as started from its first byte, even if its line is incomplete.
         let text = String::from_utf8_lossy(&self.written);
         let starts_attempt =
             |line: &&str| !line.is_empty() && ("do ".starts_with(*line) || line.starts_with("do "));
-        let begun = text.split("\r\n").filter(starts_attempt).count();
-        if begun > self.commands_begun {
+        let started_count = text.split("\r\n").filter(starts_attempt).count();
+        if started_count > self.commands_started {
             let next = self
                 .in_flight
                 .values_mut()
                 .find(|known| !known.first_byte_written);
             next.ok_or("a command for no attempt")?.first_byte_written = true;
         }
-        self.commands_begun = begun;
+        self.commands_started = started_count;
         Ok(())
     }
 
-    /// Answers an attempt that was sent, in two pieces. The protocol does not know an attempt that
-    /// was cancelled any more: its answer counts for nothing.
-    fn answer(
+    /// Delivers a response to an attempt that was sent, in two pieces. A response to a cancelled
+    /// attempt has no effect, as the protocol has already removed the attempt.
+    fn respond(
         &mut self,
         index: u8,
         text: &'static str,
         events: &mut Vec<ConnectionEvent>,
-    ) -> Option<Answer> {
+    ) -> Option<Response> {
         let id = self.pick(index)?;
         let known = &self.in_flight[&id];
         if !known.first_byte_written {
@@ -291,7 +293,7 @@
                 self.connection.receive(self.now, piece, events);
             }
         }
-        (!cancelled).then_some(Answer { id, text })
+        (!cancelled).then_some(Response { id, text })
     }
 
     fn drain(&mut self, events: &mut Vec<ConnectionEvent>) {
@@ -315,8 +317,8 @@
 }
 
 #[test]
-fn every_attempt_ends_once_with_the_progress_that_the_socket_saw() {
-    fn walk(steps: Vec<Step>) -> Result<bool, String> {
+fn every_attempt_ends_once_with_the_progress_of_the_written_bytes() {
+    fn run_steps(steps: Vec<Step>) -> Result<bool, String> {
         let mut model = Model::new();
         for step in &steps {
             model.step(step)?;
@@ -325,13 +327,13 @@
         if model.in_flight.is_empty() {
             Ok(true)
         } else {
-            Err("something did not end".into())
+            Err("an attempt did not end".into())
         }
     }
     let mut check = QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 11))
         .tests(2_000);
-    check.quickcheck(walk as fn(Vec<Step>) -> Result<bool, String>);
+    check.quickcheck(run_steps as fn(Vec<Step>) -> Result<bool, String>);
 }
 
 /// Corrupted bytes must not be passed on as a result: the connection is closed.
@@ -367,9 +369,9 @@
     }
 }
 
-/// Bytes that trickle in do not postpone the timeout of a message.
+/// Further bytes of an incomplete message must not postpone its timeout.
 #[test]
-fn a_message_that_stops_short_times_out() {
+fn an_incomplete_message_times_out() {
     let mut connection = connection_with_two_attempts();
     let mut events = Vec::new();
     connection.receive(MS, b"k1 DONE sheets=1 6\r\na", &mut events);
@@ -382,7 +384,7 @@
     assert!(timeout_at < 1_000 * MS, "{timeout_at}");
 }
 
-/// Duplicates, responses to unknown requests and late load reports do not spoil good responses.
+/// Duplicates, responses to unknown requests and late load reports must not affect valid responses.
 #[test]
 fn unexpected_messages_are_ignored() {
     let mut connection = connection_with_two_attempts();
@@ -426,8 +428,8 @@
     assert_eq!(connection.close_reason(), None);
 }
 
-/// An attempt that must never run twice can safely be retried after a reset of its connection,
-/// until its last bytes are written a moment later.
+/// The last bytes of an attempt that must never run twice are written after a delay. If its
+/// connection is reset before that, it can safely be retried.
 #[test]
 fn the_tail_of_a_non_idempotent_attempt_is_held_back() {
     for (tail_written, progress) in [
@@ -465,8 +467,9 @@
     }
 }
 
-/// The idempotency key, the memory grant and the priority are in the command as the protocol spells
-/// them; a change of priority follows the command, and the cost comes back with the response.
+/// The idempotency key, the memory grant and the priority must be encoded in the command as the
+/// protocol requires. A change of priority follows the command, and the cost is read from the
+/// response.
 #[test]
 fn keys_priorities_and_costs_are_encoded_in_the_platforms_protocol() {
     let mut connection = new_connection(0);
@@ -479,7 +482,7 @@
         ..attempt(1, "k1", 9_000 * MS)
     };
     connection.start_attempt(0, &request);
-    // Before the command is written; the other two are not in flight.
+    // The first call comes before the command is written; the other two attempts are not in flight.
     connection.set_priority(RequestId(1), FIRST_ATTEMPT, 3);
     connection.set_priority(RequestId(1), AttemptNo(1), 0);
     connection.set_priority(RequestId(2), FIRST_ATTEMPT, 0);
@@ -505,8 +508,7 @@
     assert!(connection.pending_output().is_none());
 }
 
-/// Impossible figures must not reach the estimates of a class, and spoil nothing else of the
-/// response.
+/// Impossible costs must not reach the estimates of a class, nor affect the rest of the response.
 #[test]
 fn impossible_costs_are_ignored() {
     for (work, memory) in [
@@ -533,8 +535,8 @@
     }
 }
 
-/// An attempt that is not in flight, or was sent before the engine was last heard, is no reason to
-/// suspect the connection.
+/// A connection must not become suspect by a slow attempt that is not in flight, or if bytes were
+/// received since the attempt was sent.
 #[test]
 fn a_connection_that_has_received_since_is_not_suspect() {
     let mut connection = connection_with_two_attempts();
@@ -542,16 +544,16 @@
 
     connection.mark_slow(RequestId(9), FIRST_ATTEMPT);
     connection.mark_slow(RequestId(1), AttemptNo(3));
-    assert_eq!(connection.free_streams(), 2, "no attempt of its own");
+    assert_eq!(connection.free_streams(), 2, "not an attempt in flight");
 
     connection.receive(MS, b"k2 WAIT - 0\r\n\r\n", &mut Vec::new());
     connection.mark_slow(RequestId(1), FIRST_ATTEMPT);
     assert_eq!(connection.free_streams(), 3, "received since");
 }
 
-/// A connection that may be dead carries nothing new, and closes after the attempts in flight.
+/// A connection that may be dead must take no new attempts, and close after those in flight.
 #[test]
-fn a_suspect_connection_carries_nothing_new() {
+fn a_suspect_connection_takes_no_new_attempts() {
     let mut connection = connection_with_two_attempts();
     let mut events = Vec::new();
 
@@ -560,7 +562,7 @@
     assert_eq!(
         connection.close_reason(),
         None,
-        "the attempts in flight may still be answered"
+        "the attempts in flight may still get responses"
     );
 
     let responses = b"k1 DONE sheets=1 0\r\n\r\nk2 WAIT - 0\r\n\r\n";
--- a/tests/unit/spool.rs
+++ b/tests/unit/spool.rs
@@ -1,5 +1,5 @@
-//! The states of spooled results, and a model that checks what was promised under random steps and
-//! crashes at every point.
+//! Spooled results, with single cases and with a model under random steps and crashes. Guards
+//! against loads that run twice and against sealed results that are lost before they expire.
 use super::*;
 use crate::clock::SEC;
 use crate::policy::api::TenantId;
@@ -37,7 +37,7 @@
     }
 }
 
-/// Runs a query with pages of these sizes until its result is sealed.
+/// Submits a query and runs it, with pages of these sizes, until its result is sealed.
 fn seal_result(spool: &mut Spool, now: Micros, query: &Submission, pages: &[u64]) -> ResultId {
     let mut commands = Vec::new();
     let SubmitOutcome::Admitted(id) = spool.submit(now, query.clone(), &mut commands) else {
@@ -77,7 +77,7 @@
         spool.submit(2 * SEC, other_statement, &mut commands),
         SubmitOutcome::Conflict
     );
-    // The same query id of another user is another query.
+    // The same query id of another user identifies another query.
     let other_user = submission(3, 1, 8, Repeat::Allowed);
     assert!(matches!(
         spool.submit(2 * SEC, other_user, &mut commands),
@@ -95,7 +95,7 @@
     }
 }
 
-/// No load runs twice, over a crash between its intent and its seal.
+/// A load must not run twice if a crash occurs between its intent and its seal.
 #[test]
 fn a_load_interrupted_by_a_crash_is_lost_and_not_run_again() {
     let load = submission(1, 1, 7, Repeat::Forbidden);
@@ -120,7 +120,7 @@
     );
 }
 
-/// A retry of a load may cross its deletion, or come after its pages were read.
+/// A retry of a load may arrive after its pages were read or deleted, and must not run it again.
 #[test]
 fn the_query_id_of_a_load_outlives_its_pages() {
     let mut spool = Spool::new(limits());
@@ -148,7 +148,7 @@
     );
 }
 
-/// Over an exhausted quota, an expiry during a read, and a clock that is set back.
+/// The cases are an exhausted quota, an expiry during a read, and a clock that is set back.
 #[test]
 fn an_unread_result_is_stored_until_it_expires_and_a_read_one_until_the_read_ends() {
     let mut spool = Spool::new(limits());
@@ -157,7 +157,8 @@
     let second_query = submission(1, 2, 2, Repeat::Allowed);
     let first = seal_result(&mut spool, SEC, &first_query, &[300, 270]);
 
-    // The tenant's quota is used by an unread result: the next query learns when that expires.
+    // An unread result uses up the tenant's quota: the rejection of the next query states when that
+    // result expires.
     assert_eq!(
         spool.submit(2 * SEC, second_query.clone(), &mut commands),
         SubmitOutcome::NoCapacity {
@@ -179,7 +180,7 @@
 }
 
 #[test]
-fn results_of_others_unknown_ones_and_expired_ones_look_alike() {
+fn results_of_others_unknown_and_expired_results_give_the_same_error() {
     let mut spool = Spool::new(limits());
     let mut commands = Vec::new();
     let query = submission(1, 1, 1, Repeat::Allowed);
@@ -204,21 +205,21 @@
     );
 }
 
-/// A sealed result that has to be readable until it expires.
+/// A sealed result that has to stay readable until it expires.
 struct PromisedResult {
     page_sizes: Vec<u64>,
     expires_at: Micros,
 }
 
-/// A spool with its store, random clients and engines, and crashes.
+/// A spool with its store, under random events of clients and engines and random crashes.
 struct SpoolModel {
     spool: Spool,
     rng: Pcg32,
     now: Micros,
     commands: Vec<SpoolCommand>,
-    /// What is durable: all that is left after a crash.
+    /// The durable state, which survives a crash.
     store: BTreeMap<ResultId, StoredResult>,
-    /// Runs of each query that must not run twice.
+    /// Number of runs of each query that must not run twice.
     runs: BTreeMap<QueryKey, u32>,
     promised: BTreeMap<ResultId, PromisedResult>,
 }
@@ -241,8 +242,8 @@
         self.rng.next_u32() % limit
     }
 
-    /// Carries out the commands, and those that follow from them.
-    fn carry_out_commands(&mut self) {
+    /// Executes the commands, and those that follow from them.
+    fn execute_commands(&mut self) {
         while let Some(command) = self.commands.pop() {
             match command {
                 SpoolCommand::Remove(id) => drop(self.store.remove(&id)),
@@ -265,7 +266,7 @@
     fn run(&mut self, id: ResultId) {
         assert!(
             self.store.contains_key(&id),
-            "it runs before its intent is durable"
+            "a query runs before its intent is durable"
         );
         let query = &self.spool.results[&id].submission;
         let key = (query.owner.clone(), query.query_id.clone());
@@ -273,7 +274,7 @@
         self.spool.attempt_started(id);
     }
 
-    /// One random event.
+    /// Performs one random event.
     fn step(&mut self) {
         self.now += Micros::from(self.draw(400_000));
         let ids: Vec<ResultId> = self.spool.results.keys().copied().collect();
@@ -312,7 +313,7 @@
         self.spool.submit(self.now, submission, &mut self.commands);
     }
 
-    /// The query completes; in one of four cases its seal does not become durable.
+    /// Completes a query. In one of four cases its seal does not become durable.
     fn complete(&mut self, id: ResultId) {
         self.spool.attempt_completed(id, &mut self.commands);
         if self.spool.stage(id) != Some(ResultStage::Sealing) || self.draw(4) == 0 {
@@ -332,7 +333,7 @@
 
     fn fail(&mut self, id: ResultId) {
         let may_have_run = self.draw(2) == 0 || self.spool.stage(id) != Some(ResultStage::Running);
-        // An attempt that is reported as never run does not count as a run.
+        // An attempt that is reported not to have run does not count as a run.
         if let Some(result) = self.spool.results.get(&id)
             && !may_have_run
             && result.submission.must_not_repeat
@@ -362,7 +363,7 @@
         let Ok(all) = self.spool.acknowledge(self.now, id, &owner, page) else {
             return;
         };
-        let stored = self.store.get_mut(&id).expect("sealed is durable");
+        let stored = self.store.get_mut(&id).expect("a sealed result is durable");
         stored.acknowledged_pages.insert(page);
         if all {
             stored.expires_at = self.spool.results[&id].expires_at;
@@ -378,7 +379,8 @@
         }
     }
 
-    /// Commands that were not carried out are lost, and the clock may have been set back.
+    /// Restarts from the store: commands that were not executed are lost, and the clock is set
+    /// back.
     fn crash(&mut self) {
         self.commands.clear();
         let stored = self.store.values().cloned().collect();
@@ -395,7 +397,7 @@
                 .spool
                 .results
                 .get(id)
-                .expect("sealed and unread is stored until it expires");
+                .expect("a sealed and unread result is stored until it expires");
             let readable = matches!(result.stage, ResultStage::Sealed | ResultStage::Consumed);
             assert_eq!((&result.page_sizes, readable), (&promised.page_sizes, true));
         }
@@ -414,16 +416,16 @@
     }
 }
 
-/// Random clients, engines and crashes: no load runs twice within its retention, nothing is sealed
-/// that did not complete, quotas are kept, and what is sealed and unread is stored until it
-/// expires, also after a crash.
+/// Under random events and crashes no load may run twice within its retention, no result may be
+/// sealed that did not complete, quotas must be kept, and sealed and unread results must be stored
+/// until they expire, also after a crash.
 #[test]
-fn promises_are_kept_under_random_steps_and_crashes() {
+fn loads_run_once_and_sealed_results_survive_random_steps_and_crashes() {
     for seed in 0..60 {
         let mut model = SpoolModel::new(seed);
         for _ in 0..600 {
             model.step();
-            model.carry_out_commands();
+            model.execute_commands();
             model.check();
         }
     }
--- a/tests/unit/spool_handle.rs
+++ b/tests/unit/spool_handle.rs
@@ -1,4 +1,4 @@
-//! Handles: who can use them, forgeries, and the rotation of keys.
+//! Handles of spooled results: validity for the owner alone, forgeries, and the rotation of keys.
 use super::*;
 use crate::policy::api::TenantId;
 
@@ -30,7 +30,7 @@
     );
 }
 
-/// Handles with any bit changed, truncated, extended, or of another form.
+/// Covers handles with any bit changed, truncated handles, extended ones, and other text.
 #[test]
 fn a_modified_handle_is_invalid() {
     let keys = HandleKeys::new(1, [7; 32]);
--- a/tests/unit/tenant_directory.rs
+++ b/tests/unit/tenant_directory.rs
@@ -1,5 +1,5 @@
-//! The tenant directory without sockets: the framing of LDAP messages, the order of a read, and how
-//! a snapshot is applied.
+//! The tenant directory without sockets: the framing of LDAP messages, the order of a read, and the
+//! application of a snapshot.
 use super::*;
 use crate::config::clickhouse::DirectoryConfig;
 use rasn::types::SetOf;
@@ -8,7 +8,7 @@
     SearchResultDone, SearchResultEntry,
 };
 
-/// The configuration with only the fields that have no default.
+/// A configuration that sets only the fields without a default.
 fn config() -> DirectoryConfig {
     toml::from_str(
         r#"
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn input_that_is_no_ldap_message_names_its_fault() {
+fn invalid_input_is_rejected_with_its_cause() {
     assert!(matches!(
         message_length(b"HTTP"),
         Err(ReadError::InvalidTag { tag: b'H' })
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_refused_bind_ends_the_read_with_the_directorys_own_text() {
+fn a_rejected_bind_ends_the_read_with_the_directorys_diagnostic_message() {
     let (mut read, _bind) = DirectoryRead::new(config());
 
     let error = read
