--- a/src/testkit/audit.rs
+++ b/src/testkit/audit.rs
@@ -1,4 +1,4 @@
-//! Gathers the audits of several managers over their admin endpoints.
+//! Collects the audit records of several managers over their admin endpoints.
 use super::{clients, pause};
 use crate::audit::report::{NodeReport, ObservedMember};
 use crate::audit::{PageEnd, RecordPosition};
@@ -6,18 +6,18 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The most pages that are read of one manager: what it writes meanwhile must not keep the
-/// gathering going for ever.
+/// The maximum number of pages that are read from one manager: records that it writes in the
+/// meantime must not keep the collection from ending.
 const MAX_PAGES: usize = 10_000;
-/// How long a call may take, in milliseconds.
+/// Timeout of a call, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 5_000;
 
-/// Why something could not be had of a manager.
+/// Why a manager's data could not be collected.
 #[derive(Debug, Error)]
 enum GatherError {
-    #[error("GET {path}: no answer in time")]
+    #[error("GET {path}: no response in time")]
     Timeout { path: String },
-    #[error("GET {path}: no answer")]
+    #[error("GET {path}: no response")]
     NoAnswer { path: String },
     #[error("GET {path}: {status}: {}", body.trim())]
     Status {
@@ -30,7 +30,7 @@
         path: &'static str,
         source: serde_json::Error,
     },
-    #[error("GET /audit: a page without its end")]
+    #[error("GET /audit: a page without its last line")]
     PageEnd,
 }
 
@@ -41,9 +41,9 @@
         Err(GatherError::Timeout { path })
     };
     let call = async {
-        let answer = clients::call_admin(addr, "GET", &path).await;
+        let response = clients::call_admin(addr, "GET", &path).await;
         let path = path.clone();
-        match answer {
+        match response {
             Some((200, body)) => Ok(body),
             Some((status, body)) => Err(GatherError::Status { path, status, body }),
             None => Err(GatherError::NoAnswer { path }),
@@ -52,7 +52,7 @@
     or(call, timeout).await
 }
 
-/// Adds the manager's view of the fleet.
+/// Adds the manager's view of the fleet to its report.
 async fn gather_fleet(addr: SocketAddr, node: &mut NodeReport) -> Result<(), GatherError> {
     let body = get(addr, "/fleet".into()).await?;
     for line in body.lines() {
@@ -64,7 +64,7 @@
     Ok(())
 }
 
-/// Adds the manager's records after that position.
+/// Adds the manager's records after a position to its report.
 async fn gather_records(
     addr: SocketAddr,
     after: RecordPosition,
@@ -115,7 +115,7 @@
     node
 }
 
-/// The views of those managers, and their records after that position.
+/// Collects the views of the managers at these addresses, and their records after a position.
 pub async fn gather(addrs: &[SocketAddr], after: RecordPosition) -> Vec<NodeReport> {
     let mut nodes = Vec::new();
     for addr in addrs {
--- a/src/testkit/blocked_links.rs
+++ b/src/testkit/blocked_links.rs
@@ -1,4 +1,4 @@
-//! The one-way links between members on which a simulated or proxied network loses all datagrams.
+//! The one-way links between members on which a simulated or proxied network drops all datagrams.
 use std::collections::BTreeSet;
 
 /// A one-way link between two members, by their indices.
--- a/src/testkit/clients/http.rs
+++ b/src/testkit/clients/http.rs
@@ -1,4 +1,5 @@
-//! HTTP clients: of the ClickHouse interface and of the admin endpoint, one request per connection.
+//! HTTP clients of the ClickHouse interface and of the admin endpoint, with one request per
+//! connection.
 use super::{ClientOutcome, start_exchange};
 use crate::http::{Body, Head};
 use crate::testkit::http_reader::read_http;
@@ -8,10 +9,10 @@
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpStream};
 
-/// The query whether the daemon serves.
+/// The health check of the ClickHouse interface.
 pub const PING: &[u8] = b"GET /ping HTTP/1.1\r\n\r\n";
 
-/// A query as a request with the statement in its body.
+/// Encodes a query as an HTTP request with the statement in its body.
 pub fn http_request(user: &str, key: &str, parameters: &str, statement: &str) -> Vec<u8> {
     let login = BASE64_STANDARD.encode(format!("{user}:{key}"));
     let length = statement.len();
@@ -31,22 +32,23 @@
     http_with_disconnect(addr, request, &Cell::new(false)).await
 }
 
-/// The same, but the client disconnects within the response if `disconnects` is set by then.
+/// Like [`http`], but the client disconnects after the first byte of the response if `disconnects` is
+/// set by then.
 pub async fn http_with_disconnect(
     addr: SocketAddr,
     request: &[u8],
     disconnects: &Cell<bool>,
 ) -> ClientOutcome {
     let Some(mut exchange) = start_exchange(addr, request, disconnects).await else {
-        return ClientOutcome::Cut;
+        return ClientOutcome::Interrupted;
     };
     match read_http(&exchange.stream, &mut exchange.input, Body::UntilClose).await {
         Some((head, body)) => parse_http_response(&head, &body),
-        None => ClientOutcome::Cut,
+        None => ClientOutcome::Interrupted,
     }
 }
 
-/// What a response of the ClickHouse interface says.
+/// The outcome that a response of the ClickHouse interface reports.
 pub fn parse_http_response(head: &Head, body: &[u8]) -> ClientOutcome {
     let number = |field: &str| head.field(field).and_then(|text| text.parse::<u64>().ok());
     let exception_code = head
@@ -54,15 +56,17 @@
         .and_then(|text| text.parse::<i64>().ok())
         .unwrap_or(0);
     match (head.first[1].as_str(), exception_code) {
-        ("200", _) => ClientOutcome::Served(String::from_utf8_lossy(body).into_owned()),
-        ("503", 202) => ClientOutcome::Refused(number("retry-after").map(|seconds| seconds * 1000)),
+        ("200", _) => ClientOutcome::Completed(String::from_utf8_lossy(body).into_owned()),
+        ("503", 202) => {
+            ClientOutcome::Rejected(number("retry-after").map(|seconds| seconds * 1000))
+        }
         ("500", 159) => ClientOutcome::Deadline,
         ("500" | "503", code) => ClientOutcome::Failed(code),
-        (status, _) => ClientOutcome::Rejected(status.parse().unwrap_or(0)),
+        (status, _) => ClientOutcome::Invalid(status.parse().unwrap_or(0)),
     }
 }
 
-/// Calls the admin endpoint, and returns the status and the body; `None` if there was no complete
+/// Calls the admin endpoint and returns the status and the body, or `None` if there was no complete
 /// response.
 pub async fn call_admin(addr: SocketAddr, method: &str, path: &str) -> Option<(u16, String)> {
     let mut stream = Async::<TcpStream>::connect(addr).await.ok()?;
--- a/src/testkit/clients/mod.rs
+++ b/src/testkit/clients/mod.rs
@@ -24,42 +24,43 @@
 /// The size of a read from a socket, in bytes.
 const READ_BYTES: usize = 8192;
 
-/// How a request ended, as its client saw it.
+/// How a request ended, as observed by its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// It completed, with these rows.
-    Served(String),
-    /// The pool had no capacity: when to retry in milliseconds, if that was said.
-    Refused(Option<u64>),
+    /// It completed with these rows.
+    Completed(String),
+    /// It was rejected for lack of capacity, with the delay before a retry in milliseconds if the
+    /// response has one.
+    Rejected(Option<u64>),
     /// It failed at its deadline.
     Deadline,
     /// It failed with this code.
     Failed(i64),
-    /// It was not authenticated or not valid: a code of JSON-RPC or a status of HTTP.
-    Rejected(i64),
-    /// The connection ended without a complete response.
-    Cut,
+    /// It was not authenticated or not valid: a JSON-RPC error code or an HTTP status.
+    Invalid(i64),
+    /// The connection ended without a complete response, or the response can't be parsed.
+    Interrupted,
 }
 
 impl fmt::Display for ClientOutcome {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ClientOutcome::Served(rows) => {
+            ClientOutcome::Completed(rows) => {
                 write!(formatter, "served, {} rows", rows.lines().count())
             }
-            ClientOutcome::Refused(Some(ms)) => {
+            ClientOutcome::Rejected(Some(ms)) => {
                 write!(formatter, "refused, come back after {ms} ms")
             }
-            ClientOutcome::Refused(None) => write!(formatter, "refused"),
+            ClientOutcome::Rejected(None) => write!(formatter, "refused"),
             ClientOutcome::Deadline => write!(formatter, "failed: its time was up"),
             ClientOutcome::Failed(code) => write!(formatter, "failed: code {code}"),
-            ClientOutcome::Rejected(code) => write!(formatter, "rejected: {code}"),
-            ClientOutcome::Cut => write!(formatter, "cut off with no whole answer"),
+            ClientOutcome::Invalid(code) => write!(formatter, "rejected: {code}"),
+            ClientOutcome::Interrupted => write!(formatter, "cut off with no whole answer"),
         }
     }
 }
 
-/// Reads one line; `None` if the connection ends before its line feed.
+/// Reads one line, or returns `None` if the connection ends before its line feed.
 pub async fn read_line(stream: &Async<TcpStream>, input: &mut Vec<u8>) -> Option<Vec<u8>> {
     let mut buffer = vec![0; READ_BYTES];
     loop {
@@ -73,15 +74,15 @@
     }
 }
 
-/// A new connection on which a request was sent and the first byte of the response awaited.
+/// A new connection after the request was sent and the first byte of the response was awaited.
 struct StartedExchange {
     stream: Async<TcpStream>,
-    /// What was received so far.
+    /// The bytes received so far.
     input: Vec<u8>,
 }
 
-/// Connects, sends, and waits for the first byte; `None` if the connection broke, or if the client
-/// is to disconnect by then.
+/// Connects, sends the request, and waits for the first byte of the response. Returns `None` if
+/// connecting or sending failed, or if `disconnects` is set by then.
 async fn start_exchange(
     addr: SocketAddr,
     request: &[u8],
@@ -99,12 +100,12 @@
     (!disconnects.get()).then_some(StartedExchange { stream, input })
 }
 
-/// Connects, sends this and nothing more, and waits until the connection ends.
+/// Connects, sends these bytes and nothing more, and waits until the connection ends.
 pub async fn send_and_wait_for_close(addr: SocketAddr, bytes: &'static [u8]) {
     let Ok(mut stream) = Async::<TcpStream>::connect(addr).await else {
         return;
     };
-    // A connection that has ended already shows at the read.
+    // If the connection has already ended, the read below returns.
     let _ = stream.write_all(bytes).await;
     let mut buffer = [0; 256];
     while matches!((&stream).read(&mut buffer).await, Ok(count) if count > 0) {}
--- a/src/testkit/clients/persistent.rs
+++ b/src/testkit/clients/persistent.rs
@@ -1,4 +1,4 @@
-//! A persistent connection of the platform's protocol, with several requests open on it.
+//! A persistent connection of the platform's protocol, with several requests open at the same time.
 use super::rpc::{RpcRequest, parse_rpc_response};
 use super::{ClientOutcome, read_line};
 use crate::testkit::Executor;
@@ -12,13 +12,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// The outcome of a request, once it has one.
+/// The outcome of a request, set once the request has ended.
 pub type PendingOutcome = Rc<RefCell<Option<ClientOutcome>>>;
 
 /// The open requests of a connection, by their ids.
 type OpenRequests = Rc<RefCell<BTreeMap<u64, PendingOutcome>>>;
 
-/// A connection that stays open.
+/// A client with a connection that stays open.
 pub struct PersistentClient {
     output: Sender<Vec<u8>>,
     open: OpenRequests,
@@ -26,16 +26,16 @@
     next_id: Cell<u64>,
 }
 
-/// What wakes the connection's task.
+/// An event that wakes the connection's task.
 enum Wake {
-    /// A line from the daemon; `None`: it closed the connection.
+    /// A line from the daemon, or `None` if the connection has ended.
     Line(Option<Vec<u8>>),
-    /// Bytes to send; an error: the client was dropped.
+    /// Bytes to send, or an error if the client was dropped.
     Output(Result<Vec<u8>, RecvError>),
 }
 
 impl PersistentClient {
-    /// Connects.
+    /// Starts to connect; requests are queued until the connection is open.
     pub fn open(executor: &Executor, addr: SocketAddr) -> PersistentClient {
         let (output, queued) = async_channel::unbounded();
         let client = PersistentClient {
@@ -48,7 +48,7 @@
         let task = async move {
             run(addr, &queued, &open).await;
             for outcome in open.borrow().values() {
-                *outcome.borrow_mut() = Some(ClientOutcome::Cut);
+                *outcome.borrow_mut() = Some(ClientOutcome::Interrupted);
             }
             closed.set(true);
         };
@@ -56,8 +56,8 @@
         client
     }
 
-    /// Sends the first of `parts` equal parts of a request, and returns the rest; one part is the
-    /// whole request. `outcome` is set once there is one.
+    /// Sends the first of `parts` equal parts of a request and returns the remaining bytes; with one
+    /// part, the whole request is sent. `outcome` is set once the request has ended.
     pub fn request(
         &self,
         request: &RpcRequest<'_>,
@@ -68,7 +68,7 @@
         let mut line = request.line(id);
         let rest = line.split_off(line.len() / parts.max(1));
         if self.closed.get() {
-            *outcome.borrow_mut() = Some(ClientOutcome::Cut);
+            *outcome.borrow_mut() = Some(ClientOutcome::Interrupted);
         } else {
             self.open.borrow_mut().insert(id, outcome);
         }
@@ -76,9 +76,9 @@
         rest
     }
 
-    /// Sends bytes as they are.
+    /// Sends raw bytes.
     pub fn send(&self, bytes: Vec<u8>) {
-        // Bytes for a connection that has ended are lost, as on any connection.
+        // Bytes for a connection that has ended are dropped, as a socket would drop them.
         let _ = self.output.try_send(bytes);
     }
 
@@ -88,7 +88,7 @@
     }
 }
 
-/// Sends what is queued, and records the outcomes, until the connection ends.
+/// Sends the queued bytes and records the outcomes until the connection ends.
 async fn run(addr: SocketAddr, queued: &Receiver<Vec<u8>>, open: &OpenRequests) {
     let Ok(stream) = Async::<TcpStream>::connect(addr).await else {
         return;
--- a/src/testkit/clients/rpc.rs
+++ b/src/testkit/clients/rpc.rs
@@ -7,16 +7,16 @@
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpStream};
 
-/// The query whether the daemon is ready.
+/// The request for the daemon's status, which reports whether it is ready.
 pub const STATUS: &[u8] = b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"status\"}\n";
 
-/// The error codes at which JSON-RPC's own errors end: this one and all below.
+/// The highest of JSON-RPC's own error codes: this code and all below it count as invalid requests.
 const HIGHEST_PROTOCOL_ERROR: i64 = -32600;
 
-/// What a request consists of, apart from its id on the connection.
+/// A request without its id on the connection.
 #[derive(Clone, Copy, Debug)]
 pub struct RpcRequest<'a> {
-    /// The class, which is the method.
+    /// The class, sent as the method.
     pub class: &'a str,
     /// The client's name for the request: 16 hex digits.
     pub key: &'a str,
@@ -29,7 +29,7 @@
 }
 
 impl RpcRequest<'_> {
-    /// The request as a line of the protocol.
+    /// Encodes the request as a line of the protocol.
     pub fn line(&self, id: u64) -> Vec<u8> {
         rpc_line(
             id,
@@ -42,7 +42,7 @@
     }
 }
 
-/// A request as a line of the protocol.
+/// Encodes a request as a line of the protocol.
 pub fn rpc_line(
     id: u64,
     class: &str,
@@ -58,52 +58,53 @@
     format!("{message}\n").into_bytes()
 }
 
-/// The same request with an idempotency key, which all attempts of one request carry.
+/// Adds an idempotency key, which all attempts of one request carry, to an encoded request.
 pub fn keyed_line(idempotency_key: &str, line: &[u8]) -> Vec<u8> {
     let mut message: Value = serde_json::from_slice(line).unwrap_or_default();
     message["params"]["once"] = idempotency_key.into();
     format!("{message}\n").into_bytes()
 }
 
-/// What a response of the protocol says.
+/// The outcome that a response of the protocol reports.
 pub fn parse_rpc_response(line: &[u8]) -> ClientOutcome {
     let Ok(response) = serde_json::from_slice::<Value>(line) else {
-        return ClientOutcome::Cut;
+        return ClientOutcome::Interrupted;
     };
     if let Some(arg) = response["result"]["arg"].as_str() {
         let rows = BASE64_STANDARD.decode(arg).unwrap_or_default();
-        return ClientOutcome::Served(String::from_utf8_lossy(&rows).into_owned());
+        return ClientOutcome::Completed(String::from_utf8_lossy(&rows).into_owned());
     }
     match response["error"]["code"].as_i64() {
-        Some(-32050) => ClientOutcome::Refused(response["error"]["data"]["after"].as_u64()),
+        Some(-32050) => ClientOutcome::Rejected(response["error"]["data"]["after"].as_u64()),
         Some(-32052) => ClientOutcome::Deadline,
-        Some(code) if code <= HIGHEST_PROTOCOL_ERROR => ClientOutcome::Rejected(code),
+        Some(code) if code <= HIGHEST_PROTOCOL_ERROR => ClientOutcome::Invalid(code),
         Some(code) => ClientOutcome::Failed(code),
-        None => ClientOutcome::Cut,
+        None => ClientOutcome::Interrupted,
     }
 }
 
-/// Sends the lines on a new connection and reads the first response.
+/// Sends lines on a new connection and reads the first response.
 pub async fn rpc(addr: SocketAddr, lines: &[u8]) -> ClientOutcome {
     rpc_with_disconnect(addr, lines, &Cell::new(false)).await
 }
 
-/// The same, but the client disconnects within the response if `disconnects` is set by then.
+/// Like [`rpc`], but the client disconnects after the first byte of the response if `disconnects` is
+/// set by then.
 pub async fn rpc_with_disconnect(
     addr: SocketAddr,
     lines: &[u8],
     disconnects: &Cell<bool>,
 ) -> ClientOutcome {
     let Some(mut exchange) = start_exchange(addr, lines, disconnects).await else {
-        return ClientOutcome::Cut;
+        return ClientOutcome::Interrupted;
     };
     match read_line(&exchange.stream, &mut exchange.input).await {
         Some(line) => parse_rpc_response(&line),
-        None => ClientOutcome::Cut,
+        None => ClientOutcome::Interrupted,
     }
 }
 
-/// Whether the daemon answers that it is ready.
+/// Whether the daemon reports that it is ready.
 pub async fn is_ready(addr: SocketAddr) -> bool {
     let Ok(mut stream) = Async::<TcpStream>::connect(addr).await else {
         return false;
--- a/src/testkit/clients/sustained/connection.rs
+++ b/src/testkit/clients/sustained/connection.rs
@@ -1,4 +1,4 @@
-//! One client of a sustained load, on one connection after the other.
+//! A client of a sustained load, which reconnects when its connection ends.
 use super::record::{ConnectionEnd, SustainedRequest};
 use super::{Control, POLL_INTERVAL, Record, SustainedClass, SustainedLoadPlan, SustainedProtocol};
 use crate::http::Body;
@@ -18,21 +18,22 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Requests that may be open on a connection, as the platform's protocol says.
+/// The limit on open requests per connection in the platform's protocol.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// How long the load's end waits for outstanding responses.
+/// How long a client waits for outstanding responses at the end of the load.
 const FINAL_RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Between two attempts to connect.
+/// Interval between two attempts to connect.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest body of a response over HTTP.
+/// The maximum length of an HTTP response's body.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
-/// What wakes a connection's task.
+
+/// An event that wakes a connection's task.
 enum Wake {
     Read(std::io::Result<usize>),
     Timer,
 }
 
-/// One client connection.
+/// A client with its present connection.
 pub(super) struct SustainedConnection<'a> {
     index: usize,
     plan: &'a SustainedLoadPlan,
@@ -40,11 +41,11 @@
     record: Record,
     random: Pcg32,
     next_id: u64,
-    /// The positions in the record by the ids on the present connection.
+    /// The positions in the record, by the request's id on the present connection.
     sent: BTreeMap<u64, usize>,
     open: usize,
     input: Vec<u8>,
-    /// Reads the responses over HTTP.
+    /// Parses the HTTP responses.
     http: HttpReader,
 }
 
@@ -69,10 +70,10 @@
         }
     }
 
-    /// Uses one connection after the other until the load's end.
+    /// Connects and exchanges messages, and reconnects, until the load ends.
     pub(super) async fn run(mut self, addr: SocketAddr) {
         while !self.control.stopped.load(Ordering::Relaxed) {
-            if self.control.front_closed.load(Ordering::Relaxed) {
+            if self.control.reconnect_disabled.load(Ordering::Relaxed) {
                 Timer::after(POLL_INTERVAL).await;
                 continue;
             }
@@ -80,7 +81,7 @@
                 Timer::after(RECONNECT_INTERVAL).await;
                 continue;
             };
-            // Without this option requests only arrive later.
+            // If the option can't be set, requests only arrive later.
             let _ = stream.get_ref().set_nodelay(true);
             let end = self.exchange(&stream).await;
             self.record_end(end);
@@ -91,7 +92,8 @@
         }
     }
 
-    /// Sends and receives until the connection ends, or nothing more is owed after the load's end.
+    /// Sends and receives until the connection ends or, after the end of the load, no request is open
+    /// or the timeout has passed.
     async fn exchange(&mut self, stream: &Async<TcpStream>) -> ConnectionEnd {
         let mut next_send_at = Instant::now() + self.next_pause();
         let mut stopped_at = None;
@@ -101,12 +103,13 @@
             if stopped {
                 let stopped_at = *stopped_at.get_or_insert_with(Instant::now);
                 if self.open == 0 || stopped_at.elapsed() > FINAL_RESPONSE_TIMEOUT {
-                    return ConnectionEnd::GivenUp;
+                    return ConnectionEnd::LoadEnded;
                 }
             }
             let read = async { Wake::Read((&*stream).read(&mut buffer).await) };
             let poll_at = Instant::now() + POLL_INTERVAL;
-            // A client that has stopped has no next request: its time would be over at every turn.
+            // A client that has stopped sends no more requests: the time of the next one would stay in
+            // the past, and the loop would not wait.
             let wake_at = if stopped {
                 poll_at
             } else {
@@ -122,7 +125,7 @@
                 Wake::Read(Err(_)) => return ConnectionEnd::Reset,
                 Wake::Timer if !stopped && Instant::now() >= next_send_at => {
                     next_send_at = Instant::now() + self.next_pause();
-                    if let Some(end) = self.act(stream).await {
+                    if let Some(end) = self.send_next(stream).await {
                         return end;
                     }
                 }
@@ -131,14 +134,15 @@
         }
     }
 
-    /// A draw between half and one and a half times the interval.
+    /// Draws a pause between half and one and a half times the interval.
     fn next_pause(&mut self) -> Duration {
         let half = self.plan.interval.as_micros() as u64 / 2;
         Duration::from_micros(half + self.random.next_u64() % (2 * half).max(1))
     }
 
-    /// Sends a request, cancels one, or leaves; gives the connection's end, if this is it.
-    async fn act(&mut self, stream: &Async<TcpStream>) -> Option<ConnectionEnd> {
+    /// Sends a request unless too many are open, then draws whether to disconnect or to cancel the
+    /// request. Returns how the connection ended if it did.
+    async fn send_next(&mut self, stream: &Async<TcpStream>) -> Option<ConnectionEnd> {
         let max_open = match self.plan.protocol {
             SustainedProtocol::JsonRpc => MAX_OPEN_REQUESTS,
             SustainedProtocol::ClickHouse { .. } => 1,
@@ -149,8 +153,8 @@
         if !self.send(stream).await {
             return Some(ConnectionEnd::Reset);
         }
-        if self.draw_percent(self.plan.left_percent) {
-            return Some(ConnectionEnd::Left);
+        if self.draw_percent(self.plan.disconnected_percent) {
+            return Some(ConnectionEnd::Disconnected);
         }
         let can_cancel = self.plan.protocol == SustainedProtocol::JsonRpc;
         if can_cancel && self.draw_percent(self.plan.cancelled_percent) {
@@ -163,7 +167,7 @@
         self.random.next_u64() % 100 < percent
     }
 
-    /// Cancels the last request.
+    /// Cancels the last request. Returns how the connection ended if it did.
     async fn cancel(&mut self, mut stream: &Async<TcpStream>) -> Option<ConnectionEnd> {
         let id = self.next_id;
         let message = json!({"jsonrpc": "2.0", "method": "withdraw", "params": {"id": id}});
@@ -177,7 +181,7 @@
         None
     }
 
-    /// Sends a request; gives whether its bytes were taken.
+    /// Sends a request. Returns whether its bytes were written.
     async fn send(&mut self, mut stream: &Async<TcpStream>) -> bool {
         self.next_id += 1;
         let draw = self.random.next_u64() as usize % self.plan.classes.len();
@@ -249,14 +253,14 @@
         }
     }
 
-    /// The next whole response over HTTP; what can't be read counts as cut.
+    /// Takes the next complete HTTP response from the input; a malformed one counts as interrupted.
     fn take_http_response(&mut self) -> Option<ClientOutcome> {
         match self.http.take(&mut self.input) {
             Ok(message) => message.map(|(head, body)| parse_http_response(&head, &body)),
             Err(_) => {
                 self.input.clear();
                 self.http = new_http_reader();
-                Some(ClientOutcome::Cut)
+                Some(ClientOutcome::Interrupted)
             }
         }
     }
@@ -280,7 +284,7 @@
         request.responses.push((Instant::now(), outcome));
     }
 
-    /// Notes the end at each request that has no response.
+    /// Records the connection's end for each request that has no response.
     fn record_end(&self, end: ConnectionEnd) {
         let now = Instant::now();
         let requests = &mut self.record.borrow_mut().requests;
@@ -297,7 +301,7 @@
     HttpReader::new(Body::UntilClose, MAX_RESPONSE_BYTES)
 }
 
-/// The client's name for a request: 16 hex digits.
+/// The client's key for a request: 16 hex digits.
 fn request_key(seed: u64, connection: usize, id: u64) -> String {
     let seed = seed & 0xffff_ffff;
     let connection = connection as u64 & 0xfff;
--- a/src/testkit/clients/sustained/mod.rs
+++ b/src/testkit/clients/sustained/mod.rs
@@ -1,5 +1,5 @@
-//! Clients that go on sending on every connection that stays open, and a record of what became of
-//! each request. They run on a thread of their own, so that a test can signal the daemon meanwhile.
+//! Clients that keep sending requests over their connections, and a record of how each request ended.
+//! They run on a separate thread, so that a test can signal the daemon in the meantime.
 mod connection;
 mod record;
 
@@ -17,15 +17,15 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Between two looks at whether the load is to end.
+/// Interval between two checks whether the load is to end.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// A class of the requests.
 #[derive(Clone, Copy, Debug)]
 pub struct SustainedClass {
-    /// Its name.
+    /// The class's name.
     pub name: &'static str,
-    /// The statement, to which the request's name is added.
+    /// The statement, to which the request's key is added as a comment.
     pub statement: &'static str,
     /// Whether its requests carry an idempotency key.
     pub is_keyed: bool,
@@ -34,9 +34,9 @@
 /// The protocol of the clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SustainedProtocol {
-    /// The platform's, with several requests open on a connection.
+    /// The platform's protocol, with several requests open on a connection.
     JsonRpc,
-    /// The ClickHouse interface, with one at a time.
+    /// The ClickHouse interface, with one open request per connection.
     ClickHouse {
         /// The user.
         user: &'static str,
@@ -45,46 +45,49 @@
     },
 }
 
-/// What the clients send.
+/// The requests and the behavior of the clients.
 #[derive(Clone, Debug)]
 pub struct SustainedLoadPlan {
-    /// The connections.
+    /// The number of connections.
     pub connections: usize,
     /// The mean time between two requests on one connection.
     pub interval: Duration,
-    /// The protocol of all of them.
+    /// The protocol of all connections.
     pub protocol: SustainedProtocol,
-    /// Drawn for each request.
+    /// The classes, one of which is drawn for each request.
     pub classes: Vec<SustainedClass>,
     /// The tenant of all requests.
     pub tenant: &'static str,
-    /// How long clients wait for a response, in milliseconds; drawn for each request.
+    /// How long clients wait for a response, in milliseconds, drawn for each request.
     pub wait_ms: RangeInclusive<u64>,
-    /// How many in a hundred requests are cancelled before their response, where the protocol can.
+    /// The percentage of requests that are cancelled right after they are sent, if the protocol
+    /// supports that.
     pub cancelled_percent: u64,
-    /// How many in a hundred requests make their client leave, without waiting for what is open.
-    pub left_percent: u64,
-    /// Of the draws, and of the names of the requests: two loads on one daemon need different ones.
+    /// The percentage of requests after which the client disconnects without waiting for the open
+    /// requests.
+    pub disconnected_percent: u64,
+    /// The seed of the random draws and of the requests' keys: two loads on one daemon need different
+    /// seeds.
     pub seed: u64,
 }
 
-/// What the test tells the clients.
+/// Flags by which the test controls the clients.
 #[derive(Default)]
 struct Control {
-    /// No more requests.
+    /// The clients send no more requests.
     stopped: AtomicBool,
-    /// A client whose connection ended makes no other one.
-    front_closed: AtomicBool,
+    /// Clients whose connection has ended do not reconnect.
+    reconnect_disabled: AtomicBool,
 }
 
-/// Clients at work. Dropping it leaves them running to the end of the process.
+/// A running load. If the handle is dropped, the clients run until the end of the process.
 pub struct SustainedLoad {
     control: Arc<Control>,
     thread: JoinHandle<SustainedLoadReport>,
 }
 
 impl SustainedLoad {
-    /// Connects, and begins to send.
+    /// Connects the clients and starts to send.
     pub fn start(addr: SocketAddr, plan: SustainedLoadPlan) -> SustainedLoad {
         let control = Arc::new(Control::default());
         let thread_control = control.clone();
@@ -92,13 +95,16 @@
         SustainedLoad { control, thread }
     }
 
-    /// Whether clients whose connections end make new ones: so they do but for a planned restart.
-    pub fn set_front_open(&self, is_open: bool) {
-        self.control.front_closed.store(!is_open, Ordering::Relaxed);
+    /// Sets whether clients reconnect when their connection ends. They do by default; tests disable it
+    /// during a planned restart.
+    pub fn set_reconnect_enabled(&self, is_enabled: bool) {
+        self.control
+            .reconnect_disabled
+            .store(!is_enabled, Ordering::Relaxed);
     }
 
-    /// Sends no more, waits until each request has its response or its connection has ended, and
-    /// returns what became of all.
+    /// Stops sending, waits until each request has its response or its connection has ended, and
+    /// returns the record of all requests.
     ///
     /// # Panics
     /// The clients' thread has panicked.
@@ -108,7 +114,7 @@
     }
 }
 
-/// The record that all connections write.
+/// The record that all connections write to.
 type Record = Rc<RefCell<SustainedLoadReport>>;
 
 fn run(addr: SocketAddr, plan: &SustainedLoadPlan, control: &Control) -> SustainedLoadReport {
@@ -133,7 +139,7 @@
         .unwrap_or_default()
 }
 
-/// Records by how much this thread's timers are late.
+/// Records the largest delay of this thread's timers.
 async fn measure_lag(record: Record) {
     loop {
         let due_at = Instant::now() + POLL_INTERVAL;
--- a/src/testkit/clients/sustained/record.rs
+++ b/src/testkit/clients/sustained/record.rs
@@ -1,9 +1,9 @@
-//! What became of each request of a sustained load.
+//! The record of the requests of a sustained load.
 use crate::testkit::clients::ClientOutcome;
 use std::time::{Duration, Instant};
 
-/// A request that crosses the close of its connection within this time is to be sent again by the
-/// client, as the platform's protocol says.
+/// A request sent at most this long before its connection is closed may have crossed the close: by the
+/// platform's protocol the client retries it.
 pub const CLOSE_CROSSING: Duration = Duration::from_millis(50);
 
 /// How a connection ended.
@@ -13,70 +13,70 @@
     Closed,
     /// The connection was reset.
     Reset,
-    /// The client left.
-    Left,
-    /// The load's end: the client stopped waiting.
-    GivenUp,
+    /// The client disconnected.
+    Disconnected,
+    /// The load ended, and the client stopped waiting.
+    LoadEnded,
 }
 
-/// What became of one request.
+/// The record of one request.
 #[derive(Clone, Debug)]
 pub struct SustainedRequest {
     /// The index of its connection.
     pub connection: usize,
-    /// Its class.
+    /// The name of its class.
     pub class: &'static str,
-    /// The client's name for it, which its statement carries too.
+    /// The client's key for it, which its statement carries as well.
     pub key: String,
-    /// How long the client waits.
+    /// How long the client waits for a response.
     pub wait: Duration,
     /// When its last byte was written.
     pub sent_at: Instant,
-    /// Its final responses, each with its time. There is to be one.
+    /// Its final responses with the times of their arrival. More than one is an error.
     pub responses: Vec<(Instant, ClientOutcome)>,
-    /// Whether it was the first one on its connection.
+    /// Whether it was the first request on its connection.
     pub is_first: bool,
-    /// When the client cancelled it. No response is owed from then on.
+    /// When the client cancelled it. From then on no response is required.
     pub cancelled_at: Option<Instant>,
-    /// How its connection ended without a response, and when the client saw that.
+    /// How its connection ended without a response, and when the client observed that.
     pub connection_end: Option<(Instant, ConnectionEnd)>,
 }
 
 impl SustainedRequest {
-    /// Whether it has no response and its connection's end does not excuse that. `lag` is by how
-    /// much the client's own clock may be late in seeing that end.
+    /// Whether it has no response although one was required, given how its connection ended. `lag`
+    /// is by how much the client may be late in observing that end.
     pub fn is_lost(&self, lag: Duration) -> bool {
         if !self.responses.is_empty() || self.cancelled_at.is_some() {
             return false;
         }
         match self.connection_end {
             Some((at, ConnectionEnd::Closed)) => at - self.sent_at > CLOSE_CROSSING + lag,
-            Some((_, ConnectionEnd::Left)) => false,
+            Some((_, ConnectionEnd::Disconnected)) => false,
             _ => true,
         }
     }
 }
 
-/// What became of all requests.
+/// The record of all requests.
 #[derive(Clone, Debug, Default)]
 pub struct SustainedLoadReport {
-    /// In the order in which they were sent.
+    /// The requests, in the order in which they were sent.
     pub requests: Vec<SustainedRequest>,
-    /// Responses under an id that was never requested on the connection.
+    /// The number of responses with an id that was never sent on the connection.
     pub unexpected_responses: usize,
-    /// The longest time by which the clients' thread was late, from its own timer.
+    /// The largest delay of the clients' thread, measured with its own timer.
     pub lag: Duration,
 }
 
 impl SustainedLoadReport {
-    /// The requests that are lost: without a response, and not excused.
+    /// The requests that are lost: without a response although one was required.
     pub fn lost(&self) -> Vec<&SustainedRequest> {
         let requests = self.requests.iter();
         requests.filter(|it| it.is_lost(self.lag)).collect()
     }
 
     /// The requests with more than one final response.
-    pub fn answered_twice(&self) -> Vec<&SustainedRequest> {
+    pub fn with_duplicate_responses(&self) -> Vec<&SustainedRequest> {
         let requests = self.requests.iter();
         requests.filter(|it| it.responses.len() > 1).collect()
     }
--- a/src/testkit/coordinator.rs
+++ b/src/testkit/coordinator.rs
@@ -1,4 +1,4 @@
-//! A stand-in coordinator: sends numbered events to every client that watches it.
+//! A stand-in coordinator, which sends numbered events to every client that watches it.
 use super::{Executor, listener};
 use crate::net::discovery::ListedEndpoint;
 use crate::policy::api::{Endpoint, EngineId, Readiness};
@@ -16,33 +16,33 @@
 const KIND_HEARTBEAT: u8 = 0;
 const KIND_FULL: u8 = 1;
 const KIND_CHANGES: u8 = 2;
-/// The number and the kind of an event.
+/// The length of a frame's header: the event's number and its kind.
 const HEADER_BYTES: usize = 9;
-/// The number of the first event that is sent as a frame. The one before is the list that the
-/// daemon's configuration holds.
+/// The number of the first event that is sent as a frame. The event before it is the endpoint list in
+/// the daemon's configuration.
 const FIRST_INDEX: u64 = 2;
-/// Time between two looks at new events.
+/// Interval between two checks for new events.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Number of polls between two heartbeats.
 const POLLS_PER_HEARTBEAT: u32 = 100;
 
 /// A stand-in coordinator.
 pub struct Coordinator {
-    /// The address where it listens.
+    /// The address at which it listens.
     pub addr: SocketAddr,
     state: Rc<State>,
-    /// Closed to end the coordinator; dropping it does not.
+    /// Closing this channel ends the coordinator; dropping the sender does not.
     shutdown: Sender<()>,
 }
 
-/// What its connections share.
+/// The state that its connections share.
 #[derive(Default)]
 struct State {
     /// The frames of the events, from [`FIRST_INDEX`] on.
     frames: RefCell<Vec<Vec<u8>>>,
-    /// Incremented to break all connections.
+    /// Incremented to close all open connections.
     break_count: Cell<u64>,
-    /// Incremented to send no more events on the connections that are open.
+    /// Incremented to stop sending events on the open connections.
     stall_count: Cell<u64>,
 }
 
@@ -83,7 +83,7 @@
         Coordinator::start_with(executor, Vec::new())
     }
 
-    /// Starts another coordinator that continues after the events of this one.
+    /// Starts another coordinator, which takes over the events of this one and continues their numbers.
     pub fn successor(&self, executor: &Executor) -> Coordinator {
         let frames = self.state.frames.borrow().clone();
         Coordinator::start_with(executor, frames)
@@ -97,7 +97,7 @@
         });
         let (shutdown, ended) = bounded::<()>(1);
         let serve = accept_connections(executor.clone(), state.clone(), listener, ended);
-        // The task keeps a sender of its own, so that the coordinator survives this handle.
+        // The task holds a sender as well, so that the coordinator outlives this handle.
         let kept_open = shutdown.clone();
         let task = async move {
             serve.await;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Sends a new event with endpoints that have changed.
+    /// Sends a new event with changed endpoints.
     pub fn send_changes(&self, endpoints: &[ListedEndpoint]) {
         self.send(KIND_CHANGES, endpoints);
     }
@@ -128,26 +128,26 @@
         frames.push(encode_frame(index, kind, &records));
     }
 
-    /// Sends no more events on the connections that are open now; they stay open.
+    /// Stops sending events on the connections that are open now, which stay open.
     pub fn stall_connections(&self) {
         let stall_count = &self.state.stall_count;
         stall_count.set(stall_count.get() + 1);
     }
 
-    /// Accepts no more connections and breaks the open ones.
+    /// Stops accepting connections and closes the open ones.
     pub fn shut_down(&self) {
         self.shutdown.close();
         self.break_connections();
     }
 
-    /// Breaks the connections that are open now.
+    /// Closes the connections that are open now.
     pub fn break_connections(&self) {
         let break_count = &self.state.break_count;
         break_count.set(break_count.get() + 1);
     }
 }
 
-/// Accepts connections until the channel is closed, and serves each in a task of its own.
+/// Accepts connections until the channel is closed, and serves each in a separate task.
 async fn accept_connections(
     executor: Executor,
     state: Rc<State>,
@@ -169,7 +169,7 @@
     }
 }
 
-/// Sends the events after the one that the client names, and heartbeats.
+/// Sends heartbeats and the events after the number that the client sends at the start.
 async fn serve_watch(mut stream: Async<TcpStream>, state: &State) -> io::Result<()> {
     let break_count = state.break_count.get();
     let stall_count = state.stall_count.get();
@@ -196,7 +196,7 @@
     Ok(())
 }
 
-/// A listed endpoint that is in service, in the first zone, of the first kind and cell.
+/// A listed endpoint that is ready, in the first zone and cell, and of the first machine type.
 pub fn ready_endpoint(id: u32, addr: SocketAddr) -> ListedEndpoint {
     let endpoint = Endpoint {
         id: EngineId(u64::from(id)),
@@ -207,7 +207,7 @@
     ListedEndpoint { endpoint, addr }
 }
 
-/// The section `known` of a configuration, with one event that lists these endpoints.
+/// The `known` section of a configuration, with one event that lists these endpoints.
 pub fn known(endpoints: &[ListedEndpoint], zones: &[&str], kinds: &[&str]) -> Value {
     let server = |listed: &ListedEndpoint| {
         let endpoint = &listed.endpoint;
--- a/src/testkit/daemon/config.rs
+++ b/src/testkit/daemon/config.rs
@@ -1,15 +1,15 @@
-//! The configuration that is written for the daemon.
+//! Builds the daemon's configuration.
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
 /// The names of the classes in the configuration.
 pub const CLASSES: [&str; 3] = ["lookup", "report", "load"];
-/// The zones.
+/// The names of the zones in the configuration.
 pub const ZONES: [&str; 2] = ["ground", "first"];
-/// The kinds of machine.
+/// The names of the machine types in the configuration.
 pub const KINDS: [&str; 2] = ["std-8core", "std-12core"];
 
-/// The settings of scenarios: one gateway, two tenants, the usual three classes.
+/// The settings of scenarios: one gateway, two tenants and the classes in [`CLASSES`].
 pub fn settings() -> Value {
     let class = |name: &str, deadline_seconds: f64, semantics: &str| {
         json!({"name": name, "promise_ns": 1_200_000_000u64, "aim_stretch": 1.5, "semantics": semantics,
@@ -33,12 +33,12 @@
     })
 }
 
-/// The whole configuration.
+/// A complete configuration with the default settings.
 pub fn config(listen: SocketAddr, coordinator: SocketAddr, known: &Value, sockets: usize) -> Value {
     config_with(listen, coordinator, known, sockets, &settings())
 }
 
-/// The same with other settings.
+/// A complete configuration with these settings.
 pub(super) fn config_with(
     listen: SocketAddr,
     coordinator: SocketAddr,
@@ -51,7 +51,8 @@
         "coordinator": coordinator.to_string(), "known": known, "settings": settings})
 }
 
-/// A class with these semantics, like the one of that name or else the first.
+/// A class with this name and these semantics. Its other values are those of the template with this
+/// name, or else of the first template.
 pub(super) fn class_like(templates: &[Value], name: &str, semantics: &str) -> Value {
     let template = templates.iter().find(|class| class["name"] == name);
     let mut class = template.unwrap_or(&templates[0]).clone();
@@ -60,7 +61,7 @@
     class
 }
 
-/// Sets the classes of the settings, with what belongs to each in other lists.
+/// Sets the classes of the settings, and the lists elsewhere that have one value per class.
 pub(super) fn set_classes(settings: &mut Value, classes: Vec<Value>) {
     let is_load = |class: &Value| class["semantics"] == "side_effect";
     let extra = &mut settings["extra"];
--- a/src/testkit/daemon/error.rs
+++ b/src/testkit/daemon/error.rs
@@ -1,13 +1,13 @@
-//! Why the daemon could not be started or controlled.
+//! Errors of starting and controlling the daemon.
 use std::io;
 
-/// Why the daemon could not be started or controlled.
+/// An error of starting or controlling the daemon.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
-    /// A file of its directory can't be written.
+    /// A file in its directory could not be written.
     #[error("{0}")]
     File(#[from] io::Error),
-    /// The program can't be started.
+    /// The program could not be started.
     #[error("{program}: {source}")]
     Spawn {
         /// The program.
@@ -15,25 +15,25 @@
         /// The cause.
         source: io::Error,
     },
-    /// It did not become ready.
+    /// The daemon did not become ready in time.
     #[error("the daemon did not become ready: {log}")]
     NotReady {
-        /// What it logged.
+        /// The daemon's log.
         log: String,
     },
-    /// Its successor did not become ready.
-    #[error("the new version did not become ready")]
+    /// Its successor did not become ready in time.
+    #[error("the successor did not become ready")]
     SuccessorNotReady,
-    /// It has no admin endpoint.
-    #[error("no second address")]
+    /// The daemon has no admin endpoint.
+    #[error("the daemon has no admin endpoint")]
     NoAdminEndpoint,
     /// A change of the configuration is neither a class nor a number of attempts.
-    #[error("{0:?}: NAME:SEMANTICS, or attempts:COUNT")]
+    #[error("{0:?} is neither NAME:SEMANTICS nor attempts:COUNT")]
     InvalidChange(String),
-    /// A number of attempts is no number.
+    /// A number of attempts can't be parsed.
     #[error("attempts:{value}: {source}")]
     InvalidAttempts {
-        /// What was given.
+        /// The value after `attempts:`.
         value: String,
         /// The cause.
         source: std::num::ParseIntError,
--- a/src/testkit/daemon/folder.rs
+++ b/src/testkit/daemon/folder.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// A temporary directory of this process, removed when it is dropped.
+/// A temporary directory of this process, which is removed when this is dropped.
 pub struct Folder(PathBuf);
 
 impl Folder {
@@ -21,7 +21,7 @@
         Ok(Folder(path))
     }
 
-    /// Its path.
+    /// The path of the directory.
     pub(super) fn root(&self) -> &Path {
         &self.0
     }
@@ -31,8 +31,8 @@
         self.0.join(name)
     }
 
-    /// Writes a file into it, at once for whoever reads it meanwhile: a daemon that starts or reloads
-    /// sees the file before or the whole new one.
+    /// Replaces a file in it atomically: a daemon that starts or reloads in the meantime reads either
+    /// the previous file or the complete new one.
     ///
     /// # Errors
     ///
--- a/src/testkit/daemon/mod.rs
+++ b/src/testkit/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The real daemon as a child process, with a configuration written for it.
+//! Runs the real daemon as a child process with a configuration that is written for it.
 mod config;
 mod error;
 mod folder;
@@ -8,7 +8,7 @@
 pub use folder::Folder;
 
 use super::ports::reserve_addr;
-use super::{clients, eventually, pause};
+use super::{clients, pause, wait_until};
 use config::{class_like, config_with, set_classes};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
@@ -17,17 +17,17 @@
 use std::path::Path;
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-/// Polls until the daemon counts as not ready.
+/// The number of polls after which the daemon counts as not ready.
 const MAX_READINESS_POLLS: usize = 2_000;
 const READINESS_POLL_MILLIS: u64 = 5;
-/// The descriptors that a configuration with another coordinator allows.
+/// The limit on descriptors in a configuration that names another coordinator.
 const RECONFIGURED_MAX_SOCKETS: usize = 1_024;
 const CONFIG_FILE: &str = "config.json";
 const DEPLOY_FILE: &str = "clickhouse.toml";
-/// The words by which a line with the daemon's counters is known.
-const COUNTERS_MARK: &str = " taken ";
+/// The text that identifies a log line with the daemon's counters.
+const COUNTERS_MARKER: &str = " taken ";
 
-/// How the daemon is started.
+/// The options that the daemon is started with.
 #[derive(Clone, Debug)]
 pub struct DaemonOptions {
     /// The address of its coordinator.
@@ -36,7 +36,7 @@
     pub known: Value,
     /// The deploy file of its ClickHouse frontend, if it has one.
     pub deploy_file: Option<String>,
-    /// The descriptors that it may hold.
+    /// The limit on its open descriptors.
     pub max_sockets: usize,
     /// Whether it has an admin endpoint.
     pub has_admin_endpoint: bool,
@@ -44,24 +44,24 @@
     pub settings: Value,
 }
 
-/// A process of a daemon during a hot restart.
+/// One of the two processes of a daemon during a hot restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DaemonProcess {
-    /// The one that is replaced.
-    Older,
-    /// Its successor.
-    Newer,
+    /// The process that is replaced.
+    Predecessor,
+    /// The process that replaces it.
+    Successor,
 }
 
-/// The daemon, killed when it is dropped.
+/// A running daemon. Its processes are killed when it is dropped.
 pub struct Daemon {
     child: Child,
     /// The address of its JSON-RPC frontend.
     pub listen: SocketAddr,
     /// The address of its admin endpoint, if it has one.
     pub console: Option<SocketAddr>,
-    /// The process that the present one replaces.
-    older: Option<Child>,
+    /// The process that the present one replaces during a hot restart.
+    predecessor: Option<Child>,
     starts: u32,
     options: DaemonOptions,
     folder: Folder,
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// It can't be started, or does not become ready in time.
+    /// The daemon can't be started, or does not become ready in time.
     pub async fn start(program: &Path, options: DaemonOptions) -> Result<Daemon, DaemonError> {
         let folder = Folder::new()?;
         let listen = reserve_addr();
@@ -95,12 +95,12 @@
             child,
             listen,
             console,
-            older: None,
+            predecessor: None,
             starts: 1,
             options,
             folder,
         };
-        if daemon.becomes_ready().await {
+        if daemon.wait_until_ready().await {
             return Ok(daemon);
         }
         let _ = daemon.child.kill();
@@ -108,7 +108,7 @@
         Err(DaemonError::NotReady { log })
     }
 
-    async fn becomes_ready(&mut self) -> bool {
+    async fn wait_until_ready(&mut self) -> bool {
         for _ in 0..MAX_READINESS_POLLS {
             if clients::is_ready(self.listen).await {
                 return true;
@@ -125,12 +125,12 @@
         exit_status(&mut self.child).is_some()
     }
 
-    /// Starts a successor beside the daemon, with an admin endpoint of its own.
+    /// Starts a successor beside the daemon, with a separate admin endpoint.
     ///
     /// # Errors
     ///
-    /// It can't be started.
-    pub fn launch(&mut self, program: &Path) -> Result<(), DaemonError> {
+    /// The successor can't be started.
+    pub fn launch_successor(&mut self, program: &Path) -> Result<(), DaemonError> {
         let console = Some(reserve_addr());
         let mut command = command(program, &self.folder, self.listen, console);
         command.env("PROXY_CONFIG", self.folder.path(CONFIG_FILE));
@@ -140,7 +140,7 @@
         let log_path = self.folder.path(&log_file(self.starts));
         let child = spawn(command, program, &log_path)?;
         self.starts += 1;
-        self.older = Some(std::mem::replace(&mut self.child, child));
+        self.predecessor = Some(std::mem::replace(&mut self.child, child));
         self.console = console;
         Ok(())
     }
@@ -149,9 +149,9 @@
     ///
     /// # Errors
     ///
-    /// It can't be started, or does not become ready in time.
-    pub async fn follow(&mut self, program: &Path) -> Result<(), DaemonError> {
-        self.launch(program)?;
+    /// The successor can't be started, or does not become ready in time.
+    pub async fn start_successor(&mut self, program: &Path) -> Result<(), DaemonError> {
+        self.launch_successor(program)?;
         let console = self.console.ok_or(DaemonError::NoAdminEndpoint)?;
         for _ in 0..MAX_READINESS_POLLS {
             let response = clients::call_admin(console, "GET", "/ready").await;
@@ -166,44 +166,44 @@
         Err(DaemonError::SuccessorNotReady)
     }
 
-    /// Asks the older process to end.
-    pub fn retire(&self) {
-        if let Some(older) = &self.older {
-            signal(older, Signal::TERM);
+    /// Sends SIGTERM to the predecessor.
+    pub fn terminate_predecessor(&self) {
+        if let Some(predecessor) = &self.predecessor {
+            signal(predecessor, Signal::TERM);
         }
     }
 
-    /// Waits for the end of the older process.
-    pub async fn retired(&mut self) -> Option<ExitStatus> {
+    /// Waits until the predecessor exits; returns `None` if it does not exit in time.
+    pub async fn wait_for_predecessor_exit(&mut self) -> Option<ExitStatus> {
         let mut status = None;
-        eventually(|| {
-            status = self.older.as_mut().and_then(exit_status);
+        wait_until(|| {
+            status = self.predecessor.as_mut().and_then(exit_status);
             status.is_some()
         })
         .await;
-        self.older = None;
+        self.predecessor = None;
         status
     }
 
-    /// Kills a process of a hot restart. After the newer one is killed, the older one is the daemon
-    /// again.
+    /// Kills one of the processes of a hot restart. If the successor is killed, the predecessor becomes
+    /// the present process again.
     pub fn kill(&mut self, process: DaemonProcess) {
-        let Some(mut killed) = self.older.take() else {
+        let Some(mut killed) = self.predecessor.take() else {
             return;
         };
-        if process == DaemonProcess::Newer {
+        if process == DaemonProcess::Successor {
             std::mem::swap(&mut killed, &mut self.child);
         }
         let _ = killed.kill();
         let _ = killed.wait();
     }
 
-    /// Writes a configuration with these classes (`NAME:SEMANTICS`) and another maximum of attempts
-    /// (`attempts:COUNT`), and makes the daemon read it.
+    /// Writes a configuration with these classes (`NAME:SEMANTICS`) and maximum number of attempts
+    /// (`attempts:COUNT`), and makes the daemon reload it.
     ///
     /// # Errors
     ///
-    /// A change is neither, or the configuration can't be written.
+    /// A change has neither form, or the configuration can't be written.
     pub fn reconfigure(&self, changes: &[&str]) -> Result<(), DaemonError> {
         let mut config = self.config(self.options.coordinator, self.options.max_sockets);
         let settings = &mut config["settings"];
@@ -223,7 +223,7 @@
         self.write_config(&config.to_string())
     }
 
-    /// Writes a configuration that names another coordinator, and makes the daemon read it.
+    /// Writes a configuration that names another coordinator, and makes the daemon reload it.
     ///
     /// # Errors
     ///
@@ -233,7 +233,7 @@
         self.write_config(&config.to_string())
     }
 
-    /// Writes a configuration that can't be used, and makes the daemon read it.
+    /// Writes an invalid configuration, and makes the daemon reload it.
     ///
     /// # Errors
     ///
@@ -259,20 +259,20 @@
         signal(&self.child, number);
     }
 
-    /// The id of its process.
+    /// The id of the present process.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Asks it to end.
+    /// Sends it SIGTERM.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Waits for its end.
-    pub async fn ended(&mut self) -> Option<ExitStatus> {
+    /// Waits until it exits; returns `None` if it does not exit in time.
+    pub async fn wait_for_exit(&mut self) -> Option<ExitStatus> {
         let mut status = None;
-        eventually(|| {
+        wait_until(|| {
             status = exit_status(&mut self.child);
             status.is_some()
         })
@@ -280,12 +280,12 @@
         status
     }
 
-    /// How it ended, if it has.
+    /// Its exit status, if it has exited.
     pub fn poll_exit(&mut self) -> Option<ExitStatus> {
         exit_status(&mut self.child)
     }
 
-    /// Everything that its processes have logged.
+    /// The logs of all its processes.
     pub fn log(&self) -> String {
         let read = |start| std::fs::read_to_string(self.folder.path(&log_file(start)));
         (0..self.starts)
@@ -293,23 +293,23 @@
             .collect()
     }
 
-    /// Asks it to log its counters.
+    /// Makes it log its counters, with SIGUSR1.
     pub fn report(&self) {
         self.signal(Signal::USR1);
     }
 
-    /// How often it has logged its counters.
+    /// The number of times that it has logged its counters.
     pub fn reports(&self) -> usize {
         let log = self.log();
-        let lines = log.lines().filter(|line| line.contains(COUNTERS_MARK));
+        let lines = log.lines().filter(|line| line.contains(COUNTERS_MARKER));
         lines.count()
     }
 
-    /// The value of a counter when it logged them last.
+    /// The value of a counter in the latest log line with counters.
     pub fn counter(&self, name: &str) -> Option<u64> {
         let log = self.log();
         let mut lines = log.lines().rev();
-        let counters = lines.find(|line| line.contains(COUNTERS_MARK))?;
+        let counters = lines.find(|line| line.contains(COUNTERS_MARKER))?;
         let mut words = counters.split(' ').skip_while(|word| *word != name);
         words.nth(1)?.parse().ok()
     }
@@ -317,13 +317,13 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        self.kill(DaemonProcess::Older);
+        self.kill(DaemonProcess::Predecessor);
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The log file of the process with that number.
+/// The name of the log file of the process with this number.
 fn log_file(start: u32) -> String {
     if start == 0 {
         "log".to_owned()
--- a/src/testkit/directory.rs
+++ b/src/testkit/directory.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a directory service: the part of LDAPv3 that reading tenants and users needs, with
-//! paged searches.
+//! A stand-in for a directory service, with the part of LDAPv3 that is needed to read tenants and
+//! users, including paged searches.
 use super::{Executor, listener};
 use crate::tenant_directory::{PAGED_RESULTS_CONTROL, PagedResultsValue, take_message};
 use async_io::Async;
@@ -42,23 +42,23 @@
     attributes: Vec<Attribute>,
 }
 
-/// What the directory holds, and how it responds.
+/// The entries of the directory, and how it responds.
 #[derive(Default)]
 pub struct Content {
     entries: RefCell<Vec<Entry>>,
-    /// The password with which a bind succeeds.
+    /// The password that a bind has to give.
     pub password: RefCell<String>,
-    /// Pages returned so far.
+    /// The number of pages returned so far.
     pub pages: Cell<usize>,
-    /// Searches end with the result 'busy'.
+    /// Whether searches end with the result `busy`.
     pub busy: Cell<bool>,
 }
 
-/// The stand-in.
+/// A stand-in directory service.
 pub struct Directory {
     /// The address of its listener.
     pub addr: SocketAddr,
-    /// What it holds.
+    /// Its entries and behavior.
     pub content: Rc<Content>,
 }
 
@@ -77,7 +77,7 @@
                     content: Rc::clone(&served_content),
                     bound: false,
                 };
-                // A connection that breaks ends like one that its client closes.
+                // A failed connection ends in the same way as one that its client closes.
                 connections
                     .spawn(async move { drop(connection.serve().await) })
                     .detach();
@@ -98,7 +98,7 @@
         });
     }
 
-    /// Adds a user. An empty key or tenant is left out.
+    /// Adds a user. Attributes with an empty value are omitted.
     pub fn user(&self, name: &str, key: &str, tenant: &str) {
         let attributes = [
             ("uid", name),
@@ -120,12 +120,12 @@
 struct Connection {
     stream: Async<TcpStream>,
     content: Rc<Content>,
-    /// The client has bound successfully.
+    /// Whether the last bind succeeded.
     bound: bool,
 }
 
 impl Connection {
-    /// Responds to requests until the client closes, or sends what is not supported.
+    /// Responds to requests until the client closes the connection or sends an unsupported request.
     async fn serve(mut self) -> std::io::Result<()> {
         let mut input = Vec::new();
         let mut buffer = vec![0; READ_BYTES];
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The responses to a request; `None` if the connection is to be closed.
+    /// Returns the responses to a request, or `None` if the connection is to be closed.
     fn respond(&mut self, request: LdapMessage) -> Option<Vec<LdapMessage>> {
         let id = request.message_id;
         match request.protocol_op {
@@ -173,7 +173,8 @@
         Some(LdapMessage::new(id, ProtocolOp::BindResponse(response)))
     }
 
-    /// One page of the entries of an object class, and the result with the cookie for the next page.
+    /// Returns one page of the entries of an object class, and the result with the cookie for the next
+    /// page.
     fn search(
         &self,
         id: u32,
@@ -232,7 +233,7 @@
     rasn::ber::decode(value).ok()
 }
 
-/// The index of the first entry of a page: the cookie of the page before it.
+/// The index of the first entry of a page, which is the cookie that the previous page returned.
 fn page_start(page: &PagedResultsValue) -> usize {
     std::str::from_utf8(&page.cookie)
         .ok()
@@ -240,7 +241,7 @@
         .unwrap_or(0)
 }
 
-/// An entry with the attributes that the search requests.
+/// Encodes an entry with the attributes that the search requests.
 fn entry_response(id: u32, search: &SearchRequest, entry: &Entry) -> LdapMessage {
     let is_requested = |attribute: &&Attribute| {
         search
--- a/src/testkit/engines/clickhouse.rs
+++ b/src/testkit/engines/clickhouse.rs
@@ -57,17 +57,17 @@
             }
             EngineBehavior::Fail => {
                 let response = exception("500 Internal Server Error", MEMORY_LIMIT_EXCEEDED);
-                self.finish(RunOutcome::Answered, &response).await;
+                self.finish(RunOutcome::Responded, &response).await;
             }
             EngineBehavior::FailWithinResponse => {
                 // Rows, then the end of the connection without the last chunk.
                 let response =
                     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\na\tb\n\r\n";
-                self.finish(RunOutcome::Answered, response).await;
+                self.finish(RunOutcome::Responded, response).await;
                 return Next::Close;
             }
             EngineBehavior::ViolateProtocol => {
-                self.finish(RunOutcome::Answered, b"what is this\r\n\r\n")
+                self.finish(RunOutcome::Responded, b"what is this\r\n\r\n")
                     .await;
                 return Next::Close;
             }
@@ -103,7 +103,7 @@
             return Next::Close;
         }
         let rows = rows(&self.state.log.run(self.run).query, row_count);
-        self.finish(RunOutcome::Answered, &chunked_response(&rows))
+        self.finish(RunOutcome::Responded, &chunked_response(&rows))
             .await;
         Next::Continue
     }
--- a/src/testkit/engines/platform.rs
+++ b/src/testkit/engines/platform.rs
@@ -110,7 +110,7 @@
             ["forget", id] => {
                 self.queries.borrow_mut().pages.remove(id);
             }
-            ["ping" | "top", id] => self.answer_probe(id).await,
+            ["ping" | "top", id] => self.respond_to_probe(id).await,
             _ => return Next::Close,
         }
         Next::Continue
@@ -173,7 +173,7 @@
         pages.get(number).cloned()
     }
 
-    async fn answer_probe(&self, id: &str) {
+    async fn respond_to_probe(&self, id: &str) {
         self.state.log.record_probe(&self.state.name);
         let message = format!("{id} FIT meter=queue:0;util:0.25 0\r\n\r\n");
         write(self.stream, message.as_bytes()).await;
@@ -200,7 +200,7 @@
             // More pages than there are: the engine has lost them by the time they are requested.
             EngineBehavior::FailWithinResponse => {
                 let message = format!("{id} DONE sheets=3 6\r\na\tb\tc\n\r\n");
-                self.finish(RunOutcome::Answered, &message).await;
+                self.finish(RunOutcome::Responded, &message).await;
             }
             EngineBehavior::Reject => {
                 self.state.log.forget_key(self.run);
@@ -209,10 +209,10 @@
             }
             EngineBehavior::Fail => {
                 let message = format!("{id} BROKE - 0\r\n\r\n");
-                self.finish(RunOutcome::Answered, &message).await;
+                self.finish(RunOutcome::Responded, &message).await;
             }
             EngineBehavior::ViolateProtocol => {
-                self.finish(RunOutcome::Answered, "what is this\r\n").await;
+                self.finish(RunOutcome::Responded, "what is this\r\n").await;
             }
             EngineBehavior::Hang | EngineBehavior::Reset => {}
         }
@@ -237,7 +237,7 @@
             .borrow_mut()
             .pages
             .insert(self.id.clone(), pages);
-        self.finish(RunOutcome::Answered, &message).await;
+        self.finish(RunOutcome::Responded, &message).await;
     }
 
     async fn finish(&self, outcome: RunOutcome, message: &str) {
--- a/src/testkit/execution_log.rs
+++ b/src/testkit/execution_log.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
     /// The engine wrote its whole response, or an error.
-    Answered,
+    Responded,
     /// The engine rejected the query: it did not run.
     Rejected,
     /// The query was cancelled, by a command or by closing the connection.
--- a/src/testkit/fleet/mod.rs
+++ b/src/testkit/fleet/mod.rs
@@ -33,10 +33,10 @@
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// The interval between polls of a manager that starts.
 const START_POLL: Duration = Duration::from_millis(20);
-/// How long [`eventually`] waits, which includes a slow machine.
-const EVENTUALLY_TIMEOUT: Duration = Duration::from_secs(60);
-/// The interval between polls of [`eventually`].
-const EVENTUALLY_POLL: Duration = Duration::from_millis(50);
+/// How long [`wait_until`] waits, which includes a slow machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// The interval between polls of [`wait_until`].
+const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The shares of the two tenants in the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -85,7 +85,7 @@
 /// A running fleet. Its processes are killed when it is dropped.
 pub struct Fleet {
     program: PathBuf,
-    tag: String,
+    name_prefix: String,
     options: Options,
     /// The network between the managers.
     pub fault_proxy: FaultProxy,
@@ -103,19 +103,19 @@
 
 impl Fleet {
     /// Starts the stand-ins and all managers, and waits until each is ready.
-    pub fn start(program: &Path, tag: &str, seed: u64) -> Fleet {
-        Fleet::start_with(program, tag, seed, Options::default())
+    pub fn start(program: &Path, name_prefix: &str, seed: u64) -> Fleet {
+        Fleet::start_with(program, name_prefix, seed, Options::default())
     }
 
     /// Starts a fleet with options.
-    pub fn start_with(program: &Path, tag: &str, seed: u64, options: Options) -> Fleet {
+    pub fn start_with(program: &Path, name_prefix: &str, seed: u64, options: Options) -> Fleet {
         let member_addrs: Vec<SocketAddr> = (0..MEMBERS).map(|_| reserve_addr()).collect();
         let fault_proxy = FaultProxy::start(member_addrs.clone(), seed).expect("free ports");
         let stand_ins = StandInThread::start(|executor| StandIns::start(executor, MEMBERS));
         let stand_in_addrs = stand_ins.call(|stand_ins, _| stand_ins.addresses());
         let mut fleet = Fleet {
             program: program.to_owned(),
-            tag: tag.into(),
+            name_prefix: name_prefix.into(),
             options,
             fault_proxy,
             member_addrs,
@@ -152,7 +152,7 @@
 
     /// The name of a manager.
     pub fn name(&self, member: usize) -> String {
-        format!("{}{member}", self.tag)
+        format!("{}{member}", self.name_prefix)
     }
 
     /// The configuration of a manager with these shares in its settings.
@@ -342,13 +342,13 @@
 }
 
 /// Polls a condition until it is true, for a minute at most. Returns whether it became true.
-pub fn eventually(mut condition: impl FnMut() -> bool) -> bool {
-    let deadline = Instant::now() + EVENTUALLY_TIMEOUT;
+pub fn wait_until(mut condition: impl FnMut() -> bool) -> bool {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < deadline {
         if condition() {
             return true;
         }
-        std::thread::sleep(EVENTUALLY_POLL);
+        std::thread::sleep(WAIT_POLL_INTERVAL);
     }
     false
 }
--- a/src/testkit/mod.rs
+++ b/src/testkit/mod.rs
@@ -47,7 +47,7 @@
 }
 
 /// Waits until a condition is met, for as long as a slow machine may need; gives whether it was.
-pub async fn eventually(mut condition: impl FnMut() -> bool) -> bool {
+pub async fn wait_until(mut condition: impl FnMut() -> bool) -> bool {
     for _ in 0..MAX_POLLS {
         if condition() {
             return true;
--- a/src/testkit/scale/load.rs
+++ b/src/testkit/scale/load.rs
@@ -252,8 +252,8 @@
             .await
             .ok_or("a busy client's connection was closed")?;
         increment(match parse_rpc_response(&line) {
-            ClientOutcome::Served(_) => &counters.served,
-            ClientOutcome::Refused(_) => &counters.refused,
+            ClientOutcome::Completed(_) => &counters.served,
+            ClientOutcome::Rejected(_) => &counters.refused,
             _ => &counters.failed,
         });
     }
--- a/src/testkit/scale/testbed.rs
+++ b/src/testkit/scale/testbed.rs
@@ -9,7 +9,7 @@
 use crate::testkit::coordinator::Coordinator;
 use crate::testkit::daemon::Daemon;
 use crate::testkit::engines::Engine;
-use crate::testkit::{ExecutionLog, Executor, clients, eventually, pause};
+use crate::testkit::{ExecutionLog, Executor, clients, pause, wait_until};
 use async_executor::Task;
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -215,7 +215,7 @@
         let count = self.point.clients;
         let address = self.daemon.listen;
         let clients = load::start_idle_clients(self.executor, address, count, &self.counters).await;
-        if !eventually(|| self.counters.answered.get() == count).await {
+        if !wait_until(|| self.counters.answered.get() == count).await {
             let answered = self.counters.answered.get();
             return Err(format!("only {answered} clients were answered"));
         }
@@ -225,7 +225,7 @@
     async fn wait_for_last_responses(&self) -> Result<(), String> {
         let counters = &self.counters;
         counters.stop.set(true);
-        if !eventually(|| counters.ended() == counters.asked.get()).await {
+        if !wait_until(|| counters.ended() == counters.asked.get()).await {
             let (asked, ended) = (counters.asked.get(), counters.ended());
             return Err(format!("of {asked} statements only {ended} were answered"));
         }
@@ -348,7 +348,7 @@
         self.wait_for_disconnects(fixed_descriptors).await?;
         self.daemon.report();
         let lists_received = || self.daemon.counter("lists");
-        if !eventually(|| lists_received().is_some()).await {
+        if !wait_until(|| lists_received().is_some()).await {
             return Err("the daemon does not print its counters".into());
         }
         let received_before = lists_received().unwrap_or(0);
@@ -363,7 +363,7 @@
         }
         let end = self.usage()?;
         self.daemon.report();
-        eventually(|| self.daemon.reports() > reports_before).await;
+        wait_until(|| self.daemon.reports() > reports_before).await;
         let received = lists_received().unwrap_or(0) - received_before;
         if received != FULL_LISTS {
             return Err(format!(
@@ -381,7 +381,7 @@
             let most = fixed_descriptors + self.engine_connections();
             self.usage().is_ok_and(|usage| usage.descriptors <= most)
         };
-        if eventually(only_engines).await {
+        if wait_until(only_engines).await {
             Ok(())
         } else {
             Err("the daemon does not see that clients have gone".into())
--- a/src/testkit/scenario/checks.rs
+++ b/src/testkit/scenario/checks.rs
@@ -1,7 +1,7 @@
 //! Steps that check what engines have seen of a query.
 use super::error::{StepError, expect};
 use super::{Stage, count};
-use crate::testkit::eventually;
+use crate::testkit::wait_until;
 
 /// The value of a field that was not sent.
 const NO_VALUE: &str = "-";
@@ -76,7 +76,7 @@
             let runs = self.log.runs_of(query);
             runs.iter().any(|run| run.end.is_none())
         };
-        let reached = eventually(is_running).await;
+        let reached = wait_until(is_running).await;
         expect(reached, || "that no engine runs it".into())
     }
 
@@ -85,7 +85,7 @@
             let runs = self.log.runs_of(query);
             runs.iter().all(|run| run.end.is_some())
         };
-        let reached = eventually(has_ended).await;
+        let reached = wait_until(has_ended).await;
         expect(reached, || "that an engine still runs it".into())
     }
 
--- a/src/testkit/scenario/connections.rs
+++ b/src/testkit/scenario/connections.rs
@@ -4,7 +4,7 @@
 use super::queries::named_statement;
 use super::{PersistentConnection, Query, Stage, count, number};
 use crate::testkit::clients::{self, ClientOutcome, PersistentClient, RpcRequest};
-use crate::testkit::{Executor, eventually, pause};
+use crate::testkit::{Executor, pause, wait_until};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -257,7 +257,7 @@
 
     async fn expect_closed(&self, connection: &str) -> Result<(), StepError> {
         let client = &self.connection(connection)?.client;
-        let closed = eventually(|| client.closed()).await;
+        let closed = wait_until(|| client.closed()).await;
         expect(closed, || "that it is still open".into())
     }
 
@@ -327,9 +327,9 @@
     /// Waits for the outcomes of all queries of a stream and compares them.
     async fn expect_stream_served(&mut self, name: &str) -> Result<(), StepError> {
         let outcomes = self.streams.get(name).ok_or(StepError::UnknownStream)?;
-        eventually(|| outcomes.iter().all(|outcome| outcome.borrow().is_some())).await;
+        wait_until(|| outcomes.iter().all(|outcome| outcome.borrow().is_some())).await;
         let is_served =
-            |outcome: &Option<ClientOutcome>| matches!(outcome, Some(ClientOutcome::Served(_)));
+            |outcome: &Option<ClientOutcome>| matches!(outcome, Some(ClientOutcome::Completed(_)));
         let others: Vec<String> = outcomes
             .iter()
             .filter(|outcome| !is_served(&outcome.borrow()))
--- a/src/testkit/scenario/daemon.rs
+++ b/src/testkit/scenario/daemon.rs
@@ -63,8 +63,8 @@
             ["follow"] => DaemonStep::FollowSuccessor,
             ["retire"] => DaemonStep::Retire,
             ["retired"] => DaemonStep::ExpectRetired,
-            ["kill", "older"] => DaemonStep::Kill(DaemonProcess::Older),
-            ["kill", "newer"] => DaemonStep::Kill(DaemonProcess::Newer),
+            ["kill", "older"] => DaemonStep::Kill(DaemonProcess::Predecessor),
+            ["kill", "newer"] => DaemonStep::Kill(DaemonProcess::Successor),
             ["term"] => DaemonStep::Terminate,
             ["ended"] => DaemonStep::ExpectEnded,
             ["cut"] => DaemonStep::BreakCoordinator,
@@ -104,9 +104,9 @@
         match step {
             DaemonStep::Reconfigure { changes } => self.daemon()?.reconfigure(&changes)?,
             DaemonStep::ReconfigureInvalid => self.daemon()?.reconfigure_invalid()?,
-            DaemonStep::LaunchSuccessor => self.daemon_mut()?.launch(program)?,
-            DaemonStep::FollowSuccessor => self.daemon_mut()?.follow(program).await?,
-            DaemonStep::Retire => self.daemon()?.retire(),
+            DaemonStep::LaunchSuccessor => self.daemon_mut()?.launch_successor(program)?,
+            DaemonStep::FollowSuccessor => self.daemon_mut()?.start_successor(program).await?,
+            DaemonStep::Retire => self.daemon()?.terminate_predecessor(),
             DaemonStep::ExpectRetired => self.expect_retired().await?,
             DaemonStep::Kill(process) => self.daemon_mut()?.kill(process),
             DaemonStep::Terminate => self.daemon()?.terminate(),
@@ -126,13 +126,13 @@
     }
 
     async fn expect_retired(&mut self) -> Result<(), StepError> {
-        let status = self.daemon_mut()?.retired().await;
+        let status = self.daemon_mut()?.wait_for_predecessor_exit().await;
         let status = status.ok_or(StepError::Timeout)?;
         expect(status.success(), || status.to_string())
     }
 
     async fn expect_ended(&mut self) -> Result<(), StepError> {
-        let status = self.daemon_mut()?.ended().await;
+        let status = self.daemon_mut()?.wait_for_exit().await;
         let status = status.ok_or(StepError::Timeout)?;
         expect(status.success(), || status.to_string())
     }
--- a/src/testkit/scenario/queries.rs
+++ b/src/testkit/scenario/queries.rs
@@ -3,7 +3,7 @@
 use super::{Query, Stage, count, number, text_after};
 use crate::testkit::clients::{self, ClientOutcome};
 use crate::testkit::engines::rows;
-use crate::testkit::eventually;
+use crate::testkit::wait_until;
 use async_executor::Task;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -148,19 +148,19 @@
     /// Whether a query had this outcome; rows have to be complete, in order, and its own.
     fn matches(&self, query: &str, outcome: &ClientOutcome) -> bool {
         match (self, outcome) {
-            (ExpectedOutcome::Served, ClientOutcome::Served(text)) => {
+            (ExpectedOutcome::Served, ClientOutcome::Completed(text)) => {
                 !text.is_empty() && *text == rows(query, text.lines().count())
             }
-            (ExpectedOutcome::ServedRows(count), ClientOutcome::Served(text)) => {
+            (ExpectedOutcome::ServedRows(count), ClientOutcome::Completed(text)) => {
                 *text == rows(query, *count)
             }
-            (ExpectedOutcome::Refused, ClientOutcome::Refused(retry_after)) => {
+            (ExpectedOutcome::Refused, ClientOutcome::Rejected(retry_after)) => {
                 retry_after.is_some()
             }
             (ExpectedOutcome::Failed, ClientOutcome::Failed(_))
             | (ExpectedOutcome::Deadline, ClientOutcome::Deadline)
-            | (ExpectedOutcome::Disconnected, ClientOutcome::Cut) => true,
-            (ExpectedOutcome::Rejected(code), ClientOutcome::Rejected(found)) => code == found,
+            | (ExpectedOutcome::Disconnected, ClientOutcome::Interrupted) => true,
+            (ExpectedOutcome::Rejected(code), ClientOutcome::Invalid(found)) => code == found,
             _ => false,
         }
     }
@@ -298,7 +298,7 @@
         let query = self.query_mut(name)?;
         query.reported = true;
         let outcome = query.outcome.clone();
-        eventually(|| outcome.borrow().is_some()).await;
+        wait_until(|| outcome.borrow().is_some()).await;
         let outcome = outcome.borrow().clone().ok_or(StepError::Timeout)?;
         (self.report)(&format!("{name}: {outcome}"));
         expect(expected.matches(name, &outcome), || format!("{outcome:?}"))
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -9,13 +9,13 @@
 use yokelift::policy::api::Readiness;
 use yokelift::testkit::clients::ClientOutcome;
 use yokelift::testkit::fault_proxy::Faults;
-use yokelift::testkit::fleet::{Fleet, MEMBERS, Reload, SHARES, TenantShares, eventually};
+use yokelift::testkit::fleet::{Fleet, MEMBERS, Reload, SHARES, TenantShares, wait_until};
 
 const ALL: [usize; MEMBERS] = [0, 1, 2, 3, 4];
 
 fn start(tag: &str, seed: u64) -> Fleet {
     let fleet = Fleet::start(Path::new(env!("CARGO_BIN_EXE_yokelift")), tag, seed);
-    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
+    assert!(wait_until(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     fleet
 }
 
@@ -119,7 +119,7 @@
     let number = 16 * round + member as u64;
     let outcome = fleet.query(member, "lookup", number, 9_000);
     assert!(
-        matches!(outcome, ClientOutcome::Served(_)),
+        matches!(outcome, ClientOutcome::Completed(_)),
         "{outcome:?}: {}",
         fleet.log(member)
     );
@@ -137,7 +137,7 @@
     // New settings for all; then a new list, which the last manager does not receive.
     ALL.iter()
         .for_each(|i| fleet.reconfigure(*i, TenantShares::new(0.5, 0.5), Reload::Signal));
-    assert!(eventually(|| ALL
+    assert!(wait_until(|| ALL
         .iter()
         .all(|i| versions(&fleet, *i)["generation"] == json!(2))));
     ALL.iter()
@@ -145,7 +145,7 @@
     fleet.with_stand_ins(|world| {
         world.announce(0..4, 1, Readiness::Draining);
     });
-    assert!(eventually(|| run_list(&fleet, 0..4, 2)));
+    assert!(wait_until(|| run_list(&fleet, 0..4, 2)));
     ALL.iter()
         .for_each(|member| serve_query(&fleet, *member, 3));
     // The last records may still wait for their batch.
@@ -154,7 +154,7 @@
         ALL.iter().all(has_all)
     };
     assert!(
-        eventually(|| has_all_dispatches(&report(&fleet))),
+        wait_until(|| has_all_dispatches(&report(&fleet))),
         "{}",
         report(&fleet)
     );
@@ -234,12 +234,12 @@
 #[test]
 fn a_manager_behind_on_the_list_reconnects_or_is_excluded() {
     let fleet = start("behind", 15);
-    assert!(eventually(|| run_list(&fleet, ALL.into_iter(), 1)));
+    assert!(wait_until(|| run_list(&fleet, ALL.into_iter(), 1)));
     fleet.with_stand_ins(|world| {
         world.coordinators[3].stall_connections();
         world.announce(0..4, 1, Readiness::Draining);
     });
-    assert!(eventually(|| run_list(&fleet, 0..4, 2)), "{}", fleet.log(3));
+    assert!(wait_until(|| run_list(&fleet, 0..4, 2)), "{}", fleet.log(3));
     assert!(
         fleet
             .log(3)
@@ -248,7 +248,7 @@
         fleet.log(3)
     );
     assert!(
-        eventually(|| fleet.readiness_status(4) == Some(503)),
+        wait_until(|| fleet.readiness_status(4) == Some(503)),
         "{}",
         fleet.log(4)
     );
@@ -257,13 +257,13 @@
         world.announce(4..5, 1, Readiness::Draining);
     });
     assert!(
-        eventually(|| fleet.readiness_status(4) == Some(200)),
+        wait_until(|| fleet.readiness_status(4) == Some(200)),
         "{}",
         fleet.log(4)
     );
     // Readiness is current; the view of the versions is up to 0.1 s old.
     assert!(
-        eventually(|| versions(&fleet, 4)["list"] == json!(2)),
+        wait_until(|| versions(&fleet, 4)["list"] == json!(2)),
         "{}",
         fleet.logs()
     );
@@ -278,15 +278,18 @@
     fleet.with_stand_ins(|world| {
         (0..2).for_each(|engine| world.announce(0..MEMBERS, engine, Readiness::Removed));
     });
-    assert!(eventually(|| run_list(&fleet, ALL.into_iter(), 3)));
+    assert!(wait_until(|| run_list(&fleet, ALL.into_iter(), 3)));
     let outcome = fleet.query(2, "lookup", 0xabc, 700);
-    assert!(!matches!(outcome, ClientOutcome::Served(_)), "{outcome:?}");
+    assert!(
+        !matches!(outcome, ClientOutcome::Completed(_)),
+        "{outcome:?}"
+    );
     let find_request = |lines: &[Value]| {
         let is_request = |line: &&Value| line["request"] == json!("0000000000000abc");
         lines.iter().find(is_request).cloned()
     };
     assert!(
-        eventually(|| find_request(&audit_lines(&fleet, 2)).is_some()),
+        wait_until(|| find_request(&audit_lines(&fleet, 2)).is_some()),
         "{:?}",
         audit_lines(&fleet, 2)
     );
@@ -303,17 +306,17 @@
     fleet.kill(2);
     fleet.launch(2, SHARES);
     assert!(
-        eventually(|| fleet.readiness_status(2) == Some(200)),
+        wait_until(|| fleet.readiness_status(2) == Some(200)),
         "{}",
         fleet.log(2)
     );
     assert!(
-        eventually(|| incarnations(&audit_lines(&fleet, 2)) == 2),
+        wait_until(|| incarnations(&audit_lines(&fleet, 2)) == 2),
         "{:?}",
         audit_lines(&fleet, 2)
     );
     // The activation of its list is the last record that waits for a batch.
-    assert!(eventually(|| audit_lines(&fleet, 2)
+    assert!(wait_until(|| audit_lines(&fleet, 2)
         .iter()
         .rev()
         .nth(1)
@@ -347,7 +350,7 @@
     fleet.fault_proxy.set_faults(faults);
     let dead = |a: usize, b: usize| fleet.state_of(a, b).as_deref() == Some("Dead");
     assert!(
-        eventually(|| dead(0, 3) && dead(3, 0) && dead(2, 0)),
+        wait_until(|| dead(0, 3) && dead(3, 0) && dead(2, 0)),
         "{}",
         fleet.log(3)
     );
@@ -362,7 +365,7 @@
 
     fleet.fault_proxy.set_faults(Faults::default());
     fleet.signal(4, Signal::CONT);
-    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
+    assert!(wait_until(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     let AuditRun { output, is_success } = run_audit(&fleet, Format::Text);
     assert!(
         is_success && output.contains("agree on build, settings, list and each other's health"),
@@ -381,13 +384,13 @@
     };
     fleet.signal(4, Signal::STOP);
     assert!(
-        eventually(|| (0..4).all(|i| shares(i, 4))),
+        wait_until(|| (0..4).all(|i| shares(i, 4))),
         "{}",
         fleet.log(0)
     );
     fleet.signal(4, Signal::CONT);
     assert!(
-        eventually(|| (0..4).all(|i| shares(i, 5))),
+        wait_until(|| (0..4).all(|i| shares(i, 5))),
         "{}",
         fleet.log(0)
     );
@@ -395,12 +398,12 @@
     faults.partition(&[0, 1], &[2, 3, 4]);
     fleet.fault_proxy.set_faults(faults);
     assert!(
-        eventually(|| (2..5).all(|i| shares(i, 3))),
+        wait_until(|| (2..5).all(|i| shares(i, 3))),
         "{}",
         fleet.logs()
     );
     assert!(
-        eventually(|| fleet.state_of(0, 4).as_deref() == Some("Dead")),
+        wait_until(|| fleet.state_of(0, 4).as_deref() == Some("Dead")),
         "{}",
         fleet.log(0)
     );
@@ -410,11 +413,11 @@
         fleet.log(0)
     );
     fleet.fault_proxy.set_faults(Faults::default());
-    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
+    assert!(wait_until(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     // The last manager keeps its old settings: it is excluded and takes no share.
     (0..4).for_each(|i| fleet.reconfigure(i, TenantShares::new(0.4, 0.6), Reload::Signal));
     assert!(
-        eventually(|| fleet.readiness_status(4) == Some(503)),
+        wait_until(|| fleet.readiness_status(4) == Some(503)),
         "{}",
         fleet.log(4)
     );
@@ -425,7 +428,7 @@
     };
     let four = format!("yokelift: fleet: 4 of {MEMBERS} managers share the engines");
     assert!(
-        eventually(|| (0..4).all(|i| last_line(i).as_deref() == Some(&*four))),
+        wait_until(|| (0..4).all(|i| last_line(i).as_deref() == Some(&*four))),
         "{}",
         fleet.logs()
     );
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -14,7 +14,7 @@
 use yokelift::net::engine::{EndpointHandle, EngineCommand};
 use yokelift::policy::api::{EngineId, RequestId};
 use yokelift::testkit::coordinator::ready_endpoint;
-use yokelift::testkit::eventually;
+use yokelift::testkit::wait_until;
 
 /// How an attempt ended.
 #[derive(Debug, PartialEq)]
@@ -59,7 +59,7 @@
     /// Runs the actors until the condition holds; whether it did in time.
     fn run_until(&mut self, condition: &mut dyn FnMut(&mut Testbed) -> bool) -> bool {
         let executor = self.shared.executor.clone();
-        async_io::block_on(executor.run(eventually(&mut || {
+        async_io::block_on(executor.run(wait_until(&mut || {
             self.receive_ends();
             condition(self)
         })))
--- a/tests/late_connections.rs
+++ b/tests/late_connections.rs
@@ -194,11 +194,11 @@
 fn connections_after_a_successor_is_killed_get_a_response_or_are_refused() {
     let mut deployment = Deployment::start(true);
     let executor = Executor::default();
-    let follow = deployment.daemon.follow(program());
+    let follow = deployment.daemon.start_successor(program());
     async_io::block_on(executor.run(follow)).expect("a successor");
-    deployment.daemon.retire();
+    deployment.daemon.terminate_predecessor();
     std::thread::sleep(SUCCESSOR_LIFETIME);
-    deployment.daemon.kill(DaemonProcess::Newer);
+    deployment.daemon.kill(DaemonProcess::Successor);
     // What the successor had accepted is lost with it.
     let from = Instant::now() + KILL_DELAY;
     let connections = deployment.connect_until(|daemon| daemon.poll_exit().is_some());
@@ -214,7 +214,7 @@
         let mut launched_at = None;
         let connections = deployment.connect_until(|daemon| {
             if launched_at.is_none() && terminated_at.elapsed() >= delay {
-                daemon.launch(program()).expect("a new version");
+                daemon.launch_successor(program()).expect("a new version");
                 launched_at = Some(Instant::now());
             }
             launched_at.is_some_and(|at| at.elapsed() > Duration::from_secs(1))
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -10,7 +10,7 @@
 use std::process::Command;
 use yokelift::testkit::clients::ClientOutcome;
 use yokelift::testkit::fault_proxy::Faults;
-use yokelift::testkit::fleet::{Fleet, MEMBERS, Options, SHARES, eventually};
+use yokelift::testkit::fleet::{Fleet, MEMBERS, Options, SHARES, wait_until};
 
 const ALL: [usize; MEMBERS] = [0, 1, 2, 3, 4];
 const RESOURCE: &str = "probe:s-00000001";
@@ -51,7 +51,7 @@
             fleet_file_tables: fleet_file,
         },
     );
-    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
+    assert!(wait_until(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     fleet
 }
 
@@ -68,7 +68,10 @@
         let number = NEXT_REQUEST.with(|next| next.replace(next.get() + 1));
         let outcome = fleet.query(*member, "lookup", number, 900);
         assert!(
-            !matches!(outcome, ClientOutcome::Cut | ClientOutcome::Rejected(_)),
+            !matches!(
+                outcome,
+                ClientOutcome::Interrupted | ClientOutcome::Invalid(_)
+            ),
             "{outcome:?}: {}",
             fleet.log(*member)
         );
@@ -111,7 +114,7 @@
         found.get().is_some()
     };
     assert!(
-        eventually(is_found),
+        wait_until(is_found),
         "no member holds the lease: {}",
         fleet.logs()
     );
@@ -172,7 +175,7 @@
         holder_stayed && holder_probed && others.all(|member| after[member] == before[member])
     };
 
-    assert!(eventually(only_holder_probes), "{}", fleet.logs());
+    assert!(wait_until(only_holder_probes), "{}", fleet.logs());
     assert!(!lease_history(&fleet).is_empty());
 }
 
@@ -195,9 +198,9 @@
     );
     let before = probes_by_member(&fleet);
     fleet.signal(first.member, Signal::CONT);
-    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
+    assert!(wait_until(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     let ended = format!("lease: ended {RESOURCE}, fencing token {}", first.token);
-    assert!(eventually(|| fleet.log(first.member).contains(&ended)));
+    assert!(wait_until(|| fleet.log(first.member).contains(&ended)));
 
     // It rejects the queued requests, because it does not hold the lease.
     let after = probes_by_member(&fleet);
@@ -242,10 +245,10 @@
         );
     }
     fleet.fault_proxy.set_faults(Faults::default());
-    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
+    assert!(wait_until(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     let last = await_lease_holder(&fleet, &ALL);
     assert!(last.token >= second.token);
-    assert!(eventually(|| lease_holders(&fleet, &ALL).len() == 1 || {
+    assert!(wait_until(|| lease_holders(&fleet, &ALL).len() == 1 || {
         send_queries(&fleet, &ALL);
         false
     }));
@@ -266,7 +269,7 @@
     fleet.kill(second.member);
     fleet.launch(first.member, SHARES);
     assert!(
-        eventually(|| fleet.readiness_status(first.member) == Some(200)),
+        wait_until(|| fleet.readiness_status(first.member) == Some(200)),
         "{}",
         fleet.log(first.member)
     );
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::time::Duration;
 use yokelift::testkit::fault_proxy::Faults;
-use yokelift::testkit::fleet::{Fleet, MEMBERS, Reload, SHARES, TenantShares, eventually};
+use yokelift::testkit::fleet::{Fleet, MEMBERS, Reload, SHARES, TenantShares, wait_until};
 
 const ALL: [usize; MEMBERS] = [0, 1, 2, 3, 4];
 
@@ -17,7 +17,7 @@
 fn converged_fleet(tag: &str, seed: u64) -> Fleet {
     let fleet = Fleet::start(Path::new(env!("CARGO_BIN_EXE_yokelift")), tag, seed);
     assert!(
-        eventually(|| fleet.has_converged(&ALL)),
+        wait_until(|| fleet.has_converged(&ALL)),
         "the fleet did not converge: {}",
         fleet.logs()
     );
@@ -43,7 +43,7 @@
 fn five_daemons_discover_each_other_and_their_versions() {
     let fleet = converged_fleet("find", 1);
 
-    assert!(eventually(|| ALL
+    assert!(wait_until(|| ALL
         .iter()
         .all(|member| fleet.readiness_status(*member) == Some(200))));
     let all_ready = |view: &[Value]| {
@@ -51,7 +51,7 @@
             .all(|row| row["versions"]["stage"] == json!("ready"))
     };
     assert!(
-        eventually(|| fleet.view(3).is_some_and(|view| all_ready(&view))),
+        wait_until(|| fleet.view(3).is_some_and(|view| all_ready(&view))),
         "{:?}",
         fleet.view(3)
     );
@@ -69,12 +69,12 @@
 #[test]
 fn a_new_settings_generation_reaches_the_other_daemons() {
     let fleet = converged_fleet("gen", 1);
-    assert!(eventually(|| generation(&fleet, 4, 1) == Some(1)));
+    assert!(wait_until(|| generation(&fleet, 4, 1) == Some(1)));
 
     let shares = TenantShares::new(0.6, 0.4);
     fleet.reconfigure(1, shares, Reload::Signal);
 
-    assert!(eventually(|| generation(&fleet, 4, 1) == Some(2)));
+    assert!(wait_until(|| generation(&fleet, 4, 1) == Some(2)));
 }
 
 #[test]
@@ -84,7 +84,7 @@
 
     fleet.signal(2, Signal::STOP);
 
-    assert!(eventually(|| others
+    assert!(wait_until(|| others
         .iter()
         .all(
             |observer| fleet.state_of(*observer, 2).as_deref() == Some("Dead")
@@ -97,7 +97,7 @@
     fleet.signal(2, Signal::CONT);
 
     assert!(
-        eventually(|| fleet.has_converged(&ALL)),
+        wait_until(|| fleet.has_converged(&ALL)),
         "the stopped member did not rejoin"
     );
 }
@@ -108,12 +108,12 @@
     let first = incarnation(&fleet, 0, 3).expect("known");
 
     fleet.kill(3);
-    assert!(eventually(
+    assert!(wait_until(
         || fleet.state_of(0, 3).as_deref() == Some("Dead")
     ));
     fleet.launch(3, SHARES);
 
-    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
+    assert!(wait_until(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     assert!(incarnation(&fleet, 0, 3).expect("known") > first);
 }
 
@@ -126,7 +126,7 @@
 
     let mut predecessor = fleet.start_successor(1).expect("the successor starts");
     assert!(
-        eventually(|| fleet.readiness_status(1) == Some(200)),
+        wait_until(|| fleet.readiness_status(1) == Some(200)),
         "{}",
         fleet.log(1)
     );
@@ -145,7 +145,7 @@
     );
 
     assert!(
-        eventually(|| incarnation(&fleet, 0, 1) > Some(first) && fleet.has_converged(&ALL)),
+        wait_until(|| incarnation(&fleet, 0, 1) > Some(first) && fleet.has_converged(&ALL)),
         "{}",
         fleet.logs()
     );
@@ -184,14 +184,14 @@
 
     fleet.fault_proxy.set_faults(faults);
 
-    assert!(eventually(|| fleet.state_of(0, 4).as_deref()
+    assert!(wait_until(|| fleet.state_of(0, 4).as_deref()
         == Some("Dead")
         && fleet.state_of(4, 0).as_deref() == Some("Dead")));
 
     fleet.fault_proxy.set_faults(Faults::default());
 
     assert!(
-        eventually(|| fleet.has_converged(&ALL)),
+        wait_until(|| fleet.has_converged(&ALL)),
         "the fleet did not converge after the partition"
     );
 }
@@ -210,12 +210,12 @@
     fleet.reconfigure(missed_signal, NEW_SHARES, Reload::Missed);
 
     assert!(
-        eventually(|| generation(&fleet, missed_signal, missed_signal) == Some(2)),
+        wait_until(|| generation(&fleet, missed_signal, missed_signal) == Some(2)),
         "it did not reload: {}",
         fleet.log(missed_signal)
     );
     assert!(
-        eventually(|| fleet.readiness_status(old_configuration) == Some(503)),
+        wait_until(|| fleet.readiness_status(old_configuration) == Some(503)),
         "not shut out: {}",
         fleet.log(old_configuration)
     );
@@ -224,7 +224,7 @@
     fleet.reconfigure(old_configuration, NEW_SHARES, Reload::Signal);
 
     assert!(
-        eventually(|| fleet.readiness_status(old_configuration) == Some(200)),
+        wait_until(|| fleet.readiness_status(old_configuration) == Some(200)),
         "it is still not ready"
     );
 }
--- a/tests/response_time.rs
+++ b/tests/response_time.rs
@@ -36,7 +36,7 @@
         tenant: "billing-desk",
         wait_ms: wait_ms..=wait_ms,
         cancelled_percent,
-        left_percent: 0,
+        disconnected_percent: 0,
         seed: 41,
     }
 }
@@ -283,7 +283,7 @@
             .requests
             .iter()
             .filter_map(|it| match it.responses.first() {
-                Some((at, ClientOutcome::Served(_))) => Some(*at - it.sent_at),
+                Some((at, ClientOutcome::Completed(_))) => Some(*at - it.sent_at),
                 _ => None,
             })
             .collect();
--- a/tests/scale_fleet.rs
+++ b/tests/scale_fleet.rs
@@ -12,7 +12,7 @@
 use yokelift::lease::LeaseTiming;
 use yokelift::membership::Timing;
 use yokelift::testkit::daemon::{self, Folder, KINDS, ZONES};
-use yokelift::testkit::fleet::eventually;
+use yokelift::testkit::fleet::wait_until;
 use yokelift::testkit::ports::reserve_addr;
 use yokelift::testkit::scale::capacity_check::FleetRequirements;
 use yokelift::testkit::scale::events::Run;
@@ -185,7 +185,7 @@
 
     assert_eq!((progress.met, progress.asked), (NODES, NODES));
     assert!(
-        eventually(|| alive_members(admin_address) == Some(NODES + 1)),
+        wait_until(|| alive_members(admin_address) == Some(NODES + 1)),
         "the daemon sees {:?} alive",
         alive_members(admin_address)
     );
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -78,7 +78,7 @@
 
     let load = SustainedLoad::start(daemon.listen, plan.clone());
     std::thread::sleep(LOAD_BEFORE_SHUTDOWN);
-    load.set_front_open(false);
+    load.set_reconnect_enabled(false);
     let pid = Pid::from_raw(daemon.pid() as i32).expect("a process id is above 0");
     let mut told_at = None;
     for (signal, pause) in signals {
@@ -129,7 +129,7 @@
         status.is_some_and(|status| status.success()),
         "it ended with {status:?}: {log}"
     );
-    assert!(report.answered_twice().is_empty() && report.unexpected_responses == 0);
+    assert!(report.with_duplicate_responses().is_empty() && report.unexpected_responses == 0);
 }
 
 /// Twelve clients that use every connection that stays open.
@@ -140,7 +140,7 @@
         protocol: SustainedProtocol::JsonRpc,
         classes: CLASSES.to_vec(),
         cancelled_percent: 0,
-        left_percent: 0,
+        disconnected_percent: 0,
         tenant: "billing-desk",
         wait_ms: 40..=6_000,
         seed,
--- a/tests/soak/checks.rs
+++ b/tests/soak/checks.rs
@@ -57,7 +57,7 @@
         tell("answered with other rows", select(&has_other_rows));
         tell(
             "answered with what can't be read",
-            select(&|it| first_outcome(it) == Some(&ClientOutcome::Cut)),
+            select(&|it| first_outcome(it) == Some(&ClientOutcome::Interrupted)),
         );
         let gone: Vec<&SustainedRequest> = select(&|it| gone_at(it).is_some());
         let sent_for_nobody = gone.into_iter().filter(|it| {
@@ -104,7 +104,7 @@
         .iter()
         .any(|killed_at| follows(ended_at, *killed_at, KILL_NOTICE + load.lag));
     // Where idle clients fill the descriptors, new connections may be closed unread.
-    let by_crowd = report.has_crowd && request.is_first && end != ConnectionEnd::GivenUp;
+    let by_crowd = report.has_crowd && request.is_first && end != ConnectionEnd::LoadEnded;
     !by_kill && !by_crowd
 }
 
@@ -112,7 +112,7 @@
 fn gone_at(request: &SustainedRequest) -> Option<Instant> {
     let left_at = request
         .connection_end
-        .filter(|(_, end)| *end == ConnectionEnd::Left)
+        .filter(|(_, end)| *end == ConnectionEnd::Disconnected)
         .map(|(at, _)| at);
     request.cancelled_at.into_iter().chain(left_at).min()
 }
@@ -139,14 +139,14 @@
 
 /// Whether it was served with rows that no engine made for it.
 fn has_other_rows(request: &SustainedRequest) -> bool {
-    let Some(ClientOutcome::Served(rows)) = first_outcome(request) else {
+    let Some(ClientOutcome::Completed(rows)) = first_outcome(request) else {
         return false;
     };
     rows.is_empty() || rows.lines().any(|row| !row.starts_with(&request.key))
 }
 
 fn is_rejected_load(request: &SustainedRequest) -> bool {
-    let rejected = matches!(first_outcome(request), Some(ClientOutcome::Refused(_)));
+    let rejected = matches!(first_outcome(request), Some(ClientOutcome::Rejected(_)));
     request.class == LOAD_CLASS && rejected
 }
 
@@ -157,12 +157,12 @@
 
 fn outcome_name(request: &SustainedRequest) -> &'static str {
     match first_outcome(request) {
-        Some(ClientOutcome::Served(_)) => "served",
-        Some(ClientOutcome::Refused(_)) => "rejected",
+        Some(ClientOutcome::Completed(_)) => "served",
+        Some(ClientOutcome::Rejected(_)) => "rejected",
         Some(ClientOutcome::Deadline) => "deadline",
         Some(ClientOutcome::Failed(_)) => "failed",
-        Some(ClientOutcome::Rejected(_)) => "invalid",
-        Some(ClientOutcome::Cut) => "unreadable",
+        Some(ClientOutcome::Invalid(_)) => "invalid",
+        Some(ClientOutcome::Interrupted) => "unreadable",
         None if request.cancelled_at.is_some() => "cancelled",
         None => "connection ended",
     }
--- a/tests/soak/manager.rs
+++ b/tests/soak/manager.rs
@@ -170,7 +170,7 @@
             tenant: TENANT,
             wait_ms: self.plan.least_wait_millis..=longest.min(4_000),
             cancelled_percent: 3,
-            left_percent: 1,
+            disconnected_percent: 1,
             seed,
         };
         let http = SustainedLoadPlan {
@@ -189,9 +189,9 @@
         ];
     }
 
-    fn set_front_open(&self, is_open: bool) {
+    fn set_reconnect_enabled(&self, is_open: bool) {
         for load in lock(&self.loads).iter() {
-            load.set_front_open(is_open);
+            load.set_reconnect_enabled(is_open);
         }
     }
 
@@ -302,21 +302,21 @@
         };
         let notice = (told_at + FRONT_NOTICE).saturating_duration_since(Instant::now());
         std::thread::sleep(notice);
-        self.set_front_open(false);
+        self.set_reconnect_enabled(false);
         if let Some(process) = lock(&self.process).take() {
             self.end_by_kill(process, told_at, MAX_DEADLINE_WAIT);
         }
         self.start_process();
-        self.set_front_open(true);
+        self.set_reconnect_enabled(true);
     }
 
     fn crash(&self) {
-        self.set_front_open(false);
+        self.set_reconnect_enabled(false);
         if let Some(process) = lock(&self.process).take() {
             self.kill_early(process);
         }
         self.start_process();
-        self.set_front_open(true);
+        self.set_reconnect_enabled(true);
     }
 
     /// Kills a process at a moment at which the platform would not.
@@ -415,7 +415,7 @@
                     && process.descriptors() <= base
             })
         };
-        if !yokelift::testkit::fleet::eventually(is_idle) {
+        if !yokelift::testkit::fleet::wait_until(is_idle) {
             let open = self.with_process(|process| process.metric("concurrent"));
             let registered = self.with_process(|process| process.metric("client_connections"));
             let descriptors = self.with_process(|process| process.descriptors());
--- a/tests/unit/net_client.rs
+++ b/tests/unit/net_client.rs
@@ -7,7 +7,7 @@
 use crate::frontend::jsonrpc::JsonRpc;
 use crate::frontend::{DisconnectReason, FrontendEvent};
 use crate::testkit::clients::{STATUS, rpc_line};
-use crate::testkit::{eventually, listener};
+use crate::testkit::{listener, wait_until};
 use async_io::block_on;
 use std::cell::RefCell;
 use std::io::{ErrorKind, Read, Write};
@@ -161,7 +161,7 @@
 
     /// Runs the actor until the condition holds.
     fn run_until(&self, condition: impl FnMut() -> bool) {
-        let held = block_on(self.shared.executor.run(eventually(condition)));
+        let held = block_on(self.shared.executor.run(wait_until(condition)));
         assert!(held, "the condition never held");
     }
 
@@ -279,7 +279,7 @@
         drop(self.accepted);
         let shared = self.shared;
         let is_closed = || shared.clients.borrow().is_empty() && shared.closing_sockets.get() == 0;
-        assert!(block_on(shared.executor.run(eventually(is_closed))));
+        assert!(block_on(shared.executor.run(wait_until(is_closed))));
     }
 }
 
@@ -311,7 +311,7 @@
     }
 
     fn run_until(&self, condition: impl FnMut() -> bool) {
-        assert!(block_on(self.shared.executor.run(eventually(condition))));
+        assert!(block_on(self.shared.executor.run(wait_until(condition))));
     }
 }
 
--- a/tests/unit/net_engine.rs
+++ b/tests/unit/net_engine.rs
@@ -11,7 +11,7 @@
 use crate::net::Shared;
 use crate::net::dispatcher::DispatcherEvent;
 use crate::policy::api::{AttemptNo, EngineId, Readiness, RequestId};
-use crate::testkit::{eventually, listener};
+use crate::testkit::{listener, wait_until};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use std::cell::Cell;
@@ -158,7 +158,7 @@
 
     fn run_until(&mut self, mut condition: impl FnMut(&mut EngineFixture) -> bool) {
         let executor = self.shared.executor.clone();
-        let reached = async_io::block_on(executor.run(eventually(|| condition(self))));
+        let reached = async_io::block_on(executor.run(wait_until(|| condition(self))));
         assert!(reached, "the condition was never met");
     }
 
--- a/tests/unit/net_engine_endpoint.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -13,7 +13,7 @@
 use crate::net::client::tests::register_client;
 use crate::net::dispatcher::DispatcherEvent;
 use crate::policy::api::{AttemptNo, EngineId, OutcomeKind, Readiness, RequestId};
-use crate::testkit::{eventually, listener};
+use crate::testkit::{listener, wait_until};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use std::io::Read;
@@ -139,7 +139,7 @@
 
     fn run_until(&mut self, mut condition: impl FnMut(&EndpointFixture) -> bool) {
         let executor = self.shared.executor.clone();
-        let reached = async_io::block_on(executor.run(eventually(|| {
+        let reached = async_io::block_on(executor.run(wait_until(|| {
             self.poll_engine();
             self.poll_dispatcher();
             condition(self)
