--- a/src/testkit/clients/http.rs
+++ b/src/testkit/clients/http.rs
@@ -32,8 +32,8 @@
     http_with_disconnect(addr, request, &Cell::new(false)).await
 }
 
-/// Like [`http`], but the client disconnects after the first byte of the response if `disconnects` is
-/// set by then.
+/// Like [`http`], but the client disconnects after the first byte of the response if `disconnects`
+/// is set by then.
 pub async fn http_with_disconnect(
     addr: SocketAddr,
     request: &[u8],
--- a/src/testkit/clients/persistent.rs
+++ b/src/testkit/clients/persistent.rs
@@ -56,8 +56,8 @@
         client
     }
 
-    /// Sends the first of `parts` equal parts of a request and returns the remaining bytes; with one
-    /// part, the whole request is sent. `outcome` is set once the request has ended.
+    /// Sends the first of `parts` equal parts of a request and returns the remaining bytes; with
+    /// one part, the whole request is sent. `outcome` is set once the request has ended.
     pub fn request(
         &self,
         request: &RpcRequest<'_>,
--- a/src/testkit/clients/rpc.rs
+++ b/src/testkit/clients/rpc.rs
@@ -88,8 +88,8 @@
     rpc_with_disconnect(addr, lines, &Cell::new(false)).await
 }
 
-/// Like [`rpc`], but the client disconnects after the first byte of the response if `disconnects` is
-/// set by then.
+/// Like [`rpc`], but the client disconnects after the first byte of the response if `disconnects`
+/// is set by then.
 pub async fn rpc_with_disconnect(
     addr: SocketAddr,
     lines: &[u8],
--- a/src/testkit/clients/sustained/connection.rs
+++ b/src/testkit/clients/sustained/connection.rs
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Sends and receives until the connection ends or, after the end of the load, no request is open
-    /// or the timeout has passed.
+    /// Sends and receives until the connection ends or, after the end of the load, no request is
+    /// open or the timeout has passed.
     async fn exchange(&mut self, stream: &Async<TcpStream>) -> ConnectionEnd {
         let mut next_send_at = Instant::now() + self.next_pause();
         let mut stopped_at = None;
@@ -108,8 +108,8 @@
             }
             let read = async { Wake::Read((&*stream).read(&mut buffer).await) };
             let poll_at = Instant::now() + POLL_INTERVAL;
-            // A client that has stopped sends no more requests: the time of the next one would stay in
-            // the past, and the loop would not wait.
+            // A client that has stopped sends no more requests: the time of the next one would stay
+            // in the past, and the loop would not wait.
             let wake_at = if stopped {
                 poll_at
             } else {
--- a/src/testkit/clients/sustained/mod.rs
+++ b/src/testkit/clients/sustained/mod.rs
@@ -1,5 +1,5 @@
-//! Clients that keep sending requests over their connections, and a record of how each request ended.
-//! They run on a separate thread, so that a test can signal the daemon in the meantime.
+//! Clients that keep sending requests over their connections, and a record of how each request
+//! ended. They run on a separate thread, so that a test can signal the daemon in the meantime.
 mod connection;
 mod record;
 
@@ -66,8 +66,8 @@
     /// The percentage of requests after which the client disconnects without waiting for the open
     /// requests.
     pub disconnected_percent: u64,
-    /// The seed of the random draws and of the requests' keys: two loads on one daemon need different
-    /// seeds.
+    /// The seed of the random draws and of the requests' keys: two loads on one daemon need
+    /// different seeds.
     pub seed: u64,
 }
 
@@ -95,8 +95,8 @@
         SustainedLoad { control, thread }
     }
 
-    /// Sets whether clients reconnect when their connection ends. They do by default; tests disable it
-    /// during a planned restart.
+    /// Sets whether clients reconnect when their connection ends. They do by default; tests disable
+    /// it during a planned restart.
     pub fn set_reconnect_enabled(&self, is_enabled: bool) {
         self.control
             .reconnect_disabled
--- a/src/testkit/clients/sustained/record.rs
+++ b/src/testkit/clients/sustained/record.rs
@@ -2,8 +2,8 @@
 use crate::testkit::clients::ClientOutcome;
 use std::time::{Duration, Instant};
 
-/// A request sent at most this long before its connection is closed may have crossed the close: by the
-/// platform's protocol the client retries it.
+/// A request sent at most this long before its connection is closed may have crossed the close: by
+/// the platform's protocol the client retries it.
 pub const CLOSE_CROSSING: Duration = Duration::from_millis(50);
 
 /// How a connection ended.
--- a/src/testkit/coordinator.rs
+++ b/src/testkit/coordinator.rs
@@ -18,8 +18,8 @@
 const KIND_CHANGES: u8 = 2;
 /// The length of a frame's header: the event's number and its kind.
 const HEADER_BYTES: usize = 9;
-/// The number of the first event that is sent as a frame. The event before it is the endpoint list in
-/// the daemon's configuration.
+/// The number of the first event that is sent as a frame. The event before it is the endpoint list
+/// in the daemon's configuration.
 const FIRST_INDEX: u64 = 2;
 /// Interval between two checks for new events.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -83,7 +83,8 @@
         Coordinator::start_with(executor, Vec::new())
     }
 
-    /// Starts another coordinator, which takes over the events of this one and continues their numbers.
+    /// Starts another coordinator, which takes over the events of this one and continues their
+    /// numbers.
     pub fn successor(&self, executor: &Executor) -> Coordinator {
         let frames = self.state.frames.borrow().clone();
         Coordinator::start_with(executor, frames)
--- a/src/testkit/daemon/folder.rs
+++ b/src/testkit/daemon/folder.rs
@@ -31,8 +31,8 @@
         self.0.join(name)
     }
 
-    /// Replaces a file in it atomically: a daemon that starts or reloads in the meantime reads either
-    /// the previous file or the complete new one.
+    /// Replaces a file in it atomically: a daemon that starts or reloads in the meantime reads
+    /// either the previous file or the complete new one.
     ///
     /// # Errors
     ///
--- a/src/testkit/daemon/mod.rs
+++ b/src/testkit/daemon/mod.rs
@@ -185,8 +185,8 @@
         status
     }
 
-    /// Kills one of the processes of a hot restart. If the successor is killed, the predecessor becomes
-    /// the present process again.
+    /// Kills one of the processes of a hot restart. If the successor is killed, the predecessor
+    /// becomes the present process again.
     pub fn kill(&mut self, process: DaemonProcess) {
         let Some(mut killed) = self.predecessor.take() else {
             return;
--- a/src/testkit/directory.rs
+++ b/src/testkit/directory.rs
@@ -173,8 +173,8 @@
         Some(LdapMessage::new(id, ProtocolOp::BindResponse(response)))
     }
 
-    /// Returns one page of the entries of an object class, and the result with the cookie for the next
-    /// page.
+    /// Returns one page of the entries of an object class, and the result with the cookie for the
+    /// next page.
     fn search(
         &self,
         id: u32,
--- a/src/testkit/engines/clickhouse.rs
+++ b/src/testkit/engines/clickhouse.rs
@@ -9,19 +9,19 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The exception `TOO_MANY_SIMULTANEOUS_QUERIES`.
+/// The code of the exception `TOO_MANY_SIMULTANEOUS_QUERIES`.
 const TOO_MANY_SIMULTANEOUS_QUERIES: u32 = 202;
-/// The exception `MEMORY_LIMIT_EXCEEDED`.
+/// The code of the exception `MEMORY_LIMIT_EXCEEDED`.
 const MEMORY_LIMIT_EXCEEDED: u32 = 241;
 
-/// Whether a connection goes on after a query.
+/// Whether a connection stays open after a query.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Next {
     Continue,
     Close,
 }
 
-/// Serves a connection to its end, one query after the other.
+/// Serves the queries of a connection one after the other until the connection ends.
 pub(super) async fn serve(state: &Rc<EngineState>, stream: &Stream) {
     let mut input = Vec::new();
     while let Some((head, body)) = read_http(stream, &mut input, Body::Length(0)).await {
@@ -37,7 +37,7 @@
     }
 }
 
-/// A query that runs.
+/// A running query.
 struct Query<'a> {
     state: &'a EngineState,
     stream: &'a Stream,
@@ -60,7 +60,7 @@
                 self.finish(RunOutcome::Responded, &response).await;
             }
             EngineBehavior::FailWithinResponse => {
-                // Rows, then the end of the connection without the last chunk.
+                // Rows, then the connection is closed without the last chunk.
                 let response =
                     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\na\tb\n\r\n";
                 self.finish(RunOutcome::Responded, response).await;
@@ -85,13 +85,14 @@
         Next::Continue
     }
 
-    /// Waits for the end of the connection or for further input; gives whether there is input.
+    /// Waits until the connection ends or further input arrives. Returns whether there is input.
     async fn next_input(&self) -> bool {
         let mut byte = [0; 1];
         matches!((&**self.stream).read(&mut byte).await, Ok(count) if count > 0)
     }
 
-    /// Closing the connection cancels the query.
+    /// Responds after a delay. If the client closes the connection before that, the query is
+    /// cancelled.
     async fn complete(&self, after_millis: u64, row_count: usize) -> Next {
         let is_closed = async { !self.next_input().await };
         let is_done = async {
--- a/src/testkit/engines/mod.rs
+++ b/src/testkit/engines/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in engines of the platform's protocol and of the ClickHouse HTTP interface. Both do with
-//! each query what the test has set.
+//! Stand-in engines of the platform's protocol and of the ClickHouse HTTP interface. For both, the
+//! test sets how they handle each query.
 mod clickhouse;
 mod platform;
 
@@ -13,36 +13,36 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// What an engine does with a query for which nothing else was set.
+/// How an engine handles a query for which the test has set nothing else.
 const DEFAULT_BEHAVIOR: EngineBehavior = EngineBehavior::Complete {
     after_millis: 1,
     rows: 3,
 };
 
-/// The connection of a client.
+/// A client's connection.
 type Stream = Rc<Async<TcpStream>>;
 
-/// What an engine does with a query.
+/// How an engine handles a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineBehavior {
-    /// Answers after a while.
+    /// The query completes after a delay.
     Complete {
-        /// The time until it answers.
+        /// The delay in milliseconds.
         after_millis: u64,
         /// The number of rows in the result.
         rows: usize,
     },
-    /// Rejects it: it never ran.
+    /// The engine rejects the query, which does not run.
     Reject,
-    /// Answers with an error.
+    /// The engine responds with an error.
     Fail,
-    /// Never answers.
+    /// The engine never responds.
     Hang,
-    /// Resets the connection once it has received the whole query.
+    /// The engine resets the connection once it has received the whole query.
     Reset,
-    /// Begins a response and fails within it.
+    /// The engine starts a response and fails before its end.
     FailWithinResponse,
-    /// Answers with bytes that are not its protocol.
+    /// The engine responds with bytes that are not valid in its protocol.
     ViolateProtocol,
 }
 
@@ -55,17 +55,18 @@
     ClickHouse,
 }
 
-/// How an engine is made.
+/// The options that an engine is started with.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineOptions {
-    /// Its protocol.
+    /// The protocol.
     pub protocol: EngineProtocol,
-    /// The queries that an engine of the platform runs at the same time; more are rejected.
+    /// The limit on running queries of an engine of the platform's protocol, which rejects further
+    /// queries.
     pub max_sessions: usize,
 }
 
 impl EngineOptions {
-    /// An engine that runs any number of queries.
+    /// Options without a limit on running queries.
     pub fn new(protocol: EngineProtocol) -> EngineOptions {
         EngineOptions {
             protocol,
@@ -86,16 +87,17 @@
 
 /// A stand-in engine.
 pub struct Engine {
-    /// The address where it listens.
+    /// The address at which it listens.
     pub addr: SocketAddr,
     /// Its protocol.
     pub protocol: EngineProtocol,
     state: Rc<EngineState>,
-    /// Accepts and serves connections; without it the engine is down.
+    /// Accepts and serves connections; `None` once the engine is shut down.
     task: Option<Task<()>>,
 }
 
-/// The rows of a query's result: its name is in each, so that a mix-up shows.
+/// The rows of a query's result. Each contains the query's name, so that a test detects rows of
+/// another query.
 pub fn rows(query: &str, count: usize) -> String {
     (0..count)
         .map(|number| format!("{query}\t{number}\tvalue\n"))
@@ -103,7 +105,7 @@
 }
 
 impl Engine {
-    /// Starts an engine that records in `log` what it sees.
+    /// Starts an engine that records the queries and probes that it receives in `log`.
     pub fn start(
         executor: &Executor,
         name: &str,
@@ -128,17 +130,17 @@
         }
     }
 
-    /// Sets what to do with the next query for which nothing is set yet.
+    /// Adds a behavior to the queue; each query takes the next one from it.
     pub fn push_behavior(&self, behavior: EngineBehavior) {
         self.state.behaviors.borrow_mut().push_back(behavior);
     }
 
-    /// The number of connections that it has accepted.
+    /// The number of connections accepted so far.
     pub fn accepted_connections(&self) -> usize {
         self.state.streams.borrow().len()
     }
 
-    /// The number of its connections that are open.
+    /// The number of open connections.
     pub fn open_connections(&self) -> usize {
         let streams = self.state.streams.borrow();
         streams
@@ -152,7 +154,8 @@
         self.task.as_ref().is_some_and(|task| !task.is_finished())
     }
 
-    /// Ends its process: its connections are reset, new ones are refused, and what it runs has ended.
+    /// Simulates the end of its process: open connections are reset, new ones are refused, and
+    /// running queries end.
     pub fn shut_down(&mut self) {
         self.task = None;
         self.state.log.record_engine_end(&self.state.name);
@@ -163,8 +166,8 @@
     }
 }
 
-/// Accepts connections and serves each in a task of its own. The tasks, and with them the sockets,
-/// end with the engine.
+/// Accepts connections and serves each in a separate task. When the engine ends, its tasks are
+/// dropped and their sockets are closed.
 async fn accept_connections(
     state: Rc<EngineState>,
     executor: Executor,
@@ -186,7 +189,8 @@
 }
 
 impl EngineState {
-    /// What to do with the next query.
+    /// The behavior for the next query: the one set in the log, else the one set for this engine,
+    /// else the default.
     fn next_behavior(&self) -> EngineBehavior {
         self.log
             .next_behavior()
@@ -202,7 +206,7 @@
     let _ = stream.get_ref().shutdown(Shutdown::Both);
 }
 
-/// Writes bytes; the peer may have closed the connection.
+/// Writes bytes. Errors are ignored, because the peer may have closed the connection.
 async fn write(stream: &Stream, bytes: &[u8]) {
     let _ = (&**stream).write_all(bytes).await;
 }
--- a/src/testkit/engines/platform.rs
+++ b/src/testkit/engines/platform.rs
@@ -7,19 +7,19 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Rows in a page.
+/// The number of rows in a page.
 const PAGE_ROWS: usize = 4;
 const READ_BUFFER_BYTES: usize = 8_192;
 const LINE_END: &[u8] = b"\r\n";
 
-/// What a connection knows of its queries, by the client's identifier.
+/// The queries of a connection, by the client's identifier.
 #[derive(Default)]
 struct Queries {
     runs: BTreeMap<String, RunId>,
     pages: BTreeMap<String, Vec<String>>,
 }
 
-/// One connection.
+/// A client's connection.
 struct Connection<'a> {
     state: &'a Rc<EngineState>,
     stream: &'a Stream,
@@ -28,14 +28,14 @@
     input: Vec<u8>,
 }
 
-/// Whether the connection goes on after a command.
+/// Whether the connection stays open after a command.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Next {
     Continue,
     Close,
 }
 
-/// Serves a connection to its end, which cancels the queries on it.
+/// Serves a connection until it ends, which cancels its queries.
 pub(super) async fn serve(state: &Rc<EngineState>, stream: &Stream, executor: &Executor) {
     let mut connection = Connection {
         state,
@@ -55,7 +55,7 @@
 }
 
 impl Connection<'_> {
-    /// Reads more input; gives whether there was any.
+    /// Reads more input. Returns whether there was any.
     async fn read_more(&mut self) -> bool {
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         match (&**self.stream).read(&mut buffer).await {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes the next line from the input, without its end.
+    /// Takes the next line from the input, without its line end.
     async fn read_line(&mut self) -> Option<String> {
         loop {
             let end = self.input.windows(2).position(|bytes| bytes == LINE_END);
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Takes a body of that length and the line end behind it from the input.
+    /// Takes a body of this length and the line end after it from the input. Returns the body.
     async fn read_body(&mut self, length: usize) -> Option<Vec<u8>> {
         let total = length + LINE_END.len();
         while self.input.len() < total {
@@ -125,8 +125,8 @@
         let log = &self.state.log;
         let run = log.record_start(&self.state.name, statement, fields);
         self.queries.borrow_mut().runs.insert(id.to_owned(), run);
-        let has_session = self.state.running.get() < self.state.options.max_sessions;
-        let behavior = if has_session {
+        let has_free_session = self.state.running.get() < self.state.options.max_sessions;
+        let behavior = if has_free_session {
             self.state.next_behavior()
         } else {
             EngineBehavior::Reject
@@ -180,7 +180,7 @@
     }
 }
 
-/// A query that runs.
+/// A running query.
 struct RunningQuery {
     state: Rc<EngineState>,
     stream: Stream,
@@ -197,7 +197,7 @@
             EngineBehavior::Complete { after_millis, rows } => {
                 self.complete(after_millis, rows).await;
             }
-            // More pages than there are: the engine has lost them by the time they are requested.
+            // The response announces more pages than exist: a request for one of them fails.
             EngineBehavior::FailWithinResponse => {
                 let message = format!("{id} DONE sheets=3 6\r\na\tb\tc\n\r\n");
                 self.finish(RunOutcome::Responded, &message).await;
@@ -220,7 +220,7 @@
 
     async fn complete(&self, after_millis: u64, row_count: usize) {
         let run = self.state.log.run(self.run);
-        // A query that engines know by its key does not run again: its result is there.
+        // A query whose key the engines know does not run again: its result is available at once.
         let work_millis = if run.deduplicated { 0 } else { after_millis };
         let running = &self.state.running;
         running.set(running.get() + 1);
@@ -247,7 +247,7 @@
     }
 }
 
-/// Splits rows into pages.
+/// Splits rows into pages of [`PAGE_ROWS`] rows.
 fn pages(rows: &str) -> Vec<String> {
     let rows: Vec<&str> = rows.split_inclusive('\n').collect();
     rows.chunks(PAGE_ROWS).map(<[&str]>::concat).collect()
--- a/src/testkit/execution_log.rs
+++ b/src/testkit/execution_log.rs
@@ -1,4 +1,5 @@
-//! What all stand-in engines have seen of queries, and the invariants that follow from it.
+//! A log of the queries and probes that all stand-in engines received, and the checks of invariants
+//! on it.
 use super::engines::EngineBehavior;
 use crate::clock::{self, MS, Micros};
 use serde_json::Value;
@@ -6,19 +7,19 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Time within which a drain has to take effect, with an allowance for sockets.
+/// How long after its announcement a drain has to take effect, with an allowance for socket delays.
 const DRAIN_GRACE_MICROS: Micros = 300 * MS;
 /// The field that holds the idempotency key of a query.
 const KEY_FIELD: &str = "nonce";
 
-/// How the run of a query on an engine ended.
+/// How a run of a query on an engine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// The engine wrote its whole response, or an error.
+    /// The engine wrote a response, or an error.
     Responded,
-    /// The engine rejected the query: it did not run.
+    /// The engine rejected the query, which did not run.
     Rejected,
-    /// The query was cancelled, by a command or by closing the connection.
+    /// The query was cancelled, by a command or by the end of the connection.
     Cancelled,
 }
 
@@ -35,23 +36,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RunId(usize);
 
-/// The run of a query on an engine.
+/// A run of a query on an engine.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// The query's name, from the comment at the end of its statement.
     pub query: String,
     /// The engine.
     pub engine: String,
-    /// Whether the query changes data: it may not run twice.
+    /// Whether the query changes data, so that it may not run twice.
     pub is_load: bool,
-    /// The fields that were sent with it, in a protocol that has fields: its key, its memory grant,
-    /// its priority.
+    /// The fields that were sent with it, if the protocol has fields: idempotency key, memory grant
+    /// and priority.
     pub fields: BTreeMap<String, String>,
-    /// Whether the engines knew its idempotency key, so that it changed nothing.
+    /// Whether the engines already knew its idempotency key, so that it changed nothing.
     pub deduplicated: bool,
-    /// The priorities that it was given while it ran, in order.
+    /// The priorities that it was assigned while it ran, in order.
     pub priorities: Vec<String>,
-    /// When the engine had received all of it.
+    /// When the engine had received the whole query.
     pub started_at: Micros,
     /// Its end, once it has ended.
     pub end: Option<RunEnd>,
@@ -66,13 +67,13 @@
         self.end.is_none_or(|end| end.at > at)
     }
 
-    /// Whether the engine may have executed it.
+    /// Whether the engine may have executed the query.
     fn may_have_run(&self) -> bool {
         self.end
             .is_none_or(|end| end.outcome != RunOutcome::Rejected)
     }
 
-    /// Whether engines knew this run by its key as a repetition of an earlier one.
+    /// Whether the engines recognized this run as a repetition of an earlier one by its key.
     fn repeats_by_key(&self, earlier: &Run, key_window: Micros) -> bool {
         let has_same_key =
             self.idempotency_key().is_some() && self.idempotency_key() == earlier.idempotency_key();
@@ -80,7 +81,7 @@
     }
 }
 
-/// A time during which the daemon may not send anything to an engine.
+/// A period in which the daemon may not send queries to an engine.
 struct Drain {
     engine: String,
     announced_at: Micros,
@@ -99,13 +100,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// More attempts of a query were in flight at the same time than the settings allow.
-    #[error("{query}: more attempts were out at once than may be")]
+    #[error("{query}: more concurrent attempts than allowed")]
     ConcurrentAttempts {
         /// The query.
         query: String,
     },
-    /// A query that changes data was repeated although it may have run.
-    #[error("{query}: a load was sent again after it may have run")]
+    /// A query that changes data was retried although it may have run.
+    #[error("{query}: a load was retried although it may have run")]
     RepeatedLoad {
         /// The query.
         query: String,
@@ -115,10 +116,10 @@
     TooManyAttempts {
         /// The query.
         query: String,
-        /// The attempts that the settings allow.
+        /// The number of attempts that the settings allow.
         max_attempts: usize,
     },
-    /// A query was sent to an engine that was draining or gone.
+    /// A query was sent to an engine that was draining or removed.
     #[error("{query}: sent to {engine} after its drain")]
     SentAfterDrain {
         /// The query.
@@ -128,19 +129,19 @@
     },
 }
 
-/// What the settings allow.
+/// The limits that the settings set on attempts and keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExecutionLimits {
-    /// Attempts of a request that may be in flight at the same time.
+    /// The number of attempts of a request that may be in flight at the same time.
     pub max_concurrent: usize,
-    /// Attempts of a request in total.
+    /// The total number of attempts of a request.
     pub max_attempts: usize,
-    /// How long the engines together know an idempotency key.
+    /// How long the engines remember an idempotency key. They share their keys.
     pub key_window: Micros,
 }
 
 impl ExecutionLimits {
-    /// What these settings of a daemon allow.
+    /// The limits in a daemon's settings.
     pub fn of_settings(settings: &Value) -> ExecutionLimits {
         let limits = &settings["limits"];
         let hedging = limits["second_copies"] == true;
@@ -167,26 +168,26 @@
     }
 }
 
-/// A health check that an engine received.
+/// A health check or load probe that an engine received.
 pub(super) struct ReceivedProbe {
     engine: String,
 }
 
-/// What all stand-in engines have seen. Clones share one log.
+/// The log of all stand-in engines. Clones share one log.
 #[derive(Clone, Default)]
 pub struct ExecutionLog {
     pub(super) runs: Rc<RefCell<Vec<Run>>>,
     pub(super) probes: Rc<RefCell<Vec<ReceivedProbe>>>,
     drains: Rc<RefCell<Vec<Drain>>>,
-    /// When the first run with each idempotency key started.
+    /// When the first run with each known idempotency key started.
     keys: Rc<RefCell<BTreeMap<String, Micros>>>,
     limits: Rc<Cell<ExecutionLimits>>,
-    /// What whichever engine gets the next query does with it.
+    /// How the next queries are handled, at whichever engine they arrive.
     behaviors: Rc<RefCell<VecDeque<EngineBehavior>>>,
 }
 
 impl ExecutionLog {
-    /// Sets what the settings allow.
+    /// Sets the limits that are checked.
     pub fn set_limits(&self, limits: ExecutionLimits) {
         self.limits.set(limits);
     }
@@ -217,7 +218,7 @@
         RunId(runs.len() - 1)
     }
 
-    /// Whether engines know an idempotency key; they know it from now on.
+    /// Returns whether the engines know an idempotency key, and makes them remember it.
     fn observe_key(&self, key: &str, now: Micros) -> bool {
         let key_window = self.limits.get().key_window;
         let mut keys = self.keys.borrow_mut();
@@ -227,14 +228,14 @@
         is_known
     }
 
-    /// Records the end of a run; the first end counts.
+    /// Records the end of a run, unless it has already ended.
     pub fn record_end(&self, run: RunId, outcome: RunOutcome) {
         let end = &mut self.runs.borrow_mut()[run.0].end;
         let at = clock::turn();
         end.get_or_insert(RunEnd { at, outcome });
     }
 
-    /// Records that an engine's process ended, and with it all that it ran.
+    /// Records that an engine's process ended, which cancelled its running queries.
     pub fn record_engine_end(&self, engine: &str) {
         let end = RunEnd {
             at: clock::turn(),
@@ -252,7 +253,7 @@
         runs[run.0].priorities.push(priority.to_owned());
     }
 
-    /// Makes engines forget the key of a run that was rejected.
+    /// Makes the engines forget the key of a rejected run.
     pub fn forget_key(&self, run: RunId) {
         let runs = self.runs.borrow();
         let run = &runs[run.0];
@@ -261,7 +262,7 @@
         }
     }
 
-    /// A copy of a run.
+    /// Returns a copy of a run.
     pub fn run(&self, run: RunId) -> Run {
         self.runs.borrow()[run.0].clone()
     }
@@ -271,7 +272,7 @@
         self.runs.borrow()[run.0].end.is_none()
     }
 
-    /// The runs of a query, in order.
+    /// Returns copies of the runs of a query, in order.
     pub fn runs_of(&self, query: &str) -> Vec<Run> {
         let runs = self.runs.borrow();
         runs.iter()
@@ -280,19 +281,19 @@
             .collect()
     }
 
-    /// Records that an engine received a health check.
+    /// Records that an engine received a health check or load probe.
     pub fn record_probe(&self, engine: &str) {
         let engine = engine.to_owned();
         self.probes.borrow_mut().push(ReceivedProbe { engine });
     }
 
-    /// The number of health checks that an engine has received.
+    /// The number of health checks and load probes that an engine has received.
     pub fn probe_count(&self, engine: &str) -> usize {
         let probes = self.probes.borrow();
         probes.iter().filter(|probe| probe.engine == engine).count()
     }
 
-    /// Records that the daemon was sent the news that an engine is draining or gone.
+    /// Records that the daemon was notified that an engine is draining or removed.
     pub fn record_drained(&self, engine: &str) {
         self.drains.borrow_mut().push(Drain {
             engine: engine.to_owned(),
@@ -301,7 +302,7 @@
         });
     }
 
-    /// Records that the daemon was sent the news that an engine is in service again.
+    /// Records that the daemon was notified that an engine is ready again.
     pub fn record_resumed(&self, engine: &str) {
         let now = clock::turn();
         for drain in self.drains.borrow_mut().iter_mut() {
@@ -311,7 +312,7 @@
         }
     }
 
-    /// Sets what whichever engine gets the next query does with it.
+    /// Adds a behavior to the queue; each query takes the next one, at whichever engine it arrives.
     pub fn push_behavior(&self, behavior: EngineBehavior) {
         self.behaviors.borrow_mut().push_back(behavior);
     }
@@ -320,7 +321,7 @@
         self.behaviors.borrow_mut().pop_front()
     }
 
-    /// The violations of invariants.
+    /// Returns the violations of invariants.
     pub fn violations(&self) -> Vec<Violation> {
         let runs = self.runs.borrow();
         let mut violations = Vec::new();
@@ -348,7 +349,7 @@
                 query: query.clone(),
             });
         }
-        // With a key that engines know, a repetition changes nothing.
+        // A repetition whose key the engines know changes nothing.
         let repeats = |earlier: &&Run| {
             earlier.may_have_run() && !run.repeats_by_key(earlier, limits.key_window)
         };
@@ -377,7 +378,7 @@
     }
 }
 
-/// The name of a query, from the last comment of its statement.
+/// The name of a query, from the last comment in its statement.
 fn query_name(statement: &str) -> &str {
     let comment = statement.rsplit("/* ").next();
     comment
--- a/src/testkit/fault_proxy.rs
+++ b/src/testkit/fault_proxy.rs
@@ -1,9 +1,9 @@
-//! A UDP proxy between the members of a fleet on loopback, which injects faults: loss, duplication,
-//! delay, reordering and blocked links.
+//! A UDP proxy between the members of a fleet on the loopback interface, which injects faults:
+//! loss, duplication, delay, reordering and blocked links.
 //!
 //! Each member advertises an address of the proxy instead of its own. The proxy forwards a datagram
 //! that arrives there to the member's real socket, sending from the sender's advertised address, so
-//! that replies pass through the proxy as well. All choices come from one seed.
+//! that replies pass through the proxy as well. All random draws come from one seed.
 use super::blocked_links::{BlockedLinks, Link};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -16,7 +16,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long the proxy's thread sleeps when no datagram has arrived.
+/// How long the proxy's thread sleeps if no datagram has arrived.
 const IDLE_SLEEP: Duration = Duration::from_millis(1);
 /// The size of the receive buffer: the largest UDP datagram fits.
 const BUFFER_BYTES: usize = 65_536;
@@ -28,9 +28,9 @@
     pub loss: f64,
     /// The probability that a datagram is duplicated.
     pub duplication: f64,
-    /// The bound on the random delay of a datagram, by which some overtake others.
+    /// The limit on the random delay of a datagram, which also reorders datagrams.
     pub jitter: Duration,
-    /// The links on which all datagrams are lost, by the members' indices.
+    /// The links on which all datagrams are lost, by the indices of the members.
     pub blocked_links: BlockedLinks,
 }
 
@@ -41,16 +41,16 @@
     }
 }
 
-/// The number of datagrams by what the proxy did with them.
+/// The numbers of forwarded and lost datagrams.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProxyCounts {
-    /// Forwarded to a member's socket.
+    /// Datagrams forwarded to a member's socket.
     pub forwarded: u64,
-    /// Lost to the faults.
+    /// Datagrams dropped because of the faults.
     pub lost: u64,
 }
 
-/// A datagram that waits for its delay, ordered by the time to forward it.
+/// A delayed datagram, ordered by the time at which it is forwarded.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DelayedDatagram {
     due: Instant,
@@ -70,7 +70,7 @@
 }
 
 impl ProxyState {
-    /// Draws whether an event of this probability happens.
+    /// Draws whether an event with this probability happens.
     fn happens(&mut self, probability: f64) -> bool {
         f64::from(self.random.next_u32()) < probability * f64::from(u32::MAX)
     }
@@ -160,12 +160,12 @@
         })
     }
 
-    /// Replaces the faults.
+    /// Replaces the faults that are injected.
     pub fn set_faults(&self, faults: Faults) {
         lock(&self.state).faults = faults;
     }
 
-    /// Reads the counters.
+    /// Returns the counters.
     pub fn counts(&self) -> ProxyCounts {
         lock(&self.state).counts
     }
--- a/src/testkit/fleet/mod.rs
+++ b/src/testkit/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet of real daemons on loopback, with a fault proxy between them, a stand-in coordinator for
-//! each and stand-in engines for all: for tests of what managers do together when some fail.
+//! A fleet of real daemons on the loopback interface, with a fault proxy between them, a stand-in
+//! coordinator for each manager and stand-in engines. It is meant for tests of how managers act
+//! together when some of them fail.
 mod stand_ins;
 
 use super::clients::{self, ClientOutcome};
@@ -18,22 +19,22 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The managers of a fleet.
+/// The number of managers of a fleet.
 pub const MEMBERS: usize = 5;
 
-/// The shares of the two tenants that all managers start with.
+/// The shares of the two tenants with which all managers start.
 pub const SHARES: TenantShares = TenantShares::new(0.62, 0.38);
 
-/// The `[timing]` table of the managers' fleet files. With a period of a fifth of a second a stopped
-/// manager is detected after about two seconds.
+/// The `[timing]` table of the managers' fleet files. With a period of 200 ms a stopped manager is
+/// detected after about two seconds.
 const TIMING: &str =
     "period_ms = 200\nprobe_ms = 80\nindirect = 3\nsuspicion_periods = 3\ngrace_ms = 1500\n";
 
-/// How long a manager may take to become ready.
+/// Timeout for a manager to become ready.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// The interval between polls of a manager that starts.
+/// The interval between polls of a starting manager.
 const START_POLL: Duration = Duration::from_millis(20);
-/// How long [`wait_until`] waits, which includes a slow machine.
+/// How long [`wait_until`] waits at most, with an allowance for slow machines.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// The interval between polls of [`wait_until`].
 const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -48,28 +49,28 @@
 }
 
 impl TenantShares {
-    /// The shares of the first and the second tenant.
+    /// Creates the shares of the first and the second tenant.
     pub const fn new(first: f64, second: f64) -> TenantShares {
         TenantShares { first, second }
     }
 }
 
-/// Whether a manager is notified of its new configuration.
+/// How a manager is notified of its new configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reload {
-    /// With SIGHUP.
+    /// By SIGHUP.
     Signal,
-    /// Not at all: it keeps its settings until it reloads for another reason.
+    /// Not at all: it keeps its present settings until it reloads for another reason.
     Missed,
 }
 
 /// The options that managers are started with.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The number of managers in the settings. With a large number each manager has a share of less
-    /// than one query, and probes the engines' loads.
+    /// The number of managers in the settings. With a large number each manager's share of an
+    /// engine is less than one query, and the managers probe the engines' loads.
     pub managers: usize,
-    /// Further tables of the fleet file.
+    /// Additional tables of the fleet file.
     pub fleet_file_tables: String,
 }
 
@@ -87,7 +88,7 @@
     program: PathBuf,
     name_prefix: String,
     options: Options,
-    /// The network between the managers.
+    /// The proxy between the managers.
     pub fault_proxy: FaultProxy,
     /// The UDP sockets of the managers.
     member_addrs: Vec<SocketAddr>,
@@ -97,17 +98,18 @@
     stand_ins: StandInThread<StandIns>,
     stand_in_addrs: StandInAddresses,
     processes: Vec<Option<Child>>,
-    /// The directory of the configurations and logs.
+    /// The directory with the configurations and logs.
     pub folder: Folder,
 }
 
 impl Fleet {
-    /// Starts the stand-ins and all managers, and waits until each is ready.
+    /// Starts a fleet with default options and waits until each manager is ready. The managers'
+    /// names begin with `name_prefix`; `seed` is that of the fault proxy.
     pub fn start(program: &Path, name_prefix: &str, seed: u64) -> Fleet {
         Fleet::start_with(program, name_prefix, seed, Options::default())
     }
 
-    /// Starts a fleet with options.
+    /// Starts a fleet with these options and waits until each manager is ready.
     pub fn start_with(program: &Path, name_prefix: &str, seed: u64, options: Options) -> Fleet {
         let member_addrs: Vec<SocketAddr> = (0..MEMBERS).map(|_| reserve_addr()).collect();
         let fault_proxy = FaultProxy::start(member_addrs.clone(), seed).expect("free ports");
@@ -135,7 +137,7 @@
         fleet
     }
 
-    /// Waits until a manager is ready.
+    /// Waits until a manager is ready, or the timeout has passed.
     fn wait_for_start(&mut self, member: usize) {
         let deadline = Instant::now() + START_TIMEOUT;
         while Instant::now() < deadline && self.readiness_status(member) != Some(200) {
@@ -143,7 +145,7 @@
             let ended = process.try_wait().ok().flatten();
             assert!(
                 ended.is_none(),
-                "member {member} ended at its start: {}",
+                "member {member} exited before it was ready: {}",
                 self.log(member)
             );
             std::thread::sleep(START_POLL);
@@ -155,7 +157,7 @@
         format!("{}{member}", self.name_prefix)
     }
 
-    /// The configuration of a manager with these shares in its settings.
+    /// The text of a manager's configuration with these shares.
     fn configuration(&self, member: usize, shares: TenantShares) -> String {
         let mut config = daemon::config(
             self.client_addrs[member],
@@ -190,15 +192,15 @@
         )
     }
 
-    /// Starts a manager, or restarts one that has ended, on a new address for clients.
+    /// Starts a manager, or restarts one that has exited, with a new address for clients.
     pub fn launch(&mut self, member: usize, shares: TenantShares) {
         self.client_addrs[member] = reserve_addr();
         self.write_configuration(member, shares);
         self.processes[member] = Some(self.spawn(member));
     }
 
-    /// Starts the next version of a manager beside the running process, for a hot restart. Returns
-    /// the older process, which the caller has to end.
+    /// Starts a successor beside a manager's running process, for a hot restart. Returns the
+    /// predecessor, which the caller has to end.
     pub fn start_successor(&mut self, member: usize) -> Option<Child> {
         self.admin_addrs[member] = reserve_addr();
         let successor = self.spawn(member);
@@ -229,7 +231,7 @@
             .expect("the program can be started")
     }
 
-    /// Writes new settings into a manager's configuration.
+    /// Writes a configuration with new shares for a manager, and notifies it if `reload` says so.
     pub fn reconfigure(&self, member: usize, shares: TenantShares, reload: Reload) {
         self.write_configuration(member, shares);
         if reload == Reload::Signal {
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Sends a manager's process a signal.
+    /// Sends a signal to a manager's process.
     pub fn signal(&self, member: usize, signal: Signal) {
         let process = self.processes[member].as_ref().expect("it runs");
         let pid = Pid::from_raw(process.id() as i32).expect("a process id is above 0");
@@ -252,7 +254,7 @@
         }
     }
 
-    /// Runs a task with the stand-ins and waits for its result.
+    /// Runs a task on the stand-ins' thread and waits for its result.
     pub fn with_stand_ins<T: Send + 'static>(
         &self,
         task: impl FnOnce(&StandIns) -> T + Send + 'static,
@@ -260,7 +262,7 @@
         self.stand_ins.call(|stand_ins, _| task(stand_ins))
     }
 
-    /// Sends a manager a query whose idempotency key is `number`, and waits for its response.
+    /// Sends a manager a query with the key `number`, and waits for its outcome.
     pub fn query(&self, member: usize, class: &str, number: u64, wait_ms: u64) -> ClientOutcome {
         let key = format!("{number:016x}");
         let statement = format!("SELECT 1 /* {key} */");
@@ -268,14 +270,14 @@
         block_on(clients::rpc(self.client_addrs[member], &line))
     }
 
-    /// Gets the status and the body of a path of a manager's admin endpoint, unless it does not
-    /// answer.
+    /// Returns the status and the body of a path of a manager's admin endpoint, or `None` if it
+    /// does not respond.
     pub fn admin_get(&self, member: usize, path: &str) -> Option<(u16, String)> {
         let call = clients::call_admin(self.admin_addrs[member], "GET", path);
         block_on(super::in_time(call)).flatten()
     }
 
-    /// The rows of a manager's `GET /fleet`, unless it does not answer.
+    /// The rows of a manager's `GET /fleet`, or `None` if it does not respond with status 200.
     pub fn view(&self, member: usize) -> Option<Vec<Value>> {
         let (status, body) = self.admin_get(member, "/fleet")?;
         let rows = body
@@ -284,7 +286,7 @@
         (status == 200).then(|| rows.collect())
     }
 
-    /// The state of `member` in the view of `observer`.
+    /// The state of `member` in the view of `observer`, if it is listed there.
     pub fn state_of(&self, observer: usize, member: usize) -> Option<String> {
         let name = self.name(member);
         let row = self
@@ -294,12 +296,12 @@
         row["health"].as_str().map(str::to_owned)
     }
 
-    /// The status of a manager's `GET /ready`, unless it does not answer.
+    /// The status of a manager's `GET /ready`, or `None` if it does not respond.
     pub fn readiness_status(&self, member: usize) -> Option<u16> {
         self.admin_get(member, "/ready").map(|(status, _)| status)
     }
 
-    /// Whether these managers see each other alive.
+    /// Whether each of these managers lists all others as alive.
     pub fn has_converged(&self, members: &[usize]) -> bool {
         members.iter().all(|observer| {
             members.iter().all(|member| {
@@ -319,7 +321,7 @@
         reports.join("\n")
     }
 
-    /// The log of a manager.
+    /// The text of a manager's log.
     pub fn log(&self, member: usize) -> String {
         std::fs::read_to_string(self.log_path(member)).unwrap_or_default()
     }
@@ -332,7 +334,7 @@
 impl Drop for Fleet {
     fn drop(&mut self) {
         for member in 0..MEMBERS {
-            // A stopped process has to continue before it can end.
+            // A stopped process has to be continued before it can exit.
             if self.processes[member].is_some() {
                 self.signal(member, Signal::CONT);
             }
@@ -341,7 +343,7 @@
     }
 }
 
-/// Polls a condition until it is true, for a minute at most. Returns whether it became true.
+/// Polls a condition until it is true, for one minute at most. Returns whether it became true.
 pub fn wait_until(mut condition: impl FnMut() -> bool) -> bool {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < deadline {
--- a/src/testkit/fleet/stand_ins.rs
+++ b/src/testkit/fleet/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-in engines and coordinators around a fleet, on a thread of their own.
+//! The stand-in engines and coordinators of a fleet.
 use crate::net::discovery::ListedEndpoint;
 use crate::policy::api::Readiness;
 use crate::testkit::coordinator::{Coordinator, known, ready_endpoint};
@@ -9,18 +9,19 @@
 use std::net::SocketAddr;
 use std::ops::Range;
 
-/// The stand-in engines of a fleet.
+/// The number of stand-in engines of a fleet.
 pub const ENGINES: usize = 2;
 
-/// One coordinator for each manager, so that a manager can miss what the others are notified of;
-/// and each engine at a separate address for each manager, so that the execution log tells which
-/// manager used it.
+/// The stand-ins of a fleet. Each manager has its own coordinator, so that it can miss an event
+/// that the others receive, and reaches each engine at a separate address, so that the execution
+/// log shows which manager used the engine.
 pub struct StandIns {
-    /// By the index of the manager.
+    /// The coordinators, by the index of the manager.
     pub coordinators: Vec<Coordinator>,
-    /// By the index of the manager, then by engine; the engines' ids start at 1.
+    /// The engines, by the index of the manager and then of the engine. The engines' ids start at
+    /// 1.
     pub engines: Vec<Vec<Engine>>,
-    /// What the engines received.
+    /// The log of the queries and probes that the engines received.
     pub execution_log: ExecutionLog,
 }
 
@@ -58,7 +59,7 @@
         listed
     }
 
-    /// The endpoint list that a manager's configuration begins with.
+    /// The endpoint list in a manager's initial configuration.
     fn initial_list(&self, manager: usize) -> Value {
         let endpoints: Vec<ListedEndpoint> = (0..ENGINES)
             .map(|engine| self.listed_endpoint(manager, engine, Readiness::Ready))
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Notifies some managers of an engine's state.
+    /// Notifies a range of managers of an engine's readiness.
     pub fn announce(&self, managers: Range<usize>, engine: usize, readiness: Readiness) {
         for manager in managers {
             let endpoint = self.listed_endpoint(manager, engine, readiness);
@@ -82,22 +83,22 @@
         }
     }
 
-    /// The number of load probes that a manager sent to an engine.
+    /// The number of health checks and load probes that an engine received from a manager.
     pub fn probe_count(&self, manager: usize, engine: usize) -> usize {
         self.execution_log
             .probe_count(&engine_name(manager, engine))
     }
 }
 
-/// The name of an engine in the execution log, as a manager reaches it.
+/// The name in the execution log of an engine as a manager reaches it.
 fn engine_name(manager: usize, engine: usize) -> String {
     format!("m{manager}/e{engine}")
 }
 
-/// What the configurations of the managers need of the stand-ins.
+/// The data of the stand-ins that the managers' configurations contain.
 pub(super) struct StandInAddresses {
     /// The addresses of the coordinators, by the index of the manager.
     pub(super) coordinators: Vec<SocketAddr>,
-    /// The endpoint lists that the managers' configurations begin with.
+    /// The endpoint lists in the initial configurations, by the index of the manager.
     pub(super) initial_lists: Vec<Value>,
 }
--- a/src/testkit/http_reader.rs
+++ b/src/testkit/http_reader.rs
@@ -1,29 +1,29 @@
-//! Reads whole HTTP messages from bytes that come in pieces.
+//! Reads complete HTTP messages from a stream of bytes.
 use crate::http::{self, Body, Fault, Head};
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use std::net::TcpStream;
 
 const READ_BUFFER_BYTES: usize = 8_192;
-/// The longest body that [`read_http`] reads.
+/// The maximum length of a body that [`read_http`] reads.
 const MAX_BODY_BYTES: usize = 1 << 22;
 
-/// A message with its body.
+/// The head and the body of a message.
 pub type Message = (Head, Vec<u8>);
 
-/// Reads one message after the other.
+/// Parses the messages of a connection one after the other.
 pub struct HttpReader {
-    /// The framing of a body that the head says nothing of.
+    /// The framing of the body if the head has no field for it.
     default_body: Body,
     max_body_bytes: usize,
-    /// The message of which the head has been read.
+    /// The head of a message whose body is not complete, and the framing of the body.
     partial: Option<(Head, Body)>,
     body: Vec<u8>,
 }
 
 impl HttpReader {
-    /// A reader at the start of a message. `default_body` is the framing of a body that the head says
-    /// nothing of.
+    /// Creates a reader at the start of a message. `default_body` is the framing of the body if the
+    /// head has no field for it.
     pub fn new(default_body: Body, max_body_bytes: usize) -> HttpReader {
         HttpReader {
             default_body,
@@ -33,10 +33,11 @@
         }
     }
 
-    /// Takes the next message from the input; `None` if it is not complete.
+    /// Takes the next message from the input, or returns `None` if it is not complete.
     ///
     /// # Errors
-    /// The input is no HTTP message. Nothing more can be read.
+    /// The input is not a valid HTTP message, or its body is too long. The reader can't be used any
+    /// more.
     pub fn take(&mut self, input: &mut Vec<u8>) -> Result<Option<Message>, Fault> {
         if self.partial.is_none()
             && let Some((head, used)) = http::head(input)?
@@ -58,7 +59,7 @@
     }
 }
 
-/// Reads one message; `None` once the peer has closed.
+/// Reads one message, or returns `None` if the connection ends before it or the message is invalid.
 pub async fn read_http(
     stream: &Async<TcpStream>,
     input: &mut Vec<u8>,
--- a/src/testkit/mod.rs
+++ b/src/testkit/mod.rs
@@ -1,5 +1,5 @@
-//! Test kit: stand-ins on the loopback interface for everything that the daemon communicates with,
-//! and short scripted scenarios. The repository's own tests use the same stand-ins.
+//! The test kit: stand-ins on the loopback interface for everything that the daemon communicates
+//! with, and short scripted scenarios. The tests of this repository use the same stand-ins.
 pub mod audit;
 pub mod blocked_links;
 pub mod clients;
@@ -31,22 +31,23 @@
 
 /// Interval between two checks of a condition.
 const POLL_INTERVAL_MILLIS: u64 = 5;
-/// Checks of a condition until it counts as not met: 30 seconds, also for slow machines.
+/// The number of checks after which a condition counts as not met: 30 seconds, long enough for slow
+/// machines.
 const MAX_POLLS: usize = 6_000;
-/// Time after which an operation counts as stuck.
+/// Time after which an operation counts as hung.
 const OPERATION_TIMEOUT_MILLIS: u64 = 30_000;
 
 /// The executor of the stand-ins.
 pub type Executor = Rc<LocalExecutor<'static>>;
 
-/// A listener on a free port of the loopback.
+/// Binds a listener to a free port of the loopback interface.
 pub fn listener() -> (Async<TcpListener>, SocketAddr) {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a free loopback port");
     let addr = listener.get_ref().local_addr().expect("the port's address");
     (listener, addr)
 }
 
-/// Waits until a condition is met, for as long as a slow machine may need; gives whether it was.
+/// Polls a condition until it is met, for 30 seconds at most. Returns whether it was met.
 pub async fn wait_until(mut condition: impl FnMut() -> bool) -> bool {
     for _ in 0..MAX_POLLS {
         if condition() {
@@ -57,12 +58,12 @@
     false
 }
 
-/// Waits for some milliseconds.
+/// Waits for this many milliseconds.
 pub async fn pause(millis: u64) {
     Timer::after(Duration::from_millis(millis)).await;
 }
 
-/// Waits for an operation, or gives `None` after a time that no machine needs.
+/// Waits for an operation, or returns `None` after a timeout that is long enough for slow machines.
 pub async fn in_time<T>(operation: impl Future<Output = T>) -> Option<T> {
     let completed = async { Some(operation.await) };
     let timeout = async {
--- a/src/testkit/planned_restart.rs
+++ b/src/testkit/planned_restart.rs
@@ -1,7 +1,8 @@
-//! The platform's times at a planned restart, as its protocol states them.
+//! The times of a planned restart in the platform's protocol.
 use std::time::Duration;
 
-/// The longest deadline that the platform waits for after SIGTERM.
+/// The platform waits for the longest deadline after SIGTERM, but for no longer than this.
 pub const MAX_DEADLINE_WAIT: Duration = Duration::from_secs(3);
-/// How long after that the platform kills the process at the earliest.
+/// The platform kills the process at the earliest this long after the wait for the longest
+/// deadline.
 pub const KILL_SLACK: Duration = Duration::from_millis(700);
--- a/src/testkit/plot.rs
+++ b/src/testkit/plot.rs
@@ -1,4 +1,4 @@
-//! Charts of measured figures, as SVG.
+//! Draws charts of measured figures as SVG.
 use super::membership_simulation::FleetFigures;
 use plotters::coord::Shift;
 use plotters::drawing::DrawingAreaErrorKind;
@@ -10,21 +10,21 @@
 
 /// The size of the image in pixels.
 const IMAGE_SIZE: (u32, u32) = (960, 400);
-/// The part of the y axis above the largest value.
+/// The upper end of the y axis as a multiple of the largest value.
 const Y_MARGIN: f64 = 1.15;
 
-/// A chart could not be drawn.
+/// The error of a chart that could not be drawn.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct PlotError(#[from] DrawingAreaErrorKind<io::Error>);
 
-/// A line of a chart.
+/// A line in a chart.
 struct Series {
     label: &'static str,
     value: fn(&FleetFigures) -> f64,
 }
 
-/// A chart of several series over the size of the fleet.
+/// A chart of several series by the size of the fleet.
 struct FleetChart<'a> {
     title: &'static str,
     unit: &'static str,
@@ -73,7 +73,7 @@
     },
 ];
 
-/// Draws the detection times and the traffic of fleets over their size.
+/// Draws the detection times and the traffic of fleets by their size.
 ///
 /// # Errors
 /// The drawing library rejected the chart.
