--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Builders that the tests of the decision module share: settings, endpoints, requests, outcomes,
+//! Builders shared by the tests of the decision module: settings, endpoints, requests, outcomes,
 //! and a gateway with its clock.
 #![allow(dead_code)]
 
@@ -11,27 +11,27 @@
     RequestId, RetryBudget, Settings, TenantSpec, ZoneId,
 };
 
-/// A millisecond.
+/// One millisecond in nanoseconds.
 pub(crate) const MILLISECOND: Nanos = 1_000_000;
-/// A second.
+/// One second in nanoseconds.
 pub(crate) const SECOND: Nanos = 1_000_000_000;
-/// The time at which the tests begin: late enough for engines that started long ago.
+/// The time at which the tests begin, late enough for engines to have started long before.
 pub(crate) const START_TIME: Nanos = 100 * SECOND;
-/// Time between two sweeps of the module.
+/// Interval between two periodic ticks of the module.
 pub(crate) const TICK_INTERVAL: Nanos = 20 * MILLISECOND;
-/// Token of the module's own timer.
+/// The token of the module's tick timer.
 pub(crate) const TICK_TIMER: u64 = 1;
 
-/// Class of short, idempotent requests.
+/// The class of short, idempotent requests.
 pub(crate) const SHORT: u16 = 0;
-/// Class of long, idempotent requests, which run on machine type 0 alone.
+/// The class of long, idempotent requests, which run only on machine type 0.
 pub(crate) const LONG: u16 = 1;
-/// Class of loads, which are not idempotent and serial per key.
+/// The class of loads, which are not idempotent and run one at a time per key.
 pub(crate) const LOAD: u16 = 2;
-/// Class of short requests with an idempotency key that one cell knows.
+/// The class of short requests with an idempotency key that is known within one cell.
 pub(crate) const KEYED: u16 = 3;
 
-/// A class without special rules.
+/// A class without placement, serialization or streaming rules.
 pub(crate) fn class(
     idempotency: Idempotency,
     threads: f64,
@@ -105,8 +105,8 @@
     }
 }
 
-/// Settings of a single gateway with four classes, two machine types (8 and 4 cores) and one tenant
-/// with ample quota.
+/// The settings of a single gateway with four classes, two machine types (8 and 4 cores) and one
+/// tenant with a large quota.
 pub(crate) fn test_settings() -> Settings {
     let large = MachineTypeSpec {
         cores: 8.0,
@@ -143,7 +143,7 @@
     }
 }
 
-/// A ready endpoint; engines of even and odd ids form two cells.
+/// A ready endpoint. Engines with even and odd ids form two cells.
 pub(crate) fn endpoint(id: u64, machine_type: u16, started_at: Nanos) -> Endpoint {
     Endpoint {
         id: EngineId(id),
@@ -171,7 +171,7 @@
     warm_endpoints(1..=2)
 }
 
-/// A request that is received `now`, with its deadline counted from there.
+/// A request with a `deadline` counted from `now`.
 pub(crate) fn request(id: u32, class: u16, now: Nanos, deadline: Nanos, work: Nanos) -> Request {
     Request {
         id: RequestId(id),
@@ -182,7 +182,7 @@
     }
 }
 
-/// The end of an attempt; one that completes finishes its request.
+/// The end of an attempt. A completed attempt finishes its request.
 pub(crate) fn attempt_outcome(
     id: u32,
     attempt: u16,
@@ -210,12 +210,12 @@
 }
 
 impl GatewayHarness {
-    /// A gateway at [`START_TIME`] that has received a complete endpoint list.
+    /// Creates a gateway at [`START_TIME`] and gives it a complete endpoint list.
     pub(crate) fn new(settings: Settings, entries: Vec<Endpoint>) -> GatewayHarness {
         GatewayHarness::with_seed(settings, entries, 7)
     }
 
-    /// The same, with the seed of its random numbers.
+    /// Like [`GatewayHarness::new`], with a seed for its random numbers.
     pub(crate) fn with_seed(
         settings: Settings,
         entries: Vec<Endpoint>,
@@ -224,7 +224,7 @@
         GatewayHarness::started_at(START_TIME, settings, entries, seed)
     }
 
-    /// The same, at this time.
+    /// Like [`GatewayHarness::with_seed`], at this time.
     pub(crate) fn started_at(
         now: Nanos,
         settings: Settings,
@@ -237,7 +237,7 @@
         harness
     }
 
-    /// Handles an event and returns the actions, but for timers and log lines.
+    /// Handles an event and returns the actions except for timers and log lines.
     pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
@@ -245,7 +245,7 @@
         actions
     }
 
-    /// Receives a request of this class, deadline (counted from now) and estimated work.
+    /// Receives a request with this class, deadline (counted from now) and estimated work.
     pub(crate) fn submit(
         &mut self,
         id: u32,
@@ -261,7 +261,7 @@
         self.handle(Event::Request(request))
     }
 
-    /// An attempt ends.
+    /// Ends an attempt.
     pub(crate) fn end_attempt(
         &mut self,
         id: u32,
@@ -273,7 +273,7 @@
         self.handle(attempt_outcome(id, attempt, engine, kind, latency))
     }
 
-    /// The first attempt of a request reports progress.
+    /// Reports progress of a request's first attempt.
     pub(crate) fn report_progress(&mut self, id: u32, update: ProgressUpdate) -> Vec<Action> {
         self.handle(Event::Progress {
             id: RequestId(id),
@@ -282,7 +282,7 @@
         })
     }
 
-    /// The endpoint list is updated.
+    /// Updates the endpoint list.
     pub(crate) fn update_endpoints(
         &mut self,
         kind: EndpointListKind,
@@ -291,7 +291,7 @@
         self.handle(Event::EndpointList { kind, entries })
     }
 
-    /// Advances the clock, with the module's own timer firing at every [`TICK_INTERVAL`].
+    /// Advances the clock, firing the module's tick timer every [`TICK_INTERVAL`].
     pub(crate) fn advance(&mut self, span: Nanos) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -310,7 +310,7 @@
     Failed,
 }
 
-/// The attempts that the actions start: request and engine.
+/// The attempts that the actions start, as pairs of request and engine.
 pub(crate) fn attempts_started(actions: &[Action]) -> Vec<(u32, EngineId)> {
     let attempt = |action: &Action| match action {
         Action::Send { id, engine, .. } => Some((id.0, *engine)),
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,8 +1,9 @@
-//! A soak: real daemons between stand-ins, under a load that goes on, and everything that a seed draws:
-//! settings, faults of engines and of discovery, signals in series, planned restarts with the kill at
-//! the earliest moment, new versions, crashes, crowds. A run is played again by its seed alone.
+//! Soak test: runs real daemons between stand-ins under a sustained load, with events drawn from a
+//! seed: settings, faults of engines and of discovery, series of signals, planned restarts with the
+//! kill at the earliest time, hot restarts, crashes, and many idle clients. A run is repeated with
+//! its seed alone.
 //!
-//! A few seeds are tests of their own. The long soak is started by hand:
+//! A few seeds run by default as separate tests. The long soak is started by hand:
 //!
 //! ```sh
 //! SOAK_SEEDS=50 SOAK_FIRST=1000 cargo test --release --test soak -- --ignored --nocapture
@@ -18,24 +19,24 @@
 #[path = "soak/stand_ins.rs"]
 mod stand_ins;
 
-use checks::{Checked, Counts};
+use checks::{CheckResult, Counts};
 use manager::TestManager;
-use plan::{RUN_MILLIS, SettingsKind, SoakPlan, WorldEvent};
+use plan::{RUN_MILLIS, SettingsKind, SoakPlan, StandInEvent};
 use stand_ins::StandIns;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use yokelift::testkit::execution_log::ExecutionLimits;
 use yokelift::testkit::stand_in_thread::StandInThread;
 
-/// How long a drained engine stays so.
+/// How long a drained engine keeps draining before it is ready again.
 const DRAIN_MILLIS: u64 = 1_000;
-/// The seeds of the long soak, unless the environment says otherwise.
+/// The number of seeds of the long soak and its first seed, unless the environment sets them.
 const DEFAULT_SEEDS: u64 = 50;
 const DEFAULT_FIRST_SEED: u64 = 1_000;
-/// Runs of the long soak at the same time.
+/// The number of concurrent runs of the long soak.
 const PARALLEL_RUNS: u64 = 3;
 
-/// What came of a run.
+/// The result of a run.
 struct Outcome {
     seed: u64,
     settings: SettingsKind,
@@ -45,7 +46,7 @@
 }
 
 impl Outcome {
-    /// One line, and one more for each finding.
+    /// One line for the run, and one more for each finding.
     fn summary(&self) -> String {
         let mut text = format!("seed {} {:?} {:?}", self.seed, self.settings, self.counts);
         for finding in &self.findings {
@@ -55,7 +56,7 @@
     }
 }
 
-fn play(seed: u64) -> Outcome {
+fn run_seed(seed: u64) -> Outcome {
     println!("soak seed {seed}");
     let plan = SoakPlan::draw(seed);
     let limits = ExecutionLimits::of_settings(&plan.settings.settings());
@@ -65,39 +66,35 @@
     let (coordinator, initial_list) =
         stand_ins.call(|it, _| (it.coordinator_addr(), it.initial_list()));
     let managers: Vec<Arc<TestManager>> = (plan.managers.iter().cloned().enumerate())
-        .map(|(index, plan_of_one)| {
+        .map(|(index, manager_plan)| {
             let list = initial_list.clone();
-            let manager = TestManager::start(index, plan.settings, plan_of_one, coordinator, list);
+            let manager = TestManager::start(index, plan.settings, manager_plan, coordinator, list);
             Arc::new(manager)
         })
         .collect();
-    play_events(&plan, &managers, &stand_ins);
+    run_events(&plan, &managers, &stand_ins);
     finish(&plan, &managers, &stand_ins)
 }
 
-/// Plays what was drawn, with the load beside it.
-fn play_events(
-    plan: &SoakPlan,
-    managers: &[Arc<TestManager>],
-    stand_ins: &StandInThread<StandIns>,
-) {
+/// Runs the drawn events under the load.
+fn run_events(plan: &SoakPlan, managers: &[Arc<TestManager>], stand_ins: &StandInThread<StandIns>) {
     let started_at = Instant::now();
-    let scripts: Vec<_> = managers
+    let event_threads: Vec<_> = managers
         .iter()
         .enumerate()
         .map(|(index, manager)| {
             manager.start_load(plan.seed * 64 + index as u64 * 2);
             let manager = manager.clone();
-            std::thread::spawn(move || manager.play())
+            std::thread::spawn(move || manager.run_events())
         })
         .collect();
-    for (at, event) in with_resumes(&plan.world) {
+    for (at, event) in with_resumes(&plan.stand_in_events) {
         sleep_until(started_at + Duration::from_millis(at));
-        play_world_event(event, managers, stand_ins);
+        apply_step(event, managers, stand_ins);
     }
     sleep_until(started_at + Duration::from_millis(RUN_MILLIS));
-    for script in scripts {
-        script.join().expect("no event panics");
+    for thread in event_threads {
+        thread.join().expect("no event thread panics");
     }
 }
 
@@ -105,43 +102,43 @@
     std::thread::sleep(at.saturating_duration_since(Instant::now()));
 }
 
-/// An event of the stand-ins, or the end of one.
-enum WorldStep {
-    Begin(WorldEvent),
+/// The start of an event of the stand-ins, or the end of a drain.
+enum StandInStep {
+    Begin(StandInEvent),
     Resume(usize),
 }
 
-/// The events with the ends of the drains among them, in order.
-fn with_resumes(world: &[(u64, WorldEvent)]) -> Vec<(u64, WorldStep)> {
+/// The events and the ends of the drains, in order of time.
+fn with_resumes(events: &[(u64, StandInEvent)]) -> Vec<(u64, StandInStep)> {
     let mut steps = Vec::new();
-    for (at, event) in world {
-        if let WorldEvent::Drain(engine) = event {
-            steps.push((at + DRAIN_MILLIS, WorldStep::Resume(*engine)));
+    for (at, event) in events {
+        if let StandInEvent::Drain(engine) = event {
+            steps.push((at + DRAIN_MILLIS, StandInStep::Resume(*engine)));
         }
-        steps.push((*at, WorldStep::Begin(event.clone())));
+        steps.push((*at, StandInStep::Begin(event.clone())));
     }
     steps.sort_by_key(|(at, _)| *at);
     steps
 }
 
-fn play_world_event(
-    step: WorldStep,
+fn apply_step(
+    step: StandInStep,
     managers: &[Arc<TestManager>],
     stand_ins: &StandInThread<StandIns>,
 ) {
     let event = match step {
-        WorldStep::Resume(engine) => return stand_ins.call(move |it, _| it.resume(engine)),
-        WorldStep::Begin(event) => event,
+        StandInStep::Resume(engine) => return stand_ins.call(move |it, _| it.resume(engine)),
+        StandInStep::Begin(event) => event,
     };
     match event {
-        WorldEvent::Faults(faults) => stand_ins.call(move |it, _| it.push_faults(&faults)),
-        WorldEvent::Drain(engine) => stand_ins.call(move |it, _| it.drain(engine)),
-        WorldEvent::Replace(engine) => {
+        StandInEvent::Faults(faults) => stand_ins.call(move |it, _| it.push_faults(&faults)),
+        StandInEvent::Drain(engine) => stand_ins.call(move |it, _| it.drain(engine)),
+        StandInEvent::Replace(engine) => {
             stand_ins.call(move |it, executor| it.replace(executor, engine));
         }
-        WorldEvent::SilentCoordinator => stand_ins.call(|it, _| it.silence_coordinator()),
-        WorldEvent::BrokenWatches => stand_ins.call(|it, _| it.break_watches()),
-        WorldEvent::MovedCoordinator => {
+        StandInEvent::StalledWatches => stand_ins.call(|it, _| it.stall_watches()),
+        StandInEvent::ClosedWatches => stand_ins.call(|it, _| it.close_watches()),
+        StandInEvent::MovedCoordinator => {
             let coordinator = stand_ins.call(|it, executor| it.move_coordinator(executor));
             for manager in managers {
                 manager.move_coordinator(coordinator);
@@ -150,7 +147,7 @@
     }
 }
 
-/// Ends the load and the managers, and checks the records.
+/// Ends the load and the managers, and checks the records of the run.
 fn finish(
     plan: &SoakPlan,
     managers: &[Arc<TestManager>],
@@ -169,8 +166,9 @@
             let key = key.to_owned();
             stand_ins.call(move |it, _| it.runs(&key))
         };
-        let one_shot = !plan.settings.has_keyed_loads();
-        let Checked { counts, findings } = checks::check(index, report, one_shot, runs);
+        let loads_are_one_shot = !plan.settings.has_keyed_loads();
+        let CheckResult { counts, findings } =
+            checks::check(index, report, loads_are_one_shot, runs);
         for (name, count) in counts {
             *outcome.counts.entry(name).or_default() += count;
         }
@@ -184,9 +182,9 @@
     outcome
 }
 
-/// Plays a seed, and fails with what it found.
-fn assert_sound(seed: u64) {
-    let outcome = play(seed);
+/// Runs a seed and panics if there are findings.
+fn assert_no_findings(seed: u64) {
+    let outcome = run_seed(seed);
     let plan = SoakPlan::draw(seed);
     assert!(
         outcome.findings.is_empty(),
@@ -198,43 +196,44 @@
 
 #[test]
 fn soak_seed_1() {
-    assert_sound(1);
+    assert_no_findings(1);
 }
 
 #[test]
 fn soak_seed_2() {
-    assert_sound(2);
+    assert_no_findings(2);
 }
 
 #[test]
 fn soak_seed_3() {
-    assert_sound(3);
+    assert_no_findings(3);
 }
 
 #[test]
 fn soak_seed_4() {
-    assert_sound(4);
+    assert_no_findings(4);
 }
 
-/// Guards against a backlog that nobody empties: a crowd, and connections made 0.9 s after SIGTERM.
+/// Guards against connections that stay unaccepted in the listen backlog: many idle clients
+/// connect, and further connections are made 0.9 s after SIGTERM.
 #[test]
 fn soak_seed_2016() {
-    assert_sound(2016);
+    assert_no_findings(2016);
 }
 
-/// Guards against a backlog that nobody empties, with other signals.
+/// Guards against connections that stay unaccepted in the listen backlog, with other signals.
 #[test]
 fn soak_seed_5038() {
-    assert_sound(5038);
+    assert_no_findings(5038);
 }
 
 fn number_from_environment(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// Plays a seed and prints what came of it, with the daemons' log where something was found.
-fn play_and_print(seed: u64) -> Outcome {
-    let outcome = play(seed);
+/// Runs a seed and prints its result, with the daemons' logs if there are findings.
+fn run_and_print(seed: u64) -> Outcome {
+    let outcome = run_seed(seed);
     println!("{}", outcome.summary());
     if !outcome.findings.is_empty() {
         println!("{}", outcome.logs);
@@ -242,7 +241,7 @@
     outcome
 }
 
-/// The long soak: a line a seed, and a line for each thing that was found.
+/// The long soak: prints a line for each seed, and a line for each finding.
 #[test]
 #[ignore = "takes minutes: started by hand"]
 fn long_soak() {
@@ -251,7 +250,7 @@
     let runners: Vec<_> = (0..PARALLEL_RUNS)
         .map(|offset| {
             let seeds = (first + offset..first + count).step_by(PARALLEL_RUNS as usize);
-            std::thread::spawn(move || seeds.map(play_and_print).collect::<Vec<Outcome>>())
+            std::thread::spawn(move || seeds.map(run_and_print).collect::<Vec<Outcome>>())
         })
         .collect();
     let mut outcomes: Vec<Outcome> = runners
--- a/tests/soak/checks.rs
+++ b/tests/soak/checks.rs
@@ -1,5 +1,5 @@
-//! What has to hold after a run, by the clients' and the engines' records, never by the daemon's word.
-//! The bounds are those of the platform's protocol.
+//! Checks of a run, which use the records of the clients and the engines, and nothing that the
+//! daemon reports about itself. The limits are those of the platform's protocol.
 use super::manager::ManagerReport;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -8,90 +8,102 @@
 };
 use yokelift::testkit::execution_log::{Run, RunOutcome};
 
-/// A response that comes later than this after its time is a lost request.
+/// A response that arrives later than this after the end of the client's wait counts as a lost
+/// request.
 const LATE_RESPONSE: Duration = Duration::from_millis(500);
-/// An attempt that begins later than this after its client is gone breaks a rule.
-const GONE_NOTICE: Duration = Duration::from_millis(100);
-/// How long after a kill its clients may see the end of their connections.
-const KILL_NOTICE: Duration = Duration::from_millis(200);
-/// The findings of one kind that are told in full.
-const MAX_TOLD: usize = 3;
+/// An attempt may not start later than this after its client has cancelled the request or
+/// disconnected.
+const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
+/// How long after a kill its clients may observe the end of their connections.
+const KILL_GRACE: Duration = Duration::from_millis(200);
+/// The number of requests that a finding lists in full.
+const MAX_LISTED: usize = 3;
 const LOAD_CLASS: &str = "load";
 
-/// How many requests ended how.
+/// The number of requests by outcome.
 pub(crate) type Counts = BTreeMap<&'static str, usize>;
 
-/// What a run's records show.
-pub(crate) struct Checked {
+/// The result of checking a manager's records.
+pub(crate) struct CheckResult {
     pub(crate) counts: Counts,
     pub(crate) findings: Vec<String>,
 }
 
-/// Checks the record of a manager's clients. `runs` tells what the engines did with a request;
-/// `loads_are_one_shot` is whether a load may not run twice, whatever its key.
+/// Checks the records of a manager's clients. `runs` returns the runs of a request on the engines;
+/// `loads_are_one_shot` is whether a load may not run twice, even with the same key.
 pub(crate) fn check(
     manager: usize,
     report: &ManagerReport,
     loads_are_one_shot: bool,
     mut runs: impl FnMut(&str) -> Vec<Run>,
-) -> Checked {
-    let mut checked = Checked {
+) -> CheckResult {
+    let mut result = CheckResult {
         counts: Counts::new(),
         findings: Vec::new(),
     };
-    let mut tell = |kind: &str, requests: Vec<&SustainedRequest>| {
+    let mut add_finding = |kind: &str, requests: Vec<&SustainedRequest>| {
         if !requests.is_empty() {
-            let told = &requests[..requests.len().min(MAX_TOLD)];
+            let listed = &requests[..requests.len().min(MAX_LISTED)];
             let count = requests.len();
-            let finding = format!("m{manager}: {count} requests {kind}: {told:?}");
-            checked.findings.push(finding);
+            let finding = format!("m{manager}: {count} requests {kind}: {listed:?}");
+            result.findings.push(finding);
         }
     };
     for load in &report.loads {
         let select = |holds: &dyn Fn(&SustainedRequest) -> bool| {
             load.requests.iter().filter(|it| holds(it)).collect()
         };
-        tell("lost", select(&|it| is_lost(it, load, report)));
-        tell("answered twice", select(&|it| it.responses.len() > 1));
-        tell("answered late", select(&|it| is_late(it, load.lag)));
-        tell("answered with other rows", select(&has_other_rows));
-        tell(
-            "answered with what can't be read",
+        add_finding("lost", select(&|it| is_lost(it, load, report)));
+        add_finding(
+            "with several responses",
+            select(&|it| it.responses.len() > 1),
+        );
+        add_finding("with a late response", select(&|it| is_late(it, load.lag)));
+        add_finding("with wrong rows or none", select(&has_wrong_rows));
+        add_finding(
+            "with an unreadable response",
             select(&|it| first_outcome(it) == Some(&ClientOutcome::Interrupted)),
         );
-        let gone: Vec<&SustainedRequest> = select(&|it| gone_at(it).is_some());
-        let sent_for_nobody = gone.into_iter().filter(|it| {
-            let latest = gone_at(it).map(|at| unix_micros(at + GONE_NOTICE + load.lag));
+        let abandoned: Vec<&SustainedRequest> = select(&|it| stopped_waiting_at(it).is_some());
+        let sent_too_late = abandoned.into_iter().filter(|it| {
+            let latest =
+                stopped_waiting_at(it).map(|at| unix_micros(at + DISCONNECT_GRACE + load.lag));
             runs(&it.key)
                 .iter()
                 .any(|run| Some(run.started_at) > latest)
         });
-        tell("sent for a client that was gone", sent_for_nobody.collect());
+        add_finding(
+            "sent to an engine after the client stopped waiting",
+            sent_too_late.collect(),
+        );
         let rejected_loads: Vec<&SustainedRequest> = select(&|it| is_rejected_load(it));
-        let dishonest = rejected_loads
+        let wrongly_rejected = rejected_loads
             .into_iter()
             .filter(|_| loads_are_one_shot)
             .filter(|it| runs(&it.key).iter().any(may_have_run));
-        tell("rejected though they may have run", dishonest.collect());
+        add_finding(
+            "rejected although they may have run",
+            wrongly_rejected.collect(),
+        );
     }
     for load in &report.loads {
         if load.unexpected_responses > 0 {
             let count = load.unexpected_responses;
-            let finding = format!("m{manager}: {count} responses to nobody's request");
-            checked.findings.push(finding);
+            let finding = format!("m{manager}: {count} responses without a matching request");
+            result.findings.push(finding);
         }
         for request in &load.requests {
-            *checked.counts.entry(outcome_name(request)).or_default() += 1;
+            *result.counts.entry(outcome_name(request)).or_default() += 1;
         }
     }
-    checked
+    result
 }
 
 fn first_outcome(request: &SustainedRequest) -> Option<&ClientOutcome> {
     request.responses.first().map(|(_, outcome)| outcome)
 }
 
-/// Whether the request is without a response that it is owed.
+/// Whether the request has no response although one was required.
 fn is_lost(request: &SustainedRequest, load: &SustainedLoadReport, report: &ManagerReport) -> bool {
     if !request.is_lost(load.lag) {
         return false;
@@ -102,14 +114,16 @@
     let by_kill = report
         .kills
         .iter()
-        .any(|killed_at| follows(ended_at, *killed_at, KILL_NOTICE + load.lag));
-    // Where idle clients fill the descriptors, new connections may be closed unread.
-    let by_crowd = report.has_crowd && request.is_first && end != ConnectionEnd::LoadEnded;
-    !by_kill && !by_crowd
+        .any(|killed_at| follows(ended_at, *killed_at, KILL_GRACE + load.lag));
+    // While idle clients use up the descriptors, new connections may be closed before they are
+    // read.
+    let by_idle_clients =
+        report.has_idle_clients && request.is_first && end != ConnectionEnd::LoadEnded;
+    !by_kill && !by_idle_clients
 }
 
-/// When the client stopped waiting: it cancelled the request, or left.
-fn gone_at(request: &SustainedRequest) -> Option<Instant> {
+/// When the client stopped waiting: it cancelled the request or disconnected.
+fn stopped_waiting_at(request: &SustainedRequest) -> Option<Instant> {
     let left_at = request
         .connection_end
         .filter(|(_, end)| *end == ConnectionEnd::Disconnected)
@@ -117,7 +131,7 @@
     request.cancelled_at.into_iter().chain(left_at).min()
 }
 
-/// A moment of this process's clock as the engines' log has it.
+/// Converts an instant of this process to the time base of the engines' log.
 fn unix_micros(at: Instant) -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -137,8 +151,8 @@
     request.cancelled_at.is_none() && response.is_some_and(|(at, _)| *at > due_at)
 }
 
-/// Whether it was served with rows that no engine made for it.
-fn has_other_rows(request: &SustainedRequest) -> bool {
+/// Whether it completed with no rows, or with rows that no engine produced for it.
+fn has_wrong_rows(request: &SustainedRequest) -> bool {
     let Some(ClientOutcome::Completed(rows)) = first_outcome(request) else {
         return false;
     };
--- a/tests/soak/manager.rs
+++ b/tests/soak/manager.rs
@@ -1,5 +1,5 @@
-//! A manager under test: its processes, its clients, and what the seed lets happen to it.
-use super::plan::{ManagerEvent, ManagerPlan, SettingsKind, SignalStep, Upgrade};
+//! A manager under test: its processes, its clients, and its events.
+use super::plan::{HotRestart, ManagerEvent, ManagerPlan, SettingsKind, SignalStep};
 use super::settings::{KEY, TENANT, USER, deploy_file};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -17,26 +17,26 @@
 use yokelift::testkit::planned_restart::{KILL_SLACK, MAX_DEADLINE_WAIT};
 use yokelift::testkit::ports::reserve_addr;
 
-/// The variable that names another build to play against.
+/// The environment variable that names another build to test.
 const PROGRAM: &str = "SOAK_PROGRAM";
-/// The longest deadline that the platform waits for at the end of an older version.
-const UPGRADE_DEADLINE: Duration = Duration::from_secs(5);
-/// New connections keep coming for 0.2 to 0.4 s after SIGTERM.
-const FRONT_NOTICE: Duration = Duration::from_millis(300);
-/// A process has to be ready within this time; a new version within 6 s.
+/// The longest deadline that the platform waits for at the end of a predecessor.
+const HOT_RESTART_DEADLINE: Duration = Duration::from_secs(5);
+/// New connections keep arriving for 0.2 to 0.4 s after SIGTERM.
+const RECONNECT_PERIOD: Duration = Duration::from_millis(300);
+/// A process has to be ready within this time, and a successor within 6 s.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-const NEW_VERSION_TIMEOUT: Duration = Duration::from_secs(6);
+const SUCCESSOR_READY_TIMEOUT: Duration = Duration::from_secs(6);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long after SIGTERM the old version is killed, where it is.
+/// How long after SIGTERM a predecessor is killed that has to be killed early.
 const KILL_AFTER_TERM: Duration = Duration::from_millis(200);
-/// How long a new version that is killed at its start has run.
-const NEW_VERSION_AGE: Duration = Duration::from_millis(20);
-/// The descriptors that a manager may hold.
+/// How long a successor runs that is killed at its start.
+const SUCCESSOR_LIFETIME: Duration = Duration::from_millis(20);
+/// The limit on a manager's open descriptors.
 const MAX_SOCKETS: usize = 256;
-/// How long a crowd stays.
-const CROWD_STAY: Duration = Duration::from_millis(2_500);
+/// How long idle clients stay connected.
+const IDLE_CLIENT_LIFETIME: Duration = Duration::from_millis(2_500);
 
-/// The program: this build's, or one that the environment names.
+/// The program under test: the one of this build unless the environment names another.
 fn program() -> PathBuf {
     let named = std::env::var_os(PROGRAM).map(PathBuf::from);
     named.unwrap_or_else(|| env!("CARGO_BIN_EXE_yokelift").into())
@@ -51,7 +51,7 @@
 impl Process {
     fn signal(&self, signal: Signal) {
         if let Some(pid) = Pid::from_raw(self.child.id() as i32) {
-            // A process that has ended is found out where its end is due.
+            // A process that has already exited is detected by the check of its exit.
             let _ = kill_process(pid, signal);
         }
     }
@@ -61,8 +61,8 @@
         async_io::block_on(call).is_some_and(|(status, _)| status == 200)
     }
 
-    /// Waits until it is ready; gives whether it was in time.
-    fn becomes_ready(&mut self, timeout: Duration) -> bool {
+    /// Waits until it is ready. Returns whether it was ready in time.
+    fn wait_until_ready(&mut self, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         while Instant::now() < deadline {
             if self.is_ready() {
@@ -101,15 +101,15 @@
     }
 }
 
-/// What the clients of a manager saw, and what excuses a request without a response.
+/// The records of a manager's clients, and the events that may leave requests without a response.
 pub(crate) struct ManagerReport {
     pub(crate) loads: Vec<SustainedLoadReport>,
-    /// When a process was killed before the platform would.
+    /// When a process was killed earlier than the platform kills it.
     pub(crate) kills: Vec<Instant>,
-    pub(crate) has_crowd: bool,
+    pub(crate) has_idle_clients: bool,
 }
 
-/// A manager with its present process.
+/// A manager with its present process and its clients.
 pub(crate) struct TestManager {
     name: String,
     settings: SettingsKind,
@@ -131,7 +131,7 @@
 }
 
 impl TestManager {
-    /// Starts its first process and waits until it is ready.
+    /// Starts a manager's first process and waits until it is ready.
     pub(crate) fn start(
         index: usize,
         settings: SettingsKind,
@@ -144,7 +144,7 @@
             settings,
             plan,
             initial_list,
-            folder: Folder::new().expect("a folder"),
+            folder: Folder::new().expect("a temporary directory"),
             listen: reserve_addr(),
             http_listen: reserve_addr(),
             coordinator: Mutex::new(coordinator),
@@ -159,7 +159,7 @@
         manager
     }
 
-    /// Begins the load of its clients.
+    /// Starts the load of its clients.
     pub(crate) fn start_load(&self, seed: u64) {
         let longest = self.settings.longest_deadline().as_millis() as u64;
         let plan = SustainedLoadPlan {
@@ -168,7 +168,7 @@
             protocol: SustainedProtocol::JsonRpc,
             classes: self.settings.rpc_classes(),
             tenant: TENANT,
-            wait_ms: self.plan.least_wait_millis..=longest.min(4_000),
+            wait_ms: self.plan.min_wait_millis..=longest.min(4_000),
             cancelled_percent: 3,
             disconnected_percent: 1,
             seed,
@@ -189,27 +189,27 @@
         ];
     }
 
-    fn set_reconnect_enabled(&self, is_open: bool) {
+    fn set_reconnect_enabled(&self, is_enabled: bool) {
         for load in lock(&self.loads).iter() {
-            load.set_reconnect_enabled(is_open);
+            load.set_reconnect_enabled(is_enabled);
         }
     }
 
-    /// Plays its events.
-    pub(crate) fn play(&self) {
+    /// Runs its events one after the other.
+    pub(crate) fn run_events(&self) {
         for (pause_millis, event) in &self.plan.events {
             std::thread::sleep(Duration::from_millis(*pause_millis));
             match event {
                 ManagerEvent::Signals(signals) => drop(self.send(signals)),
                 ManagerEvent::PlannedRestart(signals) => self.restart(signals),
-                ManagerEvent::Upgrade(upgrade) => self.upgrade(*upgrade),
+                ManagerEvent::HotRestart(hot_restart) => self.hot_restart(*hot_restart),
                 ManagerEvent::Crash => self.crash(),
-                ManagerEvent::Crowd(clients) => self.crowd(*clients),
+                ManagerEvent::IdleClients(clients) => self.connect_idle_clients(*clients),
             }
         }
     }
 
-    /// The managers are told where discovery has moved.
+    /// Configures the coordinator's new address, and makes the manager reload it.
     pub(crate) fn move_coordinator(&self, coordinator: SocketAddr) {
         *lock(&self.coordinator) = coordinator;
         self.write_configuration();
@@ -218,12 +218,12 @@
         }
     }
 
-    fn note(&self, finding: String) {
+    fn add_finding(&self, finding: String) {
         lock(&self.findings).push(format!("{}: {finding}", self.name));
     }
 
-    fn with_process<T: Default>(&self, look: impl FnOnce(&mut Process) -> T) -> T {
-        lock(&self.process).as_mut().map(look).unwrap_or_default()
+    fn with_process<T: Default>(&self, read: impl FnOnce(&mut Process) -> T) -> T {
+        lock(&self.process).as_mut().map(read).unwrap_or_default()
     }
 
     fn write_configuration(&self) -> PathBuf {
@@ -260,51 +260,58 @@
 
     fn start_process(&self) {
         let mut process = self.spawn();
-        if !process.becomes_ready(READY_TIMEOUT) {
-            self.note("a process was not ready in time".to_owned());
+        if !process.wait_until_ready(READY_TIMEOUT) {
+            self.add_finding("a process was not ready in time".to_owned());
         }
         *lock(&self.process) = Some(process);
     }
 
-    /// Sends signals to the present process; gives when it was told to end.
+    /// Sends signals to the present process. Returns when the first SIGTERM was sent.
     fn send(&self, signals: &[SignalStep]) -> Option<Instant> {
-        let mut told_at = None;
+        let mut terminated_at = None;
         for (signal, pause_millis) in signals {
             self.with_process(|process| process.signal(*signal));
             if *signal == Signal::TERM {
-                told_at.get_or_insert_with(Instant::now);
+                terminated_at.get_or_insert_with(Instant::now);
             }
             std::thread::sleep(Duration::from_millis(*pause_millis));
         }
-        told_at
+        terminated_at
     }
 
-    /// The longest deadline as the platform takes it, and its slack.
+    /// The time between SIGTERM and the platform's kill: the longest deadline, limited to
+    /// `longest`, and the slack.
     fn kill_delay(&self, longest: Duration) -> Duration {
         self.settings.longest_deadline().min(longest) + KILL_SLACK
     }
 
-    /// Kills a process that is told to end at the earliest moment, unless it has ended by then.
-    fn end_by_kill(&self, mut process: Process, told_at: Instant, longest: Duration) {
-        let kill_at = told_at + self.kill_delay(longest);
+    /// Kills a process at the earliest time after SIGTERM at which the platform would, and adds a
+    /// finding unless it has exited successfully by then.
+    fn kill_when_due(&self, mut process: Process, terminated_at: Instant, longest: Duration) {
+        let kill_at = terminated_at + self.kill_delay(longest);
         std::thread::sleep(kill_at.saturating_duration_since(Instant::now()));
         match process.child.try_wait() {
             Ok(Some(status)) if status.success() => {}
-            Ok(Some(status)) => self.note(format!("a process that was told to end: {status}")),
-            _ => self.note("a process that was told to end was alive at the kill".to_owned()),
+            Ok(Some(status)) => {
+                self.add_finding(format!("a process exited after SIGTERM with {status}"))
+            }
+            _ => self.add_finding(
+                "a process was still running when it was killed after SIGTERM".to_owned(),
+            ),
         }
         process.kill();
     }
 
     fn restart(&self, signals: &[SignalStep]) {
-        let Some(told_at) = self.send(signals) else {
+        let Some(terminated_at) = self.send(signals) else {
             return;
         };
-        let notice = (told_at + FRONT_NOTICE).saturating_duration_since(Instant::now());
-        std::thread::sleep(notice);
+        let remaining =
+            (terminated_at + RECONNECT_PERIOD).saturating_duration_since(Instant::now());
+        std::thread::sleep(remaining);
         self.set_reconnect_enabled(false);
         if let Some(process) = lock(&self.process).take() {
-            self.end_by_kill(process, told_at, MAX_DEADLINE_WAIT);
+            self.kill_when_due(process, terminated_at, MAX_DEADLINE_WAIT);
         }
         self.start_process();
         self.set_reconnect_enabled(true);
@@ -319,54 +326,56 @@
         self.set_reconnect_enabled(true);
     }
 
-    /// Kills a process at a moment at which the platform would not.
+    /// Kills a process earlier than the platform would.
     fn kill_early(&self, mut process: Process) {
         lock(&self.kills).push(Instant::now());
         process.kill();
         lock(&self.kills).push(Instant::now());
     }
 
-    fn upgrade(&self, upgrade: Upgrade) {
-        let mut new = self.spawn();
-        if upgrade == Upgrade::KillNewAtStart {
-            std::thread::sleep(NEW_VERSION_AGE);
-            return self.kill_early(new);
+    fn hot_restart(&self, hot_restart: HotRestart) {
+        let mut successor = self.spawn();
+        if hot_restart == HotRestart::KillSuccessorAtStart {
+            std::thread::sleep(SUCCESSOR_LIFETIME);
+            return self.kill_early(successor);
         }
-        let newest = (upgrade == Upgrade::Twice).then(|| self.spawn());
-        if !new.becomes_ready(NEW_VERSION_TIMEOUT) {
-            self.note("a new version was not ready in time".to_owned());
+        let second = (hot_restart == HotRestart::Twice).then(|| self.spawn());
+        if !successor.wait_until_ready(SUCCESSOR_READY_TIMEOUT) {
+            self.add_finding("a successor was not ready in time".to_owned());
         }
-        if upgrade == Upgrade::KillNewWhenReady {
-            return self.kill_early(new);
+        if hot_restart == HotRestart::KillReadySuccessor {
+            return self.kill_early(successor);
         }
-        let Some(old) = lock(&self.process).replace(new) else {
+        let Some(predecessor) = lock(&self.process).replace(successor) else {
             return;
         };
-        old.signal(Signal::TERM);
-        let told_at = Instant::now();
-        if upgrade == Upgrade::KillOldAfterTerm {
+        predecessor.signal(Signal::TERM);
+        let terminated_at = Instant::now();
+        if hot_restart == HotRestart::KillPredecessorAfterTerm {
             std::thread::sleep(KILL_AFTER_TERM);
-            return self.kill_early(old);
+            return self.kill_early(predecessor);
         }
-        if let Some(newest) = newest {
-            self.take_over_again(newest);
+        if let Some(second) = second {
+            self.replace_successor(second);
         }
-        self.end_by_kill(old, told_at, UPGRADE_DEADLINE);
+        self.kill_when_due(predecessor, terminated_at, HOT_RESTART_DEADLINE);
     }
 
-    /// A second new version, started before the first one had taken over, replaces that one.
-    fn take_over_again(&self, mut newest: Process) {
-        if !newest.becomes_ready(NEW_VERSION_TIMEOUT) {
-            self.note("a second new version was not ready in time".to_owned());
+    /// Replaces the first successor by a second one that was started before the first had taken
+    /// over.
+    fn replace_successor(&self, mut second: Process) {
+        if !second.wait_until_ready(SUCCESSOR_READY_TIMEOUT) {
+            self.add_finding("a second successor was not ready in time".to_owned());
         }
-        if let Some(first) = lock(&self.process).replace(newest) {
+        if let Some(first) = lock(&self.process).replace(second) {
             first.signal(Signal::TERM);
-            self.end_by_kill(first, Instant::now(), UPGRADE_DEADLINE);
+            self.kill_when_due(first, Instant::now(), HOT_RESTART_DEADLINE);
         }
     }
 
-    /// Clients that say nothing, or half a message, for a while.
-    fn crowd(&self, clients: usize) {
+    /// Connects clients that send nothing or a part of a message, and disconnects them after a
+    /// while.
+    fn connect_idle_clients(&self, clients: usize) {
         let mut streams = Vec::new();
         for index in 0..clients {
             if let Ok(mut stream) = TcpStream::connect(self.listen) {
@@ -377,31 +386,34 @@
             }
         }
         std::thread::spawn(move || {
-            std::thread::sleep(CROWD_STAY);
+            std::thread::sleep(IDLE_CLIENT_LIFETIME);
             drop(streams);
         });
     }
 
-    /// Ends the load, and gives what became of it.
+    /// Ends the load and returns its report.
     pub(crate) fn finish_load(&self) -> ManagerReport {
         let loads = std::mem::take(&mut *lock(&self.loads));
         ManagerReport {
             loads: loads.into_iter().map(SustainedLoad::finish).collect(),
             kills: lock(&self.kills).clone(),
-            has_crowd: self.plan.has_crowd(),
+            has_idle_clients: self.plan.has_idle_clients(),
         }
     }
 
-    /// Without clients nothing is open, and the process ends when it is told to. Gives all findings.
+    /// Checks that nothing stays open without clients and that the process exits after SIGTERM.
+    /// Returns all findings.
     pub(crate) fn finish(&self) -> Vec<String> {
         self.check_idle();
-        let told_at = self.send(&[(Signal::TERM, 0)]).expect("it is told to end");
+        let terminated_at = self
+            .send(&[(Signal::TERM, 0)])
+            .expect("the signals include SIGTERM");
         if let Some(process) = lock(&self.process).take() {
-            self.end_by_kill(process, told_at, MAX_DEADLINE_WAIT);
+            self.kill_when_due(process, terminated_at, MAX_DEADLINE_WAIT);
         }
         let log = self.log();
         for line in log.lines().filter(|line| line.contains("panicked")) {
-            self.note(line.to_owned());
+            self.add_finding(line.to_owned());
         }
         std::mem::take(&mut *lock(&self.findings))
     }
@@ -419,18 +431,18 @@
             let open = self.with_process(|process| process.metric("concurrent"));
             let registered = self.with_process(|process| process.metric("client_connections"));
             let descriptors = self.with_process(|process| process.descriptors());
-            self.note(format!(
-                "without clients {open:?} requests are open, {registered:?} connections registered, \
-                 {descriptors} descriptors instead of {base}"
+            self.add_finding(format!(
+                "without clients {open:?} requests are open, {registered:?} connections are registered, \
+                 {descriptors} descriptors are open instead of {base}"
             ));
         }
         let panics = self.with_process(|process| process.metric("actor_panics"));
         if panics.is_some_and(|count| count > 0) {
-            self.note(format!("{panics:?} actors have panicked"));
+            self.add_finding(format!("{panics:?} actors have panicked"));
         }
     }
 
-    /// Everything that its processes have logged.
+    /// The log of all its processes.
     pub(crate) fn log(&self) -> String {
         std::fs::read_to_string(self.folder.path("log")).unwrap_or_default()
     }
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -1,15 +1,15 @@
-//! What a seed draws: the whole run of a soak.
+//! The plan of a soak run, drawn from a seed.
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use rustix::process::Signal;
 use std::ops::RangeInclusive;
 
-/// How long the clients send, in milliseconds.
+/// How long the clients send requests, in milliseconds.
 pub(crate) const RUN_MILLIS: u64 = 8_000;
-/// No event of the stand-ins comes later, so that what it began is over by the end.
-const LAST_WORLD_EVENT_MILLIS: u64 = 6_500;
+/// No event of the stand-ins starts later than this, so that its effect ends before the run does.
+const LAST_STAND_IN_EVENT_MILLIS: u64 = 6_500;
 
-/// A source of draws.
+/// A source of random draws.
 pub(crate) struct Draw(Pcg32);
 
 impl Draw {
@@ -30,70 +30,70 @@
     }
 }
 
-/// The kinds of settings, after the two deployments and the sites made up for tests.
+/// The kinds of settings, modeled on the two deployments and on the sites made up for tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SettingsKind {
     /// Loads that must not run twice, no hedging.
     OneShot,
-    /// Keyed loads with a window of 20 s, hedging, costs in responses.
+    /// Loads with idempotency keys and a window of 20 s, hedging, costs in responses.
     Keyed,
-    /// Short deadlines, keyed loads with a window of 4 s.
+    /// Short deadlines, loads with idempotency keys and a window of 4 s.
     ShortKeyed,
     /// Long deadlines, five attempts, hedging.
     LongDeadlines,
 }
 
-/// A signal, and the pause after it.
+/// A signal, and the pause after it in milliseconds.
 pub(crate) type SignalStep = (Signal, u64);
 
-/// What a new version meets.
+/// A variant of a hot restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Upgrade {
-    /// It takes over.
+pub(crate) enum HotRestart {
+    /// The successor takes over.
     Plain,
-    /// A second new version is started before the first has taken over.
+    /// A second successor is started before the first one has taken over.
     Twice,
-    /// It is killed before it serves.
-    KillNewAtStart,
-    /// It is killed once it serves, before the old one is told to end.
-    KillNewWhenReady,
-    /// The old one is killed just after it is told to end.
-    KillOldAfterTerm,
+    /// The successor is killed before it is ready.
+    KillSuccessorAtStart,
+    /// The successor is killed once it is ready, before the predecessor gets SIGTERM.
+    KillReadySuccessor,
+    /// The predecessor is killed shortly after SIGTERM.
+    KillPredecessorAfterTerm,
 }
 
-/// What happens to a manager.
+/// An event of a manager.
 #[derive(Clone, Debug)]
 pub(crate) enum ManagerEvent {
-    /// Signals to a process that goes on.
+    /// Signals after which the process continues.
     Signals(Vec<SignalStep>),
-    /// Signals among which is SIGTERM, the kill at the earliest moment, and a new start.
+    /// Signals that include SIGTERM, a kill at the earliest time, and a start of a new process.
     PlannedRestart(Vec<SignalStep>),
-    /// A new version beside the old one.
-    Upgrade(Upgrade),
-    /// SIGKILL, and a new start.
+    /// A hot restart.
+    HotRestart(HotRestart),
+    /// SIGKILL, and a start of a new process.
     Crash,
-    /// This many clients connect and say nothing or half a message.
-    Crowd(usize),
+    /// This many clients connect and send nothing or a part of a message.
+    IdleClients(usize),
 }
 
-/// What happens to the engines and to discovery.
+/// An event of the engines or of discovery.
 #[derive(Clone, Debug)]
-pub(crate) enum WorldEvent {
-    /// The next queries, at whichever engine, meet these faults.
+pub(crate) enum StandInEvent {
+    /// The next queries, at whichever engine they arrive, have these faults.
     Faults(Vec<Fault>),
-    /// An engine is told to drain, and comes back a second later.
+    /// An engine is drained, and is ready again one second later.
     Drain(usize),
-    /// An engine's process ends, and another one takes its place.
+    /// An engine's process ends, and another engine replaces it.
     Replace(usize),
-    /// The watches of all managers fall silent.
-    SilentCoordinator,
-    /// The watches of all managers break.
-    BrokenWatches,
-    /// Discovery moves; managers are told by SIGHUP.
+    /// The watches of all managers receive no more events but stay open.
+    StalledWatches,
+    /// The watches of all managers are closed.
+    ClosedWatches,
+    /// The coordinator moves to another address, and the managers reload by SIGHUP.
     MovedCoordinator,
 }
 
-/// What an engine does with a query.
+/// How an engine handles a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     Hang,
@@ -102,46 +102,46 @@
     Reset,
     FailWithinResponse,
     ViolateProtocol,
-    /// It takes this many milliseconds.
+    /// The query completes after this many milliseconds.
     Slow(u64),
 }
 
-/// What is drawn for a manager.
+/// The plan of a manager.
 #[derive(Clone, Debug)]
 pub(crate) struct ManagerPlan {
-    /// Connections of the platform's protocol.
+    /// The number of connections of the platform's protocol.
     pub(crate) rpc_connections: usize,
-    /// Connections of the ClickHouse interface.
+    /// The number of connections of the ClickHouse interface.
     pub(crate) http_connections: usize,
     /// The mean time between two requests on a connection, in milliseconds.
     pub(crate) interval_millis: u64,
-    /// The least time that clients wait, in milliseconds.
-    pub(crate) least_wait_millis: u64,
-    /// Each event after a pause in milliseconds.
+    /// The minimum time that clients wait for a response, in milliseconds.
+    pub(crate) min_wait_millis: u64,
+    /// The events, each with the pause before it in milliseconds.
     pub(crate) events: Vec<(u64, ManagerEvent)>,
 }
 
 impl ManagerPlan {
-    /// Whether idle clients fill its descriptors at some time.
-    pub(crate) fn has_crowd(&self) -> bool {
+    /// Whether idle clients use up its descriptors at some time.
+    pub(crate) fn has_idle_clients(&self) -> bool {
         let mut events = self.events.iter();
-        events.any(|(_, event)| matches!(event, ManagerEvent::Crowd(_)))
+        events.any(|(_, event)| matches!(event, ManagerEvent::IdleClients(_)))
     }
 }
 
-/// A whole run.
+/// The plan of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct SoakPlan {
     pub(crate) seed: u64,
     pub(crate) settings: SettingsKind,
     pub(crate) engines: usize,
     pub(crate) managers: Vec<ManagerPlan>,
-    /// Each event with its time in milliseconds, in order.
-    pub(crate) world: Vec<(u64, WorldEvent)>,
+    /// The events of the stand-ins in order, each with its time in milliseconds.
+    pub(crate) stand_in_events: Vec<(u64, StandInEvent)>,
 }
 
 impl SoakPlan {
-    /// The run of that seed.
+    /// Draws the plan of a seed.
     pub(crate) fn draw(seed: u64) -> SoakPlan {
         let mut draw = Draw::new(seed);
         let settings = draw.pick(&[
@@ -150,7 +150,7 @@
             SettingsKind::ShortKeyed,
             SettingsKind::LongDeadlines,
         ]);
-        // Without engines every request waits; so they do where all engines hang.
+        // Without engines every request waits, as it does if all engines hang.
         let engines = draw.within(0..=4) as usize;
         let managers = (0..draw.within(1..=3))
             .map(|_| draw_manager(&mut draw))
@@ -160,7 +160,7 @@
             settings,
             engines,
             managers,
-            world: draw_world(&mut draw, engines),
+            stand_in_events: draw_stand_in_events(&mut draw, engines),
         }
     }
 }
@@ -170,7 +170,7 @@
     if draw.percent(25) {
         events.push((
             draw.within(0..=500),
-            ManagerEvent::Crowd(draw.within(100..=250) as usize),
+            ManagerEvent::IdleClients(draw.within(100..=250) as usize),
         ));
     }
     for _ in 0..draw.within(1..=2) {
@@ -180,7 +180,7 @@
         rpc_connections: draw.within(2..=10) as usize,
         http_connections: draw.within(0..=4) as usize,
         interval_millis: draw.pick(&[8, 20, 40, 80]),
-        least_wait_millis: draw.pick(&[5, 40, 400]),
+        min_wait_millis: draw.pick(&[5, 40, 400]),
         events,
     }
 }
@@ -198,13 +198,13 @@
             (Signal::HUP, 0),
         ]),
         2..=5 => ManagerEvent::PlannedRestart(draw_shutdown_signals(draw)),
-        6..=8 => ManagerEvent::Upgrade(draw.pick(&[
-            Upgrade::Plain,
-            Upgrade::Plain,
-            Upgrade::Twice,
-            Upgrade::KillNewAtStart,
-            Upgrade::KillNewWhenReady,
-            Upgrade::KillOldAfterTerm,
+        6..=8 => ManagerEvent::HotRestart(draw.pick(&[
+            HotRestart::Plain,
+            HotRestart::Plain,
+            HotRestart::Twice,
+            HotRestart::KillSuccessorAtStart,
+            HotRestart::KillReadySuccessor,
+            HotRestart::KillPredecessorAfterTerm,
         ])),
         _ => ManagerEvent::Crash,
     }
@@ -232,31 +232,32 @@
     signals
 }
 
-fn draw_world(draw: &mut Draw, engines: usize) -> Vec<(u64, WorldEvent)> {
+fn draw_stand_in_events(draw: &mut Draw, engines: usize) -> Vec<(u64, StandInEvent)> {
     let mut events = Vec::new();
     let mut at = draw.within(100..=800);
-    // News that is not delivered would count as told: discovery fails only in runs without drains.
+    // A drain is recorded even if the coordinator can't deliver it, so discovery fails only in runs
+    // without drains.
     let discovery_fails = draw.percent(40);
-    while at < LAST_WORLD_EVENT_MILLIS {
-        events.push((at, draw_world_event(draw, engines, discovery_fails)));
+    while at < LAST_STAND_IN_EVENT_MILLIS {
+        events.push((at, draw_stand_in_event(draw, engines, discovery_fails)));
         at += draw.within(150..=1_500);
     }
     events
 }
 
-fn draw_world_event(draw: &mut Draw, engines: usize, discovery_fails: bool) -> WorldEvent {
+fn draw_stand_in_event(draw: &mut Draw, engines: usize, discovery_fails: bool) -> StandInEvent {
     if engines == 0 {
-        return WorldEvent::BrokenWatches;
+        return StandInEvent::ClosedWatches;
     }
     let engine = draw.within(0..=engines as u64 - 1) as usize;
     let discovery_events = [
-        WorldEvent::SilentCoordinator,
-        WorldEvent::BrokenWatches,
-        WorldEvent::MovedCoordinator,
+        StandInEvent::StalledWatches,
+        StandInEvent::ClosedWatches,
+        StandInEvent::MovedCoordinator,
     ];
-    let engine_events = [WorldEvent::Drain(engine), WorldEvent::Replace(engine)];
+    let engine_events = [StandInEvent::Drain(engine), StandInEvent::Replace(engine)];
     match draw.within(0..=9) {
-        0..=5 => WorldEvent::Faults(draw_faults(draw)),
+        0..=5 => StandInEvent::Faults(draw_faults(draw)),
         _ if discovery_fails => draw.pick(&discovery_events),
         _ => draw.pick(&engine_events),
     }
@@ -275,6 +276,6 @@
         Fault::Slow(slow),
         Fault::Slow(slow),
     ]);
-    let most = if fault == Fault::Hang { 60 } else { 12 };
-    vec![fault; draw.within(1..=most) as usize]
+    let max_count = if fault == Fault::Hang { 60 } else { 12 };
+    vec![fault; draw.within(1..=max_count) as usize]
 }
--- a/tests/soak/settings.rs
+++ b/tests/soak/settings.rs
@@ -1,4 +1,4 @@
-//! The files of a manager, by the kind of its settings.
+//! The settings and the deploy file of a manager, by the kind of its settings.
 use super::plan::SettingsKind;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -13,7 +13,8 @@
 /// The tenant of all requests.
 pub(crate) const TENANT: &str = "billing-desk";
 const NANOS_PER_SECOND: f64 = 1e9;
-/// Idle connections to engines end soon, so that descriptors can be counted at the end of a run.
+/// Idle connections to engines are closed soon, so that descriptors can be counted at the end of a
+/// run.
 const KEEPALIVE_NANOS: u64 = 1_500_000_000;
 
 impl SettingsKind {
@@ -58,7 +59,7 @@
         Duration::from_secs_f64(self.deadlines().into_iter().fold(0.0, f64::max))
     }
 
-    /// The settings of the daemon.
+    /// The daemon's settings.
     pub(crate) fn settings(self) -> Value {
         let mut settings = settings();
         for (index, seconds) in self.deadlines().into_iter().enumerate() {
@@ -83,7 +84,7 @@
         classes
     }
 
-    /// The classes of the clients of the ClickHouse interface, which knows no keys.
+    /// The classes of the clients of the ClickHouse interface, which has no idempotency keys.
     pub(crate) fn http_classes(self) -> Vec<SustainedClass> {
         let class = |name, statement| SustainedClass {
             name,
--- a/tests/soak/stand_ins.rs
+++ b/tests/soak/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-in engines and the coordinator of a run, and what the seed lets happen to them.
+//! The stand-in engines and the coordinator of a run, and their events.
 use super::plan::Fault;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 use yokelift::testkit::execution_log::{ExecutionLimits, Run, Violation};
 use yokelift::testkit::{ExecutionLog, Executor};
 
-/// The rows of a query that is slow.
+/// The number of rows of a slow query.
 const SLOW_ROWS: usize = 3;
 
-/// An engine with its name in the log and its id in the list.
+/// An engine with its name in the execution log and its id in the endpoint list.
 struct ListedEngine {
     engine: Engine,
     name: String,
@@ -35,7 +35,7 @@
     }
 }
 
-/// All stand-ins.
+/// The stand-ins of a run.
 pub(crate) struct StandIns {
     engines: Vec<ListedEngine>,
     last_id: u32,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The list that the managers' configurations begin with.
+    /// The endpoint list in the managers' initial configurations.
     pub(crate) fn initial_list(&self) -> Value {
         let listed: Vec<ListedEndpoint> = self
             .engines
@@ -72,7 +72,7 @@
         self.coordinator.addr
     }
 
-    /// The next queries, at whichever engine, meet these faults.
+    /// Injects these faults into the next queries, at whichever engine they arrive.
     pub(crate) fn push_faults(&self, faults: &[Fault]) {
         for fault in faults {
             self.log.push_behavior(match *fault {
@@ -104,7 +104,7 @@
             .send_changes(&[engine.listed(Readiness::Ready)]);
     }
 
-    /// An engine's process ends, and another one takes its place in the list.
+    /// Ends an engine's process and lists a new engine in its place.
     pub(crate) fn replace(&mut self, executor: &Executor, engine: usize) {
         self.last_id += 1;
         let new = ListedEngine::start(executor, self.last_id, &self.log);
@@ -118,15 +118,15 @@
         self.log.record_drained(&old.name);
     }
 
-    pub(crate) fn silence_coordinator(&self) {
+    pub(crate) fn stall_watches(&self) {
         self.coordinator.stall_connections();
     }
 
-    pub(crate) fn break_watches(&self) {
+    pub(crate) fn close_watches(&self) {
         self.coordinator.break_connections();
     }
 
-    /// Another coordinator goes on with the events; gives its address.
+    /// Replaces the coordinator by another one that continues the events. Returns its address.
     pub(crate) fn move_coordinator(&mut self, executor: &Executor) -> SocketAddr {
         let successor = self.coordinator.successor(executor);
         self.coordinator.shut_down();
@@ -134,18 +134,18 @@
         self.coordinator.addr
     }
 
-    /// What the engines have run.
+    /// The runs of a query on the engines.
     pub(crate) fn runs(&self, query: &str) -> Vec<Run> {
         self.log.runs_of(query)
     }
 
-    /// The broken rules, by the engines' own log.
+    /// The violations of invariants in the engines' log.
     pub(crate) fn violations(&self) -> Vec<String> {
         let violations = self.log.violations();
         violations.iter().map(|it| self.describe(it)).collect()
     }
 
-    /// The violation with what the engines saw of its query.
+    /// The text of a violation with the runs of its query.
     fn describe(&self, violation: &Violation) -> String {
         let text = violation.to_string();
         let query = text.split(':').next().unwrap_or_default();
