--- a/src/testkit/fleet/mod.rs
+++ b/src/testkit/fleet/mod.rs
@@ -231,7 +231,7 @@
             .expect("the program can be started")
     }
 
-    /// Writes a configuration with new shares for a manager, and notifies it if `reload` says so.
+    /// Writes a configuration with new shares for a manager, and notifies it with [`Reload::Signal`].
     pub fn reconfigure(&self, member: usize, shares: TenantShares, reload: Reload) {
         self.write_configuration(member, shares);
         if reload == Reload::Signal {
