--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -10,13 +10,13 @@
 use yokelift::policy::api::Readiness;
 use yokelift::testkit::clients::ClientOutcome;
 use yokelift::testkit::fault_proxy::Faults;
-use yokelift::testkit::fleet::{Fleet, MEMBERS, Reload, SHARES, TenantShares, eventually};
+use yokelift::testkit::fleet::{Fleet, MEMBERS, Reload, SHARES, TenantShares, wait_until};
 
 const ALL: [usize; MEMBERS] = [0, 1, 2, 3, 4];
 
 fn start(tag: &str, seed: u64) -> Fleet {
     let fleet = Fleet::start(Path::new(env!("CARGO_BIN_EXE_yokelift")), tag, seed);
-    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
+    assert!(wait_until(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     fleet
 }
 
@@ -120,7 +120,7 @@
     let number = 16 * round + member as u64;
     let outcome = fleet.query(member, "lookup", number, 9_000);
     assert!(
-        matches!(outcome, ClientOutcome::Served(_)),
+        matches!(outcome, ClientOutcome::Completed(_)),
         "{outcome:?}: {}",
         fleet.log(member)
     );
@@ -138,7 +138,7 @@
     // All managers get new settings; then all but the last one get a new list.
     ALL.iter()
         .for_each(|i| fleet.reconfigure(*i, TenantShares::new(0.5, 0.5), Reload::Signal));
-    assert!(eventually(|| ALL
+    assert!(wait_until(|| ALL
         .iter()
         .all(|i| versions(&fleet, *i)["generation"] == json!(2))));
     ALL.iter()
@@ -146,7 +146,7 @@
     fleet.with_stand_ins(|stand_ins| {
         stand_ins.announce(0..4, 1, Readiness::Draining);
     });
-    assert!(eventually(|| run_list(&fleet, 0..4, 2)));
+    assert!(wait_until(|| run_list(&fleet, 0..4, 2)));
     ALL.iter()
         .for_each(|member| complete_query(&fleet, *member, 3));
     // The last records may not have been flushed yet.
@@ -155,7 +155,7 @@
         ALL.iter().all(has_all)
     };
     assert!(
-        eventually(|| has_all_dispatches(&report(&fleet))),
+        wait_until(|| has_all_dispatches(&report(&fleet))),
         "{}",
         report(&fleet)
     );
@@ -237,12 +237,12 @@
 #[test]
 fn a_manager_with_an_outdated_list_reconnects_or_is_excluded() {
     let fleet = start("behind", 15);
-    assert!(eventually(|| run_list(&fleet, ALL.into_iter(), 1)));
+    assert!(wait_until(|| run_list(&fleet, ALL.into_iter(), 1)));
     fleet.with_stand_ins(|stand_ins| {
         stand_ins.coordinators[3].stall_connections();
         stand_ins.announce(0..4, 1, Readiness::Draining);
     });
-    assert!(eventually(|| run_list(&fleet, 0..4, 2)), "{}", fleet.log(3));
+    assert!(wait_until(|| run_list(&fleet, 0..4, 2)), "{}", fleet.log(3));
     assert!(
         fleet
             .log(3)
@@ -251,7 +251,7 @@
         fleet.log(3)
     );
     assert!(
-        eventually(|| fleet.readiness_status(4) == Some(503)),
+        wait_until(|| fleet.readiness_status(4) == Some(503)),
         "{}",
         fleet.log(4)
     );
@@ -260,13 +260,13 @@
         stand_ins.announce(4..5, 1, Readiness::Draining);
     });
     assert!(
-        eventually(|| fleet.readiness_status(4) == Some(200)),
+        wait_until(|| fleet.readiness_status(4) == Some(200)),
         "{}",
         fleet.log(4)
     );
     // The readiness is current, but the view of the versions is up to 0.1 s old.
     assert!(
-        eventually(|| versions(&fleet, 4)["list"] == json!(2)),
+        wait_until(|| versions(&fleet, 4)["list"] == json!(2)),
         "{}",
         fleet.logs()
     );
@@ -282,15 +282,18 @@
     fleet.with_stand_ins(|stand_ins| {
         (0..2).for_each(|engine| stand_ins.announce(0..MEMBERS, engine, Readiness::Removed));
     });
-    assert!(eventually(|| run_list(&fleet, ALL.into_iter(), 3)));
+    assert!(wait_until(|| run_list(&fleet, ALL.into_iter(), 3)));
     let outcome = fleet.query(2, "lookup", 0xabc, 700);
-    assert!(!matches!(outcome, ClientOutcome::Served(_)), "{outcome:?}");
+    assert!(
+        !matches!(outcome, ClientOutcome::Completed(_)),
+        "{outcome:?}"
+    );
     let find_request = |lines: &[Value]| {
         let is_request = |line: &&Value| line["request"] == json!("0000000000000abc");
         lines.iter().find(is_request).cloned()
     };
     assert!(
-        eventually(|| find_request(&audit_lines(&fleet, 2)).is_some()),
+        wait_until(|| find_request(&audit_lines(&fleet, 2)).is_some()),
         "{:?}",
         audit_lines(&fleet, 2)
     );
@@ -307,17 +310,17 @@
     fleet.kill(2);
     fleet.launch(2, SHARES);
     assert!(
-        eventually(|| fleet.readiness_status(2) == Some(200)),
+        wait_until(|| fleet.readiness_status(2) == Some(200)),
         "{}",
         fleet.log(2)
     );
     assert!(
-        eventually(|| incarnations(&audit_lines(&fleet, 2)) == 2),
+        wait_until(|| incarnations(&audit_lines(&fleet, 2)) == 2),
         "{:?}",
         audit_lines(&fleet, 2)
     );
     // The activation of the list is the last record to be flushed.
-    assert!(eventually(|| audit_lines(&fleet, 2)
+    assert!(wait_until(|| audit_lines(&fleet, 2)
         .iter()
         .rev()
         .nth(1)
@@ -354,7 +357,7 @@
         fleet.state_of(observer, member).as_deref() == Some("Dead")
     };
     assert!(
-        eventually(|| reports_dead(0, 3) && reports_dead(3, 0) && reports_dead(2, 0)),
+        wait_until(|| reports_dead(0, 3) && reports_dead(3, 0) && reports_dead(2, 0)),
         "{}",
         fleet.log(3)
     );
@@ -369,7 +372,7 @@
 
     fleet.fault_proxy.set_faults(Faults::default());
     fleet.signal(4, Signal::CONT);
-    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
+    assert!(wait_until(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     let AuditRun { output, is_success } = run_audit(&fleet, Format::Text);
     assert!(
         is_success && output.contains("agree on build, settings, list and each other's health"),
@@ -388,13 +391,13 @@
     };
     fleet.signal(4, Signal::STOP);
     assert!(
-        eventually(|| (0..4).all(|i| shares(i, 4))),
+        wait_until(|| (0..4).all(|i| shares(i, 4))),
         "{}",
         fleet.log(0)
     );
     fleet.signal(4, Signal::CONT);
     assert!(
-        eventually(|| (0..4).all(|i| shares(i, 5))),
+        wait_until(|| (0..4).all(|i| shares(i, 5))),
         "{}",
         fleet.log(0)
     );
@@ -402,12 +405,12 @@
     faults.partition(&[0, 1], &[2, 3, 4]);
     fleet.fault_proxy.set_faults(faults);
     assert!(
-        eventually(|| (2..5).all(|i| shares(i, 3))),
+        wait_until(|| (2..5).all(|i| shares(i, 3))),
         "{}",
         fleet.logs()
     );
     assert!(
-        eventually(|| fleet.state_of(0, 4).as_deref() == Some("Dead")),
+        wait_until(|| fleet.state_of(0, 4).as_deref() == Some("Dead")),
         "{}",
         fleet.log(0)
     );
@@ -417,11 +420,11 @@
         fleet.log(0)
     );
     fleet.fault_proxy.set_faults(Faults::default());
-    assert!(eventually(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
+    assert!(wait_until(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     // The last manager keeps the old settings, so it is excluded and has no share.
     (0..4).for_each(|i| fleet.reconfigure(i, TenantShares::new(0.4, 0.6), Reload::Signal));
     assert!(
-        eventually(|| fleet.readiness_status(4) == Some(503)),
+        wait_until(|| fleet.readiness_status(4) == Some(503)),
         "{}",
         fleet.log(4)
     );
@@ -432,7 +435,7 @@
     };
     let four = format!("yokelift: fleet: 4 of {MEMBERS} managers share the engines");
     assert!(
-        eventually(|| (0..4).all(|i| last_line(i).as_deref() == Some(&*four))),
+        wait_until(|| (0..4).all(|i| last_line(i).as_deref() == Some(&*four))),
         "{}",
         fleet.logs()
     );
