--- a/src/testkit/membership_simulation/measurement.rs
+++ b/src/testkit/membership_simulation/measurement.rs
@@ -1,5 +1,5 @@
 //! Measures simulated fleets: the time to join, to disseminate an update and to detect a failure,
-//! the traffic, and the false positives under loss.
+//! the traffic, and the false positives under packet loss.
 use super::{SimulatedFleet, member_name};
 use crate::clock::{MS, Micros, SEC};
 use crate::membership::{MemberState, Timing, bandwidth_budget, detection_bound};
@@ -8,30 +8,30 @@
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// The time that a fleet has for each phase of the measurement.
+/// The timeout of each phase of the measurement.
 const PHASE_TIMEOUT: Micros = 300 * SEC;
-/// The time after the start until the gossip about joining members has ended.
+/// How long the fleet runs after it has converged, so that the gossip about joining members ends.
 const SETTLING_TIME: Micros = 60 * SEC;
-/// The time between two phases or two failures.
+/// How long the fleet runs after the dissemination and after each failure.
 const RECOVERY_TIME: Micros = 30 * SEC;
-/// The time over which the traffic without failures is measured.
+/// The duration over which the traffic without failures is measured.
 const IDLE_TRAFFIC_TIME: Micros = 30 * SEC;
-/// The time under loss over which false positives are counted.
+/// The duration under packet loss over which false positives are counted.
 const LOSS_TIME: Micros = 60 * SEC;
-/// The probability of loss in that time.
+/// The probability that a datagram is lost during that time.
 const LOSS: f64 = 0.2;
-/// The resolution of the times to join and to detect a failure.
+/// The resolution at which the times to join and to detect a failure are measured.
 const COARSE_STEP: Micros = 100 * MS;
-/// The resolution of the dissemination time.
+/// The resolution at which the dissemination time is measured.
 const FINE_STEP: Micros = 10 * MS;
 
-/// The bytes a second that a manager sends.
+/// Bytes sent per second by a manager.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct TrafficRate {
-    /// The mean of the managers.
+    /// The mean over all running managers.
     pub mean: f64,
-    /// The manager that sends most.
+    /// The rate of the manager that sends the most.
     pub max: f64,
 }
 
@@ -50,15 +50,15 @@
     }
 }
 
-/// The seconds until members have declared a stopped manager dead.
+/// Seconds until the running members have declared a stopped manager dead.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 #[serde(into = "(f64, f64, f64)")]
 pub struct DetectionTimes {
-    /// The first member.
+    /// Until the first member has.
     pub first: f64,
-    /// Half of the members.
+    /// Until half of the members have.
     pub median: f64,
-    /// All members.
+    /// Until all members have.
     pub last: f64,
 }
 
@@ -78,13 +78,13 @@
     }
 }
 
-/// The seconds until members know an update.
+/// Seconds until the other members have received an update.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct DisseminationTimes {
-    /// Half of the members.
+    /// Until half of the members have.
     pub median: f64,
-    /// All members.
+    /// Until all members have.
     pub last: f64,
 }
 
@@ -94,70 +94,70 @@
     }
 }
 
-/// What was measured of a fleet of one size, in seconds of the simulated clock.
+/// The measurements of one fleet; times are seconds of the simulated clock.
 #[derive(Clone, Debug, Serialize)]
 pub struct FleetFigures {
     /// The number of managers.
     pub members: usize,
-    /// The time from the start until all managers know each other.
+    /// The time from the start until every manager lists every other one as alive.
     #[serde(rename = "joined_s")]
     pub join_seconds: f64,
     /// The traffic without failures.
     #[serde(rename = "quiet")]
     pub idle_traffic: TrafficRate,
-    /// The bound on the mean of the idle traffic, in bytes a second.
+    /// The upper limit on the mean idle traffic, in bytes per second.
     #[serde(rename = "budget")]
     pub traffic_budget: u64,
-    /// The traffic while a failure is detected: the worst of the failures.
+    /// The traffic while a failure is detected: the maximum over all failures.
     #[serde(rename = "busy")]
     pub failure_traffic: TrafficRate,
-    /// The time to detect a failure: the worst of the failures.
+    /// The time to detect a failure: the maximum over all failures.
     #[serde(rename = "found_s")]
     pub detection_seconds: DetectionTimes,
-    /// The bound on the last detection.
+    /// The upper limit on the time until the last member has detected a failure.
     #[serde(rename = "bound_s")]
     pub detection_bound_seconds: f64,
     /// The time to disseminate new settings.
     #[serde(rename = "spread_s")]
     pub dissemination_seconds: DisseminationTimes,
-    /// The number of running managers that were declared dead during a minute of loss.
+    /// The number of running managers that were declared dead during a minute of packet loss.
     pub false_deaths: usize,
 }
 
-/// Why a simulated fleet could not be measured: a phase did not end in time.
+/// A phase of the measurement timed out.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SimulationError {
-    /// Not all managers know each other.
-    #[error("{members} managers do not know each other after {seconds} s")]
+    /// Not every manager lists every other one as alive.
+    #[error("{members} managers have not discovered each other after {seconds} s")]
     NotJoined {
         /// The number of managers.
         members: usize,
-        /// The time they had.
+        /// The timeout in seconds.
         seconds: f64,
     },
     /// An update did not reach all managers.
-    #[error("of {members} managers {reached} heard of new settings")]
+    #[error("only {reached} of {members} managers received the new settings in time")]
     NotDisseminated {
         /// The number of managers.
         members: usize,
-        /// The number of managers that know the update.
+        /// The number of other managers that have received the update.
         reached: usize,
     },
-    /// Not all managers declared a stopped one dead.
-    #[error("of {members} managers {observers} found one dead")]
+    /// Not all running managers declared a stopped one dead.
+    #[error("only {observers} of {members} managers declared the stopped one dead in time")]
     NotDetected {
         /// The number of managers.
         members: usize,
-        /// The number of managers that declared it dead.
+        /// The number of managers that have declared it dead.
         observers: usize,
     },
 }
 
 /// Measures a fleet of `members` managers: its start, its traffic, the dissemination of new
-/// settings, the failures of `stops` managers one after the other, and a minute of loss.
+/// settings, the failures of `stops` managers one after the other, and a minute of packet loss.
 ///
 /// # Errors
-/// A phase did not end in time.
+/// A phase timed out.
 pub fn measure(
     members: usize,
     timing: &Timing,
@@ -203,7 +203,7 @@
     Ok(seconds(fleet.now))
 }
 
-/// The traffic of the running managers over the next `span`.
+/// Runs the fleet for `span` and returns the traffic of the running managers.
 fn measure_traffic(fleet: &mut SimulatedFleet, span: Micros) -> TrafficRate {
     let before = fleet.sent_bytes.clone();
     fleet.run(span);
@@ -217,7 +217,7 @@
     }
 }
 
-/// Gives one manager new settings and waits until all others know them.
+/// Updates the settings of one manager and waits until all others have received the update.
 fn measure_dissemination(
     fleet: &mut SimulatedFleet,
 ) -> Result<DisseminationTimes, SimulationError> {
@@ -230,7 +230,7 @@
     let mut times: Vec<Micros> = Vec::new();
     while times.len() < members - 1 && fleet.now < start + PHASE_TIMEOUT {
         fleet.run(FINE_STEP);
-        let reached = count_informed(fleet, changed, generation);
+        let reached = count_updated(fleet, changed, generation);
         times.resize(reached, fleet.now - start);
     }
     if times.len() < members - 1 {
@@ -245,8 +245,8 @@
     })
 }
 
-/// The number of other managers that know this settings generation of the `changed` one.
-fn count_informed(fleet: &SimulatedFleet, changed: usize, generation: u64) -> usize {
+/// The number of other managers that have received this settings generation of `changed`.
+fn count_updated(fleet: &SimulatedFleet, changed: usize, generation: u64) -> usize {
     let name = member_name(changed);
     fleet
         .nodes
@@ -264,29 +264,30 @@
     detection_seconds: DetectionTimes,
 }
 
-/// Stops managers one after the other, at most a third of them, and keeps the worst figures.
+/// Stops managers one after the other, at most a third of them, and returns the maximum of each
+/// figure.
 fn measure_failures(
     fleet: &mut SimulatedFleet,
     stops: usize,
     detection_bound: Micros,
 ) -> Result<FailureFigures, SimulationError> {
     let members = fleet.nodes.len();
-    let mut worst = FailureFigures::default();
+    let mut maxima = FailureFigures::default();
     for already_stopped in 0..stops.min(members / 3) {
         let stopped = 1 + already_stopped * (members - 1) / stops;
         let start = fleet.now;
         fleet.pause(stopped);
         let traffic = measure_traffic(fleet, detection_bound);
-        worst.traffic = worst.traffic.max(traffic);
+        maxima.traffic = maxima.traffic.max(traffic);
         let observers = members - 1 - already_stopped;
         let detection = measure_detection(fleet, stopped, observers, start)?;
-        worst.detection_seconds = worst.detection_seconds.max(detection);
+        maxima.detection_seconds = maxima.detection_seconds.max(detection);
         fleet.run(RECOVERY_TIME);
     }
-    Ok(worst)
+    Ok(maxima)
 }
 
-/// Waits until all `observers` have declared a manager dead that stopped at `start`.
+/// Waits until `observers` managers have declared dead the manager that was stopped at `start`.
 fn measure_detection(
     fleet: &mut SimulatedFleet,
     stopped: usize,
@@ -316,7 +317,7 @@
     })
 }
 
-/// Runs the fleet under loss and counts the running managers that any other declared dead.
+/// Runs the fleet under packet loss and counts the running managers that any other declared dead.
 fn count_false_deaths(fleet: &mut SimulatedFleet) -> usize {
     let start = fleet.now;
     fleet.loss = LOSS;
@@ -335,7 +336,7 @@
     falsely_dead.len()
 }
 
-/// The figures as a Markdown table.
+/// Formats the figures as a Markdown table.
 pub fn table(figures: &[FleetFigures]) -> String {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN).set_header([
--- a/src/testkit/membership_simulation/mod.rs
+++ b/src/testkit/membership_simulation/mod.rs
@@ -1,7 +1,7 @@
 //! A simulated fleet: the membership state machines of many managers on a simulated network and
 //! clock, with loss, duplication, blocked links, pauses and restarts.
 //!
-//! One seed determines a run. Every datagram passes through the codec.
+//! The seed determines the whole run. Every datagram is encoded and decoded.
 mod measurement;
 
 use super::blocked_links::{BlockedLinks, Link};
@@ -17,23 +17,23 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The shortest time that a datagram travels.
+/// The minimum latency of a datagram.
 const MIN_LATENCY: Micros = MS;
-/// The bound on the time that a datagram travels.
+/// The latency of a datagram is below this.
 const MAX_LATENCY: Micros = 5 * MS;
-/// How many times longer a duplicate travels than a first copy.
+/// The latency of a duplicate is drawn like that of the original and multiplied by this.
 const DUPLICATE_LATENCY_FACTOR: Micros = 160;
-/// The port of the first manager; the others follow.
+/// The port of the first manager; manager `i` has this port plus `i`.
 const FIRST_PORT: u16 = 2_000;
 
-/// A manager's report that another one changed its state.
+/// A manager's report that a member's state has changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StateChange {
     /// The time of the report.
     pub at: Micros,
-    /// The index of the manager that reports.
+    /// The index of the reporting manager.
     pub observer: usize,
-    /// The name of the member that changed.
+    /// The name of the member whose state has changed.
     pub member: String,
     /// The new state.
     pub state: MemberState,
@@ -50,36 +50,36 @@
     Wakeup(usize),
 }
 
-/// The position of an event in the queue; `sequence` orders the events of one moment.
+/// Orders events by time; events at the same time keep the order in which they were scheduled.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EventKey {
     at: Micros,
     sequence: u64,
 }
 
-/// A fleet of simulated managers.
+/// A fleet of simulated managers on a simulated network and clock.
 pub struct SimulatedFleet {
-    /// The state machines of the managers, by index.
+    /// The membership state machines of the managers, by index.
     pub nodes: Vec<Membership>,
-    /// The links on which all datagrams are lost.
+    /// The links on which all datagrams are dropped.
     pub blocked_links: BlockedLinks,
     /// The probability that a datagram is lost.
     pub loss: f64,
-    /// The probability that a datagram is duplicated; the duplicate arrives late.
+    /// The probability that a datagram is duplicated; the duplicate has a longer latency.
     pub duplication: f64,
     /// The simulated time.
     pub now: Micros,
-    /// The bytes that each manager has sent.
+    /// The bytes that each manager has sent, by index.
     pub sent_bytes: Vec<u64>,
-    /// The state changes that managers reported, in the order of time.
+    /// The state changes that managers have reported, in chronological order.
     pub changes: Vec<StateChange>,
     timing: Timing,
     paused: Vec<bool>,
-    /// The datagrams that wait in the sockets of paused managers.
+    /// The datagrams in the receive buffers of paused managers, by index.
     undelivered: Vec<Vec<Datagram>>,
     queue: BTreeMap<EventKey, Event>,
     last_sequence: u64,
-    /// The earliest wakeup of each manager in the queue.
+    /// The earliest queued wakeup of each manager; the maximum if none is queued.
     next_wakeups: Vec<Micros>,
     random: Pcg32,
 }
@@ -94,12 +94,12 @@
     usize::from(addr.port() - FIRST_PORT)
 }
 
-/// The name of a manager.
+/// The name of a simulated manager.
 pub fn member_name(index: usize) -> String {
     format!("m{index}")
 }
 
-/// The update with which a manager joins.
+/// The update with which a simulated manager joins.
 pub fn joining_update(index: usize, incarnation: u64) -> MemberUpdate {
     MemberUpdate {
         name: member_name(index),
@@ -117,8 +117,9 @@
 }
 
 impl SimulatedFleet {
-    /// Creates `members` managers, each with the first one's address as its seed. They start at
-    /// random moments of the first period; otherwise all would probe at the same moments forever.
+    /// Creates `members` managers, each with the address of the first one as its seed. They start at
+    /// random times within the first protocol period; otherwise all would always probe at the same
+    /// time.
     pub fn new(members: usize, timing: &Timing, seed: u64) -> SimulatedFleet {
         let node = |index: usize| new_node(index, 1, timing, seed + index as u64, 0);
         let mut fleet = SimulatedFleet {
@@ -165,12 +166,12 @@
         self.now = end;
     }
 
-    /// Stops a manager's process; its socket keeps what arrives.
+    /// Pauses a manager's process; its socket buffers the datagrams that arrive.
     pub fn pause(&mut self, node: usize) {
         self.paused[node] = true;
     }
 
-    /// Continues a paused process, which first reads what its socket kept.
+    /// Resumes a paused process, which first reads the buffered datagrams.
     pub fn resume(&mut self, node: usize) {
         self.paused[node] = false;
         for datagram in std::mem::take(&mut self.undelivered[node]) {
@@ -179,14 +180,14 @@
         self.tick(node, Vec::new());
     }
 
-    /// Restarts a manager under its name.
+    /// Replaces a manager by a new one with the same name and an empty receive buffer.
     pub fn restart(&mut self, node: usize, incarnation: u64, seed: u64) {
         self.nodes[node] = new_node(node, incarnation, &self.timing, seed, self.now);
         self.undelivered[node].clear();
         self.schedule_wakeup(node, self.now);
     }
 
-    /// The state of `member` as `observer` sees it, unless it is unknown there.
+    /// The state of `member` in the member list of `observer`; `None` if it isn't listed.
     pub fn state_of(&self, observer: usize, member: usize) -> Option<MemberState> {
         self.nodes[observer]
             .members()
@@ -194,7 +195,7 @@
             .map(|member| member.update.state)
     }
 
-    /// Whether all running managers see each other alive.
+    /// Whether each running manager lists all other running managers as alive.
     pub fn has_converged(&self) -> bool {
         let running = || (0..self.nodes.len()).filter(|node| self.is_running(*node));
         running().all(|observer| {
@@ -204,7 +205,7 @@
         })
     }
 
-    /// The reports since `since` that declared a manager dead.
+    /// The reports at or after `since` that declare `member` dead.
     pub fn death_reports(&self, member: usize, since: Micros) -> Vec<&StateChange> {
         let name = member_name(member);
         self.changes
@@ -218,8 +219,8 @@
         !self.paused[node]
     }
 
-    /// Draws whether an event of this probability happens.
-    fn happens(&mut self, probability: f64) -> bool {
+    /// Draws a random boolean that is true with this probability.
+    fn random_bool(&mut self, probability: f64) -> bool {
         f64::from(self.random.next_u32()) < probability * f64::from(u32::MAX)
     }
 
@@ -262,7 +263,8 @@
         self.tick(to, actions);
     }
 
-    /// Completes a manager's turn as its actor does: after the event, the clock.
+    /// Advances a manager's clock after an event, as the daemon's actor does, and performs its
+    /// actions.
     fn tick(&mut self, node: usize, mut actions: Vec<Action>) {
         self.nodes[node].tick(self.now, &mut actions);
         for action in actions {
@@ -279,7 +281,7 @@
         let at = self.nodes[node].next_wakeup();
         assert!(
             at > self.now,
-            "manager {node} would wake up again at once, in an endless loop"
+            "the next wakeup of manager {node} is not in the future; the simulation would not terminate"
         );
         self.schedule_wakeup(node, at);
     }
@@ -288,17 +290,17 @@
         let bytes = codec::encode(message);
         assert!(
             bytes.len() <= self.timing.max_datagram_bytes,
-            "a datagram over its bound"
+            "a datagram exceeds the size limit"
         );
         self.sent_bytes[from] += bytes.len() as u64;
         let to = member_at(to);
         let link = Link { from, to };
-        if self.blocked_links.contains(link) || self.happens(self.loss) {
+        if self.blocked_links.contains(link) || self.random_bool(self.loss) {
             return;
         }
         let latency = self.random_latency();
         let duplicate_latency = self.random_latency() * DUPLICATE_LATENCY_FACTOR;
-        if self.happens(self.duplication) {
+        if self.random_bool(self.duplication) {
             let duplicate = Datagram {
                 link,
                 bytes: bytes.clone(),
--- a/src/testkit/probe_simulation/fleet.rs
+++ b/src/testkit/probe_simulation/fleet.rs
@@ -1,5 +1,5 @@
-//! The simulated fleet: managers with the state machines of leases, a network with random delays
-//! and a queue of events.
+//! The simulated fleet: managers with their lease state machines, a network with random delays, and
+//! an event queue.
 use super::Plan;
 use super::manager::{SimulatedManager, manager_index};
 use crate::clock::{MS, Micros, SEC};
@@ -11,21 +11,21 @@
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The shortest delay of a datagram, and of an engine's answer.
+/// The minimum delay of a datagram, and of an engine's response to a probe.
 const MIN_DELAY_MICROS: Micros = MS;
-/// The random part of the delay is below this.
+/// The random part of the delay, added to the minimum, is below this.
 const DELAY_JITTER_MICROS: Micros = 3 * MS;
-/// The latency that probes report.
+/// The latency in the result of each probe.
 const PROBE_LATENCY_MICROS: Micros = 2 * MS;
-/// The first wants of managers are this far apart, modulo a second.
+/// The time between the first load requests of consecutive managers, modulo one second.
 const START_STAGGER_MICROS: Micros = 997;
 
-/// What was counted while the fleet was measured.
+/// The counts of the measurement.
 #[derive(Debug, Default)]
 pub(super) struct Totals {
     pub(super) probes_by_engine: BTreeMap<u64, u64>,
-    pub(super) loads_wanted: u64,
-    /// Probes that managers made for their own decision modules.
+    pub(super) loads_requested: u64,
+    /// Probes that managers sent for their own decision modules.
     pub(super) own_probes: u64,
     pub(super) total_wait: Micros,
     pub(super) loads_delivered: u64,
@@ -34,9 +34,9 @@
     pub(super) owner_changes: u64,
 }
 
-/// Managers are named by their index.
+/// An event; managers are identified by their index.
 enum Event {
-    LoadWanted {
+    LoadRequested {
         manager: usize,
     },
     Message {
@@ -58,7 +58,7 @@
     /// The manager that handles the event.
     fn manager(&self) -> usize {
         match self {
-            Event::LoadWanted { manager }
+            Event::LoadRequested { manager }
             | Event::ProbeFinished { manager, .. }
             | Event::Tick { manager } => *manager,
             Event::Message { to, .. } => *to,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Orders events by time; those of the same time as they were scheduled.
+/// Orders events by time; events at the same time keep the order in which they were scheduled.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct EventKey {
     at: Micros,
@@ -77,7 +77,7 @@
 pub(super) struct SimulatedFleet {
     plan: Plan,
     managers: Vec<SimulatedManager>,
-    /// The index of the preferred owner by engine, as all managers see it.
+    /// The index of the preferred owner by engine, which all managers agree on.
     preferred_owners: BTreeMap<u64, usize>,
     queue: BTreeMap<EventKey, Event>,
     last_sequence: u64,
@@ -85,12 +85,12 @@
     random: Pcg32,
     is_measuring: bool,
     totals: Totals,
-    /// The resources that were leased at some time.
+    /// The resources that have been leased at least once.
     leased: BTreeSet<Resource>,
 }
 
 impl SimulatedFleet {
-    /// A fleet at time zero whose managers are about to want their first loads.
+    /// Creates a fleet at time zero whose managers are scheduled to request their first loads.
     pub(super) fn new(plan: Plan) -> SimulatedFleet {
         let managers = (0..plan.managers).map(|index| SimulatedManager::new(index, &plan));
         let mut fleet = SimulatedFleet {
@@ -108,23 +108,23 @@
         fleet.update_preferred_owners();
         for manager in 0..fleet.managers.len() {
             let start = manager as u64 * START_STAGGER_MICROS % SEC;
-            fleet.schedule(start, Event::LoadWanted { manager });
+            fleet.schedule(start, Event::LoadRequested { manager });
         }
         fleet
     }
 
-    /// Counts from now on.
+    /// Starts counting.
     pub(super) fn start_measuring(&mut self) {
         self.is_measuring = true;
     }
 
-    /// What was counted.
+    /// The counts since the measurement started.
     pub(super) fn totals(&self) -> &Totals {
         &self.totals
     }
 
-    /// Stops one manager in as many as the plan says. Voters are spared, since a majority of them
-    /// has to stay alive.
+    /// Stops the share of managers that the plan specifies. Voters are not stopped, because leases
+    /// require a majority of them.
     pub(super) fn stop_managers(&mut self) {
         let others = self.managers.iter_mut().skip(self.plan.voters);
         for manager in others.step_by(self.plan.stop_one_in) {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Finds the preferred owners among the managers that run.
+    /// Determines the preferred owners among the running managers.
     pub(super) fn update_preferred_owners(&mut self) {
         let running: Vec<String> = (0..self.managers.len())
             .filter(|index| !self.managers[*index].is_stopped)
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Handles all events up to that time.
+    /// Handles all events up to this time.
     pub(super) fn run_until(&mut self, end: Micros) {
         while let Some(entry) = self
             .queue
@@ -173,11 +173,11 @@
         MIN_DELAY_MICROS + u64::from(self.random.next_u32()) % DELAY_JITTER_MICROS
     }
 
-    /// The time until a manager wants the next load: exponentially distributed, so that the wants
-    /// are a Poisson process.
+    /// The time until a manager requests the next load: exponentially distributed, so that the
+    /// requests are a Poisson process.
     fn random_pause(&mut self) -> Micros {
         let uniform = (f64::from(self.random.next_u32()) + 1.0) / (f64::from(u32::MAX) + 2.0);
-        (-uniform.ln() / self.plan.loads_wanted_per_second * SEC as f64) as Micros
+        (-uniform.ln() / self.plan.load_requests_per_second * SEC as f64) as Micros
     }
 
     fn send(&mut self, from: usize, to: usize, message: LeaseMessage) {
@@ -191,18 +191,19 @@
 
     fn handle(&mut self, event: Event) {
         let manager = event.manager();
-        if let Event::LoadWanted { .. } = event {
+        if let Event::LoadRequested { .. } = event {
             let pause = self.random_pause();
-            self.schedule(pause, Event::LoadWanted { manager });
+            self.schedule(pause, Event::LoadRequested { manager });
         }
         if self.managers[manager].is_stopped {
             return;
         }
-        // Drawn for every event, whether it needs one or not: the figures of a seed depend on it.
+        // Drawn for every event, even if it needs no engine: the figures of a seed depend on the
+        // number of draws.
         let random_engine = u64::from(self.random.next_u32()) % self.plan.engines;
         let mut actions = PendingActions::default();
         match event {
-            Event::LoadWanted { .. } => self.want_load(manager, random_engine, &mut actions),
+            Event::LoadRequested { .. } => self.request_load(manager, random_engine, &mut actions),
             Event::ProbeFinished {
                 engine, for_peers, ..
             } => {
@@ -216,17 +217,17 @@
                 self.receive(from, manager, message, &mut actions);
             }
         }
-        self.carry_out(manager, actions);
+        self.perform(manager, actions);
         self.schedule_tick(manager);
     }
 
-    fn want_load(&mut self, index: usize, engine: u64, actions: &mut PendingActions) {
+    fn request_load(&mut self, index: usize, engine: u64, actions: &mut PendingActions) {
         if self.is_measuring {
-            self.totals.loads_wanted += 1;
+            self.totals.loads_requested += 1;
         }
         let manager = &mut self.managers[index];
-        let waiting_since = manager.waiting_since.entry(engine).or_default();
-        waiting_since.push(self.now);
+        let open_request_times = manager.open_request_times.entry(engine).or_default();
+        open_request_times.push(self.now);
         if self.plan.voters == 0 {
             actions.probe.push(ProbeAction::ProbeEngine { engine });
             return;
@@ -267,7 +268,7 @@
         let now = self.now;
         let manager = &mut self.managers[to];
         match message {
-            LeaseMessage::RequestLease(request) => self.answer_lease_request(from, to, &request),
+            LeaseMessage::RequestLease(request) => self.handle_lease_request(from, to, &request),
             LeaseMessage::Vote(reply) => {
                 let SimulatedManager {
                     candidate, fence, ..
@@ -305,7 +306,7 @@
         }
     }
 
-    fn answer_lease_request(&mut self, from: usize, to: usize, request: &LeaseRequest) {
+    fn handle_lease_request(&mut self, from: usize, to: usize, request: &LeaseRequest) {
         let Some(voter) = &mut self.managers[to].voter else {
             return;
         };
@@ -318,16 +319,16 @@
         self.send(to, from, LeaseMessage::Vote(reply));
     }
 
-    fn carry_out(&mut self, index: usize, actions: PendingActions) {
+    fn perform(&mut self, index: usize, actions: PendingActions) {
         for action in actions.lease {
-            self.carry_out_lease_action(index, action);
+            self.perform_lease_action(index, action);
         }
         for action in actions.probe {
-            self.carry_out_probe_action(index, action);
+            self.perform_probe_action(index, action);
         }
     }
 
-    fn carry_out_lease_action(&mut self, index: usize, action: LeaseAction) {
+    fn perform_lease_action(&mut self, index: usize, action: LeaseAction) {
         match action {
             LeaseAction::Request { voter, request } => {
                 let message = LeaseMessage::RequestLease(request);
@@ -355,7 +356,7 @@
         }
     }
 
-    fn carry_out_probe_action(&mut self, index: usize, action: ProbeAction) {
+    fn perform_probe_action(&mut self, index: usize, action: ProbeAction) {
         match action {
             ProbeAction::ProbeEngine { engine } => self.probe_engine(index, engine, false),
             ProbeAction::ProbeForPeers { engine, .. } => self.probe_engine(index, engine, true),
@@ -392,10 +393,11 @@
         self.schedule(delay, finished);
     }
 
-    /// The decision module gets a load that it waits for.
+    /// Delivers a load to the decision module and records its wait; does nothing without an open
+    /// request.
     fn deliver_load(&mut self, index: usize, engine: u64) {
-        let waiting_since = self.managers[index].waiting_since.get_mut(&engine);
-        if let Some(since) = waiting_since.and_then(Vec::pop)
+        let open_request_times = self.managers[index].open_request_times.get_mut(&engine);
+        if let Some(since) = open_request_times.and_then(Vec::pop)
             && self.is_measuring
         {
             self.totals.total_wait += self.now - since;
--- a/src/testkit/probe_simulation/manager.rs
+++ b/src/testkit/probe_simulation/manager.rs
@@ -1,4 +1,4 @@
-//! One simulated manager: its state machines and its name.
+//! A simulated manager.
 use super::Plan;
 use crate::clock::{MS, Micros};
 use crate::lease::shared_probe::{PendingActions, ProbeContext, SharedProber};
@@ -6,19 +6,19 @@
 use crate::testkit::membership_simulation::member_name;
 use std::collections::BTreeMap;
 
-/// The state machines of one manager.
+/// The lease and probe state machines of one manager.
 pub(super) struct SimulatedManager {
     pub(super) voter: Option<Voter>,
     pub(super) candidate: Candidate,
     pub(super) fence: FencingGuard,
     pub(super) prober: SharedProber,
     pub(super) is_stopped: bool,
-    /// For each engine when the decision module began to wait, once for each load it wants.
-    pub(super) waiting_since: BTreeMap<u64, Vec<Micros>>,
+    /// For each engine, the times of the decision module's load requests that are still open.
+    pub(super) open_request_times: BTreeMap<u64, Vec<Micros>>,
 }
 
 impl SimulatedManager {
-    /// A manager at time zero that holds no lease.
+    /// Creates a manager at time zero that holds no lease.
     pub(super) fn new(index: usize, plan: &Plan) -> SimulatedManager {
         let is_voter = index < plan.voters;
         let timing = plan.lease_timing;
@@ -34,11 +34,11 @@
             fence: FencingGuard::default(),
             prober: SharedProber::new(timing.probe_request_timeout_ms * MS),
             is_stopped: false,
-            waiting_since: BTreeMap::new(),
+            open_request_times: BTreeMap::new(),
         }
     }
 
-    /// The prober, and the context of an event that it handles.
+    /// The prober, and the context in which it handles an event.
     pub(super) fn prober_in_context<'a>(
         &'a mut self,
         now: Micros,
@@ -53,14 +53,14 @@
         (&mut self.prober, context)
     }
 
-    /// When the state machines have something to do next.
+    /// The time of the next tick that the state machines need.
     pub(super) fn next_wakeup(&self) -> Option<Micros> {
         let wakeups = [self.candidate.next_wakeup(), self.prober.next_wakeup()];
         wakeups.into_iter().flatten().min()
     }
 }
 
-/// The index in a name of [`member_name`].
+/// The index of the manager with this [`member_name`].
 pub(super) fn manager_index(name: &str) -> usize {
     name[1..].parse().unwrap_or(0)
 }
--- a/src/testkit/probe_simulation/mod.rs
+++ b/src/testkit/probe_simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Simulates the probes of a fleet, with and without a lease holder for each engine: the state
+//! Simulates the load probes of a fleet, with and without a lease for each engine: the state
 //! machines of [`crate::lease`] of many managers on a simulated network. The same seed gives the
 //! same figures.
 mod fleet;
@@ -11,35 +11,37 @@
 use crate::lease::LeaseTiming;
 use fleet::SimulatedFleet;
 
-/// How long the fleet runs before anything is measured.
+/// How long the fleet runs before the measurement starts.
 const WARM_UP_MICROS: Micros = 10 * SEC;
-/// How long each case of [`compare`] is measured, in seconds.
+/// The duration of the measurement of each case of [`compare`], in seconds.
 const COMPARED_SECONDS: u64 = 40;
-/// The voters in the cases of [`compare`] with leases.
+/// The number of voters in the cases of [`compare`] with leases.
 const COMPARED_VOTERS: usize = 5;
 
-/// What is simulated.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The managers.
+    /// The number of managers.
     pub managers: usize,
-    /// The engines.
+    /// The number of engines.
     pub engines: u64,
-    /// How often a second the decision module of each manager wants the load of some engine.
-    pub loads_wanted_per_second: f64,
-    /// The voters; with 0 there are no leases, and each manager probes the engines itself.
+    /// The mean rate at which the decision module of each manager requests the load of a random
+    /// engine, per second.
+    pub load_requests_per_second: f64,
+    /// The number of voters; with 0 there are no leases, and each manager probes the engines itself.
     pub voters: usize,
     /// The timing of leases.
     pub lease_timing: LeaseTiming,
-    /// One manager in this many is stopped halfway through; with 0 none is.
+    /// One in this many of the managers that are not voters is stopped halfway through the
+    /// measurement; with 0 none is.
     pub stop_one_in: usize,
-    /// How long the fleet is measured after the warm-up, in seconds.
+    /// The duration of the measurement after the warm-up, in seconds.
     pub seconds: u64,
-    /// The seed of all random numbers.
+    /// The seed of the random number generators.
     pub seed: u64,
 }
 
-/// Simulates a fleet.
+/// Simulates a fleet and returns its figures, labeled with `case`.
 pub fn measure(plan: &Plan, case: &str) -> Figures {
     let half = plan.seconds * SEC / 2;
     let mut fleet = SimulatedFleet::new(plan.clone());
@@ -48,7 +50,8 @@
     fleet.run_until(WARM_UP_MICROS + half);
     if plan.stop_one_in > 0 {
         fleet.stop_managers();
-        // The stopped managers are still asked until the membership has found them dead.
+        // Stopped managers remain preferred owners and are sent requests until the membership
+        // protocol declares them dead, which is assumed to take a quarter of the measurement.
         let detection = plan.seconds * SEC / 4;
         fleet.run_until(WARM_UP_MICROS + half + detection);
         fleet.update_preferred_owners();
@@ -57,12 +60,12 @@
     Figures::new(plan, case, fleet.totals())
 }
 
-/// Simulates fleets of these sizes, each without leases, with them, and with one manager in ten
-/// stopped halfway.
+/// Simulates a fleet of each size: without leases, with leases, and with leases while one manager in
+/// ten is stopped halfway.
 pub fn compare(
     sizes: &[usize],
     engines: u64,
-    loads_wanted_per_second: f64,
+    load_requests_per_second: f64,
     seed: u64,
 ) -> Vec<Figures> {
     let mut figures = Vec::new();
@@ -70,7 +73,7 @@
         let without_leases = Plan {
             managers: *managers,
             engines,
-            loads_wanted_per_second,
+            load_requests_per_second,
             voters: 0,
             lease_timing: LeaseTiming::default(),
             stop_one_in: 0,
--- a/src/testkit/probe_simulation/report.rs
+++ b/src/testkit/probe_simulation/report.rs
@@ -1,4 +1,4 @@
-//! The figures of a simulation, and their table.
+//! The figures of a simulation, and their output as a table.
 use super::Plan;
 use super::fleet::Totals;
 use crate::clock::MS;
@@ -6,7 +6,7 @@
 use comfy_table::presets::ASCII_MARKDOWN;
 use serde::Serialize;
 
-/// Probes that reached an engine, per second. In JSON an array of the mean and the maximum.
+/// Probes per second at an engine. Serialized as an array of the mean and the maximum.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct ProbeRate {
@@ -22,13 +22,13 @@
     }
 }
 
-/// What a manager sent for leases, per second. In JSON an array of datagrams and bytes.
+/// Lease traffic sent by a manager, per second. Serialized as an array of datagrams and bytes.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct TrafficRate {
     /// Datagrams.
     pub datagrams: f64,
-    /// Bytes of their payloads.
+    /// Payload bytes.
     pub bytes: f64,
 }
 
@@ -38,27 +38,28 @@
     }
 }
 
-/// The result of a simulation.
+/// The results of a simulation.
 #[derive(Clone, Debug, Serialize)]
 pub struct Figures {
-    /// The managers.
+    /// The number of managers.
     pub managers: usize,
-    /// The engines.
+    /// The number of engines.
     pub engines: u64,
-    /// What was simulated.
+    /// The label of the simulated case.
     pub case: String,
-    /// The probes at the engines.
+    /// The probe rate at the engines.
     #[serde(rename = "probes")]
     pub probe_rate: ProbeRate,
-    /// The fraction of the wanted loads that needed no probe by the manager itself.
-    pub spared: f64,
-    /// The mean time until a decision module had the load it wanted, in milliseconds.
+    /// The fraction of the requested loads for which the manager did not probe the engine itself.
+    #[serde(rename = "spared")]
+    pub shared_fraction: f64,
+    /// The mean time until a decision module received the load that it requested, in milliseconds.
     #[serde(rename = "waited_ms")]
     pub mean_wait_ms: f64,
-    /// The traffic of leases for each manager.
+    /// The lease traffic of each manager.
     #[serde(rename = "traffic")]
     pub traffic_rate: TrafficRate,
-    /// How often a lease was acquired after another manager had held it.
+    /// How often a lease was acquired on a resource that had been leased before.
     #[serde(rename = "changes")]
     pub owner_changes: u64,
 }
@@ -78,7 +79,7 @@
                 mean: all_probes as f64 / seconds / plan.engines as f64,
                 max: most_probes as f64 / seconds,
             },
-            spared: 1.0 - totals.own_probes as f64 / totals.loads_wanted.max(1) as f64,
+            shared_fraction: 1.0 - totals.own_probes as f64 / totals.loads_requested.max(1) as f64,
             mean_wait_ms: mean_wait / MS as f64,
             traffic_rate: TrafficRate {
                 datagrams: totals.datagrams as f64 / seconds / managers,
@@ -89,7 +90,7 @@
     }
 }
 
-/// The figures as a table, one case a row.
+/// Formats the figures as a table with one row for each case.
 pub fn table(figures: &[Figures]) -> String {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN).set_header([
@@ -111,7 +112,7 @@
             row.case.clone(),
             format!("{:.1}", row.probe_rate.mean),
             format!("{:.1}", row.probe_rate.max),
-            format!("{:.1}%", row.spared * 100.0),
+            format!("{:.1}%", row.shared_fraction * 100.0),
             format!("{:.1}", row.mean_wait_ms),
             format!("{:.1}", row.traffic_rate.datagrams),
             format!("{:.0}", row.traffic_rate.bytes),
--- a/tests/unit/probe_simulation.rs
+++ b/tests/unit/probe_simulation.rs
@@ -1,11 +1,11 @@
-//! The simulation of shared probes.
+//! The simulation of load probes shared through leases.
 use super::*;
 
 fn plan_without_leases() -> Plan {
     Plan {
         managers: 40,
         engines: 8,
-        loads_wanted_per_second: 20.0,
+        load_requests_per_second: 20.0,
         voters: 0,
         lease_timing: LeaseTiming::default(),
         stop_one_in: 0,
@@ -14,10 +14,11 @@
     }
 }
 
-/// An engine is probed by its lease holder alone however many managers want its load, and all get
-/// it in time. With managers stopped the engines are still probed less than without leases.
+/// Guards against probes that grow with the number of managers: only the lease holder probes an
+/// engine, and all managers receive the load in time. With a tenth of the managers stopped, engines
+/// still receive fewer probes than without leases.
 #[test]
-fn lease_holders_spare_engines_most_probes_even_when_some_stop() {
+fn leases_reduce_probes_even_when_some_managers_stop() {
     let without_leases = plan_without_leases();
     let with_leases = Plan {
         voters: 5,
@@ -33,11 +34,11 @@
     let stopped = measure(&with_stops, "");
 
     assert!(
-        alone.probe_rate.mean > 90.0 && alone.spared == 0.0,
+        alone.probe_rate.mean > 90.0 && alone.shared_fraction == 0.0,
         "{alone:?}"
     );
     assert!(
-        shared.probe_rate.mean < 12.0 && shared.spared > 0.95 && shared.owner_changes == 0,
+        shared.probe_rate.mean < 12.0 && shared.shared_fraction > 0.95 && shared.owner_changes == 0,
         "{shared:?}"
     );
     assert!(shared.mean_wait_ms < 20.0, "{shared:?}");
