--- a/src/bin/yokelift-testkit/main.rs
+++ b/src/bin/yokelift-testkit/main.rs
@@ -206,7 +206,7 @@
     // The daemon is installed beside the test kit.
     let testkit = std::env::current_exe().map_err(failure)?;
     let daemon = testkit.with_file_name("yokelift");
-    scenario::play(&daemon, &text, &mut |line| print(&format!("{line}\n")))
+    scenario::run(&daemon, &text, &mut |line| print(&format!("{line}\n")))
 }
 
 fn gather_audit(
--- a/src/testkit/scenario/checks.rs
+++ b/src/testkit/scenario/checks.rs
@@ -1,12 +1,12 @@
-//! Steps that check what engines have seen of a query.
+//! Steps that check the attempts of a query that engines have received.
 use super::error::{StepError, expect};
-use super::{Stage, count};
+use super::{ScenarioRun, parse_count};
 use crate::testkit::eventually;
 
-/// The value of a field that was not sent.
+/// The value that stands for a field that was not sent.
 const NO_VALUE: &str = "-";
 
-/// A step that checks what engines have seen.
+/// A step that checks the attempts of a query that engines have received.
 pub(super) enum CheckStep<'a> {
     AwaitRunning {
         query: &'a str,
@@ -36,7 +36,7 @@
             ["over", query] => CheckStep::AwaitNotRunning { query },
             ["runs", query, runs] => CheckStep::ExpectRuns {
                 query,
-                runs: count(runs)?,
+                runs: parse_count(runs)?,
             },
             ["sent", query, field, value] => CheckStep::ExpectField {
                 query,
@@ -45,7 +45,7 @@
             },
             ["dropped", query, runs] => CheckStep::ExpectDeduplicated {
                 query,
-                runs: count(runs)?,
+                runs: parse_count(runs)?,
             },
             _ => return Ok(None),
         };
@@ -53,8 +53,11 @@
     }
 }
 
-impl Stage<'_> {
-    pub(super) async fn execute_check(&mut self, step: CheckStep<'_>) -> Result<(), StepError> {
+impl ScenarioRun<'_> {
+    pub(super) async fn execute_check_step(
+        &mut self,
+        step: CheckStep<'_>,
+    ) -> Result<(), StepError> {
         match step {
             CheckStep::AwaitRunning { query } => self.await_running(query).await,
             CheckStep::AwaitNotRunning { query } => self.await_not_running(query).await,
@@ -77,7 +80,7 @@
             runs.iter().any(|run| run.end.is_none())
         };
         let reached = eventually(is_running).await;
-        expect(reached, || "that no engine runs it".into())
+        expect(reached, || "no engine runs the query".into())
     }
 
     async fn await_not_running(&self, query: &str) -> Result<(), StepError> {
@@ -86,10 +89,10 @@
             runs.iter().all(|run| run.end.is_some())
         };
         let reached = eventually(has_ended).await;
-        expect(reached, || "that an engine still runs it".into())
+        expect(reached, || "an engine still runs the query".into())
     }
 
-    /// Compares a field that was sent with the last attempt of a query.
+    /// Checks the value of a field that was sent with the last attempt of a query.
     fn expect_field(&self, query: &str, field: &str, value: &str) -> Result<(), StepError> {
         let runs = self.log.runs_of(query);
         let found = runs.last().and_then(|run| run.fields.get(field));
@@ -97,7 +100,8 @@
         expect(found == value, || format!("{found:?}"))
     }
 
-    /// Compares how many attempts of a query changed nothing, as engines knew its key.
+    /// Checks how many attempts of a query changed nothing, because engines recognized its
+    /// idempotency key.
     fn expect_deduplicated(&self, query: &str, count: usize) -> Result<(), StepError> {
         let runs = self.log.runs_of(query);
         let found = runs.iter().filter(|run| run.deduplicated).count();
--- a/src/testkit/scenario/connections.rs
+++ b/src/testkit/scenario/connections.rs
@@ -1,35 +1,34 @@
-//! Steps about clients that keep their connections: several queries on one, streams of queries, and
-//! idle clients.
+//! Steps for clients with persistent connections: several queries on one connection, streams of
+//! queries, and idle clients.
 use super::error::{StepError, expect};
 use super::queries::named_statement;
-use super::{PersistentConnection, Query, Stage, count, number};
+use super::{PersistentConnection, Query, ScenarioRun, parse_count, parse_number};
 use crate::testkit::clients::{self, ClientOutcome, PersistentClient, RpcRequest};
 use crate::testkit::{Executor, eventually, pause};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The connections that a stream of queries uses in turn.
+/// The number of connections that a stream of queries uses in turn.
 const STREAM_CONNECTIONS: usize = 3;
-/// The client's identifiers of a stream's queries start here, beside those of other queries.
+/// The first request id of a stream, so that its ids differ from those of other queries.
 const FIRST_STREAM_REQUEST_ID: usize = 0x5000_0000;
 
-/// How much of a query is sent.
+/// The part of a query that is sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Portion {
     Whole,
     FirstHalf,
 }
 
-/// What idle clients do before they fall silent.
+/// What idle clients send after they have connected.
 #[derive(Clone, Copy)]
-pub(super) enum Greeting {
-    /// Nothing.
-    Mute,
-    /// They ask once for the daemon's status.
+pub(super) enum InitialRequest {
+    Nothing,
+    /// One request for the daemon's status; on the HTTP frontend, a ping.
     Status,
 }
 
-/// Where idle clients connect.
+/// The listener that idle clients connect to.
 #[derive(Clone, Copy)]
 pub(super) enum Listener {
     JsonRpc,
@@ -37,8 +36,8 @@
     Admin,
 }
 
-/// A query on a kept connection.
-pub(super) struct KeptQuery<'a> {
+/// A query on a persistent connection.
+pub(super) struct ConnectionQuery<'a> {
     name: &'a str,
     class: &'a str,
     tenant: &'a str,
@@ -46,7 +45,7 @@
     statement: String,
 }
 
-/// Queries one after the other.
+/// Queries that are sent one after the other, with a pause after each.
 pub(super) struct QueryStream<'a> {
     name: &'a str,
     class: &'a str,
@@ -56,14 +55,14 @@
     gap_millis: u64,
 }
 
-/// A step about a client that keeps its connection.
+/// A step for a client with a persistent connection.
 pub(super) enum ConnectionStep<'a> {
     Open {
         connection: &'a str,
     },
-    Ask {
+    Send {
         connection: &'a str,
-        query: KeptQuery<'a>,
+        query: ConnectionQuery<'a>,
         portion: Portion,
     },
     SendRest {
@@ -77,7 +76,7 @@
     },
     OpenIdle {
         name: &'a str,
-        greeting: Greeting,
+        initial_request: InitialRequest,
         listener: Listener,
         clients: usize,
     },
@@ -85,7 +84,7 @@
         name: &'a str,
     },
     Stream(QueryStream<'a>),
-    ExpectStreamServed {
+    ExpectStreamCompleted {
         name: &'a str,
     },
 }
@@ -103,13 +102,13 @@
                 tenant,
                 wait,
                 ref statement @ ..,
-            ] => ConnectionStep::Ask {
+            ] => ConnectionStep::Send {
                 connection,
-                query: KeptQuery {
+                query: ConnectionQuery {
                     name,
                     class,
                     tenant,
-                    wait_millis: number(wait)?,
+                    wait_millis: parse_number(wait)?,
                     statement: named_statement(name, statement),
                 },
                 portion: match verb {
@@ -122,19 +121,19 @@
             ["kept", connection] => ConnectionStep::ExpectOpen { connection },
             ["mute", name, listener, clients] => ConnectionStep::OpenIdle {
                 name,
-                greeting: Greeting::Mute,
+                initial_request: InitialRequest::Nothing,
                 listener: Listener::parse(listener),
-                clients: count(clients)?,
+                clients: parse_count(clients)?,
             },
             ["stay", name, listener, clients] => ConnectionStep::OpenIdle {
                 name,
-                greeting: Greeting::Status,
+                initial_request: InitialRequest::Status,
                 listener: Listener::parse(listener),
-                clients: count(clients)?,
+                clients: parse_count(clients)?,
             },
             ["shut", name] => ConnectionStep::ExpectIdleClosed { name },
             ["stream", ref stream @ ..] => ConnectionStep::Stream(QueryStream::parse(stream)?),
-            ["expect-all", name, "served"] => ConnectionStep::ExpectStreamServed { name },
+            ["expect-all", name, "served"] => ConnectionStep::ExpectStreamCompleted { name },
             _ => return Ok(None),
         };
         Ok(Some(step))
@@ -160,37 +159,39 @@
             name,
             class,
             tenant,
-            wait_millis: number(wait)?,
-            queries: count(queries)?,
-            gap_millis: number(gap)?,
+            wait_millis: parse_number(wait)?,
+            queries: parse_count(queries)?,
+            gap_millis: parse_number(gap)?,
         })
     }
 }
 
-impl Stage<'_> {
-    pub(super) async fn execute_connection(
+impl ScenarioRun<'_> {
+    pub(super) async fn execute_connection_step(
         &mut self,
         step: ConnectionStep<'_>,
     ) -> Result<(), StepError> {
         match step {
             ConnectionStep::Open { connection } => self.open_connection(connection),
-            ConnectionStep::Ask {
+            ConnectionStep::Send {
                 connection,
                 query,
                 portion,
-            } => self.ask_on(connection, &query, portion),
+            } => self.send_on(connection, &query, portion),
             ConnectionStep::SendRest { connection } => self.send_rest(connection),
             ConnectionStep::ExpectClosed { connection } => self.expect_closed(connection).await,
             ConnectionStep::ExpectOpen { connection } => self.expect_open(connection),
             ConnectionStep::OpenIdle {
                 name,
-                greeting,
+                initial_request,
                 listener,
                 clients,
-            } => self.open_idle(name, greeting, listener, clients),
+            } => self.open_idle(name, initial_request, listener, clients),
             ConnectionStep::ExpectIdleClosed { name } => self.expect_idle_closed(name).await,
             ConnectionStep::Stream(stream) => self.start_stream(&stream),
-            ConnectionStep::ExpectStreamServed { name } => self.expect_stream_served(name).await,
+            ConnectionStep::ExpectStreamCompleted { name } => {
+                self.expect_stream_completed(name).await
+            }
         }
     }
 
@@ -214,10 +215,10 @@
             .ok_or(StepError::UnknownClient)
     }
 
-    fn ask_on(
+    fn send_on(
         &mut self,
         connection: &str,
-        query: &KeptQuery<'_>,
+        query: &ConnectionQuery<'_>,
         portion: Portion,
     ) -> Result<(), StepError> {
         let client_request_id = self.next_client_request_id();
@@ -241,7 +242,7 @@
         let query_state = Query {
             task: None,
             outcome,
-            disconnects: Rc::default(),
+            disconnect_on_response: Rc::default(),
             reported: false,
         };
         self.queries.insert(query.name.to_owned(), query_state);
@@ -258,18 +259,18 @@
     async fn expect_closed(&self, connection: &str) -> Result<(), StepError> {
         let client = &self.connection(connection)?.client;
         let closed = eventually(|| client.closed()).await;
-        expect(closed, || "that it is still open".into())
+        expect(closed, || "the connection is still open".into())
     }
 
     fn expect_open(&self, connection: &str) -> Result<(), StepError> {
         let closed = self.connection(connection)?.client.closed();
-        expect(!closed, || "that it is closed".into())
+        expect(!closed, || "the connection is closed".into())
     }
 
     fn open_idle(
         &mut self,
         name: &str,
-        greeting: Greeting,
+        initial_request: InitialRequest,
         listener: Listener,
         clients: usize,
     ) -> Result<(), StepError> {
@@ -279,21 +280,21 @@
             Listener::Http => self.http_addr,
             Listener::Admin => self.admin_addr()?,
         };
-        let greeting: &[u8] = match (greeting, listener) {
-            (Greeting::Mute, _) => b"",
-            (Greeting::Status, Listener::Http) => clients::PING,
-            (Greeting::Status, Listener::JsonRpc | Listener::Admin) => clients::STATUS,
+        let initial_request: &[u8] = match (initial_request, listener) {
+            (InitialRequest::Nothing, _) => b"",
+            (InitialRequest::Status, Listener::Http) => clients::PING,
+            (InitialRequest::Status, Listener::JsonRpc | Listener::Admin) => clients::STATUS,
         };
         let client = |_| {
             self.executor
-                .spawn(clients::send_and_wait_for_close(addr, greeting))
+                .spawn(clients::send_and_wait_for_close(addr, initial_request))
         };
         let tasks = (0..clients).map(client).collect();
         self.idle_clients.insert(name.to_owned(), tasks);
         Ok(())
     }
 
-    /// Waits until the daemon has closed all connections of idle clients.
+    /// Waits until the daemon has closed all connections of these idle clients.
     async fn expect_idle_closed(&mut self, name: &str) -> Result<(), StepError> {
         let clients = self.idle_clients.remove(name);
         for client in clients.ok_or(StepError::UnknownClient)? {
@@ -324,20 +325,21 @@
         Ok(())
     }
 
-    /// Waits for the outcomes of all queries of a stream and compares them.
-    async fn expect_stream_served(&mut self, name: &str) -> Result<(), StepError> {
+    /// Waits for the outcomes of all queries of a stream, reports how many completed, and checks that
+    /// all did.
+    async fn expect_stream_completed(&mut self, name: &str) -> Result<(), StepError> {
         let outcomes = self.streams.get(name).ok_or(StepError::UnknownStream)?;
         eventually(|| outcomes.iter().all(|outcome| outcome.borrow().is_some())).await;
-        let is_served =
+        let is_completed =
             |outcome: &Option<ClientOutcome>| matches!(outcome, Some(ClientOutcome::Served(_)));
         let others: Vec<String> = outcomes
             .iter()
-            .filter(|outcome| !is_served(&outcome.borrow()))
+            .filter(|outcome| !is_completed(&outcome.borrow()))
             .map(|outcome| format!("{:?}", outcome.borrow()))
             .collect();
         let total = outcomes.len();
-        let served = total - others.len();
-        (self.report)(&format!("{name}: {served} of {total} served"));
+        let completed = total - others.len();
+        (self.report)(&format!("{name}: {completed} of {total} served"));
         expect(others.is_empty(), || others.join(", "))
     }
 }
@@ -358,13 +360,14 @@
         PersistentClient::open(&self.executor, self.addr)
     }
 
-    /// Sends the queries in turn on its connections, which stay open until the last response.
+    /// Sends the queries on the connections in turn, and keeps these open for the responses until the
+    /// task is dropped.
     async fn run(self, outcomes: Vec<clients::PendingOutcome>) {
         let mut connections: Vec<PersistentClient> =
             (0..STREAM_CONNECTIONS).map(|_| self.connect()).collect();
         for (index, outcome) in outcomes.into_iter().enumerate() {
             let connection = &mut connections[index % STREAM_CONNECTIONS];
-            // A connection that the daemon closed is replaced, as real clients do.
+            // Like real clients, replaces a connection that the daemon has closed.
             if connection.closed() {
                 *connection = self.connect();
             }
--- a/src/testkit/scenario/daemon.rs
+++ b/src/testkit/scenario/daemon.rs
@@ -1,20 +1,21 @@
 //! Steps that control the daemon, its coordinator and its admin endpoint.
 use super::error::{StepError, expect};
-use super::{Stage, number};
+use super::{ScenarioRun, parse_number};
 use crate::testkit::daemon::DaemonProcess;
 use crate::testkit::{clients, pause};
 
-/// Time between two looks at the daemon's counters.
+/// The interval at which the daemon's counters are polled.
 const COUNTER_POLL_MILLIS: u64 = 20;
-/// Time between two calls of the admin endpoint.
+/// The interval at which the admin endpoint is polled.
 const ADMIN_POLL_MILLIS: u64 = 10;
-/// The value of a metric that has to equal the number of runs on engines.
-const NUMBER_OF_RUNS: &str = "runs";
+/// The value argument that stands for the number of attempts that engines have received, without
+/// those of streams.
+const ATTEMPT_COUNT: &str = "runs";
 
-/// The value that a counter has to reach.
+/// The value that a counter must reach.
 pub(super) enum CounterTarget {
     Absolute(u64),
-    /// More than now.
+    /// This much more than the current value.
     Increase(u64),
 }
 
@@ -25,13 +26,13 @@
     },
     ReconfigureInvalid,
     LaunchSuccessor,
-    FollowSuccessor,
-    Retire,
-    ExpectRetired,
+    LaunchReadySuccessor,
+    TerminatePredecessor,
+    ExpectPredecessorExited,
     Kill(DaemonProcess),
     Terminate,
-    ExpectEnded,
-    BreakCoordinator,
+    ExpectExited,
+    CloseCoordinatorConnections,
     MigrateCoordinator,
     AwaitCounter {
         name: &'a str,
@@ -60,14 +61,14 @@
             },
             ["spoil"] => DaemonStep::ReconfigureInvalid,
             ["launch"] => DaemonStep::LaunchSuccessor,
-            ["follow"] => DaemonStep::FollowSuccessor,
-            ["retire"] => DaemonStep::Retire,
-            ["retired"] => DaemonStep::ExpectRetired,
+            ["follow"] => DaemonStep::LaunchReadySuccessor,
+            ["retire"] => DaemonStep::TerminatePredecessor,
+            ["retired"] => DaemonStep::ExpectPredecessorExited,
             ["kill", "older"] => DaemonStep::Kill(DaemonProcess::Older),
             ["kill", "newer"] => DaemonStep::Kill(DaemonProcess::Newer),
             ["term"] => DaemonStep::Terminate,
-            ["ended"] => DaemonStep::ExpectEnded,
-            ["cut"] => DaemonStep::BreakCoordinator,
+            ["ended"] => DaemonStep::ExpectExited,
+            ["cut"] => DaemonStep::CloseCoordinatorConnections,
             ["move"] => DaemonStep::MigrateCoordinator,
             ["until", name, value] => DaemonStep::AwaitCounter {
                 name,
@@ -75,12 +76,12 @@
             },
             ["counter", name, value] => DaemonStep::ExpectCounter {
                 name,
-                value: number(value)?,
+                value: parse_number(value)?,
             },
             ["call", method, path, status] => DaemonStep::CallAdmin {
                 method,
                 path,
-                status: number(status)?,
+                status: parse_number(status)?,
             },
             ["figure", name, value] => DaemonStep::AwaitMetric { name, value },
             _ => return Ok(None),
@@ -92,26 +93,29 @@
 impl CounterTarget {
     fn parse(word: &str) -> Result<CounterTarget, StepError> {
         match word.strip_prefix('+') {
-            Some(increase) => Ok(CounterTarget::Increase(number(increase)?)),
-            None => Ok(CounterTarget::Absolute(number(word)?)),
+            Some(increase) => Ok(CounterTarget::Increase(parse_number(increase)?)),
+            None => Ok(CounterTarget::Absolute(parse_number(word)?)),
         }
     }
 }
 
-impl Stage<'_> {
-    pub(super) async fn execute_daemon(&mut self, step: DaemonStep<'_>) -> Result<(), StepError> {
+impl ScenarioRun<'_> {
+    pub(super) async fn execute_daemon_step(
+        &mut self,
+        step: DaemonStep<'_>,
+    ) -> Result<(), StepError> {
         let program = self.program;
         match step {
             DaemonStep::Reconfigure { changes } => self.daemon()?.reconfigure(&changes)?,
             DaemonStep::ReconfigureInvalid => self.daemon()?.reconfigure_invalid()?,
             DaemonStep::LaunchSuccessor => self.daemon_mut()?.launch(program)?,
-            DaemonStep::FollowSuccessor => self.daemon_mut()?.follow(program).await?,
-            DaemonStep::Retire => self.daemon()?.retire(),
-            DaemonStep::ExpectRetired => self.expect_retired().await?,
+            DaemonStep::LaunchReadySuccessor => self.daemon_mut()?.follow(program).await?,
+            DaemonStep::TerminatePredecessor => self.daemon()?.retire(),
+            DaemonStep::ExpectPredecessorExited => self.expect_predecessor_exited().await?,
             DaemonStep::Kill(process) => self.daemon_mut()?.kill(process),
             DaemonStep::Terminate => self.daemon()?.terminate(),
-            DaemonStep::ExpectEnded => self.expect_ended().await?,
-            DaemonStep::BreakCoordinator => self.coordinator.break_connections(),
+            DaemonStep::ExpectExited => self.expect_exited().await?,
+            DaemonStep::CloseCoordinatorConnections => self.coordinator.break_connections(),
             DaemonStep::MigrateCoordinator => self.migrate_coordinator()?,
             DaemonStep::AwaitCounter { name, target } => self.await_counter(name, target).await?,
             DaemonStep::ExpectCounter { name, value } => self.expect_counter(name, value)?,
@@ -125,20 +129,20 @@
         Ok(())
     }
 
-    async fn expect_retired(&mut self) -> Result<(), StepError> {
+    async fn expect_predecessor_exited(&mut self) -> Result<(), StepError> {
         let status = self.daemon_mut()?.retired().await;
         let status = status.ok_or(StepError::Timeout)?;
         expect(status.success(), || status.to_string())
     }
 
-    async fn expect_ended(&mut self) -> Result<(), StepError> {
+    async fn expect_exited(&mut self) -> Result<(), StepError> {
         let status = self.daemon_mut()?.ended().await;
         let status = status.ok_or(StepError::Timeout)?;
         expect(status.success(), || status.to_string())
     }
 
-    /// Another coordinator takes over. The old one sends no more events, and its connections stay
-    /// open.
+    /// Starts another coordinator and reconfigures the daemon to use it. The old one sends no more
+    /// events, and its connections stay open.
     fn migrate_coordinator(&mut self) -> Result<(), StepError> {
         self.coordinator = self.coordinator.successor(&self.executor);
         let addr = self.coordinator.addr;
@@ -146,7 +150,7 @@
         Ok(())
     }
 
-    /// Waits until a counter of the daemon has reached a value.
+    /// Waits until a counter of the daemon has reached the target.
     async fn await_counter(&self, name: &str, target: CounterTarget) -> Result<(), StepError> {
         let daemon = self.daemon()?;
         let target = match target {
@@ -172,7 +176,7 @@
         expect(found == Some(value), || format!("{found:?}"))
     }
 
-    /// Calls the admin endpoint until it answers with that status.
+    /// Calls the admin endpoint until its response has this status.
     async fn call_admin(&self, method: &str, path: &str, status: u64) -> Result<(), StepError> {
         let addr = self.admin_addr()?;
         loop {
@@ -184,10 +188,10 @@
         }
     }
 
-    /// Waits until a metric has a value.
+    /// Waits until a metric has this value.
     async fn await_metric(&self, name: &str, value: &str) -> Result<(), StepError> {
         let addr = self.admin_addr()?;
-        let value = if value == NUMBER_OF_RUNS {
+        let value = if value == ATTEMPT_COUNT {
             let runs = self
                 .queries
                 .keys()
--- a/src/testkit/scenario/deployment.rs
+++ b/src/testkit/scenario/deployment.rs
@@ -1,6 +1,6 @@
-//! Steps that describe the deployment, and the start of the daemon.
+//! Steps that define the deployment and start the daemon.
 use super::error::StepError;
-use super::{ScenarioEngine, Stage, count, text_after};
+use super::{ScenarioEngine, ScenarioRun, parse_count, text_after};
 use crate::policy::api::Readiness;
 use crate::testkit::coordinator;
 use crate::testkit::daemon::{Daemon, DaemonError, DaemonOptions, KINDS, ZONES};
@@ -11,18 +11,18 @@
 use std::fmt::Write as _;
 use std::net::TcpListener;
 
-/// The tenant of a user without one.
+/// The tenant argument of a user without a tenant.
 const NO_TENANT: &str = "-";
 
-/// A step that describes the deployment.
+/// A step that defines the deployment or starts the daemon.
 pub(super) enum DeploymentStep<'a> {
     Engine {
         name: &'a str,
         protocol: EngineProtocol,
     },
-    EngineOfKind {
+    EngineOfMachineType {
         name: &'a str,
-        kind: &'a str,
+        machine_type: &'a str,
         max_sessions: usize,
     },
     Set {
@@ -64,11 +64,13 @@
                 name,
                 protocol: EngineProtocol::ClickHouse,
             },
-            ["engine", name, "platform", kind, sessions] => DeploymentStep::EngineOfKind {
-                name,
-                kind,
-                max_sessions: count(sessions)?,
-            },
+            ["engine", name, "platform", machine_type, sessions] => {
+                DeploymentStep::EngineOfMachineType {
+                    name,
+                    machine_type,
+                    max_sessions: parse_count(sessions)?,
+                }
+            }
             ["set", pointer, ..] => DeploymentStep::Set {
                 pointer,
                 json: text_after(line, 2),
@@ -78,7 +80,7 @@
             ["person", name, key, tenant] => DeploymentStep::DirectoryUser { name, key, tenant },
             ["busy"] => DeploymentStep::DirectoryBusy(true),
             ["idle"] => DeploymentStep::DirectoryBusy(false),
-            ["sockets", sockets] => DeploymentStep::MaxSockets(count(sockets)?),
+            ["sockets", sockets] => DeploymentStep::MaxSockets(parse_count(sockets)?),
             ["occupy"] => DeploymentStep::OccupyPort,
             ["console"] => DeploymentStep::AdminEndpoint,
             ["start"] => DeploymentStep::Start,
@@ -88,8 +90,8 @@
     }
 }
 
-impl Stage<'_> {
-    pub(super) async fn execute_deployment(
+impl ScenarioRun<'_> {
+    pub(super) async fn execute_deployment_step(
         &mut self,
         step: DeploymentStep<'_>,
     ) -> Result<(), StepError> {
@@ -97,12 +99,12 @@
             DeploymentStep::Engine { name, protocol } => {
                 self.add_engine(name, 0, EngineOptions::new(protocol));
             }
-            DeploymentStep::EngineOfKind {
+            DeploymentStep::EngineOfMachineType {
                 name,
-                kind,
+                machine_type,
                 max_sessions,
-            } => self.add_engine_of_kind(name, kind, max_sessions)?,
-            DeploymentStep::Set { pointer, json } => self.set(pointer, json)?,
+            } => self.add_engine_of_machine_type(name, machine_type, max_sessions)?,
+            DeploymentStep::Set { pointer, json } => self.set_setting(pointer, json)?,
             DeploymentStep::User { name, key, tenant } => self.add_user(name, key, tenant),
             DeploymentStep::DirectoryTenant { name, share } => {
                 self.directory().tenant(name, share);
@@ -120,32 +122,36 @@
         Ok(())
     }
 
-    fn add_engine(&mut self, name: &str, kind: u16, options: EngineOptions) {
+    fn add_engine(&mut self, name: &str, machine_type: u16, options: EngineOptions) {
         let engine = Engine::start(&self.executor, name, options, self.log.clone());
         let id = self.engines.len() as u32 + 1;
-        let engine = ScenarioEngine { engine, id, kind };
+        let engine = ScenarioEngine {
+            engine,
+            id,
+            machine_type,
+        };
         self.engines.insert(name.to_owned(), engine);
     }
 
-    /// Adds an engine of that kind of machine.
-    fn add_engine_of_kind(
+    /// Adds an engine with the platform's protocol and this machine type.
+    fn add_engine_of_machine_type(
         &mut self,
         name: &str,
-        kind: &str,
+        machine_type: &str,
         max_sessions: usize,
     ) -> Result<(), StepError> {
-        let kind = KINDS.iter().position(|known| *known == kind);
-        let kind = kind.ok_or(StepError::UnknownKind)?;
+        let machine_type = KINDS.iter().position(|known| *known == machine_type);
+        let machine_type = machine_type.ok_or(StepError::UnknownMachineType)?;
         let options = EngineOptions {
             max_sessions,
             ..EngineOptions::new(EngineProtocol::Platform)
         };
-        self.add_engine(name, kind as u16, options);
+        self.add_engine(name, machine_type as u16, options);
         Ok(())
     }
 
-    /// Sets a value in the settings; the last key of the path may be new.
-    fn set(&mut self, pointer: &str, json: &str) -> Result<(), StepError> {
+    /// Sets a value in the settings; the last key of the JSON pointer may be new in its object.
+    fn set_setting(&mut self, pointer: &str, json: &str) -> Result<(), StepError> {
         let value: Value = serde_json::from_str(json)?;
         let unknown = || StepError::UnknownSetting(pointer.to_owned());
         let (parent, key) = pointer.rsplit_once('/').ok_or_else(unknown)?;
@@ -154,7 +160,7 @@
                 map.insert(key.to_owned(), value);
             }
             Value::Array(list) => {
-                let entry = list.get_mut(count(key)?);
+                let entry = list.get_mut(parse_count(key)?);
                 *entry.ok_or_else(unknown)? = value;
             }
             _ => return Err(unknown()),
@@ -180,7 +186,7 @@
     }
 
     fn occupy_port(&mut self) -> Result<(), StepError> {
-        let listener = TcpListener::bind(self.http_addr).map_err(StepError::Occupy)?;
+        let listener = TcpListener::bind(self.http_addr).map_err(StepError::OccupyPort)?;
         self.occupied_port = Some(listener);
         Ok(())
     }
@@ -217,12 +223,12 @@
             "listen = \"{}\"\nusual_class = \"lookup\"\n",
             self.http_addr
         );
-        for known in self.engines.values() {
-            if known.engine.protocol == EngineProtocol::ClickHouse {
+        for entry in self.engines.values() {
+            if entry.engine.protocol == EngineProtocol::ClickHouse {
                 let _ = writeln!(
                     text,
                     "# {}\n[[engine]]\nid = \"s-{:08x}\"",
-                    known.engine.addr, known.id
+                    entry.engine.addr, entry.id
                 );
             }
         }
--- a/src/testkit/scenario/engines.rs
+++ b/src/testkit/scenario/engines.rs
@@ -1,17 +1,17 @@
-//! Steps that control engines and what the coordinator says of them.
+//! Steps that control engines and their entries in the endpoint list.
 use super::error::StepError;
-use super::{ScenarioEngine, Stage, count, number};
+use super::{ScenarioEngine, ScenarioRun, parse_count, parse_number};
 use crate::net::discovery::ListedEndpoint;
 use crate::policy::api::{MachineTypeId, Readiness};
 use crate::testkit::coordinator::ready_endpoint;
 use crate::testkit::engines::EngineBehavior;
 
-/// The name of whichever engine gets the next query.
+/// The name that stands for the engine that receives the next query.
 const ANY_ENGINE: &str = "any";
 
 /// A step that controls an engine.
 pub(super) enum EngineStep<'a> {
-    Behave {
+    SetBehavior {
         engine: &'a str,
         behavior: EngineBehavior,
     },
@@ -27,7 +27,7 @@
 impl<'a> EngineStep<'a> {
     pub(super) fn parse(words: &[&'a str]) -> Result<Option<EngineStep<'a>>, StepError> {
         let step = match *words {
-            ["on", engine, ref behavior @ ..] => EngineStep::Behave {
+            ["on", engine, ref behavior @ ..] => EngineStep::SetBehavior {
                 engine,
                 behavior: parse_behavior(behavior)?,
             },
@@ -53,8 +53,8 @@
 fn parse_behavior(words: &[&str]) -> Result<EngineBehavior, StepError> {
     match *words {
         ["rows", millis, rows] => Ok(EngineBehavior::Complete {
-            after_millis: number(millis)?,
-            rows: count(rows)?,
+            after_millis: parse_number(millis)?,
+            rows: parse_count(rows)?,
         }),
         ["full"] => Ok(EngineBehavior::Reject),
         ["break"] => Ok(EngineBehavior::Fail),
@@ -66,10 +66,10 @@
     }
 }
 
-impl Stage<'_> {
-    pub(super) fn execute_engine(&mut self, step: EngineStep<'_>) -> Result<(), StepError> {
+impl ScenarioRun<'_> {
+    pub(super) fn execute_engine_step(&mut self, step: EngineStep<'_>) -> Result<(), StepError> {
         match step {
-            EngineStep::Behave { engine, behavior } => self.set_behavior(engine, behavior),
+            EngineStep::SetBehavior { engine, behavior } => self.set_behavior(engine, behavior),
             EngineStep::SetReadiness { engine, readiness } => self.set_readiness(engine, readiness),
             EngineStep::ShutDown { engine } => self.shut_down_engine(engine),
         }
@@ -81,14 +81,14 @@
 
     fn set_behavior(&self, name: &str, behavior: EngineBehavior) -> Result<(), StepError> {
         match self.engine(name) {
-            Ok(known) => known.engine.push_behavior(behavior),
+            Ok(entry) => entry.engine.push_behavior(behavior),
             Err(_) if name == ANY_ENGINE => self.log.push_behavior(behavior),
             Err(error) => return Err(error),
         }
         Ok(())
     }
 
-    /// The coordinator sends the readiness of an engine.
+    /// Makes the coordinator send the readiness of an engine.
     fn set_readiness(&self, name: &str, readiness: Readiness) -> Result<(), StepError> {
         match readiness {
             Readiness::Ready => self.log.record_resumed(name),
@@ -100,21 +100,21 @@
     }
 
     fn shut_down_engine(&mut self, name: &str) -> Result<(), StepError> {
-        let known = self.engines.get_mut(name);
-        let known = known.ok_or(StepError::UnknownEngine)?;
-        known.engine.shut_down();
+        let entry = self.engines.get_mut(name);
+        let entry = entry.ok_or(StepError::UnknownEngine)?;
+        entry.engine.shut_down();
         Ok(())
     }
 
-    /// An engine as the coordinator lists it.
+    /// The entry of an engine in the endpoint list.
     pub(super) fn listed_endpoint(
         &self,
         name: &str,
         readiness: Readiness,
     ) -> Result<ListedEndpoint, StepError> {
-        let known = self.engine(name)?;
-        let mut listed = ready_endpoint(known.id, known.engine.addr);
-        listed.endpoint.machine_type = MachineTypeId(known.kind);
+        let entry = self.engine(name)?;
+        let mut listed = ready_endpoint(entry.id, entry.engine.addr);
+        listed.endpoint.machine_type = MachineTypeId(entry.machine_type);
         listed.endpoint.readiness = readiness;
         Ok(listed)
     }
--- a/src/testkit/scenario/error.rs
+++ b/src/testkit/scenario/error.rs
@@ -1,53 +1,53 @@
-//! Why a step of a scenario failed.
+//! Errors of scenario steps.
 use crate::testkit::daemon::DaemonError;
 
-/// Why a step of a scenario failed.
+/// The error of a failed step.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum StepError {
-    #[error("no such step")]
+    #[error("unknown step")]
     UnknownStep,
-    #[error("{0:?} is no number")]
+    #[error("{0:?} is not a number")]
     NotANumber(String),
-    #[error("no such engine")]
+    #[error("unknown engine")]
     UnknownEngine,
-    #[error("no such kind")]
-    UnknownKind,
-    #[error("no such behavior of an engine")]
+    #[error("unknown machine type")]
+    UnknownMachineType,
+    #[error("unknown engine behavior")]
     UnknownBehavior,
-    #[error("no such query")]
+    #[error("unknown query")]
     UnknownQuery,
-    #[error("no such outcome")]
+    #[error("unknown outcome")]
     UnknownOutcome,
-    #[error("ask how?")]
-    UnknownQueryForm,
-    #[error("no such client")]
+    #[error("invalid `ask` step: expected `rpc`, `keyed`, `http` or `on` with its arguments")]
+    InvalidAsk,
+    #[error("unknown client")]
     UnknownClient,
-    #[error("no such stream")]
+    #[error("unknown stream")]
     UnknownStream,
-    #[error("no such place in the settings: {0}")]
+    #[error("unknown setting: {0}")]
     UnknownSetting(String),
-    #[error("no JSON: {0}")]
+    #[error("invalid JSON: {0}")]
     InvalidJson(#[from] serde_json::Error),
-    #[error("not started")]
+    #[error("the daemon has not been started")]
     NotStarted,
-    #[error("no second address")]
+    #[error("the daemon has no admin endpoint")]
     NoAdminEndpoint,
-    #[error("no port could be occupied: {0}")]
-    Occupy(#[source] std::io::Error),
+    #[error("can't occupy the port of the ClickHouse frontend: {0}")]
+    OccupyPort(#[source] std::io::Error),
     #[error(transparent)]
     Daemon(#[from] DaemonError),
-    /// Something else was found than the step expects.
-    #[error("found {0}")]
+    /// The actual result differs from the one that the step expects.
+    #[error("unexpected result: {0}")]
     Unexpected(String),
-    #[error("it did not come to pass in time")]
+    #[error("timed out")]
     Timeout,
 }
 
-/// Fails with what was found instead, unless the expectation is met.
-pub(super) fn expect(met: bool, found: impl FnOnce() -> String) -> Result<(), StepError> {
+/// Fails with the actual result unless the expectation is met.
+pub(super) fn expect(met: bool, actual: impl FnOnce() -> String) -> Result<(), StepError> {
     if met {
         Ok(())
     } else {
-        Err(StepError::Unexpected(found()))
+        Err(StepError::Unexpected(actual()))
     }
 }
--- a/src/testkit/scenario/mod.rs
+++ b/src/testkit/scenario/mod.rs
@@ -1,77 +1,77 @@
-//! Scripted scenarios: steps against the real daemon, one a line. `#` starts a comment.
+//! Scripted scenarios: steps that run against the real daemon, one per line. `#` starts a comment.
 //!
-//! The deployment, before `start` unless noted:
+//! Deployment steps, used before `start` unless noted otherwise:
 //!
-//! | step | what it does |
+//! | step | effect |
 //! | --- | --- |
-//! | `engine NAME platform\|clickhouse` | adds an engine with that protocol |
-//! | `engine NAME platform KIND SESSIONS` | adds an engine on that kind of machine, which runs at most SESSIONS queries at the same time |
+//! | `engine NAME platform\|clickhouse` | adds an engine that uses this protocol |
+//! | `engine NAME platform KIND SESSIONS` | adds an engine on this machine type, which runs at most SESSIONS queries concurrently |
 //! | `set POINTER JSON` | sets a value in the settings, such as `/limits/second_copies true` |
-//! | `user NAME KEY TENANT` | adds a user to the deploy file; a tenant of `-` is none |
-//! | `tenant NAME SHARE`, `person NAME KEY TENANT` | adds entries to the LDAP directory, at any time; a tenant of `-` is none |
-//! | `busy`, `idle` | the directory answers searches with an error; with entries again; at any time |
-//! | `sockets COUNT` | sets the descriptors that the daemon may hold |
-//! | `occupy` | another program listens on the port of the ClickHouse frontend |
+//! | `user NAME KEY TENANT` | adds a user to the deploy file; the tenant `-` means none |
+//! | `tenant NAME SHARE`, `person NAME KEY TENANT` | adds an entry to the LDAP directory, at any time; the tenant `-` means none |
+//! | `busy`, `idle` | makes the directory answer searches with an error, or with entries again; at any time |
+//! | `sockets COUNT` | sets the maximum number of descriptors of the daemon |
+//! | `occupy` | occupies the port of the ClickHouse frontend, as another program would |
 //! | `console` | gives the daemon an admin endpoint |
 //! | `start` | starts the daemon and waits until it is ready |
 //!
-//! Engines and the endpoint list:
+//! Steps for engines, the endpoint list and the coordinator:
 //!
-//! | step | what it does |
+//! | step | effect |
 //! | --- | --- |
-//! | `on ENGINE rows MS COUNT\|full\|break\|hang\|reset\|late\|garble` | sets what the engine does with its next query; `any` is whichever engine gets the next one |
-//! | `drain\|ready\|gone ENGINE` | the coordinator sends that state of the engine |
-//! | `down ENGINE` | ends the engine's process |
-//! | `cut` | breaks the coordinator's connections |
-//! | `move` | another coordinator takes over, named by a new configuration and SIGHUP |
+//! | `on ENGINE rows MS COUNT\|full\|break\|hang\|reset\|late\|garble` | sets the behavior of the engine for its next query; `any` is the engine that receives the next query |
+//! | `drain\|ready\|gone ENGINE` | makes the coordinator send this state of the engine: draining, ready or removed |
+//! | `down ENGINE` | shuts down the engine |
+//! | `cut` | closes the coordinator's connections |
+//! | `move` | starts another coordinator, and makes the daemon reload a configuration that names it |
 //!
-//! Queries:
+//! Steps for queries:
 //!
-//! | step | what it does |
+//! | step | effect |
 //! | --- | --- |
 //! | `ask NAME rpc CLASS TENANT WAIT-MS STATEMENT` | sends a query over JSON-RPC |
-//! | `ask NAME keyed KEY CLASS TENANT WAIT-MS STATEMENT` | the same with an idempotency key, or `-` for none |
+//! | `ask NAME keyed KEY CLASS TENANT WAIT-MS STATEMENT` | sends a query over JSON-RPC with an idempotency key; `-` means none |
 //! | `ask NAME http USER KEY SECONDS STATEMENT` | sends a query over HTTP |
-//! | `raw NAME rpc\|http TEXT` | sends bytes as they are, with `\r`, `\n` and `\0`; `cut` or `rejected CODE` is the outcome |
+//! | `raw NAME rpc\|http TEXT` | sends TEXT unchanged, except that `\r`, `\n` and `\0` are replaced; the outcome of malformed input is `rejected CODE` or `cut` |
 //! | `drop NAME` | disconnects the client of a query |
-//! | `leave NAME` | the client of a query disconnects once it has read a byte of the response |
-//! | `expect NAME served [COUNT]\|refused\|failed\|deadline\|rejected CODE\|cut` | waits for the outcome of a query and compares it; with COUNT also the number of rows |
+//! | `leave NAME` | makes the client of a query disconnect after the first byte of the response |
+//! | `expect NAME served [COUNT]\|refused\|failed\|deadline\|rejected CODE\|cut` | waits for the outcome of a query and checks it; with COUNT also the number of rows |
 //! | `seen NAME` | waits until an engine runs the query |
 //! | `over NAME` | waits until no engine runs the query |
-//! | `runs NAME COUNT` | compares how often engines were sent the query |
-//! | `sent NAME FIELD VALUE` | compares a field of its last attempt as the engine received it; `-` is none |
-//! | `dropped NAME COUNT` | compares how many of its attempts engines recognized by their key |
+//! | `runs NAME COUNT` | checks how many attempts of the query engines have received |
+//! | `sent NAME FIELD VALUE` | checks a field of the last attempt as the engine received it; `-` means that it was not sent |
+//! | `dropped NAME COUNT` | checks how many attempts engines recognized by their idempotency key |
 //!
-//! Clients that keep their connections:
+//! Steps for clients with persistent connections:
 //!
-//! | step | what it does |
+//! | step | effect |
 //! | --- | --- |
-//! | `keep NAME` | opens a connection of the platform's protocol |
+//! | `keep NAME` | opens a connection to the JSON-RPC frontend |
 //! | `ask NAME on KEPT CLASS TENANT WAIT-MS STATEMENT` | sends a query on it |
-//! | `begin NAME on KEPT ...`, `rest KEPT` | sends the first half of such a query; the other half |
-//! | `closed KEPT`, `kept KEPT` | waits until the daemon has closed it; checks that it is open |
-//! | `mute NAME rpc\|http\|console COUNT` | COUNT clients connect and send nothing |
-//! | `stay NAME rpc\|http\|console COUNT` | COUNT clients send one request and keep their connections |
-//! | `shut NAME` | waits until the daemon has closed all connections of these clients |
-//! | `stream NAME CLASS TENANT WAIT-MS COUNT GAP-MS` | sends COUNT queries, one after the other, on kept connections |
-//! | `expect-all NAME served` | waits for the outcomes of a stream and compares them |
+//! | `begin NAME on KEPT ...`, `rest KEPT` | sends the first half of such a query, or the second half |
+//! | `closed KEPT`, `kept KEPT` | waits until the daemon has closed the connection, or checks that it is open |
+//! | `mute NAME rpc\|http\|console COUNT` | opens COUNT connections that send nothing |
+//! | `stay NAME rpc\|http\|console COUNT` | opens COUNT connections that send one request and then stay idle |
+//! | `shut NAME` | waits until the daemon has closed all of these connections |
+//! | `stream NAME CLASS TENANT WAIT-MS COUNT GAP-MS` | sends COUNT queries on persistent connections, GAP-MS apart |
+//! | `expect-all NAME served` | waits for the outcomes of a stream and checks that all queries completed |
 //!
-//! The daemon:
+//! Steps for the daemon:
 //!
-//! | step | what it does |
+//! | step | effect |
 //! | --- | --- |
-//! | `retune NAME:SEMANTICS ... attempts:COUNT` | a new configuration with these classes and maximum of attempts, and SIGHUP |
-//! | `spoil` | a configuration that can't be used, and SIGHUP |
-//! | `launch`, `follow` | starts a new version beside the daemon; starts it and waits until it is ready |
-//! | `retire`, `retired` | asks the older process to end; waits for its end, which has to be clean |
-//! | `kill older\|newer` | kills a process of a hot restart |
-//! | `call METHOD PATH STATUS` | calls the admin endpoint until it answers with that status |
-//! | `figure NAME VALUE` | waits until a metric there has that value; `runs` is the number of queries that engines were sent |
-//! | `until COUNTER VALUE` | waits until a counter of the daemon has reached a value; `+N` is N more than now |
-//! | `counter NAME VALUE` | compares a counter, after `ended` |
-//! | `term` | asks the daemon to end |
-//! | `ended` | waits for its end, which has to be clean |
-//! | `wait MS` | waits |
+//! | `retune NAME:SEMANTICS ... attempts:COUNT` | makes the daemon reload a configuration with these classes and this maximum number of attempts |
+//! | `spoil` | makes the daemon reload an invalid configuration |
+//! | `launch`, `follow` | starts a successor of the daemon, or starts one and waits until it is ready |
+//! | `retire`, `retired` | sends SIGTERM to the predecessor, or waits until it has exited with status 0 |
+//! | `kill older\|newer` | kills the predecessor or the successor of a hot restart |
+//! | `call METHOD PATH STATUS` | calls the admin endpoint until the response has this status |
+//! | `figure NAME VALUE` | waits until a metric of the admin endpoint has this value; `runs` stands for the number of attempts that engines have received, without those of streams |
+//! | `until COUNTER VALUE` | waits until a counter of the daemon has reached the value; `+N` is N more than its current value |
+//! | `counter NAME VALUE` | checks the value of a counter, after `ended` |
+//! | `term` | sends SIGTERM to the daemon |
+//! | `ended` | waits until the daemon has exited with status 0 |
+//! | `wait MS` | waits for MS milliseconds |
 mod checks;
 mod connections;
 mod daemon;
@@ -101,10 +101,10 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// The descriptors that the daemon may hold, unless a step says otherwise.
+/// The maximum number of descriptors of the daemon, unless a step sets another.
 const DEFAULT_MAX_SOCKETS: usize = 1_024;
 
-/// A step, parsed from a line.
+/// A step parsed from a line.
 enum Step<'a> {
     Deployment(DeploymentStep<'a>),
     Engine(EngineStep<'a>),
@@ -119,7 +119,7 @@
     fn parse(line: &'a str) -> Result<Step<'a>, StepError> {
         let words: Vec<&str> = line.split_whitespace().collect();
         if let ["wait", millis] = words[..] {
-            let millis = number(millis)?;
+            let millis = parse_number(millis)?;
             return Ok(Step::Wait { millis });
         }
         if let Some(step) = DeploymentStep::parse(line, &words)? {
@@ -128,7 +128,7 @@
         if let Some(step) = EngineStep::parse(&words)? {
             return Ok(Step::Engine(step));
         }
-        // Before queries: a query on a kept connection is an `ask` as well.
+        // Parsed before queries, because a query on a persistent connection is also an `ask`.
         if let Some(step) = ConnectionStep::parse(&words)? {
             return Ok(Step::Connection(step));
         }
@@ -143,19 +143,19 @@
     }
 }
 
-/// Parses a number of a step.
-fn number(word: &str) -> Result<u64, StepError> {
+/// Parses a number in a step.
+fn parse_number(word: &str) -> Result<u64, StepError> {
     word.parse()
         .map_err(|_| StepError::NotANumber(word.to_owned()))
 }
 
-/// Parses a count of a step.
-fn count(word: &str) -> Result<usize, StepError> {
+/// Parses a count in a step.
+fn parse_count(word: &str) -> Result<usize, StepError> {
     word.parse()
         .map_err(|_| StepError::NotANumber(word.to_owned()))
 }
 
-/// What is left of a line behind its first words, as it stands there.
+/// The unchanged rest of a line after its first `words` words.
 fn text_after(line: &str, words: usize) -> &str {
     line.splitn(words + 1, ' ').nth(words).unwrap_or_default()
 }
@@ -163,32 +163,33 @@
 /// An engine of the scenario.
 struct ScenarioEngine {
     engine: Engine,
-    /// Its id in the endpoint list.
+    /// The id in the endpoint list.
     id: u32,
-    /// The index of its kind of machine in [`super::daemon::KINDS`].
-    kind: u16,
+    /// The index of the machine type in [`super::daemon::KINDS`].
+    machine_type: u16,
 }
 
 /// A query of the scenario and its outcome.
 struct Query {
-    /// Its client, unless that is a connection of its own; dropped to disconnect it.
+    /// The client's task; dropped to disconnect the client. `None` for a query on a persistent
+    /// connection.
     task: Option<Task<()>>,
     outcome: clients::PendingOutcome,
-    /// Set to make its client disconnect once it has read a byte of the response.
-    disconnects: Rc<Cell<bool>>,
-    /// Whether its outcome was reported.
+    /// Set to make the client disconnect after the first byte of the response.
+    disconnect_on_response: Rc<Cell<bool>>,
+    /// Whether the outcome has been reported, or a step waits for it.
     reported: bool,
 }
 
-/// A client that keeps its connection.
+/// A client with a persistent connection.
 struct PersistentConnection {
     client: PersistentClient,
-    /// The second half of a query that was begun.
+    /// The second half of a query of which only the first half was sent.
     unsent: Vec<u8>,
 }
 
-/// The state of a scenario.
-struct Stage<'a> {
+/// The state of one run of a scenario.
+struct ScenarioRun<'a> {
     program: &'a Path,
     executor: Executor,
     log: ExecutionLog,
@@ -203,25 +204,25 @@
     has_admin_endpoint: bool,
     /// The address of the ClickHouse frontend.
     http_addr: SocketAddr,
-    /// The listener of another program on that address.
+    /// The listener that occupies that address.
     occupied_port: Option<TcpListener>,
     queries: BTreeMap<String, Query>,
     persistent: BTreeMap<String, PersistentConnection>,
     streams: BTreeMap<String, Vec<clients::PendingOutcome>>,
     idle_clients: BTreeMap<String, Vec<Task<()>>>,
-    /// Clients that run until the end of the scenario.
+    /// Tasks of clients that run until the end of the scenario.
     background: Vec<Task<()>>,
     report: &'a mut dyn FnMut(&str),
 }
 
-/// Plays a script against the daemon; `report` is called with the outcome of each query.
+/// Runs a script against the daemon; `report` is called with the outcome of each query.
 ///
 /// # Errors
 ///
-/// The step that failed with the daemon's log, and the invariants that were violated.
-pub fn play(program: &Path, script: &str, report: &mut dyn FnMut(&str)) -> Result<(), Vec<String>> {
+/// The failed step with the daemon's log, and the violated invariants.
+pub fn run(program: &Path, script: &str, report: &mut dyn FnMut(&str)) -> Result<(), Vec<String>> {
     let executor: Executor = Rc::new(LocalExecutor::new());
-    let stage = Stage {
+    let scenario = ScenarioRun {
         program,
         executor: executor.clone(),
         log: ExecutionLog::default(),
@@ -242,7 +243,7 @@
         background: Vec::new(),
         report,
     };
-    let failures = async_io::block_on(executor.run(stage.play(script)));
+    let failures = async_io::block_on(executor.run(scenario.run(script)));
     if failures.is_empty() {
         Ok(())
     } else {
@@ -250,16 +251,16 @@
     }
 }
 
-impl Stage<'_> {
-    async fn play(mut self, script: &str) -> Vec<String> {
+impl ScenarioRun<'_> {
+    async fn run(mut self, script: &str) -> Vec<String> {
         let mut failures = Vec::new();
         for (index, line) in script.lines().enumerate() {
             let line = line.split('#').next().unwrap_or_default().trim();
             if line.is_empty() {
                 continue;
             }
-            // What follows a failed step rarely tells more.
-            if let Err(error) = self.play_line(line).await {
+            // Steps after a failed one rarely add information.
+            if let Err(error) = self.run_line(line).await {
                 failures.push(format!("line {}: {line}: {error}", index + 1));
                 failures.extend(self.daemon_log());
                 break;
@@ -267,11 +268,11 @@
         }
         self.report_remaining_outcomes();
         let violations = self.log.violations().into_iter();
-        failures.extend(violations.map(|violation| format!("broken rule: {violation}")));
+        failures.extend(violations.map(|violation| format!("violated invariant: {violation}")));
         failures
     }
 
-    async fn play_line(&mut self, line: &str) -> Result<(), StepError> {
+    async fn run_line(&mut self, line: &str) -> Result<(), StepError> {
         let step = Step::parse(line)?;
         in_time(self.execute(step))
             .await
@@ -280,12 +281,12 @@
 
     async fn execute(&mut self, step: Step<'_>) -> Result<(), StepError> {
         match step {
-            Step::Deployment(step) => self.execute_deployment(step).await,
-            Step::Engine(step) => self.execute_engine(step),
-            Step::Query(step) => self.execute_query(step).await,
-            Step::Connection(step) => self.execute_connection(step).await,
-            Step::Daemon(step) => self.execute_daemon(step).await,
-            Step::Check(step) => self.execute_check(step).await,
+            Step::Deployment(step) => self.execute_deployment_step(step).await,
+            Step::Engine(step) => self.execute_engine_step(step),
+            Step::Query(step) => self.execute_query_step(step).await,
+            Step::Connection(step) => self.execute_connection_step(step).await,
+            Step::Daemon(step) => self.execute_daemon_step(step).await,
+            Step::Check(step) => self.execute_check_step(step).await,
             Step::Wait { millis } => {
                 pause(millis).await;
                 Ok(())
@@ -295,10 +296,10 @@
 
     fn daemon_log(&self) -> Option<String> {
         let daemon = self.daemon.as_ref()?;
-        Some(format!("the daemon's log:\n{}", daemon.log()))
+        Some(format!("daemon log:\n{}", daemon.log()))
     }
 
-    /// Reports the outcomes that no step of the script waited for.
+    /// Reports the outcomes of queries that no step waited for.
     fn report_remaining_outcomes(&mut self) {
         for (name, query) in self.queries.iter().filter(|(_, query)| !query.reported) {
             match &*query.outcome.borrow() {
@@ -308,7 +309,7 @@
         }
     }
 
-    /// The daemon, once it was started.
+    /// The daemon; fails if it has not been started.
     fn daemon(&self) -> Result<&Daemon, StepError> {
         self.daemon.as_ref().ok_or(StepError::NotStarted)
     }
@@ -317,7 +318,7 @@
         self.daemon.as_mut().ok_or(StepError::NotStarted)
     }
 
-    /// The address of the daemon's admin endpoint.
+    /// The address of the daemon's admin endpoint; fails without one.
     fn admin_addr(&self) -> Result<SocketAddr, StepError> {
         let daemon = self.daemon.as_ref();
         daemon
--- a/src/testkit/scenario/queries.rs
+++ b/src/testkit/scenario/queries.rs
@@ -1,6 +1,6 @@
-//! Steps about queries whose client has a connection of its own.
+//! Steps for queries that are sent on a separate connection each.
 use super::error::{StepError, expect};
-use super::{Query, Stage, count, number, text_after};
+use super::{Query, ScenarioRun, parse_count, parse_number, text_after};
 use crate::testkit::clients::{self, ClientOutcome};
 use crate::testkit::engines::rows;
 use crate::testkit::eventually;
@@ -8,7 +8,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The idempotency key of a query without one.
+/// The key argument of a query without an idempotency key.
 const NO_KEY: &str = "-";
 
 /// A protocol of the daemon's clients.
@@ -20,22 +20,22 @@
 
 /// The outcome that a step expects.
 pub(super) enum ExpectedOutcome {
-    /// All rows, at least one.
-    Served,
-    /// That many rows.
-    ServedRows(usize),
-    /// Rejected with advice when to retry.
-    Refused,
+    /// Completed with all rows, at least one.
+    Completed,
+    /// Completed with this number of rows.
+    CompletedRows(usize),
+    /// Rejected with a time after which to retry.
+    RejectedWithRetryAfter,
     Failed,
     Deadline,
-    Disconnected,
-    /// Not accepted, with a code of JSON-RPC or a status of HTTP.
-    Rejected(i64),
+    Interrupted,
+    /// Not authenticated or not valid: rejected with a JSON-RPC error code or an HTTP status.
+    RejectedWithCode(i64),
 }
 
-/// A step about a query.
+/// A step for a query.
 pub(super) enum QueryStep<'a> {
-    AskJsonRpc {
+    SendJsonRpc {
         name: &'a str,
         idempotency_key: Option<&'a str>,
         class: &'a str,
@@ -43,7 +43,7 @@
         wait_millis: u64,
         statement: String,
     },
-    AskHttp {
+    SendHttp {
         name: &'a str,
         user: &'a str,
         key: &'a str,
@@ -58,7 +58,7 @@
     Disconnect {
         name: &'a str,
     },
-    DisconnectWithinResponse {
+    DisconnectOnResponse {
         name: &'a str,
     },
     Expect {
@@ -73,7 +73,7 @@
         words: &[&'a str],
     ) -> Result<Option<QueryStep<'a>>, StepError> {
         let step = match *words {
-            ["ask", name, ref query @ ..] => QueryStep::parse_ask(name, query)?,
+            ["ask", name, ref query @ ..] => QueryStep::parse_send(name, query)?,
             ["raw", name, protocol, ..] => QueryStep::SendRaw {
                 name,
                 protocol: match protocol {
@@ -83,7 +83,7 @@
                 text: text_after(line, 3),
             },
             ["drop", name] => QueryStep::Disconnect { name },
-            ["leave", name] => QueryStep::DisconnectWithinResponse { name },
+            ["leave", name] => QueryStep::DisconnectOnResponse { name },
             ["expect", name, ref outcome @ ..] => QueryStep::Expect {
                 name,
                 outcome: ExpectedOutcome::parse(outcome)?,
@@ -93,37 +93,38 @@
         Ok(Some(step))
     }
 
-    fn parse_ask(name: &'a str, words: &[&'a str]) -> Result<QueryStep<'a>, StepError> {
+    fn parse_send(name: &'a str, words: &[&'a str]) -> Result<QueryStep<'a>, StepError> {
         match *words {
-            ["rpc", class, tenant, wait, ref statement @ ..] => Ok(QueryStep::AskJsonRpc {
+            ["rpc", class, tenant, wait, ref statement @ ..] => Ok(QueryStep::SendJsonRpc {
                 name,
                 idempotency_key: None,
                 class,
                 tenant,
-                wait_millis: number(wait)?,
+                wait_millis: parse_number(wait)?,
                 statement: named_statement(name, statement),
             }),
-            ["keyed", key, class, tenant, wait, ref statement @ ..] => Ok(QueryStep::AskJsonRpc {
+            ["keyed", key, class, tenant, wait, ref statement @ ..] => Ok(QueryStep::SendJsonRpc {
                 name,
                 idempotency_key: (key != NO_KEY).then_some(key),
                 class,
                 tenant,
-                wait_millis: number(wait)?,
+                wait_millis: parse_number(wait)?,
                 statement: named_statement(name, statement),
             }),
-            ["http", user, key, seconds, ref statement @ ..] => Ok(QueryStep::AskHttp {
+            ["http", user, key, seconds, ref statement @ ..] => Ok(QueryStep::SendHttp {
                 name,
                 user,
                 key,
                 seconds,
                 statement: named_statement(name, statement),
             }),
-            _ => Err(StepError::UnknownQueryForm),
+            _ => Err(StepError::InvalidAsk),
         }
     }
 }
 
-/// The statement of a query, with its name in a comment by which engines know it.
+/// The statement of a query with the query's name in a comment, by which the stand-in engines
+/// identify it.
 pub(super) fn named_statement(name: &str, words: &[&str]) -> String {
     format!("{} /* {name} */", words.join(" "))
 }
@@ -131,45 +132,50 @@
 impl ExpectedOutcome {
     fn parse(words: &[&str]) -> Result<ExpectedOutcome, StepError> {
         match *words {
-            ["served"] => Ok(ExpectedOutcome::Served),
-            ["served", rows] => Ok(ExpectedOutcome::ServedRows(count(rows)?)),
-            ["refused"] => Ok(ExpectedOutcome::Refused),
+            ["served"] => Ok(ExpectedOutcome::Completed),
+            ["served", rows] => Ok(ExpectedOutcome::CompletedRows(parse_count(rows)?)),
+            ["refused"] => Ok(ExpectedOutcome::RejectedWithRetryAfter),
             ["failed"] => Ok(ExpectedOutcome::Failed),
             ["deadline"] => Ok(ExpectedOutcome::Deadline),
-            ["cut"] => Ok(ExpectedOutcome::Disconnected),
+            ["cut"] => Ok(ExpectedOutcome::Interrupted),
             ["rejected", code] => match code.parse() {
-                Ok(code) => Ok(ExpectedOutcome::Rejected(code)),
+                Ok(code) => Ok(ExpectedOutcome::RejectedWithCode(code)),
                 Err(_) => Err(StepError::NotANumber(code.to_owned())),
             },
             _ => Err(StepError::UnknownOutcome),
         }
     }
 
-    /// Whether a query had this outcome; rows have to be complete, in order, and its own.
+    /// Whether a query has this outcome; its rows must be complete, in order, and those of this query.
     fn matches(&self, query: &str, outcome: &ClientOutcome) -> bool {
         match (self, outcome) {
-            (ExpectedOutcome::Served, ClientOutcome::Served(text)) => {
+            (ExpectedOutcome::Completed, ClientOutcome::Served(text)) => {
                 !text.is_empty() && *text == rows(query, text.lines().count())
             }
-            (ExpectedOutcome::ServedRows(count), ClientOutcome::Served(text)) => {
+            (ExpectedOutcome::CompletedRows(count), ClientOutcome::Served(text)) => {
                 *text == rows(query, *count)
             }
-            (ExpectedOutcome::Refused, ClientOutcome::Refused(retry_after)) => {
+            (ExpectedOutcome::RejectedWithRetryAfter, ClientOutcome::Refused(retry_after)) => {
                 retry_after.is_some()
             }
             (ExpectedOutcome::Failed, ClientOutcome::Failed(_))
             | (ExpectedOutcome::Deadline, ClientOutcome::Deadline)
-            | (ExpectedOutcome::Disconnected, ClientOutcome::Cut) => true,
-            (ExpectedOutcome::Rejected(code), ClientOutcome::Rejected(found)) => code == found,
+            | (ExpectedOutcome::Interrupted, ClientOutcome::Cut) => true,
+            (ExpectedOutcome::RejectedWithCode(code), ClientOutcome::Rejected(found)) => {
+                code == found
+            }
             _ => false,
         }
     }
 }
 
-impl Stage<'_> {
-    pub(super) async fn execute_query(&mut self, step: QueryStep<'_>) -> Result<(), StepError> {
+impl ScenarioRun<'_> {
+    pub(super) async fn execute_query_step(
+        &mut self,
+        step: QueryStep<'_>,
+    ) -> Result<(), StepError> {
         match step {
-            QueryStep::AskJsonRpc {
+            QueryStep::SendJsonRpc {
                 name,
                 idempotency_key,
                 class,
@@ -183,9 +189,9 @@
                     Some(key) => clients::keyed_line(key, &line),
                     None => line,
                 };
-                self.ask_json_rpc(name, line)
+                self.send_json_rpc(name, line)
             }
-            QueryStep::AskHttp {
+            QueryStep::SendHttp {
                 name,
                 user,
                 key,
@@ -194,7 +200,7 @@
             } => {
                 let params = format!("query_id={name}&max_execution_time={seconds}");
                 let request = clients::http_request(user, key, &params, &statement);
-                self.ask_http(name, request)
+                self.send_http(name, request)
             }
             QueryStep::SendRaw {
                 name,
@@ -202,8 +208,8 @@
                 text,
             } => self.send_raw(name, protocol, text),
             QueryStep::Disconnect { name } => self.disconnect(name),
-            QueryStep::DisconnectWithinResponse { name } => {
-                self.query_mut(name)?.disconnects.set(true);
+            QueryStep::DisconnectOnResponse { name } => {
+                self.query_mut(name)?.disconnect_on_response.set(true);
                 Ok(())
             }
             QueryStep::Expect { name, outcome } => self.expect_outcome(name, &outcome).await,
@@ -214,39 +220,39 @@
         self.queries.get_mut(name).ok_or(StepError::UnknownQuery)
     }
 
-    /// The client's identifier of the next query.
+    /// The request id that the client sends with the next query.
     pub(super) fn next_client_request_id(&self) -> String {
         format!("{:016x}", self.queries.len() + 1)
     }
 
-    fn ask_json_rpc(&mut self, name: &str, line: Vec<u8>) -> Result<(), StepError> {
+    fn send_json_rpc(&mut self, name: &str, line: Vec<u8>) -> Result<(), StepError> {
         let addr = self.daemon()?.listen;
-        let (outcome, disconnects) = (
+        let (outcome, disconnect_on_response) = (
             clients::PendingOutcome::default(),
             Rc::<Cell<bool>>::default(),
         );
-        let (result, leaves) = (outcome.clone(), disconnects.clone());
+        let (result, disconnect) = (outcome.clone(), disconnect_on_response.clone());
         let task = self.executor.spawn(async move {
-            let ended = clients::rpc_with_disconnect(addr, &line, &leaves).await;
+            let ended = clients::rpc_with_disconnect(addr, &line, &disconnect).await;
             *result.borrow_mut() = Some(ended);
         });
-        self.add_query(name, task, outcome, disconnects);
+        self.add_query(name, task, outcome, disconnect_on_response);
         Ok(())
     }
 
-    fn ask_http(&mut self, name: &str, request: Vec<u8>) -> Result<(), StepError> {
+    fn send_http(&mut self, name: &str, request: Vec<u8>) -> Result<(), StepError> {
         self.daemon()?;
         let addr = self.http_addr;
-        let (outcome, disconnects) = (
+        let (outcome, disconnect_on_response) = (
             clients::PendingOutcome::default(),
             Rc::<Cell<bool>>::default(),
         );
-        let (result, leaves) = (outcome.clone(), disconnects.clone());
+        let (result, disconnect) = (outcome.clone(), disconnect_on_response.clone());
         let task = self.executor.spawn(async move {
-            let ended = clients::http_with_disconnect(addr, &request, &leaves).await;
+            let ended = clients::http_with_disconnect(addr, &request, &disconnect).await;
             *result.borrow_mut() = Some(ended);
         });
-        self.add_query(name, task, outcome, disconnects);
+        self.add_query(name, task, outcome, disconnect_on_response);
         Ok(())
     }
 
@@ -255,18 +261,18 @@
         name: &str,
         task: Task<()>,
         outcome: clients::PendingOutcome,
-        disconnects: Rc<Cell<bool>>,
+        disconnect_on_response: Rc<Cell<bool>>,
     ) {
         let query = Query {
             task: Some(task),
             outcome,
-            disconnects,
+            disconnect_on_response,
             reported: false,
         };
         self.queries.insert(name.to_owned(), query);
     }
 
-    /// Sends bytes as they are, with the escapes of a line replaced.
+    /// Sends text unchanged, except that the escapes `\r`, `\n` and `\0` are replaced.
     fn send_raw(
         &mut self,
         name: &str,
@@ -279,8 +285,8 @@
             .replace("\\0", "\0")
             .into_bytes();
         match protocol {
-            ClientProtocol::JsonRpc => self.ask_json_rpc(name, bytes),
-            ClientProtocol::Http => self.ask_http(name, bytes),
+            ClientProtocol::JsonRpc => self.send_json_rpc(name, bytes),
+            ClientProtocol::Http => self.send_http(name, bytes),
         }
     }
 
@@ -289,7 +295,7 @@
         Ok(())
     }
 
-    /// Waits for the outcome of a query and compares it.
+    /// Waits for the outcome of a query, reports it, and checks it.
     async fn expect_outcome(
         &mut self,
         name: &str,
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -11,7 +11,7 @@
 /// Plays a scenario, and fails with each of its steps that did not turn out as written.
 fn play(text: &str) {
     let daemon = Path::new(env!("CARGO_BIN_EXE_yokelift"));
-    if let Err(failures) = scenario::play(daemon, text, &mut |_| {}) {
+    if let Err(failures) = scenario::run(daemon, text, &mut |_| {}) {
         panic!("{}", failures.join("\n"));
     }
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,21 +1,22 @@
-//! The daemon as it is shipped, between stand-ins on loopback: one scenario a rule.
+//! Scenarios of the daemon binary between stand-in clients, engines, coordinator and directory on
+//! loopback; each guards one rule.
 use std::path::Path;
 use std::process::Command;
 use yokelift::testkit::daemon::{self, Folder};
 use yokelift::testkit::ports;
 use yokelift::testkit::scenario;
 
-/// Plays a scenario, and fails with each of its steps that did not turn out as written.
-fn play(text: &str) {
+/// Runs a scenario, and panics with the failed step and the violated invariants.
+fn run(text: &str) {
     let daemon = Path::new(env!("CARGO_BIN_EXE_yokelift"));
-    if let Err(failures) = scenario::play(daemon, text, &mut |_| {}) {
+    if let Err(failures) = scenario::run(daemon, text, &mut |_| {}) {
         panic!("{}", failures.join("\n"));
     }
 }
 
-/// Plays a scenario for each protocol of engines with each frontend: KIND, LOOKUP and LOAD stand for
-/// the protocol and the frontend's requests.
-fn play_with_each_protocol(text: &str) {
+/// Runs a scenario for each engine protocol with each frontend: KIND is replaced by the protocol,
+/// LOOKUP and LOAD by requests of the frontend.
+fn run_with_each_protocol(text: &str) {
     for engine in ["platform", "clickhouse"] {
         for (lookup, load) in [
             (
@@ -31,38 +32,38 @@
                 .replace("LOOKUP", lookup)
                 .replace("LOAD", load)
                 .replace("KIND", engine);
-            play(&format!("user anna secret billing-desk\n{text}"));
+            run(&format!("user anna secret billing-desk\n{text}"));
         }
     }
 }
 
 #[test]
 fn mixed_traffic_is_counted_once() {
-    play(include_str!("../scenarios/mixed.txt"));
+    run(include_str!("../scenarios/mixed.txt"));
 }
 
 #[test]
 fn each_engine_fault_has_a_defined_outcome() {
-    play(include_str!("../scenarios/faults.txt"));
+    run(include_str!("../scenarios/faults.txt"));
 }
 
 #[test]
-fn events_of_daily_operation_are_survived() {
-    play(include_str!("../scenarios/service.txt"));
+fn idle_clients_a_reload_and_a_removed_engine_leave_no_request_open() {
+    run(include_str!("../scenarios/service.txt"));
 }
 
-/// A deployment whose loads carry idempotency keys.
+/// Loads with idempotency keys, priorities and hedged attempts, on engines of two machine types.
 #[test]
-fn keyed_loads_priorities_and_hedging() {
-    play(include_str!("../scenarios/keyed.txt"));
+fn keyed_loads_with_priorities_and_hedging() {
+    run(include_str!("../scenarios/keyed.txt"));
 }
 
-/// Guards small engines: a rejected load never ran, so it may be refused, and its idempotency key is
-/// still unused.
+/// Guards against an idempotency key that is stored for a load that never ran: an engine at its limit
+/// rejects a keyed load, the client receives the rejection, and a later request with the same key
+/// runs.
 #[test]
-fn a_full_engine_rejects_a_keyed_load_without_storing_its_key() {
-    play(
-        "set /classes/2/semantics \"token\"
+fn an_engine_at_its_limit_rejects_a_keyed_load_without_storing_its_key() {
+    run("set /classes/2/semantics \"token\"
         set /classes/2/window_ns 1000000
         engine small platform std-8core 1
         start
@@ -77,17 +78,16 @@
         dropped load 0
         dropped again 0
         term
-        ended",
-    );
+        ended");
 }
 
-/// Guards operators: where another program has the port of a frontend, the start ends with one line
-/// that names the address.
+/// If another program uses the port of a frontend, the start fails with one line that names the
+/// address.
 #[test]
 fn an_occupied_port_of_a_frontend_fails_the_start() {
     let text = "user anna secret billing-desk\nengine one platform\noccupy\nstart";
     let daemon = Path::new(env!("CARGO_BIN_EXE_yokelift"));
-    let failures = scenario::play(daemon, text, &mut |_| {}).expect_err("the start fails");
+    let failures = scenario::run(daemon, text, &mut |_| {}).expect_err("the start must fail");
     let failures = failures.join("\n");
     assert!(
         failures.contains("can't listen on 127.") && failures.contains("Address already in use"),
@@ -95,40 +95,42 @@
     );
 }
 
-/// Guards rule 2: an error, a reset or an incomplete response may come after the load began.
+/// Guards rule 2: a load is not retried after an error, a reset or an incomplete response, because it
+/// may have begun to run.
 #[test]
 fn a_load_that_may_have_run_fails_without_a_retry() {
     for fault in ["break", "reset", "late", "garble"] {
         let text = "engine one KIND\nengine two KIND\nstart\non one FAULT\non two FAULT\n\
             ask a LOAD\nexpect a failed\nruns a 1\nterm\nended\ncounter taken 1\ncounter failed 1\ncounter open 0";
-        play_with_each_protocol(&text.replace("FAULT", fault));
+        run_with_each_protocol(&text.replace("FAULT", fault));
     }
 }
 
-/// The same faults do not prevent the retry of an idempotent request.
+/// An idempotent request is retried after the same faults.
 #[test]
 fn a_lookup_is_retried_after_a_fault() {
     for fault in ["break", "reset", "late", "garble", "full"] {
         let text = "engine one KIND\nstart\non one FAULT\nask a LOOKUP\nexpect a served\nruns a 2\n\
             term\nended\ncounter taken 1\ncounter served 1\ncounter attempts 2\ncounter open 0";
-        play_with_each_protocol(&text.replace("FAULT", fault));
+        run_with_each_protocol(&text.replace("FAULT", fault));
     }
 }
 
-/// A rejected attempt never ran: even a load is retried, and may be rejected in the end.
+/// An attempt that an engine rejects never ran, so even a load is retried; after the last rejected
+/// attempt the load is rejected.
 #[test]
 fn a_rejected_load_is_retried() {
-    play_with_each_protocol(
+    run_with_each_protocol(
         "engine one KIND\nstart\non one full\nask a LOAD\nexpect a served\nruns a 2\n\
         on one full\non one full\non one full\nask b LOAD\nexpect b refused\nruns b 3\n\
         term\nended\ncounter taken 2\ncounter served 1\ncounter refused 1\ncounter open 0",
     );
 }
 
-/// The attempt of a client that disconnects is cancelled.
+/// When a client disconnects, the attempt of its request is canceled.
 #[test]
-fn a_disconnect_cancels_the_clients_attempt() {
-    play_with_each_protocol(
+fn a_disconnect_cancels_the_attempt() {
+    run_with_each_protocol(
         "engine one KIND\nstart\non one hang\nask a LOOKUP\nseen a\ndrop a\nover a\nruns a 1\n\
         ask b LOOKUP\nexpect b served\nterm\nended\ncounter taken 2\ncounter gone 1\ncounter served 1\ncounter open 0",
     );
@@ -141,7 +143,7 @@
             "rpc load billing-desk 1000 INSERT INTO a_1.b SELECT 1",
             "http anna secret 1 INSERT INTO a_1.b SELECT 1",
         ] {
-            play(&format!(
+            run(&format!(
                 "user anna secret billing-desk\nengine one {engine}\nstart\non one hang\nask a {ask}\n\
                 expect a deadline\nover a\nruns a 1\nterm\nended\ncounter failed 1\ncounter open 0"
             ));
@@ -149,10 +151,10 @@
     }
 }
 
-/// Guards rule 3, also across a break of the coordinator's connection.
+/// Guards rule 3, also after the connection to the coordinator was closed.
 #[test]
 fn a_draining_engine_receives_no_new_attempts() {
-    play_with_each_protocol(
+    run_with_each_protocol(
         "engine one KIND\nengine two KIND\nstart\nask a LOOKUP\nexpect a served\n\
         cut\ndrain one\nuntil lists 2\nask b LOOKUP\nexpect b served\nask c LOAD\nexpect c served\n\
         ask d LOOKUP\nexpect d served\nready one\ndrain two\nuntil lists 4\nask e LOOKUP\nexpect e served\n\
@@ -161,11 +163,11 @@
 }
 
 /// Guards against termination by SIGHUP, and against event numbers that restart with the
-/// coordinator's address: open requests continue, the next events come from the new coordinator, and
-/// an invalid file changes nothing.
+/// coordinator's address: open requests continue, the next events are read from the new coordinator,
+/// and an invalid file changes nothing.
 #[test]
 fn a_reload_migrates_the_coordinator_and_keeps_requests() {
-    play_with_each_protocol(
+    run_with_each_protocol(
         "engine one KIND\nengine two KIND\nstart\non one rows 400 3\non two rows 400 3\ndrain two\nuntil lists 2\n\
         ask a LOAD\nseen a\nmove\nuntil reloads 1\nspoil\nuntil reload-failures 1\nexpect a served\n\
         ready two\ndrain one\nuntil lists 4\nask b LOAD\nexpect b served\nruns b 1\n\
@@ -174,11 +176,11 @@
 }
 
 /// Guards against hundreds of clients that connect and send nothing, or an incomplete message: other
-/// clients are accepted at once, because the longest idle connections are closed, and incomplete
-/// messages time out within seconds, with an error where the protocol has one.
+/// clients are accepted at once, because the connections that have been idle longest are closed.
+/// Incomplete messages time out within seconds, with an error if the protocol defines one.
 #[test]
-fn silent_clients_do_not_block_others() {
-    play(
+fn idle_clients_do_not_block_others() {
+    run(
         "sockets 32\nengine one platform\nuser anna secret billing-desk\nstart\nstay some rpc 8\nstay more http 7\n\
         wait 200\nmute crowd rpc 150\nmute web http 150\n\
         ask a rpc lookup billing-desk 9000 SELECT 1\nexpect a served\nask b http anna secret 9 SELECT 1\nexpect b served\n\
@@ -188,36 +190,36 @@
     );
 }
 
-/// Guards the rules on attempts and responses: a request id that is in use, or was recently, does not
+/// Guards the rules on attempts and responses: a request id that is or was recently in use does not
 /// start a second request.
 #[test]
 fn a_request_id_in_use_is_rejected() {
     let again = "rpc {\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"lookup\",\"params\":{\"id\":\"0000000000000001\",\
         \"wait\":5000,\"tenant\":\"billing-desk\",\"arg\":\"c2VsZWN0IDI=\"}}\\n";
-    play(&format!(
+    run(&format!(
         "engine one platform\nstart\non one rows 300 3\nask a rpc load billing-desk 9000 INSERT INTO a_1.b SELECT 1\n\
         seen a\nraw b {again}\nexpect b rejected -32602\nexpect a served\nraw c {again}\nexpect c rejected -32602\n\
         runs a 1\nterm\nended\ncounter taken 3\ncounter served 1\ncounter failed 2",
     ));
 }
 
-/// Guards against waiting for an engine that vanished: once the endpoint list lacks it, its attempts
-/// fail soon.
+/// Guards against waiting for an engine that no longer exists: soon after it is removed from the
+/// endpoint list, its attempts fail.
 #[test]
 fn an_attempt_on_a_removed_engine_fails() {
-    play_with_each_protocol(
+    run_with_each_protocol(
         "engine one KIND\nengine two KIND\nstart\ndrain two\nuntil lists 2\non one hang\nask a LOAD\nseen a\n\
         gone one\nexpect a failed\nruns a 1\nready two\nuntil lists 4\nask b LOAD\nexpect b served\n\
         term\nended\ncounter failed 1\ncounter served 1\ncounter open 0",
     );
 }
 
-/// Guards against requests that are unanswered when the process is killed: before that all of them
-/// fail, or are rejected if they never ran.
+/// Guards against requests without a response when the process is killed: before that, the shutdown
+/// fails all open requests, or rejects those that never ran.
 #[test]
 fn a_shutdown_fails_requests_that_would_outlast_it() {
     for engine in ["platform", "clickhouse"] {
-        play(&format!(
+        run(&format!(
             "user anna secret billing-desk\nengine one {engine}\nstart\non one hang\non one hang\non one hang\non one hang\nask a rpc load billing-desk 20000 INSERT INTO a_1.b SELECT 1\n\
             seen a\nask b rpc report billing-desk 14000 SELECT 1\nseen b\nterm\nexpect a failed\nexpect b refused\n\
             ended\ncounter failed 1\ncounter refused 1\ncounter open 0"
@@ -225,37 +227,38 @@
     }
 }
 
-/// Guards a load against responses to others: a malformed one ends all attempts on its connection.
+/// Guards loads against a malformed response to another request, which ends all attempts on its
+/// connection.
 #[test]
 fn a_malformed_response_to_a_lookup_does_not_end_a_load() {
-    play_with_each_protocol(
+    run_with_each_protocol(
         "engine one KIND\nstart\non one rows 600 3\nask a LOAD\nseen a\non one garble\nask b LOOKUP\nexpect b served\n\
         runs b 2\nexpect a served\nruns a 1\nterm\nended\ncounter served 2\ncounter open 0",
     );
 }
 
-/// A refused connection proves that nothing ran: even a load is retried elsewhere.
+/// After a refused connection nothing can have run, so even a load is retried on another engine.
 #[test]
 fn a_refused_connection_is_retried_on_another_engine() {
-    play_with_each_protocol(
+    run_with_each_protocol(
         "engine one KIND\nengine two KIND\nstart\ndown one\nask a LOAD\nexpect a served\nask b LOAD\nexpect b served\n\
         ask c LOOKUP\nexpect c served\nask d LOOKUP\nexpect d served\nterm\nended\ncounter served 4\ncounter open 0",
     );
 }
 
-/// After SIGTERM open requests are answered, and so are those that still arrive.
+/// After SIGTERM, open requests and those that still arrive are completed.
 #[test]
-fn a_shutdown_answers_open_requests() {
-    play_with_each_protocol(
+fn a_graceful_shutdown_completes_open_requests() {
+    run_with_each_protocol(
         "engine one KIND\nstart\non one rows 2000 5\nask a LOAD\nseen a\nterm\nask b LOOKUP\nexpect b served\n\
         expect a served 5\nended\ncounter taken 2\ncounter served 2\ncounter open 0",
     );
 }
 
-/// Guards against unknown users (401) and users without a tenant (403).
+/// Unknown users are rejected with 401, users without a tenant with 403.
 #[test]
 fn unknown_and_unauthorized_users_are_rejected() {
-    play(
+    run(
         "engine one platform\nuser anna secret billing-desk\nuser carl secret -\nstart\n\
         ask a http anna wrong 5 SELECT 1\nexpect a rejected 401\nask b http bert secret 5 SELECT 1\n\
         expect b rejected 401\nask c http carl secret 5 SELECT 1\nexpect c rejected 403\n\
@@ -264,10 +267,10 @@
     );
 }
 
-/// Users and shares are read from the directory page by page, and again at each refresh.
+/// Users and the shares of tenants are read from the directory in pages, and again at each refresh.
 #[test]
 fn users_and_tenants_come_from_the_directory() {
-    play(
+    run(
         "engine one clickhouse\ntenant billing-desk 3\ntenant channel-desk 1\ntenant night-desk 1\n\
         person anna secret billing-desk\nperson bert secret channel-desk\nperson carl secret night-desk\n\
         person dora secret -\nstart\nask a http anna secret 5 SELECT 1\nexpect a served\n\
@@ -277,10 +280,10 @@
     );
 }
 
-/// When the directory fails, the last snapshot stays in force and the failure is counted.
+/// If the directory fails, the last snapshot remains in use and the failure is counted.
 #[test]
 fn a_failing_directory_keeps_the_last_snapshot() {
-    play(
+    run(
         "engine one platform\ntenant billing-desk 1\nperson anna secret billing-desk\nstart\n\
         ask a http anna secret 5 SELECT 1\nexpect a served\nbusy\nperson bert secret billing-desk\n\
         until directory-failures +2\nask b http anna secret 5 SELECT 1\nexpect b served\n\
@@ -289,16 +292,16 @@
     );
 }
 
-/// A client that disconnects during its response ends only its connection.
+/// If a client disconnects while it receives its response, only its connection ends.
 #[test]
 fn a_disconnect_during_a_response_ends_only_its_connection() {
-    play_with_each_protocol(
+    run_with_each_protocol(
         "engine one KIND\nstart\non one rows 100 200\nask a LOOKUP\nleave a\nexpect a cut\nruns a 1\n\
         ask b LOOKUP\nexpect b served\nterm\nended\ncounter taken 2\ncounter served 2\ncounter open 0",
     );
 }
 
-/// Malformed lines of the platform's protocol, and the codes of their errors.
+/// Malformed lines of the platform's protocol, and the error codes of their responses.
 const MALFORMED_RPC_LINES: [(&str, &str); 7] = [
     ("{]", "-32700"),
     ("[]", "-32600"),
@@ -321,7 +324,7 @@
     ),
 ];
 
-/// Malformed requests of the ClickHouse interface, and the statuses of their errors.
+/// Malformed requests to the ClickHouse frontend, and the HTTP statuses of their responses.
 const MALFORMED_HTTP_REQUESTS: [(&str, &str); 11] = [
     ("BREW / HTTP/1.1\\r\\n\\r\\n", "405"),
     ("GET /none HTTP/1.1\\r\\n\\r\\n", "404"),
@@ -357,9 +360,9 @@
     ),
 ];
 
-/// Malformed input ends its request or connection, never the process.
+/// Malformed input ends the request or the connection, but not the process.
 #[test]
-fn malformed_input_is_rejected_and_others_are_served() {
+fn malformed_input_is_rejected_and_valid_requests_complete() {
     let mut text = "engine one platform\nuser anna secret billing-desk\nstart\n".to_owned();
     for (index, (line, code)) in MALFORMED_RPC_LINES.iter().enumerate() {
         text += &format!("raw l{index} rpc {line}\\n\nexpect l{index} rejected {code}\n");
@@ -372,10 +375,10 @@
     text += "ask a rpc lookup billing-desk 5000 SELECT 1\nexpect a served\n\
         ask b http anna secret 5 SELECT 1\nexpect b served\n\
         term\nended\ncounter taken 2\ncounter served 2\ncounter open 0";
-    play(&text);
+    run(&text);
 }
 
-/// A database is accepted only while every engine in service supports databases.
+/// A request with a database is accepted only while every ready engine supports databases.
 #[test]
 fn a_database_is_accepted_only_if_all_engines_support_it() {
     let ask = |name: &str| {
@@ -384,7 +387,7 @@
             "raw {name} http GET /?user=anna&password=secret&database=ops_1&query={query} HTTP/1.1\\r\\n\\r\\n\n"
         )
     };
-    play(&format!(
+    run(&format!(
         "engine web clickhouse\nengine lines platform\nuser anna secret billing-desk\nstart\n{}expect a rejected 400\n\
         drain lines\nuntil lists 2\n{}expect b served\nterm\nended\ncounter taken 1\ncounter served 1",
         ask("a"),
@@ -392,19 +395,19 @@
     ));
 }
 
-/// The program failed, and wrote one line that contains `hint`.
+/// Runs a program and asserts that it fails and writes one line that contains `hint` to stderr.
 fn assert_fails_with_one_line(program: &mut Command, hint: &str) {
-    let output = program.output().expect("the program's end");
+    let output = program.output().expect("run the program");
     let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success(), "{stderr}");
     assert_eq!(stderr.lines().count(), 1, "{stderr}");
     assert!(stderr.contains(hint), "{stderr}");
 }
 
-/// An invalid configuration ends the start with one line that names the file.
+/// With an invalid configuration the start fails with one line that names the file.
 #[test]
 fn an_invalid_configuration_fails_with_one_line() {
-    let folder = Folder::new().expect("a folder");
+    let folder = Folder::new().expect("create a folder");
     let known_events = serde_json::json!({"index": 1, "updates": []});
     let valid = daemon::config(
         ports::reserve_addr(),
@@ -414,7 +417,10 @@
     );
     let without = |key: &str| {
         let mut config = valid.clone();
-        config.as_object_mut().expect("an object").remove(key);
+        config
+            .as_object_mut()
+            .expect("the configuration is an object")
+            .remove(key);
         config.to_string()
     };
     let texts = [
@@ -424,16 +430,18 @@
         without("known"),
     ];
     for (index, text) in texts.iter().enumerate() {
-        let path = folder.put(&format!("{index}.json"), text).expect("a file");
+        let path = folder
+            .put(&format!("{index}.json"), text)
+            .expect("write the file");
         let mut yokelift = Command::new(env!("CARGO_BIN_EXE_yokelift"));
         assert_fails_with_one_line(yokelift.env("PROXY_CONFIG", path), ".json");
     }
 }
 
-/// An invalid file of the ClickHouse frontend fails its check with one line that names the cause.
+/// The check of an invalid file of the ClickHouse frontend fails with one line that names the cause.
 #[test]
 fn an_invalid_clickhouse_file_fails_with_one_line() {
-    let folder = Folder::new().expect("a folder");
+    let folder = Folder::new().expect("create a folder");
     let without_users = "listen = \"127.0.0.1:0\"\nusual_class = \"lookup\"\n";
     let cases = [
         (format!("{without_users}surprise = 1\n"), "surprise"),
@@ -444,7 +452,9 @@
         ),
     ];
     for (index, (text, hint)) in cases.iter().enumerate() {
-        let path = folder.put(&format!("{index}.toml"), text).expect("a file");
+        let path = folder
+            .put(&format!("{index}.toml"), text)
+            .expect("write the file");
         let mut testkit = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
         assert_fails_with_one_line(testkit.arg("check").arg(path), hint);
     }
