--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -10,7 +10,7 @@
 /// Runs a scenario, and panics with the failed steps if there are any.
 fn run_scenario(text: &str) {
     let daemon = Path::new(env!("CARGO_BIN_EXE_yokelift"));
-    if let Err(failures) = scenario::play(daemon, text, &mut |_| {}) {
+    if let Err(failures) = scenario::run(daemon, text, &mut |_| {}) {
         panic!("{}", failures.join("\n"));
     }
 }
