--- a/src/bin/yokelift-testkit/main.rs
+++ b/src/bin/yokelift-testkit/main.rs
@@ -1,5 +1,6 @@
-//! The test kit: plays scenarios against the daemon, checks files of the ClickHouse frontend, gathers
-//! the audit of a fleet, and measures simulated fleets and the daemon's scale.
+//! The test kit: runs scenarios against the daemon, checks configuration files of the ClickHouse
+//! frontend, collects the audit records of a fleet, and measures simulated fleets and the daemon's
+//! resource use at scale.
 #![forbid(unsafe_code)]
 
 mod scale;
@@ -23,7 +24,7 @@
 use yokelift::testkit::membership_simulation::FleetFigures;
 use yokelift::testkit::{audit, membership_simulation, plot, probe_simulation, scenario};
 
-/// The build id, as in the fleet's member updates.
+/// The build id, the same as in the member updates of the fleet.
 static BUILD: LazyLock<String> = LazyLock::new(net::fleet::versions::build_id);
 
 /// The test kit of yokelift: scenarios against the daemon, audits of a fleet, simulations and scale runs.
@@ -36,59 +37,58 @@
 
 #[derive(Subcommand)]
 enum Subcommands {
-    /// Says whether a deploy file can be used.
+    /// Checks whether a deploy file is valid.
     Check {
         /// The deploy file.
         file: PathBuf,
     },
-    /// Plays a scripted scenario against the daemon beside this program.
+    /// Runs a scripted scenario against the daemon that is installed beside this program.
     #[command(alias = "rehearse")]
     RunScenario {
         /// The scenario.
         scenario: PathBuf,
     },
-    /// Gathers the audit of several managers: who acted on what, where they disagree, how changes
-    /// spread.
+    /// Collects the audit records of several managers: who acted on what, where they disagree, how
+    /// changes spread.
     ///
-    /// Exits with 1 if something could not be had of one of them.
+    /// Exits with 1 if some records of a manager are missing.
     #[command(after_help = "Example:\n  yokelift-testkit audit 127.8.0.1:10250 127.8.0.2:10250")]
     Audit {
-        /// The managers' second addresses.
+        /// The addresses of the managers' admin endpoints.
         #[arg(required = true)]
         managers: Vec<SocketAddr>,
         /// Only records after this one: LIFE.NUMBER.
         #[arg(long, default_value = "0")]
         since: RecordPosition,
-        /// The report as one JSON object.
+        /// Print the report as one JSON object.
         #[arg(long)]
         json: bool,
     },
-    /// Counts the probes of engines over emulated fleets, without owners and with one owner an
-    /// engine.
+    /// Counts the load probes of engines in simulated fleets, without lease holders and with one
+    /// lease holder per engine.
     #[command(
         alias = "soundings",
         after_help = "Example:\n  yokelift-testkit simulate-probes --managers 100,300 --engines 80"
     )]
     SimulateProbes(SimulateProbesArgs),
-    /// Measures fleets of managers emulated in this process: detection, spread and traffic by their
-    /// size.
+    /// Measures fleets of managers simulated in this process: failure detection, spread of updates
+    /// and traffic by fleet size.
     #[command(
         alias = "emulate",
         after_help = "Example:\n  yokelift-testkit simulate-membership --members 10,100,300 \
             --svg docs/fleet-scale.svg"
     )]
     SimulateMembership(SimulateMembershipArgs),
-    /// Measures fleets of hollow managers: the daemon's own actors of the fleet on real sockets on
-    /// loopback.
+    /// Measures fleets of hollow nodes: the daemon's own fleet actors on real loopback sockets.
     #[command(
         after_help = "Example:\n  yokelift-testkit scale-fleet --sizes 58x114,460x910 --limit 600 --json"
     )]
     ScaleFleet(scale_fleet::ScaleFleetArgs),
-    /// Measures what one real daemon needs by the number of engines, idle clients and statements
-    /// around it.
+    /// Measures the resource use of one real daemon by the number of engines, idle clients and
+    /// statements.
     ///
-    /// Starts the daemon between stand-ins, one size after the other. Ends all that it started,
-    /// also on an error.
+    /// Starts the daemon between stand-ins for each point in turn. Ends every process that it
+    /// started, also after an error.
     #[command(after_help = "Example:\n  yokelift-testkit scale --point 910:2600:0 --json")]
     Scale(scale::ScaleArgs),
 }
@@ -96,19 +96,19 @@
 /// The arguments of `simulate-probes`.
 #[derive(clap::Args)]
 struct SimulateProbesArgs {
-    /// The sizes of the fleets.
+    /// The numbers of managers to simulate.
     #[arg(long, value_delimiter = ',', default_values_t = [100usize, 300])]
     managers: Vec<usize>,
-    /// Engines.
+    /// The number of engines.
     #[arg(long, default_value_t = 80)]
     engines: u64,
-    /// How often a second each manager wants to hear of some engine.
+    /// How often per second each manager requests the load of an engine.
     #[arg(long, default_value_t = 20.0)]
     wants: f64,
-    /// The same seed gives the same figures.
+    /// The random seed; the same seed gives the same results.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The figures as one JSON list.
+    /// Print the results as one JSON list.
     #[arg(long)]
     json: bool,
 }
@@ -116,40 +116,41 @@
 /// The arguments of `simulate-membership`.
 #[derive(clap::Args)]
 struct SimulateMembershipArgs {
-    /// The sizes of the fleets.
+    /// The numbers of members to simulate.
     #[arg(long, value_delimiter = ',', default_values_t = [10usize, 100, 300])]
     members: Vec<usize>,
-    /// Managers that stop, one after the other.
+    /// The number of managers that stop, one after the other.
     #[arg(long, default_value_t = 5)]
     stops: usize,
-    /// The same seed gives the same figures.
+    /// The random seed; the same seed gives the same results.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The timings: those of this fleet file.
+    /// Use the timing of this fleet file.
     #[arg(long)]
     fleet: Option<PathBuf>,
-    /// Also draws the figures into this file.
+    /// Also plot the results into this SVG file.
     #[arg(long)]
     svg: Option<PathBuf>,
-    /// The figures as one JSON list.
+    /// Print the results as one JSON list.
     #[arg(long)]
     json: bool,
 }
 
-/// Writes to standard output. A reader that closes it early, such as `head`, is no fault.
+/// Writes to standard output. Errors are ignored, because a reader such as `head` may close it
+/// early.
 fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-/// The lines that a subcommand failed with.
+/// The error lines of a failed subcommand.
 type Failures = Vec<String>;
 
-/// An error as the only line.
+/// Converts an error to a single error line.
 fn failure(error: impl ToString) -> Failures {
     vec![error.to_string()]
 }
 
-/// An error with the file that it is about.
+/// Converts an error to a single error line that starts with the path of the file.
 fn file_failure(path: &Path, error: impl Display) -> Failures {
     failure(format!("{}: {error}", path.display()))
 }
@@ -168,7 +169,7 @@
             managers,
             since,
             json,
-        } => gather_audit(&managers, since, json),
+        } => collect_audit(&managers, since, json),
         Subcommands::SimulateProbes(args) => simulate_probes(&args),
         Subcommands::SimulateMembership(args) => simulate_membership(args),
         Subcommands::Scale(args) => {
@@ -209,7 +210,7 @@
     scenario::play(&daemon, &text, &mut |line| print(&format!("{line}\n")))
 }
 
-fn gather_audit(
+fn collect_audit(
     managers: &[SocketAddr],
     since: RecordPosition,
     json: bool,
@@ -229,40 +230,40 @@
         && (0.01..=1e4).contains(&args.wants);
     if !in_range {
         return Err(failure(
-            "--managers from 6 to 1000, --engines above 0, --wants from 0.01 to 10000",
+            "--managers must be from 6 to 1000, --engines above 0, --wants from 0.01 to 10000",
         ));
     }
-    let figures = probe_simulation::compare(&args.managers, args.engines, args.wants, args.seed);
+    let results = probe_simulation::compare(&args.managers, args.engines, args.wants, args.seed);
     if args.json {
-        print_json(&figures)
+        print_json(&results)
     } else {
-        print(&format!("{}\n", probe_simulation::table(&figures)));
+        print(&format!("{}\n", probe_simulation::table(&results)));
         Ok(())
     }
 }
 
 fn simulate_membership(args: SimulateMembershipArgs) -> Result<(), Failures> {
     if !args.members.iter().all(|n| (3..=1_000).contains(n)) {
-        return Err(failure("--members: from 3 to 1000"));
+        return Err(failure("--members must be from 3 to 1000"));
     }
     let timing = match &args.fleet {
         Some(path) => read_timing(path)?,
         None => Timing::default(),
     };
-    let figures = args
+    let results = args
         .members
         .iter()
         .map(|n| membership_simulation::measure(*n, &timing, args.stops, args.seed))
         .collect::<Result<Vec<FleetFigures>, _>>()
         .map_err(failure)?;
     if let Some(path) = &args.svg {
-        let text = plot::fleet(&figures).map_err(failure)?;
+        let text = plot::fleet(&results).map_err(failure)?;
         std::fs::write(path, text).map_err(|error| file_failure(path, error))?;
     }
     if args.json {
-        print_json(&figures)
+        print_json(&results)
     } else {
-        print(&format!("{}\n", membership_simulation::table(&figures)));
+        print(&format!("{}\n", membership_simulation::table(&results)));
         Ok(())
     }
 }
--- a/src/bin/yokelift-testkit/scale.rs
+++ b/src/bin/yokelift-testkit/scale.rs
@@ -1,4 +1,5 @@
-//! The subcommand `scale`: its arguments, and what ends it early.
+//! The subcommand `scale`: its arguments, its progress lines, and the signals and the time limit
+//! that end it early.
 use async_io::Timer;
 use async_signal::{Signal, Signals};
 use clap::Args;
@@ -9,52 +10,53 @@
 use std::time::{Duration, Instant};
 use yokelift::testkit::scale::capacity_check::Resources;
 use yokelift::testkit::scale::report::Report;
-use yokelift::testkit::scale::{self, Options, Point, Progress, daemons};
+use yokelift::testkit::scale::{self, MeasurementPoint, Options, Progress, daemons};
 
-/// Seconds that a window or a time to settle may take.
+/// Valid length of a measurement window or a settling time, in seconds.
 const SECONDS: RangeInclusive<f64> = 0.5..=600.0;
-/// How often each point may be measured.
-const PLAYS: RangeInclusive<usize> = 1..=100;
-/// Upper bound on the time to settle before a window without statements.
+/// Valid number of runs, each of which measures every point once.
+const RUNS: RangeInclusive<usize> = 1..=100;
+/// Maximum settling time before a window without statements, in seconds.
 const MAX_IDLE_SETTLE_S: f64 = 3.0;
 
 /// The arguments of `scale`.
 #[derive(Args)]
 pub(crate) struct ScaleArgs {
-    /// Points instead of the usual ones: ENGINES:CLIENTS:STATEMENTS, the last a second.
+    /// Points to measure instead of the default ones: ENGINES:CLIENTS:STATEMENTS, with the
+    /// statements per second.
     #[arg(long = "point", value_name = "E:C:S")]
-    points: Vec<Point>,
-    /// Fewer and smaller points, and shorter windows.
+    points: Vec<MeasurementPoint>,
+    /// Measure fewer and smaller points, with shorter windows.
     #[arg(long)]
     quick: bool,
-    /// How often each point is measured.
+    /// The number of runs, each of which measures every point once.
     #[arg(long, default_value_t = 1)]
     plays: usize,
-    /// The window of a point, in seconds [default: 5, or 2 with --quick].
+    /// The measurement window of each point, in seconds [default: 5, or 2 with --quick].
     #[arg(long)]
     seconds: Option<f64>,
-    /// Seconds of statements before the window of a point that has some [default: 14, or 3 with
-    /// --quick].
+    /// Seconds during which a point with statements sends them before its window [default: 14, or 3
+    /// with --quick].
     #[arg(long)]
     settle: Option<f64>,
-    /// Managers in the settings.
+    /// The number of managers in the daemon's settings.
     #[arg(long, default_value_t = 460)]
     managers: u64,
-    /// The daemon [default: the one beside this program].
+    /// Path of the daemon [default: the one installed beside this program].
     #[arg(long)]
     daemon: Option<PathBuf>,
-    /// Seconds after which everything is ended, finished or not.
+    /// Seconds after which the measurement fails and its daemon is ended.
     #[arg(long, default_value_t = 600)]
     limit: u64,
-    /// Every figure as JSON.
+    /// Print every measured value as JSON.
     #[arg(long)]
     json: bool,
-    /// Tables in Markdown, as without --json.
+    /// Print tables in Markdown, the default without --json.
     #[arg(long, conflicts_with = "json")]
     markdown: bool,
 }
 
-/// What `--quick` changes in the defaults.
+/// Defaults that differ between full and `--quick` runs.
 struct Defaults {
     window_s: f64,
     settle_s: f64,
@@ -76,11 +78,11 @@
         let settle_s = self.settle.unwrap_or(defaults.settle_s);
         let in_range = SECONDS.contains(&window_s)
             && SECONDS.contains(&settle_s)
-            && PLAYS.contains(&self.plays)
+            && RUNS.contains(&self.plays)
             && self.managers > 0;
         if !in_range {
             return Err(
-                "--seconds and --settle from 0.5 to 600, --plays from 1 to 100, --managers above 0"
+                "--seconds and --settle must be from 0.5 to 600, --plays from 1 to 100, --managers above 0"
                     .into(),
             );
         }
@@ -99,7 +101,7 @@
         })
     }
 
-    fn points(&self) -> Vec<Point> {
+    fn points(&self) -> Vec<MeasurementPoint> {
         if self.points.is_empty() {
             scale::grid(self.quick)
         } else {
@@ -108,7 +110,7 @@
     }
 }
 
-/// Completes with a signal or at the limit, and returns which.
+/// Waits for a signal or the time limit, and returns the reason for the error message.
 async fn stop_reason(limit_at: Instant, signals: &mut Signals) -> String {
     let limit = async {
         Timer::at(limit_at).await;
@@ -117,37 +119,37 @@
     let signal = async {
         match signals.next().await {
             Some(Ok(signal)) => format!("ended by {signal:?}"),
-            _ => "signals can't be waited for".to_owned(),
+            _ => "waiting for signals failed".to_owned(),
         }
     };
     or(signal, limit).await
 }
 
-/// Writes lines of progress to standard error.
+/// Writes progress lines to standard error.
 struct ProgressReport {
     started: Instant,
-    /// Points of all plays together.
-    count: usize,
+    /// Number of points over all runs.
+    point_count: usize,
 }
 
 impl ProgressReport {
-    fn print(&self, number: usize, point: &Point, progress: &Progress) {
+    fn print(&self, number: usize, point: &MeasurementPoint, progress: &Progress) {
         let seconds = self.started.elapsed().as_secs();
-        let count = self.count;
-        let Point {
+        let count = self.point_count;
+        let MeasurementPoint {
             engines,
             clients,
             rate,
         } = point;
-        let Progress { pid, doing } = progress;
+        let Progress { pid, step } = progress;
         eprintln!(
             "{seconds} s, {number} of {count}: {engines} engines, {clients} clients, {rate} statements/s, \
-            daemon {pid}: {doing}"
+            daemon {pid}: {step}"
         );
     }
 }
 
-/// Measures all points, and returns the text to print.
+/// Measures all points in each run, and returns the report to print.
 pub(crate) fn run(args: ScaleArgs) -> Result<String, String> {
     let options = args.options()?;
     let points = args.points();
@@ -159,14 +161,14 @@
     let mut signals = signals.map_err(|error| error.to_string())?;
     let report = ProgressReport {
         started: Instant::now(),
-        count: points.len() * args.plays,
+        point_count: points.len() * args.plays,
     };
     let daemon_descriptors = daemons::daemon_descriptors(&points);
-    let mut plays = Vec::new();
-    for play in 0..args.plays {
+    let mut runs = Vec::new();
+    for run in 0..args.plays {
         let mut measured = Vec::new();
         for (index, point) in points.iter().enumerate() {
-            let number = play * points.len() + index + 1;
+            let number = run * points.len() + index + 1;
             measured.push(daemons::measure(
                 point,
                 &options,
@@ -175,9 +177,9 @@
                 &mut |progress| report.print(number, point, progress),
             )?);
         }
-        plays.push(measured);
+        runs.push(measured);
     }
-    let report = Report::new(plays);
+    let report = Report::new(runs);
     if args.json {
         report.json().map_err(|error| error.to_string())
     } else {
--- a/src/testkit/scale/daemons.rs
+++ b/src/testkit/scale/daemons.rs
@@ -1,7 +1,7 @@
-//! Measures one point: a real daemon between stand-ins, and the resources that it used.
+//! Measures one point: runs a real daemon between stand-ins and records the resources that it uses.
 use super::load::BUSY_CLIENTS;
 use super::testbed::Testbed;
-use super::{Options, Point, Progress};
+use super::{MeasurementPoint, Options, Progress};
 use crate::net::discovery::ListedEndpoint;
 use crate::policy::api::{MachineTypeId, ZoneId};
 use crate::testkit::coordinator::{Coordinator, known, ready_endpoint};
@@ -17,54 +17,54 @@
 use std::future::Future;
 use std::rc::Rc;
 
-/// Statements a second that all managers together admit: enough for the largest load.
+/// Statements per second that all managers together admit: enough for the largest load.
 const QUOTA_PER_S: f64 = 350_000.0;
 /// Time for the stand-ins' tasks to close their sockets, in milliseconds.
-const CLOSE_TIME_MS: u64 = 30;
-/// Lines of the daemon's log that an error quotes.
+const SOCKET_CLOSE_TIME_MS: u64 = 30;
+/// Number of the last lines of the daemon's log that an error message quotes.
 const QUOTED_LOG_LINES: usize = 3;
 
-/// What was measured at a point. Figures over the window were counted within it alone.
+/// The measured values of one point. Values over the window cover the window alone.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Measured {
-    /// Engines in the list.
+pub struct Measurement {
+    /// Engines in the endpoint list.
     pub engines: u64,
     /// Idle clients.
     pub clients: u64,
-    /// Statements a second, as planned.
+    /// Planned statements per second.
     pub rate: f64,
-    /// Managers in the settings.
+    /// Number of managers in the settings.
     pub managers: u64,
-    /// The window, in seconds.
+    /// Length of the window, in seconds.
     pub seconds: f64,
     /// Processor time from the start until the daemon was ready, in microseconds.
     pub start_cpu_us: f64,
-    /// Resident memory then, in KiB.
+    /// Resident memory when the daemon was ready, in KiB.
     pub start_rss_kib: u64,
     /// Resident memory at the end of the window, in KiB.
     pub rss_kib: u64,
-    /// The anonymous part of it, in KiB.
+    /// Anonymous part of that memory, in KiB.
     pub anon_kib: u64,
-    /// Resident memory of all stand-ins then, in KiB.
+    /// Resident memory of this process, which runs all stand-ins, at the end of the window, in KiB.
     pub stand_ins_rss_kib: u64,
-    /// Descriptors of this process then, without the engines' listeners and the ends of the daemon's
-    /// connections.
+    /// Descriptors of this process at the end of the window, without the engines' listeners and the
+    /// ends of the daemon's connections.
     pub stand_ins_descriptors: u64,
-    /// Processor time over the window, in microseconds a second.
+    /// Processor time over the window, in microseconds per second.
     pub cpu_us_per_s: f64,
-    /// The same by the coarser count of clock ticks, in ticks of 10 ms over the whole window.
+    /// Processor time over the whole window by the coarser count of clock ticks, in ticks of 10 ms.
     pub cpu_ticks: u64,
-    /// Voluntary context switches a second over the window.
+    /// Voluntary context switches per second over the window.
     pub switches_per_s: f64,
     /// Open descriptors at the end of the window.
     pub descriptors: u64,
-    /// Those that it had before any client connected, without connections to engines.
+    /// Open descriptors before any client connected, without connections to engines.
     pub fixed_descriptors: u64,
-    /// Connections that clients have open then, including the busy ones.
+    /// Open connections of clients at the end of the window, including those of the busy clients.
     pub client_connections: u64,
-    /// Connections that engines have open then.
+    /// Open connections of engines at the end of the window.
     pub engine_connections: u64,
-    /// Statements sent a second over the window.
+    /// Statements sent per second over the window.
     pub asked_per_s: f64,
     /// Statements completed in the window.
     pub served: u64,
@@ -72,36 +72,36 @@
     pub refused: u64,
     /// Statements that failed in the window.
     pub failed: u64,
-    /// Status calls of idle clients, a second over the window.
+    /// Status calls of idle clients per second over the window.
     pub calls_per_s: f64,
-    /// Load probes that engines received, a second over the window.
+    /// Load probes that engines received per second over the window.
     pub probes_per_s: f64,
     /// Connections that engines accepted, from the start to the end of the window.
     pub connects: u64,
-    /// Engines that accepted one.
+    /// Engines that accepted a connection.
     pub engines_reached: u64,
     /// Engines that received a statement by the end of the window.
     pub engines_used: u64,
     /// Processor time for a full endpoint list without changes, in microseconds.
     pub list_cpu_us: f64,
-    /// From the event that half of the engines drain to the last statement that one of them
-    /// received, in microseconds, the worst of several; `None` without statements. The stand-in
-    /// coordinator sends its events every 5 ms.
+    /// Time from the event that half of the engines drain to the last statement that one of them
+    /// received, in microseconds; the maximum of several such events, and `None` without
+    /// statements. The stand-in coordinator sends its events every 5 ms.
     pub change_us: Option<u64>,
     /// Statements that engines received from the start to the end of the run.
     pub begun: u64,
-    /// Statements that the daemon reports to have sent.
+    /// Statements that the daemon reports as sent.
     pub dispatches: u64,
-    /// Engines that the daemon reports to have in its list.
+    /// Engines in the daemon's list, as the daemon reports.
     pub targets: u64,
 }
 
-/// The name of an engine in the execution log, by its index in the list.
+/// Returns the name of an engine in the execution log, by its index in the list.
 pub(super) fn engine_name(index: u64) -> String {
     format!("e{index}")
 }
 
-/// The settings of one of this many managers.
+/// Returns the daemon's settings in a fleet of this many managers.
 fn settings(managers: u64) -> Value {
     let mut settings = daemon::settings();
     settings["peers_total"] = json!(managers);
@@ -112,11 +112,11 @@
     settings
 }
 
-/// The limit on descriptors in the daemon's configuration: the largest point fits where half of them
-/// are for clients and a quarter for engines. It is the same for all points, so that it does not
-/// influence their comparison.
-pub fn daemon_descriptors(points: &[Point]) -> u64 {
-    let needed = |point: &Point| {
+/// Returns the descriptor limit for the daemon's configuration, with which the largest point fits
+/// when half of the descriptors are for clients and a quarter for engines. The limit is the same
+/// for all points, so that it does not influence their comparison.
+pub fn daemon_descriptors(points: &[MeasurementPoint]) -> u64 {
+    let needed = |point: &MeasurementPoint| {
         let for_clients = 2 * (point.clients + BUSY_CLIENTS) + 64;
         let for_engines = 6 * point.engines + 64;
         for_clients.max(for_engines)
@@ -124,31 +124,31 @@
     points.iter().map(needed).max().unwrap_or(0).max(256)
 }
 
-/// Measures one point. The daemon has ended when it returns, also after a failure, or after `until`
-/// completed, which gives the error's text.
+/// Measures one point. The daemon has ended when this function returns, also after a failure. If
+/// `until` completes first, the measurement fails with its text.
 pub fn measure(
-    point: &Point,
+    point: &MeasurementPoint,
     options: &Options,
     daemon_descriptors: u64,
     until: impl Future<Output = String>,
     progress: &mut dyn FnMut(&Progress),
-) -> Result<Measured, String> {
+) -> Result<Measurement, String> {
     let executor: Executor = Rc::new(LocalExecutor::new());
     let ended = async { Err(until.await) };
     let measured = run_daemon(&executor, point, options, daemon_descriptors, progress);
     let measured = block_on(executor.run(or(ended, measured)));
-    // Ended tasks close their sockets when they are dropped by the executor.
-    block_on(executor.run(pause(CLOSE_TIME_MS)));
+    // The sockets of ended tasks are closed when the executor drops the tasks.
+    block_on(executor.run(pause(SOCKET_CLOSE_TIME_MS)));
     measured
 }
 
 async fn run_daemon(
     executor: &Executor,
-    point: &Point,
+    point: &MeasurementPoint,
     options: &Options,
     daemon_descriptors: u64,
     progress: &mut dyn FnMut(&Progress),
-) -> Result<Measured, String> {
+) -> Result<Measurement, String> {
     let log = ExecutionLog::default();
     let start_engine = |index| {
         let options = EngineOptions::new(EngineProtocol::Platform);
@@ -185,24 +185,24 @@
         list,
         daemon: &daemon,
         counters: Rc::default(),
-        step: Cell::new("the start"),
+        step: Cell::new("measuring the start"),
     };
     let measured = or(testbed.watch(progress), testbed.run()).await;
     measured.map_err(|error| describe_failure(&error, point, testbed.step.get(), &daemon))
 }
 
-/// The error with its point, its step, and the end of the daemon's log.
-fn describe_failure(error: &str, point: &Point, step: &str, daemon: &Daemon) -> String {
+/// Formats an error with its point, its step, and the end of the daemon's log.
+fn describe_failure(error: &str, point: &MeasurementPoint, step: &str, daemon: &Daemon) -> String {
     let log = daemon.log();
     let lines: Vec<&str> = log.lines().collect();
     let last_lines = &lines[lines.len().saturating_sub(QUOTED_LOG_LINES)..];
-    let Point {
+    let MeasurementPoint {
         engines,
         clients,
         rate,
     } = point;
     format!(
-        "{engines} engines, {clients} clients, {rate} statements a second, {step}: {error}; \
-        the daemon's last words: {last_lines:?}"
+        "{engines} engines, {clients} clients, {rate} statements/s, {step}: {error}; \
+        end of the daemon's log: {last_lines:?}"
     )
 }
--- a/src/testkit/scale/fit.rs
+++ b/src/testkit/scale/fit.rs
@@ -1,28 +1,28 @@
-//! Straight lines through measured points, by least squares.
+//! Fits straight lines to measured points by least squares.
 use serde::Serialize;
 
-/// Largest residual, as a fraction of the point's value, with which a line counts as valid.
+/// Largest residual with which a line is valid, as a fraction of the point's value.
 pub const MAX_RESIDUAL: f64 = 0.1;
 
-/// A measured point.
+/// A measured point: x and y.
 pub type Sample = (f64, f64);
 
-/// A line through points.
+/// A line fitted to points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
     /// The value at zero.
     pub intercept: f64,
-    /// What each unit adds.
+    /// The increase per unit of x.
     pub slope: f64,
     /// The largest residual, as a fraction of its point's value.
     pub worst: f64,
-    /// Whether that is within [`MAX_RESIDUAL`].
+    /// Whether the largest residual is within [`MAX_RESIDUAL`].
     pub holds: bool,
 }
 
 impl Line {
-    /// The residual of a point as a fraction of its value: infinite beside a value of zero that the
-    /// line misses.
+    /// Returns the residual of a point as a fraction of its value: infinite if the value is zero
+    /// and the line does not go through the point.
     fn relative_residual(&self, (x, y): Sample) -> f64 {
         match (y - self.intercept - self.slope * x).abs() {
             0.0 => 0.0,
@@ -31,7 +31,7 @@
     }
 }
 
-/// The line of least squares; `None` unless there are points at two places.
+/// Fits a line by least squares; returns `None` unless the points have at least two different x.
 pub fn line(points: &[Sample]) -> Option<Line> {
     let count = points.len() as f64;
     let mean = |coordinate: fn(&Sample) -> f64| points.iter().map(coordinate).sum::<f64>() / count;
@@ -58,23 +58,23 @@
     Some(line)
 }
 
-/// A line through the points of all plays, and the range of the single plays' slopes.
+/// A line fitted to the points of all runs, and the range of the slopes of single runs.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
-    /// Through all points.
+    /// The line fitted to all points.
     pub line: Line,
-    /// The smallest slope of a play.
+    /// The smallest slope of a run.
     pub least: f64,
-    /// The largest slope of a play.
+    /// The largest slope of a run.
     pub most: f64,
 }
 
-/// Fits the points of each play, and of all together.
-pub fn fit(plays: &[Vec<Sample>]) -> Option<Fit> {
-    let line_of_all = line(&plays.concat())?;
-    let slopes: Vec<f64> = plays
+/// Fits a line to the points of all runs together, and one to those of each run.
+pub fn fit(runs: &[Vec<Sample>]) -> Option<Fit> {
+    let line_of_all = line(&runs.concat())?;
+    let slopes: Vec<f64> = runs
         .iter()
-        .filter_map(|play| line(play))
+        .filter_map(|run| line(run))
         .map(|line| line.slope)
         .collect();
     if slopes.is_empty() {
--- a/src/testkit/scale/load.rs
+++ b/src/testkit/scale/load.rs
@@ -1,5 +1,5 @@
-//! The clients of a point: idle ones that ask for the status now and then, and a few busy ones that
-//! send statements at a steady rate.
+//! The stand-in clients of a point: idle clients that request the status at intervals, and a few
+//! busy clients that send statements at a constant rate.
 use crate::testkit::clients::{ClientOutcome, STATUS, parse_rpc_response, read_line};
 use crate::testkit::{Executor, pause};
 use async_executor::Task;
@@ -13,44 +13,44 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Interval at which an idle client asks for the status: the daemon closes connections that are
-/// silent for 10 s.
+/// Interval at which an idle client requests the status: shorter than the 10 s without input after
+/// which the daemon closes a connection.
 pub const STATUS_INTERVAL: Duration = Duration::from_secs(8);
-/// Connections that carry the statements.
+/// Number of clients that send statements, each on one connection.
 pub const BUSY_CLIENTS: u64 = 8;
-/// Estimated work of a statement, in thread milliseconds: what 910 engines of ten cores have for each
-/// of 280,000 statements a second, at half their time.
+/// Estimated work of a statement, in thread milliseconds: about what 910 engines of ten cores at
+/// half load can spend on each of 280,000 statements per second.
 const STATEMENT_COST_MS: f64 = 15.0;
-/// Time that a statement may take, in milliseconds.
+/// Deadline of a statement, in milliseconds after it is sent.
 const STATEMENT_DEADLINE_MS: u64 = 6_000;
-/// Data sets that the statements read, so that each engine has affinity to some.
+/// Number of data sets that the statements read, so that each engine has affinity to some of them.
 const DATA_SETS: u64 = 997;
-/// Percentage of statements of the first tenant: its share.
+/// Percentage of the statements that the first tenant sends, equal to its share.
 const FIRST_TENANT_PERCENT: u64 = 62;
-/// Clients that connect at once.
+/// Number of clients that connect without a pause between them.
 const CONNECT_BATCH: u64 = 25;
-/// Pause before the next clients connect, in milliseconds.
+/// Pause before the next batch of clients connects, in milliseconds.
 const CONNECT_PAUSE_MS: u64 = 10;
 
-/// What all clients of a point count.
+/// Counters that all clients of a point share.
 #[derive(Debug, Default)]
 pub struct ClientCounters {
     /// Idle clients that received at least one response.
-    pub answered: Cell<u64>,
-    /// Status calls that were answered.
+    pub ready_idle_clients: Cell<u64>,
+    /// Status calls that received a response.
     pub calls: Cell<u64>,
     /// Statements sent.
-    pub asked: Cell<u64>,
+    pub sent: Cell<u64>,
     /// Statements completed.
-    pub served: Cell<u64>,
+    pub completed: Cell<u64>,
     /// Statements rejected.
-    pub refused: Cell<u64>,
+    pub rejected: Cell<u64>,
     /// Statements that failed in any other way.
     pub failed: Cell<u64>,
-    /// Set to stop sending statements.
+    /// Set to make the busy clients stop sending statements.
     pub stop: Cell<bool>,
-    /// The first fault of any client.
-    pub fault: RefCell<Option<String>>,
+    /// The first failure of any client.
+    pub failure: RefCell<Option<String>>,
 }
 
 fn increment(count: &Cell<u64>) {
@@ -58,19 +58,19 @@
 }
 
 impl ClientCounters {
-    fn record_fault(&self, fault: &str) {
-        self.fault
+    fn record_failure(&self, failure: &str) {
+        self.failure
             .borrow_mut()
-            .get_or_insert_with(|| fault.to_owned());
+            .get_or_insert_with(|| failure.to_owned());
     }
 
-    /// Statements that have their response.
-    pub fn ended(&self) -> u64 {
-        self.served.get() + self.refused.get() + self.failed.get()
+    /// Returns the number of statements that received a response.
+    pub fn responses(&self) -> u64 {
+        self.completed.get() + self.rejected.get() + self.failed.get()
     }
 }
 
-/// Starts this many idle clients, a few at a time. Each ends with its task.
+/// Starts this many idle clients in small batches. A client ends when its task is dropped.
 pub async fn start_idle_clients(
     executor: &Executor,
     addr: SocketAddr,
@@ -82,12 +82,13 @@
         if index % CONNECT_BATCH == CONNECT_BATCH - 1 {
             pause(CONNECT_PAUSE_MS).await;
         }
-        // The second calls are spread over a whole interval, so that any window has the same rate.
+        // The second calls are spread over a whole interval, so that the rate of calls is the same
+        // in any window.
         let first_interval = STATUS_INTERVAL.mul_f64((index + 1) as f64 / count as f64);
         let counters = counters.clone();
         clients.push(executor.spawn(async move {
-            if let Err(fault) = run_idle_client(addr, first_interval, &counters).await {
-                counters.record_fault(fault);
+            if let Err(failure) = run_idle_client(addr, first_interval, &counters).await {
+                counters.record_failure(failure);
             }
         }));
     }
@@ -104,7 +105,7 @@
         .map_err(|_| "an idle client could not connect")?;
     let mut input = Vec::new();
     call_status(&stream, &mut input, counters).await?;
-    increment(&counters.answered);
+    increment(&counters.ready_idle_clients);
     wait_while_open(&stream, first_interval).await?;
     loop {
         call_status(&stream, &mut input, counters).await?;
@@ -120,18 +121,18 @@
     stream
         .write_all(STATUS)
         .await
-        .map_err(|_| "an idle client's connection broke")?;
+        .map_err(|_| "sending on an idle client's connection failed")?;
     let line = read_line(stream, input)
         .await
-        .ok_or("an idle client got no answer")?;
+        .ok_or("an idle client received no response")?;
     if !String::from_utf8_lossy(&line).contains("\"green\":true") {
-        return Err("an idle client was told that the daemon is not ready");
+        return Err("the daemon reported to an idle client that it is not ready");
     }
     increment(&counters.calls);
     Ok(())
 }
 
-/// Waits, and fails if the daemon closes the connection meanwhile.
+/// Waits for `duration`; returns an error if the daemon closes the connection meanwhile.
 async fn wait_while_open(
     mut stream: &Async<TcpStream>,
     duration: Duration,
@@ -142,12 +143,12 @@
     };
     let closed = async {
         let _ = stream.read(&mut [0; 1]).await;
-        Err("an idle client's connection was closed")
+        Err("the daemon closed an idle client's connection")
     };
     or(waited, closed).await
 }
 
-/// Statement number `number` as a line of the platform's protocol, with an id of its own.
+/// Returns statement `number` as a line of the platform's protocol, with a unique id.
 fn statement_line(number: u64) -> Vec<u8> {
     let id = format!("{number:016x}");
     let data_set = number % DATA_SETS;
@@ -173,14 +174,14 @@
 struct BusyClient {
     addr: SocketAddr,
     started: Instant,
-    /// Statements a second of all busy clients together.
+    /// Statements per second of all busy clients together.
     rate: f64,
-    /// Its number, from 0.
+    /// The client's number, from 0.
     index: u64,
 }
 
-/// Starts the busy clients, which together send this many statements a second until they are to
-/// stop.
+/// Starts the busy clients, which together send this many statements per second until
+/// [`ClientCounters::stop`] is set.
 pub fn start_busy_clients(
     executor: &Executor,
     addr: SocketAddr,
@@ -198,8 +199,8 @@
             index,
         };
         executor.spawn(async move {
-            if let Err(fault) = client.run(&counters).await {
-                counters.record_fault(fault);
+            if let Err(failure) = client.run(&counters).await {
+                counters.record_failure(failure);
             }
         })
     };
@@ -217,8 +218,8 @@
         or(send, receive).await
     }
 
-    /// Sends every [`BUSY_CLIENTS`]th statement at its time. Never returns without a fault, because
-    /// open statements are still answered after the last one is sent.
+    /// Sends every [`BUSY_CLIENTS`]th statement when it is due. Returns only with an error, because
+    /// the client still receives responses after it sent its last statement.
     async fn send_statements(
         self,
         mut stream: &Async<TcpStream>,
@@ -226,16 +227,16 @@
     ) -> Result<(), &'static str> {
         let mut number = self.index + 1;
         while !counters.stop.get() {
-            let due = self.started + Duration::from_secs_f64(number as f64 / self.rate);
-            Timer::at(due).await;
+            let due_at = self.started + Duration::from_secs_f64(number as f64 / self.rate);
+            Timer::at(due_at).await;
             if counters.stop.get() {
                 break;
             }
-            increment(&counters.asked);
+            increment(&counters.sent);
             stream
                 .write_all(&statement_line(number))
                 .await
-                .map_err(|_| "a busy client's connection broke")?;
+                .map_err(|_| "sending on a busy client's connection failed")?;
             number += BUSY_CLIENTS;
         }
         std::future::pending().await
@@ -250,10 +251,10 @@
     loop {
         let line = read_line(stream, &mut input)
             .await
-            .ok_or("a busy client's connection was closed")?;
+            .ok_or("the daemon closed a busy client's connection")?;
         increment(match parse_rpc_response(&line) {
-            ClientOutcome::Served(_) => &counters.served,
-            ClientOutcome::Refused(_) => &counters.refused,
+            ClientOutcome::Served(_) => &counters.completed,
+            ClientOutcome::Refused(_) => &counters.rejected,
             _ => &counters.failed,
         });
     }
--- a/src/testkit/scale/mod.rs
+++ b/src/testkit/scale/mod.rs
@@ -1,5 +1,6 @@
-//! Scale measurements on real sockets on loopback: what one real daemon needs, by the size of its
-//! surroundings ([`daemons`]), and fleets of many hollow nodes in one process ([`fleet`]).
+//! Scale measurements on real loopback sockets: the resource use of one real daemon by the number
+//! of engines, clients and statements ([`daemons`]), and fleets of many hollow nodes in one process
+//! ([`fleet`]).
 pub mod capacity_check;
 pub mod daemons;
 pub mod events;
@@ -22,48 +23,48 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Engines that a point may have.
+/// Valid number of engines of a point.
 const ENGINES: RangeInclusive<u64> = 1..=10_000;
-/// Idle clients that a point may have.
+/// Valid number of idle clients of a point.
 const CLIENTS: RangeInclusive<u64> = 0..=100_000;
-/// Statements a second that a point may have.
+/// Valid statement rate of a point, per second.
 const RATES: RangeInclusive<f64> = 0.0..=100_000.0;
 
-/// The surroundings of a daemon that are measured at once.
+/// One combination of engines, idle clients and statement rate at which a daemon is measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Point {
-    /// Engines in the list.
+pub struct MeasurementPoint {
+    /// Engines in the endpoint list.
     pub engines: u64,
-    /// Clients that are connected and idle.
+    /// Idle connected clients.
     pub clients: u64,
-    /// Statements a second.
+    /// Statements per second.
     pub rate: f64,
 }
 
-/// The text is no point.
+/// The text is not a measurement point.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{text:?} is not ENGINES:CLIENTS:STATEMENTS, or out of range")]
-pub struct InvalidPoint {
-    /// The text.
+pub struct InvalidMeasurementPoint {
+    /// The invalid text.
     text: String,
 }
 
-impl Point {
-    /// A point with these engines, idle clients, and statements a second.
-    pub const fn new(engines: u64, clients: u64, rate: f64) -> Point {
-        Point {
+impl MeasurementPoint {
+    /// Creates a point with this many engines, idle clients, and statements per second.
+    pub const fn new(engines: u64, clients: u64, rate: f64) -> MeasurementPoint {
+        MeasurementPoint {
             engines,
             clients,
             rate,
         }
     }
 
-    fn parse(text: &str) -> Option<Point> {
+    fn parse(text: &str) -> Option<MeasurementPoint> {
         let fields: Vec<&str> = text.split(':').collect();
         let [engines, clients, rate] = fields[..] else {
             return None;
         };
-        let point = Point::new(
+        let point = MeasurementPoint::new(
             engines.parse().ok()?,
             clients.parse().ok()?,
             rate.parse().ok()?,
@@ -75,17 +76,17 @@
     }
 }
 
-impl FromStr for Point {
-    type Err = InvalidPoint;
+impl FromStr for MeasurementPoint {
+    type Err = InvalidMeasurementPoint;
 
-    fn from_str(text: &str) -> Result<Point, InvalidPoint> {
-        Point::parse(text).ok_or_else(|| InvalidPoint {
+    fn from_str(text: &str) -> Result<MeasurementPoint, InvalidMeasurementPoint> {
+        MeasurementPoint::parse(text).ok_or_else(|| InvalidMeasurementPoint {
             text: text.to_owned(),
         })
     }
 }
 
-/// The sizes that the default points are made of.
+/// The sizes that the default points combine.
 struct GridSizes {
     engines: &'static [u64],
     clients: &'static [u64],
@@ -103,52 +104,57 @@
     rates: &[50.0, 100.0],
 };
 
-/// The default points: engines alone, clients alone, all engines with all clients, and statements
-/// with the fewest and with all engines. The quick ones are fewer and smaller.
-pub fn grid(quick: bool) -> Vec<Point> {
+/// Returns the default points: each number of engines alone, each number of clients with the fewest
+/// engines, the most engines with the most clients, and each statement rate with the fewest and
+/// with the most engines. With `quick` there are fewer and smaller points.
+pub fn grid(quick: bool) -> Vec<MeasurementPoint> {
     let GridSizes {
         engines,
         clients,
         rates,
     } = if quick { QUICK_GRID } else { FULL_GRID };
     let fewest_engines = engines[0];
-    let all_engines = engines[engines.len() - 1];
-    let all_clients = clients[clients.len() - 1];
-    let mut points: Vec<Point> = engines
+    let most_engines = engines[engines.len() - 1];
+    let most_clients = clients[clients.len() - 1];
+    let mut points: Vec<MeasurementPoint> = engines
         .iter()
-        .map(|engines| Point::new(*engines, 0, 0.0))
+        .map(|engines| MeasurementPoint::new(*engines, 0, 0.0))
         .collect();
     points.extend(
         clients
             .iter()
-            .map(|clients| Point::new(fewest_engines, *clients, 0.0)),
+            .map(|clients| MeasurementPoint::new(fewest_engines, *clients, 0.0)),
     );
-    points.push(Point::new(all_engines, all_clients, 0.0));
-    for engines in [fewest_engines, all_engines] {
-        points.extend(rates.iter().map(|rate| Point::new(engines, 0, *rate)));
+    points.push(MeasurementPoint::new(most_engines, most_clients, 0.0));
+    for engines in [fewest_engines, most_engines] {
+        points.extend(
+            rates
+                .iter()
+                .map(|rate| MeasurementPoint::new(engines, 0, *rate)),
+        );
     }
     points
 }
 
-/// How points are measured.
+/// Options that apply to the measurement of every point.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub daemon: PathBuf,
-    /// Managers in the settings: each has its share of the engines.
+    /// Number of managers in the settings; each manager has its share of the engines.
     pub managers: u64,
-    /// Time before the window of a point without statements.
+    /// Settling time before the window of a point without statements.
     pub settle: Duration,
-    /// Time before the window of a point with statements: until as many connections to engines are
-    /// closed as idle as are opened.
+    /// Settling time before the window of a point with statements: long enough that as many idle
+    /// connections to engines are closed as new ones are opened.
     pub settle_busy: Duration,
-    /// The window in which the daemon is measured.
+    /// Length of the window in which the daemon is measured.
     pub window: Duration,
 }
 
 impl Options {
-    /// Time between the start of a point's load and its window.
-    pub fn settle(&self, point: &Point) -> Duration {
+    /// Returns the time between the start of a point's load and its window.
+    pub fn settle(&self, point: &MeasurementPoint) -> Duration {
         if point.rate > 0.0 {
             self.settle_busy
         } else {
@@ -157,11 +163,11 @@
     }
 }
 
-/// How far a measurement is.
+/// Progress of a measurement.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    /// The daemon's process.
+    /// Process id of the daemon.
     pub pid: u32,
-    /// The present step.
-    pub doing: &'static str,
+    /// The current step.
+    pub step: &'static str,
 }
--- a/src/testkit/scale/proc.rs
+++ b/src/testkit/scale/proc.rs
@@ -1,4 +1,4 @@
-//! What the system reports of processes under `/proc`: memory, processor time, context switches,
+//! Reads the resource use of processes under `/proc`: memory, processor time, context switches,
 //! descriptors, and datagrams dropped by sockets.
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -7,15 +7,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Fields of `/proc/PID/stat` behind the process's name: user and system time, in clock ticks.
+/// Indices of the user and system time, in clock ticks, among the fields of `/proc/PID/stat` that
+/// follow the process's name.
 const STAT_TIME_FIELDS: [usize; 2] = [11, 12];
 
-/// What a process has used since its start, and what it holds now.
+/// The resources that a process has used since its start and those that it holds now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Usage {
     /// Resident memory (VmRSS), in KiB.
     pub rss_kib: u64,
-    /// The anonymous part of it (RssAnon), in KiB.
+    /// Anonymous part of the resident memory (RssAnon), in KiB.
     pub anon_kib: u64,
     /// Processor time in user and system mode, in clock ticks.
     pub cpu_ticks: u64,
@@ -27,7 +28,7 @@
     pub descriptors: u64,
 }
 
-/// The number of a line such as `name: 12 kB`.
+/// Returns the number in a line such as `name: 12 kB`.
 pub fn field(text: &str, name: &str) -> Option<u64> {
     let value = text
         .lines()
@@ -35,17 +36,17 @@
     value.split_whitespace().next()?.parse().ok()
 }
 
-/// The state letter and the processor time in clock ticks of a `/proc/PID/stat`. The process's name
-/// within it may contain any characters.
+/// Returns the state letter and the processor time in clock ticks from the text of
+/// `/proc/PID/stat`. The process's name in that text may contain any characters.
 pub fn stat(text: &str) -> Option<(char, u64)> {
-    let behind_name: Vec<&str> = text.rsplit_once(')')?.1.split_whitespace().collect();
-    let state = behind_name.first()?.chars().next()?;
+    let after_name: Vec<&str> = text.rsplit_once(')')?.1.split_whitespace().collect();
+    let state = after_name.first()?.chars().next()?;
     let [user, system] = STAT_TIME_FIELDS;
-    let ticks = |field: usize| behind_name.get(field)?.parse::<u64>().ok();
+    let ticks = |field: usize| after_name.get(field)?.parse::<u64>().ok();
     Some((state, ticks(user)? + ticks(system)?))
 }
 
-/// Whether a process in this state has ended: as a zombie or dead.
+/// Returns whether a process in this state has ended: it is a zombie or dead.
 fn has_ended(state: char) -> bool {
     matches!(state, 'Z' | 'X')
 }
@@ -54,8 +55,8 @@
     io::Error::new(io::ErrorKind::InvalidData, format!("no {what} under /proc"))
 }
 
-/// Reads what a process uses. It is an error if the process has ended, even if it was not waited for
-/// yet.
+/// Reads the resource use of a process. Returns an error if the process has ended, even if its
+/// parent has not waited for it yet.
 pub fn usage(pid: u32) -> io::Result<Usage> {
     let read = |name: &str| fs::read_to_string(format!("/proc/{pid}/{name}"));
     let (state, cpu_ticks) = stat(&read("stat")?).ok_or_else(|| missing("stat"))?;
@@ -89,37 +90,37 @@
     Ok(usage)
 }
 
-/// The processor time of a thread's `schedstat`, in nanoseconds.
+/// Returns the processor time from a thread's `schedstat`, in nanoseconds.
 fn processor_ns(schedstat: &str) -> Option<u64> {
     schedstat.split_whitespace().next()?.parse().ok()
 }
 
-/// Whether a process runs: one that has ended and was not waited for yet does not.
-pub fn runs(pid: u32) -> bool {
+/// Returns whether a process is running. A zombie is not running.
+pub fn is_running(pid: u32) -> bool {
     let text = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     stat(&text).is_some_and(|(state, _)| !has_ended(state))
 }
 
-/// Memory that is available without swapping, in MiB.
+/// Returns the memory that is available without swapping, in MiB.
 pub fn available_memory_mib() -> u64 {
     let text = fs::read_to_string("/proc/meminfo").unwrap_or_default();
     field(&text, "MemAvailable").unwrap_or(0) / 1024
 }
 
-/// Descriptors that this process may have.
+/// Returns the soft limit on open descriptors of this process.
 pub fn descriptor_limit() -> u64 {
     rustix::process::getrlimit(rustix::process::Resource::Nofile)
         .current
         .unwrap_or(u64::MAX)
 }
 
-/// Resident memory of this process, in KiB.
+/// Returns the resident memory of this process, in KiB.
 pub fn own_resident_kib() -> u64 {
     let text = fs::read_to_string("/proc/self/status").unwrap_or_default();
     field(&text, "VmRSS").unwrap_or(0)
 }
 
-/// Processor time of all threads that this process has now.
+/// Returns the processor time of all threads that this process has now.
 pub fn own_processor_time() -> Duration {
     let threads = fs::read_dir("/proc/self/task");
     let times_ns = threads
@@ -133,7 +134,8 @@
     Duration::from_nanos(times_ns.sum())
 }
 
-/// Datagrams that the sockets at these IPv4 addresses dropped because their buffers were full.
+/// Returns the number of datagrams that the sockets at these IPv4 addresses dropped because their
+/// receive buffers were full.
 pub fn dropped_datagrams(addresses: &[SocketAddr]) -> u64 {
     let text = fs::read_to_string("/proc/net/udp").unwrap_or_default();
     let addresses: BTreeSet<String> = addresses.iter().filter_map(udp_table_address).collect();
@@ -148,7 +150,7 @@
     drops.sum()
 }
 
-/// An address in the form of `/proc/net/udp`.
+/// Formats an address as `/proc/net/udp` does.
 fn udp_table_address(address: &SocketAddr) -> Option<String> {
     let SocketAddr::V4(address) = address else {
         return None;
--- a/src/testkit/scale/report.rs
+++ b/src/testkit/scale/report.rs
@@ -1,51 +1,52 @@
-//! The figures of a measurement as JSON or as tables in Markdown, with the lines through them.
-use super::daemons::Measured;
+//! The measurements of all runs as JSON or as Markdown tables, with the fitted lines.
+use super::daemons::Measurement;
 use super::fit::{self, Fit, Sample};
 use super::load::STATUS_INTERVAL;
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
 use serde::Serialize;
 
-/// Processor time that a manager may spend on control, in microseconds a second.
+/// Processor time that a manager may spend on control, in microseconds per second.
 const MAX_CONTROL_CPU_US_PER_S: f64 = 12_000.0;
 /// Resident memory that a manager may use for control, in KiB.
 const MAX_CONTROL_RSS_KIB: f64 = 64.0 * 1024.0;
 
-/// Everything that was measured: each play has each point, in the same order.
+/// All measurements: each run has every point, in the same order.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The plays.
-    pub plays: Vec<Vec<Measured>>,
-    /// The lines through them.
+    /// The measurements of each run.
+    pub plays: Vec<Vec<Measurement>>,
+    /// The fitted lines.
     pub fits: Vec<Slope>,
 }
 
-/// What one more of something costs.
+/// The cost of one more unit of a quantity.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
-    /// What grows, and what surrounds it.
+    /// The quantity that grows, and the conditions under which it does.
     pub of: &'static str,
-    /// What it costs, with its unit.
+    /// The resource that it costs, with its unit.
     pub costs: &'static str,
-    /// The line; `None` if there are too few points.
+    /// The fitted line; `None` if there are too few points.
     pub fit: Option<Fit>,
 }
 
-type Figure = fn(&Measured) -> f64;
+/// Reads one value from a measurement.
+type Metric = fn(&Measurement) -> f64;
 
-/// A column of a table.
+/// A table column.
 struct Column {
     name: &'static str,
     decimals: usize,
-    figure: Figure,
+    metric: Metric,
 }
 
 impl Column {
-    const fn new(name: &'static str, decimals: usize, figure: Figure) -> Column {
+    const fn new(name: &'static str, decimals: usize, metric: Metric) -> Column {
         Column {
             name,
             decimals,
-            figure,
+            metric,
         }
     }
 }
@@ -87,21 +88,21 @@
     }),
 ];
 
-/// Points among which one quantity grows.
+/// The points among which only one quantity grows.
 struct Series {
-    /// What grows, and what surrounds it.
+    /// The quantity that grows, and the conditions under which it does.
     quantity: &'static str,
-    /// Whether a point belongs to the series.
-    includes: fn(&Measured) -> bool,
-    /// The quantity at a point.
-    value: Figure,
-    /// The number of engines at all points; `None` if that is what grows.
+    /// Returns whether a point belongs to the series, apart from its number of engines.
+    includes: fn(&Measurement) -> bool,
+    /// Returns the quantity at a point.
+    value: Metric,
+    /// The number of engines at all points; `None` if the number of engines grows.
     engines: Option<u64>,
 }
 
-/// The series of the points, from the fewest engines to all.
-fn all_series(fewest_engines: u64, all_engines: u64) -> Vec<Series> {
-    let statements = |m: &Measured| m.clients == 0;
+/// Returns the series of points, from the smallest to the largest number of engines.
+fn all_series(fewest_engines: u64, most_engines: u64) -> Vec<Series> {
+    let statements = |m: &Measurement| m.clients == 0;
     let mut series = vec![
         Series {
             quantity: "engine, idle",
@@ -122,37 +123,37 @@
             engines: Some(fewest_engines),
         },
     ];
-    // With one number of engines it is the series before.
-    if all_engines != fewest_engines {
+    // With only one number of engines this series equals the previous one.
+    if most_engines != fewest_engines {
         series.push(Series {
             quantity: "statement a second, all engines",
             includes: statements,
             value: |m| m.asked_per_s,
-            engines: Some(all_engines),
+            engines: Some(most_engines),
         });
     }
     series
 }
 
 impl Series {
-    /// The points of a play that belong to the series, with a figure over the quantity.
-    fn samples(&self, play: &[Measured], figure: Figure) -> Vec<Sample> {
-        play.iter()
+    /// Returns the points of a run that belong to the series: the metric over the quantity.
+    fn samples(&self, run: &[Measurement], metric: Metric) -> Vec<Sample> {
+        run.iter()
             .filter(|m| (self.includes)(m))
             .filter(|m| self.engines.is_none_or(|engines| m.engines == engines))
-            .map(|m| ((self.value)(m), figure(m)))
+            .map(|m| ((self.value)(m), metric(m)))
             .collect()
     }
 }
 
-const COSTS: [(&str, Figure); 4] = [
+const COSTS: [(&str, Metric); 4] = [
     ("resident KiB", |m| m.rss_kib as f64),
     ("anonymous KiB", |m| m.anon_kib as f64),
     ("processor us/s", |m| m.cpu_us_per_s),
     ("context switches /s", |m| m.switches_per_s),
 ];
 
-/// The mean of a figure over the plays, with its range if there are several.
+/// Formats the mean of a metric over the runs, with its range if there are several runs.
 fn cell(values: &[f64], decimals: usize) -> String {
     let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
     if mean.is_nan() {
@@ -161,23 +162,23 @@
     if values.len() < 2 {
         return format!("{mean:.decimals$}");
     }
-    let least = values.iter().copied().fold(f64::INFINITY, f64::min);
-    let most = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    format!("{mean:.decimals$} ({least:.decimals$} to {most:.decimals$})")
+    let min = values.iter().copied().fold(f64::INFINITY, f64::min);
+    let max = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    format!("{mean:.decimals$} ({min:.decimals$} to {max:.decimals$})")
 }
 
 impl Report {
-    /// The report on all plays, with a line for each series and cost.
-    pub fn new(plays: Vec<Vec<Measured>>) -> Report {
+    /// Creates the report on all runs, with a fitted line for each series and cost.
+    pub fn new(plays: Vec<Vec<Measurement>>) -> Report {
         let engines = || plays.iter().flatten().map(|m| m.engines);
         let fewest_engines = engines().min().unwrap_or(0);
-        let all_engines = engines().max().unwrap_or(0);
+        let most_engines = engines().max().unwrap_or(0);
         let mut fits = Vec::new();
-        for series in all_series(fewest_engines, all_engines) {
-            for (costs, figure) in COSTS {
+        for series in all_series(fewest_engines, most_engines) {
+            for (costs, metric) in COSTS {
                 let samples: Vec<_> = plays
                     .iter()
-                    .map(|play| series.samples(play, figure))
+                    .map(|run| series.samples(run, metric))
                     .collect();
                 fits.push(Slope {
                     of: series.quantity,
@@ -189,12 +190,12 @@
         Report { plays, fits }
     }
 
-    /// All as one JSON object, with a line break.
+    /// Returns the report as one JSON object that ends with a line break.
     pub fn json(&self) -> serde_json::Result<String> {
         Ok(serde_json::to_string(self)? + "\n")
     }
 
-    /// A table with a row for each point.
+    /// Formats a table with a row for each point.
     fn points(&self, title: &str, columns: &[Column]) -> String {
         let mut table = Table::new();
         let sizes = ["engines", "clients", "statements /s"];
@@ -207,8 +208,8 @@
                 point.rate.to_string(),
             ];
             let cells = columns.iter().map(|column| {
-                let measured = self.plays.iter().filter_map(|play| play.get(index));
-                let values: Vec<f64> = measured.map(column.figure).collect();
+                let measured = self.plays.iter().filter_map(|run| run.get(index));
+                let values: Vec<f64> = measured.map(column.metric).collect();
                 cell(&values, column.decimals)
             });
             table.add_row(size.into_iter().chain(cells));
@@ -249,11 +250,11 @@
         format!("Slopes, by least squares over all plays\n\n{table}\n")
     }
 
-    /// The largest figures without statements, compared with what a manager may spend on control.
-    fn bounds(&self) -> String {
+    /// Compares the largest resource use without statements with the limits for control.
+    fn control_limits(&self) -> String {
         let idle = || self.plays.iter().flatten().filter(|m| m.rate == 0.0);
-        let most = |figure: Figure| idle().map(figure).fold(0.0, f64::max);
-        let (cpu, rss) = (most(|m| m.cpu_us_per_s), most(|m| m.rss_kib as f64));
+        let max = |metric: Metric| idle().map(metric).fold(0.0, f64::max);
+        let (cpu, rss) = (max(|m| m.cpu_us_per_s), max(|m| m.rss_kib as f64));
         format!(
             "Without statements at most: {cpu:.0} us/s of processor time, {:.2} times the {MAX_CONTROL_CPU_US_PER_S:.0} that \
             control may take (1.2% of a core); {rss:.0} KiB resident, {:.2} times the {MAX_CONTROL_RSS_KIB:.0} (64 MiB).\n",
@@ -262,10 +263,10 @@
         )
     }
 
-    /// How the figures were measured, as a sentence.
+    /// Describes in a sentence how the values were measured.
     fn method(&self) -> String {
         let first = self.plays.iter().flatten().next().cloned();
-        let Measured {
+        let Measurement {
             managers, seconds, ..
         } = first.unwrap_or_default();
         let interval_s = STATUS_INTERVAL.as_secs();
@@ -275,14 +276,14 @@
         )
     }
 
-    /// All tables.
+    /// Returns all tables as Markdown text.
     pub fn markdown(&self) -> String {
-        let plays = match self.plays.len() {
+        let runs = match self.plays.len() {
             1 => "one play".to_owned(),
             count => format!("mean of {count} plays, least and most"),
         };
         let table =
-            |title: &str, columns: &[Column]| self.points(&format!("{title}, {plays}"), columns);
+            |title: &str, columns: &[Column]| self.points(&format!("{title}, {runs}"), columns);
         let parts = [
             self.method(),
             table("Memory of the daemon", &MEMORY),
@@ -294,7 +295,7 @@
             ),
             table("The list of engines", &LIST),
             self.slopes(),
-            self.bounds(),
+            self.control_limits(),
         ];
         parts.join("\n")
     }
--- a/src/testkit/scale/testbed.rs
+++ b/src/testkit/scale/testbed.rs
@@ -1,8 +1,8 @@
-//! A daemon between its stand-ins, and the steps of one measurement.
-use super::daemons::{Measured, engine_name};
+//! A daemon between stand-in engines, clients and a coordinator, and the steps of one measurement.
+use super::daemons::{Measurement, engine_name};
 use super::load::{self, ClientCounters};
 use super::proc::{self, Usage};
-use super::{Options, Point, Progress};
+use super::{MeasurementPoint, Options, Progress};
 use crate::clock;
 use crate::net::discovery::ListedEndpoint;
 use crate::policy::api::Readiness;
@@ -16,31 +16,32 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Changes of the endpoint list that are sent to measure one.
+/// Number of changes of the endpoint list with which the delay of a change is measured.
 const LIST_CHANGES: u64 = 4;
-/// Time before and after each change, in milliseconds.
+/// Pause after each change, in milliseconds.
 const LIST_CHANGE_PAUSE_MS: u64 = 150;
-/// Full endpoint lists that are sent to measure one.
+/// Number of full endpoint lists over which the cost of one is averaged.
 const FULL_LISTS: u64 = 8;
-/// Time for each full list, in milliseconds.
+/// Pause after each full list, in milliseconds.
 const FULL_LIST_PAUSE_MS: u64 = 60;
-/// Interval at which the daemon and the stand-ins are watched, in milliseconds.
+/// Interval at which the daemon and the stand-ins are checked for failures, in milliseconds.
 const WATCH_INTERVAL_MS: u64 = 50;
-/// Intervals between two reports of progress.
+/// Check intervals between two progress reports.
 const INTERVALS_PER_REPORT: u64 = 20;
-/// Times that a value is read again until it settles.
+/// Maximum number of reads of a value until it settles.
 const MAX_READS: usize = 100;
-/// Pause between two reads of a value that settles soon, in milliseconds.
+/// Pause between two reads of a value, in milliseconds.
 const READ_PAUSE_MS: u64 = 50;
-/// Pause between two reads of a value that settles within a turn or two, in milliseconds.
+/// Pause between two reads of a value that settles within one or two rounds of the event loop, in
+/// milliseconds.
 const SHORT_READ_PAUSE_MS: u64 = 10;
-/// The least part of the planned statements that the clients have to send.
-const MIN_STATEMENT_PART: f64 = 0.9;
+/// Minimum fraction of the planned statements that the clients have to send.
+const MIN_SENT_FRACTION: f64 = 0.9;
 
 /// A daemon between its stand-ins.
 pub(super) struct Testbed<'a> {
     pub(super) executor: &'a Executor,
-    pub(super) point: &'a Point,
+    pub(super) point: &'a MeasurementPoint,
     pub(super) options: &'a Options,
     pub(super) log: ExecutionLog,
     pub(super) engines: Vec<Engine>,
@@ -48,7 +49,7 @@
     pub(super) list: Vec<ListedEndpoint>,
     pub(super) daemon: &'a Daemon,
     pub(super) counters: Rc<ClientCounters>,
-    /// The present step, for progress and errors.
+    /// The current step, for progress reports and error messages.
     pub(super) step: Cell<&'static str>,
 }
 
@@ -58,48 +59,48 @@
     }
 }
 
-/// The counters at one instant.
+/// The daemon's resource use and the stand-ins' counters at one instant.
 struct CounterReading {
     at: Instant,
     usage: Usage,
-    asked: u64,
-    served: u64,
-    refused: u64,
+    sent: u64,
+    completed: u64,
+    rejected: u64,
     failed: u64,
     calls: u64,
     probes: u64,
 }
 
 impl Testbed<'_> {
-    /// Reports progress; returns only when the daemon or a stand-in fails.
+    /// Reports progress until the daemon or a stand-in fails, then returns the failure.
     pub(super) async fn watch(
         &self,
         progress: &mut dyn FnMut(&Progress),
-    ) -> Result<Measured, String> {
+    ) -> Result<Measurement, String> {
         for interval in 0.. {
             if interval % INTERVALS_PER_REPORT == 0 {
                 progress(&Progress {
                     pid: self.daemon.pid(),
-                    doing: self.step.get(),
+                    step: self.step.get(),
                 });
             }
-            if !proc::runs(self.daemon.pid()) {
-                return Err("the daemon ended by itself".into());
+            if !proc::is_running(self.daemon.pid()) {
+                return Err("the daemon exited before the end of the measurement".into());
             }
-            if let Some(fault) = self.counters.fault.borrow().clone() {
-                return Err(fault);
+            if let Some(failure) = self.counters.failure.borrow().clone() {
+                return Err(failure);
             }
             if !self.engines.iter().all(Engine::is_serving) {
-                return Err("a stand-in engine takes no connections any more".into());
+                return Err("a stand-in engine stopped accepting connections".into());
             }
             pause(WATCH_INTERVAL_MS).await;
         }
-        Err("nobody looks after the run any more".into())
+        Err("the checks of the measurement ended".into())
     }
 
     fn usage(&self) -> Result<Usage, String> {
         proc::usage(self.daemon.pid())
-            .map_err(|e| format!("what the daemon uses can't be read: {e}"))
+            .map_err(|e| format!("reading the daemon's resource use failed: {e}"))
     }
 
     fn engine_connections(&self) -> u64 {
@@ -107,7 +108,7 @@
         self.engines.iter().map(open).sum()
     }
 
-    /// Engines that received a statement.
+    /// Returns the number of engines that received a statement.
     fn engines_used(&self) -> u64 {
         let runs = self.log.runs.borrow();
         let names: BTreeSet<&str> = runs.iter().map(|run| run.engine.as_str()).collect();
@@ -119,17 +120,17 @@
         Ok(CounterReading {
             at: Instant::now(),
             usage: self.usage()?,
-            asked: counters.asked.get(),
-            served: counters.served.get(),
-            refused: counters.refused.get(),
+            sent: counters.sent.get(),
+            completed: counters.completed.get(),
+            rejected: counters.rejected.get(),
             failed: counters.failed.get(),
             calls: counters.calls.get(),
             probes: self.log.probes.borrow().len() as u64,
         })
     }
 
-    /// Descriptors that are neither clients' nor engines' connections, once three reads in a row
-    /// agree.
+    /// Returns the number of descriptors that are not connections of engines, read before any
+    /// client connects, once three reads in a row agree.
     async fn fixed_descriptors(&self) -> Result<u64, String> {
         let mut reads = Vec::new();
         for _ in 0..MAX_READS {
@@ -143,24 +144,27 @@
             }
             pause(READ_PAUSE_MS).await;
         }
-        Err("the daemon's descriptors do not come to rest".into())
+        Err("the daemon's number of descriptors does not settle".into())
     }
 
-    /// One of the metrics on the daemon's admin endpoint.
+    /// Reads a metric from the daemon's admin endpoint.
     async fn metric(&self, name: &str) -> Result<u64, String> {
-        let admin_address = self.daemon.console.ok_or("no second address")?;
+        let admin_address = self
+            .daemon
+            .console
+            .ok_or("the daemon has no admin endpoint")?;
         let response = clients::call_admin(admin_address, "GET", "/metrics").await;
         let (_, text) = response
             .filter(|(status, _)| *status == 200)
-            .ok_or("the second address does not answer")?;
+            .ok_or("the admin endpoint does not respond")?;
         text.lines()
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))
             .and_then(|value| value.split('|').next()?.parse().ok())
-            .ok_or_else(|| format!("the second address does not tell {name}"))
+            .ok_or_else(|| format!("the admin endpoint does not report {name}"))
     }
 
-    /// All steps of the measurement.
-    pub(super) async fn run(&self) -> Result<Measured, String> {
+    /// Runs all steps of the measurement.
+    pub(super) async fn run(&self) -> Result<Measurement, String> {
         let mut measured = self.measure_start().await?;
 
         self.step.set("connecting clients");
@@ -174,7 +178,7 @@
         self.step.set("settling");
         pause(self.options.settle(self.point).as_millis() as u64).await;
 
-        self.step.set("the window");
+        self.step.set("measuring the window");
         let from = self.read_counters()?;
         pause(self.options.window.as_millis() as u64).await;
         let busy_connections = busy_clients.len() as u64;
@@ -182,24 +186,24 @@
             .await?;
 
         if self.point.rate > 0.0 && self.point.engines > 1 {
-            self.step.set("a change of the list");
+            self.step.set("changing the endpoint list");
             measured.change_us = self.measure_list_changes().await;
         }
-        self.step.set("the last answers");
+        self.step.set("waiting for the last responses");
         self.wait_for_last_responses().await?;
-        self.step.set("whole lists");
+        self.step.set("sending full endpoint lists");
         drop((idle_clients, busy_clients));
         measured.list_cpu_us = self.measure_full_lists(measured.fixed_descriptors).await?;
 
-        self.step.set("the daemon's own figures");
+        self.step.set("comparing with the daemon's metrics");
         self.compare_with_metrics(&mut measured).await?;
         Ok(measured)
     }
 
-    /// What the daemon used until it was ready.
-    async fn measure_start(&self) -> Result<Measured, String> {
+    /// Measures the resources that the daemon used until it was ready.
+    async fn measure_start(&self) -> Result<Measurement, String> {
         let ready = self.usage()?;
-        Ok(Measured {
+        Ok(Measurement {
             engines: self.point.engines,
             clients: self.point.clients,
             rate: self.point.rate,
@@ -207,7 +211,7 @@
             start_cpu_us: ready.cpu_ns as f64 / 1e3,
             start_rss_kib: ready.rss_kib,
             fixed_descriptors: self.fixed_descriptors().await?,
-            ..Measured::default()
+            ..Measurement::default()
         })
     }
 
@@ -215,9 +219,9 @@
         let count = self.point.clients;
         let address = self.daemon.listen;
         let clients = load::start_idle_clients(self.executor, address, count, &self.counters).await;
-        if !eventually(|| self.counters.answered.get() == count).await {
-            let answered = self.counters.answered.get();
-            return Err(format!("only {answered} clients were answered"));
+        if !eventually(|| self.counters.ready_idle_clients.get() == count).await {
+            let ready = self.counters.ready_idle_clients.get();
+            return Err(format!("only {ready} idle clients received a response"));
         }
         Ok(clients)
     }
@@ -225,15 +229,18 @@
     async fn wait_for_last_responses(&self) -> Result<(), String> {
         let counters = &self.counters;
         counters.stop.set(true);
-        if !eventually(|| counters.ended() == counters.asked.get()).await {
-            let (asked, ended) = (counters.asked.get(), counters.ended());
-            return Err(format!("of {asked} statements only {ended} were answered"));
+        if !eventually(|| counters.responses() == counters.sent.get()).await {
+            let (sent, responses) = (counters.sent.get(), counters.responses());
+            return Err(format!(
+                "only {responses} of {sent} statements received a response"
+            ));
         }
         Ok(())
     }
 
-    /// The daemon's metrics have to agree with the stand-ins. It updates them at intervals.
-    async fn compare_with_metrics(&self, measured: &mut Measured) -> Result<(), String> {
+    /// Waits until the daemon's metrics agree with the stand-ins' counts; the daemon updates its
+    /// metrics at intervals.
+    async fn compare_with_metrics(&self, measured: &mut Measurement) -> Result<(), String> {
         measured.begun = self.log.runs.borrow().len() as u64;
         for _ in 0..MAX_READS {
             measured.dispatches = self.metric("app.dispatches").await?;
@@ -244,15 +251,15 @@
             pause(READ_PAUSE_MS).await;
         }
         Err(format!(
-            "engines saw {} statements and are {}, the daemon says it sent {} and knows {}",
+            "the stand-ins count {} statements and {} engines, the daemon reports {} dispatches and {} engines",
             measured.begun, measured.engines, measured.dispatches, measured.targets
         ))
     }
 
-    /// What was counted since the window began.
+    /// Measures the window that began at the reading `from`.
     async fn measure_window(
         &self,
-        measured: &mut Measured,
+        measured: &mut Measurement,
         from: &CounterReading,
         busy_connections: u64,
     ) -> Result<(), String> {
@@ -265,9 +272,9 @@
         measured.cpu_us_per_s = per_s(from.usage.cpu_ns, to.usage.cpu_ns) / 1e3;
         measured.cpu_ticks = to.usage.cpu_ticks - from.usage.cpu_ticks;
         measured.switches_per_s = per_s(from.usage.switches, to.usage.switches);
-        measured.asked_per_s = per_s(from.asked, to.asked);
-        measured.served = to.served - from.served;
-        measured.refused = to.refused - from.refused;
+        measured.asked_per_s = per_s(from.sent, to.sent);
+        measured.served = to.completed - from.completed;
+        measured.refused = to.rejected - from.rejected;
         measured.failed = to.failed - from.failed;
         measured.calls_per_s = per_s(from.calls, to.calls);
         measured.probes_per_s = per_s(from.probes, to.probes);
@@ -277,9 +284,9 @@
         self.measure_connections(measured).await
     }
 
-    /// Descriptors and connections, once they add up: the two ends of a connection that is just
-    /// opened or closed change at different instants.
-    async fn measure_connections(&self, measured: &mut Measured) -> Result<(), String> {
+    /// Measures descriptors and connections, once they add up: the two ends of a connection are not
+    /// opened or closed at the same instant.
+    async fn measure_connections(&self, measured: &mut Measurement) -> Result<(), String> {
         let connects = |engine: &Engine| engine.accepted_connections() as u64;
         for _ in 0..MAX_READS {
             measured.engine_connections = self.engine_connections();
@@ -300,7 +307,7 @@
             pause(SHORT_READ_PAUSE_MS).await;
         }
         Err(format!(
-            "the daemon has {} descriptors, and {} of its own, {} clients and {} connections to engines",
+            "the daemon has {} descriptors, but {} of its own, {} connections of clients and {} to engines",
             measured.descriptors,
             measured.fixed_descriptors,
             measured.client_connections,
@@ -308,9 +315,10 @@
         ))
     }
 
-    /// Announces that half of the engines drain, and then that they are ready again, one half and the
-    /// other in turns. Returns how long after an announcement one of them still received a statement,
-    /// at worst, in microseconds; `None` if no statement was sent meanwhile.
+    /// Announces that half of the engines drain, and then that they are ready again, alternating
+    /// between the two halves. Returns the longest time after such an announcement at which a
+    /// draining engine still received a statement, in microseconds; `None` if no statement was sent
+    /// meanwhile.
     async fn measure_list_changes(&self) -> Option<u64> {
         let halves = self.list.split_at(self.list.len() / 2);
         let mut worst = None;
@@ -342,8 +350,8 @@
         worst
     }
 
-    /// Processor time for one full list in microseconds: that of several, less that of a quiet period
-    /// of the same length.
+    /// Returns the processor time for one full list in microseconds: that for several lists, less
+    /// that of an idle period of the same length, divided by the number of lists.
     async fn measure_full_lists(&self, fixed_descriptors: u64) -> Result<f64, String> {
         self.wait_for_disconnects(fixed_descriptors).await?;
         self.daemon.report();
@@ -356,7 +364,7 @@
         pause(FULL_LIST_PAUSE_MS).await;
         let start = self.usage()?;
         pause(FULL_LISTS * FULL_LIST_PAUSE_MS).await;
-        let quiet = self.usage()?;
+        let idle_end = self.usage()?;
         for _ in 0..FULL_LISTS {
             self.coordinator.send_full_list(&self.list);
             pause(FULL_LIST_PAUSE_MS).await;
@@ -367,36 +375,37 @@
         let received = lists_received().unwrap_or(0) - received_before;
         if received != FULL_LISTS {
             return Err(format!(
-                "of {FULL_LISTS} whole lists the daemon took {received}"
+                "the daemon received {received} of {FULL_LISTS} full lists"
             ));
         }
-        let quiet_ns = quiet.cpu_ns - start.cpu_ns;
-        let lists_ns = (end.cpu_ns - quiet.cpu_ns).saturating_sub(quiet_ns);
+        let idle_ns = idle_end.cpu_ns - start.cpu_ns;
+        let lists_ns = (end.cpu_ns - idle_end.cpu_ns).saturating_sub(idle_ns);
         Ok(lists_ns as f64 / 1e3 / FULL_LISTS as f64)
     }
 
     /// Waits until the daemon has closed the connections of all clients.
     async fn wait_for_disconnects(&self, fixed_descriptors: u64) -> Result<(), String> {
         let only_engines = || {
-            let most = fixed_descriptors + self.engine_connections();
-            self.usage().is_ok_and(|usage| usage.descriptors <= most)
+            let expected = fixed_descriptors + self.engine_connections();
+            self.usage()
+                .is_ok_and(|usage| usage.descriptors <= expected)
         };
         if eventually(only_engines).await {
             Ok(())
         } else {
-            Err("the daemon does not see that clients have gone".into())
+            Err("the daemon does not close the connections of clients that disconnected".into())
         }
     }
 }
 
-/// The stand-in clients have to keep up with the planned rate. One statement may be missing at the
-/// window's edge.
-fn check_statement_rate(measured: &Measured) -> Result<(), String> {
+/// Returns an error if the stand-in clients sent statements at less than the planned rate. One
+/// statement may be missing at the end of the window.
+fn check_statement_rate(measured: &Measurement) -> Result<(), String> {
     let planned = (measured.rate * measured.seconds).max(2.0);
-    let least = MIN_STATEMENT_PART * measured.rate * (1.0 - 1.0 / planned);
-    if measured.asked_per_s < least {
+    let min_rate = MIN_SENT_FRACTION * measured.rate * (1.0 - 1.0 / planned);
+    if measured.asked_per_s < min_rate {
         return Err(format!(
-            "the stand-in clients asked only {:.1} statements a second",
+            "the stand-in clients sent only {:.1} statements per second",
             measured.asked_per_s
         ));
     }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Measurements of one daemon at sizes that any machine has capacity for: counts and bounds, no
-//! speeds.
+//! Measurements of one daemon at sizes that any machine has the capacity for. The tests check
+//! counts and bounds, but no speeds.
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 use std::future::pending;
@@ -8,9 +8,9 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 use yokelift::testkit::scale::capacity_check::Resources;
-use yokelift::testkit::scale::daemons::{Measured, daemon_descriptors, measure};
+use yokelift::testkit::scale::daemons::{Measurement, daemon_descriptors, measure};
 use yokelift::testkit::scale::report::Report;
-use yokelift::testkit::scale::{Options, Point, Progress, grid, proc};
+use yokelift::testkit::scale::{MeasurementPoint, Options, Progress, grid, proc};
 
 fn options(window_ms: u64) -> Options {
     Options {
@@ -23,10 +23,10 @@
 }
 
 fn measure_point(
-    point: Point,
+    point: MeasurementPoint,
     window_ms: u64,
     progress: &mut dyn FnMut(&Progress),
-) -> Result<Measured, String> {
+) -> Result<Measurement, String> {
     measure(
         &point,
         &options(window_ms),
@@ -40,8 +40,8 @@
     kill_process(Pid::from_raw(pid as i32).expect("a process"), signal).expect("signalled");
 }
 
-/// What the daemon reports agrees with what its stand-ins counted.
-fn assert_consistent(m: &Measured, engines: u64) {
+/// Asserts that the daemon's metrics agree with the counts of its stand-ins.
+fn assert_consistent(m: &Measurement, engines: u64) {
     assert_eq!(
         (m.engines, m.targets, m.clients),
         (engines, engines, 8),
@@ -72,39 +72,40 @@
     );
 }
 
-/// Guards the figures: both ends count the same, and no daemon is left behind.
+/// Guards against wrong measurements: the daemon and the stand-ins count the same, and no daemon
+/// runs after its measurement.
 #[test]
 fn the_daemon_and_its_stand_ins_count_the_same() {
-    let mut play = Vec::new();
+    let mut run = Vec::new();
     for engines in [12, 24] {
         let mut pid = 0;
-        let point = Point::new(engines, 8, 20.0);
+        let point = MeasurementPoint::new(engines, 8, 20.0);
         let measured = measure_point(point, 1_000, &mut |progress| pid = progress.pid);
         let measured = measured.expect("measured");
         assert_consistent(&measured, engines);
-        assert!(pid > 0 && !proc::runs(pid));
-        play.push(measured);
+        assert!(pid > 0 && !proc::is_running(pid));
+        run.push(measured);
     }
-    let report = Report::new(vec![play.clone(), play]);
+    let report = Report::new(vec![run.clone(), run]);
     let text = report.markdown();
     let json = report.json().expect("JSON");
     assert!(text.contains("| 24 ") && text.contains(" to "), "{text}");
     assert_eq!(json.matches("\"dispatches\":").count(), 4);
 }
 
-/// Guards against a report that drops what was measured: with one number of engines the series of
-/// clients and statements were left out.
+/// Guards against a report that omits measurements: with only one number of engines, the series of
+/// clients and statements were missing.
 #[test]
 fn a_report_on_one_number_of_engines_has_the_series_of_clients_and_statements() {
-    let point = |clients: u64, rate: f64| Measured {
+    let point = |clients: u64, rate: f64| Measurement {
         engines: 12,
         clients,
         rate,
         asked_per_s: rate,
         rss_kib: 8_000 + clients,
-        ..Measured::default()
+        ..Measurement::default()
     };
-    let play = vec![
+    let run = vec![
         point(0, 0.0),
         point(100, 0.0),
         point(200, 0.0),
@@ -112,7 +113,7 @@
         point(0, 100.0),
     ];
 
-    let text = Report::new(vec![play]).markdown();
+    let text = Report::new(vec![run]).markdown();
 
     for series in ["client, idle", "statement a second, few engines"] {
         assert!(text.contains(series), "{series}: {text}");
@@ -120,35 +121,36 @@
     assert!(!text.contains("statement a second, all engines"), "{text}");
 }
 
-/// Guards against plausible figures of a daemon that did not live to the end.
+/// Guards against plausible results from a daemon that ended before its measurement did.
 #[test]
-fn a_daemon_that_dies_fails_the_measurement() {
+fn a_daemon_that_is_killed_fails_the_measurement() {
     let mut pid = 0;
     let mut killed = false;
     let kill_in_window = &mut |progress: &Progress| {
         pid = progress.pid;
-        if progress.doing == "the window" && !killed {
+        if progress.step == "measuring the window" && !killed {
             killed = true;
             send_signal(pid, Signal::KILL);
         }
     };
-    let error =
-        measure_point(Point::new(3, 2, 0.0), 60_000, kill_in_window).expect_err("it was killed");
+    let error = measure_point(MeasurementPoint::new(3, 2, 0.0), 60_000, kill_in_window)
+        .expect_err("it was killed");
     assert!(
-        error.contains("the daemon ended by itself") && error.contains("the window"),
+        error.contains("the daemon exited before the end of the measurement")
+            && error.contains("measuring the window"),
         "{error}"
     );
-    assert!(killed && !proc::runs(pid));
+    assert!(killed && !proc::is_running(pid));
 }
 
-/// The daemon's pid in a line of progress.
+/// Returns the daemon's pid from a progress line.
 fn daemon_pid(line: &str) -> Option<u32> {
     let (_, rest) = line.split_once("daemon ")?;
     rest.split(':').next()?.parse().ok()
 }
 
-/// Runs `scale` with a window of a minute, ended by `limit` or by a signal once the daemon runs. It
-/// fails with `reason`, and its daemon has ended.
+/// Runs `scale` with a window of one minute, which `limit` ends, or `signal` once the daemon runs.
+/// Asserts that it fails with `reason` and that its daemon has ended.
 fn assert_ends_early(limit: &str, signal: Option<Signal>, reason: &str) {
     let mut testkit = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"))
         .args(["scale", "--point", "3:2:0", "--seconds", "60"])
@@ -167,7 +169,7 @@
         }
         daemon = daemon_pid(&last_line);
         if let Some(pid) = daemon {
-            assert!(proc::runs(pid));
+            assert!(proc::is_running(pid));
             if let Some(signal) = signal {
                 send_signal(testkit.id(), signal);
             }
@@ -176,25 +178,25 @@
     let output = testkit.wait_with_output().expect("its end");
     assert!(!output.status.success() && output.stdout.is_empty());
     assert!(last_line.contains(reason), "{last_line}");
-    assert!(!proc::runs(daemon.expect("a daemon")));
+    assert!(!proc::is_running(daemon.expect("a daemon")));
 }
 
-/// Guards the machine: whatever ends the test kit ends its daemon.
+/// Guards against a daemon that keeps running after the test kit ended early.
 #[test]
 fn a_signal_ends_the_measurement_and_its_daemon() {
     assert_ends_early("600", Some(Signal::TERM), "ended by Term");
 }
 
-/// Guards the machine: whatever ends the test kit ends its daemon.
+/// Guards against a daemon that keeps running after the test kit ended early.
 #[test]
 fn the_time_limit_ends_the_measurement_and_its_daemon() {
     assert_ends_early("6", None, "the time limit was reached");
 }
 
-/// Guards long runs against descriptors that points leave open, and the JSON that other programs
-/// read.
+/// Guards long measurements against descriptors that stay open after a point, and the JSON output
+/// that other programs read.
 #[test]
-fn a_play_leaves_no_descriptors_open() {
+fn a_run_leaves_no_descriptors_open() {
     let output = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"))
         .args(["scale", "--json", "--plays", "3", "--point", "24:8:20"])
         .args(["--seconds", "0.5", "--settle", "0.5", "--managers", "2"])
@@ -202,10 +204,10 @@
         .output()
         .expect("the test kit");
     let report: Value = serde_json::from_slice(&output.stdout).expect("JSON");
-    let plays = report["plays"].as_array().expect("plays");
-    let descriptors: Vec<u64> = plays
+    let runs = report["plays"].as_array().expect("runs");
+    let descriptors: Vec<u64> = runs
         .iter()
-        .map(|play| play[0]["stand_ins_descriptors"].as_u64().expect("a count"))
+        .map(|run| run[0]["stand_ins_descriptors"].as_u64().expect("a count"))
         .collect();
     assert!(
         output.status.success() && descriptors.len() == 3 && descriptors[0] > 0,
@@ -217,28 +219,29 @@
     );
 }
 
-/// The error names the requirements, then the available resources, each figure in turn.
+/// Asserts that the error names the requirements, then the available resources, each value in
+/// order.
 fn assert_names_both(error: &str, required: &Resources, available: &Resources) {
-    let figures = |resources: &Resources| {
+    let values = |resources: &Resources| {
         [
             resources.own_descriptors,
             resources.daemon_descriptors,
             resources.memory_mib,
         ]
-        .map(|figure| figure.to_string())
+        .map(|value| value.to_string())
     };
     let mut rest = error;
-    for figure in figures(required).iter().chain(&figures(available)) {
-        let found = rest.split_once(figure.as_str());
-        rest = found.unwrap_or_else(|| panic!("{figure} in {error}")).1;
+    for value in values(required).iter().chain(&values(available)) {
+        let found = rest.split_once(value.as_str());
+        rest = found.unwrap_or_else(|| panic!("{value} in {error}")).1;
     }
 }
 
-/// Guards the machine: a point without capacity is refused before it is started, and the size that
-/// the error names as fitting does fit.
+/// Guards the machine against overload: a point that it lacks the capacity for is rejected before
+/// it starts, and the smaller size that the error names as fitting does fit.
 #[test]
-fn a_point_without_capacity_is_refused_with_one_that_fits() {
-    let point = Point::new(910, 2_600, 0.0);
+fn a_point_without_capacity_is_rejected_with_one_that_fits() {
+    let point = MeasurementPoint::new(910, 2_600, 0.0);
     let options = options(1_000);
     let required = Resources::required_by(&point, daemon_descriptors(&[point]), &options);
     assert_eq!(required.check(&[point], &options), Ok(()));
@@ -261,13 +264,13 @@
         },
     ] {
         let error = available
-            .check(&[Point::new(1, 0, 0.0), point], &options)
+            .check(&[MeasurementPoint::new(1, 0, 0.0), point], &options)
             .expect_err("no capacity")
             .to_string();
         assert_names_both(&error, &required, &available);
         match available.largest_fitting(&point, &options) {
             Some(fitting) => {
-                let Point {
+                let MeasurementPoint {
                     engines, clients, ..
                 } = fitting;
                 let advice = format!("{engines} engines with {clients} clients would");
@@ -286,7 +289,7 @@
 
 #[test]
 fn a_longer_window_with_statements_requires_more_memory() {
-    let point = Point::new(10, 0, 600.0);
+    let point = MeasurementPoint::new(10, 0, 600.0);
     let memory_mib =
         |window_ms| Resources::required_by(&point, 256, &options(window_ms)).memory_mib;
     assert!(memory_mib(60_000) > memory_mib(1_000) + 59);
@@ -294,13 +297,16 @@
 
 #[test]
 fn points_are_parsed_and_checked() {
-    assert_eq!("910:2600:609.5".parse(), Ok(Point::new(910, 2_600, 609.5)));
+    assert_eq!(
+        "910:2600:609.5".parse(),
+        Ok(MeasurementPoint::new(910, 2_600, 609.5))
+    );
     for invalid in [
         "", "1:2", "1:2:3:4", "0:1:1", "1:-1:1", "1:1:-1", "1:1:NaN", "1:1:inf",
     ] {
-        assert!(invalid.parse::<Point>().is_err(), "{invalid}");
+        assert!(invalid.parse::<MeasurementPoint>().is_err(), "{invalid}");
     }
-    assert!(grid(false).contains(&Point::new(910, 2_600, 0.0)));
+    assert!(grid(false).contains(&MeasurementPoint::new(910, 2_600, 0.0)));
     assert!(grid(true).len() < grid(false).len());
 }
 
