--- a/src/testkit/scale/events.rs
+++ b/src/testkit/scale/events.rs
@@ -1,8 +1,8 @@
-//! The events of a run with a fleet of hollow nodes, one after the other, and how long each takes to
-//! be observed by all nodes.
+//! Runs the events of a fleet of hollow nodes one after the other, and measures the time until all
+//! nodes have observed each of them.
 use super::figures::{
-    DatagramBalance, Death, EventDuration, Figures, Load, LoadSample, MAX_WAKE_DELAY_MS, Partition,
-    RollingRestart,
+    DatagramBalance, EventDuration, FleetLoad, FleetMeasurements, LoadSample, MAX_WAKE_DELAY_MS,
+    NodeFailure, Partition, RollingRestart,
 };
 use super::fleet::{HollowFleet, Plan, RunError};
 use super::hollow_node::NodeReading;
@@ -14,84 +14,89 @@
 use std::sync::atomic::AtomicBool;
 use std::time::{Duration, Instant};
 
-/// The hash of the settings that all nodes change to.
+/// Hash of the settings that all nodes change to.
 const NEW_SETTINGS: u64 = 2;
-/// An incarnation begins at least this much later than the one before it.
-const INCARNATION_GAP: Micros = 1_000;
+/// Minimum time between the starts of two incarnations of a node, in microseconds.
+const MIN_INCARNATION_GAP: Micros = 1_000;
 
-/// Runs all events of a plan.
-pub fn run(plan: Plan, stop_requested: Arc<AtomicBool>) -> Result<Figures, RunError> {
+/// Runs all events of a plan, and returns the measurements.
+pub fn run(plan: Plan, stop_requested: Arc<AtomicBool>) -> Result<FleetMeasurements, RunError> {
     let resident_kib = proc::own_resident_kib();
     let mut run = Run::new(HollowFleet::new(plan, stop_requested)?);
     run.join()?;
-    run.quiet(resident_kib)?;
-    run.death()?;
-    run.settings()?;
-    run.partition()?;
+    run.measure_quiet_traffic(resident_kib)?;
+    run.fail_node()?;
+    run.change_settings()?;
+    run.partition_and_heal()?;
     run.rolling_restart()?;
     run.finish()
 }
 
-/// A run and its figures so far.
+/// A run and its measurements so far.
 pub struct Run {
     /// The fleet.
     pub fleet: HollowFleet,
-    /// The figures.
-    pub figures: Figures,
+    /// The measurements.
+    pub measurements: FleetMeasurements,
 }
 
-/// The start of an interval over which load is measured.
+/// The readings at the start of an interval over which load is measured.
 struct LoadStart {
     readings: Vec<NodeReading>,
     at: Instant,
     processor_time: Duration,
 }
 
-/// How long a restart took, and the largest wake-up delay meanwhile, both in milliseconds.
+/// The duration of a restart, and the largest wake-up delay during it, both in milliseconds.
 struct RestartDuration {
-    /// `None` if it was not observed by all within the patience.
+    /// `None` if not all nodes observed it within the event timeout.
     all_ms: Option<u64>,
     max_wake_delay_ms: f64,
 }
 
 impl Run {
-    /// A run before its first event.
+    /// Creates a run before its first event.
     pub fn new(fleet: HollowFleet) -> Run {
         let plan = &fleet.plan;
-        let figures = Figures {
+        let measurements = FleetMeasurements {
             managers: plan.managers,
             engines: plan.engines,
             voters: plan.voters,
-            wants: plan.wants,
+            wants: plan.load_requests_per_s,
             seed: plan.seed,
             threads: plan.threads,
             settle_seconds: plan.settle.as_secs_f64(),
-            console: plan.console,
-            ..Figures::default()
+            console: plan.admin_enabled,
+            ..FleetMeasurements::default()
         };
-        Run { fleet, figures }
+        Run {
+            fleet,
+            measurements,
+        }
     }
 
-    /// The largest wake-up delay since the last call, in milliseconds, which the figures take in.
+    /// Returns the largest wake-up delay since the last call, in milliseconds, and records it in
+    /// the measurements.
     fn take_max_wake_delay_ms(&mut self) -> f64 {
         let delay_ms = self.fleet.observations.take_max_wake_delay_us() as f64 / 1e3;
-        self.figures.latest_wake_ms = self.figures.latest_wake_ms.max(delay_ms);
-        self.figures.overloaded |= delay_ms >= MAX_WAKE_DELAY_MS;
+        self.measurements.latest_wake_ms = self.measurements.latest_wake_ms.max(delay_ms);
+        self.measurements.overloaded |= delay_ms >= MAX_WAKE_DELAY_MS;
         delay_ms
     }
 
-    /// The duration of an event that began at `since_ms`; recorded as failed unless all observed it.
+    /// Returns the duration of an event that began at `since_ms`, and records the event as failed
+    /// unless all nodes observed it.
     fn event_duration(
         &mut self,
         event: &str,
         since_ms: u64,
         progress: ConditionProgress,
     ) -> EventDuration {
-        let ConditionProgress { met, asked, .. } = progress;
+        let ConditionProgress { met, total, .. } = progress;
         if !progress.is_complete() {
-            self.figures
+            self.measurements
                 .failed
-                .push(format!("{event}: {met} of {asked}"));
+                .push(format!("{event}: {met} of {total}"));
         }
         EventDuration {
             all_ms: progress
@@ -99,14 +104,14 @@
                 .then(|| progress.last_ms.saturating_sub(since_ms)),
             half_ms: progress.median_ms.saturating_sub(since_ms),
             had: met,
-            asked,
+            asked: total,
             latest_wake_ms: self.take_max_wake_delay_ms(),
         }
     }
 
-    /// How many others each node knows when the fleet is complete.
+    /// Returns how many other members each node has in its view when the fleet is complete.
     fn other_members(&self) -> usize {
-        self.fleet.plan.managers - 1 + self.fleet.plan.greet.len()
+        self.fleet.plan.managers - 1 + self.fleet.plan.extra_seeds.len()
     }
 
     fn all_nodes(&self) -> Vec<usize> {
@@ -125,13 +130,13 @@
         })
     }
 
-    /// The load since `start`.
-    fn load_since(&mut self, start: &LoadStart) -> Result<Load, RunError> {
+    /// Returns the load since `start`.
+    fn load_since(&mut self, start: &LoadStart) -> Result<FleetLoad, RunError> {
         let duration = start.at.elapsed();
         let processor_time = proc::own_processor_time().saturating_sub(start.processor_time);
         let readings = self.fleet.read()?;
         let max_wake_delay_ms = self.take_max_wake_delay_ms();
-        Ok(Load::of(
+        Ok(FleetLoad::of(
             &self.fleet.plan,
             &LoadSample {
                 earlier: &start.readings,
@@ -143,39 +148,42 @@
         ))
     }
 
-    /// The load over the next `duration`.
-    fn measure_load(&mut self, step: &str, duration: Duration) -> Result<Load, RunError> {
+    /// Measures the load over the next `duration`.
+    fn measure_load(&mut self, step: &str, duration: Duration) -> Result<FleetLoad, RunError> {
         self.take_max_wake_delay_ms();
         let start = self.start_load()?;
         self.fleet.pass_time(step, duration)?;
         self.load_since(&start)
     }
 
-    /// All nodes start at once, until each knows all others.
+    /// Starts all nodes at once, and waits until each has all others as alive in its view.
     pub fn join(&mut self) -> Result<(), RunError> {
         let all = self.all_nodes();
         let complete = Condition::OthersAlive(self.other_members());
         self.fleet.watch(complete);
         let since_ms = self.fleet.observations.now_ms();
         self.fleet.start_nodes();
-        let progress = self.fleet.wait_for_condition("all start at once", &all)?;
-        self.figures.join = self.event_duration("join", since_ms, progress);
+        let progress = self
+            .fleet
+            .wait_for_condition("all nodes start at once", &all)?;
+        self.measurements.join = self.event_duration("join", since_ms, progress);
         self.fleet.watch(Condition::None);
         Ok(())
     }
 
-    /// Quiet traffic, once the start's traffic has settled.
-    pub fn quiet(&mut self, resident_before_kib: u64) -> Result<(), RunError> {
+    /// Measures quiet traffic, once the traffic of the start has settled.
+    pub fn measure_quiet_traffic(&mut self, resident_before_kib: u64) -> Result<(), RunError> {
         self.settle()?;
-        self.figures.quiet = self.measure_load("quiet traffic", self.fleet.plan.quiet)?;
-        self.figures.owned = self.fleet.observations.lease_holders().len();
+        self.measurements.quiet = self.measure_load("quiet traffic", self.fleet.plan.quiet)?;
+        self.measurements.owned = self.fleet.observations.lease_holders().len();
         let memory_kib = proc::own_resident_kib().saturating_sub(resident_before_kib);
-        self.figures.memory_kb = memory_kib / self.fleet.plan.managers as u64;
+        self.measurements.memory_kb = memory_kib / self.fleet.plan.managers as u64;
         Ok(())
     }
 
-    /// The node to stop: no voter, and of those with the most leases the one that the seed picks.
-    fn pick_victim(&self, holders: &BTreeMap<u64, LeaseHolder>) -> usize {
+    /// Returns the node to stop: the seed picks it among the nodes with the most leases that are
+    /// not voters.
+    fn pick_node_to_stop(&self, holders: &BTreeMap<u64, LeaseHolder>) -> usize {
         let plan = &self.fleet.plan;
         let mut lease_counts: BTreeMap<usize, usize> = BTreeMap::new();
         for holder in holders.values() {
@@ -183,101 +191,117 @@
         }
         let leases_of = |node: &usize| lease_counts.get(node).copied().unwrap_or(0);
         let mut candidates = self.fleet.all_except(&plan.voter_nodes());
-        let most = candidates.iter().map(leases_of).max().unwrap_or(0);
-        candidates.retain(|node| leases_of(node) == most);
+        let max_leases = candidates.iter().map(leases_of).max().unwrap_or(0);
+        candidates.retain(|node| leases_of(node) == max_leases);
         let picked = plan.seed as usize % candidates.len().max(1);
         // In the smallest fleets all nodes are voters.
         let fallback = plan.managers - 1;
         candidates.get(picked).copied().unwrap_or(fallback)
     }
 
-    /// One node is suspended, until all others consider it dead and each of its leases has another
-    /// holder. Then it is restarted.
-    pub fn death(&mut self) -> Result<(), RunError> {
+    /// Suspends one node until all others consider it dead and each of its leases has another
+    /// holder, then restarts it.
+    pub fn fail_node(&mut self) -> Result<(), RunError> {
         let holders = self.fleet.observations.lease_holders();
-        let victim = self.pick_victim(&holders);
+        let stopped_node = self.pick_node_to_stop(&holders);
         let lost_leases: BTreeMap<u64, LeaseHolder> = holders
             .into_iter()
-            .filter(|(_, holder)| holder.node == victim)
+            .filter(|(_, holder)| holder.node == stopped_node)
             .collect();
-        let name = self.fleet.plan.name(victim);
-        let others = self.fleet.all_except(&[victim]);
+        let name = self.fleet.plan.name(stopped_node);
+        let others = self.fleet.all_except(&[stopped_node]);
 
         self.take_max_wake_delay_ms();
         self.fleet.watch(Condition::Dead(name.clone()));
         let since_ms = self.fleet.observations.now_ms();
-        self.fleet.suspend(victim);
-        let progress = self.fleet.wait_for_condition("one is stopped", &others)?;
+        self.fleet.suspend(stopped_node);
+        let progress = self
+            .fleet
+            .wait_for_condition("one node is suspended", &others)?;
         let dead = self.event_duration("death", since_ms, progress);
         self.fleet.watch(Condition::None);
 
-        let all_reacquired = self.fleet.wait_until("its duties pass", |fleet| {
-            reacquired_at(fleet, &lost_leases, since_ms).is_some()
-        })?;
+        let all_reacquired = self
+            .fleet
+            .wait_until("its leases are reacquired", |fleet| {
+                reacquired_at(fleet, &lost_leases, since_ms).is_some()
+            })?;
         let reacquired_at_ms = reacquired_at(&self.fleet, &lost_leases, since_ms);
         if !all_reacquired {
-            let failure = "owners: not every duty has another one";
-            self.figures.failed.push(failure.into());
+            let failure = "owners: some leases of the suspended node have no other holder";
+            self.measurements.failed.push(failure.into());
         }
         self.take_max_wake_delay_ms();
-        self.figures.death = Death {
+        self.measurements.death = NodeFailure {
             manager: name,
             dead,
             duties: lost_leases.len(),
             owners_ms: reacquired_at_ms.map(|at_ms| at_ms.saturating_sub(since_ms)),
         };
-        self.restart(victim, "it is started anew")?;
+        self.restart(stopped_node, "the suspended node restarts")?;
         Ok(())
     }
 
-    /// Restarts a node, until all others consider its new incarnation alive and it considers all
-    /// others alive.
+    /// Restarts a node, and waits until all others consider its new incarnation alive and it
+    /// considers all others alive.
     fn restart(&mut self, node: usize, step: &str) -> Result<RestartDuration, RunError> {
         let readings = self.fleet.read()?;
         let incarnation = readings.get(node).map_or(0, |reading| reading.incarnation);
         let name = self.fleet.plan.name(node);
         let others = self.fleet.all_except(&[node]);
-        let restarted = Condition::Restarted(name, incarnation + INCARNATION_GAP);
+        let restarted = Condition::Restarted(name, incarnation + MIN_INCARNATION_GAP);
         self.fleet.watch(restarted);
         let since_ms = self.fleet.observations.now_ms();
         self.fleet.restart(node);
         let progress = self.fleet.wait_for_condition(step, &others)?;
-        let known = self.event_duration(step, since_ms, progress);
+        let others_observed = self.event_duration(step, since_ms, progress);
 
         let complete = Condition::OthersAlive(self.other_members());
         self.fleet.watch(complete);
-        let progress = self.fleet.wait_for_condition("it knows all", &[node])?;
-        let knows = self.event_duration("knows all after its start", since_ms, progress);
+        let progress = self
+            .fleet
+            .wait_for_condition("the restarted node completes its view", &[node])?;
+        let restarted_observed =
+            self.event_duration("view complete after restart", since_ms, progress);
         self.fleet.watch(Condition::None);
         Ok(RestartDuration {
-            all_ms: known.all_ms.zip(knows.all_ms).map(|(a, b)| a.max(b)),
-            max_wake_delay_ms: known.latest_wake_ms.max(knows.latest_wake_ms),
+            all_ms: others_observed
+                .all_ms
+                .zip(restarted_observed.all_ms)
+                .map(|(a, b)| a.max(b)),
+            max_wake_delay_ms: others_observed
+                .latest_wake_ms
+                .max(restarted_observed.latest_wake_ms),
         })
     }
 
-    /// All nodes change their settings, until all know of each other's.
-    pub fn settings(&mut self) -> Result<(), RunError> {
+    /// Changes the settings of all nodes, and waits until each has observed the change of all
+    /// others.
+    pub fn change_settings(&mut self) -> Result<(), RunError> {
         self.settle()?;
         self.take_max_wake_delay_ms();
         let all = self.all_nodes();
         self.fleet.watch(Condition::Settings(NEW_SETTINGS));
         let since_ms = self.fleet.observations.now_ms();
         self.fleet.change_settings(NEW_SETTINGS);
-        let progress = self.fleet.wait_for_condition("new settings", &all)?;
-        self.figures.settings = self.event_duration("settings", since_ms, progress);
+        let progress = self
+            .fleet
+            .wait_for_condition("all nodes change their settings", &all)?;
+        self.measurements.settings = self.event_duration("settings", since_ms, progress);
         self.fleet.watch(Condition::None);
         Ok(())
     }
 
-    /// A third of the nodes is partitioned and healed, if the plan has a partition.
-    pub fn partition(&mut self) -> Result<(), RunError> {
-        let duration = self.fleet.plan.cut;
+    /// Partitions a third of the nodes from the others and heals the partition, if the plan has
+    /// one.
+    pub fn partition_and_heal(&mut self) -> Result<(), RunError> {
+        let duration = self.fleet.plan.partition_duration;
         if duration.is_zero() {
             return Ok(());
         }
         self.settle()?;
         self.fleet.set_partitioned(true);
-        let during = self.measure_load("a third is cut off", duration)?;
+        let during = self.measure_load("a third is partitioned", duration)?;
         let readings = self.fleet.read()?;
         let alive = || readings.iter().map(|reading| reading.alive);
         let alive_range = (alive().min().unwrap_or(0), alive().max().unwrap_or(0));
@@ -288,12 +312,12 @@
         self.fleet.watch(complete);
         let since_ms = self.fleet.observations.now_ms();
         self.fleet.set_partitioned(false);
-        let progress = self.fleet.wait_for_condition("it heals", &all)?;
+        let progress = self.fleet.wait_for_condition("the partition heals", &all)?;
         let healed = self.event_duration("heal", since_ms, progress);
         self.fleet.watch(Condition::None);
         self.settle()?;
         let after = self.load_since(&load_start)?;
-        self.figures.cut = Some(Partition {
+        self.measurements.cut = Some(Partition {
             seconds: duration.as_secs_f64(),
             during,
             alive: alive_range,
@@ -303,9 +327,9 @@
         Ok(())
     }
 
-    /// Nodes are restarted one after the other, as many as the plan has.
+    /// Restarts as many nodes as the plan has, one after the other.
     pub fn rolling_restart(&mut self) -> Result<(), RunError> {
-        let count = self.fleet.plan.rolling;
+        let count = self.fleet.plan.restarts;
         if count == 0 {
             return Ok(());
         }
@@ -314,35 +338,36 @@
         let mut rolling = RollingRestart::default();
         for offset in 0..count {
             let node = (first + offset) % self.fleet.plan.managers;
-            let restart = self.restart(node, "restarts one after the other")?;
+            let restart = self.restart(node, "rolling restart")?;
             rolling.each_ms.push(restart.all_ms);
             rolling.latest_wake_ms = rolling.latest_wake_ms.max(restart.max_wake_delay_ms);
         }
-        self.figures.rolling = Some(rolling);
+        self.measurements.rolling = Some(rolling);
         Ok(())
     }
 
-    /// Ends the run, and balances its datagrams.
-    pub fn finish(mut self) -> Result<Figures, RunError> {
+    /// Ends the run, balances its datagrams, and returns the measurements.
+    pub fn finish(mut self) -> Result<FleetMeasurements, RunError> {
         let readings = self.fleet.suspend_all_and_read()?;
         let dropped = self.fleet.dropped_datagrams();
-        self.figures.accounts = DatagramBalance::of(&readings, dropped);
+        self.measurements.accounts = DatagramBalance::of(&readings, dropped);
         self.take_max_wake_delay_ms();
-        Ok(self.figures)
+        Ok(self.measurements)
     }
 }
 
-/// When the last of these leases was acquired by another node, in milliseconds of the run, if all of
-/// them were; `since_ms` if there are none.
+/// Returns the time at which another node acquired the last of these leases, in milliseconds since
+/// the start of the run; `None` unless other nodes acquired all of them, and `since_ms` if there
+/// are none.
 fn reacquired_at(
     fleet: &HollowFleet,
     lost_leases: &BTreeMap<u64, LeaseHolder>,
     since_ms: u64,
 ) -> Option<u64> {
     let holders = fleet.observations.lease_holders();
-    let acquired_at_ms = lost_leases.iter().map(|(engine, lost)| {
+    let acquired_at_ms = lost_leases.iter().map(|(engine, lost_lease)| {
         let holder = holders.get(engine)?;
-        let is_other = holder.token > lost.token && holder.node != lost.node;
+        let is_other = holder.token > lost_lease.token && holder.node != lost_lease.node;
         is_other.then_some(holder.since_ms)
     });
     let all = acquired_at_ms.collect::<Option<Vec<u64>>>()?;
--- a/src/testkit/scale/figures.rs
+++ b/src/testkit/scale/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of a run with a fleet of hollow nodes, as JSON and as a table.
+//! The measurements of a run with a fleet of hollow nodes, as JSON and as a table.
 use super::fleet::Plan;
 use super::hollow_node::NodeReading;
 use crate::net::fleet::traffic::{Flow, TrafficCounts};
@@ -7,113 +7,113 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// A thread that wakes this much later than it was due shows that the machine can't run the fleet in
-/// real time, in milliseconds.
+/// Wake-up delay of a thread, in milliseconds, from which the machine is considered too slow to run
+/// the fleet in real time.
 pub const MAX_WAKE_DELAY_MS: f64 = 20.0;
 
-/// Traffic of one node, a second, with the headers of IP and UDP.
+/// Traffic of one node per second, with the headers of IP and UDP.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Rate {
+pub struct NodeTraffic {
     /// Bytes sent.
     pub sent_bytes: f64,
     /// Bytes received.
     pub received_bytes: f64,
     /// Datagrams sent and received.
     pub datagrams: f64,
-    /// Of the bytes both ways, those of leases.
+    /// Bytes of lease messages, sent and received.
     pub duties_bytes: f64,
-    /// How long its actors ran, in percent of a core, by the clock.
+    /// Time that the node's actors ran, in percent of a core, by the clock.
     pub busy_percent: f64,
 }
 
-/// Traffic of the fleet over some time.
+/// Traffic and processor time of the fleet over an interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Load {
-    /// How long it was counted, in seconds.
+pub struct FleetLoad {
+    /// Length of the interval, in seconds.
     pub seconds: f64,
-    /// The mean of all nodes.
-    pub mean: Rate,
-    /// The maximum of each figure over all nodes.
-    pub worst: Rate,
-    /// The mean of the voters.
-    pub voter_mean: Rate,
-    /// The maximum of each figure over the voters.
-    pub voter_worst: Rate,
+    /// Mean over all nodes.
+    pub mean: NodeTraffic,
+    /// Maximum of each value over all nodes.
+    pub worst: NodeTraffic,
+    /// Mean over the voters.
+    pub voter_mean: NodeTraffic,
+    /// Maximum of each value over the voters.
+    pub voter_worst: NodeTraffic,
     /// Processor time of the whole process divided by its nodes, in percent of a core.
     pub processor_percent: f64,
-    /// Probes of engines, a second and node.
+    /// Probes of engines, per second and node.
     pub probes: f64,
     /// The largest wake-up delay of a thread, in milliseconds.
     pub latest_wake_ms: f64,
 }
 
-/// What a [`Load`] is computed from.
+/// The readings from which a [`FleetLoad`] is computed.
 pub struct LoadSample<'a> {
-    /// The readings of all nodes at the start.
+    /// The readings of all nodes at the start of the interval.
     pub earlier: &'a [NodeReading],
-    /// The readings of all nodes at the end.
+    /// The readings of all nodes at the end of the interval.
     pub later: &'a [NodeReading],
-    /// The time between them.
+    /// The length of the interval.
     pub duration: Duration,
-    /// Processor time of the process between them.
+    /// Processor time of the process during the interval.
     pub processor_time: Duration,
-    /// The largest wake-up delay of a thread between them, in milliseconds.
+    /// The largest wake-up delay of a thread during the interval, in milliseconds.
     pub max_wake_delay_ms: f64,
 }
 
-impl Rate {
-    /// The rate of one node between two readings.
-    fn between(seconds: f64, earlier: &NodeReading, later: &NodeReading) -> Rate {
+impl NodeTraffic {
+    /// Returns the traffic of one node between two readings that are `seconds` apart.
+    fn between(seconds: f64, earlier: &NodeReading, later: &NodeReading) -> NodeTraffic {
         let counts = later.counts.since(&earlier.counts);
         let busy = later.busy.saturating_sub(earlier.busy);
         let per_s = |n: u64| n as f64 / seconds;
-        let duties: Flow = counts.lease_sent.plus(counts.lease_received);
-        Rate {
+        let lease_traffic: Flow = counts.lease_sent.plus(counts.lease_received);
+        NodeTraffic {
             sent_bytes: per_s(counts.sent().wire_bytes()),
             received_bytes: per_s(counts.received().wire_bytes()),
             datagrams: per_s(counts.sent().plus(counts.received()).datagrams),
-            duties_bytes: per_s(duties.wire_bytes()),
+            duties_bytes: per_s(lease_traffic.wire_bytes()),
             busy_percent: busy.as_secs_f64() / seconds * 100.0,
         }
     }
 
-    /// Combines each figure of several rates.
-    fn combine(rates: &[Rate], combine: impl Fn(&[f64]) -> f64) -> Rate {
-        let figure = |figure: fn(&Rate) -> f64| {
-            let values: Vec<f64> = rates.iter().map(figure).collect();
+    /// Combines each value of several nodes' traffic with the same function.
+    fn combine(rates: &[NodeTraffic], combine: impl Fn(&[f64]) -> f64) -> NodeTraffic {
+        let combined = |value: fn(&NodeTraffic) -> f64| {
+            let values: Vec<f64> = rates.iter().map(value).collect();
             combine(&values)
         };
-        Rate {
-            sent_bytes: figure(|rate| rate.sent_bytes),
-            received_bytes: figure(|rate| rate.received_bytes),
-            datagrams: figure(|rate| rate.datagrams),
-            duties_bytes: figure(|rate| rate.duties_bytes),
-            busy_percent: figure(|rate| rate.busy_percent),
+        NodeTraffic {
+            sent_bytes: combined(|rate| rate.sent_bytes),
+            received_bytes: combined(|rate| rate.received_bytes),
+            datagrams: combined(|rate| rate.datagrams),
+            duties_bytes: combined(|rate| rate.duties_bytes),
+            busy_percent: combined(|rate| rate.busy_percent),
         }
     }
 
-    fn mean(rates: &[Rate]) -> Rate {
+    fn mean(rates: &[NodeTraffic]) -> NodeTraffic {
         let count = rates.len().max(1) as f64;
-        Rate::combine(rates, |values| values.iter().sum::<f64>() / count)
+        NodeTraffic::combine(rates, |values| values.iter().sum::<f64>() / count)
     }
 
-    fn max(rates: &[Rate]) -> Rate {
-        Rate::combine(rates, |values| values.iter().copied().fold(0.0, f64::max))
+    fn max(rates: &[NodeTraffic]) -> NodeTraffic {
+        NodeTraffic::combine(rates, |values| values.iter().copied().fold(0.0, f64::max))
     }
 }
 
-impl Load {
-    /// The load between the two readings of a sample.
-    pub fn of(plan: &Plan, sample: &LoadSample<'_>) -> Load {
+impl FleetLoad {
+    /// Computes the load between the two readings of a sample.
+    pub fn of(plan: &Plan, sample: &LoadSample<'_>) -> FleetLoad {
         let seconds = sample.duration.as_secs_f64().max(1e-3);
         let nodes = plan.managers as f64;
-        let rates: Vec<Rate> = sample
+        let rates: Vec<NodeTraffic> = sample
             .earlier
             .iter()
             .zip(sample.later)
-            .map(|(earlier, later)| Rate::between(seconds, earlier, later))
+            .map(|(earlier, later)| NodeTraffic::between(seconds, earlier, later))
             .collect();
-        let voter_rates: Vec<Rate> = plan
+        let voter_rates: Vec<NodeTraffic> = plan
             .voter_nodes()
             .into_iter()
             .filter_map(|node| rates.get(node).copied())
@@ -122,12 +122,12 @@
             let probes = readings.iter().map(|reading| reading.probes);
             probes.sum::<u64>() as f64
         };
-        Load {
+        FleetLoad {
             seconds,
-            mean: Rate::mean(&rates),
-            worst: Rate::max(&rates),
-            voter_mean: Rate::mean(&voter_rates),
-            voter_worst: Rate::max(&voter_rates),
+            mean: NodeTraffic::mean(&rates),
+            worst: NodeTraffic::max(&rates),
+            voter_mean: NodeTraffic::mean(&voter_rates),
+            voter_worst: NodeTraffic::max(&voter_rates),
             processor_percent: sample.processor_time.as_secs_f64() / seconds / nodes * 100.0,
             probes: (probes(sample.later) - probes(sample.earlier)) / seconds / nodes,
             latest_wake_ms: sample.max_wake_delay_ms,
@@ -135,81 +135,89 @@
     }
 }
 
-/// How long an event took until the nodes had observed it.
+/// The time from an event until the nodes had observed it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct EventDuration {
-    /// Until all had, in milliseconds; `None` if not all did within the patience.
+    /// Time until all nodes had observed it, in milliseconds; `None` if not all did within the
+    /// event timeout.
     pub all_ms: Option<u64>,
-    /// Until half of them had, in milliseconds.
+    /// Time until half of those nodes had observed it that did so within the timeout, in
+    /// milliseconds.
     pub half_ms: u64,
-    /// How many nodes had observed it.
+    /// Number of nodes that observed it.
     pub had: usize,
-    /// How many nodes were asked.
+    /// Number of nodes that should observe it.
     pub asked: usize,
-    /// The largest wake-up delay of a thread meanwhile, in milliseconds.
+    /// The largest wake-up delay of a thread during this time, in milliseconds.
     pub latest_wake_ms: f64,
 }
 
-/// The death of one node.
+/// The failure of one node: it is suspended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Death {
-    /// Its name.
+pub struct NodeFailure {
+    /// Member name of the node.
     pub manager: String,
-    /// Until all others considered it dead.
+    /// Time until all others considered it dead.
     pub dead: EventDuration,
-    /// How many leases it held.
+    /// Number of leases that it held.
     pub duties: usize,
-    /// Time from its death until each of these leases had another holder, in milliseconds; `None` if
-    /// not all did within the patience.
+    /// Time from its suspension until each of these leases had another holder, in milliseconds;
+    /// `None` if not all of them had one within the event timeout.
     pub owners_ms: Option<u64>,
 }
 
 /// A partition of a third of the nodes, and its healing.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Partition {
-    /// How long it lasted.
+    /// Duration of the partition, in seconds.
     pub seconds: f64,
     /// Traffic during the partition.
-    pub during: Load,
-    /// Others that a node considered alive at the end of the partition: minimum and maximum.
+    pub during: FleetLoad,
+    /// Number of others that a node considered alive at the end of the partition: minimum and
+    /// maximum.
     pub alive: (usize, usize),
-    /// Until all nodes considered each other alive again.
+    /// Time until all nodes considered each other alive again.
     pub healed: EventDuration,
-    /// Traffic from the healing until all agreed and had settled.
-    pub after: Load,
+    /// Traffic from the healing until all nodes considered each other alive and the settling time
+    /// had passed.
+    pub after: FleetLoad,
 }
 
 /// Nodes restarted one after the other.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RollingRestart {
-    /// Until each restart was observed by all others, in milliseconds.
+    /// Time of each restart until all others had observed it and the node had observed all others,
+    /// in milliseconds; `None` if that took longer than the event timeout.
     pub each_ms: Vec<Option<u64>>,
-    /// The largest wake-up delay of a thread meanwhile, in milliseconds.
+    /// The largest wake-up delay of a thread during this time, in milliseconds.
     pub latest_wake_ms: f64,
 }
 
-/// Whether all datagrams that were sent are accounted for, over the whole run.
+/// Compares the datagrams that were sent over the whole run with those that were received, blocked,
+/// unread or lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DatagramBalance {
-    /// The counts of all nodes together.
+    /// Sum of the counts of all nodes.
     pub counts: TrafficCounts,
-    /// What was left unread in sockets when nodes ended.
+    /// Datagrams that were unread in the nodes' sockets when their incarnations ended.
     pub unread: Flow,
     /// Datagrams that sockets dropped because their buffers were full.
     pub lost: u64,
-    /// Datagrams sent that are in none of these: 0 where no others take part and nothing is lost
-    /// elsewhere.
+    /// Datagrams sent that were neither received, blocked, unread nor lost: 0 if only hollow nodes
+    /// take part and nothing is lost elsewhere.
     pub missing: i64,
     /// Datagrams received that nodes dropped because they were invalid.
     pub dropped: u64,
-    /// How often a node would have reloaded its configuration because it was behind the majority.
+    /// How often a node would have reloaded its configuration because it was outdated: behind the
+    /// majority.
     pub reloads: u64,
-    /// How often a node excluded itself because it was behind the majority.
+    /// How often a node excluded itself because it was outdated: behind the majority.
     pub shut_outs: u64,
 }
 
 impl DatagramBalance {
-    /// The balance of the last readings of all nodes; `lost` is what their sockets dropped.
+    /// Computes the balance from the last readings of all nodes; `lost` is the number of datagrams
+    /// that their sockets dropped.
     pub fn of(readings: &[NodeReading], lost: u64) -> DatagramBalance {
         let mut balance = DatagramBalance {
             lost,
@@ -223,52 +231,53 @@
             balance.shut_outs += reading.exclusions;
         }
         let counts = &balance.counts;
-        let found = counts
+        let accounted = counts
             .received()
             .plus(counts.blocked)
             .plus(balance.unread)
             .datagrams
             + lost;
-        balance.missing = counts.sent().datagrams as i64 - found as i64;
+        balance.missing = counts.sent().datagrams as i64 - accounted as i64;
         balance
     }
 }
 
-/// All figures of one run.
+/// All measurements of one run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Figures {
-    /// Hollow nodes, each in place of a manager.
+pub struct FleetMeasurements {
+    /// Number of hollow nodes, each in place of a manager.
     pub managers: usize,
-    /// Engines whose loads they want.
+    /// Number of engines whose loads the nodes request.
     pub engines: u64,
-    /// Voters among the nodes.
+    /// Number of voters among the nodes.
     pub voters: usize,
-    /// Engine loads wanted, a second and node.
+    /// FleetLoad requests for engines, per second and node.
     pub wants: f64,
     /// The seed of the run's own choices; the nodes' own seeds are the times of their starts, as a
     /// daemon's are.
     pub seed: u64,
-    /// Threads.
+    /// Number of threads.
     pub threads: usize,
     /// Seconds between the start and quiet traffic, and after each disturbance.
     pub settle_seconds: f64,
     /// Whether the nodes published their leases, as daemons with an admin endpoint do.
     pub console: bool,
-    /// Whether a thread woke too late: the machine is too small then, and the figures are invalid.
+    /// Whether the wake-up delay of a thread reached [`MAX_WAKE_DELAY_MS`]: the machine is too slow
+    /// for the run, and the measurements are invalid.
     pub overloaded: bool,
     /// The largest wake-up delay of a thread over the run, in milliseconds.
     pub latest_wake_ms: f64,
-    /// All nodes start at once, until each knows all others.
+    /// All nodes start at once: time until each considers all others alive.
     pub join: EventDuration,
-    /// Quiet traffic.
-    pub quiet: Load,
-    /// Leases held after it.
+    /// Traffic while no event happens.
+    pub quiet: FleetLoad,
+    /// Number of leases that were held after the measurement of quiet traffic.
     pub owned: usize,
     /// Memory of the process divided by its nodes, in KiB.
     pub memory_kb: u64,
-    /// The death of one node.
-    pub death: Death,
-    /// All nodes change their settings, until all know of each other's.
+    /// The failure of one node.
+    pub death: NodeFailure,
+    /// All nodes change their settings: time until each has observed the change of all others.
     pub settings: EventDuration,
     /// The partition, if there was one.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -278,16 +287,16 @@
     pub rolling: Option<RollingRestart>,
     /// The balance of datagrams.
     pub accounts: DatagramBalance,
-    /// Conditions that were not met within the patience.
+    /// Conditions that were not met within the event timeout.
     pub failed: Vec<String>,
 }
 
-/// Milliseconds of an event, if all nodes observed it.
+/// Formats the milliseconds of an event, if all nodes observed it.
 fn cell_ms(ms: Option<u64>) -> String {
     ms.map_or_else(|| "not reached".to_owned(), |ms| ms.to_string())
 }
 
-fn cell_bytes(rate: &Rate) -> String {
+fn cell_bytes(rate: &NodeTraffic) -> String {
     format!("{:.0} + {:.0}", rate.sent_bytes, rate.received_bytes)
 }
 
@@ -298,19 +307,19 @@
 }
 
 impl RollingRestart {
-    /// The longest restart, if all were observed.
+    /// Formats the longest restart, if all were observed.
     fn cell(&self) -> String {
         let all: Option<Vec<u64>> = self.each_ms.iter().copied().collect();
         cell_ms(all.and_then(|all| all.into_iter().max()))
     }
 }
 
-/// What a cell shows where the plan has no such event.
+/// Returns the text of a cell whose event is not part of the plan.
 fn no_event() -> String {
     "-".to_owned()
 }
 
-impl Figures {
+impl FleetMeasurements {
     fn row(&self) -> [String; 17] {
         let quiet = &self.quiet;
         [
@@ -344,8 +353,8 @@
     }
 }
 
-/// The figures as a table, with a row for each run.
-pub fn table(runs: &[Figures]) -> String {
+/// Formats the measurements as a table, with a row for each run.
+pub fn table(runs: &[FleetMeasurements]) -> String {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN).set_header([
         "managers x engines",
@@ -366,8 +375,8 @@
         "shut out",
         "missing",
     ]);
-    for figures in runs {
-        table.add_row(figures.row());
+    for measurements in runs {
+        table.add_row(measurements.row());
     }
     table.to_string()
 }
--- a/src/testkit/scale/fleet.rs
+++ b/src/testkit/scale/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of hollow nodes: their threads, the commands to them, and the waits for what they observe.
-//! A thread that ends early, a signal and the end of the time limit are errors of the run.
+//! A fleet of hollow nodes: its threads, the commands to them, and the waits for the conditions
+//! that the nodes observe. A thread that ends early, a signal and the time limit fail the run.
 use super::hollow_batch::{Batch, BatchCommand};
 use super::hollow_node::{NodeReading, node_address};
 use super::observations::{Condition, ConditionProgress, Observations};
@@ -18,77 +18,77 @@
 
 pub use super::plan::{Plan, PlanError};
 
-/// Interval at which the driver checks what it waits for.
+/// Interval at which the driving thread checks what it waits for.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Interval between two lines of progress.
+/// Interval between two progress lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Nodes that all others contact first.
+/// Number of nodes that all nodes contact first.
 const SEED_NODES: usize = 3;
 
-/// Why a run fails.
+/// Reason why a run fails.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The plan can't be run.
+    /// The plan is invalid, or the machine lacks the capacity for it.
     #[error(transparent)]
     Plan(#[from] PlanError),
-    /// A node's socket can't be bound.
-    #[error("can't take the managers' sockets: {0}")]
+    /// Binding the nodes' sockets failed.
+    #[error("binding the nodes' sockets failed: {0}")]
     Bind(#[source] io::Error),
-    /// The folder of the voters' votes can't be created.
-    #[error("can't make a folder for the votes: {0}")]
+    /// Creating the folder for the voters' stored votes failed.
+    #[error("creating the folder for the votes failed: {0}")]
     Folder(#[source] io::Error),
-    /// A thread can't be started.
-    #[error("a thread: {0}")]
+    /// Starting a thread failed.
+    #[error("starting a thread failed: {0}")]
     Spawn(#[source] io::Error),
     /// A thread of nodes ended before the run did.
-    #[error("a thread of managers ended before the run did: {reason}")]
+    #[error("a thread of nodes ended before the run did: {reason}")]
     ThreadEnded {
-        /// The panic's message.
+        /// The message of the panic.
         reason: String,
     },
-    /// The process was asked to stop.
+    /// The process received a signal to stop.
     #[error("ended by a signal")]
     Signal,
     /// The run did not finish within its limit.
-    #[error("not done within the limit of {} s", limit.as_secs())]
+    #[error("the run did not finish within the limit of {} s", limit.as_secs())]
     TimeLimit {
         /// The limit.
         limit: Duration,
     },
 }
 
-/// A thread with its batch of nodes.
+/// A thread that runs a batch of nodes.
 struct BatchThread {
     commands: Sender<BatchCommand>,
     handle: JoinHandle<()>,
     nodes: Vec<usize>,
 }
 
-/// A fleet that runs.
+/// A running fleet.
 pub struct HollowFleet {
     /// The plan.
     pub plan: Arc<Plan>,
-    /// What the nodes observed.
+    /// The observations of all nodes.
     pub observations: Arc<Observations>,
     /// The nodes' addresses, by their numbers.
     pub addresses: Vec<SocketAddr>,
-    /// Set by a signal to end the run.
+    /// Set by a signal; ends the run.
     stop_requested: Arc<AtomicBool>,
     threads: Vec<BatchThread>,
-    /// Why a thread ended early, which makes every later step fail.
+    /// Reason why a thread ended early, with which every later step fails.
     ended_thread: Option<String>,
     partitioned: Arc<AtomicBool>,
-    /// The number of the present condition.
-    condition: u64,
+    /// The number of the current condition.
+    condition_number: u64,
     deadline: Instant,
     report_at: Instant,
-    /// The voters' votes; deleted when the fleet is dropped.
-    votes: Folder,
+    /// Folder of the voters' stored votes; deleted when the fleet is dropped.
+    vote_folder: Folder,
 }
 
 impl HollowFleet {
-    /// Binds the nodes' sockets and starts the threads. The nodes start with
-    /// [`start_nodes`](Self::start_nodes).
+    /// Binds the nodes' sockets and starts the threads; [`start_nodes`](Self::start_nodes) starts
+    /// the nodes.
     pub fn new(plan: Plan, stop_requested: Arc<AtomicBool>) -> Result<HollowFleet, RunError> {
         plan.check()?;
         let sockets = bind_sockets(plan.managers).map_err(RunError::Bind)?;
@@ -105,17 +105,17 @@
             threads: Vec::new(),
             ended_thread: None,
             partitioned: Arc::new(AtomicBool::new(false)),
-            condition: 0,
+            condition_number: 0,
             deadline: now + plan.limit,
             report_at: now,
-            votes: Folder::new().map_err(RunError::Folder)?,
+            vote_folder: Folder::new().map_err(RunError::Folder)?,
             plan: Arc::new(plan),
         };
         fleet.start_threads(sockets)?;
         Ok(fleet)
     }
 
-    /// Distributes the nodes over the threads in turns, and starts these.
+    /// Distributes the nodes over the threads round-robin, and starts the threads.
     fn start_threads(&mut self, sockets: Vec<UdpSocket>) -> Result<(), RunError> {
         let mut batches: Vec<Vec<(usize, UdpSocket)>> = Vec::new();
         batches.resize_with(self.plan.threads, Vec::new);
@@ -123,19 +123,19 @@
             batches[node % self.plan.threads].push((node, socket));
         }
         let seed_nodes = self.addresses.iter().take(SEED_NODES);
-        let seeds: Vec<SocketAddr> = seed_nodes.chain(&self.plan.greet).copied().collect();
+        let seeds: Vec<SocketAddr> = seed_nodes.chain(&self.plan.extra_seeds).copied().collect();
         for (thread, sockets) in batches.into_iter().enumerate() {
-            let (commands, mailbox) = unbounded();
+            let (commands, receiver) = unbounded();
             let nodes = sockets.iter().map(|(node, _)| *node).collect();
             let batch = Batch {
                 thread,
                 plan: self.plan.clone(),
                 sockets,
                 seeds: seeds.clone(),
-                folder: self.votes.path(""),
+                vote_folder: self.vote_folder.path(""),
                 partitioned: self.partitioned.clone(),
                 observations: self.observations.clone(),
-                commands: mailbox,
+                commands: receiver,
             };
             let handle = std::thread::Builder::new()
                 .name(format!("hollow-{thread}"))
@@ -150,7 +150,8 @@
         Ok(())
     }
 
-    /// Fails once the run can't give valid figures any more.
+    /// Returns an error if a thread ended early, a signal was received, or the time limit is
+    /// reached.
     pub fn check(&mut self) -> Result<(), RunError> {
         let ended = self
             .threads
@@ -177,7 +178,7 @@
         Ok(())
     }
 
-    /// Writes a line of progress, at most one a second.
+    /// Writes a progress line, at most one per second.
     fn report_progress(&mut self, step: &str, progress: Option<ConditionProgress>) {
         if !self.plan.progress || Instant::now() < self.report_at {
             return;
@@ -186,12 +187,14 @@
         let seconds = self.observations.now_ms() as f64 / 1e3;
         let delay_ms = self.observations.max_wake_delay_us() as f64 / 1e3;
         let so_far = progress.map_or_else(String::new, |progress| {
-            format!(", {} of {}", progress.met, progress.asked)
+            format!(", {} of {}", progress.met, progress.total)
         });
-        eprintln!("scale-fleet: {seconds:.0} s: {step}{so_far}, latest wake {delay_ms:.1} ms late");
+        eprintln!(
+            "scale-fleet: {seconds:.0} s: {step}{so_far}, largest wake-up delay {delay_ms:.1} ms"
+        );
     }
 
-    /// Lets time pass.
+    /// Waits for `duration`, and checks the run meanwhile.
     pub fn pass_time(&mut self, step: &str, duration: Duration) -> Result<(), RunError> {
         let end = Instant::now() + duration;
         while Instant::now() < end {
@@ -203,13 +206,13 @@
         Ok(())
     }
 
-    /// Waits until `is_met`; `false` if the plan's patience ended first.
+    /// Waits until `is_met` returns true; returns `false` if the plan's event timeout ends first.
     pub fn wait_until(
         &mut self,
         step: &str,
         mut is_met: impl FnMut(&HollowFleet) -> bool,
     ) -> Result<bool, RunError> {
-        let end = Instant::now() + self.plan.patience;
+        let end = Instant::now() + self.plan.event_timeout;
         while !is_met(self) {
             if Instant::now() >= end {
                 return Ok(false);
@@ -221,28 +224,28 @@
         Ok(true)
     }
 
-    /// All nodes look for this condition from now on.
+    /// Makes all nodes check for this condition from now on.
     pub fn watch(&mut self, condition: Condition) {
-        self.condition += 1;
+        self.condition_number += 1;
         self.command_all(|| BatchCommand::Watch {
             condition: condition.clone(),
-            number: self.condition,
+            number: self.condition_number,
         });
     }
 
-    /// How far the present condition is met.
+    /// Returns at how many of these nodes the current condition is met.
     pub fn progress(&self, nodes: &[usize]) -> ConditionProgress {
-        self.observations.progress(self.condition, nodes)
+        self.observations.progress(self.condition_number, nodes)
     }
 
-    /// Waits until the present condition is met at all these nodes at the same time, or the plan's
-    /// patience has ended.
+    /// Waits until the current condition is met at all these nodes at the same time, or until the
+    /// plan's event timeout ends.
     pub fn wait_for_condition(
         &mut self,
         step: &str,
         nodes: &[usize],
     ) -> Result<ConditionProgress, RunError> {
-        let end = Instant::now() + self.plan.patience;
+        let end = Instant::now() + self.plan.event_timeout;
         loop {
             let progress = self.progress(nodes);
             if progress.is_complete() || Instant::now() >= end {
@@ -254,14 +257,14 @@
         }
     }
 
-    /// The nodes' numbers without these.
+    /// Returns the numbers of all nodes but those `excluded`.
     pub fn all_except(&self, excluded: &[usize]) -> Vec<usize> {
         (0..self.plan.managers)
             .filter(|node| !excluded.contains(node))
             .collect()
     }
 
-    /// A thread that has ended is found by [`check`](Self::check).
+    /// Sends a command to all threads. [`check`](Self::check) reports a thread that has ended.
     fn command_all(&self, command: impl Fn() -> BatchCommand) {
         for thread in &self.threads {
             let _ = thread.commands.try_send(command());
@@ -293,7 +296,7 @@
         self.command(node, BatchCommand::Restart(node));
     }
 
-    /// All nodes act on settings with this hash.
+    /// Makes all nodes activate settings with this hash.
     pub fn change_settings(&self, hash: u64) {
         self.command_all(|| BatchCommand::ChangeSettings(hash));
     }
@@ -303,13 +306,13 @@
         self.partitioned.store(partitioned, Ordering::Relaxed);
     }
 
-    /// Makes a thread panic: to test that a run in which a thread panics fails.
+    /// Makes a thread panic, to test that such a run fails.
     pub fn panic_thread(&self, thread: usize) {
         let commands = &self.threads[thread].commands;
         let _ = commands.try_send(BatchCommand::Panic);
     }
 
-    /// Commands all threads, and collects their replies.
+    /// Sends a command to all threads, and collects their replies.
     fn collect_replies<T>(
         &mut self,
         command: impl Fn(mpsc::Sender<T>) -> BatchCommand,
@@ -329,7 +332,7 @@
         Ok(replies)
     }
 
-    /// The figures of all nodes, by their numbers.
+    /// Returns the readings of all nodes, sorted by the nodes' numbers.
     pub fn read(&mut self) -> Result<Vec<NodeReading>, RunError> {
         let batches = self.collect_replies(BatchCommand::Read)?;
         let mut readings: Vec<NodeReading> = batches.into_iter().flatten().collect();
@@ -337,14 +340,15 @@
         Ok(readings)
     }
 
-    /// Suspends all nodes, and reads their figures for the last time, with what their sockets still
-    /// hold.
+    /// Suspends all nodes, and returns their last readings, which count the datagrams that are
+    /// unread in their sockets.
     pub fn suspend_all_and_read(&mut self) -> Result<Vec<NodeReading>, RunError> {
         self.collect_replies(BatchCommand::SuspendAll)?;
         self.read()
     }
 
-    /// Datagrams that the nodes' sockets dropped because their buffers were full.
+    /// Returns the number of datagrams that the nodes' sockets dropped because their buffers were
+    /// full.
     pub fn dropped_datagrams(&self) -> u64 {
         proc::dropped_datagrams(&self.addresses)
     }
@@ -370,7 +374,7 @@
     (0..nodes).map(bind).collect()
 }
 
-/// The message of a panic, if it has one.
+/// Returns the message of a panic, or an empty string if it has none.
 fn panic_message(panic: &(dyn Any + Send)) -> String {
     if let Some(message) = panic.downcast_ref::<String>() {
         message.clone()
--- a/src/testkit/scale/hollow_batch.rs
+++ b/src/testkit/scale/hollow_batch.rs
@@ -1,5 +1,5 @@
-//! One thread with a batch of hollow nodes. Each node is the daemon's own fleet actor on a UDP socket
-//! of its own, with a [`HollowModule`] in place of the dispatcher.
+//! A thread that runs a batch of hollow nodes. Each node is the daemon's own fleet actor on a
+//! separate UDP socket, with a [`HollowModule`] in place of the dispatcher.
 use super::fleet::Plan;
 use super::hollow_module::{HollowModule, ModuleCounters};
 use super::hollow_node::{HollowNode, Incarnation, NodeReading, RunState, Suspendable, node_at};
@@ -24,47 +24,47 @@
 
 /// Interval at which the nodes' views are examined, and the thread's wake-up delay is recorded.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Events that wait for a hollow module.
-const MAILBOX: usize = 256;
-/// Limit on descriptors that is configured for a node's actors.
+/// Capacity of a hollow module's event channel.
+const MAILBOX_CAPACITY: usize = 256;
+/// Configured limit on descriptors of a node's actors.
 const NODE_DESCRIPTORS: usize = 64;
-/// Limit on memory that is configured for a node's actors, in MB.
+/// Configured limit on memory of a node's actors, in MB.
 const NODE_MEMORY_MB: u64 = 64;
-/// The hash of the settings that the nodes start with.
+/// Hash of the settings with which the nodes start.
 const INITIAL_SETTINGS: u64 = 1;
 
 /// A command to a batch.
 pub enum BatchCommand {
-    /// All nodes start at once.
+    /// Start all nodes at once.
     Start,
-    /// Look for a condition at each node from now on, under this number.
+    /// Check each node for a condition from now on, and record it under this number.
     Watch {
         /// The condition.
         condition: Condition,
-        /// Its number.
+        /// The condition's number.
         number: u64,
     },
     /// Suspend a node: its socket is not read and it sends nothing.
     Suspend(usize),
-    /// Restart a node. One that runs leaves the fleet first, one that is suspended does not.
+    /// Restart a node. A running node leaves the fleet first, a suspended one does not.
     Restart(usize),
-    /// All nodes act on settings with this hash.
+    /// Make all nodes activate settings with this hash.
     ChangeSettings(u64),
-    /// Report the figures of each node.
+    /// Report the readings of each node.
     Read(std::sync::mpsc::Sender<Vec<NodeReading>>),
     /// Suspend all nodes, and confirm it.
     SuspendAll(std::sync::mpsc::Sender<()>),
-    /// Panic: to test that a run in which a thread panics fails.
+    /// Panic, to test that such a run fails.
     Panic,
 }
 
-/// What all nodes of the batch look for.
+/// The condition for which all nodes of the batch are checked.
 struct Watch {
     condition: Condition,
     number: u64,
 }
 
-/// What a thread needs for its batch.
+/// A batch of nodes, with what its thread needs to run them.
 pub struct Batch {
     /// The thread's number.
     pub thread: usize,
@@ -74,18 +74,18 @@
     pub sockets: Vec<(usize, UdpSocket)>,
     /// The members that each node contacts first.
     pub seeds: Vec<SocketAddr>,
-    /// Where voters store their votes.
-    pub folder: PathBuf,
+    /// Folder in which voters store their votes.
+    pub vote_folder: PathBuf,
     /// Whether the first third of the nodes is partitioned from the others.
     pub partitioned: Arc<AtomicBool>,
-    /// Where the nodes' observations are recorded.
+    /// Records the nodes' observations.
     pub observations: Arc<Observations>,
-    /// The commands; the thread ends when they are closed.
+    /// Receives commands; the thread ends when the channel is closed.
     pub commands: Receiver<BatchCommand>,
 }
 
 impl Batch {
-    /// Runs the batch until its commands are closed.
+    /// Runs the batch until its command channel is closed.
     pub fn run(mut self) {
         crate::logging::mute();
         let sockets = std::mem::take(&mut self.sockets);
@@ -94,11 +94,11 @@
             .map(|(number, socket)| HollowNode::new(number, socket))
             .collect();
         let executor = Rc::new(LocalExecutor::new());
-        let commands = self.follow_commands(&executor, &mut nodes);
+        let commands = self.run_commands(&executor, &mut nodes);
         block_on(executor.clone().run(commands));
     }
 
-    async fn follow_commands(&self, executor: &LocalExecutor<'static>, nodes: &mut [HollowNode]) {
+    async fn run_commands(&self, executor: &LocalExecutor<'static>, nodes: &mut [HollowNode]) {
         let mut watch = Watch {
             condition: Condition::None,
             number: 0,
@@ -118,7 +118,7 @@
                     let delay_us = poll_at.elapsed().as_micros() as u64;
                     self.observations.record_wake_delay(self.thread, delay_us);
                     self.restart_ended_nodes(executor, nodes, settings);
-                    self.examine(nodes, &watch);
+                    self.examine_views(nodes, &watch);
                     poll_at = Instant::now() + POLL_INTERVAL;
                     continue;
                 }
@@ -129,7 +129,7 @@
                     .for_each(|node| self.start(executor, node, settings)),
                 BatchCommand::Watch { condition, number } => {
                     watch = Watch { condition, number };
-                    nodes.iter_mut().for_each(|node| node.examined = None);
+                    nodes.iter_mut().for_each(|node| node.last_view = None);
                 }
                 BatchCommand::Suspend(number) => nodes
                     .iter()
@@ -152,7 +152,9 @@
                     nodes.iter().for_each(HollowNode::suspend);
                     let _ = done.send(());
                 }
-                BatchCommand::Panic => panic!("batch {} was told to panic", self.thread),
+                BatchCommand::Panic => {
+                    panic!("batch {} received the command to panic", self.thread)
+                }
             }
         }
     }
@@ -174,14 +176,15 @@
         }
     }
 
-    /// Records whether each running node meets the condition, if its view has changed.
-    fn examine(&self, nodes: &mut [HollowNode], watch: &Watch) {
+    /// Counts the self-exclusions of the running nodes, and records whether each node meets the
+    /// condition, if its view has changed.
+    fn examine_views(&self, nodes: &mut [HollowNode], watch: &Watch) {
         for node in nodes {
             let Some(shared) = node.running().map(|running| running.shared.clone()) else {
                 continue;
             };
             let is_excluded = shared.lifecycle.borrow().is_excluded();
-            node.earlier.exclusions += u64::from(is_excluded && !node.was_excluded);
+            node.past_incarnations.exclusions += u64::from(is_excluded && !node.was_excluded);
             node.was_excluded = is_excluded;
             if watch.condition == Condition::None {
                 continue;
@@ -189,17 +192,17 @@
             let Some(view) = shared.fleet_view.borrow().clone() else {
                 continue;
             };
-            let is_known = |examined: &Rc<FleetView>| Rc::ptr_eq(examined, &view);
-            if !node.examined.as_ref().is_some_and(is_known) {
+            let is_unchanged = |last: &Rc<FleetView>| Rc::ptr_eq(last, &view);
+            if !node.last_view.as_ref().is_some_and(is_unchanged) {
                 let is_met = watch.condition.is_met(&view);
                 self.observations
                     .record_condition(node.number, watch.number, is_met);
-                node.examined = Some(view);
+                node.last_view = Some(view);
             }
         }
     }
 
-    /// Starts an incarnation of a node, after the end of its last one.
+    /// Starts an incarnation of a node, after ending its last one.
     fn start(&self, executor: &LocalExecutor<'static>, node: &mut HollowNode, settings: u64) {
         node.end_incarnation();
         let began = clock::turn();
@@ -219,11 +222,11 @@
             task,
         });
         node.restart_pending = false;
-        node.examined = None;
+        node.last_view = None;
         node.was_excluded = false;
     }
 
-    /// What the actors of a node share.
+    /// Creates the state that the actors of a node share.
     fn new_shared(&self, node: usize, settings: u64) -> Rc<Shared> {
         let shared = Shared::new(NODE_DESCRIPTORS, NODE_MEMORY_MB);
         shared.active_configuration.set(ActiveConfiguration {
@@ -232,9 +235,9 @@
             list: 0,
         });
         shared.lifecycle.borrow_mut().endpoint_list_received();
-        shared.admin_enabled.set(self.plan.console);
+        shared.admin_enabled.set(self.plan.admin_enabled);
         let _ = shared.hollow.set(Hollow {
-            folder: self.folder.clone(),
+            folder: self.vote_folder.clone(),
             reloads: Cell::new(0),
         });
         let partitioned = self.partitioned.clone();
@@ -247,7 +250,7 @@
         shared
     }
 
-    /// The fleet's actor and the hollow module of a node.
+    /// Returns a future that runs the fleet actor and the hollow module of a node.
     fn node_actors(
         &self,
         node: &HollowNode,
@@ -255,37 +258,37 @@
         counters: Rc<ModuleCounters>,
         began: Micros,
     ) -> impl Future<Output = ()> + 'static {
-        let socket = node
-            .socket
-            .try_clone()
-            .and_then(Async::new)
-            .expect("a descriptor: there are enough of them, as was checked before the run");
+        let socket = node.socket.try_clone().and_then(Async::new).expect(
+            "a descriptor is available, because the run checked the limit before it started",
+        );
         let address = node
             .socket
             .local_addr()
-            .expect("the address of a bound socket");
-        let (module, mailbox) = bounded(MAILBOX);
+            .expect("a bound socket has a local address");
+        let (dispatcher_events, events) = bounded(MAILBOX_CAPACITY);
         let (coordinator, migrations) = bounded(1);
         let service = MembershipService {
             name: self.plan.name(node.number),
             incarnation: began,
             config: self.plan.fleet_config(&self.seeds),
             configured_gateways: self.plan.managers as u32,
-            dispatcher: module,
+            dispatcher: dispatcher_events,
             coordinator,
         };
-        let seed = self.plan.seed ^ (node.number as u64) << 32 ^ node.earlier.wants;
+        let seed =
+            self.plan.seed ^ (node.number as u64) << 32 ^ node.past_incarnations.load_requests;
         let module = HollowModule {
             node: node.number,
             plan: self.plan.clone(),
             observations: self.observations.clone(),
             shared: shared.clone(),
-            mailbox,
+            events,
             counters,
             random: Pcg32::seed_from_u64(seed),
         };
         async move {
-            // Keeps the channel to the coordinator's actor open, which a hollow node lacks.
+            // Keeps the channel to the coordinator's actor open, because a hollow node has no such
+            // actor.
             let _migrations = migrations;
             let fleet = service.run(shared.clone(), Some(socket), address);
             let actors = or(fleet, module.run());
--- a/src/testkit/scale/hollow_module.rs
+++ b/src/testkit/scale/hollow_module.rs
@@ -15,64 +15,64 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The time that an engine is said to take to answer a probe.
-const ANSWER: Micros = 300;
+/// Latency of a probe that the module reports, in microseconds.
+const PROBE_LATENCY: Micros = 300;
 
-/// What a hollow module counts.
+/// The counters of a hollow module.
 #[derive(Default)]
 pub struct ModuleCounters {
-    /// Engine loads that it wanted.
-    pub wants: Cell<u64>,
-    /// Probes that it was ordered to send, for itself and for others.
+    /// Engine loads that it requested.
+    pub load_requests: Cell<u64>,
+    /// Probes that it was requested to send, for itself and for others.
     pub probes: Cell<u64>,
     /// Probe results that it received from lease holders.
     pub shared_results: Cell<u64>,
 }
 
-/// What a hollow module needs to run.
+/// The stand-in for a dispatcher, with what it needs to run.
 pub struct HollowModule {
     /// The node's number.
     pub node: usize,
     /// The run's plan.
     pub plan: Arc<Plan>,
-    /// Where it records the leases that the node holds.
+    /// Records the leases that the node holds.
     pub observations: Arc<Observations>,
-    /// What the node's actors share.
+    /// The state that the node's actors share.
     pub shared: Rc<Shared>,
-    /// What the fleet's actor sends to the dispatcher.
-    pub mailbox: Receiver<DispatcherEvent>,
-    /// What it counts.
+    /// The events that the fleet actor sends to the dispatcher.
+    pub events: Receiver<DispatcherEvent>,
+    /// The module's counters.
     pub counters: Rc<ModuleCounters>,
-    /// Picks engines and times.
+    /// Random generator that picks engines and times.
     pub random: Pcg32,
 }
 
 impl HollowModule {
-    /// Stands in for the dispatcher: answers probes at once, and wants the load of some engine at
-    /// random intervals around the plan's mean. Never ends.
+    /// Stands in for the dispatcher: reports the result of each probe at once, and requests the
+    /// load of a random engine at random intervals around the plan's mean. Never returns.
     pub async fn run(mut self) {
-        let interval = self.want_interval();
-        let mut want_at = interval.map(|interval| clock::turn() + self.random_below(interval));
+        let interval = self.load_request_interval();
+        let mut request_at = interval.map(|interval| clock::turn() + self.random_below(interval));
         loop {
-            let event = or(async { self.mailbox.recv().await.ok() }, async {
-                sleep_until(want_at).await;
+            let event = or(async { self.events.recv().await.ok() }, async {
+                sleep_until(request_at).await;
                 None
             });
             match event.await {
                 Some(event) => self.handle(event),
                 None => {
-                    self.want_some_load();
-                    want_at = interval
+                    self.request_random_load();
+                    request_at = interval
                         .map(|interval| clock::turn() + interval / 2 + self.random_below(interval));
                 }
             }
         }
     }
 
-    /// The mean interval between two wanted loads, if it wants any.
-    fn want_interval(&self) -> Option<Micros> {
-        let wants_any = self.plan.wants > 0.0 && self.plan.engines > 0;
-        wants_any.then(|| (SEC as f64 / self.plan.wants) as Micros)
+    /// Returns the mean interval between two load requests, if the plan has any.
+    fn load_request_interval(&self) -> Option<Micros> {
+        let has_requests = self.plan.load_requests_per_s > 0.0 && self.plan.engines > 0;
+        has_requests.then(|| (SEC as f64 / self.plan.load_requests_per_s) as Micros)
     }
 
     fn random_below(&mut self, bound: u64) -> u64 {
@@ -87,7 +87,7 @@
                 let load = [1.0, 0.5, 0.0, 0.0];
                 let result = ProbeResult {
                     status: ProbeStatus::Succeeded,
-                    latency: ANSWER,
+                    latency: PROBE_LATENCY,
                     load_fields: 2,
                     load,
                 };
@@ -113,8 +113,10 @@
         }
     }
 
-    fn want_some_load(&mut self) {
-        self.counters.wants.set(self.counters.wants.get() + 1);
+    fn request_random_load(&mut self) {
+        self.counters
+            .load_requests
+            .set(self.counters.load_requests.get() + 1);
         let engine = 1 + self.random_below(self.plan.engines);
         self.send(ProbeRequest::LoadRequested { engine });
     }
--- a/src/testkit/scale/hollow_node.rs
+++ b/src/testkit/scale/hollow_node.rs
@@ -1,4 +1,5 @@
-//! One hollow node: its address, its incarnations, its figures, and its scheduling within its thread.
+//! One hollow node: its address, its incarnations, its readings, and its scheduling within its
+//! thread.
 use super::hollow_module::ModuleCounters;
 use crate::audit::ActiveConfiguration;
 use crate::clock::{self, Micros};
@@ -15,19 +16,19 @@
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
 
-/// Upper bound on the size of a datagram.
+/// Maximum size of a datagram.
 const MAX_DATAGRAM_BYTES: usize = 1 << 16;
-/// Nodes on each network 127.64.N.0/24.
+/// Number of nodes on each network 127.64.N.0/24.
 const NODES_PER_NETWORK: usize = 250;
 
-/// The address of a node, with port 0.
+/// Returns the address of a node, with port 0.
 pub fn node_address(node: usize) -> SocketAddr {
     let network = 1 + (node / NODES_PER_NETWORK) as u8;
     let host = 1 + (node % NODES_PER_NETWORK) as u8;
     SocketAddr::from((Ipv4Addr::new(127, 64, network, host), 0))
 }
 
-/// The node at this address, if it is a node's.
+/// Returns the number of the node at this address, if it is the address of a node.
 pub fn node_at(address: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(address) = address else {
         return None;
@@ -44,18 +45,18 @@
 pub struct Suspendable<F> {
     /// The node's actors.
     pub actors: Pin<Box<F>>,
-    /// Whether they run, and for how long they did.
+    /// Whether the actors may run, and for how long they ran.
     pub state: Rc<RunState>,
 }
 
-/// Whether a node runs, and how long its actors did.
+/// Whether a node may run, and for how long its actors ran.
 #[derive(Default)]
 pub struct RunState {
     /// A suspended node is not polled.
     pub suspended: Cell<bool>,
-    /// Kept while it is suspended.
+    /// Waker of the last poll while the node was suspended.
     waker: RefCell<Option<Waker>>,
-    /// How long its actors ran, by the clock.
+    /// Time that the node's actors ran, by the clock.
     pub busy: Cell<Duration>,
 }
 
@@ -75,30 +76,31 @@
     }
 }
 
-/// The figures of one node, over all its incarnations.
+/// The values read from one node, over all its incarnations.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NodeReading {
     /// The node's number.
     pub node: usize,
-    /// When its present incarnation began, in microseconds.
+    /// Start of its current incarnation, in microseconds.
     pub incarnation: Micros,
-    /// What it sent and received.
+    /// Traffic that it sent and received.
     pub counts: TrafficCounts,
-    /// What is left unread in its socket, or was at the end of an incarnation.
+    /// Datagrams that are unread in its socket, or were at the end of an incarnation.
     pub unread: Flow,
-    /// How long its actors ran.
+    /// Time that its actors ran.
     pub busy: Duration,
-    /// Engine loads that its module wanted.
-    pub wants: u64,
+    /// Engine loads that its module requested.
+    pub load_requests: u64,
     /// Probes that it sent, for itself and for others.
     pub probes: u64,
     /// Probe results that it received from lease holders.
     pub shared_results: u64,
     /// How often it would have reloaded its configuration.
     pub reloads: u64,
-    /// How often it was seen to exclude itself because it was behind the majority.
+    /// How often it was observed to have excluded itself because it was outdated: behind the
+    /// majority.
     pub exclusions: u64,
-    /// Others that it considers alive.
+    /// Number of others that it considers alive.
     pub alive: usize,
     /// Datagrams that it dropped because they were invalid.
     pub dropped: u64,
@@ -116,16 +118,16 @@
 /// One hollow node.
 pub(super) struct HollowNode {
     pub(super) number: usize,
-    /// Kept open between incarnations, so that its address stays its own.
+    /// Stays open between incarnations, so that no other socket takes its address.
     pub(super) socket: UdpSocket,
     pub(super) incarnation: Option<Incarnation>,
-    /// The figures of earlier incarnations.
-    pub(super) earlier: NodeReading,
+    /// The readings of past incarnations.
+    pub(super) past_incarnations: NodeReading,
     /// The view that was examined last.
-    pub(super) examined: Option<Rc<FleetView>>,
+    pub(super) last_view: Option<Rc<FleetView>>,
     /// Whether it was excluded when it was examined last.
     pub(super) was_excluded: bool,
-    /// It starts again once its present incarnation has ended.
+    /// Whether to start the node again once its current incarnation has ended.
     pub(super) restart_pending: bool,
 }
 
@@ -135,17 +137,17 @@
             number,
             socket,
             incarnation: None,
-            earlier: NodeReading {
+            past_incarnations: NodeReading {
                 node: number,
                 ..NodeReading::default()
             },
-            examined: None,
+            last_view: None,
             was_excluded: false,
             restart_pending: false,
         }
     }
 
-    /// Its incarnation, unless it is suspended.
+    /// Returns the current incarnation, unless the node is suspended.
     pub(super) fn running(&self) -> Option<&Incarnation> {
         self.incarnation
             .as_ref()
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Asks its incarnation to stop; one that is suspended ends at once.
+    /// Begins the shutdown of a running incarnation; ends a suspended one at once.
     pub(super) fn begin_restart(&mut self) {
         self.restart_pending = true;
         match self.running() {
@@ -183,18 +185,18 @@
         }
     }
 
-    /// Ends its incarnation, if there is one. What its socket still holds is counted as unread.
+    /// Ends the current incarnation, if there is one. Datagrams left in the socket count as unread.
     pub(super) fn end_incarnation(&mut self) {
         if self.incarnation.is_some() {
-            self.earlier = NodeReading {
-                unread: self.earlier.unread.plus(self.drain_socket()),
+            self.past_incarnations = NodeReading {
+                unread: self.past_incarnations.unread.plus(self.drain_socket()),
                 ..self.read(false)
             };
             self.incarnation = None;
         }
     }
 
-    /// Reads and counts what waits in the socket.
+    /// Reads and counts the datagrams that wait in the socket.
     fn drain_socket(&self) -> Flow {
         let mut flow = Flow::default();
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
@@ -204,9 +206,10 @@
         flow
     }
 
-    /// Its figures; with what waits in its socket if that is to be drained.
+    /// Returns the node's reading, including the datagrams that wait in its socket if
+    /// `drain_socket`.
     pub(super) fn read(&self, drain_socket: bool) -> NodeReading {
-        let mut reading = self.earlier;
+        let mut reading = self.past_incarnations;
         if drain_socket {
             reading.unread = reading.unread.plus(self.drain_socket());
         }
@@ -219,7 +222,7 @@
         reading.incarnation = incarnation.began;
         reading.counts = reading.counts.plus(&shared.traffic.counts());
         reading.busy += incarnation.state.busy.get();
-        reading.wants += counters.wants.get();
+        reading.load_requests += counters.load_requests.get();
         reading.probes += counters.probes.get();
         reading.shared_results += counters.shared_results.get();
         reading.reloads += shared.hollow.get().map_or(0, |hollow| hollow.reloads.get());
@@ -229,7 +232,7 @@
     }
 }
 
-/// How many others a node considers alive.
+/// Returns how many other members a view has as alive.
 fn others_alive(view: &FleetView) -> usize {
     view.members
         .iter()
--- a/src/testkit/scale/observations.rs
+++ b/src/testkit/scale/observations.rs
@@ -1,5 +1,5 @@
-//! What the hollow nodes of all threads observed, and when: written by their threads, read by the
-//! thread that drives the run.
+//! The observations of the hollow nodes and their times. The nodes' threads record them, and the
+//! thread that drives the run reads them.
 use crate::lease::FencingToken;
 use crate::membership::MemberState;
 use crate::net::fleet::membership::FleetView;
@@ -8,16 +8,16 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// A condition on the view that a node has of the fleet.
+/// A condition on a node's view of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Condition {
     /// No condition: the nodes' views are not examined.
     None,
-    /// At least this many others are alive.
+    /// At least this many other members are alive.
     OthersAlive(usize),
     /// The member of this name is dead.
     Dead(String),
-    /// All members that are neither dead nor left act on settings with this hash.
+    /// All members whose state is neither dead nor left have active settings with this hash.
     Settings(u64),
     /// The member of this name is alive in an incarnation that began at this time, in microseconds,
     /// or later.
@@ -25,7 +25,7 @@
 }
 
 impl Condition {
-    /// Whether the condition is met in one node's view.
+    /// Returns whether the condition is met in one node's view.
     pub fn is_met(&self, view: &FleetView) -> bool {
         let mut rows = view.members.iter();
         match self {
@@ -58,107 +58,110 @@
     pub node: usize,
     /// The fencing token of the lease.
     pub token: FencingToken,
-    /// When the node acquired it, in milliseconds of the run.
+    /// When the node acquired the lease, in milliseconds since the start of the run.
     pub since_ms: u64,
 }
 
-/// At how many nodes a condition is met, and since when.
+/// The number of nodes at which a condition is met, and since when.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConditionProgress {
-    /// Nodes at which it is met now.
+    /// Number of nodes at which it is met now.
     pub met: usize,
-    /// Nodes that were asked.
-    pub asked: usize,
-    /// When half of those at which it is met had met it, in milliseconds of the run.
+    /// Number of nodes that should meet it.
+    pub total: usize,
+    /// Time at which half of the nodes that meet it had met it, in milliseconds since the start of
+    /// the run.
     pub median_ms: u64,
-    /// When the last of them met it, in milliseconds of the run.
+    /// Time at which the last of these nodes met it, in milliseconds since the start of the run.
     pub last_ms: u64,
 }
 
 impl ConditionProgress {
-    /// Whether the condition is met at all nodes that were asked.
+    /// Returns whether the condition is met at all nodes that should meet it.
     pub fn is_complete(&self) -> bool {
-        self.met == self.asked
+        self.met == self.total
     }
 }
 
-/// Low bits of a [`MetSince`] that hold the time.
+/// Number of low bits of a [`PackedMetTime`] that hold the time.
 const TIME_BITS: u32 = 40;
 
-/// Since when a node meets a condition, in one atomic integer: the condition's number in the high bits,
-/// so that what was observed of an earlier condition does not count, and the time plus one in the
-/// low bits. 0 if it is not met.
+/// The time since which a node meets a condition, packed into one integer that is stored
+/// atomically. The high bits hold the condition's number, so that observations of an earlier
+/// condition are ignored, and the low bits hold the time in milliseconds plus one. 0 if the
+/// condition is not met.
 #[derive(Clone, Copy)]
-struct MetSince(u64);
+struct PackedMetTime(u64);
 
-impl MetSince {
-    const NOT_MET: MetSince = MetSince(0);
+impl PackedMetTime {
+    const NOT_MET: PackedMetTime = PackedMetTime(0);
 
-    fn new(condition: u64, at_ms: u64) -> MetSince {
-        MetSince(condition << TIME_BITS | (at_ms + 1))
+    fn new(condition: u64, at_ms: u64) -> PackedMetTime {
+        PackedMetTime(condition << TIME_BITS | (at_ms + 1))
     }
 
-    /// The time in milliseconds, if it is this condition that is met.
+    /// Returns the time in milliseconds, if it was recorded for this condition.
     fn time_ms(self, condition: u64) -> Option<u64> {
         let is_met = self.0 != 0 && self.0 >> TIME_BITS == condition;
         is_met.then(|| (self.0 & ((1 << TIME_BITS) - 1)) - 1)
     }
 }
 
-/// What all nodes observed.
+/// The observations of all nodes.
 pub struct Observations {
     started: Instant,
-    /// A [`MetSince`] for each node.
-    met_since: Vec<AtomicU64>,
-    /// By the engine's number.
+    /// A [`PackedMetTime`] for each node.
+    met_times: Vec<AtomicU64>,
+    /// Lease holders by the engine's number.
     holders: Mutex<BTreeMap<u64, LeaseHolder>>,
-    /// For each thread: its largest wake-up delay since the last reset, in microseconds.
+    /// The largest wake-up delay of each thread since the last reset, in microseconds.
     wake_delays_us: Vec<AtomicU64>,
 }
 
 impl Observations {
-    /// Of this many nodes on this many threads. The time of the run starts now.
+    /// Creates the observations of this many nodes on this many threads. The time of the run starts
+    /// now.
     pub fn new(nodes: usize, threads: usize) -> Observations {
         let zeros = |count| (0..count).map(|_| AtomicU64::new(0)).collect();
         Observations {
             started: Instant::now(),
-            met_since: zeros(nodes),
+            met_times: zeros(nodes),
             holders: Mutex::default(),
             wake_delays_us: zeros(threads),
         }
     }
 
-    /// Milliseconds since the start of the run.
+    /// Returns the milliseconds since the start of the run.
     pub fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Records whether a node meets the condition with this number. The time of the first record in a
-    /// row counts.
+    /// Records whether a node meets the condition with this number. While it stays met, the time of
+    /// the first record is kept.
     pub fn record_condition(&self, node: usize, condition: u64, is_met: bool) {
-        let recorded = MetSince(self.met_since[node].load(Ordering::Relaxed));
+        let recorded = PackedMetTime(self.met_times[node].load(Ordering::Relaxed));
         let was_met = recorded.time_ms(condition).is_some();
         if was_met != is_met {
             let next = if is_met {
-                MetSince::new(condition, self.now_ms())
+                PackedMetTime::new(condition, self.now_ms())
             } else {
-                MetSince::NOT_MET
+                PackedMetTime::NOT_MET
             };
-            self.met_since[node].store(next.0, Ordering::Relaxed);
+            self.met_times[node].store(next.0, Ordering::Relaxed);
         }
     }
 
-    /// How far the condition with this number is met at these nodes.
+    /// Returns at how many of these nodes the condition with this number is met.
     pub fn progress(&self, condition: u64, nodes: &[usize]) -> ConditionProgress {
         let mut times_ms: Vec<u64> = nodes
             .iter()
-            .map(|node| MetSince(self.met_since[*node].load(Ordering::Relaxed)))
-            .filter_map(|since| since.time_ms(condition))
+            .map(|node| PackedMetTime(self.met_times[*node].load(Ordering::Relaxed)))
+            .filter_map(|met| met.time_ms(condition))
             .collect();
         times_ms.sort_unstable();
         ConditionProgress {
             met: times_ms.len(),
-            asked: nodes.len(),
+            total: nodes.len(),
             median_ms: times_ms.get(times_ms.len() / 2).copied().unwrap_or(0),
             last_ms: times_ms.last().copied().unwrap_or(0),
         }
@@ -188,7 +191,7 @@
         }
     }
 
-    /// The holders of all leases, by the engines' numbers.
+    /// Returns the holders of all leases, by the engines' numbers.
     pub fn lease_holders(&self) -> BTreeMap<u64, LeaseHolder> {
         self.holders
             .lock()
@@ -196,12 +199,13 @@
             .unwrap_or_default()
     }
 
-    /// Records that a thread woke this much later than it was due.
+    /// Records the wake-up delay of a thread, in microseconds.
     pub fn record_wake_delay(&self, thread: usize, delay_us: u64) {
         self.wake_delays_us[thread].fetch_max(delay_us, Ordering::Relaxed);
     }
 
-    /// The largest wake-up delay of all threads since the last call, in microseconds; resets it.
+    /// Returns the largest wake-up delay of all threads since the last call, in microseconds, and
+    /// resets it.
     pub fn take_max_wake_delay_us(&self) -> u64 {
         self.wake_delays_us
             .iter()
@@ -210,7 +214,7 @@
             .unwrap_or(0)
     }
 
-    /// The largest wake-up delay of all threads so far, in microseconds.
+    /// Returns the largest wake-up delay of all threads since the last reset, in microseconds.
     pub fn max_wake_delay_us(&self) -> u64 {
         self.wake_delays_us
             .iter()
--- a/src/testkit/scale/plan.rs
+++ b/src/testkit/scale/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a run with a fleet of hollow nodes.
+//! The parameters of a run with a fleet of hollow nodes.
 use super::capacity_check::{CapacityError, FleetRequirements};
 use crate::config::fleet::{FleetConfig, LeaseConfig};
 use crate::lease::{LeaseTiming, LeaseTimingError};
@@ -8,79 +8,81 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Sizes of fleets that can be run.
+/// Valid number of nodes in a fleet.
 const NODES: RangeInclusive<usize> = 3..=5_000;
-/// Upper bound on the voters.
+/// Maximum number of voters.
 const MAX_VOTERS: usize = 15;
-/// Rates at which a node's module may want engine loads, per second.
-const WANTS_PER_S: RangeInclusive<f64> = 0.0..=1e3;
-/// Nodes that a thread has at least, if there are enough of them.
+/// Valid rate at which a node's module requests engine loads, per second.
+const LOAD_REQUESTS_PER_S: RangeInclusive<f64> = 0.0..=1e3;
+/// Minimum number of nodes per thread, if there are enough nodes.
 const MIN_NODES_PER_THREAD: usize = 16;
 
-/// Why a plan can't be run.
+/// Reason why a plan is rejected.
 #[derive(Clone, Debug, Error)]
 pub enum PlanError {
     /// There are too few or too many nodes, or no thread.
-    #[error("a run takes 3 to 5000 managers and a thread at least")]
-    Size,
+    #[error("a run needs 3 to 5000 managers and at least one thread")]
+    NodesOrThreads,
     /// The number of voters is even or too large.
-    #[error("voters have to be an odd number, 15 and all managers at most")]
+    #[error("the number of voters must be odd, at most 15, and at most the number of managers")]
     Voters,
-    /// The rate of wanted loads or the number of restarts is out of range.
-    #[error("wants from 0 to 1000 a second, and no more restarts than managers")]
+    /// The rate of load requests or the number of restarts is out of range.
+    #[error(
+        "load requests must be from 0 to 1000 per second, and restarts at most the number of managers"
+    )]
     Rates,
-    /// The membership's timing is invalid.
+    /// The timing of the membership protocol is invalid.
     #[error("{0}")]
     Timing(#[from] TimingError),
-    /// The leases' timing is invalid.
+    /// The timing of the leases is invalid.
     #[error(transparent)]
     LeaseTiming(#[from] LeaseTimingError),
-    /// The machine has too little for the run.
+    /// The machine lacks the descriptors or the memory for the run.
     #[error(transparent)]
     Capacity(#[from] CapacityError),
 }
 
-/// What is run.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Hollow nodes, each in place of a manager.
+    /// Number of hollow nodes, each in place of a manager.
     pub managers: usize,
-    /// Engines, whose loads they want.
+    /// Number of engines whose loads the nodes request.
     pub engines: u64,
-    /// Nodes that are voters; without any there are no leases.
+    /// Number of nodes that are voters; without voters there are no leases.
     pub voters: usize,
-    /// How often a second the module of each node wants the load of some engine.
-    pub wants: f64,
-    /// The same seed picks the same engines and the same node to stop.
+    /// How often per second the module of each node requests the load of an engine.
+    pub load_requests_per_s: f64,
+    /// Random seed: the same seed picks the same engines and the same node to stop.
     pub seed: u64,
-    /// Threads.
+    /// Number of threads.
     pub threads: usize,
-    /// The membership's timing.
+    /// Timing of the membership protocol.
     pub timing: Timing,
-    /// The leases' timing.
-    pub terms: LeaseTiming,
+    /// Timing of the leases.
+    pub lease_timing: LeaseTiming,
     /// Whether the nodes publish their leases, as daemons with an admin endpoint do.
-    pub console: bool,
-    /// Further members that each node contacts at its start: real daemons.
-    pub greet: Vec<SocketAddr>,
-    /// Time between the start and quiet traffic, and after each disturbance.
+    pub admin_enabled: bool,
+    /// Addresses of real daemons that each node contacts at its start, beside the seed nodes.
+    pub extra_seeds: Vec<SocketAddr>,
+    /// Settling time between the start and quiet traffic, and after each disturbance.
     pub settle: Duration,
-    /// How long quiet traffic is counted.
+    /// How long quiet traffic is measured.
     pub quiet: Duration,
     /// How long a third of the nodes is partitioned; zero for no partition.
-    pub cut: Duration,
-    /// Nodes that are restarted one after the other.
-    pub rolling: usize,
-    /// How long one event is waited for.
-    pub patience: Duration,
-    /// The run fails after this time.
+    pub partition_duration: Duration,
+    /// Number of nodes that are restarted one after the other.
+    pub restarts: usize,
+    /// Maximum time to wait until all nodes have observed an event.
+    pub event_timeout: Duration,
+    /// Maximum duration of the run, after which it fails.
     pub limit: Duration,
-    /// Whether progress is written to standard error, a line a second.
+    /// Whether to write a progress line to standard error every second.
     pub progress: bool,
 }
 
 impl Plan {
-    /// The default plan for this many managers and engines.
+    /// Returns the default plan for this many managers and engines.
     pub fn new(managers: usize, engines: u64) -> Plan {
         let cores = std::thread::available_parallelism().map_or(1, usize::from);
         let useful_threads = managers.div_ceil(MIN_NODES_PER_THREAD);
@@ -88,41 +90,41 @@
             managers,
             engines,
             voters: 5,
-            wants: 1.0,
+            load_requests_per_s: 1.0,
             seed: 1,
             threads: cores.min(useful_threads).max(1),
             timing: Timing::default(),
-            terms: LeaseTiming::default(),
-            console: false,
-            greet: Vec::new(),
+            lease_timing: LeaseTiming::default(),
+            admin_enabled: false,
+            extra_seeds: Vec::new(),
             settle: Duration::from_secs(10),
             quiet: Duration::from_secs(20),
-            cut: Duration::ZERO,
-            rolling: 0,
-            patience: Duration::from_secs(120),
+            partition_duration: Duration::ZERO,
+            restarts: 0,
+            event_timeout: Duration::from_secs(120),
             limit: Duration::from_secs(300),
             progress: false,
         }
     }
 
-    /// The name of a node.
+    /// Returns the member name of a node.
     pub fn name(&self, node: usize) -> String {
         format!("m{node:04}")
     }
 
-    /// The nodes that are voters, spread evenly over the fleet.
+    /// Returns the numbers of the nodes that are voters, spread evenly over the fleet.
     pub fn voter_nodes(&self) -> Vec<usize> {
         (0..self.voters)
             .map(|voter| voter * self.managers / self.voters)
             .collect()
     }
 
-    /// Whether a node is in the third that is partitioned from the others.
+    /// Returns whether a node is in the third of the fleet that is partitioned from the others.
     pub fn in_partition(&self, node: usize) -> bool {
         node < self.managers / 3
     }
 
-    /// The fleet configuration of each node.
+    /// Returns the fleet configuration that all nodes use.
     pub fn fleet_config(&self, seeds: &[SocketAddr]) -> FleetConfig {
         let voters: Vec<String> = self
             .voter_nodes()
@@ -138,25 +140,26 @@
             audit: None,
             leases: (!voters.is_empty()).then_some(LeaseConfig {
                 voters,
-                terms: self.terms,
+                terms: self.lease_timing,
             }),
         }
     }
 
-    /// Refuses a plan that can't be run, or not on this machine.
+    /// Returns an error if the plan is invalid or this machine lacks the capacity for it.
     pub fn check(&self) -> Result<(), PlanError> {
         if !NODES.contains(&self.managers) || self.threads == 0 {
-            return Err(PlanError::Size);
+            return Err(PlanError::NodesOrThreads);
         }
         let is_even = self.voters > 0 && self.voters.is_multiple_of(2);
         if is_even || self.voters > self.managers.min(MAX_VOTERS) {
             return Err(PlanError::Voters);
         }
-        if !WANTS_PER_S.contains(&self.wants) || self.rolling > self.managers {
+        if !LOAD_REQUESTS_PER_S.contains(&self.load_requests_per_s) || self.restarts > self.managers
+        {
             return Err(PlanError::Rates);
         }
         self.timing.validate()?;
-        self.terms.validate()?;
+        self.lease_timing.validate()?;
         Ok(FleetRequirements::of(self).check_machine()?)
     }
 }
--- a/tests/scale_fleet.rs
+++ b/tests/scale_fleet.rs
@@ -1,6 +1,6 @@
-//! Hollow nodes on real sockets: they find each other, each datagram is accounted for, they and a
-//! real daemon are members to each other, and a thread that ends early fails the run. Counts and
-//! bounds only, no speeds.
+//! Fleets of hollow nodes on real sockets: the nodes find each other, each datagram is accounted
+//! for, the nodes and a real daemon have each other as members, and a thread that ends early fails
+//! the run. The tests check counts and bounds, but no speeds.
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use yokelift::testkit::ports::reserve_addr;
 use yokelift::testkit::scale::capacity_check::FleetRequirements;
 use yokelift::testkit::scale::events::Run;
-use yokelift::testkit::scale::figures::{DatagramBalance, Figures};
+use yokelift::testkit::scale::figures::{DatagramBalance, FleetMeasurements};
 use yokelift::testkit::scale::fleet::{HollowFleet, Plan};
 use yokelift::testkit::scale::hollow_node::{node_address, node_at};
 use yokelift::testkit::scale::observations::Condition;
@@ -26,18 +26,18 @@
 const NODES: usize = 8;
 const PERIOD_MS: u64 = 100;
 
-/// Eight nodes with short intervals, twelve engines and three voters.
+/// Returns a plan with eight nodes, short intervals, twelve engines and three voters.
 fn plan() -> Plan {
     Plan {
         voters: 3,
         threads: 2,
-        wants: 10.0,
+        load_requests_per_s: 10.0,
         timing: Timing {
             period_ms: PERIOD_MS,
             probe_ms: 40,
             ..Timing::default()
         },
-        terms: LeaseTiming {
+        lease_timing: LeaseTiming {
             lease_duration_ms: 600,
             safety_margin_ms: 50,
             ..LeaseTiming::default()
@@ -52,32 +52,36 @@
     HollowFleet::new(plan, Arc::default()).expect("a fleet")
 }
 
-/// Plays every event, each after the leases have their first holders.
-fn run_all_events(plan: Plan) -> Figures {
+/// Runs all events; those after the join begin once each lease has its first holder.
+fn run_all_events(plan: Plan) -> FleetMeasurements {
     let mut run = Run::new(new_fleet(plan));
     run.join().expect("all start");
     let all_held = |fleet: &HollowFleet| fleet.observations.lease_holders().len() as u64 == ENGINES;
-    let held = run.fleet.wait_until("each duty has an owner", all_held);
+    let held = run.fleet.wait_until("each lease has a holder", all_held);
     assert!(held.expect("no thread ended"));
-    run.quiet(0).expect("quiet");
-    run.death().expect("a death");
-    run.settings().expect("settings");
-    run.partition().expect("a partition");
+    run.measure_quiet_traffic(0).expect("quiet traffic");
+    run.fail_node().expect("a node failure");
+    run.change_settings().expect("new settings");
+    run.partition_and_heal().expect("a partition");
     run.rolling_restart().expect("restarts");
-    run.finish().expect("the figures")
+    run.finish().expect("the measurements")
 }
 
-/// Every datagram that was sent is found, in bytes too where no socket dropped any.
+/// Asserts that every datagram that was sent is accounted for, and also its bytes if no socket
+/// dropped any.
 fn assert_datagrams_are_accounted_for(balance: &DatagramBalance) {
     let counts = &balance.counts;
     assert_eq!(balance.missing, 0, "{balance:?}");
-    let found = counts.received().plus(counts.blocked).plus(balance.unread);
+    let accounted = counts.received().plus(counts.blocked).plus(balance.unread);
     assert_eq!(
-        found.datagrams + balance.lost,
+        accounted.datagrams + balance.lost,
         counts.sent().datagrams,
         "{balance:?}"
     );
-    assert!(balance.lost > 0 || found == counts.sent(), "{balance:?}");
+    assert!(
+        balance.lost > 0 || accounted == counts.sent(),
+        "{balance:?}"
+    );
     assert!(
         counts.blocked.datagrams > 0 && balance.unread.datagrams > 0,
         "{balance:?}"
@@ -90,36 +94,40 @@
     );
 }
 
-/// Guards the basis of the figures: each event is observed by all nodes, leases pass to other holders,
-/// and every datagram is accounted for.
+/// Guards the basis of the measurements: all nodes observe each event, leases pass to other
+/// holders, and every datagram is accounted for.
 #[test]
 fn every_event_is_observed_by_all_nodes_and_every_datagram_is_accounted_for() {
-    let figures = run_all_events(Plan {
-        cut: Duration::from_secs(1),
-        rolling: 2,
+    let measurements = run_all_events(Plan {
+        partition_duration: Duration::from_secs(1),
+        restarts: 2,
         ..plan()
     });
 
-    assert_eq!(figures.failed, Vec::<String>::new(), "{figures:?}");
+    assert_eq!(
+        measurements.failed,
+        Vec::<String>::new(),
+        "{measurements:?}"
+    );
     assert_eq!(
         (
-            figures.join.had,
-            figures.death.dead.had,
-            figures.settings.had
+            measurements.join.had,
+            measurements.death.dead.had,
+            measurements.settings.had
         ),
         (NODES, NODES - 1, NODES)
     );
     assert!(
-        figures.death.owners_ms.is_some() && figures.death.duties > 0,
+        measurements.death.owners_ms.is_some() && measurements.death.duties > 0,
         "{:?}",
-        figures.death
+        measurements.death
     );
-    let rolling = figures.rolling.expect("a rolling restart");
+    let rolling = measurements.rolling.expect("a rolling restart");
     assert_eq!(rolling.each_ms.iter().flatten().count(), 2);
-    assert_datagrams_are_accounted_for(&figures.accounts);
+    assert_datagrams_are_accounted_for(&measurements.accounts);
 }
 
-/// A daemon that is killed when it is dropped.
+/// A daemon process that is killed when this value is dropped.
 struct RunningDaemon(Child);
 
 impl Drop for RunningDaemon {
@@ -129,7 +137,7 @@
     }
 }
 
-/// Starts a daemon as a member of the fleet at `address`, which contacts `seed` first.
+/// Starts a daemon with the fleet address `address`, which contacts `seed` first.
 fn start_daemon(
     folder: &Folder,
     address: SocketAddr,
@@ -155,7 +163,7 @@
     RunningDaemon(child.expect("the daemon"))
 }
 
-/// How many members a daemon's admin endpoint shows as alive.
+/// Returns how many members a daemon's admin endpoint reports as alive.
 fn alive_members(admin_address: SocketAddr) -> Option<usize> {
     let (status, body) = async_io::block_on(clients::call_admin(admin_address, "GET", "/fleet"))?;
     let rows = body
@@ -165,12 +173,12 @@
     (status == 200).then_some(alive)
 }
 
-/// Guards what the figures stand for: hollow nodes speak the daemon's protocol.
+/// Guards the meaning of the measurements: hollow nodes use the same protocol as real daemons.
 #[test]
 fn hollow_nodes_and_a_real_daemon_are_members_to_each_other() {
     let daemon_address = reserve_addr();
     let mut fleet = new_fleet(Plan {
-        greet: vec![daemon_address],
+        extra_seeds: vec![daemon_address],
         ..plan()
     });
     let folder = Folder::new().expect("a folder");
@@ -180,18 +188,18 @@
     fleet.watch(Condition::OthersAlive(NODES));
     fleet.start_nodes();
     let progress = fleet
-        .wait_for_condition("all and the daemon", &fleet.all_except(&[]))
+        .wait_for_condition("all nodes and the daemon join", &fleet.all_except(&[]))
         .expect("no thread ended");
 
-    assert_eq!((progress.met, progress.asked), (NODES, NODES));
+    assert_eq!((progress.met, progress.total), (NODES, NODES));
     assert!(
         eventually(|| alive_members(admin_address) == Some(NODES + 1)),
-        "the daemon sees {:?} alive",
+        "the daemon reports {:?} members as alive",
         alive_members(admin_address)
     );
 }
 
-/// Guards against plausible figures of a run that lost a part of its nodes.
+/// Guards against plausible results from a run that lost a part of its nodes.
 #[test]
 fn a_thread_that_panics_fails_the_run() {
     let mut run = Run::new(new_fleet(plan()));
@@ -201,14 +209,14 @@
 
     let error = run
         .fleet
-        .pass_time("nothing", Duration::from_secs(60))
+        .pass_time("idle", Duration::from_secs(60))
         .expect_err("a thread ended")
         .to_string();
-    assert!(error.contains("told to panic"), "{error}");
-    assert!(run.settings().is_err() && run.finish().is_err());
+    assert!(error.contains("received the command to panic"), "{error}");
+    assert!(run.change_settings().is_err() && run.finish().is_err());
 }
 
-/// A small run on the command line.
+/// Returns the command line of a small run.
 fn scale_fleet_command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_yokelift-testkit"));
     command
@@ -238,7 +246,7 @@
         .spawn()
         .expect("the test kit");
     let mut lines = BufReader::new(child.stderr.take().expect("its stderr")).lines();
-    // The first line of progress shows that it runs.
+    // The first progress line shows that the run has started.
     assert!(
         lines
             .next()
@@ -256,10 +264,10 @@
     );
 }
 
-/// Guards the machine: a run that it has no capacity for is refused before it starts, and the error
-/// names what is required and what is available.
+/// Guards the machine against overload: a run that it lacks the capacity for is rejected before it
+/// starts, and the error names the required and the available resources.
 #[test]
-fn a_run_without_capacity_is_refused_before_it_starts() {
+fn a_run_without_capacity_is_rejected_before_it_starts() {
     let required = FleetRequirements::of(&Plan::new(460, 910));
     assert_eq!(
         required.check(required.descriptors, required.memory_mib),
@@ -282,27 +290,27 @@
         error.contains(&required.memory_mib.to_string()) && error.contains("MemAvailable"),
         "{error}"
     );
-    let beyond_the_bound = FleetRequirements {
+    let above_the_maximum = FleetRequirements {
         memory_mib: 12 * 1024 + 1,
         ..required
     };
-    assert!(beyond_the_bound.check(u64::MAX, u64::MAX).is_err());
+    assert!(above_the_maximum.check(u64::MAX, u64::MAX).is_err());
 }
 
 #[test]
-fn an_even_number_of_voters_and_too_few_nodes_are_refused() {
-    let is_refused = |plan| HollowFleet::new(plan, Arc::default()).is_err();
-    assert!(is_refused(Plan {
+fn an_even_number_of_voters_and_too_few_nodes_are_rejected() {
+    let is_rejected = |plan| HollowFleet::new(plan, Arc::default()).is_err();
+    assert!(is_rejected(Plan {
         voters: 4,
         ..plan()
     }));
-    assert!(is_refused(Plan {
+    assert!(is_rejected(Plan {
         managers: 2,
         ..plan()
     }));
 }
 
-/// Guards the partition: it decides by a datagram's address alone to which node it is sent.
+/// Guards the partition, which identifies the receiving node of a datagram by its address alone.
 #[test]
 fn a_nodes_address_identifies_it() {
     for node in [0, 1, 249, 250, 459, 4_999] {
