--- a/src/bin/yokelift-testkit/scale.rs
+++ b/src/bin/yokelift-testkit/scale.rs
@@ -32,11 +32,11 @@
     /// The number of runs, each of which measures every point once.
     #[arg(long, default_value_t = 1)]
     plays: usize,
-    /// The measurement window of each point, in seconds [default: 5, or 2 with --quick].
+    /// The window of a point, in seconds [default: 5, or 2 with --quick].
     #[arg(long)]
     seconds: Option<f64>,
-    /// Seconds during which a point with statements sends them before its window [default: 14, or 3
-    /// with --quick].
+    /// Seconds of statements before the window of a point that has some [default: 14, or 3 with
+    /// --quick].
     #[arg(long)]
     settle: Option<f64>,
     /// The number of managers in the daemon's settings.
@@ -51,7 +51,7 @@
     /// Print every measured value as JSON.
     #[arg(long)]
     json: bool,
-    /// Print tables in Markdown, the default without --json.
+    /// Tables in Markdown, as without --json.
     #[arg(long, conflicts_with = "json")]
     markdown: bool,
 }
