--- a/src/config/clickhouse/mod.rs
+++ b/src/config/clickhouse/mod.rs
@@ -1,5 +1,5 @@
-//! The operator's file of the ClickHouse frontend, such as `deploy/clickhouse.toml`: the listen address,
-//! the engines, the users, and the rules that assign statements to classes.
+//! The operator's file of the ClickHouse frontend, such as `deploy/clickhouse.toml`: the listen
+//! address, the engines, the users, and the rules that assign statements to classes.
 mod class_rules;
 mod users;
 
@@ -39,7 +39,8 @@
     pub directory: Option<DirectoryConfig>,
 }
 
-/// An engine. With an address it is always ready; without one it is taken from the coordinator's list.
+/// An engine. With an address it is always ready; without one it is taken from the coordinator's
+/// list.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineConfig {
@@ -79,7 +80,8 @@
     pub tenant: Option<String>,
 }
 
-/// A rule that assigns statements to a class. A statement has to match each condition that is not empty.
+/// A rule that assigns statements to a class. A statement has to match each condition that is not
+/// empty.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassRuleConfig {
--- a/src/config/clickhouse/users.rs
+++ b/src/config/clickhouse/users.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// Compares keys. It always compares all bytes of the shorter one, so that the time does not reveal how
-/// many leading bytes of a guess are right.
+/// Compares keys. It always compares all bytes of the shorter one, so that the time does not reveal
+/// how many leading bytes of a guess are right.
 fn keys_equal(expected: &str, given: &str) -> bool {
     let difference = expected
         .bytes()
--- a/src/config/completeness.rs
+++ b/src/config/completeness.rs
@@ -1,5 +1,5 @@
-//! The check that a new configuration file is complete. At the start, missing keys get defaults, but a
-//! reload must not replace settings by defaults because the file was written only in part.
+//! The check that a new configuration file is complete. At the start, missing keys get defaults,
+//! but a reload must not replace settings by defaults because the file was written only in part.
 use serde_json::Value;
 
 /// The key of the admin endpoint's address.
@@ -9,8 +9,8 @@
 /// The lists in `settings.extra` with one item for each class.
 const PER_CLASS_LISTS: [&str; 3] = ["class_threads", "loads", "blocked_by_loads"];
 
-/// The path of a key that is in the active configuration and not in the new one, or of a list with fewer
-/// items than the new one has classes; `None` if the new one is complete.
+/// The path of a key that is in the active configuration and not in the new one, or of a list with
+/// fewer items than the new one has classes; `None` if the new one is complete.
 pub fn missing_key(new: &Value, active: &Value) -> Option<String> {
     missing_in_object(new, active, "")
         .or_else(|| missing_in_class(new, active))
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -14,8 +14,8 @@
 /// The largest number of voters.
 const MAX_VOTERS: usize = 15;
 
-/// The `[duties]` table: the voters and the timing of the leases on work that one manager does for the
-/// fleet.
+/// The `[duties]` table: the voters and the timing of the leases on work that one manager does for
+/// the fleet.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeaseConfig {
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// The settings that the dispatcher and the frontends use beside those of the policy module: mostly the
-/// names for its numeric ids.
+/// The settings that the dispatcher and the frontends use beside those of the policy module: mostly
+/// the names for its numeric ids.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
     /// The classes' names, indexed by their ids. At the start the order is that of the settings.
@@ -164,7 +164,8 @@
     MaxAttemptsNotPositive,
 }
 
-/// The ids of the classes whose requests carry idempotency keys; `classes` in the order of their ids.
+/// The ids of the classes whose requests carry idempotency keys; `classes` in the order of their
+/// ids.
 pub fn keyed_classes<'a>(classes: impl Iterator<Item = &'a ClassSpec>) -> BTreeSet<u16> {
     (0..)
         .zip(classes)
@@ -173,8 +174,8 @@
         .collect()
 }
 
-/// The names in a list whose items are strings or objects with a `name`. An item without a name gives an
-/// empty one; a missing list gives an empty list.
+/// The names in a list whose items are strings or objects with a `name`. An item without a name
+/// gives an empty one; a missing list gives an empty list.
 fn names_of(list: &Value) -> Vec<String> {
     let name_of = |item: &Value| {
         item.as_str()
--- a/src/startup/clickhouse.rs
+++ b/src/startup/clickhouse.rs
@@ -1,4 +1,5 @@
-//! Start of the ClickHouse frontend: its engines, the state shared by its connections, and its listener.
+//! Start of the ClickHouse frontend: its engines, the state shared by its connections, and its
+//! listener.
 use super::files::ClickHouseFile;
 use super::{StartContext, StartError};
 use crate::backend::clickhouse::Credentials;
@@ -20,8 +21,8 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Step of the sequence of request ids. It is coprime with 2^64, so each number occurs once before any
-/// is repeated.
+/// Step of the sequence of request ids. It is coprime with 2^64, so each number occurs once before
+/// any is repeated.
 const REQUEST_ID_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// The state that is derived from the frontend's file before any actor starts.
@@ -82,8 +83,8 @@
         let dispatcher = context.dispatcher.clone();
         let serving = context.serving.clone();
         context.shared.spawn(async move {
-            // Clients that connect before the first read wait in the listen queue, as the users of the
-            // directory are unknown until then.
+            // Clients that connect before the first read wait in the listen queue, as the users of
+            // the directory are unknown until then.
             if let Some(mut reader) = reader {
                 let pause_s = reader.refresh().await;
                 shared.spawn(reader.run(pause_s));
--- a/src/startup/discovery.rs
+++ b/src/startup/discovery.rs
@@ -9,8 +9,8 @@
 use async_io::Timer;
 use std::time::Duration;
 
-/// The timeout of the coordinator's first message. After it the process serves with the endpoint list
-/// of its configuration.
+/// The timeout of the coordinator's first message. After it the process serves with the endpoint
+/// list of its configuration.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Starts both actors. The endpoint list receives the known events before any of the coordinator's.
--- a/src/startup/error.rs
+++ b/src/startup/error.rs
@@ -29,7 +29,8 @@
     /// The file of the ClickHouse frontend can't be read or is invalid.
     #[error("{0}")]
     ClickHouseFile(#[from] FileError<ClickHouseConfigError>),
-    /// The file of the ClickHouse frontend has names that the settings lack, or an invalid engine id.
+    /// The file of the ClickHouse frontend has names that the settings lack, or an invalid engine
+    /// id.
     #[error("{0}")]
     ClickHouseNames(#[from] ClickHouseConfigError),
     /// The fleet file can't be read.
--- a/src/startup/files.rs
+++ b/src/startup/files.rs
@@ -13,7 +13,8 @@
     config: Option<OsString>,
     /// `PROXY_FLEET`: the fleet file.
     fleet: Option<OsString>,
-    /// `PROXY_CONSOLE`: the admin endpoint's address. It overrides the one in the configuration file.
+    /// `PROXY_CONSOLE`: the admin endpoint's address. It overrides the one in the configuration
+    /// file.
     admin_address: Option<OsString>,
     /// The arguments: the path of the ClickHouse frontend's file, if there is one.
     arguments: Vec<OsString>,
--- a/src/startup/hot_restart.rs
+++ b/src/startup/hot_restart.rs
@@ -1,5 +1,5 @@
-//! Start of the hot restart: the session with the predecessor if there is one, then the acceptance of
-//! successors.
+//! Start of the hot restart: the session with the predecessor if there is one, then the acceptance
+//! of successors.
 use super::sockets::HotRestartSockets;
 use super::{StartContext, readiness};
 use crate::clock;
@@ -13,8 +13,8 @@
 use async_io::Async;
 use std::rc::Rc;
 
-/// Opens the frontends' listeners and accepts successors: at once without a predecessor, otherwise once
-/// this process can serve. Until then only the predecessor accepts clients.
+/// Opens the frontends' listeners and accepts successors: at once without a predecessor, otherwise
+/// once this process can serve. Until then only the predecessor accepts clients.
 pub(super) fn start(context: &StartContext, config: &Config, sockets: HotRestartSockets) {
     let listeners = sockets.listeners;
     let predecessor = sockets.socket_path.map(|socket_path| Predecessor {
--- a/src/startup/listen_address.rs
+++ b/src/startup/listen_address.rs
@@ -9,13 +9,13 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
 
-/// The maximum number of attempts to bind an address in use: its holder may be about to exit, or may
-/// still be starting.
+/// The maximum number of attempts to bind an address in use: its holder may be about to exit, or
+/// may still be starting.
 const MAX_ATTEMPTS: u32 = 10;
 /// The time between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// In this attempt and later ones, a holder without a claim is taken for a process that publishes none,
-/// and the address may be shared with it.
+/// From this attempt on, a holder without a claim counts as a process that publishes none, and the
+/// address may be shared with it.
 const ATTEMPTS_FOR_CLAIM: u32 = 3;
 
 /// Whether an older process of the same manager may listen at the address too.
@@ -27,9 +27,9 @@
     Never,
 }
 
-/// Binds the address. If it is in use, it is shared with an older process of the same manager, or with a
-/// process without a claim, if `sharing` and the system permit that. It is never shared with a process
-/// that claims it for another manager.
+/// Binds the address. If it is in use, it is shared with an older process of the same manager, or
+/// with a process without a claim, if `sharing` and the system permit that. It is never shared with
+/// a process that claims it for another manager.
 pub(super) fn bind(
     address: SocketAddr,
     manager: &ManagerIdentity,
@@ -79,8 +79,8 @@
     }
 }
 
-/// Binds the address if no other process listens there. With [`Sharing::WithSameManager`] other processes
-/// may bind it later.
+/// Binds the address if no other process listens there. With [`Sharing::WithSameManager`] other
+/// processes may bind it later.
 fn bind_exclusively(address: SocketAddr, sharing: Sharing) -> io::Result<Async<TcpListener>> {
     let listener = client::bind(address)?;
     if sharing == Sharing::WithSameManager {
--- a/src/startup/mod.rs
+++ b/src/startup/mod.rs
@@ -1,5 +1,5 @@
-//! Start of the daemon: reads its files, opens its sockets, and starts the actors. [`run`] returns at the
-//! end of the shutdown, after the open requests have ended.
+//! Start of the daemon: reads its files, opens its sockets, and starts the actors. [`run`] returns
+//! at the end of the shutdown, after the open requests have ended.
 mod clickhouse;
 mod discovery;
 mod error;
@@ -38,7 +38,8 @@
 /// The state that the steps of the start share.
 struct StartContext {
     shared: Rc<Shared>,
-    /// Unix time of the process's start, which identifies the process among those with the same name.
+    /// Unix time of the process's start, which identifies the process among those with the same
+    /// name.
     incarnation: Micros,
     names: LiveNames,
     dispatcher: Sender<DispatcherEvent>,
--- a/src/startup/signals.rs
+++ b/src/startup/signals.rs
@@ -1,5 +1,5 @@
-//! Signals: SIGTERM and SIGINT begin the shutdown, SIGHUP reloads the configuration, SIGUSR1 prints the
-//! counters.
+//! Signals: SIGTERM and SIGINT begin the shutdown, SIGHUP reloads the configuration, SIGUSR1 prints
+//! the counters.
 use super::{StartContext, StartError};
 use crate::clock;
 use crate::log;
@@ -34,18 +34,18 @@
 async fn reload_configuration(reload: &Reload) -> DispatcherEvent {
     match reload.reload().await {
         Ok(()) => {
-            log!("reloaded the configuration");
+            log!("reload: the new configuration is in force");
             DispatcherEvent::ReloadSucceeded
         }
         Err(error) => {
-            log!("configuration reload failed, the previous configuration stays in force: {error}");
+            log!("reload: failed, the previous configuration stays in force: {error}");
             DispatcherEvent::ReloadFailed
         }
     }
 }
 
 fn begin_shutdown(shared: &Shared) -> DispatcherEvent {
-    log!("shutdown requested by a signal: completing the open requests");
+    log!("shutdown: requested by a signal, completing the open requests");
     shared.lifecycle.borrow_mut().begin_shutdown(clock::turn());
     DispatcherEvent::Shutdown
 }
--- a/src/startup/sockets.rs
+++ b/src/startup/sockets.rs
@@ -41,8 +41,8 @@
 
 /// The sockets and the state for the sessions with the predecessor and with successors.
 pub(super) struct HotRestartSockets {
-    /// The socket at which successors connect. `None` without an admin endpoint, which a hot restart
-    /// requires, or without `$TMPDIR`.
+    /// The socket at which successors connect. `None` without an admin endpoint, which a hot
+    /// restart requires, or without `$TMPDIR`.
     pub(super) socket_path: Option<PathBuf>,
     /// The listeners and state that the predecessor transferred.
     pub(super) transferred: Option<TransferredState>,
@@ -116,8 +116,8 @@
     }
 }
 
-/// Publishes the claims before the addresses are bound: of two managers that start at once, the one that
-/// finds the address in use then also finds the claim of the other.
+/// Publishes the claims before the addresses are bound: of two managers that start at once, the one
+/// that finds the address in use then also finds the claim of the other.
 fn claim_addresses(
     identity: &ManagerIdentity,
     clients: SocketAddr,
@@ -128,15 +128,15 @@
         match AddressClaim::publish(address, identity) {
             Ok(claim) => claims.push(claim),
             Err(error) => log!(
-                "can't publish the claim on {address}, so other managers may share it: {error}"
+                "client address {address}: can't publish the claim, other managers may share the address: {error}"
             ),
         }
     }
     claims
 }
 
-/// The predecessor's listener at this address, or a new one. With an admin endpoint another process of
-/// the same manager may listen at the address too.
+/// The predecessor's listener at this address, or a new one. With an admin endpoint another process
+/// of the same manager may listen at the address too.
 fn listen(
     config: &Config,
     address: SocketAddr,
