--- a/src/lease/shared_probe/mod.rs
+++ b/src/lease/shared_probe/mod.rs
@@ -172,7 +172,7 @@
         (now < cached.received_at + RESULT_CACHE_MICROS).then_some(cached.result)
     }
 
-    /// Handles a peer's request for an engine's load. `is_preferred_owner` tells whether this
+    /// Handles a peer's request for an engine's load. `is_preferred_owner` is whether this
     /// manager should hold the lease.
     pub fn on_request(
         &mut self,
--- a/src/membership/swim/receive.rs
+++ b/src/membership/swim/receive.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether a datagram is from an earlier incarnation of its sender, or from a sender that is
-    /// known as dead or departed and has not refuted that. `is_new` tells whether the sender's
+    /// known as dead or departed and has not refuted that. `is_new` is whether the sender's
     /// update was merged.
     fn is_stale(&self, sender: &MemberUpdate, is_new: bool) -> bool {
         self.members.get(&sender.name).is_some_and(|member| {
--- a/src/net/address_claim.rs
+++ b/src/net/address_claim.rs
@@ -1,11 +1,12 @@
 //! Address claims: publish to other processes on this machine which manager listens at a client
 //! address.
 //!
-//! SO_REUSEPORT lets the successor of a manager listen beside its predecessor, but it also admits any
-//! other process of the same user. Each process therefore publishes a claim before it binds: an
+//! SO_REUSEPORT lets the successor of a manager listen beside its predecessor, but it also admits
+//! any other process of the same user. Each process therefore publishes a claim before it binds: an
 //! abstract Unix socket whose name contains the address, the process id and the manager. The system
-//! removes the name when the process ends, in whichever way, and lists all names in `/proc/net/unix`,
-//! so a claim can be read even while its holder is stopped. Nothing connects to the socket.
+//! removes the name when the process ends, in whichever way, and lists all names in
+//! `/proc/net/unix`, so a claim can be read even while its holder is stopped. Nothing connects to
+//! the socket.
 use super::hot_restart::file_name_component;
 use rustix::net::{AddressFamily, SocketAddrUnix, SocketFlags, SocketType};
 use std::net::SocketAddr;
@@ -22,8 +23,8 @@
 const SEPARATOR: char = '/';
 /// Placeholder in the name of a claim for the state folder of a manager without one.
 const NO_FOLDER: &str = "-";
-/// Length, in bytes, to which a claim shortens the manager's name. Names are compared by the hash of the
-/// whole name.
+/// Length, in bytes, to which a claim shortens the manager's name. Names are compared by the hash
+/// of the whole name.
 const MAX_SHOWN_NAME_BYTES: usize = 24;
 
 /// Identifies a manager: all its processes have the same name and state folder.
@@ -50,8 +51,8 @@
         }
     }
 
-    /// Whether both may identify the same manager: their names are equal, and so are their state folders
-    /// if both have one.
+    /// Whether both may identify the same manager: their names are equal, and so are their state
+    /// folders if both have one.
     fn may_be_same(&self, other: &ManagerIdentity) -> bool {
         let same_folder = match (self.folder, other.folder) {
             (Some(one), Some(other)) => one == other,
@@ -113,7 +114,8 @@
 }
 
 impl AddressClaim {
-    /// Publishes that this process, which belongs to `manager`, listens at the address or is about to.
+    /// Publishes that this process, which belongs to `manager`, listens at the address or is about
+    /// to.
     ///
     /// # Errors
     /// Errors of the system calls.
@@ -156,8 +158,8 @@
     Unknown,
 }
 
-/// Returns which other process holds this address. A process of another manager takes precedence over
-/// one of the same manager.
+/// Returns which other process holds this address. A process of another manager takes precedence
+/// over one of the same manager.
 pub fn address_holder(address: SocketAddr, manager: &ManagerIdentity) -> AddressHolder {
     let unix_sockets = std::fs::read_to_string(UNIX_SOCKETS_FILE).unwrap_or_default();
     holder_among(&unix_sockets, address, manager, std::process::id())
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,6 +1,6 @@
-//! The admin endpoint: its listener, and the actor of each operator's connection. Responses are built
-//! from the lifecycle and from what the dispatcher and other actors published last; a request never
-//! waits for the dispatcher.
+//! The admin endpoint: its listener, and the actor of each operator's connection. Responses are
+//! built from the lifecycle and from what the dispatcher and other actors published last; a request
+//! never waits for the dispatcher.
 use super::{CountGuard, Shared, sleep_until};
 use crate::audit::RecordPosition;
 use crate::clock::{self, MS, Micros, SEC};
--- a/src/net/audit.rs
+++ b/src/net/audit.rs
@@ -1,5 +1,5 @@
-//! The two sides of the audit: the dispatcher's writer, which never blocks, and the audit thread, which
-//! owns the files.
+//! The two sides of the audit: the dispatcher's writer, which never blocks, and the audit thread,
+//! which owns the files.
 use super::Shared;
 use crate::audit::store::Store;
 use crate::audit::{
@@ -221,8 +221,8 @@
         }
     }
 
-    /// Sends the last batch, and waits a limited time until the audit thread has written it: the process
-    /// is about to exit.
+    /// Sends the last batch, and waits a limited time until the audit thread has written it: the
+    /// process is about to exit.
     pub async fn finish(mut self) {
         if let Some(batch) = self.buffer.finish() {
             self.send(batch);
@@ -238,8 +238,8 @@
     }
 }
 
-/// Reads a page for an operator; `None` if no audit is kept. Waits for the audit thread, never for the
-/// dispatcher.
+/// Reads a page for an operator; `None` if no audit is kept. Waits for the audit thread, never for
+/// the dispatcher.
 pub async fn read(
     shared: &Shared,
     after: RecordPosition,
--- a/src/net/contain_panic.rs
+++ b/src/net/contain_panic.rs
@@ -7,8 +7,9 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// Runs a part of an actor; resolves to `None` if it panicked, which is counted and logged. The part is
-/// boxed: an `async` block around it would store it twice, which costs memory for each client connection.
+/// Runs a part of an actor; resolves to `None` if it panicked, which is counted and logged. The
+/// part is boxed: an `async` block around it would store it twice, which costs memory for each
+/// client connection.
 pub struct ContainPanic<F> {
     part: Pin<Box<F>>,
     name: &'static str,
--- a/src/net/discovery/coordinator.rs
+++ b/src/net/discovery/coordinator.rs
@@ -1,5 +1,5 @@
-//! The watch of the coordinator: receives its numbered events, reconnects whenever its connection ends,
-//! and connects to another address when the coordinator migrates.
+//! The watch of the coordinator: receives its numbered events, reconnects whenever its connection
+//! ends, and connects to another address when the coordinator migrates.
 use super::WatchEvent;
 use super::frame::{self, Frame, FrameError, Record};
 use crate::backoff::Backoff;
@@ -27,11 +27,11 @@
 #[derive(Default)]
 pub struct WatchPosition {
     last_index: Cell<u64>,
-    /// Events after `last_index` were missing on a connection. If they are missing again, they are not
-    /// available any more.
-    gap_seen: Cell<bool>,
-    /// Counts the migrations that opened a connection; only the address of the newest one is reconnected
-    /// to.
+    /// Events after `last_index` were missing on a connection. If they are missing again, they are
+    /// not available any more.
+    gap_reported: Cell<bool>,
+    /// Counts the migrations that opened a connection; only the address of the newest one is
+    /// reconnected to.
     generation: Cell<u64>,
 }
 
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Starts a new connection; returns the request to write on it, the number of the last event received.
+    /// Starts a new connection; returns the request to write on it, the number of the last event
+    /// received.
     pub fn begin_connection(&mut self) -> [u8; 8] {
         self.input.clear();
         self.position.last_index.get().to_be_bytes()
@@ -95,8 +96,8 @@
     ///
     /// # Errors
     ///
-    /// The connection must be closed, as nothing new came before the fault. After new events a
-    /// fault is reported by the next call.
+    /// The input is invalid and contains no new event before the fault; the connection must be
+    /// closed. An invalid frame after new events is reported by the next call.
     pub fn receive(&mut self, input: &[u8]) -> Result<Vec<WatchEvent>, WatchError> {
         self.input.extend_from_slice(input);
         let mut events = Vec::new();
@@ -120,9 +121,9 @@
         }
     }
 
-    /// Returns the event of a frame; `None` for a heartbeat or an event that was received before. Missing
-    /// events are requested again once, over a new connection; if they are still missing, they are
-    /// skipped, as they may not be available any more.
+    /// Returns the event of a frame; `None` for a heartbeat or an event that was received before.
+    /// Missing events are requested again once, over a new connection; if they are still missing,
+    /// they are skipped, as they may not be available any more.
     fn next_event(&self, frame: &Frame) -> Result<Option<WatchEvent>, WatchError> {
         let Frame::Event {
             index,
@@ -137,12 +138,12 @@
             return Ok(None);
         }
         let has_gap = index > last + 1 && !full;
-        if has_gap && !self.position.gap_seen.get() {
-            self.position.gap_seen.set(true);
+        if has_gap && !self.position.gap_reported.get() {
+            self.position.gap_reported.set(true);
             return Err(WatchError::MissingEvents { last, found: index });
         }
         self.position.last_index.set(index);
-        self.position.gap_seen.set(false);
+        self.position.gap_reported.set(false);
         Ok(Some(decode_event(index, full, records)))
     }
 }
@@ -156,7 +157,7 @@
     }
 }
 
-/// Tells the watch the current address of the coordinator.
+/// A message to the watch with the current address of the coordinator.
 pub struct CoordinatorMigration {
     /// The address. `None` opens another connection to the present address, for when the present
     /// connection seems stuck.
@@ -170,8 +171,8 @@
 pub struct WatchStart {
     /// The number of the last event that is known.
     pub last_index: u64,
-    /// Seed of the backoff. It differs between gateways, so that those of a fleet do not reconnect at the
-    /// same times.
+    /// Seed of the backoff. It differs between gateways, so that those of a fleet do not reconnect
+    /// at the same times.
     pub backoff_seed: u64,
 }
 
@@ -182,9 +183,9 @@
     on_contact: F,
 }
 
-/// Runs the watch: sends events to `events`, and calls `on_contact` whenever the coordinator has sent
-/// something. After a migration it connects to the new address at once, and reads the connection to the
-/// old one until it ends.
+/// Runs the watch: sends events to `events`, and calls `on_contact` whenever the coordinator has
+/// sent something. After a migration it connects to the new address at once, and reads the
+/// connection to the old one until it ends.
 pub async fn run<F>(
     shared: Rc<Shared>,
     start: WatchStart,
@@ -232,8 +233,8 @@
     async fn keep_connected(&self, addr: SocketAddr, generation: u64, mut backoff: Backoff) {
         while self.position.generation.get() == generation {
             let contacted = Cell::new(false);
-            let silence_timeout = backoff.receive_timeout();
-            let reason = self.watch_once(addr, silence_timeout, &contacted).await;
+            let receive_timeout = backoff.receive_timeout();
+            let reason = self.watch_once(addr, receive_timeout, &contacted).await;
             log!(
                 "coordinator {addr}: watch connection ended: {reason}; its endpoint list updates stop until a reconnect"
             );
@@ -246,7 +247,7 @@
     async fn watch_once(
         &self,
         addr: SocketAddr,
-        silence_timeout: Micros,
+        receive_timeout: Micros,
         contacted: &Cell<bool>,
     ) -> Termination {
         let mut stream = match connect(addr).await {
@@ -261,7 +262,7 @@
         }
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         loop {
-            let timeout_at = clock::turn() + silence_timeout;
+            let timeout_at = clock::turn() + receive_timeout;
             let count = match read_before(&mut stream, &mut buffer, timeout_at).await {
                 None => return Termination::Unresponsive,
                 Some(Ok(0)) => return Termination::Closed,
--- a/src/net/discovery/endpoint_factory.rs
+++ b/src/net/discovery/endpoint_factory.rs
@@ -19,7 +19,7 @@
 /// Creates the handle of a listed endpoint.
 pub type EndpointFactory = Box<dyn Fn(&ListedEndpoint) -> Rc<EndpointHandle>>;
 
-/// The engines that speak the ClickHouse interface.
+/// The engines with the ClickHouse interface.
 #[derive(Clone, Default)]
 pub struct ClickHouseEngines {
     /// Their ids.
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -24,8 +24,8 @@
 }
 
 impl KnownEndpoint {
-    /// Updates the handle at once, before the dispatcher receives the change, so that nothing that is
-    /// queued to be sent outlives it.
+    /// Updates the handle at once, before the dispatcher receives the change, so that no attempt
+    /// that waits to be sent is sent after the change.
     fn set_readiness(&mut self, readiness: Readiness) {
         self.listed.endpoint.readiness = readiness;
         self.handle.set_readiness(readiness);
@@ -79,8 +79,8 @@
 }
 
 impl EndpointList {
-    /// Applies an event, after adding the endpoints whose change it implies; returns the handles of new
-    /// endpoints.
+    /// Applies an event, after adding the endpoints whose change it implies; returns the handles of
+    /// new endpoints.
     fn apply(&mut self, event: &mut WatchEvent) -> Vec<NewHandle> {
         let superseded = self.superseded_by(event);
         event.endpoints.extend(superseded);
@@ -99,8 +99,9 @@
         new_handles
     }
 
-    /// Returns the known endpoints at whose address the event lists a new engine, as removed: they are, even
-    /// if the event does not list them. Otherwise commands for the old process would go to the new one.
+    /// Returns the known endpoints at whose address the event lists a new engine, as removed: they
+    /// are, even if the event does not list them. Otherwise commands for the old process would go
+    /// to the new one.
     fn superseded_by(&self, event: &WatchEvent) -> Vec<ListedEndpoint> {
         let listed_ids = ids(&event.endpoints);
         let reused_addrs: BTreeSet<SocketAddr> = event
@@ -144,9 +145,9 @@
         new_handle.map(|handle| (id, handle))
     }
 
-    /// Creates the handle of an endpoint that is new or whose address has changed. An id at another address
-    /// is another process: the old handle is closed with its actor and connections, as the attempts on
-    /// them could no longer be cancelled.
+    /// Creates the handle of an endpoint that is new or whose address has changed. An id at another
+    /// address is another process: the old handle is closed with its actor and connections, as the
+    /// attempts on them could no longer be cancelled.
     fn replace_handle(&mut self, listed: &ListedEndpoint) -> Option<Rc<EndpointHandle>> {
         let id = listed.endpoint.id;
         let known = self.known.get(&id);
--- a/src/net/discovery/frame.rs
+++ b/src/net/discovery/frame.rs
@@ -1,6 +1,6 @@
-//! The frames of the coordinator's watch. A frame is a length of 4 bytes, followed by as many bytes: the
-//! event's number (8 bytes), its kind (1 byte), and records of [`RECORD_BYTES`] each. All integers are
-//! big-endian.
+//! The frames of the coordinator's watch. A frame is a length of 4 bytes, followed by as many
+//! bytes: the event's number (8 bytes), its kind (1 byte), and records of [`RECORD_BYTES`] each.
+//! All integers are big-endian.
 use super::ListedEndpoint;
 use crate::dispatcher::termination::Termination;
 use crate::policy::api::{CellId, Endpoint, EngineId, MachineTypeId, Readiness, ZoneId};
--- a/src/net/discovery/known_events.rs
+++ b/src/net/discovery/known_events.rs
@@ -1,5 +1,5 @@
-//! The events of the coordinator that a configuration contains, so that a process can start without the
-//! coordinator.
+//! The events of the coordinator that a configuration contains, so that a process can start without
+//! the coordinator.
 use super::{ListedEndpoint, WatchEvent};
 use crate::config::process::Names;
 use crate::policy::api::{CellId, Endpoint, EngineId, MachineTypeId, Readiness, ZoneId};
--- a/src/net/dispatcher/commands.rs
+++ b/src/net/dispatcher/commands.rs
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Sends a final response to its client's actor. If the actor has ended or its mailbox is full, the
-    /// mailbox is closed, which ends the connection.
+    /// Sends a final response to its client's actor. If the actor has ended or its mailbox is full,
+    /// the mailbox is closed, which ends the connection.
     fn respond(&mut self, origin: Origin, response: Response) {
         let sent = self
             .clients
@@ -100,9 +100,9 @@
         }
     }
 
-    /// Requests a load probe of an engine, which the gateway that holds the lease sends if probes are
-    /// shared. If the lease service is not enabled or does not accept the request, this process sends
-    /// the probe itself.
+    /// Requests a load probe of an engine, which the gateway that holds the lease sends if probes
+    /// are shared. If the lease service is not enabled or does not accept the request, this process
+    /// sends the probe itself.
     fn request_probe(&mut self, now: Micros, engine: EngineId) {
         let is_delegated = self.lease_requests.as_ref().is_some_and(|lease_requests| {
             lease_requests
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Probes an engine: for the decision module, or, with a deadline, for other gateways, which cannot
-    /// use the result after it.
+    /// Probes an engine: for the decision module, or, with a deadline, for other gateways, which
+    /// cannot use the result after it.
     pub(super) fn probe(&mut self, now: Micros, engine: EngineId, deadline: Option<Micros>) {
         let is_late = deadline.is_some_and(|deadline| now >= deadline);
         let command = EngineCommand::Probe {
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Sends a command to an engine's actor. The error is the termination of an attempt that could not
-    /// be started because of it.
+    /// Sends a command to an engine's actor. The error is the termination of an attempt that could
+    /// not be started because of it.
     fn send_to_engine(&self, engine: EngineId, command: EngineCommand) -> Result<(), Termination> {
         self.engines
             .get(&engine)
--- a/src/net/dispatcher/event.rs
+++ b/src/net/dispatcher/event.rs
@@ -17,7 +17,7 @@
     pub entries: Vec<Endpoint>,
     /// Handles of the endpoints that appear for the first time.
     pub new_endpoints: Vec<(EngineId, Rc<EndpointHandle>)>,
-    /// The index of the watch event that brought the change.
+    /// The index of the watch event that contained the change.
     pub version: u64,
 }
 
@@ -91,12 +91,12 @@
     SharedProbeResult {
         /// The engine that was probed.
         engine: u64,
-        /// What the probe found.
+        /// The result of the probe.
         result: ProbeResult,
     },
     /// This gateway acquired a lease or lost one.
     LeaseChanged {
-        /// What the lease is on.
+        /// The resource of the lease.
         resource: Resource,
         /// Its fencing token.
         token: FencingToken,
--- a/src/net/dispatcher/event_handling.rs
+++ b/src/net/dispatcher/event_handling.rs
@@ -61,8 +61,9 @@
         }
     }
 
-    /// A probe by this process ended. The result is passed to the lease service, as other gateways may
-    /// wait for it, and always to the decision module, as it can also use a result that others requested.
+    /// A probe by this process ended. The result is passed to the lease service, as other gateways
+    /// may wait for it, and always to the decision module, as it can also use a result that others
+    /// requested.
     fn probe_completed(&mut self, now: Micros, probe: ProbeOutcome) {
         if let Some(lease_requests) = &self.lease_requests {
             let result = ProbeResult::new(probe.kind, probe.latency, &probe.load);
@@ -119,8 +120,8 @@
         let _ = new.applied.try_send(self.dispatcher.classes());
     }
 
-    /// Makes this the configuration that decisions from now on are based on. Earlier decisions are written
-    /// to the audit first, with the configuration that they were based on.
+    /// Makes this the configuration that decisions from now on are based on. Earlier decisions are
+    /// written to the audit first, with the configuration that they were based on.
     fn activate_configuration(&mut self, now: Micros, configuration: ActiveConfiguration) {
         self.active_configuration = configuration;
         if let Some(audit) = &mut self.audit {
--- a/src/net/dispatcher/lifecycle_watch.rs
+++ b/src/net/dispatcher/lifecycle_watch.rs
@@ -27,15 +27,15 @@
         }
     }
 
-    /// When [`LifecycleWatch::check`] is due. Only a process with an admin endpoint can be drained or
-    /// have a successor, so others are not woken up before they stop.
+    /// When [`LifecycleWatch::check`] is due. Only a process with an admin endpoint can be drained
+    /// or have a successor, so others are not woken up before they stop.
     pub(super) fn next_check(&self, shared: &Shared) -> Option<Micros> {
         let is_enabled = shared.admin_enabled.get() || shared.lifecycle.borrow().is_stopping();
         is_enabled.then_some(self.checked_at + CHECK_INTERVAL)
     }
 
-    /// If a check is due, closes idle client connections as the lifecycle requires, and applies a new
-    /// capacity share to the limits. Returns the share if it is new.
+    /// If a check is due, closes idle client connections as the lifecycle requires, and applies a
+    /// new capacity share to the limits. Returns the share if it is new.
     pub(super) fn check(&mut self, shared: &Shared, now: Micros) -> Option<f64> {
         if self.next_check(shared).is_none_or(|due| due > now) {
             return None;
--- a/src/net/dispatcher/shutdown.rs
+++ b/src/net/dispatcher/shutdown.rs
@@ -8,8 +8,8 @@
 /// How long connections have for a graceful close once every request has its response.
 const GRACEFUL_CLOSE_TIMEOUT: Micros = 300 * MS;
 
-/// How long connections have to close at most after the forced end, since the process is about to be
-/// killed then.
+/// How long connections have to close at most after the forced end, since the process is about to
+/// be killed then.
 const FORCED_CLOSE_TIMEOUT: Micros = 150 * MS;
 
 /// Time between two checks whether a shutdown can proceed.
@@ -20,8 +20,8 @@
 pub(super) enum ShutdownPhase {
     /// No shutdown, or one that waits for the responses to the requests in flight.
     Serving,
-    /// Every request has its response, or the forced end is due; listeners and client connections are
-    /// being closed.
+    /// Every request has its response, or the forced end is due; listeners and client connections
+    /// are being closed.
     ClosingConnections {
         /// When the process exits at the latest.
         deadline: Micros,
@@ -43,7 +43,8 @@
     /// Enters the next phases of the shutdown if their conditions are met.
     pub(super) fn advance_shutdown(&mut self, now: Micros, schedule: &Schedule) {
         let is_serving = self.shutdown_phase == ShutdownPhase::Serving;
-        // This runs in every turn, and the conditions below iterate over all clients.
+        // This runs in every iteration of the actor's loop, and the conditions below iterate over
+        // all clients.
         if is_serving && schedule.accepts_until.is_none() {
             return;
         }
@@ -88,7 +89,8 @@
     }
 
     /// Whether no request waits for its response, and no response waits in a client's mailbox or
-    /// output buffer: the process must not exit before a response that was decided has been written.
+    /// output buffer: the process must not exit before a response that was decided has been
+    /// written.
     fn all_responses_delivered(&self) -> bool {
         self.dispatcher.counters.open() == 0
             && self.mailbox.is_empty()
@@ -96,8 +98,8 @@
             && self.clients.values().all(Sender::is_empty)
     }
 
-    /// Whether clients may continue to use their connections to this process while a successor accepts
-    /// the new ones.
+    /// Whether clients may continue to use their connections to this process while a successor
+    /// accepts the new ones.
     fn keeps_client_connections(&self) -> bool {
         self.shared.lifecycle.borrow().successor_took_over()
             && self.shared.client_sockets.get() > 0
@@ -126,8 +128,8 @@
         counts.iter().all(|count| count.get() == 0) && self.backlogs_are_handled()
     }
 
-    /// Whether no connection can remain unaccepted in a backlog: the listeners are closed, or a successor
-    /// accepts.
+    /// Whether no connection can remain unaccepted in a backlog: the listeners are closed, or a
+    /// successor accepts.
     fn backlogs_are_handled(&self) -> bool {
         self.shared.open_listeners.get() == 0 || self.shared.lifecycle.borrow().has_successor()
     }
--- a/src/net/fleet/lease_view.rs
+++ b/src/net/fleet/lease_view.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    fn seen(resource: Resource, token: FencingToken, preferred_owner: &str) -> LeaseRow {
+    fn observed(resource: Resource, token: FencingToken, preferred_owner: &str) -> LeaseRow {
         LeaseRow {
             resource: resource.to_string(),
             member: preferred_owner.to_owned(),
@@ -61,7 +61,7 @@
     }
     for (resource, token) in fence.iter() {
         if candidate.held_lease(resource, now).is_none() {
-            let row = LeaseRow::seen(resource, token, preferred_owner(resource));
+            let row = LeaseRow::observed(resource, token, preferred_owner(resource));
             text.push_str(&row.json_line());
         }
     }
--- a/src/net/fleet/membership/mod.rs
+++ b/src/net/fleet/membership/mod.rs
@@ -68,8 +68,8 @@
     pub configured_gateways: u32,
     /// The dispatcher, which is notified of the number of active gateways and of leases.
     pub dispatcher: Sender<DispatcherEvent>,
-    /// The coordinator's actor, which is told to read the endpoint list again when this manager is
-    /// behind the majority.
+    /// The mailbox of the coordinator's actor, which has to reconnect and read the endpoint list
+    /// again when this manager is behind the majority.
     pub coordinator: Sender<CoordinatorMigration>,
 }
 
--- a/src/net/fleet/membership/version_guard.rs
+++ b/src/net/fleet/membership/version_guard.rs
@@ -14,7 +14,7 @@
     grace: Micros,
     /// Whether a reload was requested since the status was last `InStep`.
     reload_requested: bool,
-    /// The coordinator's actor, which reconnects to read the endpoint list again.
+    /// The mailbox of the coordinator's actor, which reconnects to read the endpoint list again.
     coordinator: Sender<CoordinatorMigration>,
 }
 
--- a/src/net/hot_restart/predecessor.rs
+++ b/src/net/hot_restart/predecessor.rs
@@ -69,8 +69,8 @@
         successor.map(|successor| successor.state)
     }
 
-    /// Sets the lifecycle's one successor: the newest ready one if there is any, otherwise the oldest.
-    /// Client connections are transferred to that ready one only.
+    /// Sets the lifecycle's one successor: the newest ready one if there is any, otherwise the
+    /// oldest. Client connections are transferred to that ready one only.
     fn update_lifecycle(&self, shared: &Shared) {
         let successors = self.successors.borrow();
         let is_ready = |successor: &&Successor| successor.state == SuccessorState::Ready;
@@ -83,9 +83,9 @@
     }
 }
 
-/// Accepts successors for as long as the process runs. A successor that serves binds its own socket at
-/// the same path, so this process binds the path again if such a successor ends and this process is
-/// not shutting down.
+/// Accepts successors for as long as the process runs. A successor that serves binds its own socket
+/// at the same path, so this process binds the path again if such a successor ends and this process
+/// is not shutting down.
 pub async fn accept_successors(shared: Rc<Shared>, predecessor: Predecessor) {
     let predecessor = Rc::new(predecessor);
     let successors = Rc::new(SuccessorTable::default());
@@ -148,8 +148,8 @@
     }
 }
 
-/// Binds the socket at a path with this process's id and renames it to `path`. This atomically replaces
-/// the socket of an older process, or the stale one of a process that has exited.
+/// Binds the socket at a path with this process's id and renames it to `path`. This atomically
+/// replaces the socket of an older process, or the stale one of a process that has exited.
 fn bind(path: &Path) -> io::Result<Async<UnixListener>> {
     let mut process_path = path.as_os_str().to_owned();
     process_path.push(format!(".{}", std::process::id()));
--- a/src/net/hot_restart/predecessor_session.rs
+++ b/src/net/hot_restart/predecessor_session.rs
@@ -1,5 +1,5 @@
-//! The predecessor's connection to one successor: transfers the listeners, then client connections and
-//! the responses to the requests that were open on them.
+//! The predecessor's connection to one successor: transfers the listeners, then client connections
+//! and the responses to the requests that were open on them.
 use super::descriptors::send;
 use super::predecessor::{Predecessor, SuccessorConnection, SuccessorTable};
 use super::{POLL_INTERVAL, RESPONSE_TIMEOUT};
@@ -28,8 +28,8 @@
 /// reported to the successor.
 const MIN_REPORTED_SHARE_CHANGE: f64 = 0.01;
 
-/// An item to transfer to the successor. The guard counts it as unwritten output until it is sent, so
-/// that the process does not exit before that.
+/// An item to transfer to the successor. The guard counts it as unwritten output until it is sent,
+/// so that the process does not exit before that.
 pub enum TransferredItem {
     /// A client connection.
     Connection {
@@ -192,8 +192,8 @@
     }
 }
 
-/// An event of the session.
-enum Wakeup {
+/// Why the session woke up.
+enum WakeReason {
     Received(io::Result<usize>),
     Outgoing(TransferredItem),
     Poll,
@@ -222,33 +222,33 @@
     async fn run(mut self) -> Result<(), SessionError> {
         let mut buffer = [0; BUFFER_BYTES];
         loop {
-            match self.next_wakeup(&mut buffer).await {
-                Wakeup::Received(Ok(length)) if length > 0 => {
+            match self.next_wake(&mut buffer).await {
+                WakeReason::Received(Ok(length)) if length > 0 => {
                     for message in self.reader.feed(&buffer[..length])? {
                         self.handle(message);
                     }
                 }
-                Wakeup::Received(_) => return Err(SessionError::Disconnected),
-                Wakeup::Outgoing(item) => self.transfer(item).await?,
-                Wakeup::Poll => {}
+                WakeReason::Received(_) => return Err(SessionError::Disconnected),
+                WakeReason::Outgoing(item) => self.transfer(item).await?,
+                WakeReason::Poll => {}
             }
             self.update_remaining_work();
             self.report_share().await?;
         }
     }
 
-    async fn next_wakeup(&self, buffer: &mut [u8]) -> Wakeup {
-        let received = async { Wakeup::Received(read_some(&self.peer, buffer).await) };
+    async fn next_wake(&self, buffer: &mut [u8]) -> WakeReason {
+        let received = async { WakeReason::Received(read_some(&self.peer, buffer).await) };
         let outgoing = async {
             match self.outgoing.recv().await {
-                Ok(item) => Wakeup::Outgoing(item),
+                Ok(item) => WakeReason::Outgoing(item),
                 // Not reached: the session has a sender itself, so the channel stays open.
                 Err(_) => std::future::pending().await,
             }
         };
         let poll = async {
             Timer::after(POLL_INTERVAL).await;
-            Wakeup::Poll
+            WakeReason::Poll
         };
         or(received, or(outgoing, poll)).await
     }
--- a/src/net/hot_restart/successor.rs
+++ b/src/net/hot_restart/successor.rs
@@ -22,8 +22,8 @@
     pub listeners: BTreeMap<SocketAddr, TcpListener>,
     /// Whether operators are draining the predecessor.
     pub draining: bool,
-    /// The fraction of the manager's capacity that is reserved for the predecessor and for that one's
-    /// own predecessors.
+    /// The fraction of the manager's capacity that is reserved for the predecessor and for that
+    /// one's own predecessors.
     pub reserved_share: f64,
     pub(super) peer: Async<UnixStream>,
     pub(super) reader: MessageReader,
@@ -46,8 +46,8 @@
     UnexpectedMessage,
 }
 
-/// Requests the listeners of the process at `socket_path`. `None` if there is none, or if the transfer
-/// fails: the start then continues without them, at the latest after 400 ms.
+/// Requests the listeners of the process at `socket_path`. `None` if there is none, or if the
+/// transfer fails: the start then continues without them, at the latest after 400 ms.
 pub async fn request_transfer(socket_path: &Path, name: &str) -> Option<TransferredState> {
     let deadline = clock::turn() + RESPONSE_TIMEOUT;
     let timeout = async {
@@ -125,8 +125,8 @@
     }
 }
 
-/// Reads the address of each listener from its descriptor, as the one in the message may be wrong. A
-/// descriptor without a socket address is ignored.
+/// Reads the address of each listener from its descriptor, as the one in the message may be wrong.
+/// A descriptor without a socket address is ignored.
 fn listeners_by_address(descriptors: VecDeque<OwnedFd>) -> BTreeMap<SocketAddr, TcpListener> {
     descriptors
         .into_iter()
--- a/src/net/hot_restart/successor_session.rs
+++ b/src/net/hot_restart/successor_session.rs
@@ -1,6 +1,6 @@
 //! The successor's connection to its predecessor: reports that this process serves, adopts the
-//! predecessor's client connections, and forwards the responses to requests that are still open at the
-//! predecessor.
+//! predecessor's client connections, and forwards the responses to requests that are still open at
+//! the predecessor.
 use super::POLL_INTERVAL;
 use super::descriptors::receive;
 use super::successor::TransferredState;
@@ -35,8 +35,8 @@
 }
 
 /// Runs until the connection to the predecessor is closed. Calls `start_serving` once the lifecycle
-/// reports that this process can serve; if that is later than the end of the connection, it runs until
-/// then.
+/// reports that this process can serve; if that is later than the end of the connection, it runs
+/// until then.
 pub async fn follow_predecessor(
     shared: Rc<Shared>,
     transferred: TransferredState,
@@ -64,8 +64,8 @@
     }
 }
 
-/// An event of the session.
-enum Wakeup {
+/// Why the session woke up.
+enum WakeReason {
     Received(io::Result<usize>),
     Outgoing(HotRestartMessage),
     Poll,
@@ -93,10 +93,10 @@
     async fn run(mut self) -> Option<F> {
         let mut buffer = vec![0; BUFFER_BYTES];
         loop {
-            match self.next_wakeup(&mut buffer).await {
-                Wakeup::Poll => self.report_ready_if_able().await,
-                Wakeup::Outgoing(message) => self.send(message).await,
-                Wakeup::Received(Ok(length)) if length > 0 => {
+            match self.next_wake(&mut buffer).await {
+                WakeReason::Poll => self.report_ready_if_able().await,
+                WakeReason::Outgoing(message) => self.send(message).await,
+                WakeReason::Received(Ok(length)) if length > 0 => {
                     let Ok(messages) = self.reader.feed(&buffer[..length]) else {
                         break;
                     };
@@ -104,7 +104,7 @@
                         self.handle(message);
                     }
                 }
-                Wakeup::Received(_) => break,
+                WakeReason::Received(_) => break,
             }
         }
         log!(
@@ -118,15 +118,15 @@
         self.start_serving
     }
 
-    async fn next_wakeup(&mut self, buffer: &mut [u8]) -> Wakeup {
+    async fn next_wake(&mut self, buffer: &mut [u8]) -> WakeReason {
         let peer = &self.peer;
         let descriptors = &mut self.descriptors;
         let outgoing = &self.outgoing;
         let serving_is_pending = self.start_serving.is_some();
-        let received = async { Wakeup::Received(receive(peer, buffer, descriptors).await) };
+        let received = async { WakeReason::Received(receive(peer, buffer, descriptors).await) };
         let outgoing = async {
             match outgoing.recv().await {
-                Ok(message) => Wakeup::Outgoing(message),
+                Ok(message) => WakeReason::Outgoing(message),
                 // Not reached: the session has a sender itself, so the channel stays open.
                 Err(_) => std::future::pending().await,
             }
@@ -136,7 +136,7 @@
                 std::future::pending::<()>().await;
             }
             Timer::after(POLL_INTERVAL).await;
-            Wakeup::Poll
+            WakeReason::Poll
         };
         or(received, or(outgoing, poll)).await
     }
--- a/src/net/mailbox.rs
+++ b/src/net/mailbox.rs
@@ -1,6 +1,6 @@
-//! Bounded mailboxes whose memory grows with the messages in them, not with their capacity, so that the
-//! mailbox of an idle peer takes hardly any. (The channels of `async_channel::bounded` allocate their
-//! capacity.)
+//! Bounded mailboxes whose memory grows with the messages in them, not with their capacity, so that
+//! the mailbox of an idle peer takes hardly any. (The channels of `async_channel::bounded` allocate
+//! their capacity.)
 //!
 //! All actors run on one thread, so the length cannot change between a check of it and the next
 //! `await`.
--- a/src/net/quota.rs
+++ b/src/net/quota.rs
@@ -1,4 +1,5 @@
-//! Guards that count resources in use, and release them on drop, in whichever way their holder ends.
+//! Guards that count resources in use, and release them on drop, in whichever way their holder
+//! ends.
 use std::cell::Cell;
 use std::rc::Rc;
 
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -60,8 +60,8 @@
     pub service: Rc<ClickHouseShared>,
     /// The file's users, without those of the directory.
     pub file_users: Rc<RefCell<Users>>,
-    /// Whether a directory provides the tenants' shares and further users. The file's users are merged
-    /// with them when the directory is read the next time.
+    /// Whether a directory provides the tenants' shares and further users. The file's users are
+    /// merged with them when the directory is read the next time.
     pub has_directory: bool,
 }
 
@@ -164,8 +164,8 @@
         }))
     }
 
-    /// The new settings, except for the manager's identity and the lists that other settings index, which
-    /// stay the same until a restart.
+    /// The new settings, except for the manager's identity and the lists that other settings index,
+    /// which stay the same until a restart.
     fn merged_settings(&self, config: &Config) -> Settings {
         let in_force = self.settings.borrow().clone();
         Settings {
@@ -181,9 +181,9 @@
         }
     }
 
-    /// Sends the dispatcher its part of the new configuration, and returns all classes by their ids.
-    /// Nothing else is applied before: if the dispatcher has ended, the whole old configuration stays in
-    /// force.
+    /// Sends the dispatcher its part of the new configuration, and returns all classes by their
+    /// ids. Nothing else is applied before: if the dispatcher has ended, the whole old
+    /// configuration stays in force.
     async fn reconfigure_dispatcher(
         &self,
         settings: &Settings,
@@ -203,7 +203,8 @@
         applied.map_err(|_| ReloadError::DispatcherEnded)
     }
 
-    /// The tenants' new shares; `None` if a directory provides them or the list of tenants has changed.
+    /// The tenants' new shares; `None` if a directory provides them or the list of tenants has
+    /// changed.
     fn new_tenants(&self, config: &Config) -> Option<Vec<TenantSpec>> {
         let has_directory = self
             .clickhouse
@@ -213,8 +214,8 @@
         (!has_directory && same_tenants).then(|| config.settings.tenants.clone())
     }
 
-    /// Applies the configuration that the dispatcher has already applied; returns the message for the
-    /// coordinator's watch.
+    /// Applies the configuration that the dispatcher has already applied; returns the message for
+    /// the coordinator's watch.
     fn apply(
         &self,
         new: NewConfiguration<'_>,
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -57,7 +57,8 @@
     pub client_sockets: Rc<Cell<usize>>,
     /// The limit of `client_sockets`.
     pub max_client_sockets: Cell<usize>,
-    /// Connections whose sending side this process has closed and whose client has not closed its own.
+    /// Connections whose sending side this process has closed and whose client has not closed its
+    /// own.
     pub closing_sockets: Rc<Cell<usize>>,
     /// The limit of `closing_sockets`.
     pub max_closing_sockets: Cell<usize>,
@@ -161,8 +162,8 @@
         shared
     }
 
-    /// Sets the limits, at the start or at a reload. The system's limit of descriptors applies where
-    /// it is lower.
+    /// Sets the limits, at the start or at a reload. The system's limit of descriptors applies
+    /// where it is lower.
     pub fn set_limits(&self, descriptors: usize, memory_mb: u64) {
         let system = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
         let system = system.map_or(usize::MAX, |max| usize::try_from(max).unwrap_or(usize::MAX));
@@ -226,8 +227,8 @@
         self.executor.spawn(contained).detach();
     }
 
-    /// Runs a part of an actor; `None` if it panicked. The caller then has to complete what the part owed
-    /// to other actors.
+    /// Runs a part of an actor; `None` if it panicked. The caller then has to complete what the
+    /// part owed to other actors.
     pub fn contain_panic<F: Future>(&self, name: &'static str, part: F) -> ContainPanic<F> {
         ContainPanic::new(part, name, &self.actor_panics)
     }
