--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,5 +1,6 @@
-//! Guards against an engine that is blamed, or stays unusable, when the process has no file descriptor left
-//! for its first connection. The limit applies to the whole process, so this test has a file of its own.
+//! Guards against an engine that is blamed, or stays unusable, when the process has no file
+//! descriptor left for its first connection. The limit applies to the whole process, so this test
+//! has a file of its own.
 use async_channel::{Receiver, bounded};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::fs::File;
@@ -114,8 +115,8 @@
     }
 }
 
-/// Without a free descriptor the attempt ends unsent because of a local limit, which does not count against
-/// the engine. The engine's actor ends, and the next attempt gets a descriptor again.
+/// Without a free descriptor the attempt ends unsent because of a local limit, which does not count
+/// against the engine. The engine's actor ends, and the next attempt gets a descriptor again.
 #[test]
 fn an_attempt_without_a_free_descriptor_ends_unsent_by_a_local_limit() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -155,8 +155,8 @@
     history
 }
 
-/// While one manager holds the lease, no other one probes the engine, and no request is rejected or
-/// cut off.
+/// While one manager holds the lease, no other one probes the engine. Each query gets a valid
+/// response.
 #[test]
 fn only_the_lease_holder_probes_an_engine() {
     let fleet = start("one", 21);
--- a/tests/listen_address.rs
+++ b/tests/listen_address.rs
@@ -1,5 +1,5 @@
-//! Two managers with the same client address must not both listen there: the system would distribute
-//! the clients over both. See docs/incidents/shared-client-address.md.
+//! Two managers with the same client address must not both listen there: the system would
+//! distribute the clients over both. See docs/incidents/shared-client-address.md.
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::File;
 use std::net::SocketAddr;
@@ -154,7 +154,8 @@
     assert!(first.is_ready() && first.poll_exit().is_none());
 }
 
-/// Guards the address of a process that is suspended by SIGSTOP: its claim must be readable all the same.
+/// Guards the address of a process that is suspended by SIGSTOP: its claim must be readable all the
+/// same.
 #[test]
 fn the_address_of_a_suspended_process_is_shared_with_its_successor_only() {
     let folders = Folders::new();
@@ -171,8 +172,8 @@
     first.signal(Signal::CONT);
 }
 
-/// Guards a successor to which the listeners can't be transferred: without a usable TMPDIR it shares the
-/// address, and logs that.
+/// Guards a successor to which the listeners can't be transferred: without a usable TMPDIR it
+/// shares the address, and logs that.
 #[test]
 fn a_successor_without_a_state_folder_shares_the_address() {
     let folders = Folders::new();
@@ -202,8 +203,8 @@
     }
 }
 
-/// Guards a start at an address whose last holder was killed: no claim or socket of that process may
-/// reject the new one, whichever its name.
+/// Guards a start at an address whose last holder was killed: no claim or socket of that process
+/// may reject the new one, whichever its name.
 #[test]
 fn a_killed_holder_does_not_block_its_address() {
     let folders = Folders::new();
@@ -217,8 +218,8 @@
     }
 }
 
-/// Guards the start beside a process without a claim, such as an older build: the address is shared if
-/// the system permits it, and the log tells that the process is unidentified.
+/// Guards the start beside a process without a claim, such as an older build: the address is shared
+/// if the system permits it, and the log reports an unidentified process.
 #[test]
 fn sharing_with_an_unidentified_process_is_logged() {
     let folders = Folders::new();
@@ -233,7 +234,8 @@
     assert!(manager.log().contains(&shared), "{}", manager.log());
 }
 
-/// A listener whose address other processes may bind, without a claim, as in builds before this test.
+/// A listener whose address other processes may bind, without a claim, as in builds before this
+/// test.
 fn shared_listener() -> std::net::TcpListener {
     use rustix::net::{AddressFamily, SocketType, bind, listen, socket, sockopt};
     let socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("creates a socket");
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,4 +1,5 @@
-//! Drain, reload, hot restart and admin endpoint of the shipped daemon, between stand-ins on loopback.
+//! Drain, reload, hot restart and admin endpoint of the shipped daemon, between stand-ins on
+//! loopback.
 use serde_json::json;
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -15,22 +16,22 @@
     }
 }
 
-/// Guards readiness, the metrics, and the clients of a draining process: idle connections are closed, and
-/// no request is lost.
+/// Guards readiness, the metrics, and the clients of a draining process: idle connections are
+/// closed, and no request is lost.
 #[test]
 fn a_drain_closes_idle_connections_and_loses_no_request() {
     run_scenario(include_str!("../scenarios/drain.txt"));
 }
 
-/// Guards open requests against new settings, and new requests against old ones. An invalid file must
-/// change nothing.
+/// Guards open requests against new settings, and new requests against old ones. An invalid file
+/// must change nothing.
 #[test]
 fn a_reload_applies_all_of_a_configuration_or_none_of_it() {
     run_scenario(include_str!("../scenarios/retune.txt"));
 }
 
-/// Guards requests and connections during a hot restart: one response to each request, each load executed
-/// once, no connection lost.
+/// Guards requests and connections during a hot restart: one response to each request, each load
+/// executed once, no connection lost.
 #[test]
 fn a_hot_restart_keeps_every_connection_and_request() {
     run_scenario(include_str!("../scenarios/upgrade.txt"));
@@ -104,8 +105,8 @@
         .expect("the daemon can be started")
 }
 
-/// Guards against a daemon that runs without the configured admin endpoint: the start has to fail with
-/// one line that names the cause.
+/// Guards against a daemon that runs without the configured admin endpoint: the start has to fail
+/// with one line that names the cause.
 #[test]
 fn an_unusable_admin_address_fails_the_start() {
     let occupying = TcpListener::bind("127.0.0.1:0").expect("binds a port");
@@ -122,8 +123,8 @@
     }
 }
 
-/// Guards reloads twice in quick succession, during a drain, and during a hot restart: the last file is in
-/// force, and the drain and the requests are not affected.
+/// Guards reloads twice in quick succession, during a drain, and during a hot restart: the last
+/// file is in force, and the drain and the requests are not affected.
 #[test]
 fn a_reload_is_applied_during_a_drain_and_a_hot_restart() {
     run_scenario(
--- a/tests/ports.rs
+++ b/tests/ports.rs
@@ -5,7 +5,8 @@
 use std::process::Command;
 use yokelift::testkit::ports::{ReservedHost, reserve_addr};
 
-/// The environment variable with which this test program prints its host address instead of testing.
+/// The environment variable with which this test program prints its host address instead of
+/// testing.
 const PRINT_ADDRESS: &str = "YOKELIFT_TEST_PRINT_ADDRESS";
 
 #[test]
@@ -19,7 +20,8 @@
     assert_eq!(addrs.collect::<BTreeSet<SocketAddr>>().len(), 8 * 500);
 }
 
-/// Two reservations with the same number get different hosts, and a released host can be reserved again.
+/// Two reservations with the same number get different hosts, and a released host can be reserved
+/// again.
 #[test]
 fn a_host_is_reserved_once_until_it_is_released() {
     let number = 0x00ff_fe01;
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! Guards against a process that does not exit, or loses requests, while its clients keep sending after
-//! SIGTERM. See docs/incidents/shutdown-under-load.md.
+//! Guards against a process that does not exit, or loses requests, while its clients keep sending
+//! after SIGTERM. See docs/incidents/shutdown-under-load.md.
 use rustix::process::{Pid, Signal, kill_process};
 use std::net::TcpListener;
 use std::path::Path;
@@ -48,8 +48,8 @@
     Hanging,
 }
 
-/// Starts a daemon and its clients, sends it the signals, each followed by its pause, and kills it at the
-/// earliest time at which the platform would.
+/// Starts a daemon and its clients, sends it the signals, each followed by its pause, and kills it
+/// at the earliest time at which the platform would.
 fn shut_down_under_load(
     plan: &SustainedLoadPlan,
     engines: Engines,
@@ -102,7 +102,8 @@
     }
 }
 
-/// Asserts that each request has one final response, and that the process exits by itself before the kill.
+/// Asserts that each request has one final response, and that the process exits by itself before
+/// the kill.
 fn assert_nothing_is_lost(
     plan: &SustainedLoadPlan,
     engines: Engines,
--- a/tests/unit/config_completeness.rs
+++ b/tests/unit/config_completeness.rs
@@ -31,8 +31,8 @@
     object.keys().cloned().collect()
 }
 
-/// Guards reloads against a rejected complete file. A missing admin address is not an error, as a reload
-/// does not change it.
+/// Guards reloads against a rejected complete file. A missing admin address is not an error, as a
+/// reload does not change it.
 #[test]
 fn a_complete_file_has_no_missing_key() {
     let active = with_admin_address();
--- a/tests/unit/coordinator.rs
+++ b/tests/unit/coordinator.rs
@@ -1,4 +1,5 @@
-//! The watch of the coordinator reports each event once and in order, and reconnects when it has to.
+//! The watch of the coordinator reports each event once and in order, and reconnects when it has
+//! to.
 use super::{CoordinatorMigration, WatchError, WatchPosition, WatchReader, WatchStart, run};
 use crate::dispatcher::termination::Termination;
 use crate::net::Shared;
@@ -24,8 +25,8 @@
     Rc::new(WatchPosition::after(last_index))
 }
 
-/// During a migration two connections are read: each event is reported once, and the second connection
-/// continues after the last event received on either.
+/// During a migration two connections are read: each event is reported once, and the second
+/// connection continues after the last event received on either.
 #[test]
 fn two_connections_report_each_event_once() {
     let position = position_after(3);
@@ -93,8 +94,9 @@
     assert_eq!(decode(&event(1, CHANGES, 1)[..20]), Ok(None));
 }
 
-/// Guards against missing draining engines while a watch connection stays open but receives nothing. Several
-/// such connections in a row are replaced, each from the last event on, and the missed events are reported.
+/// Guards against missing draining engines while a watch connection stays open but receives
+/// nothing. Several such connections in a row are replaced, each from the last event on, and the
+/// missed events are reported.
 #[test]
 fn silent_watches_are_reconnected_from_the_last_event() {
     let shared = Shared::new(64, 64);
@@ -132,8 +134,9 @@
     assert_eq!((requests, indexes), (vec![3, 4, 4], [4, 5]));
 }
 
-/// Guards against a fault after two migrations in quick succession: each task read the newest generation when
-/// it first ran instead of when it was spawned, so that the older address was also reconnected to for ever.
+/// Guards against a fault after two migrations in quick succession: each task read the newest
+/// generation when it first ran instead of when it was spawned, so that the older address was also
+/// reconnected to for ever.
 #[test]
 fn of_two_migrations_at_once_only_the_last_address_is_followed() {
     let shared = Shared::new(64, 64);
--- a/tests/unit/endpoint_list.rs
+++ b/tests/unit/endpoint_list.rs
@@ -17,8 +17,8 @@
 /// The actors that were started: the engine's id and the receiving end of the mailbox.
 type StartedActors = Rc<RefCell<Vec<(u64, Receiver<EngineCommand>)>>>;
 
-/// Creates endpoints whose actors only record their commands. Each has an actor from the beginning, which
-/// is the harder case: an endpoint without an actor takes only memory.
+/// Creates endpoints whose actors only record their commands. Each has an actor from the beginning,
+/// which is the harder case: an endpoint without an actor takes only memory.
 fn recording_factory(actors: &StartedActors) -> EndpointFactory {
     let actors = actors.clone();
     let start: StartActor = Rc::new(move |endpoint| {
@@ -45,8 +45,8 @@
     listed
 }
 
-/// The event that replaces engine `id - 1` by engine `id`. An engine with an odd id has the address of the
-/// previous one, which the event does not list as removed.
+/// The event that replaces engine `id - 1` by engine `id`. An engine with an odd id has the address
+/// of the previous one, which the event does not list as removed.
 fn replacement(id: u32) -> WatchEvent {
     let port = 1_000 + (id / 2) as u16;
     let mut endpoints = vec![listed(id, port, Readiness::Ready)];
@@ -60,7 +60,8 @@
     }
 }
 
-/// Guards the limits on memory and descriptors, and the drain rule, where engines are replaced all the time.
+/// Guards the limits on memory and descriptors, and the drain rule, where engines are replaced all
+/// the time.
 #[test]
 fn a_replaced_engine_is_reported_removed_and_its_actor_ends() {
     let shared = Shared::new(64, 32);
--- a/tests/unit/membership.rs
+++ b/tests/unit/membership.rs
@@ -53,7 +53,7 @@
     );
 }
 
-/// No false positives: with a fifth of all datagrams lost and some duplicated, no member is
+/// No false positives: with a fifth of all datagrams lost, and some duplicated and late, no member is
 /// declared dead, and the traffic remains within its budget.
 #[test]
 fn loss_of_a_fifth_of_all_datagrams_causes_no_false_death() {
@@ -183,7 +183,7 @@
     assert_eq!(fleet.nodes[1].dropped_datagrams, dropped_before + 1);
     assert!(
         actions.is_empty(),
-        "a datagram of a stale incarnation was answered"
+        "a datagram of a stale incarnation got a reply"
     );
     let known = &fleet.nodes[1].members()[&member_name(3)].update;
     assert_eq!(known.incarnation, 1_000);
--- a/tests/unit/net_address_claim.rs
+++ b/tests/unit/net_address_claim.rs
@@ -73,8 +73,8 @@
     ));
 }
 
-/// Guards against long names: the claim must fit into the name of a socket, and managers whose names differ
-/// only at the end must be distinguished.
+/// Guards against long names: the claim must fit into the name of a socket, and managers whose
+/// names differ only at the end must be distinguished.
 #[test]
 fn claims_of_long_names_are_published_and_distinguished() {
     let long = "n".repeat(300);
--- a/tests/unit/net_hot_restart.rs
+++ b/tests/unit/net_hot_restart.rs
@@ -32,8 +32,9 @@
     })
 }
 
-/// Guards the start of the daemon: it must ignore the stale socket of a process that has exited, and
-/// peers that have another version, send garbage, send no descriptors, close the connection or hang.
+/// Guards the start of the daemon: it must ignore the stale socket of a process that has exited,
+/// and peers that have another version, send garbage, send no descriptors, close the connection or
+/// hang.
 #[test]
 fn a_start_continues_without_a_broken_predecessor() {
     let folder = Folder::new().expect("creates a folder");
--- a/tests/unit/net_hot_restart_predecessor.rs
+++ b/tests/unit/net_hot_restart_predecessor.rs
@@ -2,9 +2,9 @@
 use super::*;
 use async_channel::bounded;
 
-/// Guards the client connections of a process with two ready successors, one of which exits: they have
-/// to be transferred to the other one. In a past fault the sender of the exited one was kept, and what was
-/// sent to it was lost.
+/// Guards the client connections of a process with two ready successors, one of which exits: they
+/// have to be transferred to the other one. In a past fault the sender of the exited one was kept,
+/// and what was sent to it was lost.
 #[test]
 fn connections_are_transferred_to_the_remaining_ready_successor() {
     let shared = Shared::new(64, 64);
