--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
-//! A workload manager in front of shared query engines, and the policy module that makes its decisions.
+//! A workload manager in front of shared query engines, and the policy module that makes its
+//! decisions.
 //!
-//! [`policy::Gateway`] is a state machine without I/O: it takes [`policy::api::Event`]s with the times of
-//! their arrival, and appends [`policy::api::Action`]s for the caller to carry out. Its only inputs are
-//! [`policy::api::Settings`] and those events.
+//! [`policy::Gateway`] is a state machine without I/O: it takes [`policy::api::Event`]s with the
+//! times of their arrival, and appends [`policy::api::Action`]s for the caller to carry out. Its
+//! only inputs are [`policy::api::Settings`] and those events.
 #![forbid(unsafe_code)]
 
 #[doc = include_str!("../README.md")]
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Counts a line. Returns `None` if the line has to be suppressed, otherwise the number of lines
-    /// suppressed since the last written one.
+    /// Counts a line. Returns `None` if the line has to be suppressed, otherwise the number of
+    /// lines suppressed since the last written one.
     pub fn admit(&self) -> Option<u64> {
         if MUTED.get() {
             return None;
@@ -54,8 +54,8 @@
     }
 }
 
-/// Writes a line to standard error; takes the arguments of [`format!`]. The rate of each call site is
-/// limited per thread; the next written line gives the number of suppressed ones.
+/// Writes a line to standard error; takes the arguments of [`format!`]. The rate of each call site
+/// is limited per thread; the next written line gives the number of suppressed ones.
 #[macro_export]
 macro_rules! log {
     ($($arg:tt)*) => {{
--- a/src/membership/version.rs
+++ b/src/membership/version.rs
@@ -18,7 +18,8 @@
     pub settings: u64,
     /// The number of the last event applied from the endpoint list.
     pub list: u64,
-    /// The stage of the process: `starting`, `ready`, `draining`, `stopping` or [`SHUT_OUT`].
+    /// The stage of the process: `starting`, `ready`, `draining`, `hotrestart`, `stopping` or
+    /// [`SHUT_OUT`].
     pub stage: String,
 }
 
--- a/src/net/engine/endpoint.rs
+++ b/src/net/engine/endpoint.rs
@@ -71,8 +71,9 @@
     ///
     /// # Errors
     ///
-    /// The termination of an attempt that cannot be started. A command about something in flight
-    /// does not fail if there is no actor: then nothing is in flight.
+    /// The termination of an attempt that cannot be started. Unless the endpoint is closed, a
+    /// command about something in flight does not fail if there is no actor: then nothing is in
+    /// flight.
     pub fn send(self: &Rc<EndpointHandle>, command: EngineCommand) -> Result<(), Termination> {
         if let Some(actor) = self.active_actor() {
             return actor.try_send(command).map_err(|_| Termination::LocalLimit);
--- a/tests/unit/membership.rs
+++ b/tests/unit/membership.rs
@@ -53,8 +53,8 @@
     );
 }
 
-/// No false positives: with a fifth of all datagrams lost, and some duplicated and late, no member is
-/// declared dead, and the traffic remains within its budget.
+/// No false positives: with a fifth of all datagrams lost, and some duplicated and late, no member
+/// is declared dead, and the traffic remains within its budget.
 #[test]
 fn loss_of_a_fifth_of_all_datagrams_causes_no_false_death() {
     for seed in [1, 2, 3] {
