--- a/src/backend/clickhouse.rs
+++ b/src/backend/clickhouse.rs
@@ -38,7 +38,7 @@
 enum Exchange {
     /// A query, with the identifier that was sent to the engine.
     Query { id: RequestId, query_id: Rc<str> },
-    /// A probe.
+    /// A health check, the only kind of probe in this protocol.
     Ping(ProbeId),
     /// A cancelled query: its response is discarded.
     Cancelled,
--- a/src/backend/connection_state/mod.rs
+++ b/src/backend/connection_state/mod.rs
@@ -38,8 +38,8 @@
     tail_held_until: Option<Micros>,
     last_received_at: Micros,
     idle_since: Micros,
-    /// Nothing was received since an attempt was sent that is slow or was cancelled. The connection
-    /// may be dead, so it carries no new attempts.
+    /// Set once an attempt is slow or cancelled and nothing was received since it was sent. The
+    /// connection may be dead, so it carries no new attempts.
     suspect: bool,
     abandoned_requests: VecDeque<RequestId>,
     commands_written: u64,
@@ -139,7 +139,7 @@
             Termination::Done | Termination::Rejected | Termination::AlreadyFinished
         );
         if !ended_cleanly && !pending.is_unsent() {
-            self.remember_abandoned(end.id);
+            self.record_abandoned(end.id);
         }
         Some(ConnectionEvent::AttemptEnded(AttemptResult {
             id: end.id,
@@ -154,7 +154,7 @@
         }))
     }
 
-    fn remember_abandoned(&mut self, id: RequestId) {
+    fn record_abandoned(&mut self, id: RequestId) {
         self.abandoned_requests.push_back(id);
         if self.abandoned_requests.len() > MAX_ABANDONED_REQUESTS {
             self.abandoned_requests.pop_front();
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -10,7 +10,8 @@
 use crate::policy::api::{LoadReport, OutcomeKind, RequestId};
 use std::fmt;
 
-/// Identifies a probe among those sent on one connection.
+/// Identifies a probe among those sent on one connection. A probe is a load probe, or a health
+/// check if the protocol or the settings have no load fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProbeId(pub u64);
 
@@ -70,7 +71,7 @@
         probe: ProbeId,
         /// Its outcome.
         kind: OutcomeKind,
-        /// The load that the engine reported in its response.
+        /// The load that the engine reported in its response; empty for a health check.
         load: LoadReport,
     },
 }
@@ -126,7 +127,7 @@
         Vec::new()
     }
 
-    /// Encodes a probe.
+    /// Encodes a probe: a load probe, or a health check if there are no load fields.
     fn send_probe(&mut self, probe: ProbeId) -> Vec<u8>;
 
     /// Decodes bytes that were received.
--- a/src/frontend/admin/response.rs
+++ b/src/frontend/admin/response.rs
@@ -1,7 +1,7 @@
 //! Formatting of the admin endpoint's responses.
 use super::RequestError;
 
-/// Formats a response with this body, which tells the client that the connection closes after it.
+/// Formats a response with this body and `Connection: close`.
 pub fn response(status: u16, body: &str) -> Vec<u8> {
     format_response(status, None, body)
 }
--- a/src/frontend/clickhouse/mod.rs
+++ b/src/frontend/clickhouse/mod.rs
@@ -22,7 +22,7 @@
 
 /// The maximum length of a statement, in bytes.
 const MAX_STATEMENT_BYTES: usize = 256 * 1024;
-/// The maximum length of the input that a client may send behind an open query, in bytes.
+/// The maximum length of the input that a client may send while a query is open, in bytes.
 const MAX_PIPELINED_BYTES: usize = 64 * 1024;
 /// The Retry-After of a rejection for which no estimate exists.
 const DEFAULT_RETRY_AFTER: Micros = SEC;
--- a/src/tenant_directory/error.rs
+++ b/src/tenant_directory/error.rs
@@ -13,7 +13,7 @@
     #[error("the directory closed the connection")]
     Closed,
     /// The read exceeded its time limit.
-    #[error("the directory did not answer within {seconds} s")]
+    #[error("the read did not complete within {seconds} s")]
     Timeout {
         /// The time limit, in seconds.
         seconds: u64,
@@ -31,7 +31,7 @@
         octet: u8,
     },
     /// A message exceeds the size limit, which is above the size of a directory's entries.
-    #[error("a message of {length} bytes, at most {limit} are read")]
+    #[error("an LDAP message of {length} bytes exceeds the limit of {limit} bytes")]
     MessageTooLong {
         /// The length, in bytes.
         length: usize,
@@ -42,7 +42,7 @@
     #[error("an LDAP message that cannot be decoded: {0}")]
     Decode(#[from] rasn::error::DecodeError),
     /// A message belongs to another request.
-    #[error("message id {found} in place of {expected}")]
+    #[error("a message with id {found}, but the open request has id {expected}")]
     WrongMessageId {
         /// The id of the open request.
         expected: u32,
@@ -50,10 +50,10 @@
         found: u32,
     },
     /// A message is not a response to the open request.
-    #[error("a message that does not answer the open request")]
+    #[error("a message that is not a response to the open request")]
     UnexpectedMessage,
     /// The directory rejected a request.
-    #[error("the directory refused: {code:?} {diagnostic}")]
+    #[error("the directory rejected a request: {code:?} {diagnostic}")]
     Denied {
         /// The result code of LDAP.
         code: ResultCode,
@@ -61,7 +61,7 @@
         diagnostic: String,
     },
     /// The directory returned too many entries.
-    #[error("more than {limit} entries")]
+    #[error("the directory has more than {limit} entries")]
     TooManyEntries {
         /// The limit.
         limit: usize,
--- a/src/testkit/audit.rs
+++ b/src/testkit/audit.rs
@@ -18,7 +18,7 @@
     #[error("GET {path}: no response in time")]
     Timeout { path: String },
     #[error("GET {path}: no response")]
-    NoAnswer { path: String },
+    NoResponse { path: String },
     #[error("GET {path}: {status}: {}", body.trim())]
     Status {
         path: String,
@@ -46,7 +46,7 @@
         match response {
             Some((200, body)) => Ok(body),
             Some((status, body)) => Err(GatherError::Status { path, status, body }),
-            None => Err(GatherError::NoAnswer { path }),
+            None => Err(GatherError::NoResponse { path }),
         }
     };
     or(call, timeout).await
--- a/src/testkit/clients/rpc.rs
+++ b/src/testkit/clients/rpc.rs
@@ -18,7 +18,7 @@
 pub struct RpcRequest<'a> {
     /// The class, sent as the method.
     pub class: &'a str,
-    /// The client's name for the request: 16 hex digits.
+    /// The client's identifier for the request: 16 hex digits.
     pub key: &'a str,
     /// The tenant's name.
     pub tenant: &'a str,
--- a/src/testkit/clients/sustained/connection.rs
+++ b/src/testkit/clients/sustained/connection.rs
@@ -301,7 +301,8 @@
     HttpReader::new(Body::UntilClose, MAX_RESPONSE_BYTES)
 }
 
-/// The client's key for a request: 16 hex digits.
+/// The client's identifier for a request, which is also the idempotency key if the class has one:
+/// 16 hex digits.
 fn request_key(seed: u64, connection: usize, id: u64) -> String {
     let seed = seed & 0xffff_ffff;
     let connection = connection as u64 & 0xfff;
--- a/src/testkit/clients/sustained/mod.rs
+++ b/src/testkit/clients/sustained/mod.rs
@@ -25,7 +25,7 @@
 pub struct SustainedClass {
     /// The class's name.
     pub name: &'static str,
-    /// The statement, to which the request's key is added as a comment.
+    /// The statement, to which the client's identifier for the request is added as a comment.
     pub statement: &'static str,
     /// Whether its requests carry an idempotency key.
     pub is_keyed: bool,
@@ -66,7 +66,7 @@
     /// The percentage of requests after which the client disconnects without waiting for the open
     /// requests.
     pub disconnected_percent: u64,
-    /// The seed of the random draws and of the requests' keys: two loads on one daemon need
+    /// The seed of the random draws and of the requests' identifiers: two loads on one daemon need
     /// different seeds.
     pub seed: u64,
 }
--- a/src/testkit/clients/sustained/record.rs
+++ b/src/testkit/clients/sustained/record.rs
@@ -26,7 +26,7 @@
     pub connection: usize,
     /// The name of its class.
     pub class: &'static str,
-    /// The client's key for it, which its statement carries as well.
+    /// The client's identifier for it, which its statement contains as well.
     pub key: String,
     /// How long the client waits for a response.
     pub wait: Duration,
--- a/src/testkit/coordinator.rs
+++ b/src/testkit/coordinator.rs
@@ -41,7 +41,7 @@
     /// The frames of the events, from [`FIRST_INDEX`] on.
     frames: RefCell<Vec<Vec<u8>>>,
     /// Incremented to close all open connections.
-    break_count: Cell<u64>,
+    close_count: Cell<u64>,
     /// Incremented to stop sending events on the open connections.
     stall_count: Cell<u64>,
 }
@@ -138,13 +138,13 @@
     /// Stops accepting connections and closes the open ones.
     pub fn shut_down(&self) {
         self.shutdown.close();
-        self.break_connections();
+        self.close_connections();
     }
 
     /// Closes the connections that are open now.
-    pub fn break_connections(&self) {
-        let break_count = &self.state.break_count;
-        break_count.set(break_count.get() + 1);
+    pub fn close_connections(&self) {
+        let close_count = &self.state.close_count;
+        close_count.set(close_count.get() + 1);
     }
 }
 
@@ -172,14 +172,14 @@
 
 /// Sends heartbeats and the events after the number that the client sends at the start.
 async fn serve_watch(mut stream: Async<TcpStream>, state: &State) -> io::Result<()> {
-    let break_count = state.break_count.get();
+    let close_count = state.close_count.get();
     let stall_count = state.stall_count.get();
     let mut last_index = [0; 8];
     stream.read_exact(&mut last_index).await?;
     let last_index = u64::from_be_bytes(last_index);
     let mut sent = (last_index + 1).saturating_sub(FIRST_INDEX) as usize;
     let mut polls = 0;
-    while state.break_count.get() == break_count {
+    while state.close_count.get() == close_count {
         if state.stall_count.get() == stall_count {
             let frames: Vec<Vec<u8>> = state.frames.borrow().iter().skip(sent).cloned().collect();
             sent += frames.len();
--- a/src/testkit/daemon/mod.rs
+++ b/src/testkit/daemon/mod.rs
@@ -59,7 +59,7 @@
     /// The address of its JSON-RPC frontend.
     pub listen: SocketAddr,
     /// The address of its admin endpoint, if it has one.
-    pub console: Option<SocketAddr>,
+    pub admin_addr: Option<SocketAddr>,
     /// The process that the present one replaces during a hot restart.
     predecessor: Option<Child>,
     starts: u32,
@@ -84,8 +84,8 @@
             &options.settings,
         );
         let config_path = folder.put(CONFIG_FILE, &text.to_string())?;
-        let console = options.has_admin_endpoint.then(reserve_addr);
-        let mut command = command(program, &folder, listen, console);
+        let admin_addr = options.has_admin_endpoint.then(reserve_addr);
+        let mut command = command(program, &folder, listen, admin_addr);
         command.env("PROXY_CONFIG", config_path);
         if let Some(deploy_file) = &options.deploy_file {
             command.arg(folder.put(DEPLOY_FILE, deploy_file)?);
@@ -94,7 +94,7 @@
         let mut daemon = Daemon {
             child,
             listen,
-            console,
+            admin_addr,
             predecessor: None,
             starts: 1,
             options,
@@ -131,8 +131,8 @@
     ///
     /// The successor can't be started.
     pub fn launch_successor(&mut self, program: &Path) -> Result<(), DaemonError> {
-        let console = Some(reserve_addr());
-        let mut command = command(program, &self.folder, self.listen, console);
+        let admin_addr = Some(reserve_addr());
+        let mut command = command(program, &self.folder, self.listen, admin_addr);
         command.env("PROXY_CONFIG", self.folder.path(CONFIG_FILE));
         if self.options.deploy_file.is_some() {
             command.arg(self.folder.path(DEPLOY_FILE));
@@ -141,7 +141,7 @@
         let child = spawn(command, program, &log_path)?;
         self.starts += 1;
         self.predecessor = Some(std::mem::replace(&mut self.child, child));
-        self.console = console;
+        self.admin_addr = admin_addr;
         Ok(())
     }
 
@@ -152,9 +152,9 @@
     /// The successor can't be started, or does not become ready in time.
     pub async fn start_successor(&mut self, program: &Path) -> Result<(), DaemonError> {
         self.launch_successor(program)?;
-        let console = self.console.ok_or(DaemonError::NoAdminEndpoint)?;
+        let admin_addr = self.admin_addr.ok_or(DaemonError::NoAdminEndpoint)?;
         for _ in 0..MAX_READINESS_POLLS {
-            let response = clients::call_admin(console, "GET", "/ready").await;
+            let response = clients::call_admin(admin_addr, "GET", "/ready").await;
             if response.is_some_and(|(status, _)| status == 200) {
                 return Ok(());
             }
@@ -294,12 +294,12 @@
     }
 
     /// Makes it log its counters, with SIGUSR1.
-    pub fn report(&self) {
+    pub fn request_counters(&self) {
         self.signal(Signal::USR1);
     }
 
     /// The number of times that it has logged its counters.
-    pub fn reports(&self) -> usize {
+    pub fn counter_lines(&self) -> usize {
         let log = self.log();
         let lines = log.lines().filter(|line| line.contains(COUNTERS_MARKER));
         lines.count()
@@ -345,15 +345,15 @@
     program: &Path,
     folder: &Folder,
     listen: SocketAddr,
-    console: Option<SocketAddr>,
+    admin_addr: Option<SocketAddr>,
 ) -> Command {
     let mut command = Command::new(program);
     command
         .env("PROXY_NAME", "n0")
         .env("PROXY_LISTEN", listen.to_string())
         .env("TMPDIR", folder.root());
-    if let Some(console) = console {
-        command.env("PROXY_CONSOLE", console.to_string());
+    if let Some(admin_addr) = admin_addr {
+        command.env("PROXY_CONSOLE", admin_addr.to_string());
     }
     command
 }
--- a/src/testkit/engines/platform.rs
+++ b/src/testkit/engines/platform.rs
@@ -203,7 +203,7 @@
                 self.finish(RunOutcome::Responded, &message).await;
             }
             EngineBehavior::Reject => {
-                self.state.log.forget_key(self.run);
+                self.state.log.remove_key(self.run);
                 let message = format!("{id} WAIT - 0\r\n\r\n");
                 self.finish(RunOutcome::Rejected, &message).await;
             }
@@ -220,7 +220,8 @@
 
     async fn complete(&self, after_millis: u64, row_count: usize) {
         let run = self.state.log.run(self.run);
-        // A query whose key the engines know does not run again: its result is available at once.
+        // A query whose idempotency key was used before does not run again: its result is available
+        // at once.
         let work_millis = if run.deduplicated { 0 } else { after_millis };
         let running = &self.state.running;
         running.set(running.get() + 1);
--- a/src/testkit/execution_log.rs
+++ b/src/testkit/execution_log.rs
@@ -48,7 +48,7 @@
     /// The fields that were sent with it, if the protocol has fields: idempotency key, memory grant
     /// and priority.
     pub fields: BTreeMap<String, String>,
-    /// Whether the engines already knew its idempotency key, so that it changed nothing.
+    /// Whether its idempotency key was used before, so that it changed nothing.
     pub deduplicated: bool,
     /// The priorities that it was assigned while it ran, in order.
     pub priorities: Vec<String>,
@@ -73,7 +73,8 @@
             .is_none_or(|end| end.outcome != RunOutcome::Rejected)
     }
 
-    /// Whether the engines recognized this run as a repetition of an earlier one by its key.
+    /// Whether this run has the idempotency key of an earlier one, within the time for which the
+    /// engines store it.
     fn repeats_by_key(&self, earlier: &Run, key_window: Micros) -> bool {
         let has_same_key =
             self.idempotency_key().is_some() && self.idempotency_key() == earlier.idempotency_key();
@@ -136,7 +137,7 @@
     pub max_concurrent: usize,
     /// The total number of attempts of a request.
     pub max_attempts: usize,
-    /// How long the engines remember an idempotency key. They share their keys.
+    /// How long the engines store an idempotency key. All engines share one set of keys.
     pub key_window: Micros,
 }
 
@@ -179,7 +180,7 @@
     pub(super) runs: Rc<RefCell<Vec<Run>>>,
     pub(super) probes: Rc<RefCell<Vec<ReceivedProbe>>>,
     drains: Rc<RefCell<Vec<Drain>>>,
-    /// When the first run with each known idempotency key started.
+    /// The stored idempotency keys, each with the start of the first run that had it.
     keys: Rc<RefCell<BTreeMap<String, Micros>>>,
     limits: Rc<Cell<ExecutionLimits>>,
     /// How the next queries are handled, at whichever engine they arrive.
@@ -202,7 +203,7 @@
         let statement = String::from_utf8_lossy(statement);
         let started_at = clock::turn();
         let key = fields.get(KEY_FIELD);
-        let deduplicated = key.is_some_and(|key| self.observe_key(key, started_at));
+        let deduplicated = key.is_some_and(|key| self.store_key(key, started_at));
         let run = Run {
             query: query_name(&statement).to_owned(),
             engine: engine.to_owned(),
@@ -218,8 +219,8 @@
         RunId(runs.len() - 1)
     }
 
-    /// Returns whether the engines know an idempotency key, and makes them remember it.
-    fn observe_key(&self, key: &str, now: Micros) -> bool {
+    /// Stores an idempotency key. Returns whether it was already stored.
+    fn store_key(&self, key: &str, now: Micros) -> bool {
         let key_window = self.limits.get().key_window;
         let mut keys = self.keys.borrow_mut();
         keys.retain(|_, first_at| *first_at + key_window > now);
@@ -253,8 +254,8 @@
         runs[run.0].priorities.push(priority.to_owned());
     }
 
-    /// Makes the engines forget the key of a rejected run.
-    pub fn forget_key(&self, run: RunId) {
+    /// Removes the idempotency key of a rejected run, unless an earlier run had it as well.
+    pub fn remove_key(&self, run: RunId) {
         let runs = self.runs.borrow();
         let run = &runs[run.0];
         if let Some(key) = run.idempotency_key().filter(|_| !run.deduplicated) {
@@ -349,7 +350,7 @@
                 query: query.clone(),
             });
         }
-        // A repetition whose key the engines know changes nothing.
+        // A repetition whose idempotency key is stored changes nothing.
         let repeats = |earlier: &&Run| {
             earlier.may_have_run() && !run.repeats_by_key(earlier, limits.key_window)
         };
--- a/src/testkit/fleet/mod.rs
+++ b/src/testkit/fleet/mod.rs
@@ -141,7 +141,9 @@
     fn wait_for_start(&mut self, member: usize) {
         let deadline = Instant::now() + START_TIMEOUT;
         while Instant::now() < deadline && self.readiness_status(member) != Some(200) {
-            let process = self.processes[member].as_mut().expect("it was launched");
+            let process = self.processes[member]
+                .as_mut()
+                .expect("the manager was launched");
             let ended = process.try_wait().ok().flatten();
             assert!(
                 ended.is_none(),
@@ -231,7 +233,8 @@
             .expect("the program can be started")
     }
 
-    /// Writes a configuration with new shares for a manager, and notifies it with [`Reload::Signal`].
+    /// Writes a configuration with new shares for a manager, and notifies the manager by SIGHUP if
+    /// `reload` is [`Reload::Signal`].
     pub fn reconfigure(&self, member: usize, shares: TenantShares, reload: Reload) {
         self.write_configuration(member, shares);
         if reload == Reload::Signal {
@@ -241,7 +244,9 @@
 
     /// Sends a signal to a manager's process.
     pub fn signal(&self, member: usize, signal: Signal) {
-        let process = self.processes[member].as_ref().expect("it runs");
+        let process = self.processes[member]
+            .as_ref()
+            .expect("the manager has a process");
         let pid = Pid::from_raw(process.id() as i32).expect("a process id is above 0");
         kill_process(pid, signal).expect("the process is a child");
     }
@@ -262,7 +267,7 @@
         self.stand_ins.call(|stand_ins, _| task(stand_ins))
     }
 
-    /// Sends a manager a query with the key `number`, and waits for its outcome.
+    /// Sends a manager a query with the client's identifier `number`, and waits for its outcome.
     pub fn query(&self, member: usize, class: &str, number: u64, wait_ms: u64) -> ClientOutcome {
         let key = format!("{number:016x}");
         let statement = format!("SELECT 1 /* {key} */");
--- a/src/testkit/scale/testbed.rs
+++ b/src/testkit/scale/testbed.rs
@@ -148,7 +148,7 @@
 
     /// One of the metrics on the daemon's admin endpoint.
     async fn metric(&self, name: &str) -> Result<u64, String> {
-        let admin_address = self.daemon.console.ok_or("no second address")?;
+        let admin_address = self.daemon.admin_addr.ok_or("no second address")?;
         let response = clients::call_admin(admin_address, "GET", "/metrics").await;
         let (_, text) = response
             .filter(|(status, _)| *status == 200)
@@ -346,13 +346,13 @@
     /// of the same length.
     async fn measure_full_lists(&self, fixed_descriptors: u64) -> Result<f64, String> {
         self.wait_for_disconnects(fixed_descriptors).await?;
-        self.daemon.report();
+        self.daemon.request_counters();
         let lists_received = || self.daemon.counter("lists");
         if !wait_until(|| lists_received().is_some()).await {
             return Err("the daemon does not print its counters".into());
         }
         let received_before = lists_received().unwrap_or(0);
-        let reports_before = self.daemon.reports();
+        let lines_before = self.daemon.counter_lines();
         pause(FULL_LIST_PAUSE_MS).await;
         let start = self.usage()?;
         pause(FULL_LISTS * FULL_LIST_PAUSE_MS).await;
@@ -362,8 +362,8 @@
             pause(FULL_LIST_PAUSE_MS).await;
         }
         let end = self.usage()?;
-        self.daemon.report();
-        wait_until(|| self.daemon.reports() > reports_before).await;
+        self.daemon.request_counters();
+        wait_until(|| self.daemon.counter_lines() > lines_before).await;
         let received = lists_received().unwrap_or(0) - received_before;
         if received != FULL_LISTS {
             return Err(format!(
--- a/src/testkit/scenario/daemon.rs
+++ b/src/testkit/scenario/daemon.rs
@@ -111,7 +111,7 @@
             DaemonStep::Kill(process) => self.daemon_mut()?.kill(process),
             DaemonStep::Terminate => self.daemon()?.terminate(),
             DaemonStep::ExpectEnded => self.expect_ended().await?,
-            DaemonStep::BreakCoordinator => self.coordinator.break_connections(),
+            DaemonStep::BreakCoordinator => self.coordinator.close_connections(),
             DaemonStep::MigrateCoordinator => self.migrate_coordinator()?,
             DaemonStep::AwaitCounter { name, target } => self.await_counter(name, target).await?,
             DaemonStep::ExpectCounter { name, value } => self.expect_counter(name, value)?,
@@ -152,16 +152,16 @@
         let target = match target {
             CounterTarget::Absolute(value) => value,
             CounterTarget::Increase(increase) => {
-                let reports = daemon.reports();
-                while daemon.reports() == reports {
-                    daemon.report();
+                let lines_before = daemon.counter_lines();
+                while daemon.counter_lines() == lines_before {
+                    daemon.request_counters();
                     pause(COUNTER_POLL_MILLIS).await;
                 }
                 daemon.counter(name).unwrap_or(0) + increase
             }
         };
         while daemon.counter(name).is_none_or(|value| value < target) {
-            daemon.report();
+            daemon.request_counters();
             pause(COUNTER_POLL_MILLIS).await;
         }
         Ok(())
--- a/src/testkit/scenario/mod.rs
+++ b/src/testkit/scenario/mod.rs
@@ -321,7 +321,7 @@
     fn admin_addr(&self) -> Result<SocketAddr, StepError> {
         let daemon = self.daemon.as_ref();
         daemon
-            .and_then(|daemon| daemon.console)
+            .and_then(|daemon| daemon.admin_addr)
             .ok_or(StepError::NoAdminEndpoint)
     }
 }
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -14,8 +14,8 @@
 
 const ALL: [usize; MEMBERS] = [0, 1, 2, 3, 4];
 
-fn start(tag: &str, seed: u64) -> Fleet {
-    let fleet = Fleet::start(Path::new(env!("CARGO_BIN_EXE_yokelift")), tag, seed);
+fn start(name_prefix: &str, seed: u64) -> Fleet {
+    let fleet = Fleet::start(Path::new(env!("CARGO_BIN_EXE_yokelift")), name_prefix, seed);
     assert!(wait_until(|| fleet.has_converged(&ALL)), "{}", fleet.logs());
     fleet
 }
@@ -278,7 +278,7 @@
 #[test]
 fn records_survive_a_kill_under_the_incarnation_that_made_them() {
     let mut fleet = start("lives", 12);
-    // No engine is in service, so the request fails or is rejected.
+    // No engine is ready, so the request fails or is rejected.
     fleet.with_stand_ins(|stand_ins| {
         (0..2).for_each(|engine| stand_ins.announce(0..MEMBERS, engine, Readiness::Removed));
     });
--- a/tests/soak/checks.rs
+++ b/tests/soak/checks.rs
@@ -124,11 +124,15 @@
 
 /// When the client stopped waiting: it cancelled the request or disconnected.
 fn stopped_waiting_at(request: &SustainedRequest) -> Option<Instant> {
-    let left_at = request
+    let disconnected_at = request
         .connection_end
         .filter(|(_, end)| *end == ConnectionEnd::Disconnected)
         .map(|(at, _)| at);
-    request.cancelled_at.into_iter().chain(left_at).min()
+    request
+        .cancelled_at
+        .into_iter()
+        .chain(disconnected_at)
+        .min()
 }
 
 /// Converts an instant of this process to the time base of the engines' log.
--- a/tests/soak/stand_ins.rs
+++ b/tests/soak/stand_ins.rs
@@ -123,7 +123,7 @@
     }
 
     pub(crate) fn close_watches(&self) {
-        self.coordinator.break_connections();
+        self.coordinator.close_connections();
     }
 
     /// Replaces the coordinator by another one that continues the events. Returns its address.
--- a/tests/unit/audit/model.rs
+++ b/tests/unit/audit/model.rs
@@ -170,7 +170,7 @@
                 continue;
             }
             let Some(expected) = self.expected.remove(&position) else {
-                panic!("{position:?} was never decided")
+                panic!("no record is expected at {position:?}")
             };
             prop_assert_eq!(&line.record, &AuditRecord::from(&expected.kind));
             prop_assert_eq!(line.context.configuration, expected.configuration);
@@ -189,7 +189,7 @@
             let lost = RecordPosition { number, ..last };
             prop_assert!(
                 self.expected.remove(&lost).is_some(),
-                "{lost} is reported twice"
+                "{lost} is not expected, or was stored or reported as lost before"
             );
         }
         Ok(())
--- a/tests/unit/connection_state.rs
+++ b/tests/unit/connection_state.rs
@@ -181,21 +181,25 @@
     ) -> Result<(), String> {
         for result in ended_attempts(events) {
             let id = result.id.0;
-            let known = self
+            let expected = self
                 .in_flight
                 .remove(&id)
                 .ok_or(format!("{id} ended twice"))?;
             let verb = response
                 .filter(|response| response.id == id)
                 .map(|response| &response.text[..4]);
-            let allowed = known.may_end(result.termination, verb, closing);
-            if !allowed || result.progress != known.progress() {
-                return Err(format!("{result:?} of {known:?}"));
+            let allowed = expected.may_end(result.termination, verb, closing);
+            if !allowed || result.progress != expected.progress() {
+                return Err(format!("{result:?} of {expected:?}"));
             }
         }
         let now = self.now;
-        match self.in_flight.values().find(|known| known.is_overdue(now)) {
-            Some(known) => Err(format!("{known:?} did not settle")),
+        match self
+            .in_flight
+            .values()
+            .find(|expected| expected.is_overdue(now))
+        {
+            Some(expected) => Err(format!("{expected:?} did not end after its cancellation")),
             None => Ok(()),
         }
     }
@@ -213,13 +217,13 @@
         }
         let close_reason = self.connection.close_reason();
         self.check(&events, response, false)?;
-        let unsent = |known: &ModelAttempt| !known.first_byte_written;
+        let unsent = |expected: &ModelAttempt| !expected.first_byte_written;
         if matches!(step, Step::Drain) && self.in_flight.values().any(unsent) {
             return Err("an unsent attempt remains after a drain".into());
         }
         match close_reason {
             None | Some(Termination::Dropped) => Ok(()),
-            Some(reason) => Err(format!("closes: {reason:?}")),
+            Some(reason) => Err(format!("the connection closes: {reason:?}")),
         }
     }
 
@@ -242,8 +246,8 @@
 
     fn cancel(&mut self, index: u8, events: &mut Vec<ConnectionEvent>) {
         let Some(id) = self.pick(index) else { return };
-        let known = self.in_flight.get_mut(&id).expect("picked");
-        known.cancelled_at = known.cancelled_at.or(Some(self.now));
+        let expected = self.in_flight.get_mut(&id).expect("an attempt in flight");
+        expected.cancelled_at = expected.cancelled_at.or(Some(self.now));
         self.connection
             .cancel_attempt(self.now, RequestId(id), FIRST_ATTEMPT, events);
     }
@@ -264,7 +268,7 @@
             let next = self
                 .in_flight
                 .values_mut()
-                .find(|known| !known.first_byte_written);
+                .find(|expected| !expected.first_byte_written);
             next.ok_or("a command for no attempt")?.first_byte_written = true;
         }
         self.commands_started = started_count;
@@ -280,11 +284,11 @@
         events: &mut Vec<ConnectionEvent>,
     ) -> Option<Response> {
         let id = self.pick(index)?;
-        let known = &self.in_flight[&id];
-        if !known.first_byte_written {
+        let expected = &self.in_flight[&id];
+        if !expected.first_byte_written {
             return None;
         }
-        let cancelled = known.cancelled_at.is_some();
+        let cancelled = expected.cancelled_at.is_some();
         let message = format!("{id:016x} {text}\r\na\tb\tc\n\r\n");
         let split_at = usize::from(index) % message.len();
         let (first, second) = message.as_bytes().split_at(split_at);
@@ -297,8 +301,8 @@
     }
 
     fn drain(&mut self, events: &mut Vec<ConnectionEvent>) {
-        for known in self.in_flight.values_mut() {
-            known.drained = true;
+        for expected in self.in_flight.values_mut() {
+            expected.drained = true;
         }
         self.connection.drain(self.now, events);
     }
@@ -535,10 +539,10 @@
     }
 }
 
-/// A connection must not become suspect by a slow attempt that is not in flight, or if bytes were
-/// received since the attempt was sent.
+/// A slow attempt must not make its connection suspect if it is not in flight, or if bytes were
+/// received since it was sent.
 #[test]
-fn a_connection_that_has_received_since_is_not_suspect() {
+fn a_slow_attempt_does_not_make_a_connection_suspect_that_received_bytes_since() {
     let mut connection = connection_with_two_attempts();
     assert_eq!(connection.free_streams(), 2);
 
@@ -548,7 +552,11 @@
 
     connection.receive(MS, b"k2 WAIT - 0\r\n\r\n", &mut Vec::new());
     connection.mark_slow(RequestId(1), FIRST_ATTEMPT);
-    assert_eq!(connection.free_streams(), 3, "received since");
+    assert_eq!(
+        connection.free_streams(),
+        3,
+        "bytes were received since it was sent"
+    );
 }
 
 /// A connection that may be dead must take no new attempts, and close after those in flight.
--- a/tests/unit/mutation.rs
+++ b/tests/unit/mutation.rs
@@ -173,19 +173,19 @@
         let events = engine_events(exchange);
 
         let mut end_counts: BTreeMap<RequestId, usize> = BTreeMap::new();
-        let mut probes = 0;
+        let mut probe_ends = 0;
         for event in events {
             match event {
                 ConnectionEvent::AttemptEnded(result) => {
                     check_attempt_end(number, &result, may_report_not_run);
                     *end_counts.entry(result.id).or_default() += 1;
                 }
-                ConnectionEvent::ProbeCompleted { .. } => probes += 1,
+                ConnectionEvent::ProbeCompleted { .. } => probe_ends += 1,
             }
         }
         let once_each = (0..4).map(|id| (RequestId(id), 1)).collect();
         assert_eq!(end_counts, once_each, "{number}");
-        assert_eq!(probes, 1, "{number}");
+        assert_eq!(probe_ends, 1, "{number}");
     }
 }
 
@@ -230,7 +230,7 @@
     response_counts
 }
 
-/// The lines to the client are also valid JSON, and no request stays open.
+/// Checks as well that the lines to the client are valid JSON and that no request stays open.
 #[test]
 fn a_mutated_client_message_gets_at_most_one_response() {
     let messages = [
--- a/tests/unit/tenant_directory.rs
+++ b/tests/unit/tenant_directory.rs
@@ -126,7 +126,7 @@
 
     assert_eq!(
         error.to_string(),
-        "the directory refused: InvalidCredentials as you like"
+        "the directory rejected a request: InvalidCredentials as you like"
     );
 }
 
