--- a/tests/soak/manager.rs
+++ b/tests/soak/manager.rs
@@ -232,19 +232,24 @@
         config["name"] = json!(self.name);
         config["settings"] = self.settings.settings();
         let text = config.to_string();
-        self.folder.put("config.json", &text).expect("a file")
+        self.folder
+            .put("config.json", &text)
+            .expect("the directory is writable")
     }
 
     fn spawn(&self) -> Process {
         let config_path = self.write_configuration();
         let deploy = deploy_file(self.http_listen);
-        let deploy_path = self.folder.put("clickhouse.toml", &deploy).expect("a file");
+        let deploy_path = self
+            .folder
+            .put("clickhouse.toml", &deploy)
+            .expect("the directory is writable");
         let admin_addr = reserve_addr();
         let log = File::options()
             .create(true)
             .append(true)
             .open(self.folder.path("log"))
-            .expect("a file");
+            .expect("the directory is writable");
         let child = Command::new(program())
             .arg(deploy_path)
             .env("PROXY_CONFIG", config_path)
