--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -76,7 +76,7 @@
 }
 
 /// Whether all these members report that version of the endpoint list for themselves.
-fn run_list(fleet: &Fleet, mut members: impl Iterator<Item = usize>, list: u64) -> bool {
+fn all_report_list(fleet: &Fleet, mut members: impl Iterator<Item = usize>, list: u64) -> bool {
     members.all(|member| versions(fleet, member)["list"] == json!(list))
 }
 
@@ -146,7 +146,7 @@
     fleet.with_stand_ins(|stand_ins| {
         stand_ins.announce(0..4, 1, Readiness::Draining);
     });
-    assert!(wait_until(|| run_list(&fleet, 0..4, 2)));
+    assert!(wait_until(|| all_report_list(&fleet, 0..4, 2)));
     ALL.iter()
         .for_each(|member| complete_query(&fleet, *member, 3));
     // The last records may not have been flushed yet.
@@ -237,12 +237,16 @@
 #[test]
 fn a_manager_with_an_outdated_list_reconnects_or_is_excluded() {
     let fleet = start("behind", 15);
-    assert!(wait_until(|| run_list(&fleet, ALL.into_iter(), 1)));
+    assert!(wait_until(|| all_report_list(&fleet, ALL.into_iter(), 1)));
     fleet.with_stand_ins(|stand_ins| {
         stand_ins.coordinators[3].stall_connections();
         stand_ins.announce(0..4, 1, Readiness::Draining);
     });
-    assert!(wait_until(|| run_list(&fleet, 0..4, 2)), "{}", fleet.log(3));
+    assert!(
+        wait_until(|| all_report_list(&fleet, 0..4, 2)),
+        "{}",
+        fleet.log(3)
+    );
     assert!(
         fleet
             .log(3)
@@ -282,7 +286,7 @@
     fleet.with_stand_ins(|stand_ins| {
         (0..2).for_each(|engine| stand_ins.announce(0..MEMBERS, engine, Readiness::Removed));
     });
-    assert!(wait_until(|| run_list(&fleet, ALL.into_iter(), 3)));
+    assert!(wait_until(|| all_report_list(&fleet, ALL.into_iter(), 3)));
     let outcome = fleet.query(2, "lookup", 0xabc, 700);
     assert!(
         !matches!(outcome, ClientOutcome::Completed(_)),
--- a/tests/unit/spool.rs
+++ b/tests/unit/spool.rs
@@ -185,14 +185,14 @@
     let mut commands = Vec::new();
     let query = submission(1, 1, 1, Repeat::Allowed);
     let id = seal_result(&mut spool, SEC, &query, &[10]);
-    let stranger = submission(3, 1, 1, Repeat::Allowed).owner;
+    let other_owner = submission(3, 1, 1, Repeat::Allowed).owner;
 
     assert_eq!(
-        spool.begin_read(SEC, id, &stranger, 0, &mut commands),
+        spool.begin_read(SEC, id, &other_owner, 0, &mut commands),
         Err(AccessError::Unknown)
     );
     assert_eq!(
-        spool.delete(SEC, id, &stranger, &mut commands),
+        spool.delete(SEC, id, &other_owner, &mut commands),
         Err(AccessError::Unknown)
     );
     assert_eq!(
