--- a/src/testkit/scenario/mod.rs
+++ b/src/testkit/scenario/mod.rs
@@ -322,7 +322,7 @@
     fn admin_addr(&self) -> Result<SocketAddr, StepError> {
         let daemon = self.daemon.as_ref();
         daemon
-            .and_then(|daemon| daemon.console)
+            .and_then(|daemon| daemon.admin_addr)
             .ok_or(StepError::NoAdminEndpoint)
     }
 }
