--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Scenarios of the daemon binary between stand-in clients, engines, coordinator and directory on
-//! loopback; each guards one rule.
+//! Scenarios that run the daemon binary between stand-in clients, engines, coordinator and
+//! directory on loopback; each guards one rule.
 use std::path::Path;
 use std::process::Command;
 use yokelift::testkit::daemon::{self, Folder};
@@ -52,15 +52,16 @@
     run(include_str!("../scenarios/service.txt"));
 }
 
-/// Loads with idempotency keys, priorities and hedged attempts, on engines of two machine types.
+/// On engines of two machine types, attempts carry the idempotency key and the priority of their
+/// request, and a load with a key changes data once even if it is retried or hedged.
 #[test]
-fn keyed_loads_with_priorities_and_hedging() {
+fn keyed_loads_are_retried_and_hedged_but_change_data_once() {
     run(include_str!("../scenarios/keyed.txt"));
 }
 
-/// Guards against an idempotency key that is stored for a load that never ran: an engine at its limit
-/// rejects a keyed load, the client receives the rejection, and a later request with the same key
-/// runs.
+/// Guards against an idempotency key that is stored for a load that never ran: an engine at its
+/// limit rejects a keyed load, the client receives the rejection, and a later request with the same
+/// key runs.
 #[test]
 fn an_engine_at_its_limit_rejects_a_keyed_load_without_storing_its_key() {
     run("set /classes/2/semantics \"token\"
@@ -95,8 +96,8 @@
     );
 }
 
-/// Guards rule 2: a load is not retried after an error, a reset or an incomplete response, because it
-/// may have begun to run.
+/// Guards invariant 2: a load is not retried after an error, a reset, or an incomplete or malformed
+/// response, because it may have begun to run.
 #[test]
 fn a_load_that_may_have_run_fails_without_a_retry() {
     for fault in ["break", "reset", "late", "garble"] {
@@ -127,7 +128,7 @@
     );
 }
 
-/// When a client disconnects, the attempt of its request is canceled.
+/// When a client disconnects, the attempt of its request is cancelled.
 #[test]
 fn a_disconnect_cancels_the_attempt() {
     run_with_each_protocol(
@@ -151,7 +152,7 @@
     }
 }
 
-/// Guards rule 3, also after the connection to the coordinator was closed.
+/// Guards invariant 3, also after the connection to the coordinator was closed.
 #[test]
 fn a_draining_engine_receives_no_new_attempts() {
     run_with_each_protocol(
@@ -163,8 +164,8 @@
 }
 
 /// Guards against termination by SIGHUP, and against event numbers that restart with the
-/// coordinator's address: open requests continue, the next events are read from the new coordinator,
-/// and an invalid file changes nothing.
+/// coordinator's address: open requests continue, the next events are read from the new
+/// coordinator, and an invalid file changes nothing.
 #[test]
 fn a_reload_migrates_the_coordinator_and_keeps_requests() {
     run_with_each_protocol(
@@ -175,9 +176,9 @@
     );
 }
 
-/// Guards against hundreds of clients that connect and send nothing, or an incomplete message: other
-/// clients are accepted at once, because the connections that have been idle longest are closed.
-/// Incomplete messages time out within seconds, with an error if the protocol defines one.
+/// Guards against hundreds of clients that connect and send nothing, or an incomplete message:
+/// other clients are accepted at once, because the connections that have been idle longest are
+/// closed. Incomplete messages time out within seconds, with an error if the protocol defines one.
 #[test]
 fn idle_clients_do_not_block_others() {
     run(
@@ -215,7 +216,7 @@
 }
 
 /// Guards against requests without a response when the process is killed: before that, the shutdown
-/// fails all open requests, or rejects those that never ran.
+/// rejects the open requests whose retry is harmless, and fails the others.
 #[test]
 fn a_shutdown_fails_requests_that_would_outlast_it() {
     for engine in ["platform", "clickhouse"] {
@@ -438,7 +439,8 @@
     }
 }
 
-/// The check of an invalid file of the ClickHouse frontend fails with one line that names the cause.
+/// The check of an invalid file of the ClickHouse frontend fails with one line that names the
+/// cause.
 #[test]
 fn an_invalid_clickhouse_file_fails_with_one_line() {
     let folder = Folder::new().expect("create a folder");
