--- a/src/testkit/membership_simulation/mod.rs
+++ b/src/testkit/membership_simulation/mod.rs
@@ -117,9 +117,9 @@
 }
 
 impl SimulatedFleet {
-    /// Creates `members` managers, each with the address of the first one as its seed. They start at
-    /// random times within the first protocol period; otherwise all would always probe at the same
-    /// time.
+    /// Creates `members` managers, each with the address of the first one as its seed. They start
+    /// at random times within the first protocol period; otherwise all would always probe at the
+    /// same time.
     pub fn new(members: usize, timing: &Timing, seed: u64) -> SimulatedFleet {
         let node = |index: usize| new_node(index, 1, timing, seed + index as u64, 0);
         let mut fleet = SimulatedFleet {
--- a/src/testkit/probe_simulation/fleet.rs
+++ b/src/testkit/probe_simulation/fleet.rs
@@ -77,7 +77,7 @@
 pub(super) struct SimulatedFleet {
     plan: Plan,
     managers: Vec<SimulatedManager>,
-    /// The index of the preferred owner by engine, which all managers agree on.
+    /// The index of the preferred owner by engine, the same for all managers.
     preferred_owners: BTreeMap<u64, usize>,
     queue: BTreeMap<EventKey, Event>,
     last_sequence: u64,
@@ -123,8 +123,8 @@
         &self.totals
     }
 
-    /// Stops the share of managers that the plan specifies. Voters are not stopped, because leases
-    /// require a majority of them.
+    /// Stops one in [`Plan::stop_one_in`] managers. Voters are not stopped, because leases require
+    /// a majority of them.
     pub(super) fn stop_managers(&mut self) {
         let others = self.managers.iter_mut().skip(self.plan.voters);
         for manager in others.step_by(self.plan.stop_one_in) {
--- a/src/testkit/probe_simulation/mod.rs
+++ b/src/testkit/probe_simulation/mod.rs
@@ -28,7 +28,8 @@
     /// The mean rate at which the decision module of each manager requests the load of a random
     /// engine, per second.
     pub load_requests_per_second: f64,
-    /// The number of voters; with 0 there are no leases, and each manager probes the engines itself.
+    /// The number of voters; with 0 there are no leases, and each manager probes the engines
+    /// itself.
     pub voters: usize,
     /// The timing of leases.
     pub lease_timing: LeaseTiming,
@@ -60,8 +61,8 @@
     Figures::new(plan, case, fleet.totals())
 }
 
-/// Simulates a fleet of each size: without leases, with leases, and with leases while one manager in
-/// ten is stopped halfway.
+/// Simulates a fleet of each size: without leases, with leases, and with leases while one manager
+/// in ten is stopped halfway.
 pub fn compare(
     sizes: &[usize],
     engines: u64,
--- a/src/testkit/scenario/connections.rs
+++ b/src/testkit/scenario/connections.rs
@@ -325,8 +325,8 @@
         Ok(())
     }
 
-    /// Waits for the outcomes of all queries of a stream, reports how many completed, and checks that
-    /// all did.
+    /// Waits for the outcomes of all queries of a stream, reports how many completed, and checks
+    /// that all did.
     async fn expect_stream_completed(&mut self, name: &str) -> Result<(), StepError> {
         let outcomes = self.streams.get(name).ok_or(StepError::UnknownStream)?;
         wait_until(|| outcomes.iter().all(|outcome| outcome.borrow().is_some())).await;
@@ -360,8 +360,8 @@
         PersistentClient::open(&self.executor, self.addr)
     }
 
-    /// Sends the queries on the connections in turn, and keeps these open for the responses until the
-    /// task is dropped.
+    /// Sends the queries on the connections in turn, and keeps these open for the responses until
+    /// the task is dropped.
     async fn run(self, outcomes: Vec<clients::PendingOutcome>) {
         let mut connections: Vec<PersistentClient> =
             (0..STREAM_CONNECTIONS).map(|_| self.connect()).collect();
--- a/src/testkit/scenario/daemon.rs
+++ b/src/testkit/scenario/daemon.rs
@@ -156,6 +156,7 @@
         let target = match target {
             CounterTarget::Absolute(value) => value,
             CounterTarget::Increase(increase) => {
+                // The counters in the last log line may be stale, so a new line is requested first.
                 let reports = daemon.reports();
                 while daemon.reports() == reports {
                     daemon.report();
--- a/src/testkit/scenario/mod.rs
+++ b/src/testkit/scenario/mod.rs
@@ -9,7 +9,7 @@
 //! | `set POINTER JSON` | sets a value in the settings, such as `/limits/second_copies true` |
 //! | `user NAME KEY TENANT` | adds a user to the deploy file; the tenant `-` means none |
 //! | `tenant NAME SHARE`, `person NAME KEY TENANT` | adds an entry to the LDAP directory, at any time; the tenant `-` means none |
-//! | `busy`, `idle` | makes the directory answer searches with an error, or with entries again; at any time |
+//! | `busy`, `idle` | makes the directory respond to searches with an error, or with entries again; at any time |
 //! | `sockets COUNT` | sets the maximum number of descriptors of the daemon |
 //! | `occupy` | occupies the port of the ClickHouse frontend, as another program would |
 //! | `console` | gives the daemon an admin endpoint |
@@ -20,8 +20,10 @@
 //! | step | effect |
 //! | --- | --- |
 //! | `on ENGINE rows MS COUNT\|full\|break\|hang\|reset\|late\|garble` | sets the behavior of the engine for its next query; `any` is the engine that receives the next query |
+//! | `rows MS COUNT`, `full`, `break`, `hang` | such a behavior: completes the query with COUNT rows after MS milliseconds, rejects it, responds with an error, or never responds |
+//! | `reset`, `late`, `garble` | such a behavior: resets the connection once the query was received, fails within the response, or responds with bytes that are not valid in its protocol |
 //! | `drain\|ready\|gone ENGINE` | makes the coordinator send this state of the engine: draining, ready or removed |
-//! | `down ENGINE` | shuts down the engine |
+//! | `down ENGINE` | simulates the end of the engine's process: its connections are reset, and new ones are refused |
 //! | `cut` | closes the coordinator's connections |
 //! | `move` | starts another coordinator, and makes the daemon reload a configuration that names it |
 //!
@@ -36,18 +38,19 @@
 //! | `drop NAME` | disconnects the client of a query |
 //! | `leave NAME` | makes the client of a query disconnect after the first byte of the response |
 //! | `expect NAME served [COUNT]\|refused\|failed\|deadline\|rejected CODE\|cut` | waits for the outcome of a query and checks it; with COUNT also the number of rows |
+//! | `served`, `refused`, `cut` | such an outcome: completed, rejected with a time after which to retry, or without a complete response |
 //! | `seen NAME` | waits until an engine runs the query |
 //! | `over NAME` | waits until no engine runs the query |
 //! | `runs NAME COUNT` | checks how many attempts of the query engines have received |
 //! | `sent NAME FIELD VALUE` | checks a field of the last attempt as the engine received it; `-` means that it was not sent |
-//! | `dropped NAME COUNT` | checks how many attempts engines recognized by their idempotency key |
+//! | `dropped NAME COUNT` | checks how many attempts changed nothing, because engines recognized their idempotency key |
 //!
 //! Steps for clients with persistent connections:
 //!
 //! | step | effect |
 //! | --- | --- |
 //! | `keep NAME` | opens a connection to the JSON-RPC frontend |
-//! | `ask NAME on KEPT CLASS TENANT WAIT-MS STATEMENT` | sends a query on it |
+//! | `ask NAME on KEPT CLASS TENANT WAIT-MS STATEMENT` | sends a query on the connection that was opened with `keep KEPT` |
 //! | `begin NAME on KEPT ...`, `rest KEPT` | sends the first half of such a query, or the second half |
 //! | `closed KEPT`, `kept KEPT` | waits until the daemon has closed the connection, or checks that it is open |
 //! | `mute NAME rpc\|http\|console COUNT` | opens COUNT connections that send nothing |
--- a/src/testkit/scenario/queries.rs
+++ b/src/testkit/scenario/queries.rs
@@ -146,7 +146,8 @@
         }
     }
 
-    /// Whether a query has this outcome; its rows must be complete, in order, and those of this query.
+    /// Whether a query has this outcome; its rows must be complete, in order, and those of this
+    /// query.
     fn matches(&self, query: &str, outcome: &ClientOutcome) -> bool {
         match (self, outcome) {
             (ExpectedOutcome::Completed, ClientOutcome::Completed(text)) => {
