--- a/src/testkit/scenario/daemon.rs
+++ b/src/testkit/scenario/daemon.rs
@@ -156,6 +156,7 @@
         let target = match target {
             CounterTarget::Absolute(value) => value,
             CounterTarget::Increase(increase) => {
+                // The counters in the last log line may be stale, so a new line is requested first.
                 let lines_before = daemon.counter_lines();
                 while daemon.counter_lines() == lines_before {
                     daemon.request_counters();
