--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,7 +1,7 @@
 //! The clock of the program: the monotonic clock in microseconds, anchored to the Unix clock at the
 //! first use on each thread.
 //!
-//! Each event loop reads the clock once per iteration with [`turn`]. All code of the iteration uses
+//! Each event loop reads the clock once per iteration with [`read`]. All code of the iteration uses
 //! that reading, which [`now`] returns.
 use crate::policy::api::Nanos;
 use std::cell::Cell;
@@ -44,17 +44,17 @@
 }
 
 /// Reads the clock. Called at the start of each iteration of an event loop.
-pub fn turn() -> Micros {
+pub fn read() -> Micros {
     let anchor = ANCHOR.with(|anchor| *anchor);
     let now = anchor.unix + anchor.instant.elapsed().as_micros() as Micros;
     NOW.set(now);
     now
 }
 
-/// The time of the current iteration: the last reading of [`turn`]. Reads the clock if there is
+/// The time of the current iteration: the last reading of [`read`]. Reads the clock if there is
 /// none yet.
 pub fn now() -> Micros {
-    if NOW.get() == 0 { turn() } else { NOW.get() }
+    if NOW.get() == 0 { read() } else { NOW.get() }
 }
 
 /// The monotonic time that corresponds to `at`, for timers of the reactor. Times before the anchor
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -90,7 +90,7 @@
 async fn serve(shared: &Shared, mut stream: Async<TcpStream>, close_signal: Receiver<()>) {
     // Without TCP_NODELAY the response is only delayed.
     let _ = stream.get_ref().set_nodelay(true);
-    let request_due_at = clock::turn() + REQUEST_TIMEOUT;
+    let request_due_at = clock::read() + REQUEST_TIMEOUT;
     let close_requested = async {
         // `recv` fails once the channel is closed, which is the signal.
         let _ = close_signal.recv().await;
@@ -107,7 +107,7 @@
         Ok(request) => handle(shared, request).await,
         Err(error) => admin::error_response(error),
     };
-    let response_due_at = clock::turn() + RESPONSE_TIMEOUT;
+    let response_due_at = clock::read() + RESPONSE_TIMEOUT;
     or(
         write_and_close(&mut stream, &response),
         sleep_until(Some(response_due_at)),
@@ -138,7 +138,7 @@
     if !written || stream.get_ref().shutdown(Shutdown::Write).is_err() {
         return;
     }
-    let linger_ends_at = clock::turn() + LINGER_TIMEOUT;
+    let linger_ends_at = clock::read() + LINGER_TIMEOUT;
     let mut discarded = [0; READ_BYTES];
     let discard = async {
         while stream
@@ -152,7 +152,7 @@
 
 /// Handles a request and returns the response.
 async fn handle(shared: &Shared, request: AdminRequest) -> Vec<u8> {
-    let now = clock::turn();
+    let now = clock::read();
     match request {
         AdminRequest::Ready => readiness(shared),
         AdminRequest::Metrics => {
--- a/src/net/audit.rs
+++ b/src/net/audit.rs
@@ -143,7 +143,7 @@
 /// The loop of the audit thread: runs until the queue of jobs is closed and empty.
 fn run_jobs(mut store: Store, jobs: &Receiver<AuditJob>) {
     while let Ok(job) = jobs.recv_blocking() {
-        clock::turn();
+        clock::read();
         match job {
             AuditJob::Write(batch) => {
                 if let Err(error) = store.append(batch) {
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -95,7 +95,7 @@
     pub(super) async fn run(mut self) -> Termination {
         // An error is ignored: without this option responses are only delayed.
         let _ = self.stream.get_ref().set_nodelay(true);
-        self.accepted_at = clock::turn();
+        self.accepted_at = clock::read();
         self.active_at = self.accepted_at;
         loop {
             if !self.is_writing() && self.frontend.closes_after_output() {
@@ -132,7 +132,7 @@
         let plan = self.plan_wait(now, &throttle);
         self.publish_status(&plan);
         let reason = self.wait(now, &plan).await;
-        let now = clock::turn();
+        let now = clock::read();
         match reason {
             WakeReason::Response(Some((tag, response))) => {
                 self.on_response(now, tag, response).await;
--- a/src/net/client/connection_registry.rs
+++ b/src/net/client/connection_registry.rs
@@ -77,7 +77,7 @@
     let clients = shared.clients.borrow();
     // Skips connections within the grace period. Waiting for the grace period of a new connection
     // to end instead would block all other clients for that time.
-    let idle_before = clock::turn().saturating_sub(SHED_GRACE_PERIOD);
+    let idle_before = clock::read().saturating_sub(SHED_GRACE_PERIOD);
     clients
         .values()
         .filter(|status| {
--- a/src/net/client/graceful_close.rs
+++ b/src/net/client/graceful_close.rs
@@ -50,7 +50,7 @@
             return reason;
         };
         drop(socket_guard);
-        let linger_ends_at = clock::turn() + LINGER_TIMEOUT;
+        let linger_ends_at = clock::read() + LINGER_TIMEOUT;
         or(
             discard_input(&stream, shared),
             sleep_until(Some(linger_ends_at)),
@@ -61,7 +61,7 @@
 
     /// Whether all output was written in time.
     async fn write_remaining_output(&self) -> bool {
-        let deadline = clock::turn() + FINAL_WRITE_TIMEOUT;
+        let deadline = clock::read() + FINAL_WRITE_TIMEOUT;
         let mut socket = &*self.stream;
         let write = async { socket.write_all(self.output.pending()).await.is_ok() };
         let timeout = async {
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -95,7 +95,7 @@
     let (close_check_sender, close_checks) = bounded(1);
     let stream = Rc::new(connection.stream);
     let status = Rc::new(ConnectionStatus::new(
-        clock::turn(),
+        clock::read(),
         close_check_sender,
         Rc::downgrade(&stream),
     ));
--- a/src/net/client/transfer.rs
+++ b/src/net/client/transfer.rs
@@ -132,7 +132,7 @@
         let output_guard = CountGuard::new(self.output_count);
         let (mut events, mut line) = (Vec::new(), Vec::new());
         self.frontend
-            .write_response(clock::turn(), tag, response, &mut events, &mut line);
+            .write_response(clock::read(), tag, response, &mut events, &mut line);
         if line.is_empty() {
             return Ok(());
         }
--- a/src/net/discovery/coordinator.rs
+++ b/src/net/discovery/coordinator.rs
@@ -261,7 +261,7 @@
         }
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         loop {
-            let timeout_at = clock::turn() + silence_timeout;
+            let timeout_at = clock::read() + silence_timeout;
             let count = match read_before(&mut stream, &mut buffer, timeout_at).await {
                 None => return Termination::Unresponsive,
                 Some(Ok(0)) => return Termination::Closed,
@@ -287,7 +287,7 @@
         stream.map_err(|error| Termination::from_connect_error(&error))
     };
     let timeout = async {
-        sleep_until(Some(clock::turn() + CONNECT_TIMEOUT_MICROS)).await;
+        sleep_until(Some(clock::read() + CONNECT_TIMEOUT_MICROS)).await;
         Err(Termination::ConnectTimeout)
     };
     or(connected, timeout).await
--- a/src/net/dispatcher/mod.rs
+++ b/src/net/dispatcher/mod.rs
@@ -81,7 +81,7 @@
     while actor.shutdown_phase != ShutdownPhase::Finished {
         let schedule = actor.schedule();
         let event = actor.receive_until(schedule.wakeup).await;
-        let now = clock::turn();
+        let now = clock::read();
         actor.run_iteration(now, event, &schedule);
         actor.advance_shutdown(now, &schedule);
     }
--- a/src/net/engine/actor.rs
+++ b/src/net/engine/actor.rs
@@ -254,7 +254,7 @@
         let (dispatcher, peer) = (self.dispatcher.clone(), self.peer.clone());
         let task = async move {
             let connection = Connection {
-                state: ConnectionState::new(clock::turn(), protocol),
+                state: ConnectionState::new(clock::read(), protocol),
                 mailbox,
                 dispatcher,
                 peer,
--- a/src/net/engine/connection.rs
+++ b/src/net/engine/connection.rs
@@ -89,7 +89,7 @@
     /// Ends all attempts and load probes on the connection. Attempts that are still in the mailbox
     /// were never sent.
     async fn close(&mut self, reason: Termination) {
-        let now = clock::turn();
+        let now = clock::read();
         self.mailbox.close();
         self.state.close(now, reason, &mut self.events);
         while let Ok(command) = self.mailbox.try_recv() {
@@ -111,7 +111,7 @@
     /// attempts that wait for it.
     async fn connect(&mut self) -> Result<Async<TcpStream>, Termination> {
         let mut connecting = pin!(Async::<TcpStream>::connect(self.peer.addr));
-        let timeout_at = clock::turn() + self.peer.options.connect_timeout;
+        let timeout_at = clock::read() + self.peer.options.connect_timeout;
         loop {
             self.report_events().await;
             let command = async { ConnectWakeReason::Command(self.mailbox.recv().await.ok()) };
@@ -121,7 +121,7 @@
                 ConnectWakeReason::Timeout
             };
             let reason = or(command, or(connected, timer)).await;
-            let now = clock::turn();
+            let now = clock::read();
             match reason {
                 ConnectWakeReason::Command(Some(command)) => self.handle_command(now, command),
                 ConnectWakeReason::Command(None) => return Err(Termination::Dropped),
@@ -148,7 +148,7 @@
             self.report_events().await;
             let timeouts = self.close_timeouts(last_progress_at);
             let reason = self.next_wake(stream, &mut buffer, timeouts).await;
-            let now = clock::turn();
+            let now = clock::read();
             let written = matches!(reason, WakeReason::Written(Ok(_)));
             if written || timeouts.write_stall_at.is_none() {
                 last_progress_at = now;
--- a/src/net/fleet/membership/actor.rs
+++ b/src/net/fleet/membership/actor.rs
@@ -81,7 +81,7 @@
         shared: Rc<Shared>,
         socket: Async<UdpSocket>,
     ) -> MembershipActor {
-        let now = clock::turn();
+        let now = clock::read();
         let socket = Rc::new(socket);
         let me = own_update(&service, &shared, &socket);
         let lease_config = service.config.leases.as_ref();
@@ -113,7 +113,7 @@
         let mut buffer = vec![0; self.max_datagram_bytes + 1];
         loop {
             let reason = self.next_event(&mut buffer).await;
-            let now = clock::turn();
+            let now = clock::read();
             let mut out = Outbox::default();
             self.membership.set_versions(running_versions(&self.shared));
             match reason {
--- a/src/net/fleet/membership/mod.rs
+++ b/src/net/fleet/membership/mod.rs
@@ -83,7 +83,7 @@
         bind_address: SocketAddr,
     ) {
         while socket.is_none() && shared.lifecycle.borrow().stage() != Stage::Stopping {
-            sleep_until(Some(clock::turn() + BIND_RETRY_INTERVAL)).await;
+            sleep_until(Some(clock::read() + BIND_RETRY_INTERVAL)).await;
             socket = bind(bind_address).ok();
         }
         if let Some(socket) = socket {
--- a/src/net/fleet/vote_store.rs
+++ b/src/net/fleet/vote_store.rs
@@ -90,7 +90,7 @@
         let (stored, stored_votes) = bounded::<Datagram>(MAX_PENDING_VOTES);
         let write_votes = move || {
             while let Ok(vote) = pending_votes.recv_blocking() {
-                clock::turn();
+                clock::read();
                 // A vote that can't be stored is not sent, because after a restart this voter could
                 // grant the same token to another holder.
                 match store_votes(&path, &vote.high_water_marks) {
--- a/src/net/hot_restart/predecessor_session.rs
+++ b/src/net/hot_restart/predecessor_session.rs
@@ -119,7 +119,7 @@
     peer: &Async<UnixStream>,
     reader: &mut MessageReader,
 ) -> Option<HotRestartMessage> {
-    let deadline = clock::turn() + RESPONSE_TIMEOUT;
+    let deadline = clock::read() + RESPONSE_TIMEOUT;
     let message = async {
         let mut buffer = [0; BUFFER_BYTES];
         loop {
--- a/src/net/hot_restart/successor.rs
+++ b/src/net/hot_restart/successor.rs
@@ -49,7 +49,7 @@
 /// Requests the listeners of the process at `socket_path`. `None` if there is none, or if the transfer
 /// fails: the start then continues without them, at the latest after 400 ms.
 pub async fn request_transfer(socket_path: &Path, name: &str) -> Option<TransferredState> {
-    let deadline = clock::turn() + RESPONSE_TIMEOUT;
+    let deadline = clock::read() + RESPONSE_TIMEOUT;
     let timeout = async {
         sleep_until(Some(deadline)).await;
         Err(TransferError::Timeout)
--- a/src/net/tenant_directory.rs
+++ b/src/net/tenant_directory.rs
@@ -27,7 +27,7 @@
 async fn read(config: &DirectoryConfig) -> Result<DirectorySnapshot, ReadError> {
     let timeout: Micros = READ_TIMEOUT_S * SEC;
     let timed_out = async {
-        sleep_until(Some(clock::turn() + timeout)).await;
+        sleep_until(Some(clock::read() + timeout)).await;
         Err(ReadError::Timeout {
             seconds: READ_TIMEOUT_S,
         })
--- a/src/startup/hot_restart.rs
+++ b/src/startup/hot_restart.rs
@@ -48,7 +48,7 @@
     let mut lifecycle = context.shared.lifecycle.borrow_mut();
     lifecycle.set_predecessor_share(transferred.reserved_share);
     if transferred.draining {
-        lifecycle.drain(clock::turn());
+        lifecycle.drain(clock::read());
     }
 }
 
@@ -61,7 +61,7 @@
         let conn = shared.next_conn.get();
         shared.next_conn.set(conn + 1);
         let frontend = JsonRpc::new(conn, names.clone(), Rc::clone(&ready));
-        let frontend = JsonRpc::resume(clock::turn(), &adopted.state, frontend);
+        let frontend = JsonRpc::resume(clock::read(), &adopted.state, frontend);
         match Async::new(stream) {
             Ok(stream) => client::start(
                 &shared,
--- a/src/startup/mod.rs
+++ b/src/startup/mod.rs
@@ -78,7 +78,7 @@
     let files = ConfigurationFiles::read(options)?;
     let config = &files.config;
     let shared = Shared::new(config.limits.sockets, config.limits.memory_mb);
-    let incarnation = clock::turn();
+    let incarnation = clock::read();
     publish_configuration(&shared, config);
     let audit = start_audit(&shared, &files, incarnation)?;
     let sockets = Sockets::open(&files)?;
@@ -163,7 +163,7 @@
 
 fn new_dispatcher(shared: &Shared, config: &Config) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(
-        clock::turn(),
+        clock::read(),
         config.settings.clone(),
         &config.names.classes,
         config.seed,
--- a/src/startup/signals.rs
+++ b/src/startup/signals.rs
@@ -46,6 +46,6 @@
 
 fn begin_shutdown(shared: &Shared) -> DispatcherEvent {
     log!("shutdown requested by a signal: completing the open requests");
-    shared.lifecycle.borrow_mut().begin_shutdown(clock::turn());
+    shared.lifecycle.borrow_mut().begin_shutdown(clock::read());
     DispatcherEvent::Shutdown
 }
--- a/src/testkit/execution_log.rs
+++ b/src/testkit/execution_log.rs
@@ -200,7 +200,7 @@
         fields: BTreeMap<String, String>,
     ) -> RunId {
         let statement = String::from_utf8_lossy(statement);
-        let started_at = clock::turn();
+        let started_at = clock::read();
         let key = fields.get(KEY_FIELD);
         let deduplicated = key.is_some_and(|key| self.observe_key(key, started_at));
         let run = Run {
@@ -231,14 +231,14 @@
     /// Records the end of a run, unless it has already ended.
     pub fn record_end(&self, run: RunId, outcome: RunOutcome) {
         let end = &mut self.runs.borrow_mut()[run.0].end;
-        let at = clock::turn();
+        let at = clock::read();
         end.get_or_insert(RunEnd { at, outcome });
     }
 
     /// Records that an engine's process ended, which cancelled its running queries.
     pub fn record_engine_end(&self, engine: &str) {
         let end = RunEnd {
-            at: clock::turn(),
+            at: clock::read(),
             outcome: RunOutcome::Cancelled,
         };
         let mut runs = self.runs.borrow_mut();
@@ -297,14 +297,14 @@
     pub fn record_drained(&self, engine: &str) {
         self.drains.borrow_mut().push(Drain {
             engine: engine.to_owned(),
-            announced_at: clock::turn(),
+            announced_at: clock::read(),
             resumed_at: None,
         });
     }
 
     /// Records that the daemon was notified that an engine is ready again.
     pub fn record_resumed(&self, engine: &str) {
-        let now = clock::turn();
+        let now = clock::read();
         for drain in self.drains.borrow_mut().iter_mut() {
             if drain.engine == engine {
                 drain.resumed_at.get_or_insert(now);
--- a/src/testkit/scale/hollow_batch.rs
+++ b/src/testkit/scale/hollow_batch.rs
@@ -202,7 +202,7 @@
     /// Starts an incarnation of a node, after the end of its last one.
     fn start(&self, executor: &LocalExecutor<'static>, node: &mut HollowNode, settings: u64) {
         node.end_incarnation();
-        let began = clock::turn();
+        let began = clock::read();
         let shared = self.new_shared(node.number, settings);
         let counters = Rc::new(ModuleCounters::default());
         let state: Rc<RunState> = Rc::default();
--- a/src/testkit/scale/hollow_module.rs
+++ b/src/testkit/scale/hollow_module.rs
@@ -52,7 +52,7 @@
     /// random intervals around the plan's mean. Never ends.
     pub async fn run(mut self) {
         let interval = self.want_interval();
-        let mut want_at = interval.map(|interval| clock::turn() + self.random_below(interval));
+        let mut want_at = interval.map(|interval| clock::read() + self.random_below(interval));
         loop {
             let event = or(async { self.mailbox.recv().await.ok() }, async {
                 sleep_until(want_at).await;
@@ -63,7 +63,7 @@
                 None => {
                     self.want_some_load();
                     want_at = interval
-                        .map(|interval| clock::turn() + interval / 2 + self.random_below(interval));
+                        .map(|interval| clock::read() + interval / 2 + self.random_below(interval));
                 }
             }
         }
--- a/src/testkit/scale/hollow_node.rs
+++ b/src/testkit/scale/hollow_node.rs
@@ -166,7 +166,7 @@
                 .shared
                 .lifecycle
                 .borrow_mut()
-                .begin_shutdown(clock::turn()),
+                .begin_shutdown(clock::read()),
             None => self.end_incarnation(),
         }
     }
--- a/src/testkit/scale/testbed.rs
+++ b/src/testkit/scale/testbed.rs
@@ -325,7 +325,7 @@
                 .map(|l| engine_name(l.endpoint.id.0 - 1))
                 .collect();
             let runs_before = self.log.runs.borrow().len();
-            let announced_at = clock::turn();
+            let announced_at = clock::read();
             self.coordinator.send_changes(&draining);
             pause(LIST_CHANGE_PAUSE_MS).await;
             for run in &self.log.runs.borrow()[runs_before..] {
--- a/tests/unit/net_client.rs
+++ b/tests/unit/net_client.rs
@@ -219,7 +219,7 @@
     /// Begins the shutdown of the process, in its closing stage.
     fn shut_down(&self) {
         let lifecycle = || self.shared.lifecycle.borrow_mut();
-        lifecycle().begin_shutdown(clock::turn());
+        lifecycle().begin_shutdown(clock::read());
         lifecycle().begin_closing();
         begin_shutdown(&self.shared);
     }
@@ -399,7 +399,7 @@
     let clients = fixture.connect(3);
     (&clients[0]).write_all(&request_line(7)).expect("written");
 
-    shared.lifecycle.borrow_mut().begin_shutdown(clock::turn());
+    shared.lifecycle.borrow_mut().begin_shutdown(clock::read());
     shared.lifecycle.borrow_mut().begin_closing();
     shared.stop_accepting();
 
@@ -703,7 +703,7 @@
         let clients: Vec<_> = (0..CONNECTING_CLIENTS)
             .map(|_| std::thread::spawn(move || connect_until_refused(addr)))
             .collect();
-        shared.lifecycle.borrow_mut().begin_shutdown(clock::turn());
+        shared.lifecycle.borrow_mut().begin_shutdown(clock::read());
         shared.lifecycle.borrow_mut().begin_closing();
         fixture.run_until(|| shared.next_conn.get() > 50);
 
--- a/tests/unit/net_client_response_time.rs
+++ b/tests/unit/net_client_response_time.rs
@@ -106,17 +106,17 @@
             scheduled: BTreeSet::new(),
             input: Vec::new(),
             lag: 0,
-            last_step_at: clock::turn(),
+            last_step_at: clock::read(),
         }
     }
 
     /// Runs all steps of the client, and waits for the last response.
     fn run(&mut self) {
-        let times_out_at = clock::turn() + LAST_RESPONSE_TIMEOUT;
+        let times_out_at = clock::read() + LAST_RESPONSE_TIMEOUT;
         let shared = self.fixture.shared.clone();
         let executor = shared.executor.clone();
         block_on(executor.run(async {
-            while !self.step() && clock::turn() < times_out_at {
+            while !self.step() && clock::read() < times_out_at {
                 crate::testkit::pause(STEP_MILLIS).await;
             }
         }));
@@ -124,7 +124,7 @@
 
     /// Runs the client and the dispatcher once. Returns whether nothing is left to do.
     fn step(&mut self) -> bool {
-        let now = clock::turn();
+        let now = clock::read();
         self.lag = self.lag.max(now - self.last_step_at);
         self.last_step_at = now;
         self.respond_to_requests(now);
--- a/tests/unit/net_engine.rs
+++ b/tests/unit/net_engine.rs
@@ -214,7 +214,7 @@
     let request = AttemptRequest {
         client_connection: CLIENT,
         statement: Rc::from(&b"SELECT 1"[..]),
-        deadline: crate::clock::turn() + 9 * SEC,
+        deadline: crate::clock::read() + 9 * SEC,
         ..attempt(false)
     };
     let disconnects_before = disconnect == Disconnect::BeforeFirstByte;
--- a/tests/unit/net_engine_endpoint.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -194,7 +194,7 @@
         client_request_id: format!("k{id}").into(),
         class: "lookup".into(),
         statement: Rc::from(&b"SELECT 1"[..]),
-        deadline: crate::clock::turn() + 60 * SEC,
+        deadline: crate::clock::read() + 60 * SEC,
         ..AttemptRequest::default()
     })
 }
