--- a/src/dispatcher/termination.rs
+++ b/src/dispatcher/termination.rs
@@ -1,5 +1,5 @@
-//! How an attempt or a connection to an engine can end, and what each end proves about the execution
-//! of the attempt.
+//! How an attempt or a connection to an engine can end, and what each end proves about the
+//! execution of the attempt.
 //!
 //! A request may be repeated or not depending on whether an attempt may have been executed, so this
 //! must be determined exactly. It follows from the [`Termination`] and from the
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -8,9 +8,10 @@
 use crate::clock::{MS, Micros};
 use std::fmt;
 
-/// Time from the start of a drain until clients stop connecting: the platform's front polls
-/// readiness ten times a second and takes about 0.2 s to act on the result. Idle connections are
-/// not closed earlier, because their clients would reconnect to this process.
+/// Time from the start of a drain until clients stop connecting: the platform's front, which
+/// directs clients to ready managers, polls readiness ten times a second and takes about 0.2 s to
+/// act on the result. Idle connections are not closed earlier, because their clients would
+/// reconnect to this process.
 const CLIENT_DISCOVERY_DELAY: Micros = 500 * MS;
 /// Period over which a drain closes idle connections, so that their clients do not all reconnect to
 /// other managers at the same time.
@@ -313,8 +314,9 @@
 
     /// Minimum idle time of connection number `conn` before it is closed. A client that just
     /// connected, or just received a response, is likely to send a request. `had_response` is
-    /// whether the connection ever carried a response. The result is 0 once the connection has
-    /// waited long enough.
+    /// whether the connection ever carried a response. The result is 0 if the
+    /// connection is kept open, if the process already closes all connections, or once
+    /// `MAX_IDLE_WAIT` has passed since the connection was due to be closed.
     pub fn min_idle_time(&self, conn: u64, now: Micros, had_response: bool) -> Micros {
         if self.closing {
             return 0;
@@ -374,8 +376,8 @@
         (1.0 - self.predecessor_share) * own_fraction
     }
 
-    /// The fraction of the manager's limits and quotas that a successor has to leave to this process
-    /// and its predecessors.
+    /// The fraction of the manager's limits and quotas that a successor has to leave to this
+    /// process and its predecessors.
     pub fn share_reserved_for_predecessors(&self) -> f64 {
         let own_share = match self.successor {
             SuccessorState::Ready => self.capacity_share(),
--- a/src/policy/api/event.rs
+++ b/src/policy/api/event.rs
@@ -90,7 +90,7 @@
     ConnectFailed,
     /// The connection was reset; the attempt may still run.
     Reset,
-    /// It was canceled; it may have run, and may still run.
+    /// It was cancelled; it may have run, and may still run.
     Cancelled,
     /// The host did not send it; it never ran and counts against no budget.
     NeverSent,
@@ -99,7 +99,8 @@
 /// Number of values that a [`LoadReport`] can hold.
 pub const MAX_LOAD_FIELDS: usize = 4;
 
-/// Values of a load report, in the order of [`Settings::load_fields`](super::Settings::load_fields).
+/// Values of a load report, in the order of
+/// [`Settings::load_fields`](super::Settings::load_fields).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     len: usize,
@@ -193,7 +194,7 @@
         /// What it reported.
         update: ProgressUpdate,
     },
-    /// The client of a request disconnected or canceled it; no response is expected.
+    /// The client of a request disconnected or cancelled it; no response is expected.
     ClientDisconnected(RequestId),
     /// A timer fired; the token is that of [`Action::StartTimer`](super::Action::StartTimer).
     TimerFired(u64),
--- a/src/policy/api/ids.rs
+++ b/src/policy/api/ids.rs
@@ -29,8 +29,8 @@
     /// A cell: a set of engines that share their records of idempotency keys, so each recognizes a
     /// duplicate of a request that another one ran.
     CellId(u16);
-    /// The key by which requests of a [`serial_per_key`](super::ClassSpec::serial_per_key) class are
-    /// ordered.
+    /// The key by which requests of a [`serial_per_key`](super::ClassSpec::serial_per_key) class
+    /// are ordered.
     OrderKey(u64);
     /// The number of an attempt within its request, counted from 0.
     AttemptNo(u16);
--- a/src/policy/api/mod.rs
+++ b/src/policy/api/mod.rs
@@ -15,17 +15,17 @@
 //! events.
 //!
 //! 1. Each request gets exactly one final response, at the latest
-//!    [`response_grace`](Invariants::response_grace) after its deadline, and no attempt starts after
-//!    its deadline.
+//!    [`response_grace`](Invariants::response_grace) after its deadline, and no attempt starts
+//!    after its deadline.
 //! 2. An attempt that may have run is repeated only as the class's [`Idempotency`] allows. A
 //!    request is rejected, which promises that a retry is harmless, only if a retry can't make it
-//!    run twice against that rule.
+//!    run twice where its class does not allow that.
 //! 3. No attempt starts on an engine that is not [`Ready`](Readiness::Ready);
 //!    [`drain_grace`](Invariants::drain_grace) allows for the time until the update is received.
 //! 4. The work that all gateways together send to an engine in slow start stays within its budget:
 //!    see [`overload_multiple`](Invariants::overload_multiple).
-//! 5. Requests of a [`serial_per_key`](ClassSpec::serial_per_key) class with the same key run one at
-//!    a time, in order of arrival, and a [`key_cooldown`](Invariants::key_cooldown) follows each
+//! 5. Requests of a [`serial_per_key`](ClassSpec::serial_per_key) class with the same key run one
+//!    at a time, in order of arrival, and a [`key_cooldown`](Invariants::key_cooldown) follows each
 //!    attempt that may still run.
 //! 6. Attempts go only to the zones and machine types that the class allows.
 //! 7. Attempts beyond the first stay within the [`RetryBudget`], if there is one.
--- a/src/policy/api/settings.rs
+++ b/src/policy/api/settings.rs
@@ -137,7 +137,7 @@
 pub struct Limits {
     /// Maximum number of attempts of one request, the first included.
     pub max_attempts: u32,
-    /// Attempts may be canceled.
+    /// Attempts may be cancelled.
     pub may_cancel: bool,
     /// Engines may be sent load probes.
     pub may_probe: bool,
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -213,9 +213,9 @@
     }
 
     /// Whether the query fits into this gateway's share of the whole fleet. The share limits the
-    /// mean over a period, like Ne of the control law; otherwise a large part of a share of a few
-    /// queries would stay unused. It may be exceeded briefly, and a gateway without running queries
-    /// may send one.
+    /// mean number of running threads over a period, like Ne of the control law; otherwise a large
+    /// part of a share of a few queries would stay unused. It may be exceeded briefly, and a
+    /// gateway without running queries may send one.
     fn has_own_capacity(
         &self,
         now: Nanos,
@@ -223,10 +223,10 @@
         engine: &Engine,
         is_under_pressure: bool,
     ) -> bool {
-        let rules = &self.settings.invariants;
+        let invariants = &self.settings.invariants;
         // A turn on an engine that warms up is not held back by this gateway's queries that are
         // stuck on the warm engines.
-        if !self.probes_engines() && engine.is_warming_up(now, rules) {
+        if !self.probes_engines() && engine.is_warming_up(now, invariants) {
             return true;
         }
         // A query that misses its objective in any case has little value: it may use idle capacity,
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -140,9 +140,9 @@
             .add_scaled(plan.running, plan.unloaded_seconds);
         target.threads_sent_since_report += plan.running.threads;
         target.last_sent_at = now;
-        let rules = &self.settings.invariants;
-        if target.is_warming_up(now, rules) {
-            target.record_warm_up_send(now, rules, plan.warm_up_work);
+        let invariants = &self.settings.invariants;
+        if target.is_warming_up(now, invariants) {
+            target.record_warm_up_send(now, invariants, plan.warm_up_work);
         }
         self.fleet.record_send(engine);
         if plan.is_load {
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -97,7 +97,7 @@
         if now.saturating_sub(self.limits_updated_at) >= CONTROL_PERIOD {
             self.update_limits(now);
         }
-        self.forget_expired(now);
+        self.drop_expired(now);
         self.update_mean_running(now);
         self.refresh_fleet(now);
         if self.resumed_at != now {
@@ -112,7 +112,7 @@
         self.dispatch_queued(now, actions);
     }
 
-    fn forget_expired(&mut self, now: Nanos) {
+    fn drop_expired(&mut self, now: Nanos) {
         let budget = self.settings.invariants.retry_budget;
         let window = budget.map_or(0, |budget| budget.window);
         let start = now.saturating_sub(window + TICK_INTERVAL);
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -123,8 +123,8 @@
     }
 
     /// The candidates that the class of the request may use, by placement and circuit breaker. A
-    /// class never runs out of engines by ejection: if none of its circuits is closed, all count as
-    /// closed.
+    /// class never runs out of engines by ejection: if no engine of the class has a closed circuit,
+    /// all circuits count as closed.
     fn usable_engines(&self, request: &PendingRequest, candidates: &[EngineId]) -> Vec<&Engine> {
         let class = self.class(request);
         let serves_class =
@@ -176,13 +176,13 @@
             || (may_hedge && attempts.all(|attempt| attempt.engine != engine.id()))
     }
 
-    /// Whether the attempt limit and the retry budget (rule 7) allow one more attempt.
+    /// Whether the attempt limit and the retry budget (invariant 7) allow one more attempt.
     pub(super) fn may_retry(&self, now: Nanos, request: &PendingRequest) -> bool {
         let budget = self.settings.invariants.retry_budget;
         request.attempts_started < request.max_attempts && self.retries.allows_retry(now, budget)
     }
 
-    /// Rule 2: whether the request may be retried at all, and on `engine` if one is given.
+    /// Invariant 2: whether the request may be retried at all, and on `engine` if one is given.
     pub(super) fn idempotency_allows(
         &self,
         now: Nanos,
@@ -197,14 +197,14 @@
             first: first.endpoint,
             next: next.endpoint,
         });
-        // Engines have to remember the key until the retry ends, not only until it starts.
+        // Engines have to keep the key until the retry ends, not only until it starts.
         let repeat_end = now + nanos(self.unloaded_seconds(request));
         let idempotency = self.idempotency(request);
         may_repeat(idempotency, execution.sent_at, targets, repeat_end)
     }
 
-    /// Rule 5: whether the request is the next one of its order key, where its class runs serially
-    /// per key.
+    /// Invariant 5: whether the request is the next one of its order key, where its class runs
+    /// serially per key.
     fn is_next_in_order(&self, now: Nanos, request: &PendingRequest) -> bool {
         match request.key() {
             Some(key) if self.class(request).serial_per_key => {
@@ -276,7 +276,7 @@
     /// Cost of the distance from the engine preferred for the data set, and of an unresponsive
     /// engine, where otherwise all queries of its data sets would accumulate. The latter cost
     /// expires after a period, as an engine without work cannot respond. A gateway with a small
-    /// share has too few attempts on an engine to judge it.
+    /// share has too few attempts on an engine to tell whether it is unresponsive.
     fn affinity_cost(&self, now: Nanos, request: &PendingRequest, engine: &Engine) -> f64 {
         let unresponsive_at = engine.unresponsive_at;
         let is_unresponsive = unresponsive_at > engine.last_activity_at
--- a/src/policy/fleet_scan.rs
+++ b/src/policy/fleet_scan.rs
@@ -41,18 +41,18 @@
 
     /// Sum of the limits of the engines that warm up, scaled by their warmth.
     fn warming_up_limit(&self, now: Nanos) -> f64 {
-        let rules = &self.settings.invariants;
+        let invariants = &self.settings.invariants;
         let ids = self.fleet.warming_up.iter();
         let engines = ids.filter_map(|id| self.engines.get(id));
         engines
-            .map(|engine| engine.limit * engine.capacity_fraction(now, rules))
+            .map(|engine| engine.limit * engine.capacity_fraction(now, invariants))
             .sum()
     }
 
     /// Scans the whole fleet. Code that changes anything the scan reads, other than time, has to
     /// call [`FleetTotals::mark_changed`](super::state::fleet_totals::FleetTotals::mark_changed).
     pub(crate) fn scan_fleet(&self, now: Nanos) -> FleetScan {
-        let rules = &self.settings.invariants;
+        let invariants = &self.settings.invariants;
         let mut scan = FleetScan {
             next_scan_at: next_multiple(now, TURN_DURATION),
             ..FleetScan::default()
@@ -64,13 +64,13 @@
             if !engine.is_ready() {
                 continue;
             }
-            let is_warming_up = engine.is_warming_up(now, rules);
+            let is_warming_up = engine.is_warming_up(now, invariants);
             if self.has_any_turn(now, engine, is_warming_up) {
                 scan.turns.push(engine.id());
             }
             if is_warming_up {
                 let next_turn = next_multiple(now, self.warm_up_turn_duration());
-                let warm_at = engine.warm_at(rules);
+                let warm_at = engine.warm_at(invariants);
                 scan.next_scan_at = scan.next_scan_at.min(next_turn).min(warm_at);
             }
             scan.slowdowns.push(engine.slowdown);
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -187,12 +187,12 @@
         request: &PendingRequest,
         candidates: &[EngineId],
     ) -> Vec<EngineId> {
-        let rules = &self.settings.invariants;
+        let invariants = &self.settings.invariants;
         let threads = self.query_threads(request);
         let turns = self.fleet.turns.len().min(HALF_OF_CANDIDATES);
         let with_turn = candidates.iter().take(turns).filter(|id| {
             let engine = self.engines.get(id);
-            engine.is_some_and(|engine| engine.is_warming_up(now, rules))
+            engine.is_some_and(|engine| engine.is_warming_up(now, invariants))
         });
         let is_fresh = |engine: &Engine| {
             let report = engine.report;
@@ -218,8 +218,9 @@
 }
 
 /// Threads that one field of a load report corresponds to: queries in flight times
-/// `threads_per_query`, the utilization of the cores or disks, or the use of the memory, where all
-/// of it counts as a full limit. The load of a report is the largest of them.
+/// `threads_per_query`, the utilization of the cores or disks times the number of cores, or the use
+/// of the memory, where all of it counts as a full limit. Each query that is queued for memory also
+/// counts as a full limit. The load of a report is the largest of its fields.
 fn threads_for_field(field: LoadField, value: f64, engine: &Engine, threads_per_query: f64) -> f64 {
     match field {
         LoadField::QueriesInFlight => value * threads_per_query,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -79,12 +79,12 @@
     pub(crate) requests: BTreeMap<RequestId, PendingRequest>,
     /// Requests that wait for capacity.
     queue: AdmissionQueue,
-    /// Order of the requests that share an order key (rule 5).
+    /// Order of the requests that share an order key (invariant 5).
     ordered_queues: OrderedQueues,
     /// Estimates for each class, by [`ClassId`].
     pub(crate) class_estimates: Vec<ClassEstimates>,
     tenant_quotas: TenantQuotas,
-    /// Arrivals and retries, for the retry budget (rule 7).
+    /// Arrivals and retries, for the retry budget (invariant 7).
     retries: RetryWindow,
     /// Tokens for cancellations and hedged attempts.
     cancel_budget: CancelBudget,
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -88,7 +88,7 @@
             // that are merely busy are not ejected, even if many attempts queued there time out.
             OutcomeKind::Timeout if was_unresponsive => Verdict::Failure,
             // A hedged attempt completed earlier. With a small share of the engine this gateway has
-            // too few outcomes to judge it.
+            // too few outcomes to count this as a failure.
             OutcomeKind::Cancelled
                 if was_unresponsive
                     && outcome.request_finished
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: the work that a gateway may send to an engine that started recently (rule 4).
+//! Slow start: the work that a gateway may send to an engine that started recently (invariant 4).
 use super::Gateway;
 use super::fleet_scan::LONG_QUERY_TURN_OFFSET;
 use super::state::class_estimates::MIN_SAMPLES;
@@ -32,17 +32,20 @@
         request: &PendingRequest,
         engine: &Engine,
     ) -> bool {
-        let rules = &self.settings.invariants;
-        let warmth = engine.capacity_fraction(now, rules);
+        let invariants = &self.settings.invariants;
+        let warmth = engine.capacity_fraction(now, invariants);
         if warmth >= 1.0 {
             return true;
         }
-        let rate =
-            rules.overload_multiple * warmth * engine.cores * USUAL_UTILIZATION * BUDGET_MARGIN;
-        let budget = self.capacity_share * rate * seconds(rules.overload_window);
+        let rate = invariants.overload_multiple
+            * warmth
+            * engine.cores
+            * USUAL_UTILIZATION
+            * BUDGET_MARGIN;
+        let budget = self.capacity_share * rate * seconds(invariants.overload_window);
         let share = budget / f64::from(self.gateway_count());
         let work = self.warm_up_work(request);
-        let window_start = now.saturating_sub(rules.overload_window);
+        let window_start = now.saturating_sub(invariants.overload_window);
         let sent = engine.warm_up.work_since(window_start);
         if sent + work <= share {
             return true;
--- a/src/policy/state/control_window.rs
+++ b/src/policy/state/control_window.rs
@@ -58,7 +58,9 @@
     }
 
     /// The limit in threads that formula (5) gives after a window of `period_seconds`:
-    /// MPL = Ne / (1 + gain (L' - 1) / (Ti - To)).
+    /// MPL = Ne / (1 + gain (L' - 1) / (Ti - To)). MPL is the limit, Ne the mean number of running
+    /// threads, L' the mean ratio of latency to latency objective, and Ti and To are the arrivals
+    /// and completions per second.
     pub(crate) fn target_threads(&self, period_seconds: f64) -> f64 {
         let lateness = self.lateness / self.samples.max(1.0);
         let imbalance = (self.arrived - self.completed) / period_seconds;
--- a/src/policy/state/engine.rs
+++ b/src/policy/state/engine.rs
@@ -64,7 +64,8 @@
     pub(crate) last_sent_at: Nanos,
     /// Number of this gateway's running loads for each data set.
     pub(crate) loading_data_sets: BTreeMap<u64, u32>,
-    /// Data sets that queries were reported to wait for, each with the time at which that expires.
+    /// Data sets on which queries were reported or presumed to be blocked by a load, each with the
+    /// time at which that expires.
     pub(crate) blocked_data_sets: BTreeMap<u64, Nanos>,
 }
 
@@ -127,41 +128,42 @@
     }
 
     /// The time at which the engine's slow start ends at the latest.
-    pub(crate) fn warm_at(&self, rules: &Invariants) -> Nanos {
+    pub(crate) fn warm_at(&self, invariants: &Invariants) -> Nanos {
         let started_at = self.endpoint.started_at;
-        started_at.saturating_add(rules.slow_start_duration)
+        started_at.saturating_add(invariants.slow_start_duration)
     }
 
     /// Minimum fraction of its usual capacity that the engine has at `now`, 0 to 1. It rises with
     /// the square of the time since the start, from the initial fraction of the settings to 1.
-    pub(crate) fn capacity_fraction(&self, now: Nanos, rules: &Invariants) -> f64 {
-        if self.endpoint.started_at == 0 || self.warm_at(rules) <= now {
+    pub(crate) fn capacity_fraction(&self, now: Nanos, invariants: &Invariants) -> f64 {
+        if self.endpoint.started_at == 0 || self.warm_at(invariants) <= now {
             return 1.0;
         }
         let age = seconds(now.saturating_sub(self.endpoint.started_at))
-            / seconds(rules.slow_start_duration.max(1));
-        rules.slow_start_initial_fraction + (1.0 - rules.slow_start_initial_fraction) * age * age
+            / seconds(invariants.slow_start_duration.max(1));
+        invariants.slow_start_initial_fraction
+            + (1.0 - invariants.slow_start_initial_fraction) * age * age
     }
 
-    pub(crate) fn is_warming_up(&self, now: Nanos, rules: &Invariants) -> bool {
-        self.capacity_fraction(now, rules) < 1.0
+    pub(crate) fn is_warming_up(&self, now: Nanos, invariants: &Invariants) -> bool {
+        self.capacity_fraction(now, invariants) < 1.0
     }
 
     /// Records work that is sent to the engine during its slow start.
-    pub(crate) fn record_warm_up_send(&mut self, now: Nanos, rules: &Invariants, work: f64) {
+    pub(crate) fn record_warm_up_send(&mut self, now: Nanos, invariants: &Invariants, work: f64) {
         self.warm_up.record(now, work);
-        self.drop_expired_warm_up_sends(now, rules);
+        self.drop_expired_warm_up_sends(now, invariants);
     }
 
     /// Applies changes due to time alone: the end of an ejection and of the window of sends in slow
     /// start.
-    pub(crate) fn expire(&mut self, now: Nanos, rules: &Invariants) {
-        self.drop_expired_warm_up_sends(now, rules);
+    pub(crate) fn expire(&mut self, now: Nanos, invariants: &Invariants) {
+        self.drop_expired_warm_up_sends(now, invariants);
         self.circuit.expire(now);
     }
 
-    fn drop_expired_warm_up_sends(&mut self, now: Nanos, rules: &Invariants) {
-        let start = now.saturating_sub(rules.overload_window);
+    fn drop_expired_warm_up_sends(&mut self, now: Nanos, invariants: &Invariants) {
+        let start = now.saturating_sub(invariants.overload_window);
         self.warm_up.drop_before(start);
     }
 
@@ -176,8 +178,8 @@
         self.loading_data_sets.retain(|_, running| *running > 0);
     }
 
-    /// Whether a query on `data_set` would be blocked by a load: one of this gateway's, or one that
-    /// other queries were reported to wait for.
+    /// Whether a query on `data_set` would be blocked by a load: one of this gateway's, or one by
+    /// which other queries were reported or presumed to be blocked.
     pub(crate) fn is_blocked(&self, data_set: u64, now: Nanos) -> bool {
         let blocked_until = self.blocked_data_sets.get(&data_set);
         self.loading_data_sets.contains_key(&data_set)
@@ -186,8 +188,8 @@
 }
 
 /// Rendezvous-hashing distance of an engine for a data set, 0 to 1; the engine with the lowest one
-/// is preferred. It is the same at all gateways and after a restart, so the data sets that an
-/// engine is asked for stay in its cache, without coordination between gateways.
+/// is preferred. It is the same at all gateways and after a restart, so an engine keeps receiving
+/// queries on the same data sets and has them in its cache. Gateways need no coordination for this.
 pub(crate) fn affinity_distance(data_set: u64, engine: EngineId) -> f64 {
     let hash = xxh3_64_with_seed(&engine.0.to_be_bytes(), data_set);
     1.0 - (hash >> 11) as f64 / (1u64 << 53) as f64
--- a/src/policy/state/request.rs
+++ b/src/policy/state/request.rs
@@ -55,7 +55,7 @@
     pub(crate) tried_engines: BTreeSet<EngineId>,
     /// Until when it waits for load probes.
     pub(crate) awaiting_probes_until: Nanos,
-    /// Number of its attempts that were canceled.
+    /// Number of its attempts that were cancelled.
     pub(crate) cancellations: u32,
 }
 
@@ -104,7 +104,7 @@
     }
 
     /// Records an ended attempt that may have been executed. The earliest one is kept, because
-    /// engines know the idempotency key from that time on.
+    /// the window of the idempotency key starts with it.
     pub(crate) fn record_possible_execution(&mut self, execution: PossibleExecution) {
         let known = self.possible_execution.into_iter();
         let earliest = known
--- a/src/policy/state/units.rs
+++ b/src/policy/state/units.rs
@@ -12,7 +12,7 @@
     duration as f64 / NANOS_PER_SECOND
 }
 
-/// Converts `seconds` to a duration, clamped to 0 to [`MAX_SECONDS`].
+/// Converts `seconds` to a duration, clamped to the range from 0 to [`MAX_SECONDS`].
 pub(crate) fn nanos(seconds: f64) -> Nanos {
     (seconds.clamp(0.0, MAX_SECONDS) * NANOS_PER_SECOND) as Nanos
 }
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -27,8 +27,8 @@
 /// Length of a turn on a warm engine where this gateway's share is less than one query: 0.5 s.
 pub(super) const TURN_DURATION: Nanos = 500_000_000;
 
-/// Turns on an engine that warms up per window of the overload rule. A window can overlap one turn
-/// more than this, as it need not start with a turn.
+/// Number of turns on an engine that warms up per overload window of invariant 4. A window can
+/// overlap one turn more than this, as it need not start with a turn.
 pub(super) const WARM_UP_TURNS: u64 = 4;
 
 /// Number of engines compared for a query: all of a small fleet, a sample of a large one.
--- a/tests/fleet/tenants.rs
+++ b/tests/fleet/tenants.rs
@@ -63,8 +63,8 @@
 
 #[test]
 fn a_rejection_returns_the_tenants_quota_token() {
-    // Twelve requests are rejected because there is no engine. A later request, which is not marked
-    // as a retry, counts against the quota.
+    // Twelve requests are rejected because there is no engine, and each returns its quota token. A
+    // later request, which is not marked as a retry, is therefore within the quota.
     let mut settings = test_settings();
     settings.priorities_supported = true;
     settings.limits.may_probe = false;
--- a/tests/fleet/without_probes.rs
+++ b/tests/fleet/without_probes.rs
@@ -170,16 +170,16 @@
     );
 }
 
-/// Guards against this failure: canceled attempts counted as load on their engine forever, so that
+/// Guards against this failure: cancelled attempts counted as load on their engine forever, so that
 /// warm engines that had once been slow stayed idle beside overloaded ones.
 #[test]
-fn a_canceled_attempt_leaves_no_load_on_its_engine() {
+fn a_cancelled_attempt_leaves_no_load_on_its_engine() {
     let settings = Settings {
         progress_period: 0,
         ..expensive_probe_settings(30)
     };
     let mut gateway = gateway_at(3, settings, warm_endpoints(1..=2));
-    let (mut canceled, mut sent_after) = (0, 0);
+    let (mut cancelled, mut sent_after) = (0, 0);
     for id in 0..120 {
         let slow = id < 40;
         let mut actions = gateway.submit(id, SHORT, 6 * SECOND, 200 * MILLISECOND);
@@ -189,7 +189,7 @@
         let engine = first_engine(&actions);
         if slow && engine.0 == 1 {
             let actions = gateway.advance(SECOND);
-            canceled += cancellation_count(&actions);
+            cancelled += cancellation_count(&actions);
             let actions = gateway.end_attempt(id, 0, engine, OutcomeKind::Cancelled, SECOND);
             let retry = attempts_started(&actions)
                 .into_iter()
@@ -205,8 +205,8 @@
         }
     }
     assert!(
-        canceled >= 3 && sent_after >= 20,
-        "{canceled} attempts were canceled, then {sent_after} of 80 went to the same engine"
+        cancelled >= 3 && sent_after >= 20,
+        "{cancelled} attempts were cancelled, then {sent_after} of 80 went to the same engine"
     );
 }
 
--- a/tests/hedging.rs
+++ b/tests/hedging.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 use yokelift::policy::api::*;
 
-/// Settings that allow hedging. Class [`KEYED`] has an idempotency key that all engines remember
-/// for 20 s.
+/// Settings that allow hedging. Class [`KEYED`] has an idempotency key that all engines keep for
+/// 20 s.
 fn hedging_settings() -> Settings {
     let mut settings = test_settings();
     settings.classes[usize::from(KEYED)].idempotency = Idempotency::WithKey {
@@ -138,7 +138,7 @@
     );
 }
 
-/// Engines remember a key for its window. After that, an attempt that may have run is not retried.
+/// Engines keep a key for its window. After that, an attempt that may have run is not retried.
 #[test]
 fn a_request_with_an_idempotency_key_is_retried_only_within_its_window() {
     for (after, retries) in [(100 * MILLISECOND, 1), (21 * SECOND, 0)] {
--- a/tests/unit/dispatcher_model.rs
+++ b/tests/unit/dispatcher_model.rs
@@ -387,7 +387,7 @@
 
 /// Guards the engines against a gateway that uses the capacity of others. The settings may allow
 /// gateways to exchange messages, but nothing transmits them between decision modules. A decision
-/// module that relied on them would regard all other gateways as dead and use their capacity.
+/// module that relied on them would count all other gateways as dead and use their capacity.
 #[test]
 fn a_gateway_without_messages_from_its_peers_keeps_to_its_capacity_share() {
     let requests_sent = |has_peers: bool| {
--- a/tests/unit/fleet_scan.rs
+++ b/tests/unit/fleet_scan.rs
@@ -195,7 +195,7 @@
     /// Asserts that the totals equal what a scan finds now.
     fn assert_totals_match_full_scan(&mut self, context: &str) {
         let now = self.now;
-        let rules = self.gateway.settings.invariants;
+        let invariants = self.gateway.settings.invariants;
         // Changes since the refresh of the last tick count from the next refresh on.
         self.gateway.refresh_fleet(now);
         let fleet = &self.gateway.fleet;
@@ -227,7 +227,7 @@
             }
         };
         let limits = usable()
-            .map(|engine| engine.limit * counted_share(engine.capacity_fraction(now, &rules)));
+            .map(|engine| engine.limit * counted_share(engine.capacity_fraction(now, &invariants)));
         let limit: f64 = limits.sum();
         assert!(
             (fleet.limit - limit).abs() <= 1e-9 * limit,
@@ -241,7 +241,7 @@
                 open_until.is_none_or(|until| until > now),
                 "an ejection has expired, {context}"
             );
-            let window = rules.overload_window;
+            let window = invariants.overload_window;
             assert!(
                 engine
                     .warm_up
--- a/tests/unit/idempotency.rs
+++ b/tests/unit/idempotency.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_keyed_request_may_be_repeated_only_on_engines_that_know_its_key() {
+fn a_keyed_request_may_be_repeated_only_on_engines_that_detect_its_duplicates() {
     let same_zone = targets(endpoint(1, 1), endpoint(1, 2));
     let same_cell = targets(endpoint(1, 1), endpoint(2, 1));
     let other_zone_and_cell = targets(endpoint(1, 1), endpoint(2, 2));
