--- a/tests/hedging.rs
+++ b/tests/hedging.rs
@@ -123,7 +123,7 @@
     let actions = unresponsive_attempt(without_hedging.clone(), SHORT).actions;
     assert!(
         attempts_started(&actions).is_empty() && cancellation_count(&actions) == 1,
-        "cancelled, to be retried: {actions:?}"
+        "one attempt is cancelled before its retry: {actions:?}"
     );
     let actions = unresponsive_attempt(without_hedging, KEYED).actions;
     assert!(actions.is_empty(), "{actions:?}");
@@ -173,20 +173,20 @@
         .collect()
 }
 
-/// Engines keep the data sets that they query warm, so a data set has preferred engines. They are
-/// the same at all gateways, and change only if those engines change.
+/// Engines keep the data sets that they query in their cache, so a data set has preferred engines.
+/// They are the same at all gateways, and change only if those engines change.
 #[test]
 fn a_data_set_keeps_its_preferred_engine_at_every_gateway() {
     let selected = engines_by_data_set(0, 40, engines());
     assert_eq!(
         selected,
         engines_by_data_set(2, 40, engines()),
-        "the same at another gateway, whatever its draws"
+        "another gateway prefers the same engines, whatever its random draws"
     );
     let share = |engine: u64| selected.iter().filter(|e| e.0 == engine).count();
     assert!(
         (1..=4).all(|e| (4..=18).contains(&share(e))),
-        "all engines have some: {selected:?}"
+        "every engine is preferred by some data sets: {selected:?}"
     );
     let fewer = engines_by_data_set(0, 40, engines().into_iter().take(3).collect());
     let moved = selected.iter().zip(&fewer).filter(|(old, new)| old != new);
@@ -201,7 +201,7 @@
 /// go to other engines until it responds. Where responses do not report their cost there is no
 /// preferred engine: queries spread by load alone.
 #[test]
-fn an_unresponsive_engine_loses_its_data_sets_until_it_responds() {
+fn queries_avoid_an_unresponsive_preferred_engine_until_it_responds() {
     let mut gateway = GatewayHarness::new(hedging_settings(), engines());
     gateway.advance(3 * SECOND);
     let query = |id, now| Request {
@@ -210,19 +210,19 @@
     };
     let (_, preferred) = attempts_started(&gateway.receive(query(1, gateway.now)))[0];
     let second = first_engine(&gateway.receive(query(2, gateway.now)));
-    assert_eq!(second, preferred, "it has capacity");
+    assert_eq!(second, preferred, "the preferred engine has capacity");
     gateway.advance(400 * MILLISECOND);
     assert!(
         attempts_started(&gateway.receive(query(3, gateway.now)))
             .iter()
             .all(|(_, e)| *e != preferred),
-        "it does not respond"
+        "the preferred engine is unresponsive"
     );
     gateway.end_attempt(2, 0, preferred, OutcomeKind::Ok, 400 * MILLISECOND);
     assert_eq!(
         first_engine(&gateway.receive(query(4, gateway.now))),
         preferred,
-        "it has responded"
+        "the preferred engine has responded"
     );
     // An engine without attempts since then is used again after a while, as it cannot respond
     // without them.
@@ -336,7 +336,7 @@
 /// A hedged attempt that was rejected or not sent never ran: the first attempt continues, and its
 /// outcome is final.
 #[test]
-fn the_first_attempt_decides_if_the_hedged_attempt_never_ran() {
+fn the_first_attempt_continues_if_the_hedged_attempt_never_ran() {
     for kind in [
         OutcomeKind::NeverSent,
         OutcomeKind::Rejected,
@@ -356,7 +356,7 @@
         let actions = gateway.end_attempt(1, 0, first, OutcomeKind::Ok, 2 * SECOND);
         assert!(
             final_responses(&actions).is_empty(),
-            "completed: {actions:?}"
+            "the request completes without a response by the module: {actions:?}"
         );
     }
 }
--- a/tests/policy/blocked_queries.rs
+++ b/tests/policy/blocked_queries.rs
@@ -135,7 +135,7 @@
         .collect();
     assert!(
         started.iter().any(|(_, e)| *e == blocked_engine),
-        "other queries run there"
+        "queries on another data set run on the engine"
     );
     started.iter().for_each(|(id, e)| {
         drop(gateway.end_attempt(*id, 0, *e, OutcomeKind::Ok, 100 * MILLISECOND))
@@ -143,7 +143,7 @@
     assert_eq!(
         cancellation_count(&gateway.advance(280 * MILLISECOND)),
         0,
-        "within three times its time"
+        "the query is within three times its expected time"
     );
     assert_eq!(cancellation_count(&gateway.advance(100 * MILLISECOND)), 1);
     let retried = attempts_started(&gateway.end_attempt(
--- a/tests/policy/capacity_share.rs
+++ b/tests/policy/capacity_share.rs
@@ -90,13 +90,17 @@
     assert_eq!(
         (sent(&[]), sent(&[2]), sent(&[2, 4])),
         (4, 8, 4),
-        "of sixteen threads"
+        "parts of sixteen threads"
+    );
+    assert_eq!(
+        sent(&[0]),
+        sent(&[1]),
+        "the number of active gateways is at least one"
     );
-    assert_eq!(sent(&[0]), sent(&[1]), "never of more than all");
     assert_eq!(
         sent(&[9]),
         sent(&[4]),
-        "never of more gateways than there are"
+        "the number of active gateways is at most that of all gateways"
     );
 }
 
--- a/tests/policy/outlier_detection.rs
+++ b/tests/policy/outlier_detection.rs
@@ -38,12 +38,12 @@
     };
     assert!(
         attempts_on_bad(&mut gateway, 1000) <= 1,
-        "ejected, at most a trial"
+        "an ejected engine receives at most a trial request"
     );
     gateway.update_endpoints(EndpointListKind::Full, vec![endpoint(1, 0, 0)]);
     assert!(
         attempts_on_bad(&mut gateway, 2000) >= 10,
-        "the last engine is used whatever its health"
+        "the only engine is used although it fails"
     );
 }
 
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -104,6 +104,6 @@
     assert_eq!(
         final_responses(&actions),
         vec![(1, FinalResponse::Failed)],
-        "one that may have run ends as failed"
+        "a load that may have run fails"
     );
 }
--- a/tests/policy/stall_detection.rs
+++ b/tests/policy/stall_detection.rs
@@ -70,7 +70,7 @@
     assert_eq!(
         cancellation_count(&gateway.advance(700 * MILLISECOND)),
         0,
-        "within four times its time alone"
+        "the attempt is within four times its expected time"
     );
     assert_eq!(cancellation_count(&gateway.advance(200 * MILLISECOND)), 1);
     let retried = attempts_started(&gateway.end_attempt(
--- a/tests/unit/concurrency_limit.rs
+++ b/tests/unit/concurrency_limit.rs
@@ -125,7 +125,7 @@
     let low = simulation.mean_limit();
     assert!(
         (0.5..0.9).contains(&low),
-        "falls: {low:.2} after {:.0} s",
+        "the limit falls: {low:.2} after {:.0} s",
         seconds(simulation.now - START)
     );
 
@@ -139,7 +139,7 @@
     simulation.run(10, 0, 0);
     assert!(
         (simulation.mean_limit() - before).abs() < 0.21,
-        "holds: {before:.2} to {:.2}",
+        "the limit stays: {before:.2} to {:.2}",
         simulation.mean_limit()
     );
 
@@ -149,7 +149,7 @@
     simulation.run(30, 2, WORK);
     assert!(
         simulation.mean_limit() > held + 0.05,
-        "recovers: {held:.2} to {:.2}",
+        "the limit recovers: {held:.2} to {:.2}",
         simulation.mean_limit()
     );
 }
@@ -234,7 +234,7 @@
         learned
             .iter()
             .all(|estimates| (0.12..0.4).contains(&estimates.work)),
-        "of 0.2 s: {learned:?}"
+        "the work is 0.2 s: {learned:?}"
     );
 }
 
@@ -257,7 +257,7 @@
     assert_eq!(
         remaining,
         [1, 100],
-        "the one with attempts in flight, and the listed one"
+        "the engine with attempts in flight and the listed engine remain"
     );
 }
 
@@ -297,7 +297,7 @@
     let circuit = |simulation: &Simulation| simulation.gateway.engines[&engine].circuit.state();
     assert!(
         circuit(&simulation) == CircuitState::Closed,
-        "six attempts on one connection"
+        "six attempts on one reset connection count as one failure"
     );
 
     for id in 7..=12 {
@@ -306,6 +306,6 @@
     }
     assert!(
         matches!(circuit(&simulation), CircuitState::Open { .. }),
-        "several connections in a row"
+        "resets of several connections in a row eject the engine"
     );
 }
--- a/tests/unit/control_window.rs
+++ b/tests/unit/control_window.rs
@@ -52,10 +52,13 @@
 
 #[test]
 fn the_limit_may_decrease_only_with_late_responses_and_a_growing_queue() {
-    assert!(!window(0.9, 20.0, 10.0).allows_decrease(), "on time");
+    assert!(
+        !window(0.9, 20.0, 10.0).allows_decrease(),
+        "responses are on time"
+    );
     assert!(
         !window(1.5, 10.0, 20.0).allows_decrease(),
-        "shrinking queue"
+        "the queue shrinks"
     );
 }
 
--- a/tests/unit/dispatcher_observed_request.rs
+++ b/tests/unit/dispatcher_observed_request.rs
@@ -73,12 +73,12 @@
             || attempt.must_not_repeat != must_not_repeat
         {
             return Err(format!(
-                "sent with the idempotency key {:?}",
+                "its class does not match the must_not_repeat flag or the idempotency key {:?}",
                 attempt.idempotency_key
             ));
         }
         if !self.may_start_attempt(now, engine) {
-            return Err("must not be sent".into());
+            return Err("got an attempt that is not permitted".into());
         }
         let observed = ObservedAttempt {
             engine,
--- a/tests/unit/fleet_scan.rs
+++ b/tests/unit/fleet_scan.rs
@@ -153,7 +153,7 @@
 
     /// Makes the change of the endpoint list, the shares or the settings selected by `draw`, or
     /// none.
-    fn change_something(&mut self, draw: u32, step: usize, run: &Run) {
+    fn apply_selected_change(&mut self, draw: u32, step: usize, run: &Run) {
         match draw {
             0 => self.change_endpoint_list(run.engines),
             1 => {
@@ -192,7 +192,7 @@
         engines.map(|engine| engine.circuit.ejections()).sum()
     }
 
-    /// Asserts that the totals equal what a scan finds now.
+    /// Asserts that the totals equal the result of a full scan at the present time.
     fn assert_totals_match_full_scan(&mut self, context: &str) {
         let now = self.now;
         let invariants = self.gateway.settings.invariants;
@@ -296,7 +296,7 @@
             // Quiet periods of ten seconds cover what changes with time alone.
             let is_quiet = step % 1000 < 500;
             let draw = simulation.draw(if is_quiet { 4000 } else { 60 });
-            simulation.change_something(draw, step, run);
+            simulation.apply_selected_change(draw, step, run);
             let scans = simulation.gateway.fleet.scans;
             simulation.now += TICK / 2;
             simulation.tick();
