--- a/src/testkit/scale/hollow_module.rs
+++ b/src/testkit/scale/hollow_module.rs
@@ -52,7 +52,7 @@
     /// load of a random engine at random intervals around the plan's mean. Never returns.
     pub async fn run(mut self) {
         let interval = self.load_request_interval();
-        let mut request_at = interval.map(|interval| clock::turn() + self.random_below(interval));
+        let mut request_at = interval.map(|interval| clock::read() + self.random_below(interval));
         loop {
             let event = or(async { self.events.recv().await.ok() }, async {
                 sleep_until(request_at).await;
@@ -63,7 +63,7 @@
                 None => {
                     self.request_random_load();
                     request_at = interval
-                        .map(|interval| clock::turn() + interval / 2 + self.random_below(interval));
+                        .map(|interval| clock::read() + interval / 2 + self.random_below(interval));
                 }
             }
         }
--- a/tests/unit/fleet_scan.rs
+++ b/tests/unit/fleet_scan.rs
@@ -153,7 +153,7 @@
 
     /// Makes the change of the endpoint list, the shares or the settings selected by `draw`, or
     /// none.
-    fn change_something(&mut self, draw: u32, step: usize, run: &Run) {
+    fn apply_selected_change(&mut self, draw: u32, step: usize, run: &Run) {
         match draw {
             0 => self.change_endpoint_list(run.engines),
             1 => {
@@ -192,10 +192,10 @@
         engines.map(|engine| engine.circuit.ejections()).sum()
     }
 
-    /// Asserts that the totals equal what a scan finds now.
+    /// Asserts that the totals equal the result of a full scan at the present time.
     fn assert_totals_match_full_scan(&mut self, context: &str) {
         let now = self.now;
-        let rules = self.gateway.settings.invariants;
+        let invariants = self.gateway.settings.invariants;
         // Changes since the refresh of the last tick count from the next refresh on.
         self.gateway.refresh_fleet(now);
         let fleet = &self.gateway.fleet;
@@ -227,7 +227,7 @@
             }
         };
         let limits = usable()
-            .map(|engine| engine.limit * counted_share(engine.capacity_fraction(now, &rules)));
+            .map(|engine| engine.limit * counted_share(engine.capacity_fraction(now, &invariants)));
         let limit: f64 = limits.sum();
         assert!(
             (fleet.limit - limit).abs() <= 1e-9 * limit,
@@ -241,7 +241,7 @@
                 open_until.is_none_or(|until| until > now),
                 "an ejection has expired, {context}"
             );
-            let window = rules.overload_window;
+            let window = invariants.overload_window;
             assert!(
                 engine
                     .warm_up
@@ -296,7 +296,7 @@
             // Quiet periods of ten seconds cover what changes with time alone.
             let is_quiet = step % 1000 < 500;
             let draw = simulation.draw(if is_quiet { 4000 } else { 60 });
-            simulation.change_something(draw, step, run);
+            simulation.apply_selected_change(draw, step, run);
             let scans = simulation.gateway.fleet.scans;
             simulation.now += TICK / 2;
             simulation.tick();
