--- a/src/bin/yokelift-testkit/main.rs
+++ b/src/bin/yokelift-testkit/main.rs
@@ -1,6 +1,5 @@
-//! The test kit: runs scenarios against the daemon, checks configuration files of the ClickHouse
-//! frontend, collects the audit records of a fleet, and measures simulated fleets and the daemon's
-//! resource use at scale.
+//! The test kit: runs scenarios against the daemon, checks deploy files, collects the audit
+//! records of a fleet, and measures simulated fleets and the daemon's resource use at scale.
 #![forbid(unsafe_code)]
 
 mod scale;
--- a/src/config/clickhouse/class_rules.rs
+++ b/src/config/clickhouse/class_rules.rs
@@ -36,7 +36,7 @@
 }
 
 impl ClassRules {
-    /// Creates the rules of a file.
+    /// Creates the rules of a deploy file.
     ///
     /// # Errors
     ///
--- a/src/config/clickhouse/mod.rs
+++ b/src/config/clickhouse/mod.rs
@@ -1,5 +1,6 @@
-//! The operator's file of the ClickHouse frontend, such as `deploy/clickhouse.toml`: the listen
-//! address, the engines, the users, and the rules that assign statements to classes.
+//! The deploy file, with which the operator configures the ClickHouse frontend, such as
+//! `deploy/clickhouse.toml`: the listen address, the engines, the users, and the rules that assign
+//! statements to classes.
 mod class_rules;
 mod users;
 
@@ -14,7 +15,7 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// The file's content.
+/// The deploy file's content.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClickHouseConfig {
@@ -170,7 +171,7 @@
     }
 }
 
-/// Why a file of the ClickHouse frontend can't be used.
+/// Why a deploy file can't be used.
 #[derive(Debug, Error)]
 pub enum ClickHouseConfigError {
     /// The text is not TOML, a key is unknown or missing, or a value has the wrong type.
@@ -225,7 +226,7 @@
     },
 }
 
-/// Parses and validates the file's text.
+/// Parses and validates the text of a deploy file.
 pub fn parse(text: &str) -> Result<ClickHouseConfig, ClickHouseConfigError> {
     let config: ClickHouseConfig =
         toml::from_str(text).map_err(|source| ClickHouseConfigError::Toml {
@@ -280,7 +281,7 @@
     }
 }
 
-/// Reads, parses and validates a file.
+/// Reads, parses and validates a deploy file.
 pub fn read(path: &Path) -> Result<ClickHouseConfig, FileError<ClickHouseConfigError>> {
     load(
         path,
--- a/src/config/clickhouse/users.rs
+++ b/src/config/clickhouse/users.rs
@@ -1,4 +1,4 @@
-//! The users of the ClickHouse frontend, from its file and from the directory.
+//! The users of the ClickHouse frontend, from the deploy file and from the directory.
 use super::{ClickHouseConfig, ClickHouseConfigError};
 use crate::config::process::Names;
 use crate::policy::api::TenantId;
@@ -17,7 +17,7 @@
 }
 
 impl Users {
-    /// Creates the users of a file.
+    /// Creates the users of a deploy file.
     ///
     /// # Errors
     ///
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -41,10 +41,10 @@
     /// The coordinator's events in the configuration are invalid.
     #[error("{0}")]
     KnownEvents(#[from] KnownEventsError),
-    /// The file of the ClickHouse frontend can't be read or is invalid.
+    /// The deploy file can't be read or is invalid.
     #[error("{0}")]
     ClickHouseFile(#[from] FileError<ClickHouseConfigError>),
-    /// The file of the ClickHouse frontend uses names that the settings do not define.
+    /// The deploy file uses names that the settings do not define.
     #[error("{0}")]
     ClickHouseNames(#[from] ClickHouseConfigError),
     /// The dispatcher ended before it applied the new settings.
@@ -52,16 +52,16 @@
     DispatcherEnded,
 }
 
-/// The part of the ClickHouse frontend that its file configures.
+/// The part of the ClickHouse frontend that the deploy file configures.
 pub struct ClickHouseFrontend {
-    /// The file.
+    /// The deploy file.
     pub path: PathBuf,
     /// The state that its connections share: rules, users, deadlines.
     pub service: Rc<ClickHouseShared>,
-    /// The file's users, without those of the directory.
+    /// The deploy file's users, without those of the directory.
     pub file_users: Rc<RefCell<Users>>,
-    /// Whether a directory provides the tenants' shares and further users. The file's users are
-    /// merged with them when the directory is read the next time.
+    /// Whether a directory provides the tenants' shares and further users. The deploy file's users
+    /// are merged with them when the directory is read the next time.
     pub has_directory: bool,
 }
 
--- a/src/net/tenant_directory.rs
+++ b/src/net/tenant_directory.rs
@@ -61,8 +61,7 @@
 pub struct DirectoryReader {
     /// Where and what to read.
     pub config: DirectoryConfig,
-    /// The users of the ClickHouse frontend's file, which take precedence over those of the
-    /// directory.
+    /// The users of the deploy file, which take precedence over those of the directory.
     pub file_users: Rc<RefCell<Users>>,
     /// The tenants, as they are passed to the decision module.
     pub tenants: Tenants,
--- a/src/startup/clickhouse.rs
+++ b/src/startup/clickhouse.rs
@@ -25,7 +25,7 @@
 /// any is repeated.
 const REQUEST_ID_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// The state that is derived from the frontend's file before any actor starts.
+/// The state that is derived from the deploy file before any actor starts.
 pub(super) struct ClickHouseStart {
     path: PathBuf,
     engines: ClickHouseEngines,
@@ -35,7 +35,7 @@
 }
 
 impl ClickHouseStart {
-    /// Resolves the names in the file by those of the settings.
+    /// Resolves the names in the deploy file by those of the settings.
     pub(super) fn prepare(
         file: &ClickHouseFile,
         config: &Config,
@@ -96,8 +96,8 @@
     }
 }
 
-/// The engines of the file. Those with an address are not in the coordinator's list and are always
-/// ready.
+/// The engines of the deploy file. Those with an address are not in the coordinator's list and are
+/// always ready.
 fn engines(file: &ClickHouseConfig, names: &Names) -> Result<ClickHouseEngines, StartError> {
     let mut ids = BTreeSet::new();
     let mut static_endpoints = Vec::new();
--- a/src/startup/error.rs
+++ b/src/startup/error.rs
@@ -18,7 +18,7 @@
     #[error("PROXY_CONFIG is not set; it has to be the path of the configuration file")]
     ConfigNotSet,
     /// There is more than one argument.
-    #[error("too many arguments; usage: yokelift [CLICKHOUSE-FILE]")]
+    #[error("too many arguments; usage: yokelift [DEPLOY-FILE]")]
     Usage,
     /// `PROXY_CONSOLE` is not an IP address with a port.
     #[error("PROXY_CONSOLE: not an IP address with a port")]
@@ -26,11 +26,10 @@
     /// The configuration file can't be read or is invalid.
     #[error("{0}")]
     Config(#[from] FileError<ProcessConfigError>),
-    /// The file of the ClickHouse frontend can't be read or is invalid.
+    /// The deploy file can't be read or is invalid.
     #[error("{0}")]
     ClickHouseFile(#[from] FileError<ClickHouseConfigError>),
-    /// The file of the ClickHouse frontend has names that the settings lack, or an invalid engine
-    /// id.
+    /// The deploy file has names that the settings lack, or an invalid engine id.
     #[error("{0}")]
     ClickHouseNames(#[from] ClickHouseConfigError),
     /// The fleet file can't be read.
--- a/src/startup/files.rs
+++ b/src/startup/files.rs
@@ -16,7 +16,7 @@
     /// `PROXY_CONSOLE`: the admin endpoint's address. It overrides the one in the configuration
     /// file.
     admin_address: Option<OsString>,
-    /// The arguments: the path of the ClickHouse frontend's file, if there is one.
+    /// The arguments: the path of the deploy file, if there is one.
     arguments: Vec<OsString>,
 }
 
@@ -42,7 +42,7 @@
     pub(super) fleet: Option<FleetConfig>,
 }
 
-/// The ClickHouse frontend's file.
+/// The deploy file, which configures the ClickHouse frontend.
 pub(super) struct ClickHouseFile {
     /// The path, for reloads.
     pub(super) path: PathBuf,
--- a/src/testkit/daemon/mod.rs
+++ b/src/testkit/daemon/mod.rs
@@ -34,7 +34,7 @@
     pub coordinator: SocketAddr,
     /// The events of the coordinator that its configuration holds.
     pub known: Value,
-    /// The deploy file of its ClickHouse frontend, if it has one.
+    /// The content of the deploy file, if the daemon has a ClickHouse frontend.
     pub deploy_file: Option<String>,
     /// The limit on its open descriptors.
     pub max_sockets: usize,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -439,10 +439,9 @@
     }
 }
 
-/// The check of an invalid file of the ClickHouse frontend fails with one line that names the
-/// cause.
+/// The check of an invalid deploy file fails with one line that names the cause.
 #[test]
-fn an_invalid_clickhouse_file_fails_with_one_line() {
+fn an_invalid_deploy_file_fails_with_one_line() {
     let folder = Folder::new().expect("create a folder");
     let without_users = "listen = \"127.0.0.1:0\"\nusual_class = \"lookup\"\n";
     let cases = [
--- a/tests/soak/settings.rs
+++ b/tests/soak/settings.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// The deploy file of the ClickHouse frontend.
+/// The deploy file, which configures the ClickHouse frontend.
 pub(crate) fn deploy_file(listen: SocketAddr) -> String {
     format!(
         "listen = \"{listen}\"\nusual_class = \"lookup\"\n\
