--- a/src/testkit/daemon/config.rs
+++ b/src/testkit/daemon/config.rs
@@ -7,7 +7,7 @@
 /// The names of the zones in the configuration.
 pub const ZONES: [&str; 2] = ["ground", "first"];
 /// The names of the machine types in the configuration.
-pub const KINDS: [&str; 2] = ["std-8core", "std-12core"];
+pub const MACHINE_TYPES: [&str; 2] = ["std-8core", "std-12core"];
 
 /// The settings of scenarios: one gateway, two tenants and the classes in [`CLASSES`].
 pub fn settings() -> Value {
@@ -16,7 +16,7 @@
             "deadline_ns": (deadline_seconds * 1e9) as u64, "worth": 1.0, "late_worth": 0.1})
     };
     json!({
-        "me": 0, "peers_total": 1, "az": 0, "zones": ZONES, "quantum_ns": 5_000_000, "kinds": KINDS,
+        "me": 0, "peers_total": 1, "az": 0, "zones": ZONES, "quantum_ns": 5_000_000, "kinds": MACHINE_TYPES,
         "classes": [class("lookup", 6.0, "pure"), class("report", 15.0, "pure"), class("load", 25.0, "side_effect")],
         "orgs": [{"name": "billing-desk", "quota_rps": 63.0, "share": 0.62},
             {"name": "channel-desk", "quota_rps": 39.0, "share": 0.38}],
--- a/src/testkit/daemon/mod.rs
+++ b/src/testkit/daemon/mod.rs
@@ -3,7 +3,7 @@
 mod error;
 mod folder;
 
-pub use config::{CLASSES, KINDS, ZONES, config, settings};
+pub use config::{CLASSES, MACHINE_TYPES, ZONES, config, settings};
 pub use error::DaemonError;
 pub use folder::Folder;
 
--- a/src/testkit/fleet/stand_ins.rs
+++ b/src/testkit/fleet/stand_ins.rs
@@ -2,7 +2,7 @@
 use crate::net::discovery::ListedEndpoint;
 use crate::policy::api::Readiness;
 use crate::testkit::coordinator::{Coordinator, known, ready_endpoint};
-use crate::testkit::daemon::{KINDS, ZONES};
+use crate::testkit::daemon::{MACHINE_TYPES, ZONES};
 use crate::testkit::engines::{Engine, EngineOptions, EngineProtocol};
 use crate::testkit::{ExecutionLog, Executor};
 use serde_json::Value;
@@ -64,7 +64,7 @@
         let endpoints: Vec<ListedEndpoint> = (0..ENGINES)
             .map(|engine| self.listed_endpoint(manager, engine, Readiness::Ready))
             .collect();
-        known(&endpoints, &ZONES, &KINDS)
+        known(&endpoints, &ZONES, &MACHINE_TYPES)
     }
 
     pub(super) fn addresses(&self) -> StandInAddresses {
--- a/src/testkit/scale/daemons.rs
+++ b/src/testkit/scale/daemons.rs
@@ -5,7 +5,7 @@
 use crate::net::discovery::ListedEndpoint;
 use crate::policy::api::{MachineTypeId, ZoneId};
 use crate::testkit::coordinator::{Coordinator, known, ready_endpoint};
-use crate::testkit::daemon::{self, Daemon, DaemonOptions, KINDS, ZONES};
+use crate::testkit::daemon::{self, Daemon, DaemonOptions, MACHINE_TYPES, ZONES};
 use crate::testkit::engines::{Engine, EngineOptions, EngineProtocol};
 use crate::testkit::{ExecutionLog, Executor, pause};
 use async_executor::LocalExecutor;
@@ -159,11 +159,12 @@
     let listed = |(index, engine): (usize, &Engine)| {
         let mut listed = ready_endpoint(index as u32 + 1, engine.addr);
         listed.endpoint.zone = ZoneId((index % ZONES.len()) as u16);
-        listed.endpoint.machine_type = MachineTypeId((index / ZONES.len() % KINDS.len()) as u16);
+        listed.endpoint.machine_type =
+            MachineTypeId((index / ZONES.len() % MACHINE_TYPES.len()) as u16);
         listed
     };
     let list: Vec<ListedEndpoint> = engines.iter().enumerate().map(listed).collect();
-    let known = known(&list, &ZONES, &KINDS);
+    let known = known(&list, &ZONES, &MACHINE_TYPES);
     let daemon_options = DaemonOptions {
         coordinator: coordinator.addr,
         known,
--- a/src/testkit/scenario/deployment.rs
+++ b/src/testkit/scenario/deployment.rs
@@ -3,7 +3,7 @@
 use super::{ScenarioEngine, ScenarioRun, parse_count, text_after};
 use crate::policy::api::Readiness;
 use crate::testkit::coordinator;
-use crate::testkit::daemon::{Daemon, DaemonError, DaemonOptions, KINDS, ZONES};
+use crate::testkit::daemon::{Daemon, DaemonError, DaemonOptions, MACHINE_TYPES, ZONES};
 use crate::testkit::directory::Directory;
 use crate::testkit::engines::{Engine, EngineOptions, EngineProtocol};
 use crate::testkit::execution_log::ExecutionLimits;
@@ -140,7 +140,9 @@
         machine_type: &str,
         max_sessions: usize,
     ) -> Result<(), StepError> {
-        let machine_type = KINDS.iter().position(|known| *known == machine_type);
+        let machine_type = MACHINE_TYPES
+            .iter()
+            .position(|known| *known == machine_type);
         let machine_type = machine_type.ok_or(StepError::UnknownMachineType)?;
         let options = EngineOptions {
             max_sessions,
@@ -199,7 +201,7 @@
         for name in &names {
             endpoints.push(self.listed_endpoint(name, Readiness::Ready)?);
         }
-        let known = coordinator::known(&endpoints, &ZONES, &KINDS);
+        let known = coordinator::known(&endpoints, &ZONES, &MACHINE_TYPES);
         self.daemon = Some(self.start_daemon(&known).await?);
         Ok(())
     }
--- a/src/testkit/scenario/mod.rs
+++ b/src/testkit/scenario/mod.rs
@@ -168,7 +168,7 @@
     engine: Engine,
     /// The id in the endpoint list.
     id: u32,
-    /// The index of the machine type in [`super::daemon::KINDS`].
+    /// The index of the machine type in [`super::daemon::MACHINE_TYPES`].
     machine_type: u16,
 }
 
--- a/tests/late_connections.rs
+++ b/tests/late_connections.rs
@@ -11,7 +11,9 @@
 use yokelift::testkit::Executor;
 use yokelift::testkit::clients::{CLOSE_CROSSING, http_request, rpc_line};
 use yokelift::testkit::coordinator::{Coordinator, known};
-use yokelift::testkit::daemon::{Daemon, DaemonOptions, DaemonProcess, KINDS, ZONES, settings};
+use yokelift::testkit::daemon::{
+    Daemon, DaemonOptions, DaemonProcess, MACHINE_TYPES, ZONES, settings,
+};
 use yokelift::testkit::ports::reserve_addr;
 use yokelift::testkit::stand_in_thread::StandInThread;
 
@@ -65,7 +67,7 @@
         let http_listen = reserve_addr();
         let options = DaemonOptions {
             coordinator: coordinator.call(|it, _| it.addr),
-            known: known(&[], &ZONES, &KINDS),
+            known: known(&[], &ZONES, &MACHINE_TYPES),
             deploy_file: Some(format!(
                 "listen = \"{http_listen}\"\nusual_class = \"lookup\"\n\
                  [[user]]\nname = \"anna\"\nkey = \"secret\"\ntenant = \"billing-desk\"\n"
--- a/tests/listen_address.rs
+++ b/tests/listen_address.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use yokelift::testkit::clients;
 use yokelift::testkit::coordinator::known;
-use yokelift::testkit::daemon::{self, Folder, KINDS, ZONES};
+use yokelift::testkit::daemon::{self, Folder, MACHINE_TYPES, ZONES};
 use yokelift::testkit::ports::reserve_addr;
 
 /// The timeout of a process's start, until it is ready or has exited.
@@ -32,7 +32,7 @@
 impl RunningDaemon {
     /// Starts a manager with this name and client address.
     fn start(name: &str, listen: SocketAddr, files: &Folder, state: StateFolder) -> RunningDaemon {
-        let known_events = known(&[], &ZONES, &KINDS);
+        let known_events = known(&[], &ZONES, &MACHINE_TYPES);
         let mut config = daemon::config(listen, reserve_addr(), &known_events, 64);
         config["name"] = name.into();
         let admin_addr = reserve_addr();
--- a/tests/response_time.rs
+++ b/tests/response_time.rs
@@ -9,7 +9,7 @@
     SustainedLoadReport, SustainedProtocol, http_request, rpc_line,
 };
 use yokelift::testkit::coordinator::{Coordinator, known, ready_endpoint};
-use yokelift::testkit::daemon::{Daemon, DaemonOptions, KINDS, ZONES, settings};
+use yokelift::testkit::daemon::{Daemon, DaemonOptions, MACHINE_TYPES, ZONES, settings};
 use yokelift::testkit::engines::{Engine, EngineOptions, EngineProtocol};
 use yokelift::testkit::ports::reserve_addr;
 use yokelift::testkit::stand_in_thread::StandInThread;
@@ -71,7 +71,7 @@
         let http_listen = reserve_addr();
         let options = DaemonOptions {
             coordinator,
-            known: known(&listed, &ZONES, &KINDS),
+            known: known(&listed, &ZONES, &MACHINE_TYPES),
             deploy_file: Some(format!(
                 "listen = \"{http_listen}\"\nusual_class = \"lookup\"\n\
                  [[user]]\nname = \"anna\"\nkey = \"secret\"\ntenant = \"billing-desk\"\n"
--- a/tests/scale_fleet.rs
+++ b/tests/scale_fleet.rs
@@ -11,7 +11,7 @@
 use yokelift::config::fleet::FleetConfig;
 use yokelift::lease::LeaseTiming;
 use yokelift::membership::Timing;
-use yokelift::testkit::daemon::{self, Folder, KINDS, ZONES};
+use yokelift::testkit::daemon::{self, Folder, MACHINE_TYPES, ZONES};
 use yokelift::testkit::fleet::wait_until;
 use yokelift::testkit::ports::reserve_addr;
 use yokelift::testkit::scale::capacity_check::FleetRequirements;
@@ -144,7 +144,7 @@
     admin_address: SocketAddr,
     seed: SocketAddr,
 ) -> RunningDaemon {
-    let known_events = coordinator::known(&[], &ZONES, &KINDS);
+    let known_events = coordinator::known(&[], &ZONES, &MACHINE_TYPES);
     let config = daemon::config(reserve_addr(), reserve_addr(), &known_events, 256);
     let fleet = format!(
         "bind = \"{address}\"\nseeds = [\"{seed}\"]\n[timing]\nperiod_ms = {PERIOD_MS}\nprobe_ms = 40\n"
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -10,7 +10,7 @@
     SustainedClass, SustainedLoad, SustainedLoadPlan, SustainedLoadReport, SustainedProtocol,
 };
 use yokelift::testkit::coordinator::{Coordinator, known, ready_endpoint};
-use yokelift::testkit::daemon::{Daemon, DaemonOptions, KINDS, ZONES, settings};
+use yokelift::testkit::daemon::{Daemon, DaemonOptions, MACHINE_TYPES, ZONES, settings};
 use yokelift::testkit::planned_restart::{KILL_SLACK, MAX_DEADLINE_WAIT};
 
 /// How long the clients send before the first signal.
@@ -66,7 +66,7 @@
     let coordinator = Coordinator::start(&executor);
     let options = DaemonOptions {
         coordinator: coordinator.addr,
-        known: known(&listed, &ZONES, &KINDS),
+        known: known(&listed, &ZONES, &MACHINE_TYPES),
         deploy_file: None,
         max_sockets: 256,
         has_admin_endpoint: true,
--- a/tests/soak/stand_ins.rs
+++ b/tests/soak/stand_ins.rs
@@ -5,7 +5,7 @@
 use yokelift::net::discovery::ListedEndpoint;
 use yokelift::policy::api::Readiness;
 use yokelift::testkit::coordinator::{Coordinator, known, ready_endpoint};
-use yokelift::testkit::daemon::{KINDS, ZONES};
+use yokelift::testkit::daemon::{MACHINE_TYPES, ZONES};
 use yokelift::testkit::engines::{Engine, EngineBehavior, EngineOptions, EngineProtocol};
 use yokelift::testkit::execution_log::{ExecutionLimits, Run, Violation};
 use yokelift::testkit::{ExecutionLog, Executor};
@@ -65,7 +65,7 @@
             .iter()
             .map(|engine| engine.listed(Readiness::Ready))
             .collect();
-        known(&listed, &ZONES, &KINDS)
+        known(&listed, &ZONES, &MACHINE_TYPES)
     }
 
     pub(crate) fn coordinator_addr(&self) -> SocketAddr {
--- a/tests/unit/net_reload.rs
+++ b/tests/unit/net_reload.rs
@@ -1,7 +1,7 @@
 //! A reload that fails at any of its steps leaves the whole old configuration in force.
 use super::*;
 use crate::config::clickhouse::ClassRules;
-use crate::testkit::daemon::{Folder, KINDS, ZONES, config};
+use crate::testkit::daemon::{Folder, MACHINE_TYPES, ZONES, config};
 use crate::testkit::{coordinator::known, in_time};
 use async_channel::Receiver;
 use async_io::block_on;
@@ -33,7 +33,7 @@
 impl Fixture {
     fn new() -> Fixture {
         let folder = Folder::new().expect("a folder");
-        let no_engines = known(&[], &ZONES, &KINDS);
+        let no_engines = known(&[], &ZONES, &MACHINE_TYPES);
         let text = config(address(1), address(2), &no_engines, NEW_DESCRIPTORS).to_string();
         let config_path = folder.put("config.json", &text).expect("a file");
         let path = folder
