--- a/src/config/clickhouse/mod.rs
+++ b/src/config/clickhouse/mod.rs
@@ -201,7 +201,7 @@
         name: String,
     },
     /// There are neither users nor a directory.
-    #[error("user, directory: both are missing, so nobody could connect")]
+    #[error("user, directory: both are missing, so no client could be authenticated")]
     NoUsers,
     /// The credentials have control characters, which are invalid in the headers of a request.
     #[error("login: user and key must not have control characters")]
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -50,7 +50,7 @@
     pub bind: Option<SocketAddr>,
     /// The address that the other managers send to, where it differs from `bind`: that of a relay.
     pub advertise: Option<SocketAddr>,
-    /// The UDP port beside the clients' listener.
+    /// The UDP port, used with the IP address of the clients' listener if `bind` is not set.
     #[serde(default = "default_port")]
     pub port: u16,
     /// The addresses of some members, which may include this manager's own.
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// The settings that the dispatcher and the frontends use beside those of the policy module: mostly
-/// the names for its numeric ids.
+/// The settings that the dispatcher and the frontends use in addition to those of the policy
+/// module: mostly the names for its numeric ids.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
     /// The classes' names, indexed by their ids. At the start the order is that of the settings.
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -2,7 +2,7 @@
 //! and sockets.
 //!
 //! It owns the table of requests in flight with their attempts, deadlines and timers, and enforces
-//! these invariants whatever actions the decision module returns:
+//! these invariants regardless of the actions that the decision module returns:
 //!
 //! - each request gets exactly one final response, unless its client stopped waiting;
 //! - a request has at most the configured number of attempts, and at most the permitted number of
--- a/src/dispatcher/termination.rs
+++ b/src/dispatcher/termination.rs
@@ -104,8 +104,8 @@
     /// the attempt unless the end is written later: if the attempt is cancelled, the rest of the
     /// message is written before the cancellation.
     Partial,
-    /// The whole message or an unknown part of it. The attempt may have been executed, whatever
-    /// happened to the connection afterwards.
+    /// The whole message or an unknown part of it. The attempt may have been executed, regardless
+    /// of what happened to the connection afterwards.
     Complete,
 }
 
--- a/src/frontend/clickhouse/mod.rs
+++ b/src/frontend/clickhouse/mod.rs
@@ -382,7 +382,7 @@
 
     fn stop_reading(&mut self, reason: DisconnectReason, output: &mut Vec<u8>) {
         match &mut self.state {
-            // Requests behind an open query are discarded; the connection closes after the query's
+            // Requests after an open query are discarded; the connection closes after the query's
             // response.
             State::Open(query) => {
                 query.framing.keep_alive = false;
--- a/src/frontend/input_buffer.rs
+++ b/src/frontend/input_buffer.rs
@@ -67,7 +67,8 @@
         self.message_started_at
     }
 
-    /// Updates the start time of the incomplete message after the parser has consumed what it can.
+    /// Updates the start time of the incomplete message after the parser has consumed all
+    /// input that it can parse.
     ///
     /// `completed` states whether the last input completed a message, `incomplete` whether a
     /// message is left incomplete. The bytes after a completed message arrived with it, at `now`.
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -81,7 +81,7 @@
         deferred.len()
     }
 
-    /// Formats the final response to the request `tag`, and parses the input that was queued behind
+    /// Formats the final response to the request `tag`, and parses the input that was queued after
     /// that request. Does nothing if the request is no longer open.
     fn write_response(
         &mut self,
@@ -99,7 +99,7 @@
     fn message_started_at(&self) -> Option<Micros>;
 
     /// The number of bytes buffered in the frontend: those of an incomplete message, and those
-    /// queued behind an open request.
+    /// queued after an open request.
     fn buffered_bytes(&self) -> usize;
 
     /// Discards the incomplete message, reports an error to the client, and stops parsing. Open
--- a/src/membership/codec.rs
+++ b/src/membership/codec.rs
@@ -31,7 +31,7 @@
     pack(TAG, message)
 }
 
-/// Encodes a value behind a format tag.
+/// Encodes a value, preceded by a format tag.
 pub fn pack<T: Serialize>(tag: [u8; 4], value: &T) -> Vec<u8> {
     let mut datagram = tag.to_vec();
     // All values in messages between managers are of types that postcard serializes without errors.
@@ -47,7 +47,7 @@
     unpack(TAG, datagram, max_bytes)
 }
 
-/// Decodes the value behind a format tag in a datagram of at most `max_bytes`.
+/// Decodes the value after the format tag in a datagram of at most `max_bytes`.
 ///
 /// # Errors
 /// The reason for which the datagram has to be dropped.
--- a/src/net/client/message_pacing.rs
+++ b/src/net/client/message_pacing.rs
@@ -2,8 +2,8 @@
 //! completed requests do not count. This keeps one client from taking the processor time of others.
 //!
 //! An interval is shorter than the delay that the platform permits for a response, so that a
-//! request that waits for the next interval still gets its response in time, whatever messages
-//! precede it.
+//! request that waits for the next interval still gets its response in time, regardless of the
+//! messages that precede it.
 use crate::clock::{MS, Micros};
 
 /// The length of an interval: the longest time for which a client's next message is deferred.
--- a/src/net/reload.rs
+++ b/src/net/reload.rs
@@ -98,7 +98,7 @@
 
 struct NewClickHouse<'a> {
     frontend: &'a ClickHouseFrontend,
-    /// The rules, in which the index of a class in the new settings stands for its id.
+    /// The rules, which identify a class by its index in the new settings instead of its id.
     rules: ClassRules,
     users: Users,
 }
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -227,8 +227,8 @@
         self.executor.spawn(contained).detach();
     }
 
-    /// Runs a part of an actor; `None` if it panicked. The caller then has to complete what the
-    /// part owed to other actors.
+    /// Runs a part of an actor; `None` if it panicked. The caller then has to complete the work
+    /// that other actors still expect from the part.
     pub fn contain_panic<F: Future>(&self, name: &'static str, part: F) -> ContainPanic<F> {
         ContainPanic::new(part, name, &self.actor_panics)
     }
--- a/src/policy/api/event.rs
+++ b/src/policy/api/event.rs
@@ -191,7 +191,7 @@
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
-        /// What it reported.
+        /// The report's content.
         update: ProgressUpdate,
     },
     /// The client of a request disconnected or cancelled it; no response is expected.
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -249,8 +249,8 @@
 
     /// Factor by which this gateway's threads may exceed its share: while engines report that part
     /// of their capacity is idle, shares that other gateways leave unused may be used. Only reports
-    /// that cover everything queries wait for are used: counts of queries, or disks beside cores.
-    /// This does harm where reports lag behind a surge of load.
+    /// that cover everything queries wait for are used: counts of queries, or the utilization of
+    /// disks in addition to that of cores. This does harm where reports lag behind a surge of load.
     fn idle_capacity_factor(&self, is_under_pressure: bool) -> f64 {
         let fields = &self.settings.load_fields;
         let full_threads_per_core = if fields.contains(&LoadField::QueriesInFlight) {
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -33,7 +33,8 @@
 }
 
 impl Gateway {
-    /// Handles a report of a running attempt's progress, or of what it waits for.
+    /// Handles an engine's report about a running attempt: its progress, a spill to disk, or that
+    /// it waits for memory or for a load.
     pub(super) fn on_progress(
         &mut self,
         now: Nanos,
--- a/src/policy/state/running.rs
+++ b/src/policy/state/running.rs
@@ -36,7 +36,7 @@
         self.add_scaled(sample, weight);
     }
 
-    /// Whether a query of `threads` fits beside the running ones under a limit of `limit` threads.
+    /// Whether a query of `threads` fits under a limit of `limit` threads, given the running ones.
     /// [`RESERVED_FOR_SHORT`] of the limit is reserved for short queries and the rest for long
     /// ones. Short queries may borrow all idle capacity, long ones up to [`LONG_QUERY_SHARE`].
     pub(crate) fn fits(&self, threads: f64, is_long: bool, limit: f64) -> bool {
--- a/src/spool/model.rs
+++ b/src/spool/model.rs
@@ -40,7 +40,7 @@
     pub tenant_bytes: u64,
     /// Bytes that have to be free, in total and for the tenant, for a query to be admitted.
     pub admission_reserve_bytes: u64,
-    /// Limit on the number of results, whatever their size.
+    /// Limit on the number of results, regardless of their size.
     pub max_results: usize,
     /// How long sealed and lost results are stored.
     pub retention: Micros,
--- a/src/testkit/scale/capacity_check.rs
+++ b/src/testkit/scale/capacity_check.rs
@@ -7,8 +7,8 @@
 
 /// Maximum memory of a run in MiB, even if more is available.
 const MAX_MEMORY_MIB: u64 = 12 * 1024;
-/// Descriptors of this process beside those of its stand-ins or nodes: its reactor, its output, its
-/// temporary folder.
+/// Descriptors of this process in addition to those of its stand-ins or nodes: its reactor, its
+/// output, its temporary folder.
 const BASE_DESCRIPTORS: u64 = 64;
 
 /// Memory of the daemon and of this process without stand-ins, in MiB.
@@ -115,8 +115,8 @@
     ) -> Resources {
         let duration = options.settle(point) + options.window;
         let statements = (point.rate * duration.as_secs_f64()).ceil() as u64;
-        // The daemon uses at most a quarter of its descriptors for engines; the other end of each of
-        // these connections is in this process.
+        // The daemon uses at most a quarter of its descriptors for engines; the other end of each
+        // of these connections is in this process.
         let connections = point.clients + BUSY_CLIENTS + daemon_descriptors / 4;
         let memory_kib =
             point.engines * ENGINE_KIB + connections * CONNECTION_KIB + statements * STATEMENT_KIB;
--- a/src/testkit/scale/fleet.rs
+++ b/src/testkit/scale/fleet.rs
@@ -18,7 +18,7 @@
 
 pub use super::plan::{Plan, PlanError};
 
-/// Interval at which the driving thread checks what it waits for.
+/// Interval at which the driving thread checks the condition that it waits for.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Interval between two progress lines.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
--- a/src/testkit/scale/hollow_module.rs
+++ b/src/testkit/scale/hollow_module.rs
@@ -29,7 +29,7 @@
     pub shared_results: Cell<u64>,
 }
 
-/// The stand-in for a dispatcher, with what it needs to run.
+/// The stand-in for a dispatcher, with its inputs and its state.
 pub struct HollowModule {
     /// The node's number.
     pub node: usize,
--- a/src/testkit/scale/plan.rs
+++ b/src/testkit/scale/plan.rs
@@ -63,7 +63,8 @@
     pub lease_timing: LeaseTiming,
     /// Whether the nodes publish their leases, as daemons with an admin endpoint do.
     pub admin_enabled: bool,
-    /// Addresses of real daemons that each node contacts at its start, beside the seed nodes.
+    /// Addresses of real daemons that each node contacts at its start, in addition to the
+    /// seed nodes.
     pub extra_seeds: Vec<SocketAddr>,
     /// Settling time between the start and quiet traffic, and after each disturbance.
     pub settle: Duration,
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -231,7 +231,7 @@
     );
 }
 
-/// A manager whose connection to the coordinator is stalled must reconnect by itself. A manager
+/// A manager whose connection to the coordinator is stalled must reconnect automatically. A manager
 /// whose coordinator has an outdated list must be excluded, and become ready again once the
 /// coordinator has the current list.
 #[test]
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -196,8 +196,8 @@
     );
 }
 
-/// A manager that missed its SIGHUP reloads by itself. One whose configuration remains outdated is
-/// shut out (not ready) after twice the grace period, and becomes ready again after its
+/// A manager that missed its SIGHUP reloads automatically. One whose configuration remains outdated
+/// is shut out (not ready) after twice the grace period, and becomes ready again after its
 /// configuration is updated.
 #[test]
 fn stragglers_reload_or_are_shut_out() {
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -108,7 +108,7 @@
 
 #[test]
 fn retry_after_grows_with_the_queue_and_spreads_clients_out() {
-    // The Retry-After of thirty requests with a short deadline, behind `waiting` queued ones.
+    // The Retry-After of thirty requests with a short deadline, after `waiting` queued ones.
     let retry_after_times = |waiting: u32| {
         let mut settings = test_settings();
         settings.limits.max_retry_after = 20 * SECOND;
--- a/tests/rules/observed.rs
+++ b/tests/rules/observed.rs
@@ -63,7 +63,7 @@
     pub(crate) work: f64,
 }
 
-/// A period in which the gateway was stalled. Whatever became due in it is due at its end.
+/// A period in which the gateway was stalled. Everything that became due in it is due at its end.
 pub(crate) struct Stall {
     pub(crate) from: Nanos,
     pub(crate) until: Nanos,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -446,7 +446,7 @@
     let without_users = "listen = \"127.0.0.1:0\"\nusual_class = \"lookup\"\n";
     let cases = [
         (format!("{without_users}surprise = 1\n"), "surprise"),
-        (without_users.to_owned(), "nobody could connect"),
+        (without_users.to_owned(), "no client could be authenticated"),
         (
             format!("{without_users}[[user]]\nname = \"a\"\n[[engine]]\nid = \"x\"\n"),
             "8 hex digits",
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -11,7 +11,7 @@
 
 /// Mean work of a request.
 const WORK: Nanos = 300 * MILLISECOND;
-/// The engine in slow start, beside the warm ones.
+/// The engine in slow start, in addition to the warm ones.
 const STARTING_ENGINE: EngineId = EngineId(99);
 /// Number of warm engines.
 const WARM_ENGINES: u64 = 10;
--- a/tests/unit/audit/model.rs
+++ b/tests/unit/audit/model.rs
@@ -202,8 +202,8 @@
     })]
 
     /// Each record number of each incarnation must be stored once, with its decision and its
-    /// context, or be reported as lost, whatever happens to batches, files and processes. No record
-    /// may be duplicated or out of order.
+    /// context, or be reported as lost, regardless of what happens to batches, files and processes.
+    /// No record may be duplicated or out of order.
     #[test]
     fn every_decision_is_stored_with_its_context_or_reported_as_lost(
         steps in proptest::collection::vec(any_step(), 1..60), page_records in 1usize..50,
--- a/tests/unit/class_registry.rs
+++ b/tests/unit/class_registry.rs
@@ -183,8 +183,8 @@
     }
 }
 
-/// Guards requests across reloads: the slot of an open request keeps its class whatever is
-/// configured meanwhile. Exactly the classes of the last generation are in force, and slots are
+/// Guards requests across reloads: the slot of an open request keeps its class regardless of
+/// reloads in the meantime. Exactly the classes of the last generation are in force, and slots are
 /// reused.
 #[test]
 fn a_slot_keeps_its_class_while_a_request_refers_to_it() {
--- a/tests/unit/coordinator.rs
+++ b/tests/unit/coordinator.rs
@@ -136,7 +136,7 @@
 
 /// Guards against a fault after two migrations in quick succession: each task read the newest
 /// generation when it first ran instead of when it was spawned, so that the older address was also
-/// reconnected to for ever.
+/// reconnected to, without end.
 #[test]
 fn of_two_migrations_at_once_only_the_last_address_is_followed() {
     let shared = Shared::new(64, 64);
--- a/tests/unit/dispatcher_model.rs
+++ b/tests/unit/dispatcher_model.rs
@@ -1,7 +1,7 @@
 //! The dispatcher against a model under random steps: each request gets exactly one response and no
 //! more attempts than the settings allow, a request that may have been executed is repeated only as
-//! its class and its key permit, and the counters add up. This holds whatever is configured
-//! meanwhile and whatever actions the decision module returns.
+//! its class and its key permit, and the counters add up. This holds regardless of
+//! reloads in the meantime and of the actions that the decision module returns.
 #[path = "dispatcher_observed_request.rs"]
 mod observed_request;
 #[path = "dispatcher_step.rs"]
--- a/tests/unit/fleet_scan.rs
+++ b/tests/unit/fleet_scan.rs
@@ -334,8 +334,8 @@
     );
 }
 
-/// Guards the median slowdown: a draining engine is not a peer, whatever it responds and however
-/// similar to a peer its slowdown was.
+/// Guards the median slowdown: a draining engine is not a peer, regardless of its response and of
+/// how similar to a peer its slowdown was.
 #[test]
 fn a_response_of_a_draining_engine_does_not_change_the_median() {
     let mut simulation = Simulation::new(settings(1, false), 1, 1..=3);
--- a/tests/unit/net_reload.rs
+++ b/tests/unit/net_reload.rs
@@ -92,7 +92,7 @@
             result
         };
         let results = block_on(in_time(zip(reload, serve)));
-        results.expect("no step waits for ever").0
+        results.expect("no step waits forever").0
     }
 
     fn default_class(&self) -> ClassId {
