--- a/src/backend/platform/message.rs
+++ b/src/backend/platform/message.rs
@@ -1,5 +1,5 @@
-//! Framing of the platform's engine protocol. A message is a line of four words, `KEY VERB FIELDS
-//! LENGTH`, and a body of that length, each followed by CR LF.
+//! Framing of the platform's engine protocol. A message is a line of four words,
+//! `KEY VERB FIELDS LENGTH`, and a body of that length, each followed by CR LF.
 use crate::backend::ProtocolError;
 
 /// Limit on the length of a line, in bytes.
--- a/src/bin/yokelift-testkit/main.rs
+++ b/src/bin/yokelift-testkit/main.rs
@@ -26,7 +26,8 @@
 /// The build id, the same as in the member updates of the fleet.
 static BUILD: LazyLock<String> = LazyLock::new(net::fleet::versions::build_id);
 
-/// The test kit of yokelift: scenarios against the daemon, audits of a fleet, simulations and scale runs.
+/// The test kit of yokelift: scenarios against the daemon, audits of a fleet, simulations and scale
+/// runs.
 #[derive(Parser)]
 #[command(name = "yokelift-testkit", version = BUILD.as_str())]
 struct Args {
--- a/src/hot_restart/message.rs
+++ b/src/hot_restart/message.rs
@@ -1,19 +1,19 @@
 //! The line protocol between two processes of one manager during a hot restart. No I/O.
 //!
-//! The successor begins with `yokelift-handover 1 NAME`. The predecessor responds with `take
-//! ADDRESS ...`, with the descriptors of the listeners in that order as ancillary data of the
-//! line's first byte, with `drained` if operators are draining it, and with the first `leave
-//! SHARE`. The successor sends `ready` once it serves. `leave SHARE` gives the fraction of the
-//! manager's capacity that the successor has to reserve for its predecessors; the predecessor sends
-//! it again whenever the fraction changes. Each process treats the end of the connection as the end
-//! of the other process.
+//! The successor begins with `yokelift-handover 1 NAME`. The predecessor responds with
+//! `take ADDRESS ...`, with the descriptors of the listeners in that order as ancillary data of the
+//! line's first byte, with `drained` if operators are draining it, and with the first
+//! `leave SHARE`. The successor sends `ready` once it serves. `leave SHARE` gives the fraction of
+//! the manager's capacity that the successor has to reserve for its predecessors; the predecessor
+//! sends it again whenever the fraction changes. Each process treats the end of the connection as
+//! the end of the other process.
 //!
-//! During its shutdown the predecessor transfers its client connections. Each is sent as `client
-//! CONN TAGS INPUT UNWRITTEN` with its descriptor: the tags of the requests that are open at the
-//! predecessor, the number of bytes that were read of an incomplete message, and the number of
-//! response bytes still to be written; the bytes follow the line. Responses to requests that were
-//! open are sent later as `answer CONN TAG LENGTH` and the bytes. The successor reports a cancelled
-//! request as `withdraw CONN TAG` and a client that disconnected as `gone CONN`.
+//! During its shutdown the predecessor transfers its client connections. Each is sent as
+//! `client CONN TAGS INPUT UNWRITTEN` with its descriptor: the tags of the requests that are open
+//! at the predecessor, the number of bytes that were read of an incomplete message, and the number
+//! of response bytes still to be written; the bytes follow the line. Responses to requests that
+//! were open are sent later as `answer CONN TAG LENGTH` and the bytes. The successor reports a
+//! cancelled request as `withdraw CONN TAG` and a client that disconnected as `gone CONN`.
 use std::net::SocketAddr;
 use std::str::FromStr;
 use thiserror::Error;
