--- a/src/backoff.rs
+++ b/src/backoff.rs
@@ -22,7 +22,7 @@
 const RECEIVE_TIMEOUT: RangeInclusive<Micros> = 1_500 * MS..=2_100 * MS;
 
 /// Upper limit of the number of doublings, which keeps the shift in range. The delay reaches its
-/// maximum before.
+/// maximum after fewer doublings.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// The state of the backoff for one peer.
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,5 +1,5 @@
-//! The clock of the program: the monotonic clock in microseconds, anchored to the Unix clock at the
-//! first use on each thread.
+//! The clock of the program: the monotonic clock, converted to microseconds of Unix time. The
+//! reference point of the conversion is taken at the first use on each thread.
 //!
 //! Each event loop reads the clock once per iteration with [`read`]. All code of the iteration uses
 //! that reading, which [`now`] returns.
@@ -18,19 +18,20 @@
 /// Nanoseconds per microsecond.
 const NANOS_PER_MICRO: Nanos = 1_000;
 
-/// The same point in time on the monotonic clock and on the Unix clock.
+/// The reference point of a thread's clock: the same point in time on the monotonic clock and on
+/// the Unix clock.
 #[derive(Clone, Copy)]
-struct Anchor {
+struct ClockReference {
     instant: Instant,
     unix: Micros,
 }
 
-impl Anchor {
-    fn at_present() -> Anchor {
+impl ClockReference {
+    fn capture() -> ClockReference {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        Anchor {
+        ClockReference {
             instant: Instant::now(),
             unix: unix.as_micros() as Micros,
         }
@@ -38,15 +39,15 @@
 }
 
 thread_local! {
-    static ANCHOR: Anchor = Anchor::at_present();
+    static REFERENCE: ClockReference = ClockReference::capture();
     /// The last reading of the clock, or 0 before the first.
     static NOW: Cell<Micros> = const { Cell::new(0) };
 }
 
 /// Reads the clock. Called at the start of each iteration of an event loop.
 pub fn read() -> Micros {
-    let anchor = ANCHOR.with(|anchor| *anchor);
-    let now = anchor.unix + anchor.instant.elapsed().as_micros() as Micros;
+    let reference = REFERENCE.with(|reference| *reference);
+    let now = reference.unix + reference.instant.elapsed().as_micros() as Micros;
     NOW.set(now);
     now
 }
@@ -57,11 +58,11 @@
     if NOW.get() == 0 { read() } else { NOW.get() }
 }
 
-/// The monotonic time that corresponds to `at`, for timers of the reactor. Times before the anchor
-/// map to the anchor.
+/// The monotonic time that corresponds to `at`, for timers of the reactor. Times before the
+/// reference point map to that point.
 pub fn instant(at: Micros) -> Instant {
-    let anchor = ANCHOR.with(|anchor| *anchor);
-    anchor.instant + Duration::from_micros(at.saturating_sub(anchor.unix))
+    let reference = REFERENCE.with(|reference| *reference);
+    reference.instant + Duration::from_micros(at.saturating_sub(reference.unix))
 }
 
 /// Converts to nanoseconds, the unit of the decision module. Saturates.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,4 @@
-//! A workload manager in front of shared query engines, and the policy module that makes its
-//! decisions.
+//! A workload manager in front of shared query engines, and the decision module that it uses.
 //!
 //! [`policy::Gateway`] is a state machine without I/O: it takes [`policy::api::Event`]s with the
 //! times of their arrival, and appends [`policy::api::Action`]s for the caller to carry out. Its
