--- a/src/backend/platform/mod.rs
+++ b/src/backend/platform/mod.rs
@@ -237,7 +237,7 @@
 
 impl Protocol for Platform {
     fn max_streams(&self) -> usize {
-        self.names.streams
+        self.names.max_streams
     }
 
     fn start_attempt(&mut self, now: Micros, request: &AttemptRequest) -> Vec<u8> {
--- a/src/bin/yokelift-testkit/scale_fleet.rs
+++ b/src/bin/yokelift-testkit/scale_fleet.rs
@@ -123,7 +123,9 @@
         if let Some(path) = &self.fleet {
             let file = read_fleet(path)?;
             plan.timing = file.timing;
-            plan.lease_timing = file.leases.map_or(plan.lease_timing, |leases| leases.terms);
+            plan.lease_timing = file
+                .leases
+                .map_or(plan.lease_timing, |leases| leases.timing);
         }
         Ok(Plan {
             voters: self.voters,
--- a/src/config/fleet.rs
+++ b/src/config/fleet.rs
@@ -23,8 +23,8 @@
     /// length.
     pub voters: Vec<String>,
     /// The durations and safety margins of leases: the same on all managers.
-    #[serde(default)]
-    pub terms: LeaseTiming,
+    #[serde(default, rename = "terms")]
+    pub timing: LeaseTiming,
 }
 
 impl LeaseConfig {
@@ -36,7 +36,7 @@
                 voters: self.voters.clone(),
             });
         }
-        self.terms
+        self.timing
             .validate()
             .map_err(|cause| FleetConfigError::LeaseTiming(cause.into()))
     }
@@ -48,7 +48,8 @@
 pub struct FleetConfig {
     /// The local UDP address; by default the address of the clients' listener with `port`.
     pub bind: Option<SocketAddr>,
-    /// The address that the other managers send to, where it differs from `bind`: that of a relay.
+    /// The address that the other managers send to, where it differs from `bind`, such as that of a
+    /// relay.
     pub advertise: Option<SocketAddr>,
     /// The UDP port, used with the IP address of the clients' listener if `bind` is not set.
     #[serde(default = "default_port")]
--- a/src/config/process.rs
+++ b/src/config/process.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// The settings that the dispatcher and the frontends use in addition to those of the policy
+/// The settings that the dispatcher and the frontends use in addition to those of the decision
 /// module: mostly the names for its numeric ids.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
@@ -67,7 +67,7 @@
     /// The zones' names, in the order of the settings.
     pub zones: Vec<String>,
     /// The names of machine types, in the order of the settings.
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
     /// The names of the load reports' fields, in the order of the settings.
     pub load_fields: Vec<String>,
     /// The timeout of the connect to an engine.
@@ -75,7 +75,7 @@
     /// The time after which an idle connection to an engine is closed.
     pub keepalive: Nanos,
     /// The maximum number of concurrent attempts on one connection to an engine.
-    pub streams: usize,
+    pub max_streams: usize,
 }
 
 impl Names {
@@ -113,7 +113,7 @@
     pub admin_address: Option<SocketAddr>,
     /// The coordinator's events up to the start, as JSON.
     pub known_events: Value,
-    /// The policy module's settings.
+    /// The decision module's settings.
     pub settings: Settings,
     /// The names for the numeric ids in the settings.
     pub names: Names,
@@ -250,11 +250,11 @@
         keyed_classes: keyed_classes(settings.classes.iter()),
         tenants: names_of(&json["orgs"]),
         zones: names_of(&json["zones"]),
-        kinds: names_of(&json["kinds"]),
+        machine_types: names_of(&json["kinds"]),
         load_fields: names_of(&json["load_info"]["fields"]),
         connect_timeout: limit("connect_timeout_ns", DEFAULT_CONNECT_TIMEOUT),
         keepalive: limit("keepalive_ns", DEFAULT_KEEPALIVE),
-        streams: limit("max_streams", DEFAULT_MAX_STREAMS).max(1) as usize,
+        max_streams: limit("max_streams", DEFAULT_MAX_STREAMS).max(1) as usize,
     }
 }
 
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,4 +1,4 @@
-//! The settings JSON of the platform, converted into the policy module's [`Settings`].
+//! The settings JSON of the platform, converted into the decision module's [`Settings`].
 //!
 //! The `*Json` structs have the platform's keys, all of them optional.
 use crate::policy::api::{
@@ -219,7 +219,8 @@
     }
 }
 
-/// The machine types: `listed` ones, or as many as `cores_by_kind` of `extra` has if that is more.
+/// The machine types: as many as the settings list, or as many as `extra.cores_by_kind` has if that
+/// is more.
 fn machine_type_specs(listed: usize, extra: &ExtraJson) -> Vec<MachineTypeSpec> {
     let count = listed.max(extra.cores_by_kind.len());
     (0..count)
--- a/src/net/discovery/known_events.rs
+++ b/src/net/discovery/known_events.rs
@@ -91,7 +91,7 @@
         let endpoint = Endpoint {
             id: self.engine_id()?,
             zone: ZoneId(index_of(&names.zones, &self.zone)),
-            machine_type: MachineTypeId(index_of(&names.kinds, &self.kind)),
+            machine_type: MachineTypeId(index_of(&names.machine_types, &self.kind)),
             cell: CellId(self.cell),
             readiness: self.readiness()?,
             weight: self.weight,
--- a/src/net/fleet/lease.rs
+++ b/src/net/fleet/lease.rs
@@ -109,7 +109,7 @@
         });
         let (sender, probe_requests) = bounded(MAX_PENDING_PROBE_REQUESTS);
         *shared.lease_requests.borrow_mut() = Some(sender);
-        let timing = config.terms;
+        let timing = config.timing;
         Ok(LeaseService {
             voter,
             vote_store,
@@ -428,7 +428,7 @@
 /// because without them the voter could grant a token a second time.
 fn open_voter(path: &Path, config: &LeaseConfig, now: Micros) -> Option<Voter> {
     match load_votes(path) {
-        Ok(stored) => Some(Voter::new(config.terms, stored, now)),
+        Ok(stored) => Some(Voter::new(config.timing, stored, now)),
         Err(error) => {
             log!("lease: this manager does not vote: {error}");
             None
--- a/src/startup/clickhouse.rs
+++ b/src/startup/clickhouse.rs
@@ -108,7 +108,7 @@
             let endpoint = Endpoint {
                 id,
                 zone: ZoneId(index_of(&names.zones, &engine.zone)),
-                machine_type: MachineTypeId(index_of(&names.kinds, &engine.kind)),
+                machine_type: MachineTypeId(index_of(&names.machine_types, &engine.kind)),
                 readiness: Readiness::Ready,
                 weight: 1.0,
                 ..Endpoint::default()
--- a/src/testkit/scale/plan.rs
+++ b/src/testkit/scale/plan.rs
@@ -141,7 +141,7 @@
             audit: None,
             leases: (!voters.is_empty()).then_some(LeaseConfig {
                 voters,
-                terms: self.lease_timing,
+                timing: self.lease_timing,
             }),
         }
     }
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -53,7 +53,7 @@
     let (dispatcher_events, received_events) = unbounded();
     let (updates, mailbox) = bounded(endpoint_list::MAILBOX_CAPACITY);
     let names = Rc::new(Names {
-        streams: 4,
+        max_streams: 4,
         ..Names::default()
     });
     let new_endpoint = endpoint_factory(
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -38,7 +38,7 @@
         let shared = Shared::new(4_096, 64);
         let (dispatcher, events) = bounded(100);
         let names = Names {
-            streams: 4,
+            max_streams: 4,
             connect_timeout: 5_000_000_000,
             ..Names::default()
         };
--- a/tests/unit/connection_state.rs
+++ b/tests/unit/connection_state.rs
@@ -21,7 +21,7 @@
 fn new_connection(now: Micros) -> ConnectionState<Platform> {
     let names = Names {
         classes: vec!["lookup".into()],
-        streams: 4,
+        max_streams: 4,
         ..Names::default()
     };
     ConnectionState::new(now, Platform::new(Rc::new(names)))
--- a/tests/unit/mutation.rs
+++ b/tests/unit/mutation.rs
@@ -104,7 +104,7 @@
 /// An engine connection that has sent attempts 0 to 3 and a probe.
 fn connection_with_attempts(now: Micros) -> ConnectionState<Platform> {
     let names = Names {
-        streams: 8,
+        max_streams: 8,
         load_fields: vec!["queue".into()],
         ..Names::default()
     };
--- a/tests/unit/net_engine.rs
+++ b/tests/unit/net_engine.rs
@@ -120,7 +120,7 @@
 fn platform_actor(shared: &Rc<Shared>, dispatcher: &Sender<DispatcherEvent>) -> StartActor {
     let (shared, dispatcher) = (shared.clone(), dispatcher.clone());
     let names = Rc::new(Names {
-        streams: 4,
+        max_streams: 4,
         ..Names::default()
     });
     let options = ConnectionOptions {
--- a/tests/unit/net_engine_endpoint.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -77,7 +77,7 @@
     fn endpoint(&self) -> Rc<EndpointHandle> {
         let (shared, dispatcher) = (self.shared.clone(), self.dispatcher.clone());
         let names = Rc::new(Names {
-            streams: 4,
+            max_streams: 4,
             ..Names::default()
         });
         let options = ConnectionOptions {
