--- a/src/net/fleet/lease.rs
+++ b/src/net/fleet/lease.rs
@@ -418,8 +418,8 @@
         "yokelift-duties-{}",
         hot_restart::file_name_component(manager)
     );
-    match shared.hollow.get() {
-        Some(hollow) => Ok(hollow.folder.join(name)),
+    match shared.process_overrides.get() {
+        Some(overrides) => Ok(overrides.state_folder.join(name)),
         None => audit::file(&name),
     }
 }
--- a/src/net/fleet/membership/mod.rs
+++ b/src/net/fleet/membership/mod.rs
@@ -45,14 +45,14 @@
         .map_err(|source| BindError { address, source })
 }
 
-/// The state of a manager that is a hollow node: one of many managers in one process, without
-/// engines and clients.
-pub struct Hollow {
-    /// The directory for the files that the manager reads after a restart.
-    pub folder: PathBuf,
-    /// The number of requested reloads. A hollow node counts them here, where other managers send
-    /// SIGHUP to their own process.
-    pub reloads: Cell<u64>,
+/// Replaces what is common to a whole process, for a manager that shares its process with other
+/// managers: a hollow node of the test kit, which has neither engines nor clients.
+pub struct ProcessOverrides {
+    /// The folder for the files that the manager reads after a restart, in place of `$TMPDIR`.
+    pub state_folder: PathBuf,
+    /// The number of reloads that were requested. They are counted here in place of a SIGHUP, which
+    /// would reach all managers of the process.
+    pub requested_reloads: Cell<u64>,
 }
 
 /// The parameters of the membership actor.
--- a/src/net/fleet/membership/version_guard.rs
+++ b/src/net/fleet/membership/version_guard.rs
@@ -67,8 +67,10 @@
         // A full mailbox contains another migration, which causes the list to be read again as
         // well.
         let _ = self.coordinator.try_send(reconnect);
-        match shared.hollow.get() {
-            Some(hollow) => hollow.reloads.set(hollow.reloads.get() + 1),
+        match shared.process_overrides.get() {
+            Some(overrides) => overrides
+                .requested_reloads
+                .set(overrides.requested_reloads.get() + 1),
             None => {
                 let _ = kill_process(getpid(), Signal::HUP);
             }
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -42,8 +42,8 @@
     pub successor: RefCell<Option<Sender<hot_restart::TransferredItem>>>,
     /// Whether all engines in service support databases, as those with the ClickHouse interface do.
     pub engines_support_databases: Cell<bool>,
-    /// Set if this is one of many hollow nodes in one process of the test kit.
-    pub hollow: OnceCell<fleet::membership::Hollow>,
+    /// Set if this manager shares its process with others, as the hollow nodes of the test kit do.
+    pub process_overrides: OnceCell<fleet::membership::ProcessOverrides>,
 
     /// The configured limits.
     pub limits: Cell<ProcessLimits>,
@@ -126,7 +126,7 @@
             accepting: async_channel::bounded(1),
             successor: RefCell::default(),
             engines_support_databases: Cell::new(false),
-            hollow: OnceCell::new(),
+            process_overrides: OnceCell::new(),
             limits: Cell::new(limits),
             engine_sockets: Rc::default(),
             max_engine_sockets: Cell::new(0),
--- a/src/testkit/scale/hollow_batch.rs
+++ b/src/testkit/scale/hollow_batch.rs
@@ -7,7 +7,7 @@
 use crate::audit::ActiveConfiguration;
 use crate::clock::{self, Micros};
 use crate::net::Shared;
-use crate::net::fleet::membership::{FleetView, Hollow, MembershipService};
+use crate::net::fleet::membership::{FleetView, MembershipService, ProcessOverrides};
 use async_channel::{Receiver, bounded};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer, block_on};
@@ -236,9 +236,9 @@
         });
         shared.lifecycle.borrow_mut().endpoint_list_received();
         shared.admin_enabled.set(self.plan.admin_enabled);
-        let _ = shared.hollow.set(Hollow {
-            folder: self.vote_folder.clone(),
-            reloads: Cell::new(0),
+        let _ = shared.process_overrides.set(ProcessOverrides {
+            state_folder: self.vote_folder.clone(),
+            requested_reloads: Cell::new(0),
         });
         let partitioned = self.partitioned.clone();
         let plan = self.plan.clone();
--- a/src/testkit/scale/hollow_node.rs
+++ b/src/testkit/scale/hollow_node.rs
@@ -225,7 +225,10 @@
         reading.load_requests += counters.load_requests.get();
         reading.probes += counters.probes.get();
         reading.shared_results += counters.shared_results.get();
-        reading.reloads += shared.hollow.get().map_or(0, |hollow| hollow.reloads.get());
+        reading.reloads += shared
+            .process_overrides
+            .get()
+            .map_or(0, |overrides| overrides.requested_reloads.get());
         reading.alive = view.as_deref().map_or(0, others_alive);
         reading.dropped += view.as_deref().map_or(0, |view| view.dropped_datagrams);
         reading
