--- a/src/class_registry/mod.rs
+++ b/src/class_registry/mod.rs
@@ -38,7 +38,7 @@
         self.retired_in.is_none()
     }
 
-    /// Whether this class is in force, with the same name and the same settings.
+    /// Whether the slot's class is in force and has the name and the settings of `class`.
     fn has_class_in_force(&self, class: &Class) -> bool {
         self.is_in_force() && self.class == *class
     }
