--- a/src/dispatcher/actions.rs
+++ b/src/dispatcher/actions.rs
@@ -70,8 +70,8 @@
         self.timers.push(Reverse((at, token)));
     }
 
-    /// The reason for the failure of a request that the decision module gives up: how the attempt
-    /// that ended last did so.
+    /// The reason for the failure of a request that the decision module gives up: the termination
+    /// of the attempt that ended last.
     fn failure_reason(&self, id: RequestId) -> Failure {
         let last_termination = self
             .in_flight
--- a/src/dispatcher/in_flight.rs
+++ b/src/dispatcher/in_flight.rs
@@ -63,7 +63,7 @@
     pub(super) memory_mb: f64,
     /// The priority of its attempts, if the decision module set one.
     pub(super) priority: Option<u8>,
-    /// How the last attempt to end did so.
+    /// The termination of the attempt that ended last.
     pub(super) last_termination: Option<Termination>,
     /// The final response was sent, or the client stopped waiting.
     pub(super) closed: bool,
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -191,8 +191,8 @@
         self.module.set_serving_until(nanos(end));
     }
 
-    /// Sets the number of gateways that share the warm engines, as counted by the fleet's
-    /// membership protocol.
+    /// Sets the number of gateways that share the engines whose warm-up has ended, as counted
+    /// by the fleet's membership protocol.
     pub fn set_active_gateways(&mut self, gateways: u32) {
         self.module.set_active_gateways(gateways);
     }
