--- a/src/lease/candidate.rs
+++ b/src/lease/candidate.rs
@@ -27,7 +27,7 @@
 pub struct HeldLease {
     /// The resource.
     pub resource: Resource,
-    /// The fencing token that goes with everything done under the lease.
+    /// The fencing token, which every message sent under the lease carries.
     pub token: FencingToken,
     /// When the lease ends, by this manager's clock. Nothing may be done under it from then on.
     pub expires_at: Micros,
--- a/src/lease/fencing.rs
+++ b/src/lease/fencing.rs
@@ -84,8 +84,8 @@
 }
 
 impl FencingGuard {
-    /// Returns whether a message under `token` is accepted. Records the token and counts a
-    /// rejection.
+    /// Returns whether a message under `token` is accepted. Records the token, and counts the
+    /// message if it is rejected.
     pub fn accepts(&mut self, resource: Resource, token: FencingToken) -> bool {
         let is_current = token >= self.highest.get(resource);
         if !is_current {
