--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -229,7 +229,7 @@
         matches!(self.stage(), Stage::Ready | Stage::HotRestart) && !self.excluded
     }
 
-    /// Excludes this manager while the fleet's majority uses newer settings or a newer endpoint
+    /// Excludes this manager while the fleet's majority uses other settings or a newer endpoint
     /// list, or includes it again.
     pub fn set_excluded(&mut self, excluded: bool) {
         self.excluded = excluded;
@@ -314,9 +314,9 @@
 
     /// Minimum idle time of connection number `conn` before it is closed. A client that just
     /// connected, or just received a response, is likely to send a request. `had_response` is
-    /// whether the connection ever carried a response. The result is 0 if the
-    /// connection is kept open, if the process already closes all connections, or once
-    /// `MAX_IDLE_WAIT` has passed since the connection was due to be closed.
+    /// whether the connection ever carried a response. The result is 0 if the connection is kept
+    /// open, if the process already closes all connections, or once `MAX_IDLE_WAIT` has passed
+    /// since the connection was due to be closed.
     pub fn min_idle_time(&self, conn: u64, now: Micros, had_response: bool) -> Micros {
         if self.closing {
             return 0;
