--- a/src/membership/swim/anti_entropy.rs
+++ b/src/membership/swim/anti_entropy.rs
@@ -9,8 +9,8 @@
 /// The interval between sync requests, in periods, once a complete sync found no new member.
 const IDLE_SYNC_PERIODS: u64 = 8;
 
-/// The bytes by which the page's header may grow beyond that with the requested name, apart from
-/// the name itself: the length prefix and the flag.
+/// The number of bytes, besides the length of the last name, by which the header of a page may be
+/// longer than a header with the requested name: the length prefix and the flag.
 const PAGE_HEADER_SLACK_BYTES: usize = 2;
 
 /// The progress of reading the member lists of others.
@@ -66,7 +66,7 @@
         self.sync.advance(last_name, is_final);
     }
 
-    /// The message with as many of the members whose names sort after `after` as fit.
+    /// The page with the members whose names sort after `after`, as many as fit.
     fn page(&self, after: String) -> Message {
         let mut free_bytes = self.free_page_bytes(&after);
         let mut gossip: Vec<MemberUpdate> = Vec::new();
--- a/src/membership/swim/probing.rs
+++ b/src/membership/swim/probing.rs
@@ -254,9 +254,9 @@
         }
     }
 
-    /// Pings a suspect once more, directly and through others at once, before it is declared dead.
-    /// This compensates for lost refutations: with a fifth of all datagrams lost, about one
-    /// suspicion in a few hundred times out without a refutation.
+    /// Pings a suspect once more, directly and through others at the same time, before it is
+    /// declared dead. This compensates for lost refutations: with a fifth of all datagrams lost,
+    /// about one suspicion in a few hundred times out without a refutation.
     fn send_final_probe(&mut self, name: &str, now: Micros, out: &mut Vec<Action>) {
         let Some(member) = self.members.get_mut(name) else {
             return;
