--- a/src/spool/execution.rs
+++ b/src/spool/execution.rs
@@ -4,7 +4,7 @@
 use crate::clock::Micros;
 
 impl Spool {
-    /// Records that the intent is durable, and orders the run of the query.
+    /// Records that the intent is durable, and appends the command to run the query.
     pub fn intent_stored(&mut self, id: ResultId, commands: &mut Vec<SpoolCommand>) {
         if self.transition(id, ResultStage::Admitted, ResultStage::Intended) {
             commands.push(SpoolCommand::Run(id));
@@ -43,8 +43,8 @@
         true
     }
 
-    /// Records that the engine completed the query and all of its pages have arrived, and orders
-    /// the seal.
+    /// Records that the engine completed the query and all of its pages have arrived, and appends
+    /// the command to write the seal.
     pub fn attempt_completed(&mut self, id: ResultId, commands: &mut Vec<SpoolCommand>) {
         if self.transition(id, ResultStage::Running, ResultStage::Sealing) {
             commands.push(SpoolCommand::WriteSeal(id));
--- a/src/spool/mod.rs
+++ b/src/spool/mod.rs
@@ -95,7 +95,8 @@
     }
 
     /// Advances the latest time observed. If the clock was set back, this time does not change
-    /// until the clock has caught up, so that no result is stored for less time than promised.
+    /// until the clock has caught up, so that no result is stored for less than its retention
+    /// time.
     fn observe_time(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
--- a/src/spool/model.rs
+++ b/src/spool/model.rs
@@ -64,8 +64,8 @@
     Sealed,
     /// All pages were acknowledged, or the pages were deleted.
     Consumed,
-    /// It is unknown whether the query ran. It is not run again, and the client's errors do not
-    /// report it as not run.
+    /// It is unknown whether the query ran. It is not run again, and no error that the client
+    /// receives states that it did not run.
     Lost,
 }
 
--- a/src/spool/retention.rs
+++ b/src/spool/retention.rs
@@ -31,9 +31,9 @@
     /// Evicts consumed results, the oldest first, until this number of bytes fits into the quotas
     /// of the tenant and of the whole spool. Returns whether it fits.
     ///
-    /// A result with a page that its client has not acknowledged is never evicted, as it is
-    /// promised until it expires. Neither is the result of a query that must not run twice, as its
-    /// query id has to stay known.
+    /// A result with a page that its client has not acknowledged is never evicted, as its
+    /// retention until it expires is guaranteed. Neither is the result of a query that must not run
+    /// twice, as its query id has to stay known.
     pub(super) fn free_bytes(
         &mut self,
         tenant: TenantId,
