--- a/src/tenant_directory/read.rs
+++ b/src/tenant_directory/read.rs
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Requests the next page, or else starts the next search. After the last page of the last
-    /// search completes the read.
+    /// Requests the next page, or else starts the next search. Completes the read after the
+    /// last page of the last search.
     fn finish_page(&mut self, step: SearchStep, cookie: OctetString, progress: &mut ReadProgress) {
         let output = if !cookie.is_empty() {
             self.search_page(step, cookie)
