--- a/src/policy/admission_queue.rs
+++ b/src/policy/admission_queue.rs
@@ -34,8 +34,8 @@
         now + nanos(run_time) <= request.arrived_at + nanos(objective)
     }
 
-    /// Priority weight per second of work, reduced if the request is late or exceeds its tenant's
-    /// quota.
+    /// Priority weight per second of work, reduced if the request is late, is a client's retry or
+    /// exceeds its tenant's quota.
     fn rank(&self, now: Nanos, request: &PendingRequest) -> f64 {
         let class = self.class(request);
         let quota_weight = if request.over_quota {
@@ -98,9 +98,9 @@
         }
     }
 
-    /// Updates the ranks of the queued requests, and rejects those that the work ahead of them
-    /// leaves no time. During shutdown it also rejects requests while there is no engine for them,
-    /// as another gateway may have one.
+    /// Updates the ranks of the queued requests, and rejects those that cannot complete in time,
+    /// given the work ahead of them, or have no attempts left. During shutdown it also rejects
+    /// requests while there is no engine for them, as another gateway may have one.
     pub(super) fn refresh_queue(&mut self, now: Nanos, actions: &mut Vec<Action>) {
         for entry in self.queue.take() {
             self.enqueue(now, entry.id);
--- a/src/policy/api/event.rs
+++ b/src/policy/api/event.rs
@@ -132,7 +132,7 @@
 pub enum ProgressUpdate {
     /// Completed fraction of the query, 0 to 1.
     Progress(f64),
-    /// The query spills to disk; holds the memory that it lacks, in MB.
+    /// The query spills to disk; the value is the memory that it lacks, in MB.
     Spill(f64),
     /// The query waits for memory.
     WaitsForMemory,
--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -17,12 +17,12 @@
 /// Slowdown relative to the best one measured above which an engine is under pressure.
 const PRESSURE_RATIO: f64 = 2.0;
 
-/// Upper limit of the best slowdown that pressure is measured against. Without it, a fleet that was
-/// never measured fast would make every slowdown count as usual.
+/// Upper limit of the best slowdown that pressure is measured against. Without it, no slowdown
+/// would count as pressure in a fleet that has been slow since the gateway started.
 const MAX_BEST_SLOWDOWN: f64 = 2.0;
 
-/// Lower limit of the best slowdown: responses faster than expected by more than this are
-/// underestimated work.
+/// Lower limit of the best slowdown: a lower ratio of latency to expected time shows that the work
+/// was overestimated.
 const MIN_BEST_SLOWDOWN: f64 = 0.5;
 
 /// Factor by which the best slowdown may rise per update while no engine reaches it.
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -131,8 +131,8 @@
         let Some(target) = self.engines.get_mut(&engine) else {
             return;
         };
-        // Weighted by the queries sent, not by those that arrive: otherwise reported counts of
-        // short queries would be converted to threads as if they were long ones.
+        // The mix is that of the queries sent, not of those that arrive: otherwise reported counts
+        // of short queries would be converted to threads as if they were long ones.
         let sent_mix = self.fleet.sent_mix;
         self.fleet.sent_mix.add_scaled(sent_mix, -LEARNING_RATE);
         self.fleet
@@ -142,9 +142,9 @@
         target.last_sent_at = now;
         let invariants = &self.settings.invariants;
         if target.is_warming_up(now, invariants) {
-            target.record_warm_up_send(now, invariants, plan.warm_up_work);
+            target.record_warm_up_attempt(now, invariants, plan.warm_up_work);
         }
-        self.fleet.record_send(engine);
+        self.fleet.record_attempt(engine);
         if plan.is_load {
             *target.loading_data_sets.entry(plan.data_set).or_default() += 1;
         }
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -14,8 +14,8 @@
 /// handshakes and keeps the report of each more recent.
 const PREFERRED_ENGINES: usize = 8;
 
-/// Number of candidates taken from the engines with a turn or a recent report, and of those chosen
-/// at random.
+/// Maximum number of candidates taken from the engines with a turn, from those with a recent
+/// report, and at random from all engines.
 pub(super) const HALF_OF_CANDIDATES: usize = MAX_CANDIDATES / 2;
 
 /// Cost of an engine that is not preferred. The unit of costs is one full limit of threads.
@@ -33,7 +33,7 @@
 const AFFINITY_COST: f64 = 0.85;
 
 /// Cost of an engine that already received an attempt of the request; also the discount of a turn
-/// on an engine that warms up.
+/// on an engine that warms up, and part of the cost of an unresponsive engine.
 const TRIED_COST: f64 = 1.0;
 
 /// Discount of an engine that awaits a trial, which puts it before all others.
@@ -44,8 +44,9 @@
 
 impl Gateway {
     /// Engines to compare: all of a small fleet; of a large one those where this gateway has a
-    /// turn, those with the newest reports, and some at random, so that not all gateways choose the
-    /// same engine. The cost does not grow with the fleet.
+    /// turn, those with the newest reports or, without probes, the preferred ones, and some at
+    /// random, so that not all gateways choose the same engine. The cost does not grow with the
+    /// fleet.
     pub(super) fn candidates(&mut self) -> Vec<EngineId> {
         let draw = self.rng.next_u32() as usize;
         let ready = &self.fleet.ready;
--- a/src/policy/fleet_scan.rs
+++ b/src/policy/fleet_scan.rs
@@ -7,7 +7,7 @@
 use super::tuning::{TURN_DURATION, WARM_UP_TURNS};
 use crate::policy::api::Nanos;
 
-/// Offset on the circle of the second turn on an engine that warms up. It is reserved for long
+/// [`Turn::offset`] of the second turn on an engine that warms up. This turn is reserved for long
 /// queries, so that short ones do not use up both turns.
 pub(super) const LONG_QUERY_TURN_OFFSET: f64 = 0.5;
 
@@ -39,7 +39,7 @@
         self.fleet.median_slowdown = self.fleet.slowdowns.median().unwrap_or(1.0);
     }
 
-    /// Sum of the limits of the engines that warm up, scaled by their warmth.
+    /// Sum of the limits of the engines that warm up, each scaled by its capacity fraction.
     fn warming_up_limit(&self, now: Nanos) -> f64 {
         let invariants = &self.settings.invariants;
         let ids = self.fleet.warming_up.iter();
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -143,7 +143,7 @@
 
     /// Replaces an attempt, if another one can still be in time and the budget of cancellations
     /// allows it: by a hedged attempt while capacity is free, otherwise by a retry after its
-    /// cancellation. An attempt with an idempotency key is never cancelled.
+    /// cancellation. An attempt with an idempotency key is not cancelled for a retry.
     pub(super) fn cancel_and_retry(
         &mut self,
         now: Nanos,
--- a/src/policy/learning.rs
+++ b/src/policy/learning.rs
@@ -45,8 +45,8 @@
             .window
             .record_lateness(lateness.min(MAX_SAMPLE_RATIO));
         // Without a reported cost, work is estimated as the latency divided by the threads per core
-        // on the engine at the time of the send: otherwise time under overload would be learned as
-        // work. Dividing by the slowdown instead would let both estimates drift together.
+        // on the engine when the attempt was sent: otherwise time under overload would be learned
+        // as work. Dividing by the slowdown instead would let both estimates drift together.
         let threads_per_core = attempt
             .threads_per_core
             .max(self.load_reports.threads_per_core())
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -21,8 +21,8 @@
 /// Number of engines probed for one query.
 const PROBES_PER_QUERY: usize = 1;
 
-/// Maximum price of a probe, as a fraction of a usual query. Above it, probing costs more than it
-/// improves the selection.
+/// Maximum `probe_price` of the settings at which engines are probed. Above it, probing costs more
+/// than it improves the selection.
 const MAX_PROBE_PRICE: f64 = 0.03;
 
 /// Maximum time that a query waits for its probes: 30 ms.
@@ -35,9 +35,9 @@
 impl Gateway {
     /// Estimated threads of all gateways on the engine: its report, plus the threads that this
     /// gateway has sent since. While other engines report, an engine without a recent report counts
-    /// as full if it can be probed, as it may be congested. If it cannot, it counts as busy as
-    /// those that reported, otherwise an unused engine would never report again. That is wrong for
-    /// a congested engine that is new to this gateway.
+    /// as full if it can be probed, as it may be congested. If it cannot, it is assumed to be as
+    /// busy as those that reported; otherwise an unused engine would never report again. That is
+    /// wrong for a congested engine that is new to this gateway.
     pub(super) fn estimated_load(&self, now: Nanos, engine: &Engine) -> f64 {
         let sent_since = engine.threads_sent_since_report;
         if let Some(report) = engine.report
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -16,9 +16,9 @@
 /// likely shared, and ejection would only overload the rest.
 const MAX_EJECTED_SHARE: f64 = 0.5;
 
-/// Classification of an attempt's outcome as evidence about its engine.
+/// What the outcome of an attempt shows about the health of its engine.
 #[derive(Clone, Copy, PartialEq)]
-enum Verdict {
+enum HealthSignal {
     Success,
     Failure,
     /// No evidence: the cause may not be the engine.
@@ -34,12 +34,12 @@
         outcome: &Outcome,
         attempt: &Attempt,
     ) {
-        let verdict = self.verdict(outcome, attempt);
+        let signal = self.health_signal(outcome, attempt);
         let Some(engine) = self.engines.get_mut(&outcome.engine) else {
             return;
         };
         let is_trial = engine.circuit.is_trial(outcome.id);
-        if verdict == Verdict::Inconclusive {
+        if signal == HealthSignal::Inconclusive {
             if is_trial {
                 engine.circuit.retry_trial();
             }
@@ -55,7 +55,7 @@
         if is_reset {
             engine.circuit.record_reset(now);
         }
-        let has_failed = verdict == Verdict::Failure;
+        let has_failed = signal == HealthSignal::Failure;
         let weight = if engine.initial_limit < self.active_gateways {
             SMALL_SHARE_OUTCOME_WEIGHT
         } else {
@@ -72,32 +72,33 @@
         }
     }
 
-    /// Classifies the outcome of an attempt as evidence about its engine.
-    fn verdict(&self, outcome: &Outcome, attempt: &Attempt) -> Verdict {
+    /// What the outcome of an attempt shows about the health of its engine.
+    fn health_signal(&self, outcome: &Outcome, attempt: &Attempt) -> HealthSignal {
         let Some(engine) = self.engines.get(&outcome.engine) else {
-            return Verdict::Inconclusive;
+            return HealthSignal::Inconclusive;
         };
         let last_activity_at = attempt.last_activity_at.max(engine.last_activity_at);
         let was_unresponsive = last_activity_at <= attempt.sent_at;
         match outcome.kind {
             OutcomeKind::Error | OutcomeKind::ConnectFailed | OutcomeKind::Reset => {
-                Verdict::Failure
+                HealthSignal::Failure
             }
-            OutcomeKind::Ok | OutcomeKind::Rejected => Verdict::Success,
-            // The engine has shown no activity since the send, on this attempt or another. Engines
-            // that are merely busy are not ejected, even if many attempts queued there time out.
-            OutcomeKind::Timeout if was_unresponsive => Verdict::Failure,
-            // A hedged attempt completed earlier. With a small share of the engine this gateway has
-            // too few outcomes to count this as a failure.
+            OutcomeKind::Ok | OutcomeKind::Rejected => HealthSignal::Success,
+            // The engine has shown no activity since the attempt was sent, on this attempt or
+            // another. Engines that are merely busy are not ejected, even if many attempts queued
+            // there time out.
+            OutcomeKind::Timeout if was_unresponsive => HealthSignal::Failure,
+            // Another attempt of the request completed earlier. With a small share of the engine
+            // this gateway has too few outcomes to count this as a failure.
             OutcomeKind::Cancelled
                 if was_unresponsive
                     && outcome.request_finished
                     && engine.initial_limit >= self.active_gateways =>
             {
-                Verdict::Failure
+                HealthSignal::Failure
             }
             OutcomeKind::Timeout | OutcomeKind::Cancelled | OutcomeKind::NeverSent => {
-                Verdict::Inconclusive
+                HealthSignal::Inconclusive
             }
         }
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -33,12 +33,12 @@
         engine: &Engine,
     ) -> bool {
         let invariants = &self.settings.invariants;
-        let warmth = engine.capacity_fraction(now, invariants);
-        if warmth >= 1.0 {
+        let capacity_fraction = engine.capacity_fraction(now, invariants);
+        if capacity_fraction >= 1.0 {
             return true;
         }
         let rate = invariants.overload_multiple
-            * warmth
+            * capacity_fraction
             * engine.cores
             * USUAL_UTILIZATION
             * BUDGET_MARGIN;
--- a/src/policy/state/admission_queue.rs
+++ b/src/policy/state/admission_queue.rs
@@ -4,15 +4,15 @@
 /// A request that waits for capacity.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueuedRequest {
-    /// Priority weight per second of work, computed when the entry was added and at each scan of
-    /// the queue; the highest rank is first.
+    /// Priority weight per second of work, computed when the entry was added and at each refresh
+    /// of the queue; the highest rank is first.
     pub(crate) rank: f64,
     pub(crate) id: RequestId,
     pub(crate) class: ClassId,
 }
 
-/// Requests that wait for capacity. Each scan of the queue sorts them; requests added after it are
-/// at the end.
+/// Requests that wait for capacity. Each refresh of the queue sorts them; requests added after it
+/// are at the end.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AdmissionQueue {
     entries: Vec<QueuedRequest>,
@@ -51,7 +51,7 @@
     }
 
     /// Time in seconds that this gateway's share of the fleet needs for the queued requests, as of
-    /// the last scan of the queue.
+    /// the last refresh of the queue.
     pub(crate) fn backlog_seconds(&self) -> f64 {
         self.backlog_seconds
     }
--- a/src/policy/state/engine.rs
+++ b/src/policy/state/engine.rs
@@ -150,19 +150,24 @@
     }
 
     /// Records work that is sent to the engine during its slow start.
-    pub(crate) fn record_warm_up_send(&mut self, now: Nanos, invariants: &Invariants, work: f64) {
+    pub(crate) fn record_warm_up_attempt(
+        &mut self,
+        now: Nanos,
+        invariants: &Invariants,
+        work: f64,
+    ) {
         self.warm_up.record(now, work);
-        self.drop_expired_warm_up_sends(now, invariants);
+        self.drop_expired_warm_up_attempts(now, invariants);
     }
 
-    /// Applies changes due to time alone: the end of an ejection and of the window of sends in slow
-    /// start.
+    /// Applies changes due to time alone: the end of an ejection, and the expiry of attempts
+    /// recorded during slow start.
     pub(crate) fn expire(&mut self, now: Nanos, invariants: &Invariants) {
-        self.drop_expired_warm_up_sends(now, invariants);
+        self.drop_expired_warm_up_attempts(now, invariants);
         self.circuit.expire(now);
     }
 
-    fn drop_expired_warm_up_sends(&mut self, now: Nanos, invariants: &Invariants) {
+    fn drop_expired_warm_up_attempts(&mut self, now: Nanos, invariants: &Invariants) {
         let start = now.saturating_sub(invariants.overload_window);
         self.warm_up.drop_before(start);
     }
--- a/src/policy/state/fleet_totals.rs
+++ b/src/policy/state/fleet_totals.rs
@@ -87,8 +87,8 @@
         self.visited_engines += visited_engines as u64;
     }
 
-    /// Records a send to `engine`: a turn there counts as used from the next refresh on.
-    pub(crate) fn record_send(&mut self, engine: EngineId) {
+    /// Records an attempt sent to `engine`: a turn there counts as used from the next refresh on.
+    pub(crate) fn record_attempt(&mut self, engine: EngineId) {
         if self.turns.binary_search(&engine).is_ok() {
             self.used_turns.insert(engine);
         }
--- a/src/policy/state/running.rs
+++ b/src/policy/state/running.rs
@@ -1,7 +1,7 @@
 //! Running queries of this gateway, counted in threads.
 
-/// Fraction of a concurrency limit that is reserved for short queries while long ones borrow the
-/// rest.
+/// Fraction of a concurrency limit that is reserved for short queries; the rest is reserved for
+/// long ones.
 const RESERVED_FOR_SHORT: f64 = 0.5;
 
 /// Fraction of a concurrency limit up to which long queries may borrow idle capacity; the remainder
--- a/src/policy/state/tenant_quotas.rs
+++ b/src/policy/state/tenant_quotas.rs
@@ -5,8 +5,8 @@
 /// Capacity of a bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 2.0;
 
-/// Minimum capacity of a bucket, in requests: even a small share of a rate arrives as whole
-/// requests.
+/// Minimum capacity of a bucket, in requests: a gateway with a small share of the rate still
+/// receives whole requests, several of which may arrive close together.
 const MIN_BURST: f64 = 6.0;
 
 #[derive(Clone, Debug)]
--- a/src/policy/state/warm_up_window.rs
+++ b/src/policy/state/warm_up_window.rs
@@ -2,43 +2,43 @@
 use crate::policy::api::Nanos;
 use std::collections::VecDeque;
 
-/// One send to an engine in slow start.
+/// An attempt sent to an engine in slow start.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct WarmUpSend {
+pub(crate) struct WarmUpAttempt {
     pub(crate) at: Nanos,
     /// Work of the request, in seconds on one core.
     pub(crate) work: f64,
 }
 
-/// Sends within the last window, oldest first.
+/// Attempts sent within the last window, oldest first.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WarmUpWindow {
-    sends: VecDeque<WarmUpSend>,
+    attempts: VecDeque<WarmUpAttempt>,
 }
 
 impl WarmUpWindow {
-    /// Adds a send; `now` must not decrease between calls.
+    /// Adds an attempt; `now` must not decrease between calls.
     pub(crate) fn record(&mut self, now: Nanos, work: f64) {
-        self.sends.push_back(WarmUpSend { at: now, work });
+        self.attempts.push_back(WarmUpAttempt { at: now, work });
     }
 
-    /// Drops the sends before `start`.
+    /// Drops the attempts sent before `start`.
     pub(crate) fn drop_before(&mut self, start: Nanos) {
-        let expired = self.sends.partition_point(|send| send.at < start);
-        self.sends.drain(..expired);
+        let expired = self.attempts.partition_point(|attempt| attempt.at < start);
+        self.attempts.drain(..expired);
     }
 
     /// Work sent since `start`, in seconds on one core.
     pub(crate) fn work_since(&self, start: Nanos) -> f64 {
-        let recent = self.sends.iter().filter(|send| send.at >= start);
-        recent.map(|send| send.work).sum()
+        let recent = self.attempts.iter().filter(|attempt| attempt.at >= start);
+        recent.map(|attempt| attempt.work).sum()
     }
 
-    /// The oldest and the newest send, if there is any.
+    /// The oldest and the newest attempt, if there is any.
     #[cfg(test)]
-    pub(crate) fn oldest_and_newest(&self) -> Option<(WarmUpSend, WarmUpSend)> {
-        let oldest = self.sends.front()?;
-        let newest = self.sends.back()?;
+    pub(crate) fn oldest_and_newest(&self) -> Option<(WarmUpAttempt, WarmUpAttempt)> {
+        let oldest = self.attempts.front()?;
+        let newest = self.attempts.back()?;
         Some((*oldest, *newest))
     }
 }
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -17,8 +17,8 @@
 /// dominate an estimate.
 pub(super) const MAX_SAMPLE_RATIO: f64 = 3.0;
 
-/// Share of the initial limit that a burst may fill without pressure, before its effect on latency
-/// can be measured.
+/// Multiple of a limit that a burst may fill without pressure, before its effect on latency can be
+/// measured.
 pub(super) const BURST_SHARE: f64 = 1.4;
 
 /// Slowdown relative to the peers' median from which an engine counts as congested.
@@ -31,14 +31,15 @@
 /// overlap one turn more than this, as it need not start with a turn.
 pub(super) const WARM_UP_TURNS: u64 = 4;
 
-/// Number of engines compared for a query: all of a small fleet, a sample of a large one.
+/// Number of ready engines up to which all of them are compared for a query. Of a larger fleet, a
+/// sample is compared.
 pub(super) const MAX_CANDIDATES: usize = 12;
 
 /// Gap between two events above which this gateway itself counts as stalled (three ticks). Ages
 /// measured across the gap are no evidence about engines.
 pub(super) const STALL_THRESHOLD: Nanos = 3 * TICK_INTERVAL;
 
-/// Share of the cores' time that the usual capacity of an engine corresponds to.
+/// Utilization of the cores at the usual capacity of an engine.
 pub(super) const USUAL_UTILIZATION: f64 = 0.8;
 
 /// Share of the expected time that must be left to start a query. Most queries are smaller than
