--- a/tests/fleet/without_probes.rs
+++ b/tests/fleet/without_probes.rs
@@ -131,7 +131,7 @@
     );
 }
 
-/// Guards against the same failure while the warm engines are overloaded: a gateway's queries that
+/// Guards against this failure: while the warm engines were overloaded, a gateway's queries that
 /// were stuck there used up its whole capacity share, and its turns on idle engines in slow start
 /// were not used.
 #[test]
--- a/tests/hedging.rs
+++ b/tests/hedging.rs
@@ -152,24 +152,24 @@
     }
 }
 
-/// The engine that one of three gateways selects for each of the data sets 1 to `groups`.
-fn engines_by_data_set(index: u32, groups: u64, entries: Vec<Endpoint>) -> Vec<EngineId> {
+/// The engine that one of three gateways selects for each of the data sets 1 to `data_sets`.
+fn engines_by_data_set(index: u32, data_sets: u64, entries: Vec<Endpoint>) -> Vec<EngineId> {
     let mut settings = hedging_settings();
     settings.gateways = 3;
     settings.gateway_index = index;
     let mut gateway = GatewayHarness::new(settings, entries);
     gateway.advance(3 * SECOND);
-    let mut run_query = |id: u32, group| {
+    let mut run_query = |id: u32, data_set| {
         let query = Request {
-            data_set: group,
+            data_set,
             ..request(id, SHORT, gateway.now, 6 * SECOND, 50 * MILLISECOND)
         };
         let (_, engine) = attempts_started(&gateway.receive(query))[0];
         gateway.end_attempt(id, 0, engine, OutcomeKind::Ok, 50 * MILLISECOND);
         engine
     };
-    (1..=groups)
-        .map(|group| run_query(group as u32, group))
+    (1..=data_sets)
+        .map(|data_set| run_query(data_set as u32, data_set))
         .collect()
 }
 
@@ -255,13 +255,13 @@
 /// on its data set go to the others.
 #[test]
 fn requests_spread_by_load_without_a_data_set_or_when_their_preferred_engine_is_full() {
-    for group in [0, 7] {
+    for data_set in [0, 7] {
         let mut gateway = GatewayHarness::new(hedging_settings(), engines());
         gateway.advance(3 * SECOND);
         let mut sent = Vec::new();
         for id in 0..24 {
             let query = Request {
-                data_set: group,
+                data_set,
                 ..request(id, SHORT, gateway.now, 6 * SECOND, 50 * MILLISECOND)
             };
             for (_, engine) in attempts_started(&gateway.receive(query)) {
@@ -272,7 +272,7 @@
             .map(|e| sent.iter().filter(|sent| sent.0 == e).count())
             .collect();
         count.sort_unstable();
-        if group == 0 {
+        if data_set == 0 {
             assert_eq!(count, [6, 6, 6, 6]);
         } else {
             assert!(
--- a/tests/policy/blocked_queries.rs
+++ b/tests/policy/blocked_queries.rs
@@ -42,8 +42,8 @@
     let mut settings = test_settings();
     settings.classes[usize::from(SHORT)].blocked_by_loads = true;
     let mut gateway = GatewayHarness::new(settings, two_endpoints());
-    let point_query = |id, group, now| Request {
-        data_set: group,
+    let point_query = |id, data_set, now| Request {
+        data_set,
         ..request(id, SHORT, now, 6 * SECOND, 200 * MILLISECOND)
     };
     let load = Request {
@@ -89,9 +89,9 @@
     settings.classes[usize::from(SHORT)].blocked_by_loads = true;
     settings.progress_period = 0;
     let mut gateway = GatewayHarness::new(settings, two_endpoints());
-    let submit_for = |gateway: &mut GatewayHarness, id, group| {
+    let submit_for = |gateway: &mut GatewayHarness, id, data_set| {
         let query = Request {
-            data_set: group,
+            data_set,
             ..request(id, SHORT, gateway.now, 6 * SECOND, 200 * MILLISECOND)
         };
         first_engine(&gateway.receive(query))
--- a/tests/policy/capacity_share.rs
+++ b/tests/policy/capacity_share.rs
@@ -27,16 +27,16 @@
     // clipped at 3. By hand: Ne 16, Ti 40 / 2 s, To 16 / 2 s, gain 1, so MPL = 16 / (1 + 2 / 12) =
     // 13.7 queries of one thread.
     let mut gateway = GatewayHarness::new(test_settings(), vec![endpoint(1, 0, 0)]);
-    let mut out = Vec::new();
+    let mut started = Vec::new();
     for id in 0..40 {
-        out.extend(attempts_started(&gateway.submit(
+        started.extend(attempts_started(&gateway.submit(
             id,
             SHORT,
             60 * SECOND,
             200 * MILLISECOND,
         )));
     }
-    assert_eq!(out.len(), 16);
+    assert_eq!(started.len(), 16);
     // The queries report progress, so that the gateway neither counts as stalled nor presumes them
     // lost.
     for _ in 0..99 {
@@ -47,7 +47,7 @@
         }
     }
     let mut next = Vec::new();
-    for (id, engine) in out.drain(..) {
+    for (id, engine) in started.drain(..) {
         next.extend(attempts_started(&gateway.end_attempt(
             id,
             0,
--- a/tests/recorded_run.rs
+++ b/tests/recorded_run.rs
@@ -61,11 +61,11 @@
         self.random.next_u32() % limit
     }
 
-    fn endpoint(&self, id: u32, readiness: Readiness, ready_at: Nanos) -> Endpoint {
+    fn endpoint(&self, id: u32, readiness: Readiness, started_at: Nanos) -> Endpoint {
         Endpoint {
             zone: ZoneId((id % 3) as u16),
             readiness,
-            ..endpoint(u64::from(id), (id % 4 / 3) as u16, ready_at)
+            ..endpoint(u64::from(id), (id % 4 / 3) as u16, started_at)
         }
     }
 
@@ -130,13 +130,13 @@
                 });
             }
             Action::Cancel { id, attempt } => {
-                let at = self
+                let index = self
                     .running
                     .iter()
                     .position(|running| (running.id, running.attempt) == (id, attempt));
                 // Some cancellations have no effect, as if the end of the attempt were in transit.
-                if let Some(at) = at.filter(|_| id.0 % 5 != 0) {
-                    self.end_attempt(at, OutcomeKind::Cancelled);
+                if let Some(index) = index.filter(|_| id.0 % 5 != 0) {
+                    self.end_attempt(index, OutcomeKind::Cancelled);
                 }
             }
             _ => {}
@@ -167,13 +167,13 @@
         self.handle(Event::Request(request));
     }
 
-    fn end_attempt(&mut self, at: usize, kind: OutcomeKind) {
+    fn end_attempt(&mut self, index: usize, kind: OutcomeKind) {
         let RunningAttempt {
             id,
             attempt,
             engine,
             sent,
-        } = self.running.remove(at);
+        } = self.running.remove(index);
         let ok = kind == OutcomeKind::Ok;
         let cost_stated = ok && self.settings.reports_cost;
         let work = cost_stated.then(|| Nanos::from(self.draw(900) + 1) * MILLISECOND);
@@ -197,8 +197,8 @@
         if self.running.is_empty() {
             return;
         }
-        let at = self.draw(self.running.len() as u32) as usize;
-        let engine = self.running[at].engine.0;
+        let index = self.draw(self.running.len() as u32) as usize;
+        let engine = self.running[index].engine.0;
         let is_failing = (engine + self.now / (4 * SECOND)).is_multiple_of(5);
         let kinds = [
             OutcomeKind::Error,
@@ -214,15 +214,15 @@
         } else {
             OutcomeKind::Ok
         };
-        self.end_attempt(at, kind);
+        self.end_attempt(index, kind);
     }
 
     fn report_progress(&mut self) {
         if self.running.is_empty() {
             return;
         }
-        let at = self.draw(self.running.len() as u32) as usize;
-        let (id, attempt) = (self.running[at].id, self.running[at].attempt);
+        let index = self.draw(self.running.len() as u32) as usize;
+        let (id, attempt) = (self.running[index].id, self.running[index].attempt);
         let update = match self.draw(6) {
             0 => ProgressUpdate::WaitsForLoad,
             1 => ProgressUpdate::WaitsForMemory,
@@ -337,7 +337,7 @@
                 from: 1,
                 data: vec![1, 2],
             }),
-            // The manager itself stalls.
+            // The gateway itself stalls.
             824 => self.now += 200 * MILLISECOND,
             825..=829 => self.now += 40 * MILLISECOND,
             _ => self.handle(Event::TimerFired(TICK_TIMER)),
@@ -428,8 +428,8 @@
     let mut lines = String::new();
     for (name, settings, engines) in runs {
         let digests = Recording::new(settings, engines, 2_026).digests();
-        for (at, digest) in digests.iter().enumerate() {
-            lines += &format!("{name} {} {digest:016x}\n", (at + 1) * DIGEST_EVERY);
+        for (index, digest) in digests.iter().enumerate() {
+            lines += &format!("{name} {} {digest:016x}\n", (index + 1) * DIGEST_EVERY);
         }
     }
     assert_eq!(lines, include_str!("fixtures/recorded_run.txt"));
--- a/tests/rules/checker.rs
+++ b/tests/rules/checker.rs
@@ -1,7 +1,7 @@
 //! Checks each action against the seven invariants, using only events and actions.
 use crate::common::*;
+use crate::environment::{alternating_endpoint, random_settings};
 use crate::observed::*;
-use crate::player::{alternating_endpoint, random_settings};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -3,8 +3,8 @@
 mod checker;
 #[path = "../common/mod.rs"]
 mod common;
+mod environment;
 mod observed;
-mod player;
 
 use checker::InvariantChecker;
 use common::SECOND;
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -17,7 +17,7 @@
 const WARM_ENGINES: u64 = 10;
 /// Cores of each engine.
 const CORES: f64 = 8.0;
-/// Fraction of a core's time that its usual capacity corresponds to.
+/// Utilization of the cores at the usual capacity of an engine.
 const USUAL_UTILIZATION: f64 = 0.8;
 /// Time between two steps of the simulation.
 const STEP: Nanos = 20 * MILLISECOND;
@@ -55,9 +55,9 @@
 fn allowed_requests(invariants: &Invariants, age: Nanos) -> f64 {
     let initial = invariants.slow_start_initial_fraction;
     let elapsed = (age as f64 / invariants.slow_start_duration as f64).min(1.0);
-    let warmth = initial + (1.0 - initial) * elapsed * elapsed;
+    let capacity_fraction = initial + (1.0 - initial) * elapsed * elapsed;
     invariants.overload_multiple
-        * warmth
+        * capacity_fraction
         * CORES
         * USUAL_UTILIZATION
         * invariants.overload_window as f64
@@ -79,10 +79,10 @@
     }
 }
 
-/// Random numbers from 0 to 1.
-struct Draws(Pcg32);
+/// Uniformly distributed random numbers from 0 to 1.
+struct UniformRng(Pcg32);
 
-impl Draws {
+impl UniformRng {
     fn next(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / f64::from(u32::MAX)
     }
@@ -107,14 +107,14 @@
 }
 
 impl SimulatedGateway {
-    fn new(scenario: &Scenario, index: u32, seed: u64, draws: &mut Draws) -> SimulatedGateway {
+    fn new(scenario: &Scenario, index: u32, seed: u64, rng: &mut UniformRng) -> SimulatedGateway {
         let start = START_TIME - SECOND;
         let settings = scenario.settings(index);
         let mut gateway = Gateway::new(start, settings, u64::from(index) + seed);
         gateway.handle(start, endpoint_list(false), &mut Vec::new());
-        let informed_at = START_TIME + (draws.next() * 1.5e9) as Nanos;
-        let restarts_at = if draws.next() < scenario.restarts {
-            START_TIME + (draws.next() * 8e9) as Nanos
+        let informed_at = START_TIME + (rng.next() * 1.5e9) as Nanos;
+        let restarts_at = if rng.next() < scenario.restarts {
+            START_TIME + (rng.next() * 8e9) as Nanos
         } else {
             Nanos::MAX
         };
@@ -123,7 +123,7 @@
             informed_at,
             restarts_at,
             // Some gateways get five times the traffic of others.
-            traffic: 0.4 + 1.6 * draws.next() * draws.next(),
+            traffic: 0.4 + 1.6 * rng.next() * rng.next(),
             running: VecDeque::new(),
             next_request: 1,
         }
@@ -153,10 +153,10 @@
         &mut self,
         now: Nanos,
         mut expected: f64,
-        draws: &mut Draws,
+        rng: &mut UniformRng,
         actions: &mut Vec<Action>,
     ) {
-        while expected >= 1.0 || draws.next() < expected {
+        while expected >= 1.0 || rng.next() < expected {
             let request = request(self.next_request, SHORT, now, 6 * SECOND, WORK);
             self.next_request += 1;
             expected -= 1.0;
@@ -166,14 +166,14 @@
 
     /// Executes the actions, and those that result from them. Returns the number of attempts
     /// started on the starting engine.
-    fn execute(&mut self, now: Nanos, mut actions: Vec<Action>, draws: &mut Draws) -> usize {
+    fn execute(&mut self, now: Nanos, mut actions: Vec<Action>, rng: &mut UniformRng) -> usize {
         let mut started = 0;
         let mut next = 0;
         while next < actions.len() {
             match actions[next] {
                 Action::Send { id, engine, .. } => {
                     self.running.push_back(RunningAttempt {
-                        completes_at: now + WORK + (draws.next() * 4e8) as Nanos,
+                        completes_at: now + WORK + (rng.next() * 4e8) as Nanos,
                         request: id.0,
                         engine,
                     });
@@ -213,7 +213,7 @@
 struct Simulation<'a> {
     scenario: &'a Scenario,
     seed: u64,
-    draws: Draws,
+    rng: UniformRng,
     gateways: Vec<SimulatedGateway>,
     total_traffic: f64,
     /// Times of the attempts on the starting engine within the last window.
@@ -222,14 +222,14 @@
 
 impl Simulation<'_> {
     fn new(scenario: &Scenario, seed: u64) -> Simulation<'_> {
-        let mut draws = Draws(Pcg32::seed_from_u64(seed));
+        let mut rng = UniformRng(Pcg32::seed_from_u64(seed));
         let gateways: Vec<SimulatedGateway> = (0..scenario.gateways)
-            .map(|index| SimulatedGateway::new(scenario, index, seed, &mut draws))
+            .map(|index| SimulatedGateway::new(scenario, index, seed, &mut rng))
             .collect();
         Simulation {
             scenario,
             seed,
-            draws,
+            rng,
             total_traffic: gateways.iter().map(|gateway| gateway.traffic).sum(),
             gateways,
             recent_attempts: VecDeque::new(),
@@ -267,8 +267,8 @@
         gateway.complete_attempts(now, &mut actions);
         let tick = Event::TimerFired(TICK_TIMER);
         gateway.gateway.handle(now, tick, &mut actions);
-        gateway.receive_requests(now, expected, &mut self.draws, &mut actions);
-        gateway.execute(now, actions, &mut self.draws)
+        gateway.receive_requests(now, expected, &mut self.rng, &mut actions);
+        gateway.execute(now, actions, &mut self.rng)
     }
 
     fn drop_attempts_before(&mut self, from: Nanos) {
