--- a/src/testkit/clients/persistent.rs
+++ b/src/testkit/clients/persistent.rs
@@ -27,7 +27,7 @@
 }
 
 /// An event that wakes the connection's task.
-enum Wake {
+enum WakeEvent {
     /// A line from the daemon, or `None` if the connection has ended.
     Line(Option<Vec<u8>>),
     /// Bytes to send, or an error if the client was dropped.
@@ -95,12 +95,12 @@
     };
     let mut input = Vec::new();
     loop {
-        let line = async { Wake::Line(read_line(&stream, &mut input).await) };
-        let output = async { Wake::Output(queued.recv().await) };
+        let line = async { WakeEvent::Line(read_line(&stream, &mut input).await) };
+        let output = async { WakeEvent::Output(queued.recv().await) };
         match or(line, output).await {
-            Wake::Line(Some(line)) => record_outcome(open, &line),
-            Wake::Output(Ok(bytes)) if (&stream).write_all(&bytes).await.is_ok() => {}
-            Wake::Line(None) | Wake::Output(_) => return,
+            WakeEvent::Line(Some(line)) => record_outcome(open, &line),
+            WakeEvent::Output(Ok(bytes)) if (&stream).write_all(&bytes).await.is_ok() => {}
+            WakeEvent::Line(None) | WakeEvent::Output(_) => return,
         }
     }
 }
--- a/src/testkit/clients/sustained/connection.rs
+++ b/src/testkit/clients/sustained/connection.rs
@@ -28,7 +28,7 @@
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
 /// An event that wakes a connection's task.
-enum Wake {
+enum WakeEvent {
     Read(std::io::Result<usize>),
     Timer,
 }
@@ -106,7 +106,7 @@
                     return ConnectionEnd::LoadEnded;
                 }
             }
-            let read = async { Wake::Read((&*stream).read(&mut buffer).await) };
+            let read = async { WakeEvent::Read((&*stream).read(&mut buffer).await) };
             let poll_at = Instant::now() + POLL_INTERVAL;
             // A client that has stopped sends no more requests: the time of the next one would stay
             // in the past, and the loop would not wait.
@@ -117,19 +117,19 @@
             };
             let timer = async {
                 Timer::at(wake_at).await;
-                Wake::Timer
+                WakeEvent::Timer
             };
             match or(read, timer).await {
-                Wake::Read(Ok(0)) => return ConnectionEnd::Closed,
-                Wake::Read(Ok(count)) => self.receive(&buffer[..count]),
-                Wake::Read(Err(_)) => return ConnectionEnd::Reset,
-                Wake::Timer if !stopped && Instant::now() >= next_send_at => {
+                WakeEvent::Read(Ok(0)) => return ConnectionEnd::Closed,
+                WakeEvent::Read(Ok(count)) => self.receive(&buffer[..count]),
+                WakeEvent::Read(Err(_)) => return ConnectionEnd::Reset,
+                WakeEvent::Timer if !stopped && Instant::now() >= next_send_at => {
                     next_send_at = Instant::now() + self.next_pause();
                     if let Some(end) = self.send_next(stream).await {
                         return end;
                     }
                 }
-                Wake::Timer => {}
+                WakeEvent::Timer => {}
             }
         }
     }
