--- a/src/testkit/engines/clickhouse.rs
+++ b/src/testkit/engines/clickhouse.rs
@@ -16,7 +16,7 @@
 
 /// Whether a connection stays open after a query.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Next {
+enum AfterQuery {
     Continue,
     Close,
 }
@@ -31,7 +31,7 @@
         }
         let run = state.log.record_start(&state.name, &body, BTreeMap::new());
         let query = Query { state, stream, run };
-        if query.run(state.next_behavior()).await == Next::Close {
+        if query.run(state.next_behavior()).await == AfterQuery::Close {
             break;
         }
     }
@@ -45,7 +45,7 @@
 }
 
 impl Query<'_> {
-    async fn run(&self, behavior: EngineBehavior) -> Next {
+    async fn run(&self, behavior: EngineBehavior) -> AfterQuery {
         match behavior {
             EngineBehavior::Complete { after_millis, rows } => {
                 return self.complete(after_millis, rows).await;
@@ -64,25 +64,25 @@
                 let response =
                     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\na\tb\n\r\n";
                 self.finish(RunOutcome::Responded, response).await;
-                return Next::Close;
+                return AfterQuery::Close;
             }
             EngineBehavior::ViolateProtocol => {
                 self.finish(RunOutcome::Responded, b"what is this\r\n\r\n")
                     .await;
-                return Next::Close;
+                return AfterQuery::Close;
             }
             EngineBehavior::Reset => {
                 self.end(RunOutcome::Cancelled);
                 reset(self.stream);
-                return Next::Close;
+                return AfterQuery::Close;
             }
             EngineBehavior::Hang => {
                 self.next_input().await;
                 self.end(RunOutcome::Cancelled);
-                return Next::Close;
+                return AfterQuery::Close;
             }
         }
-        Next::Continue
+        AfterQuery::Continue
     }
 
     /// Waits until the connection ends or further input arrives. Returns whether there is input.
@@ -93,7 +93,7 @@
 
     /// Responds after a delay. If the client closes the connection before that, the query is
     /// cancelled.
-    async fn complete(&self, after_millis: u64, row_count: usize) -> Next {
+    async fn complete(&self, after_millis: u64, row_count: usize) -> AfterQuery {
         let is_closed = async { !self.next_input().await };
         let is_done = async {
             pause(after_millis).await;
@@ -101,12 +101,12 @@
         };
         if or(is_done, is_closed).await {
             self.end(RunOutcome::Cancelled);
-            return Next::Close;
+            return AfterQuery::Close;
         }
         let rows = rows(&self.state.log.run(self.run).query, row_count);
         self.finish(RunOutcome::Responded, &chunked_response(&rows))
             .await;
-        Next::Continue
+        AfterQuery::Continue
     }
 
     fn end(&self, outcome: RunOutcome) {
--- a/src/testkit/engines/platform.rs
+++ b/src/testkit/engines/platform.rs
@@ -30,7 +30,7 @@
 
 /// Whether the connection stays open after a command.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Next {
+enum AfterCommand {
     Continue,
     Close,
 }
@@ -45,7 +45,7 @@
         input: Vec::new(),
     };
     while let Some(line) = connection.read_line().await {
-        if connection.execute(&line).await == Next::Close {
+        if connection.execute(&line).await == AfterCommand::Close {
             break;
         }
     }
@@ -95,12 +95,12 @@
         Some(body)
     }
 
-    async fn execute(&mut self, line: &str) -> Next {
+    async fn execute(&mut self, line: &str) -> AfterCommand {
         let words: Vec<&str> = line.split(' ').collect();
         match words[..] {
             ["do", id, fields, length] => {
                 let Some(statement) = self.read_body(length.parse().unwrap_or(0)).await else {
-                    return Next::Close;
+                    return AfterCommand::Close;
                 };
                 return self.start_query(id, fields, &statement);
             }
@@ -111,12 +111,12 @@
                 self.queries.borrow_mut().pages.remove(id);
             }
             ["ping" | "top", id] => self.respond_to_probe(id).await,
-            _ => return Next::Close,
+            _ => return AfterCommand::Close,
         }
-        Next::Continue
+        AfterCommand::Continue
     }
 
-    fn start_query(&self, id: &str, fields: &str, statement: &[u8]) -> Next {
+    fn start_query(&self, id: &str, fields: &str, statement: &[u8]) -> AfterCommand {
         let fields = fields
             .split(',')
             .filter_map(|field| field.split_once('='))
@@ -133,7 +133,7 @@
         };
         if behavior == EngineBehavior::Reset {
             reset(self.stream);
-            return Next::Close;
+            return AfterCommand::Close;
         }
         let query = RunningQuery {
             state: self.state.clone(),
@@ -143,7 +143,7 @@
             run,
         };
         self.executor.spawn(query.run(behavior)).detach();
-        Next::Continue
+        AfterCommand::Continue
     }
 
     fn cancel_query(&self, id: &str) {
