--- a/src/bin/yokelift-testkit/main.rs
+++ b/src/bin/yokelift-testkit/main.rs
@@ -20,7 +20,7 @@
 use yokelift::config::fleet::FleetConfig;
 use yokelift::membership::Timing;
 use yokelift::net;
-use yokelift::testkit::membership_simulation::FleetFigures;
+use yokelift::testkit::membership_simulation::MembershipMeasurements;
 use yokelift::testkit::{audit, membership_simulation, plot, probe_simulation, scenario};
 
 /// The build id, the same as in the member updates of the fleet.
@@ -254,7 +254,7 @@
         .members
         .iter()
         .map(|n| membership_simulation::measure(*n, &timing, args.stops, args.seed))
-        .collect::<Result<Vec<FleetFigures>, _>>()
+        .collect::<Result<Vec<MembershipMeasurements>, _>>()
         .map_err(failure)?;
     if let Some(path) = &args.svg {
         let text = plot::fleet(&results).map_err(failure)?;
--- a/src/testkit/membership_simulation/measurement.rs
+++ b/src/testkit/membership_simulation/measurement.rs
@@ -96,7 +96,7 @@
 
 /// The measurements of one fleet; times are seconds of the simulated clock.
 #[derive(Clone, Debug, Serialize)]
-pub struct FleetFigures {
+pub struct MembershipMeasurements {
     /// The number of managers.
     pub members: usize,
     /// The time from the start until every manager lists every other one as alive.
@@ -163,7 +163,7 @@
     timing: &Timing,
     stops: usize,
     seed: u64,
-) -> Result<FleetFigures, SimulationError> {
+) -> Result<MembershipMeasurements, SimulationError> {
     let mut fleet = SimulatedFleet::new(members, timing, seed);
     let join_seconds = measure_join(&mut fleet)?;
     fleet.run(SETTLING_TIME);
@@ -173,7 +173,7 @@
     let detection_bound = detection_bound(timing, members);
     let failures = measure_failures(&mut fleet, stops, detection_bound)?;
     let false_deaths = count_false_deaths(&mut fleet);
-    Ok(FleetFigures {
+    Ok(MembershipMeasurements {
         members,
         join_seconds,
         idle_traffic,
@@ -259,20 +259,20 @@
 }
 
 #[derive(Default)]
-struct FailureFigures {
+struct FailureMeasurements {
     traffic: TrafficRate,
     detection_seconds: DetectionTimes,
 }
 
 /// Stops managers one after the other, at most a third of them, and returns the maximum of each
-/// figure.
+/// measurement.
 fn measure_failures(
     fleet: &mut SimulatedFleet,
     stops: usize,
     detection_bound: Micros,
-) -> Result<FailureFigures, SimulationError> {
+) -> Result<FailureMeasurements, SimulationError> {
     let members = fleet.nodes.len();
-    let mut maxima = FailureFigures::default();
+    let mut maxima = FailureMeasurements::default();
     for already_stopped in 0..stops.min(members / 3) {
         let stopped = 1 + already_stopped * (members - 1) / stops;
         let start = fleet.now;
@@ -336,8 +336,8 @@
     falsely_dead.len()
 }
 
-/// Formats the figures as a Markdown table.
-pub fn table(figures: &[FleetFigures]) -> String {
+/// Formats the measurements as a Markdown table.
+pub fn table(measurements: &[MembershipMeasurements]) -> String {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN).set_header([
         "managers",
@@ -355,13 +355,13 @@
         "budget",
         "false deaths",
     ]);
-    for fleet in figures {
+    for fleet in measurements {
         table.add_row(table_row(fleet));
     }
     table.to_string()
 }
 
-fn table_row(fleet: &FleetFigures) -> Vec<String> {
+fn table_row(fleet: &MembershipMeasurements) -> Vec<String> {
     let times = [
         fleet.join_seconds,
         fleet.detection_seconds.first,
--- a/src/testkit/membership_simulation/mod.rs
+++ b/src/testkit/membership_simulation/mod.rs
@@ -10,7 +10,8 @@
     Action, MemberState, MemberUpdate, Membership, Message, RunningVersions, Timing, codec,
 };
 pub use measurement::{
-    DetectionTimes, DisseminationTimes, FleetFigures, SimulationError, TrafficRate, measure, table,
+    DetectionTimes, DisseminationTimes, MembershipMeasurements, SimulationError, TrafficRate,
+    measure, table,
 };
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
--- a/src/testkit/plot.rs
+++ b/src/testkit/plot.rs
@@ -1,5 +1,5 @@
-//! Draws charts of measured figures as SVG.
-use super::membership_simulation::FleetFigures;
+//! Draws the measurements of simulated fleets as SVG charts.
+use super::membership_simulation::MembershipMeasurements;
 use plotters::coord::Shift;
 use plotters::drawing::DrawingAreaErrorKind;
 use plotters::prelude::{
@@ -21,7 +21,7 @@
 /// A line in a chart.
 struct Series {
     label: &'static str,
-    value: fn(&FleetFigures) -> f64,
+    value: fn(&MembershipMeasurements) -> f64,
 }
 
 /// A chart of several series by the size of the fleet.
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 /// The drawing library rejected the chart.
-pub fn fleet(figures: &[FleetFigures]) -> Result<String, PlotError> {
+pub fn fleet(measurements: &[MembershipMeasurements]) -> Result<String, PlotError> {
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, IMAGE_SIZE).into_drawing_area();
@@ -88,13 +88,13 @@
             unit: "seconds",
             series: &TIME_SERIES,
         };
-        times.draw(&left, figures)?;
+        times.draw(&left, measurements)?;
         let traffic = FleetChart {
             title: "Traffic of a manager",
             unit: "bytes a second",
             series: &TRAFFIC_SERIES,
         };
-        traffic.draw(&right, figures)?;
+        traffic.draw(&right, measurements)?;
         root.present()?;
     }
     Ok(svg)
@@ -104,13 +104,13 @@
     fn draw(
         &self,
         area: &DrawingArea<SVGBackend<'_>, Shift>,
-        figures: &[FleetFigures],
+        measurements: &[MembershipMeasurements],
     ) -> Result<(), PlotError> {
-        let sizes = || figures.iter().map(|fleet| fleet.members as f64);
+        let sizes = || measurements.iter().map(|fleet| fleet.members as f64);
         let smallest = sizes().fold(f64::MAX, f64::min);
         let largest = sizes().fold(1.0, f64::max);
         let x_range = (smallest * 0.8..largest * 1.2).log_scale();
-        let y_range = 0.0..self.largest_value(figures) * Y_MARGIN;
+        let y_range = 0.0..self.largest_value(measurements) * Y_MARGIN;
         let mut chart = ChartBuilder::on(area)
             .caption(self.title, ("sans-serif", 18))
             .margin(12)
@@ -125,7 +125,7 @@
             .draw()?;
         for (index, series) in self.series.iter().enumerate() {
             let color = Palette99::pick(index).to_rgba();
-            let points: Vec<(f64, f64)> = figures
+            let points: Vec<(f64, f64)> = measurements
                 .iter()
                 .map(|fleet| (fleet.members as f64, (series.value)(fleet)))
                 .collect();
@@ -147,8 +147,8 @@
         Ok(())
     }
 
-    fn largest_value(&self, figures: &[FleetFigures]) -> f64 {
-        figures
+    fn largest_value(&self, measurements: &[MembershipMeasurements]) -> f64 {
+        measurements
             .iter()
             .flat_map(|fleet| self.series.iter().map(|series| (series.value)(fleet)))
             .fold(0.0, f64::max)
--- a/src/testkit/probe_simulation/fleet.rs
+++ b/src/testkit/probe_simulation/fleet.rs
@@ -198,7 +198,7 @@
         if self.managers[manager].is_stopped {
             return;
         }
-        // Drawn for every event, even if it needs no engine: the figures of a seed depend on the
+        // Drawn for every event, even if it needs no engine: the results of a seed depend on the
         // number of draws.
         let random_engine = u64::from(self.random.next_u32()) % self.plan.engines;
         let mut actions = PendingActions::default();
--- a/src/testkit/probe_simulation/mod.rs
+++ b/src/testkit/probe_simulation/mod.rs
@@ -1,11 +1,11 @@
 //! Simulates the load probes of a fleet, with and without a lease for each engine: the state
 //! machines of [`crate::lease`] of many managers on a simulated network. The same seed gives the
-//! same figures.
+//! same results.
 mod fleet;
 mod manager;
 mod report;
 
-pub use report::{Figures, ProbeRate, TrafficRate, table};
+pub use report::{ProbeMeasurements, ProbeRate, TrafficRate, table};
 
 use crate::clock::{Micros, SEC};
 use crate::lease::LeaseTiming;
@@ -42,8 +42,8 @@
     pub seed: u64,
 }
 
-/// Simulates a fleet and returns its figures, labeled with `case`.
-pub fn measure(plan: &Plan, case: &str) -> Figures {
+/// Simulates a fleet and returns its measurements, labeled with `case`.
+pub fn measure(plan: &Plan, case: &str) -> ProbeMeasurements {
     let half = plan.seconds * SEC / 2;
     let mut fleet = SimulatedFleet::new(plan.clone());
     fleet.run_until(WARM_UP_MICROS);
@@ -58,7 +58,7 @@
         fleet.update_preferred_owners();
     }
     fleet.run_until(WARM_UP_MICROS + 2 * half);
-    Figures::new(plan, case, fleet.totals())
+    ProbeMeasurements::new(plan, case, fleet.totals())
 }
 
 /// Simulates a fleet of each size: without leases, with leases, and with leases while one manager
@@ -68,8 +68,8 @@
     engines: u64,
     load_requests_per_second: f64,
     seed: u64,
-) -> Vec<Figures> {
-    let mut figures = Vec::new();
+) -> Vec<ProbeMeasurements> {
+    let mut measurements = Vec::new();
     for managers in sizes {
         let without_leases = Plan {
             managers: *managers,
@@ -89,12 +89,12 @@
             stop_one_in: 10,
             ..with_leases.clone()
         };
-        figures.push(measure(&without_leases, "each asks itself"));
-        figures.push(measure(&with_leases, "one owner an engine"));
+        measurements.push(measure(&without_leases, "each asks itself"));
+        measurements.push(measure(&with_leases, "one owner an engine"));
         let case = "the same, one manager in ten stopped";
-        figures.push(measure(&with_stops, case));
+        measurements.push(measure(&with_stops, case));
     }
-    figures
+    measurements
 }
 
 #[cfg(test)]
--- a/src/testkit/probe_simulation/report.rs
+++ b/src/testkit/probe_simulation/report.rs
@@ -1,4 +1,4 @@
-//! The figures of a simulation, and their output as a table.
+//! The measurements of a simulation, and their output as a table.
 use super::Plan;
 use super::fleet::Totals;
 use crate::clock::MS;
@@ -40,7 +40,7 @@
 
 /// The results of a simulation.
 #[derive(Clone, Debug, Serialize)]
-pub struct Figures {
+pub struct ProbeMeasurements {
     /// The number of managers.
     pub managers: usize,
     /// The number of engines.
@@ -64,14 +64,14 @@
     pub owner_changes: u64,
 }
 
-impl Figures {
-    pub(super) fn new(plan: &Plan, case: &str, totals: &Totals) -> Figures {
+impl ProbeMeasurements {
+    pub(super) fn new(plan: &Plan, case: &str, totals: &Totals) -> ProbeMeasurements {
         let seconds = plan.seconds as f64;
         let managers = plan.managers as f64;
         let all_probes: u64 = totals.probes_by_engine.values().sum();
         let most_probes = totals.probes_by_engine.values().copied().max().unwrap_or(0);
         let mean_wait = totals.total_wait as f64 / totals.loads_delivered.max(1) as f64;
-        Figures {
+        ProbeMeasurements {
             managers: plan.managers,
             engines: plan.engines,
             case: case.into(),
@@ -90,8 +90,8 @@
     }
 }
 
-/// Formats the figures as a table with one row for each case.
-pub fn table(figures: &[Figures]) -> String {
+/// Formats the measurements as a table with one row for each case.
+pub fn table(measurements: &[ProbeMeasurements]) -> String {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN).set_header([
         "managers",
@@ -105,7 +105,7 @@
         "bytes",
         "changes of owner",
     ]);
-    for row in figures {
+    for row in measurements {
         table.add_row([
             row.managers.to_string(),
             row.engines.to_string(),
