--- a/src/bin/yokelift-testkit/scale_fleet.rs
+++ b/src/bin/yokelift-testkit/scale_fleet.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 use yokelift::config::fleet::FleetConfig;
-use yokelift::testkit::scale::figures::{self, FleetMeasurements};
+use yokelift::testkit::scale::measurements::{self, FleetMeasurements};
 use yokelift::testkit::scale::{events, fleet::Plan};
 
 /// The size of a fleet: its managers (hollow nodes) and engines.
@@ -179,7 +179,7 @@
         let text = if self.json {
             serde_json::to_string(&runs).map_err(|error| error.to_string())?
         } else {
-            figures::table(&runs)
+            measurements::table(&runs)
         };
         Ok(Output {
             text: text + "\n",
--- a/src/testkit/scale/capacity_check.rs
+++ b/src/testkit/scale/capacity_check.rs
@@ -197,7 +197,8 @@
 /// The resources that a run with a fleet of hollow nodes needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetRequirements {
-    /// Descriptors: two for each node, because its socket stays open between its incarnations.
+    /// Descriptors: two for each node, one for its socket, which stays open between incarnations,
+    /// and one for the duplicate of it that the node's actors use.
     pub descriptors: u64,
     /// Memory in MiB.
     pub memory_mib: u64,
--- a/src/testkit/scale/daemons.rs
+++ b/src/testkit/scale/daemons.rs
@@ -24,7 +24,8 @@
 /// Number of the last lines of the daemon's log that an error message quotes.
 const QUOTED_LOG_LINES: usize = 3;
 
-/// The measured values of one point. Values over the window cover the window alone.
+/// The measured values of one point. Values described as "over the window" exclude the time before
+/// and after it.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Measurement {
     /// Engines in the endpoint list.
@@ -65,7 +66,8 @@
     /// Open connections of engines at the end of the window.
     pub engine_connections: u64,
     /// Statements sent per second over the window.
-    pub asked_per_s: f64,
+    #[serde(rename = "asked_per_s")]
+    pub sent_per_s: f64,
     /// Statements completed in the window.
     pub served: u64,
     /// Statements rejected in the window.
--- a/src/testkit/scale/events.rs
+++ b/src/testkit/scale/events.rs
@@ -1,11 +1,11 @@
 //! Runs the events of a fleet of hollow nodes one after the other, and measures the time until all
 //! nodes have observed each of them.
-use super::figures::{
+use super::fleet::{HollowFleet, Plan, RunError};
+use super::hollow_node::NodeReading;
+use super::measurements::{
     DatagramBalance, EventDuration, FleetLoad, FleetMeasurements, LoadSample, MAX_WAKE_DELAY_MS,
     NodeFailure, Partition, RollingRestart,
 };
-use super::fleet::{HollowFleet, Plan, RunError};
-use super::hollow_node::NodeReading;
 use super::observations::{Condition, ConditionProgress, LeaseHolder};
 use super::proc;
 use crate::clock::Micros;
@@ -62,11 +62,11 @@
             managers: plan.managers,
             engines: plan.engines,
             voters: plan.voters,
-            wants: plan.load_requests_per_s,
+            load_requests_per_s: plan.load_requests_per_s,
             seed: plan.seed,
             threads: plan.threads,
             settle_seconds: plan.settle.as_secs_f64(),
-            console: plan.admin_enabled,
+            admin_enabled: plan.admin_enabled,
             ..FleetMeasurements::default()
         };
         Run {
@@ -79,7 +79,7 @@
     /// the measurements.
     fn take_max_wake_delay_ms(&mut self) -> f64 {
         let delay_ms = self.fleet.observations.take_max_wake_delay_us() as f64 / 1e3;
-        self.measurements.latest_wake_ms = self.measurements.latest_wake_ms.max(delay_ms);
+        self.measurements.max_wake_delay_ms = self.measurements.max_wake_delay_ms.max(delay_ms);
         self.measurements.overloaded |= delay_ms >= MAX_WAKE_DELAY_MS;
         delay_ms
     }
@@ -103,9 +103,9 @@
                 .is_complete()
                 .then(|| progress.last_ms.saturating_sub(since_ms)),
             half_ms: progress.median_ms.saturating_sub(since_ms),
-            had: met,
-            asked: total,
-            latest_wake_ms: self.take_max_wake_delay_ms(),
+            observed: met,
+            expected: total,
+            max_wake_delay_ms: self.take_max_wake_delay_ms(),
         }
     }
 
@@ -177,7 +177,7 @@
         self.measurements.quiet = self.measure_load("quiet traffic", self.fleet.plan.quiet)?;
         self.measurements.owned = self.fleet.observations.lease_holders().len();
         let memory_kib = proc::own_resident_kib().saturating_sub(resident_before_kib);
-        self.measurements.memory_kb = memory_kib / self.fleet.plan.managers as u64;
+        self.measurements.memory_kib = memory_kib / self.fleet.plan.managers as u64;
         Ok(())
     }
 
@@ -235,7 +235,7 @@
         self.measurements.death = NodeFailure {
             manager: name,
             dead,
-            duties: lost_leases.len(),
+            leases: lost_leases.len(),
             owners_ms: reacquired_at_ms.map(|at_ms| at_ms.saturating_sub(since_ms)),
         };
         self.restart(stopped_node, "the suspended node restarts")?;
@@ -270,8 +270,8 @@
                 .zip(restarted_observed.all_ms)
                 .map(|(a, b)| a.max(b)),
             max_wake_delay_ms: others_observed
-                .latest_wake_ms
-                .max(restarted_observed.latest_wake_ms),
+                .max_wake_delay_ms
+                .max(restarted_observed.max_wake_delay_ms),
         })
     }
 
@@ -317,7 +317,7 @@
         self.fleet.watch(Condition::None);
         self.settle()?;
         let after = self.load_since(&load_start)?;
-        self.measurements.cut = Some(Partition {
+        self.measurements.partition = Some(Partition {
             seconds: duration.as_secs_f64(),
             during,
             alive: alive_range,
@@ -340,17 +340,17 @@
             let node = (first + offset) % self.fleet.plan.managers;
             let restart = self.restart(node, "rolling restart")?;
             rolling.each_ms.push(restart.all_ms);
-            rolling.latest_wake_ms = rolling.latest_wake_ms.max(restart.max_wake_delay_ms);
+            rolling.max_wake_delay_ms = rolling.max_wake_delay_ms.max(restart.max_wake_delay_ms);
         }
         self.measurements.rolling = Some(rolling);
         Ok(())
     }
 
-    /// Ends the run, balances its datagrams, and returns the measurements.
+    /// Ends the run, computes its datagram balance, and returns the measurements.
     pub fn finish(mut self) -> Result<FleetMeasurements, RunError> {
         let readings = self.fleet.suspend_all_and_read()?;
         let dropped = self.fleet.dropped_datagrams();
-        self.measurements.accounts = DatagramBalance::of(&readings, dropped);
+        self.measurements.datagram_balance = DatagramBalance::of(&readings, dropped);
         self.take_max_wake_delay_ms();
         Ok(self.measurements)
     }
--- a/src/testkit/scale/fleet.rs
+++ b/src/testkit/scale/fleet.rs
@@ -43,7 +43,7 @@
     /// A thread of nodes ended before the run did.
     #[error("a thread of nodes ended before the run did: {reason}")]
     ThreadEnded {
-        /// The message of the panic.
+        /// The message of the panic, or `without a panic`.
         reason: String,
     },
     /// The process received a signal to stop.
--- a/src/testkit/scale/hollow_batch.rs
+++ b/src/testkit/scale/hollow_batch.rs
@@ -46,7 +46,7 @@
     },
     /// Suspend a node: its socket is not read and it sends nothing.
     Suspend(usize),
-    /// Restart a node. A running node leaves the fleet first, a suspended one does not.
+    /// Restart a node. A running node shuts down gracefully first, a suspended one ends at once.
     Restart(usize),
     /// Make all nodes activate settings with this hash.
     ChangeSettings(u64),
--- a/src/testkit/scale/figures.rs
+++ b/src/testkit/scale/measurements.rs
@@ -21,7 +21,8 @@
     /// Datagrams sent and received.
     pub datagrams: f64,
     /// Bytes of lease messages, sent and received.
-    pub duties_bytes: f64,
+    #[serde(rename = "duties_bytes")]
+    pub lease_bytes: f64,
     /// Time that the node's actors ran, in percent of a core, by the clock.
     pub busy_percent: f64,
 }
@@ -44,7 +45,8 @@
     /// Probes of engines, per second and node.
     pub probes: f64,
     /// The largest wake-up delay of a thread, in milliseconds.
-    pub latest_wake_ms: f64,
+    #[serde(rename = "latest_wake_ms")]
+    pub max_wake_delay_ms: f64,
 }
 
 /// The readings from which a [`FleetLoad`] is computed.
@@ -72,7 +74,7 @@
             sent_bytes: per_s(counts.sent().wire_bytes()),
             received_bytes: per_s(counts.received().wire_bytes()),
             datagrams: per_s(counts.sent().plus(counts.received()).datagrams),
-            duties_bytes: per_s(lease_traffic.wire_bytes()),
+            lease_bytes: per_s(lease_traffic.wire_bytes()),
             busy_percent: busy.as_secs_f64() / seconds * 100.0,
         }
     }
@@ -87,7 +89,7 @@
             sent_bytes: combined(|rate| rate.sent_bytes),
             received_bytes: combined(|rate| rate.received_bytes),
             datagrams: combined(|rate| rate.datagrams),
-            duties_bytes: combined(|rate| rate.duties_bytes),
+            lease_bytes: combined(|rate| rate.lease_bytes),
             busy_percent: combined(|rate| rate.busy_percent),
         }
     }
@@ -130,7 +132,7 @@
             voter_worst: NodeTraffic::max(&voter_rates),
             processor_percent: sample.processor_time.as_secs_f64() / seconds / nodes * 100.0,
             probes: (probes(sample.later) - probes(sample.earlier)) / seconds / nodes,
-            latest_wake_ms: sample.max_wake_delay_ms,
+            max_wake_delay_ms: sample.max_wake_delay_ms,
         }
     }
 }
@@ -145,11 +147,14 @@
     /// milliseconds.
     pub half_ms: u64,
     /// Number of nodes that observed it.
-    pub had: usize,
+    #[serde(rename = "had")]
+    pub observed: usize,
     /// Number of nodes that should observe it.
-    pub asked: usize,
+    #[serde(rename = "asked")]
+    pub expected: usize,
     /// The largest wake-up delay of a thread during this time, in milliseconds.
-    pub latest_wake_ms: f64,
+    #[serde(rename = "latest_wake_ms")]
+    pub max_wake_delay_ms: f64,
 }
 
 /// The failure of one node: it is suspended.
@@ -160,7 +165,8 @@
     /// Time until all others considered it dead.
     pub dead: EventDuration,
     /// Number of leases that it held.
-    pub duties: usize,
+    #[serde(rename = "duties")]
+    pub leases: usize,
     /// Time from its suspension until each of these leases had another holder, in milliseconds;
     /// `None` if not all of them had one within the event timeout.
     pub owners_ms: Option<u64>,
@@ -190,7 +196,8 @@
     /// in milliseconds; `None` if that took longer than the event timeout.
     pub each_ms: Vec<Option<u64>>,
     /// The largest wake-up delay of a thread during this time, in milliseconds.
-    pub latest_wake_ms: f64,
+    #[serde(rename = "latest_wake_ms")]
+    pub max_wake_delay_ms: f64,
 }
 
 /// Compares the datagrams that were sent over the whole run with those that were received, blocked,
@@ -212,7 +219,8 @@
     /// majority.
     pub reloads: u64,
     /// How often a node excluded itself because it was outdated: behind the majority.
-    pub shut_outs: u64,
+    #[serde(rename = "shut_outs")]
+    pub exclusions: u64,
 }
 
 impl DatagramBalance {
@@ -228,7 +236,7 @@
             balance.unread = balance.unread.plus(reading.unread);
             balance.dropped += reading.dropped;
             balance.reloads += reading.reloads;
-            balance.shut_outs += reading.exclusions;
+            balance.exclusions += reading.exclusions;
         }
         let counts = &balance.counts;
         let accounted = counts
@@ -251,8 +259,9 @@
     pub engines: u64,
     /// Number of voters among the nodes.
     pub voters: usize,
-    /// FleetLoad requests for engines, per second and node.
-    pub wants: f64,
+    /// Load requests for engines, per second and node.
+    #[serde(rename = "wants")]
+    pub load_requests_per_s: f64,
     /// The seed of the run's own choices; the nodes' own seeds are the times of their starts, as a
     /// daemon's are.
     pub seed: u64,
@@ -261,12 +270,14 @@
     /// Seconds between the start and quiet traffic, and after each disturbance.
     pub settle_seconds: f64,
     /// Whether the nodes published their leases, as daemons with an admin endpoint do.
-    pub console: bool,
+    #[serde(rename = "console")]
+    pub admin_enabled: bool,
     /// Whether the wake-up delay of a thread reached [`MAX_WAKE_DELAY_MS`]: the machine is too slow
     /// for the run, and the measurements are invalid.
     pub overloaded: bool,
     /// The largest wake-up delay of a thread over the run, in milliseconds.
-    pub latest_wake_ms: f64,
+    #[serde(rename = "latest_wake_ms")]
+    pub max_wake_delay_ms: f64,
     /// All nodes start at once: time until each considers all others alive.
     pub join: EventDuration,
     /// Traffic while no event happens.
@@ -274,19 +285,22 @@
     /// Number of leases that were held after the measurement of quiet traffic.
     pub owned: usize,
     /// Memory of the process divided by its nodes, in KiB.
-    pub memory_kb: u64,
+    #[serde(rename = "memory_kb")]
+    pub memory_kib: u64,
     /// The failure of one node.
     pub death: NodeFailure,
     /// All nodes change their settings: time until each has observed the change of all others.
     pub settings: EventDuration,
     /// The partition, if there was one.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub cut: Option<Partition>,
+    #[serde(rename = "cut")]
+    pub partition: Option<Partition>,
     /// The rolling restart, if there was one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rolling: Option<RollingRestart>,
     /// The balance of datagrams.
-    pub accounts: DatagramBalance,
+    #[serde(rename = "accounts")]
+    pub datagram_balance: DatagramBalance,
     /// Conditions that were not met within the event timeout.
     pub failed: Vec<String>,
 }
@@ -326,7 +340,7 @@
             format!("{}x{}", self.managers, self.engines),
             self.seed.to_string(),
             self.overloaded.to_string(),
-            format!("{:.1}", self.latest_wake_ms),
+            format!("{:.1}", self.max_wake_delay_ms),
             cell_ms(self.join.all_ms),
             format!("{}, {}", cell_bytes(&quiet.mean), cell_bytes(&quiet.worst)),
             format!(
@@ -339,16 +353,18 @@
                 "{:.2}, {:.2}, {:.2}",
                 quiet.processor_percent, quiet.worst.busy_percent, quiet.voter_worst.busy_percent
             ),
-            format!("{:.1}", self.memory_kb as f64 / 1024.0),
+            format!("{:.1}", self.memory_kib as f64 / 1024.0),
             cell_ms(self.death.dead.all_ms),
-            format!("{} ({})", cell_ms(self.death.owners_ms), self.death.duties),
+            format!("{} ({})", cell_ms(self.death.owners_ms), self.death.leases),
             cell_ms(self.settings.all_ms),
-            self.cut.as_ref().map_or_else(no_event, Partition::cell),
+            self.partition
+                .as_ref()
+                .map_or_else(no_event, Partition::cell),
             self.rolling
                 .as_ref()
                 .map_or_else(no_event, RollingRestart::cell),
-            self.accounts.shut_outs.to_string(),
-            self.accounts.missing.to_string(),
+            self.datagram_balance.exclusions.to_string(),
+            self.datagram_balance.missing.to_string(),
         ]
     }
 }
--- a/src/testkit/scale/mod.rs
+++ b/src/testkit/scale/mod.rs
@@ -4,13 +4,13 @@
 pub mod capacity_check;
 pub mod daemons;
 pub mod events;
-pub mod figures;
 pub mod fit;
 pub mod fleet;
 pub mod hollow_batch;
 pub mod hollow_module;
 pub mod hollow_node;
 pub mod load;
+pub mod measurements;
 pub mod observations;
 mod plan;
 pub mod proc;
--- a/src/testkit/scale/report.rs
+++ b/src/testkit/scale/report.rs
@@ -15,18 +15,21 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// The measurements of each run.
-    pub plays: Vec<Vec<Measurement>>,
+    #[serde(rename = "plays")]
+    pub runs: Vec<Vec<Measurement>>,
     /// The fitted lines.
-    pub fits: Vec<Slope>,
+    pub fits: Vec<UnitCost>,
 }
 
 /// The cost of one more unit of a quantity.
 #[derive(Clone, Debug, Serialize)]
-pub struct Slope {
+pub struct UnitCost {
     /// The quantity that grows, and the conditions under which it does.
-    pub of: &'static str,
+    #[serde(rename = "of")]
+    pub quantity: &'static str,
     /// The resource that it costs, with its unit.
-    pub costs: &'static str,
+    #[serde(rename = "costs")]
+    pub resource: &'static str,
     /// The fitted line; `None` if there are too few points.
     pub fit: Option<Fit>,
 }
@@ -71,7 +74,7 @@
     Column::new("engines'", 0, |m| m.engine_connections as f64),
 ];
 const STATEMENTS: [Column; 8] = [
-    Column::new("asked /s", 1, |m| m.asked_per_s),
+    Column::new("asked /s", 1, |m| m.sent_per_s),
     Column::new("served", 0, |m| m.served as f64),
     Column::new("refused", 0, |m| m.refused as f64),
     Column::new("failed", 0, |m| m.failed as f64),
@@ -119,7 +122,7 @@
         Series {
             quantity: "statement a second, few engines",
             includes: statements,
-            value: |m| m.asked_per_s,
+            value: |m| m.sent_per_s,
             engines: Some(fewest_engines),
         },
     ];
@@ -128,7 +131,7 @@
         series.push(Series {
             quantity: "statement a second, all engines",
             includes: statements,
-            value: |m| m.asked_per_s,
+            value: |m| m.sent_per_s,
             engines: Some(most_engines),
         });
     }
@@ -169,25 +172,22 @@
 
 impl Report {
     /// Creates the report on all runs, with a fitted line for each series and cost.
-    pub fn new(plays: Vec<Vec<Measurement>>) -> Report {
-        let engines = || plays.iter().flatten().map(|m| m.engines);
+    pub fn new(runs: Vec<Vec<Measurement>>) -> Report {
+        let engines = || runs.iter().flatten().map(|m| m.engines);
         let fewest_engines = engines().min().unwrap_or(0);
         let most_engines = engines().max().unwrap_or(0);
         let mut fits = Vec::new();
         for series in all_series(fewest_engines, most_engines) {
-            for (costs, metric) in COSTS {
-                let samples: Vec<_> = plays
-                    .iter()
-                    .map(|run| series.samples(run, metric))
-                    .collect();
-                fits.push(Slope {
-                    of: series.quantity,
-                    costs,
+            for (resource, metric) in COSTS {
+                let samples: Vec<_> = runs.iter().map(|run| series.samples(run, metric)).collect();
+                fits.push(UnitCost {
+                    quantity: series.quantity,
+                    resource,
                     fit: fit::fit(&samples),
                 });
             }
         }
-        Report { plays, fits }
+        Report { runs, fits }
     }
 
     /// Returns the report as one JSON object that ends with a line break.
@@ -201,14 +201,14 @@
         let sizes = ["engines", "clients", "statements /s"];
         table.load_preset(ASCII_MARKDOWN);
         table.set_header(sizes.into_iter().chain(columns.iter().map(|c| c.name)));
-        for (index, point) in self.plays.first().into_iter().flatten().enumerate() {
+        for (index, point) in self.runs.first().into_iter().flatten().enumerate() {
             let size = [
                 point.engines.to_string(),
                 point.clients.to_string(),
                 point.rate.to_string(),
             ];
             let cells = columns.iter().map(|column| {
-                let measured = self.plays.iter().filter_map(|run| run.get(index));
+                let measured = self.runs.iter().filter_map(|run| run.get(index));
                 let values: Vec<f64> = measured.map(column.metric).collect();
                 cell(&values, column.decimals)
             });
@@ -229,13 +229,18 @@
             "",
         ];
         table.load_preset(ASCII_MARKDOWN).set_header(names);
-        for Slope { of, costs, fit } in &self.fits {
+        for UnitCost {
+            quantity,
+            resource,
+            fit,
+        } in &self.fits
+        {
             let Some(Fit { line, least, most }) = fit else {
                 continue;
             };
             table.add_row([
-                (*of).to_owned(),
-                (*costs).to_owned(),
+                (*quantity).to_owned(),
+                (*resource).to_owned(),
                 format!("{:.2}", line.slope),
                 format!("{least:.2} to {most:.2}"),
                 format!("{:.0}", line.intercept),
@@ -252,7 +257,7 @@
 
     /// Compares the largest resource use without statements with the limits for control.
     fn control_limits(&self) -> String {
-        let idle = || self.plays.iter().flatten().filter(|m| m.rate == 0.0);
+        let idle = || self.runs.iter().flatten().filter(|m| m.rate == 0.0);
         let max = |metric: Metric| idle().map(metric).fold(0.0, f64::max);
         let (cpu, rss) = (max(|m| m.cpu_us_per_s), max(|m| m.rss_kib as f64));
         format!(
@@ -265,7 +270,7 @@
 
     /// Describes in a sentence how the values were measured.
     fn method(&self) -> String {
-        let first = self.plays.iter().flatten().next().cloned();
+        let first = self.runs.iter().flatten().next().cloned();
         let Measurement {
             managers, seconds, ..
         } = first.unwrap_or_default();
@@ -278,7 +283,7 @@
 
     /// Returns all tables as Markdown text.
     pub fn markdown(&self) -> String {
-        let runs = match self.plays.len() {
+        let runs = match self.runs.len() {
             1 => "one play".to_owned(),
             count => format!("mean of {count} plays, least and most"),
         };
--- a/src/testkit/scale/testbed.rs
+++ b/src/testkit/scale/testbed.rs
@@ -272,7 +272,7 @@
         measured.cpu_us_per_s = per_s(from.usage.cpu_ns, to.usage.cpu_ns) / 1e3;
         measured.cpu_ticks = to.usage.cpu_ticks - from.usage.cpu_ticks;
         measured.switches_per_s = per_s(from.usage.switches, to.usage.switches);
-        measured.asked_per_s = per_s(from.sent, to.sent);
+        measured.sent_per_s = per_s(from.sent, to.sent);
         measured.served = to.completed - from.completed;
         measured.refused = to.rejected - from.rejected;
         measured.failed = to.failed - from.failed;
@@ -403,10 +403,10 @@
 fn check_statement_rate(measured: &Measurement) -> Result<(), String> {
     let planned = (measured.rate * measured.seconds).max(2.0);
     let min_rate = MIN_SENT_FRACTION * measured.rate * (1.0 - 1.0 / planned);
-    if measured.asked_per_s < min_rate {
+    if measured.sent_per_s < min_rate {
         return Err(format!(
             "the stand-in clients sent only {:.1} statements per second",
-            measured.asked_per_s
+            measured.sent_per_s
         ));
     }
     Ok(())
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -101,7 +101,7 @@
         engines: 12,
         clients,
         rate,
-        asked_per_s: rate,
+        sent_per_s: rate,
         rss_kib: 8_000 + clients,
         ..Measurement::default()
     };
--- a/tests/scale_fleet.rs
+++ b/tests/scale_fleet.rs
@@ -16,9 +16,9 @@
 use yokelift::testkit::ports::reserve_addr;
 use yokelift::testkit::scale::capacity_check::FleetRequirements;
 use yokelift::testkit::scale::events::Run;
-use yokelift::testkit::scale::figures::{DatagramBalance, FleetMeasurements};
 use yokelift::testkit::scale::fleet::{HollowFleet, Plan};
 use yokelift::testkit::scale::hollow_node::{node_address, node_at};
+use yokelift::testkit::scale::measurements::{DatagramBalance, FleetMeasurements};
 use yokelift::testkit::scale::observations::Condition;
 use yokelift::testkit::{clients, coordinator};
 
@@ -111,20 +111,20 @@
     );
     assert_eq!(
         (
-            measurements.join.had,
-            measurements.death.dead.had,
-            measurements.settings.had
+            measurements.join.observed,
+            measurements.death.dead.observed,
+            measurements.settings.observed
         ),
         (NODES, NODES - 1, NODES)
     );
     assert!(
-        measurements.death.owners_ms.is_some() && measurements.death.duties > 0,
+        measurements.death.owners_ms.is_some() && measurements.death.leases > 0,
         "{:?}",
         measurements.death
     );
     let rolling = measurements.rolling.expect("a rolling restart");
     assert_eq!(rolling.each_ms.iter().flatten().count(), 2);
-    assert_datagrams_are_accounted_for(&measurements.accounts);
+    assert_datagrams_are_accounted_for(&measurements.datagram_balance);
 }
 
 /// A daemon process that is killed when this value is dropped.
