--- a/src/testkit/directory.rs
+++ b/src/testkit/directory.rs
@@ -68,7 +68,7 @@
         let (listener, addr) = listener();
         let content: Rc<Content> = Rc::default();
         let served_content = Rc::clone(&content);
-        let connections = executor.clone();
+        let spawner = executor.clone();
         let accept = async move {
             let mut incoming = Box::pin(listener.incoming());
             while let Some(Ok(stream)) = incoming.next().await {
@@ -78,7 +78,7 @@
                     bound: false,
                 };
                 // A failed connection ends in the same way as one that its client closes.
-                connections
+                spawner
                     .spawn(async move { drop(connection.serve().await) })
                     .detach();
             }
@@ -88,7 +88,7 @@
     }
 
     /// Adds a tenant.
-    pub fn tenant(&self, name: &str, share: &str) {
+    pub fn add_tenant(&self, name: &str, share: &str) {
         self.content.entries.borrow_mut().push(Entry {
             object_class: "organizationalUnit",
             attributes: vec![
@@ -99,7 +99,7 @@
     }
 
     /// Adds a user. Attributes with an empty value are omitted.
-    pub fn user(&self, name: &str, key: &str, tenant: &str) {
+    pub fn add_user(&self, name: &str, key: &str, tenant: &str) {
         let attributes = [
             ("uid", name),
             ("employeeNumber", key),
--- a/src/testkit/scenario/connections.rs
+++ b/src/testkit/scenario/connections.rs
@@ -15,7 +15,7 @@
 
 /// The part of a query that is sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Portion {
+pub(super) enum QueryPart {
     Whole,
     FirstHalf,
 }
@@ -63,7 +63,7 @@
     Send {
         connection: &'a str,
         query: ConnectionQuery<'a>,
-        portion: Portion,
+        part: QueryPart,
     },
     SendRest {
         connection: &'a str,
@@ -111,9 +111,9 @@
                     wait_millis: parse_number(wait)?,
                     statement: named_statement(name, statement),
                 },
-                portion: match verb {
-                    "begin" => Portion::FirstHalf,
-                    _ => Portion::Whole,
+                part: match verb {
+                    "begin" => QueryPart::FirstHalf,
+                    _ => QueryPart::Whole,
                 },
             },
             ["rest", connection] => ConnectionStep::SendRest { connection },
@@ -176,8 +176,8 @@
             ConnectionStep::Send {
                 connection,
                 query,
-                portion,
-            } => self.send_on(connection, &query, portion),
+                part,
+            } => self.send_on(connection, &query, part),
             ConnectionStep::SendRest { connection } => self.send_rest(connection),
             ConnectionStep::ExpectClosed { connection } => self.expect_closed(connection).await,
             ConnectionStep::ExpectOpen { connection } => self.expect_open(connection),
@@ -219,7 +219,7 @@
         &mut self,
         connection: &str,
         query: &ConnectionQuery<'_>,
-        portion: Portion,
+        part: QueryPart,
     ) -> Result<(), StepError> {
         let client_request_id = self.next_client_request_id();
         let connection = self.connection_mut(connection)?;
@@ -231,13 +231,11 @@
             wait_ms: query.wait_millis,
             statement: &query.statement,
         };
-        let portions = match portion {
-            Portion::Whole => 1,
-            Portion::FirstHalf => 2,
+        let parts = match part {
+            QueryPart::Whole => 1,
+            QueryPart::FirstHalf => 2,
         };
-        let rest = connection
-            .client
-            .request(&request, outcome.clone(), portions);
+        let rest = connection.client.request(&request, outcome.clone(), parts);
         connection.unsent.extend(rest);
         let query_state = Query {
             task: None,
--- a/src/testkit/scenario/deployment.rs
+++ b/src/testkit/scenario/deployment.rs
@@ -107,11 +107,11 @@
             DeploymentStep::Set { pointer, json } => self.set_setting(pointer, json)?,
             DeploymentStep::User { name, key, tenant } => self.add_user(name, key, tenant),
             DeploymentStep::DirectoryTenant { name, share } => {
-                self.directory().tenant(name, share);
+                self.directory().add_tenant(name, share);
             }
             DeploymentStep::DirectoryUser { name, key, tenant } => {
                 let tenant = tenant.trim_matches('-');
-                self.directory().user(name, key, tenant);
+                self.directory().add_user(name, key, tenant);
             }
             DeploymentStep::DirectoryBusy(busy) => self.directory().content.busy.set(busy),
             DeploymentStep::MaxSockets(max_sockets) => self.max_sockets = max_sockets,
