--- a/src/testkit/coordinator.rs
+++ b/src/testkit/coordinator.rs
@@ -209,14 +209,14 @@
 }
 
 /// The `known` section of a configuration, with one event that lists these endpoints.
-pub fn known(endpoints: &[ListedEndpoint], zones: &[&str], kinds: &[&str]) -> Value {
+pub fn known(endpoints: &[ListedEndpoint], zones: &[&str], machine_types: &[&str]) -> Value {
     let server = |listed: &ListedEndpoint| {
         let endpoint = &listed.endpoint;
         json!({
             "id": format!("s-{:08x}", endpoint.id.0),
             "addr": listed.addr.to_string(),
             "zone": zones[usize::from(endpoint.zone.0)],
-            "kind": kinds[usize::from(endpoint.machine_type.0)],
+            "kind": machine_types[usize::from(endpoint.machine_type.0)],
             "cell": endpoint.cell.0,
             "state": "in_service",
             "weight": 1,
