--- a/src/net/audit.rs
+++ b/src/net/audit.rs
@@ -18,15 +18,15 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Capacity of the audit thread's queue, in jobs.
-const MAX_PENDING_JOBS: usize = 64;
+/// Capacity of the audit thread's queue, in commands.
+const MAX_PENDING_COMMANDS: usize = 64;
 /// How long the process waits at its exit for the last batch to be written.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long an operator's read waits for the audit thread.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A job of the audit thread.
-pub enum AuditJob {
+/// A command to the audit thread.
+pub enum AuditCommand {
     /// Write a batch.
     Write(Batch),
     /// Read a page.
@@ -79,7 +79,7 @@
 /// The dispatcher's side of the audit.
 pub struct AuditWriter {
     buffer: AuditBuffer,
-    jobs: Sender<AuditJob>,
+    commands: Sender<AuditCommand>,
     /// Closed once the audit thread has ended.
     ended: Receiver<()>,
 }
@@ -122,35 +122,35 @@
         Ok(store) => store,
         Err(source) => return Err(AuditStartError::Storage { folder, source }),
     };
-    let (jobs, pending_jobs) = bounded(MAX_PENDING_JOBS);
+    let (commands, pending_commands) = bounded(MAX_PENDING_COMMANDS);
     let (end_signal, ended) = bounded(1);
     let run = move || {
-        run_jobs(store, &pending_jobs);
+        run_commands(store, &pending_commands);
         drop(end_signal);
     };
     std::thread::Builder::new()
         .name("audit".into())
         .spawn(run)
         .map_err(AuditStartError::Thread)?;
-    *shared.audit_jobs.borrow_mut() = Some(jobs.clone());
+    *shared.audit_commands.borrow_mut() = Some(commands.clone());
     Ok(AuditWriter {
         buffer: AuditBuffer::new(context),
-        jobs,
+        commands,
         ended,
     })
 }
 
-/// The loop of the audit thread: runs until the queue of jobs is closed and empty.
-fn run_jobs(mut store: Store, jobs: &Receiver<AuditJob>) {
-    while let Ok(job) = jobs.recv_blocking() {
+/// The loop of the audit thread: runs until the queue of commands is closed and empty.
+fn run_commands(mut store: Store, commands: &Receiver<AuditCommand>) {
+    while let Ok(command) = commands.recv_blocking() {
         clock::read();
-        match job {
-            AuditJob::Write(batch) => {
+        match command {
+            AuditCommand::Write(batch) => {
                 if let Err(error) = store.append(batch) {
                     log!("audit: writing a batch failed, its records are lost: {error}");
                 }
             }
-            AuditJob::Read {
+            AuditCommand::Read {
                 after,
                 max_records,
                 reply,
@@ -208,11 +208,11 @@
     }
 
     fn send(&mut self, batch: Batch) {
-        let rejected = match self.jobs.try_send(AuditJob::Write(batch)) {
+        let rejected = match self.commands.try_send(AuditCommand::Write(batch)) {
             Ok(()) => return,
             Err(error) => error.into_inner(),
         };
-        if let AuditJob::Write(batch) = rejected {
+        if let AuditCommand::Write(batch) = rejected {
             self.buffer.mark_lost(clock::now(), &batch);
             log!(
                 "audit: the queue of the audit thread is full or closed, {} records are lost",
@@ -227,7 +227,7 @@
         if let Some(batch) = self.buffer.finish() {
             self.send(batch);
         }
-        self.jobs.close();
+        self.commands.close();
         let ended = async {
             let _ = self.ended.recv().await;
         };
@@ -245,14 +245,14 @@
     after: RecordPosition,
     max_records: usize,
 ) -> Option<Result<Page, AuditReadError>> {
-    let jobs = shared.audit_jobs.borrow().clone()?;
+    let commands = shared.audit_commands.borrow().clone()?;
     let (reply, page) = bounded(1);
-    let job = AuditJob::Read {
+    let command = AuditCommand::Read {
         after,
         max_records,
         reply,
     };
-    if jobs.try_send(job).is_err() {
+    if commands.try_send(command).is_err() {
         return Some(Err(AuditReadError::Busy));
     }
     let timeout = async {
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -267,9 +267,9 @@
         ControlFlow::Continue(())
     }
 
-    /// Applies if all clients together exceed the memory limit for input, and this connection
-    /// buffers more than an idle one may keep: rejects the requests that wait to be parsed,
-    /// discards the incomplete message, and stops reading.
+    /// If all clients together exceed the memory limit for input, and this connection buffers more
+    /// than an idle one may keep, rejects the requests that wait to be parsed, discards the
+    /// incomplete message, and stops reading.
     async fn enforce_input_memory_limit(&mut self, now: Micros) -> Result<(), Termination> {
         let over_limit = self.shared.unread_bytes.get() > self.shared.max_unread_bytes.get();
         if !over_limit || self.buffered_input_bytes() <= IDLE_CAPACITY_BYTES {
--- a/src/net/client/connection_registry.rs
+++ b/src/net/client/connection_registry.rs
@@ -91,8 +91,9 @@
         .is_some_and(|status| status.close_checks.close())
 }
 
-/// Has idle client connections closed or transferred when the lifecycle requires it: each
-/// connection does so once it is quiet.
+/// Notifies client connections when the lifecycle requires that they are closed or transferred, or
+/// no longer requires it. A connection is closed once it is quiet, and transferred as soon as its
+/// protocol state permits.
 ///
 /// `was_closing` is whether the lifecycle required it at the last call, and is updated. If it was
 /// not required then and is not required now, no connection is notified, so that idle clients cost
@@ -118,8 +119,8 @@
     }
 }
 
-/// Has every connection check whether it is quiet, and close then. Called when the process is about
-/// to exit, which the lifecycle already records.
+/// Requests a check by every connection whether it is quiet and therefore has to close. Called when
+/// the process is about to exit, which the lifecycle already records.
 pub fn begin_shutdown(shared: &Shared) {
     for status in shared.clients.borrow().values() {
         status.request_close_check();
--- a/src/net/client/graceful_close.rs
+++ b/src/net/client/graceful_close.rs
@@ -30,7 +30,7 @@
             return reason;
         }
         drop(final_write);
-        // Nothing else counts against a limit while the connection waits for its client.
+        // While the connection waits for its client to close, its buffers count against no limit.
         let ClientConnection {
             shared,
             stream,
--- a/src/net/client/listener.rs
+++ b/src/net/client/listener.rs
@@ -61,9 +61,9 @@
     Ok(sockopt::set_socket_reuseport(listener, true)?)
 }
 
-/// Accepts connections until the process is about to exit or its successor accepts them, then
-/// empties the backlog. `new_frontend` creates the protocol of each connection from the
-/// connection's number.
+/// Accepts connections until the process is about to exit or its successor accepts them. Then waits
+/// until no successor shares the listener, accepts the connections in the backlog, and closes the
+/// listener. `new_frontend` creates the protocol of each connection from the connection's number.
 pub async fn listen<F: Frontend + 'static>(
     shared: Rc<Shared>,
     dispatcher: Sender<DispatcherEvent>,
--- a/src/net/client/listener_close.rs
+++ b/src/net/client/listener_close.rs
@@ -107,8 +107,8 @@
     codes.iter().any(|known| Some(known.raw_os_error()) == code)
 }
 
-/// Counts the connections in the backlogs of this process's listeners that its exit would reset,
-/// and accepts them to do so. Connections that a successor will accept do not count.
+/// Counts the connections in the backlogs of this process's listeners that its exit would reset, by
+/// accepting them. Connections that a successor will accept do not count.
 pub fn count_unaccepted(shared: &Shared) -> usize {
     if shared.lifecycle.borrow().has_successor() {
         return 0;
--- a/src/net/client/wait.rs
+++ b/src/net/client/wait.rs
@@ -68,7 +68,7 @@
     pub(super) writing: bool,
     /// No request is open, no input is deferred, and no output is to be written.
     pub(super) idle: bool,
-    /// When the valid message is due that the connection waits for.
+    /// When the client's first valid message, or the rest of an incomplete message, is due.
     pub(super) message_due_at: Option<Micros>,
     /// When the client counts as unresponsive, unless there is activity before.
     pub(super) unresponsive_at: Option<Micros>,
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -14,7 +14,7 @@
 /// Capacity of the actor's mailbox in events.
 pub const MAILBOX_CAPACITY: usize = 64;
 
-/// An endpoint that had no handle, with its new one.
+/// An endpoint that is new or whose address has changed, with its new handle.
 type NewHandle = (EngineId, Rc<EndpointHandle>);
 
 /// An endpoint in the list, with its handle.
@@ -79,8 +79,8 @@
 }
 
 impl EndpointList {
-    /// Applies an event, after adding the endpoints whose change it implies; returns the handles of
-    /// new endpoints.
+    /// Applies an event, after adding the endpoints whose change it implies; returns the new
+    /// handles.
     fn apply(&mut self, event: &mut WatchEvent) -> Vec<NewHandle> {
         let superseded = self.superseded_by(event);
         event.endpoints.extend(superseded);
@@ -99,9 +99,9 @@
         new_handles
     }
 
-    /// Returns the known endpoints at whose address the event lists a new engine, as removed: they
-    /// are, even if the event does not list them. Otherwise commands for the old process would go
-    /// to the new one.
+    /// Returns the known endpoints at whose address the event lists a new engine, with their
+    /// readiness set to [`Readiness::Removed`]: their processes have ended, even if the event does
+    /// not list them. Otherwise commands for the old process would go to the new one.
     fn superseded_by(&self, event: &WatchEvent) -> Vec<ListedEndpoint> {
         let listed_ids = ids(&event.endpoints);
         let reused_addrs: BTreeSet<SocketAddr> = event
--- a/src/net/dispatcher/commands.rs
+++ b/src/net/dispatcher/commands.rs
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Probes an engine: for the decision module, or, with a deadline, for other gateways, which
-    /// cannot use the result after it.
+    /// Probes an engine: for the decision module, or, with a deadline, on behalf of other gateways.
+    /// The deadline is the end of the lease, from which on the probe must not be sent.
     pub(super) fn probe(&mut self, now: Micros, engine: EngineId, deadline: Option<Micros>) {
         let is_late = deadline.is_some_and(|deadline| now >= deadline);
         let command = EngineCommand::Probe {
--- a/src/net/dispatcher/event.rs
+++ b/src/net/dispatcher/event.rs
@@ -15,7 +15,7 @@
     pub kind: EndpointListKind,
     /// The endpoints.
     pub entries: Vec<Endpoint>,
-    /// Handles of the endpoints that appear for the first time.
+    /// Handles of the endpoints that are new or whose address has changed.
     pub new_endpoints: Vec<(EngineId, Rc<EndpointHandle>)>,
     /// The index of the watch event that contained the change.
     pub version: u64,
@@ -83,8 +83,8 @@
     Probe {
         /// The engine.
         engine: u64,
-        /// The time after which other gateways, on whose behalf the probe is sent, cannot use its
-        /// result; `None` for a probe that the decision module requested.
+        /// The end of the lease under which the probe is sent on behalf of other gateways: it must
+        /// not be sent from then on. `None` for a probe that the decision module requested.
         deadline: Option<Micros>,
     },
     /// The lease holder of a probe published a result that the decision module had requested.
--- a/src/net/dispatcher/shutdown.rs
+++ b/src/net/dispatcher/shutdown.rs
@@ -8,7 +8,7 @@
 /// How long connections have for a graceful close once every request has its response.
 const GRACEFUL_CLOSE_TIMEOUT: Micros = 300 * MS;
 
-/// How long connections have to close at most after the forced end, since the process is about to
+/// The longest time that connections have for a close after the forced end: the process is about to
 /// be killed then.
 const FORCED_CLOSE_TIMEOUT: Micros = 150 * MS;
 
--- a/src/net/engine/mod.rs
+++ b/src/net/engine/mod.rs
@@ -52,10 +52,10 @@
         /// The new priority, 0 to 3.
         priority: u8,
     },
-    /// Send a load probe, unless this time has been reached: from then on the requester may have
-    /// lost the right to probe.
+    /// Send a load probe, unless this time has been reached: from then on another gateway may hold
+    /// the lease under which the probe is sent.
     Probe {
-        /// The end of that right, on the monotonic clock.
+        /// The end of the lease on the monotonic clock; `Micros::MAX` for a probe that needs none.
         not_after: Micros,
     },
     /// Close idle connections.
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -2,10 +2,9 @@
 //!
 //! The running process is the *predecessor*. It listens on a Unix socket in `$TMPDIR` and passes
 //! its listening descriptors, and later its client connections, to the process that connects there,
-//! its
-//! *successor*. [`Predecessor`] and its sessions run in the older process, [`request_transfer`] and
-//! [`follow_predecessor`] in the newer one. The effects of the exchange on the stage, the limits
-//! and the connections of each process are decided by [`crate::lifecycle`].
+//! its *successor*. [`Predecessor`] and its sessions run in the older process,
+//! [`request_transfer`] and [`follow_predecessor`] in the newer one. The effects of the exchange on
+//! the stage, the limits and the connections of each process are decided by [`crate::lifecycle`].
 mod descriptors;
 mod predecessor;
 mod predecessor_session;
--- a/src/net/hot_restart/predecessor.rs
+++ b/src/net/hot_restart/predecessor.rs
@@ -36,8 +36,8 @@
     items: Sender<TransferredItem>,
 }
 
-/// The connected successors. Their states determine the lifecycle's and the successor that receives
-/// this process's client connections.
+/// The connected successors. Their states determine the lifecycle's successor state, and which
+/// successor receives this process's client connections.
 #[derive(Default)]
 pub(super) struct SuccessorTable {
     successors: RefCell<BTreeMap<u64, Successor>>,
@@ -69,8 +69,8 @@
         successor.map(|successor| successor.state)
     }
 
-    /// Sets the lifecycle's one successor: the newest ready one if there is any, otherwise the
-    /// oldest. Client connections are transferred to that ready one only.
+    /// Sets the lifecycle's successor state to that of the newest ready successor if there is one,
+    /// otherwise to that of the oldest. Client connections are transferred only to that ready one.
     fn update_lifecycle(&self, shared: &Shared) {
         let successors = self.successors.borrow();
         let is_ready = |successor: &&Successor| successor.state == SuccessorState::Ready;
--- a/src/net/hot_restart/successor_session.rs
+++ b/src/net/hot_restart/successor_session.rs
@@ -80,7 +80,7 @@
     /// The adopted clients, by their connections' numbers at the predecessor.
     clients: BTreeMap<u64, AdoptedClient>,
     adopt: AdoptConnection,
-    /// The sender of `outgoing`. Each adopted connection gets a copy, to report that its client
+    /// The sender of `outgoing`. Each adopted connection gets a clone, to report that its client
     /// disconnected or cancelled a request.
     to_predecessor: Sender<HotRestartMessage>,
     outgoing: Receiver<HotRestartMessage>,
--- a/src/net/shared.rs
+++ b/src/net/shared.rs
@@ -77,7 +77,8 @@
     pub unwritten_bytes: Cell<usize>,
     /// The value of `unwritten_bytes` above which no more requests are read.
     pub max_unwritten_bytes: Cell<usize>,
-    /// Bytes of incomplete messages from clients, over all connections.
+    /// Bytes of input from clients that is buffered and not processed, such as incomplete messages
+    /// and deferred input, over all connections.
     pub unread_bytes: Cell<usize>,
     /// The limit of `unread_bytes`.
     pub max_unread_bytes: Cell<usize>,
@@ -107,7 +108,7 @@
     /// The lease service, if probes are shared in the fleet.
     pub lease_requests: RefCell<Option<Sender<fleet::lease::ProbeRequest>>>,
     /// The thread that writes the audit, if it is enabled.
-    pub audit_jobs: RefCell<Option<Sender<audit::AuditJob>>>,
+    pub audit_commands: RefCell<Option<Sender<audit::AuditCommand>>>,
     /// Counters of the datagrams between gateways.
     pub traffic: Rc<fleet::traffic::Traffic>,
 }
@@ -155,7 +156,7 @@
             fleet_view: RefCell::default(),
             active_configuration: Cell::default(),
             lease_requests: RefCell::default(),
-            audit_jobs: RefCell::default(),
+            audit_commands: RefCell::default(),
             traffic: Rc::default(),
         });
         shared.set_limits(descriptors, memory_mb);
@@ -180,7 +181,7 @@
     /// Half of the descriptors are for clients, a quarter for engines and an eighth for connections
     /// that are being closed; the rest remains for the admin endpoint, the coordinator and the
     /// other process. An eighth of the memory is for responses that clients have not read, and an
-    /// eighth for incomplete messages.
+    /// eighth for buffered input from clients.
     pub fn apply_capacity_share(&self) {
         let share = self.lifecycle.borrow().capacity_share();
         let share = share.max(MIN_CAPACITY_SHARE);
