--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -48,7 +48,7 @@
 pub enum DisconnectReason {
     /// The message was not complete within its time limit.
     MessageTimeout,
-    /// The incomplete messages of all clients together exceed their memory limit.
+    /// The buffered input of all clients together exceeds its memory limit.
     OutOfMemory,
 }
 
