--- a/src/startup/clickhouse.rs
+++ b/src/startup/clickhouse.rs
@@ -55,7 +55,7 @@
         self.engines.clone()
     }
 
-    /// Starts the listener. If there is a directory, its reader is started before that.
+    /// Starts the listener. If there is a directory, it is read once before that.
     pub(super) fn start(
         self,
         context: &StartContext,
@@ -151,8 +151,8 @@
     })
 }
 
-/// Generates request ids that do not repeat, beginning after `seed`, which differs with
-/// each process.
+/// Generates request ids that do not repeat, beginning after `seed`, which differs with each
+/// process.
 fn request_ids(seed: u64) -> impl Fn() -> String {
     let last = Cell::new(seed);
     move || {
