--- a/tests/unit/config_completeness.rs
+++ b/tests/unit/config_completeness.rs
@@ -31,8 +31,8 @@
     object.keys().cloned().collect()
 }
 
-/// Guards reloads against a rejected complete file. A missing admin address is not an error, as a
-/// reload does not change it.
+/// Guards against a reload that rejects a complete file. A missing admin address is not an error,
+/// as a reload does not change it.
 #[test]
 fn a_complete_file_has_no_missing_key() {
     let active = with_admin_address();
@@ -62,7 +62,7 @@
     }
 }
 
-/// Guards a new class against defaults: the lists in `extra` have to have an item for it.
+/// Guards against default values for a new class: the lists in `extra` have to have an item for it.
 #[test]
 fn a_list_with_fewer_items_than_classes_is_found() {
     let mut further_class = complete()["settings"]["classes"][0].clone();
--- a/tests/unit/connection_state.rs
+++ b/tests/unit/connection_state.rs
@@ -184,13 +184,13 @@
             let expected = self
                 .in_flight
                 .remove(&id)
-                .ok_or(format!("{id} ended twice"))?;
+                .ok_or(format!("attempt {id} ended twice"))?;
             let verb = response
                 .filter(|response| response.id == id)
                 .map(|response| &response.text[..4]);
             let allowed = expected.may_end(result.termination, verb, closing);
             if !allowed || result.progress != expected.progress() {
-                return Err(format!("{result:?} of {expected:?}"));
+                return Err(format!("{result:?}, but the model has {expected:?}"));
             }
         }
         let now = self.now;
@@ -385,7 +385,7 @@
     connection.on_timeout(timeout_at, &mut events);
 
     assert_eq!(connection.close_reason(), Some(Termination::Unresponsive));
-    assert!(timeout_at < 1_000 * MS, "{timeout_at}");
+    assert!(timeout_at < 1_000 * MS, "the timeout is at {timeout_at}");
 }
 
 /// Duplicates, responses to unknown requests and late load reports must not affect valid responses.
--- a/tests/unit/coordinator.rs
+++ b/tests/unit/coordinator.rs
@@ -94,11 +94,11 @@
     assert_eq!(decode(&event(1, CHANGES, 1)[..20]), Ok(None));
 }
 
-/// Guards against missing draining engines while a watch connection stays open but receives
+/// Guards against drains that go unnoticed while a watch connection stays open but receives
 /// nothing. Several such connections in a row are replaced, each from the last event on, and the
 /// missed events are reported.
 #[test]
-fn silent_watches_are_reconnected_from_the_last_event() {
+fn unresponsive_watches_are_reconnected_from_the_last_event() {
     let shared = Shared::new(64, 64);
     let (listener, addr) = crate::testkit::listener();
     let (migrations, mailbox) = async_channel::bounded(1);
--- a/tests/unit/dispatcher.rs
+++ b/tests/unit/dispatcher.rs
@@ -148,7 +148,7 @@
     );
 }
 
-/// Sends a lookup and returns its first attempt.
+/// Sends a lookup and returns its first attempt with the engine that it was sent to.
 fn start_lookup(dispatcher: &mut Dispatcher) -> (EngineId, AttemptRequest) {
     let request = ClientRequest {
         origin: Origin { conn: 1, tag: 1 },
@@ -198,7 +198,7 @@
 #[test]
 fn a_new_priority_is_sent_for_attempts_in_flight() {
     let mut dispatcher = dispatcher_with_keyed_loads(20 * SEC);
-    let (started_at, attempt) = start_lookup(&mut dispatcher);
+    let (first_engine, attempt) = start_lookup(&mut dispatcher);
     assert_eq!(
         attempt.priority,
         Some(3),
@@ -221,7 +221,7 @@
         matches!(
             commands[..],
             [Command::Reprioritize { engine, attempt, priority: 0 }]
-                if engine == started_at && attempt == expected
+                if engine == first_engine && attempt == expected
         ),
         "{commands:?}"
     );
--- a/tests/unit/dispatcher_model.rs
+++ b/tests/unit/dispatcher_model.rs
@@ -274,7 +274,7 @@
             .start_attempt(self.now, engine, attempt)
             .map_err(|e| format!("request {tag}: {e}"))?;
         if !self.ready_engines.contains(&engine) {
-            return Err("sent to an engine that is not ready".into());
+            return Err("an attempt was sent to an engine that is not ready".into());
         }
         self.tags.insert(attempt.id, tag);
         Ok(())
--- a/tests/unit/fleet_scan.rs
+++ b/tests/unit/fleet_scan.rs
@@ -219,15 +219,16 @@
         assert_eq!(fleet.cores, cores, "cores, {context}");
 
         let may_probe = self.gateway.settings.limits.may_probe;
-        let counted_share = |warmth: f64| {
-            if may_probe || warmth >= 1.0 {
-                warmth
+        let counted_fraction = |capacity_fraction: f64| {
+            if may_probe || capacity_fraction >= 1.0 {
+                capacity_fraction
             } else {
                 0.0
             }
         };
-        let limits = usable()
-            .map(|engine| engine.limit * counted_share(engine.capacity_fraction(now, &invariants)));
+        let limits = usable().map(|engine| {
+            engine.limit * counted_fraction(engine.capacity_fraction(now, &invariants))
+        });
         let limit: f64 = limits.sum();
         assert!(
             (fleet.limit - limit).abs() <= 1e-9 * limit,
@@ -262,7 +263,8 @@
 }
 
 impl Run {
-    /// Turns on engines that warm up end at other times than those on warm ones.
+    /// Settings with which turns on engines that warm up end at other times than turns on warm
+    /// engines.
     fn settings(&self, slow_start_duration: Nanos) -> Settings {
         let mut settings = settings(self.gateways, self.may_probe);
         settings.invariants.overload_window = 6 * SECOND / 5;
@@ -334,8 +336,8 @@
     );
 }
 
-/// Guards the median slowdown: a draining engine is not a peer, regardless of its response and of
-/// how similar to a peer its slowdown was.
+/// Guards the median slowdown, which covers ready engines only: no response of a draining engine
+/// changes it, even if that engine's slowdown was close to those of the others.
 #[test]
 fn a_response_of_a_draining_engine_does_not_change_the_median() {
     let mut simulation = Simulation::new(settings(1, false), 1, 1..=3);
@@ -345,7 +347,7 @@
     simulation.change_endpoint(endpoint(1, Readiness::Draining, 0));
     simulation.now += SECOND;
     simulation.tick();
-    // Nothing would be learned at the time of the first event after the gap.
+    // At the time of the first event after a gap, the gateway learns nothing from outcomes.
     simulation.now += TICK;
     let on_draining = |simulation: &Simulation| {
         let mut in_flight = simulation.in_flight.iter();
@@ -388,7 +390,7 @@
         assert_eq!(
             visited,
             [if may_probe { 3 * 500 } else { 0 }; 2],
-            "the three that warm up, where their limits count"
+            "only the three engines that warm up are visited, and only if engines are probed"
         );
     }
 }
--- a/tests/unit/idempotency.rs
+++ b/tests/unit/idempotency.rs
@@ -2,7 +2,7 @@
 use super::*;
 use crate::policy::api::{CellId, ZoneId};
 
-const SENT: Nanos = 1_000;
+const SENT_AT: Nanos = 1_000;
 const WINDOW: Nanos = 100;
 
 fn keyed(scope: DeduplicationScope) -> Idempotency {
@@ -26,19 +26,24 @@
 
 #[test]
 fn a_keyed_request_may_be_repeated_only_within_the_window_of_its_key() {
-    let late = SENT + 10 * WINDOW;
-    assert!(may_repeat(Idempotency::Idempotent, SENT, None, late));
-    assert!(!may_repeat(Idempotency::NonIdempotent, SENT, None, SENT));
-    let last = SENT + WINDOW - 1;
+    let late = SENT_AT + 10 * WINDOW;
+    assert!(may_repeat(Idempotency::Idempotent, SENT_AT, None, late));
+    assert!(!may_repeat(
+        Idempotency::NonIdempotent,
+        SENT_AT,
+        None,
+        SENT_AT
+    ));
+    let last = SENT_AT + WINDOW - 1;
     assert!(may_repeat(
         keyed(DeduplicationScope::Cell),
-        SENT,
+        SENT_AT,
         None,
         last
     ));
     assert!(!may_repeat(
         keyed(DeduplicationScope::Cell),
-        SENT,
+        SENT_AT,
         None,
         last + 1
     ));
@@ -49,7 +54,7 @@
     let same_zone = targets(endpoint(1, 1), endpoint(1, 2));
     let same_cell = targets(endpoint(1, 1), endpoint(2, 1));
     let other_zone_and_cell = targets(endpoint(1, 1), endpoint(2, 2));
-    let allowed = |scope, targets| may_repeat(keyed(scope), SENT, targets, SENT);
+    let allowed = |scope, targets| may_repeat(keyed(scope), SENT_AT, targets, SENT_AT);
     assert!(allowed(DeduplicationScope::All, other_zone_and_cell));
     assert!(allowed(DeduplicationScope::Zone, same_zone));
     assert!(!allowed(DeduplicationScope::Zone, same_cell));
--- a/tests/unit/lifecycle.rs
+++ b/tests/unit/lifecycle.rs
@@ -140,9 +140,9 @@
     }
 }
 
-/// Whether a connection is closed only by a drain, because a successor took over, or once clients
-/// stop sending after the request to stop; and whether that is neither before the front can detect
-/// the drain nor too late.
+/// Whether an idle connection is closed for one of three reasons only, and in time: by a drain,
+/// after the platform's front has detected it and before requests are rejected; by a hot restart,
+/// within a second; or by a shutdown without a ready successor, once the listeners stop accepting.
 fn closes_idle_connection_in_time(lifecycle: &Lifecycle, history: &History, conn: u64) -> bool {
     let drained_at = history.drained_at();
     let took_over_at = history
@@ -225,8 +225,9 @@
     check.quickcheck(agrees_after_each_step as fn(Vec<Step>) -> bool);
 }
 
-/// Guards the front's clients during a drain: only few of them reconnect to other managers at the
-/// same time, and no connection stays open after the time by which all have to be closed.
+/// Guards the clients of the platform's front during a drain: only few of them reconnect to other
+/// managers at the same time, and no connection stays open after the time by which all have to be
+/// closed.
 #[test]
 fn a_drain_closes_idle_connections_evenly() {
     let mut lifecycle = Lifecycle::default();
@@ -263,9 +264,9 @@
     }
 }
 
-/// Guards the requests of a process that was asked to stop: the platform kills it no earlier than
-/// 0.7 s after the longest deadline, and it has to exit before that even if it waits for a
-/// processor.
+/// Guards the requests of a process that received the request to stop: the platform kills it no
+/// earlier than 0.7 s after the longest deadline, and it has to exit before that even if it waits
+/// for a processor.
 #[test]
 fn the_forced_end_precedes_the_kill_by_a_margin() {
     const KILL_SLACK: Micros = 700 * MS;
@@ -276,7 +277,13 @@
         lifecycle.begin_shutdown(SEC);
         let kill_at = SEC + deadline.min(3 * SEC) + KILL_SLACK;
         let forced_end_at = lifecycle.forced_end_at(deadline).expect("it stops");
-        assert!(forced_end_at + CLOSE_TIME + MARGIN <= kill_at, "{deadline}");
-        assert!(forced_end_at >= SEC + deadline.min(3 * SEC), "{deadline}");
+        assert!(
+            forced_end_at + CLOSE_TIME + MARGIN <= kill_at,
+            "deadline {deadline}"
+        );
+        assert!(
+            forced_end_at >= SEC + deadline.min(3 * SEC),
+            "deadline {deadline}"
+        );
     }
 }
--- a/tests/unit/membership.rs
+++ b/tests/unit/membership.rs
@@ -80,8 +80,8 @@
 }
 
 /// A large fleet converges quickly, because a joining member reads the member lists of others page
-/// by page. One failed round of probes causes no suspicion, because gossip could not disseminate
-/// all refutations.
+/// by page. Only a second failed round of probes in a row causes a suspicion: after one round there
+/// would be more suspicions than gossip can disseminate refutations for.
 #[test]
 fn a_large_fleet_joins_quickly_and_bounds_suspicions_under_loss() {
     let mut fleet = converged_fleet(60, 21);
@@ -97,7 +97,7 @@
 
 /// Two members without a direct link reach each other through the indirect probes of others.
 #[test]
-fn indirect_probes_bridge_a_blocked_link() {
+fn indirect_probes_prevent_a_false_death_over_a_blocked_link() {
     let mut fleet = converged_fleet(5, 4);
     fleet.blocked_links.block_both_ways(0, 1);
 
--- a/tests/unit/mutation.rs
+++ b/tests/unit/mutation.rs
@@ -184,8 +184,8 @@
             }
         }
         let once_each = (0..4).map(|id| (RequestId(id), 1)).collect();
-        assert_eq!(end_counts, once_each, "{number}");
-        assert_eq!(probe_ends, 1, "{number}");
+        assert_eq!(end_counts, once_each, "exchange {number}");
+        assert_eq!(probe_ends, 1, "exchange {number}");
     }
 }
 
@@ -195,12 +195,12 @@
     assert_eq!(
         (result.attempt, result.progress),
         (AttemptNo(0), TransmitProgress::Complete),
-        "{number}"
+        "exchange {number}"
     );
     let counts_as_not_run = never_ran(outcome(result.termination, result.progress));
     assert!(
         !counts_as_not_run || (may_report_not_run && result.id != RequestId(3)),
-        "{number}: {result:?}"
+        "exchange {number}: {result:?}"
     );
 }
 
@@ -271,7 +271,7 @@
         assert!(
             tags.iter()
                 .all(|tag| response_counts.get(tag).is_none_or(|count| *count == 1)),
-            "{number}: {text}"
+            "exchange {number}: {text}"
         );
         let cancellations = events
             .iter()
@@ -279,7 +279,7 @@
             .count();
         assert!(
             cancellations <= 1 && frontend.open_requests() == 0,
-            "{number}"
+            "exchange {number}"
         );
     }
 }
@@ -313,13 +313,13 @@
                 Ok(updates) => positions.extend(updates.into_iter().map(|update| update.index)),
                 Err(_) => {
                     let resumed_from = u64::from_be_bytes(watch_reader.begin_connection());
-                    assert_eq!(Some(&resumed_from), positions.last(), "{number}");
+                    assert_eq!(Some(&resumed_from), positions.last(), "exchange {number}");
                 }
             }
         }
         assert!(
             positions.is_sorted_by(|earlier, later| earlier < later),
-            "{number}: {positions:?}"
+            "exchange {number}: {positions:?}"
         );
     }
 }
--- a/tests/unit/net_client.rs
+++ b/tests/unit/net_client.rs
@@ -454,7 +454,7 @@
     fixture.close();
 }
 
-/// Also with more input before the end of stream than a connection may defer.
+/// Covers a client that sends more input before the end of stream than a connection may defer.
 #[test]
 fn a_disconnect_is_detected_while_the_client_is_throttled() {
     for input_bytes in [0, 80_000] {
@@ -545,7 +545,7 @@
     let text = fixture.read_to_end();
     for id in 1..=3 {
         let response = format!("\"id\":{id},");
-        assert!(text.contains(&response), "{id}: {text}");
+        assert!(text.contains(&response), "request {id}: {text}");
     }
 }
 
@@ -572,7 +572,7 @@
     let text = fixture.read_to_end();
     for id in 1..=30 {
         let response = format!("\"id\":{id},");
-        assert_eq!(text.matches(&response).count(), 1, "{id}: {text}");
+        assert_eq!(text.matches(&response).count(), 1, "request {id}: {text}");
     }
     assert_eq!(fixture.shared.actor_panics.get(), 0);
     fixture.close();
--- a/tests/unit/net_client_response_time.rs
+++ b/tests/unit/net_client_response_time.rs
@@ -246,12 +246,16 @@
         for (id, request) in &self.requests {
             let latest = request.due_at + RESPONSE_SLACK + self.lag;
             let responses = &request.responses;
-            prop_assert!(responses.len() <= 1, "{id}: {} responses", responses.len());
+            prop_assert!(
+                responses.len() <= 1,
+                "request {id}: {} responses",
+                responses.len()
+            );
             if !request.cancelled {
                 let at = responses.first().copied().unwrap_or(Micros::MAX);
                 prop_assert!(
                     at <= latest,
-                    "{id}: due {}, response at {at}, lag {}",
+                    "request {id}: due {}, response at {at}, lag {}",
                     request.due_at,
                     self.lag
                 );
--- a/tests/unit/net_engine.rs
+++ b/tests/unit/net_engine.rs
@@ -1,5 +1,5 @@
-//! Which connection to an engine carries an attempt, and that no attempt is sent for a client that
-//! has disconnected.
+//! The selection of the connection that carries an attempt. Guards against attempts that are sent
+//! for a client that has disconnected.
 use super::connection_handle::{ConnectionHandle, ConnectionStatus};
 use super::{ConnectionOptions, EndpointHandle, EngineCommand, StartActor, bounded, spawn};
 use crate::backend::platform::Platform;
@@ -73,7 +73,11 @@
     };
 
     assert_eq!(select(attempt(true)), Some(2));
-    assert_eq!(select(attempt(false)), Some(1), "others share the fullest");
+    assert_eq!(
+        select(attempt(false)),
+        Some(1),
+        "other attempts share the busiest connection"
+    );
 }
 
 /// When the client disconnects.
@@ -96,7 +100,7 @@
     /// What was reported to the dispatcher about the client and the attempt.
     reported: Vec<String>,
     /// Events that keep the mailboxes of the client's actor open.
-    responses: Vec<DispatcherEvent>,
+    connected_events: Vec<DispatcherEvent>,
 }
 
 /// The client's end of a connection whose other end has an actor.
@@ -152,7 +156,7 @@
             engine_connection: None,
             engine_input: Vec::new(),
             reported: Vec::new(),
-            responses: Vec::new(),
+            connected_events: Vec::new(),
         }
     }
 
@@ -194,7 +198,7 @@
                     let (termination, progress) = (result.termination, result.progress);
                     self.reported.push(format!("{termination:?} {progress:?}"));
                 }
-                DispatcherEvent::ClientConnected { .. } => self.responses.push(event),
+                DispatcherEvent::ClientConnected { .. } => self.connected_events.push(event),
                 _ => {}
             }
         }
--- a/tests/unit/net_engine_endpoint.rs
+++ b/tests/unit/net_engine_endpoint.rs
@@ -165,8 +165,8 @@
     }
 
     /// Runs until the attempts of those requests have ended and, with all connections closed by the
-    /// engine, no actor is left. Asserts that each ended once, and that the engine read at most
-    /// once what was sent, and never what was not.
+    /// engine, no actor is left. Asserts that each ended once, and that the engine read a sent
+    /// attempt at most once and an unsent one never.
     fn finish_and_check(&mut self, ids: &[u32]) {
         self.run_until(|fixture| ids.iter().all(|id| fixture.has_ended(*id)));
         self.closes_all = true;
--- a/tests/unit/net_reload.rs
+++ b/tests/unit/net_reload.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Reloads, while `dispatcher` handles the new settings in place of the dispatcher.
+    /// Reloads; the function `dispatcher` handles the new settings as the dispatcher's actor would.
     fn reload(&self, dispatcher: impl Fn(Reconfiguration)) -> Result<(), ReloadError> {
         let serve = async {
             if let Ok(DispatcherEvent::Reconfigure(new)) = self.dispatcher.recv().await {
@@ -223,7 +223,7 @@
     assert!(!fixture.is_new());
 }
 
-/// The process is exiting then, and the configuration is applied as a whole.
+/// The watch ends only when the process exits. The configuration is still applied as a whole.
 #[test]
 fn a_reload_completes_although_the_coordinators_watch_has_ended() {
     let fixture = Fixture::new();
--- a/tests/unit/spool.rs
+++ b/tests/unit/spool.rs
@@ -206,7 +206,7 @@
 }
 
 /// A sealed result that has to stay readable until it expires.
-struct PromisedResult {
+struct RetainedResult {
     page_sizes: Vec<u64>,
     expires_at: Micros,
 }
@@ -221,7 +221,7 @@
     store: BTreeMap<ResultId, StoredResult>,
     /// Number of runs of each query that must not run twice.
     runs: BTreeMap<QueryKey, u32>,
-    promised: BTreeMap<ResultId, PromisedResult>,
+    retained: BTreeMap<ResultId, RetainedResult>,
 }
 
 impl SpoolModel {
@@ -233,7 +233,7 @@
             commands: Vec::new(),
             store: BTreeMap::new(),
             runs: BTreeMap::new(),
-            promised: BTreeMap::new(),
+            retained: BTreeMap::new(),
         }
     }
 
@@ -324,11 +324,11 @@
         let stored = self.store.get_mut(&id).expect("its intent is durable");
         stored.sealed_page_sizes = Some(result.page_sizes.clone());
         stored.expires_at = result.expires_at;
-        let promised = PromisedResult {
+        let retained = RetainedResult {
             page_sizes: result.page_sizes.clone(),
             expires_at: result.expires_at,
         };
-        self.promised.insert(id, promised);
+        self.retained.insert(id, retained);
     }
 
     fn fail(&mut self, id: ResultId) {
@@ -367,7 +367,7 @@
         stored.acknowledged_pages.insert(page);
         if all {
             stored.expires_at = self.spool.results[&id].expires_at;
-            self.promised.remove(&id);
+            self.retained.remove(&id);
         }
     }
 
@@ -375,7 +375,7 @@
         let owner = self.owner_of(id);
         let deleted = self.spool.delete(self.now, id, &owner, &mut self.commands);
         if deleted.is_ok() {
-            self.promised.remove(&id);
+            self.retained.remove(&id);
         }
     }
 
@@ -390,16 +390,16 @@
 
     fn check(&mut self) {
         let now = self.now;
-        self.promised
-            .retain(|_, promised| promised.expires_at > now);
-        for (id, promised) in &self.promised {
+        self.retained
+            .retain(|_, retained| retained.expires_at > now);
+        for (id, retained) in &self.retained {
             let result = self
                 .spool
                 .results
                 .get(id)
                 .expect("a sealed and unread result is stored until it expires");
             let readable = matches!(result.stage, ResultStage::Sealed | ResultStage::Consumed);
-            assert_eq!((&result.page_sizes, readable), (&promised.page_sizes, true));
+            assert_eq!((&result.page_sizes, readable), (&retained.page_sizes, true));
         }
         let first_tenant = Some(TenantId(0));
         assert!(
--- a/tests/unit/spool_handle.rs
+++ b/tests/unit/spool_handle.rs
@@ -16,13 +16,13 @@
         .unwrap();
     let keys = HandleKeys::new(1, [7; 32]);
     assert_eq!(keys.verify(&handle, &owner(1, "anna")), Some(ResultId(42)));
-    for stranger in [
+    for other_owner in [
         owner(2, "anna"),
         owner(1, "ann"),
         owner(1, "anna2"),
         owner(1, ""),
     ] {
-        assert_eq!(keys.verify(&handle, &stranger), None);
+        assert_eq!(keys.verify(&handle, &other_owner), None);
     }
     assert_eq!(
         HandleKeys::new(1, [8; 32]).verify(&handle, &owner(1, "anna")),
--- a/tests/unit/turns.rs
+++ b/tests/unit/turns.rs
@@ -58,7 +58,10 @@
     let others = holders(&turn(4.0, 0.5), now);
     assert!(!others.is_empty());
     for gateway in holders(&turn(4.0, 0.0), now) {
-        assert!(!others.contains(&gateway), "{gateway}");
+        assert!(
+            !others.contains(&gateway),
+            "gateway {gateway} has both turns"
+        );
     }
 }
 
