--- a/tests/soak/manager.rs
+++ b/tests/soak/manager.rs
@@ -104,7 +104,7 @@
 /// The records of a manager's clients, and the events that may leave requests without a response.
 pub(crate) struct ManagerReport {
     pub(crate) loads: Vec<SustainedLoadReport>,
-    /// The times before and after each kill of a process that was earlier than the platform's.
+    /// The times before and after each kill of a process before the platform would kill it.
     pub(crate) kills: Vec<Instant>,
     pub(crate) has_idle_clients: bool,
 }
