--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -117,7 +117,7 @@
         bytes_per_engine
             .iter()
             .all(|bytes| (1..8 * 1024).contains(bytes)),
-        "{at_100} {at_500} {at_900}: {bytes_per_engine:?} bytes per engine"
+        "allocated {at_100}, {at_500} and {at_900} bytes: {bytes_per_engine:?} bytes per engine"
     );
     assert!(
         bytes_per_engine[1] <= bytes_per_engine[0] * 5 / 4,
--- a/tests/audit.rs
+++ b/tests/audit.rs
@@ -389,19 +389,19 @@
 #[test]
 fn only_a_majority_takes_over_the_capacity_shares_of_inactive_managers() {
     let fleet = start("shares", 14);
-    let shares = |member: usize, gateways: usize| {
+    let logs_active_gateways = |member: usize, gateways: usize| {
         let line = format!("fleet: {gateways} of {MEMBERS} managers share");
         fleet.log(member).contains(&line)
     };
     fleet.signal(4, Signal::STOP);
     assert!(
-        wait_until(|| (0..4).all(|i| shares(i, 4))),
+        wait_until(|| (0..4).all(|i| logs_active_gateways(i, 4))),
         "{}",
         fleet.log(0)
     );
     fleet.signal(4, Signal::CONT);
     assert!(
-        wait_until(|| (0..4).all(|i| shares(i, 5))),
+        wait_until(|| (0..4).all(|i| logs_active_gateways(i, 5))),
         "{}",
         fleet.log(0)
     );
@@ -409,7 +409,7 @@
     faults.partition(&[0, 1], &[2, 3, 4]);
     fleet.fault_proxy.set_faults(faults);
     assert!(
-        wait_until(|| (2..5).all(|i| shares(i, 3))),
+        wait_until(|| (2..5).all(|i| logs_active_gateways(i, 3))),
         "{}",
         fleet.logs()
     );
@@ -419,7 +419,7 @@
         fleet.log(0)
     );
     assert!(
-        (0..2).all(|i| !shares(i, 3) && !shares(i, 2)),
+        (0..2).all(|i| !logs_active_gateways(i, 3) && !logs_active_gateways(i, 2)),
         "{}",
         fleet.log(0)
     );
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,5 +1,6 @@
-//! The pages against the tree: links lead somewhere, paths exist, and the code names of the architecture page and the
-//! glossary stand in the source.
+//! Guards against pages that become wrong when files, headings or names in the code change: each
+//! local link has a target, each path exists, and the code names of the architecture page and the
+//! glossary occur in the source.
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
@@ -101,7 +102,7 @@
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-/// The changelog names what there was at the time, so its paths are not checked.
+/// The changelog names paths of earlier versions, so it is not checked.
 #[test]
 fn every_path_that_a_page_names_exists() {
     let mut missing = Vec::new();
@@ -112,8 +113,8 @@
         let text = read(&page);
         for span in code_spans(&text) {
             let is_path = CHECKED_ROOTS.iter().any(|root| span.starts_with(root));
-            let plain = !span.contains(|c: char| c.is_whitespace() || "*{<".contains(c));
-            if is_path && plain && !root().join(span).exists() {
+            let is_plain = !span.contains(|c: char| c.is_whitespace() || "*{<".contains(c));
+            if is_path && is_plain && !root().join(span).exists() {
                 missing.push(format!("{}: {span}", page.display()));
             }
         }
@@ -121,7 +122,7 @@
     assert!(missing.is_empty(), "{}", missing.join("\n"));
 }
 
-/// Identifiers with a capital letter, such as `Dispatcher`, in the last segment or the one before a method.
+/// The segments of all paths with `::` in the code spans of a page.
 fn code_names(text: &str) -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for span in code_spans(text) {
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn code_names_of_the_architecture_page_and_the_glossary_stand_in_the_source() {
+fn code_names_of_the_architecture_page_and_the_glossary_occur_in_the_source() {
     let source: String = files_below(&root().join("src"), "rs")
         .iter()
         .map(|path| read(path))
--- a/tests/late_connections.rs
+++ b/tests/late_connections.rs
@@ -196,8 +196,8 @@
 fn connections_after_a_successor_is_killed_get_a_response_or_are_refused() {
     let mut deployment = Deployment::start(true);
     let executor = Executor::default();
-    let follow = deployment.daemon.start_successor(program());
-    async_io::block_on(executor.run(follow)).expect("a successor");
+    let start = deployment.daemon.start_successor(program());
+    async_io::block_on(executor.run(start)).expect("a successor");
     deployment.daemon.terminate_predecessor();
     std::thread::sleep(SUCCESSOR_LIFETIME);
     deployment.daemon.kill(DaemonProcess::Successor);
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -123,9 +123,9 @@
 
 /// The number of probes from each member that reached the engine.
 fn probes_by_member(fleet: &Fleet) -> Vec<usize> {
-    fleet.with_stand_ins(|world| {
+    fleet.with_stand_ins(|stand_ins| {
         ALL.iter()
-            .map(|member| world.probe_count(*member, 0))
+            .map(|member| stand_ins.probe_count(*member, 0))
             .collect()
     })
 }
--- a/tests/listen_address.rs
+++ b/tests/listen_address.rs
@@ -96,7 +96,7 @@
     fn assert_start_rejected(&mut self, listen: SocketAddr, other: &str) {
         assert!(
             !self.wait_until_ready(),
-            "it shares the address: {}",
+            "it became ready at a claimed address: {}",
             self.log()
         );
         let status = self.poll_exit();
@@ -154,8 +154,8 @@
     assert!(first.is_ready() && first.poll_exit().is_none());
 }
 
-/// Guards the address of a process that is suspended by SIGSTOP: its claim must be readable all the
-/// same.
+/// Guards the address of a process that is suspended by SIGSTOP: its claim must still be
+/// readable.
 #[test]
 fn the_address_of_a_suspended_process_is_shared_with_its_successor_only() {
     let folders = Folders::new();
@@ -204,7 +204,7 @@
 }
 
 /// Guards a start at an address whose last holder was killed: no claim or socket of that process
-/// may reject the new one, whichever its name.
+/// may prevent it, whatever the new process's name.
 #[test]
 fn a_killed_holder_does_not_block_its_address() {
     let folders = Folders::new();
@@ -234,8 +234,8 @@
     assert!(manager.log().contains(&shared), "{}", manager.log());
 }
 
-/// A listener whose address other processes may bind, without a claim, as in builds before this
-/// test.
+/// A listener without a claim, whose address other processes may bind, as in builds that did not
+/// publish claims.
 fn shared_listener() -> std::net::TcpListener {
     use rustix::net::{AddressFamily, SocketType, bind, listen, socket, sockopt};
     let socket = socket(AddressFamily::INET, SocketType::STREAM, None).expect("creates a socket");
--- a/tests/response_time.rs
+++ b/tests/response_time.rs
@@ -98,8 +98,8 @@
     load.finish()
 }
 
-/// Asserts that each request that was not cancelled got its response by its client's deadline and
-/// `LOST_AFTER`.
+/// Asserts that each request that was not cancelled got its response within `LOST_AFTER` of its
+/// client's deadline.
 fn assert_responses_in_time(report: &SustainedLoadReport) {
     let not_cancelled = report
         .requests
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -140,12 +140,12 @@
 #[test]
 fn a_deadline_fails_the_request_and_cancels_its_attempt() {
     for engine in ["platform", "clickhouse"] {
-        for ask in [
+        for request in [
             "rpc load billing-desk 1000 INSERT INTO a_1.b SELECT 1",
             "http anna secret 1 INSERT INTO a_1.b SELECT 1",
         ] {
             run(&format!(
-                "user anna secret billing-desk\nengine one {engine}\nstart\non one hang\nask a {ask}\n\
+                "user anna secret billing-desk\nengine one {engine}\nstart\non one hang\nask a {request}\n\
                 expect a deadline\nover a\nruns a 1\nterm\nended\ncounter failed 1\ncounter open 0"
             ));
         }
@@ -382,7 +382,7 @@
 /// A request with a database is accepted only while every ready engine supports databases.
 #[test]
 fn a_database_is_accepted_only_if_all_engines_support_it() {
-    let ask = |name: &str| {
+    let raw_request = |name: &str| {
         let query = format!("SELECT+1+%2F*+{name}+*%2F");
         format!(
             "raw {name} http GET /?user=anna&password=secret&database=ops_1&query={query} HTTP/1.1\\r\\n\\r\\n\n"
@@ -391,8 +391,8 @@
     run(&format!(
         "engine web clickhouse\nengine lines platform\nuser anna secret billing-desk\nstart\n{}expect a rejected 400\n\
         drain lines\nuntil lists 2\n{}expect b served\nterm\nended\ncounter taken 1\ncounter served 1",
-        ask("a"),
-        ask("b")
+        raw_request("a"),
+        raw_request("b")
     ));
 }
 
