--- a/src/policy/concurrency_limit.rs
+++ b/src/policy/concurrency_limit.rs
@@ -9,7 +9,7 @@
 use super::state::turns::Turn;
 use super::state::units::seconds;
 use super::tuning::{
-    BURST_SHARE, CONGESTED_SLOWDOWN, CONTROL_PERIOD, INITIAL_THREADS_PER_CORE, MAX_SAMPLE_RATIO,
+    BURST_FACTOR, CONGESTED_SLOWDOWN, CONTROL_PERIOD, INITIAL_THREADS_PER_CORE, MAX_SAMPLE_RATIO,
     TURN_DURATION,
 };
 use crate::policy::api::{LoadField, Nanos};
@@ -166,7 +166,7 @@
         let limit = if is_under_pressure {
             engine.limit
         } else {
-            engine.initial_limit * BURST_SHARE
+            engine.initial_limit * BURST_FACTOR
         };
         let own_limit = usable_share * limit / self.active_gateways;
         engine
@@ -190,12 +190,12 @@
             return false;
         }
         let threads = self.query_threads(request);
-        let limit_share = if self.is_long(request) {
+        let limit_factor = if self.is_long(request) {
             LONG_QUERY_SHARE
         } else {
-            BURST_SHARE
+            BURST_FACTOR
         };
-        let whole_limit = usable_share * engine.limit * limit_share;
+        let whole_limit = usable_share * engine.limit * limit_factor;
         let load = self.estimated_load(now, engine);
         if load + threads > whole_limit {
             return false;
@@ -256,7 +256,7 @@
         let full_threads_per_core = if fields.contains(&LoadField::QueriesInFlight) {
             INITIAL_THREADS_PER_CORE
         } else if fields.contains(&LoadField::DiskUtilization) {
-            if is_under_pressure { 1.0 } else { BURST_SHARE }
+            if is_under_pressure { 1.0 } else { BURST_FACTOR }
         } else {
             0.0
         };
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -45,8 +45,9 @@
 impl Gateway {
     /// Engines to compare: all of a small fleet; of a large one those where this gateway has a
     /// turn, those with the newest reports or, without probes, the preferred ones, and some at
-    /// random, so that not all gateways choose the same engine. The cost does not grow with the
-    /// fleet.
+    /// random, so that not all gateways choose the same engine. Where engines are probed, the
+    /// number of candidates is bounded. Otherwise all engines with a turn are included, and their
+    /// number grows with the number of engines per gateway.
     pub(super) fn candidates(&mut self) -> Vec<EngineId> {
         let draw = self.rng.next_u32() as usize;
         let ready = &self.fleet.ready;
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -25,10 +25,15 @@
 /// How to proceed with an attempt, given its progress.
 #[derive(Clone, Copy, PartialEq)]
 enum PlanDecision {
+    /// The attempt goes on: it may not be cancelled, or neither of the other decisions applies.
     Continue,
-    /// The plan is bad, and another attempt can still be in time.
+    /// The attempt is cancelled for a retry: its plan is bad, and a retry is permitted and expected
+    /// to end in time.
     Retry,
-    /// Neither this attempt nor another one can end before the deadline.
+    /// The request ends, and the attempt is cancelled if the settings permit it: the decision is
+    /// not `Retry`, and the attempt would miss the deadline even if it took only
+    /// [`MIN_TIME_LEFT_SHARE`] of the remaining time extrapolated from its progress. The plan need
+    /// not be bad.
     Abandon,
 }
 
@@ -166,8 +171,9 @@
             self.cancel(id, number, actions);
             return;
         }
-        // The selection draws random numbers, so it is made even where its result is not used:
-        // otherwise runs with the same seed would diverge.
+        // The selection draws random numbers, so it is made even where its result is not used.
+        // Leaving it out would shift the random sequence, and so change all later decisions of a
+        // run with the same seed, such as the recorded runs.
         let selected = self.select_engine(now, id);
         if let Some(engine) = selected.filter(|_| may_hedge) {
             self.cancel_budget.spend();
--- a/src/policy/load_reports.rs
+++ b/src/policy/load_reports.rs
@@ -5,7 +5,7 @@
 use super::state::probe_stats::ProbeRoute;
 use super::state::request::{PendingRequest, is_placement_allowed};
 use super::state::units::seconds;
-use super::tuning::{BURST_SHARE, CONGESTED_SLOWDOWN};
+use super::tuning::{BURST_FACTOR, CONGESTED_SLOWDOWN};
 use crate::policy::api::{Action, EngineId, LoadField, LoadReport, Nanos, OutcomeKind, RequestId};
 
 /// Age below which a report is fresh and the engine is not probed: 250 ms.
@@ -104,7 +104,7 @@
         };
         let stats = &mut self.load_reports.probe_stats;
         let relative_delay = stats.record(route, seconds(latency));
-        let load_share = match kind {
+        let relative_load = match kind {
             OutcomeKind::Ok => (relative_delay / CONGESTED_SLOWDOWN).powi(2),
             OutcomeKind::ConnectFailed => f64::INFINITY,
             OutcomeKind::Error
@@ -112,10 +112,10 @@
             | OutcomeKind::Timeout
             | OutcomeKind::Reset
             | OutcomeKind::Cancelled
-            | OutcomeKind::NeverSent => BURST_SHARE,
+            | OutcomeKind::NeverSent => BURST_FACTOR,
         };
         let reported = engine.report.map_or(0.0, |report| report.threads);
-        let threads = reported.max(engine.initial_limit * load_share);
+        let threads = reported.max(engine.initial_limit * relative_load);
         engine.report = Some(ReportedLoad { at: now, threads });
     }
 
--- a/src/policy/tuning.rs
+++ b/src/policy/tuning.rs
@@ -2,8 +2,8 @@
 //! defined in the file of that part.
 use crate::policy::api::Nanos;
 
-/// Interval of the periodic tick that processes the queue and the fleet: 20 ms, well within the
-/// usual slack of a response.
+/// Interval of the periodic tick that processes the queue and the fleet: 20 ms, short against the
+/// time that a client usually tolerates between a deadline and its response.
 pub(super) const TICK_INTERVAL: Nanos = 20_000_000;
 
 /// Period of the control law ECC09: 2 s, from its design. Values that have to keep pace with the
@@ -19,7 +19,7 @@
 
 /// Multiple of a limit that a burst may fill without pressure, before its effect on latency can be
 /// measured.
-pub(super) const BURST_SHARE: f64 = 1.4;
+pub(super) const BURST_FACTOR: f64 = 1.4;
 
 /// Slowdown relative to the peers' median from which an engine counts as congested.
 pub(super) const CONGESTED_SLOWDOWN: f64 = 2.0;
