--- a/src/backend/connection_state/mod.rs
+++ b/src/backend/connection_state/mod.rs
@@ -286,8 +286,10 @@
         }
     }
 
-    /// Records the first write of a command. The progress is `Complete` from the first byte on, as
-    /// the engine may have received the whole command by then.
+    /// Records the first write of a command. From the first byte on, the attempt counts as possibly
+    /// executed: its progress is `Complete`, which includes an unknown part of the command. For a
+    /// partly written head this is cautious, as the tail has not been written. The progress is
+    /// `Partial` from the last byte of the head to the first write of the tail.
     fn record_first_write(&mut self, now: Micros, id: RequestId) {
         let unsent = self.pending.get_mut(&id).filter(|a| a.is_unsent());
         if let Some(pending) = unsent {
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -313,16 +313,16 @@
     }
 
     /// Minimum idle time of connection number `conn` before it is closed. A client that just
-    /// connected, or just received a response, is likely to send a request. `had_response` is
-    /// whether the connection ever carried a response. The result is 0 if the connection is kept
-    /// open, if the process already closes all connections, or once `MAX_IDLE_WAIT` has passed
+    /// connected, or just received a response, is likely to send a request. `has_valid_message` is
+    /// whether the client has sent at least one valid message. The result is 0 if the connection is
+    /// kept open, if the process already closes all connections, or once `MAX_IDLE_WAIT` has passed
     /// since the connection was due to be closed.
-    pub fn min_idle_time(&self, conn: u64, now: Micros, had_response: bool) -> Micros {
+    pub fn min_idle_time(&self, conn: u64, now: Micros, has_valid_message: bool) -> Micros {
         if self.closing {
             return 0;
         }
         match self.idle_close_at(conn) {
-            Some(close_at) if now < close_at + MAX_IDLE_WAIT && had_response => {
+            Some(close_at) if now < close_at + MAX_IDLE_WAIT && has_valid_message => {
                 MIN_IDLE_AFTER_RESPONSE
             }
             Some(close_at) if now < close_at + MAX_IDLE_WAIT => MIN_IDLE_BEFORE_FIRST_REQUEST,
--- a/src/net/audit.rs
+++ b/src/net/audit.rs
@@ -143,6 +143,7 @@
 /// The loop of the audit thread: runs until the queue of commands is closed and empty.
 fn run_commands(mut store: Store, commands: &Receiver<AuditCommand>) {
     while let Ok(command) = commands.recv_blocking() {
+        // The rate limit of the log uses this thread's last reading of the clock.
         clock::read();
         match command {
             AuditCommand::Write(batch) => {
--- a/src/net/client/wait.rs
+++ b/src/net/client/wait.rs
@@ -172,8 +172,8 @@
         let quiet = (closing || no_message_begun) && !self.has_unread_input;
         let closes_when_quiet = quiet && (closing || self.status.draining.get());
         closes_when_quiet.then(|| {
-            let is_active_client = self.frontend.has_valid_message();
-            self.active_at + lifecycle.min_idle_time(self.id, now, is_active_client)
+            let has_valid_message = self.frontend.has_valid_message();
+            self.active_at + lifecycle.min_idle_time(self.id, now, has_valid_message)
         })
     }
 
--- a/src/testkit/scale/report.rs
+++ b/src/testkit/scale/report.rs
@@ -6,7 +6,9 @@
 use comfy_table::presets::ASCII_MARKDOWN;
 use serde::Serialize;
 
-/// Processor time that a manager may spend on control, in microseconds per second.
+/// Processor time that a manager may spend on control, in microseconds per second. Control is what
+/// a manager does while no statement runs: the endpoint list, the periodic work of the decision
+/// module, membership, leases and the audit.
 const MAX_CONTROL_CPU_US_PER_S: f64 = 12_000.0;
 /// Resident memory that a manager may use for control, in KiB.
 const MAX_CONTROL_RSS_KIB: f64 = 64.0 * 1024.0;
